--- /dev/null
+++ b/crates/coordination/tests/golden_records.rs
@@ -0,0 +1,337 @@
+//! Records and keys of the state service as bytes: nodes of two builds share them.
+
+#[path = "../../wire/tests/golden/mod.rs"]
+mod golden;
+
+use coordination::ledger::Ledger;
+use coordination::node::admin::TuningRecord;
+use coordination::records::{
+    boot_key, cancels_key, demand_key, ends_key, final_key, intake_key, ledger_prefix,
+    machines_key, partition_key, wish_key, BootRecord, CancelsRecord, CounterRecord, DemandRecord,
+    EndsPage, FinalRecord, IntakePage, MachineRecord, MachinesPage, PackedJob, PackedMachine,
+    PartitionRecord, WishRecord, COUNTER, TUNING, TYPES, WATCHED,
+};
+use golden::{record, Entry};
+use model::{JobId, MachineName, NodeName, PartitionId, Version};
+use scheduler::{ChunkBody, ChunkKey, PlacedTask};
+use serde_json::Value;
+use std::collections::BTreeMap;
+use wire::cloud::{MachineType, MachineTypes};
+use wire::mesh::DemandShape;
+use wire::state::{Item, Write};
+use wire::users::{JobKind, JobRequest, JobState, Priority};
+
+fn node(name: &str) -> NodeName {
+    NodeName::from(name)
+}
+
+fn full_job(kind: JobKind, priority: Priority) -> JobRequest {
+    JobRequest {
+        id: "j-000412".into(),
+        class: "train".into(),
+        team: "vision".into(),
+        kind,
+        priority,
+        tasks: 16,
+        cpus: 8.0,
+        gpus: 0.5,
+        memory_gb: 64.25,
+        image: "img-07".into(),
+        image_gb: 6.2,
+        types: Some(vec!["g8".into(), "m4".into()]),
+        zone: Some("a".into()),
+        one_zone: true,
+        spread: false,
+        spot: false,
+        estimate_s: 240.0,
+        checkpoint_s: 30.5,
+        save_s: 4.0,
+        deadline_s: Some(900.0),
+    }
+}
+
+fn plain_job() -> JobRequest {
+    JobRequest {
+        types: None,
+        zone: None,
+        deadline_s: None,
+        one_zone: false,
+        spread: true,
+        ..full_job(JobKind::Array, Priority::Low)
+    }
+}
+
+fn spot_job() -> JobRequest {
+    JobRequest { spot: true, one_zone: false, ..full_job(JobKind::Array, Priority::Normal) }
+}
+
+/// A page whose jobs are read one by one, as the mirror does.
+fn intake(name: &'static str, job: JobRequest) -> Entry {
+    let encode = |job: &JobRequest| {
+        let packed = serde_json::to_value(PackedJob::new(86_400_007, job.clone()));
+        let page = IntakePage { jobs: vec![packed.expect("a value")] };
+        golden::to_json(&serde_json::to_value(page).expect("a value"))
+    };
+    let decode = |text: &str| -> Result<JobRequest, serde_json::Error> {
+        let page: IntakePage = serde_json::from_str(text)?;
+        let packed: PackedJob = serde_json::from_value(page.jobs[0].clone())?;
+        assert_eq!((packed.0, packed.id()), (86_400_007, "j-000412"));
+        Ok(packed.request())
+    };
+    Entry::of(name, job, encode, decode)
+}
+
+#[test]
+fn pages_of_accepted_jobs_keep_their_bytes() {
+    let entries = [
+        intake("batch_low_plain", plain_job()),
+        intake("batch_standard", spot_job()),
+        intake("group_high", full_job(JobKind::Gang, Priority::High)),
+        intake("service_critical", full_job(JobKind::Service, Priority::Production)),
+        record("none", IntakePage::default()),
+    ];
+    golden::check("accepted_jobs.txt", &entries);
+}
+
+fn ends() -> EndsPage {
+    EndsPage {
+        done: vec![1, 2],
+        cancelled: vec![3],
+        filed_done: vec![4, 5, 6],
+        filed_cancelled: vec![7],
+    }
+}
+
+fn partition(suspects: Vec<(NodeName, u64)>) -> PartitionRecord {
+    PartitionRecord { holder: node("n0"), boot: 3, term: 41, suspects }
+}
+
+fn machine(spot: bool, leaving: bool) -> PackedMachine {
+    let record = MachineRecord {
+        machine_type: "m4".into(),
+        zone: "a".into(),
+        spot,
+        partition: PartitionId(2),
+        token: 41,
+        leaving,
+    };
+    let packed = PackedMachine::new(&MachineName::from("host-000007"), &record);
+    assert_eq!(packed.clone().record(), record);
+    packed
+}
+
+fn shape(types: Option<Vec<String>>, zone: Option<String>) -> DemandShape {
+    DemandShape {
+        milli_cpus: 1500,
+        milli_gpus: 2000,
+        memory_mb: 64_000,
+        types,
+        zone,
+        spot: true,
+        tasks: 12,
+        urgent: 3,
+        estimate_ms: 240_000,
+        priority: Priority::High,
+        gang: 16,
+    }
+}
+
+fn demand() -> DemandRecord {
+    let limited = shape(Some(vec!["g8".into()]), Some("a".into()));
+    DemandRecord { term: 41, demand: vec![shape(None, None), limited] }
+}
+
+fn counter() -> CounterRecord {
+    CounterRecord {
+        next: 42,
+        takers: BTreeMap::from([(0, (node("n0"), 3)), (10, (node("n2"), 4))]),
+        suspects: BTreeMap::from([(2, vec![(node("n1"), 5), (node("n0"), 6)])]),
+    }
+}
+
+fn machine_types() -> MachineTypes {
+    let machine_type = MachineType {
+        name: "g8".into(),
+        cpus: 32.0,
+        gpus: 8.0,
+        memory_gb: 256.0,
+        cache_gb: 80.5,
+        fetch_gb_per_s: 1.25,
+        price: 4.2,
+        spot_price: 1.3,
+        boot_s: 90.0,
+        zones: vec!["a".into(), "b".into()],
+    };
+    MachineTypes { types: vec![machine_type] }
+}
+
+fn tuning() -> TuningRecord {
+    TuningRecord {
+        initial_backoff_s: 0.5,
+        max_backoff_s: 21.0,
+        leftover_s: 22.0,
+        silence_s: 3.5,
+        window: 24,
+        faulty_after: 25,
+        preempt: false,
+        set_back: 26,
+        move_replicas: true,
+        absorb_s: 27.5,
+        short_set_back: 28,
+        horizon_s: 29.0,
+        keep_idle_s: 30.0,
+        paid_s: 31.0,
+        shift_idle_s: 32.0,
+        shift_count: 33,
+        silent_s: 34.0,
+        boot_trust: 3.5,
+        boot_patience: 36,
+    }
+}
+
+#[test]
+fn records_keep_their_bytes() {
+    let page = MachinesPage { machines: vec![machine(true, false), machine(false, true)] };
+    let suspects = vec![(node("n1"), 5), (node("n2"), 6)];
+    let entries = [
+        record("cancellations", CancelsRecord { jobs: vec![7, 412] }),
+        record("cancellations_none", CancelsRecord::default()),
+        record("ended_jobs", ends()),
+        record("ended_jobs_none", EndsPage::default()),
+        record("final_done", FinalRecord { state: JobState::Done }),
+        record("final_cancelled", FinalRecord { state: JobState::Cancelled }),
+        record("partition", partition(Vec::new())),
+        record("partition_suspects", partition(suspects)),
+        record("machines", page),
+        record("machines_none", MachinesPage::default()),
+        record("wish", WishRecord { node: node("n0"), boot: 3, lease: 500 }),
+        record("demand", demand()),
+        record("counter", counter()),
+        record("counter_first", CounterRecord::default()),
+        record("boot", BootRecord { boot: 3, short_lives: 2 }),
+        record("types", machine_types()),
+        record("settings", tuning()),
+        record("settings_default", TuningRecord::default()),
+    ];
+    golden::check("records.txt", &entries);
+}
+
+#[test]
+fn ended_jobs_are_listed_with_their_states() {
+    let listed: Vec<(u64, JobState)> = ends().jobs().map(|(id, state)| (id.0, state)).collect();
+    let done = [1, 2, 4, 5, 6].map(|id| (id, JobState::Done));
+    let cancelled = [3, 7].map(|id| (id, JobState::Cancelled));
+    assert_eq!(listed, [&done[..], &cancelled[..]].concat());
+}
+
+/// The stored form of a record in which optional fields are absent.
+fn bare<T: serde::de::DeserializeOwned>(name: &str) -> T {
+    let stored = golden::read("absent_fields.txt");
+    let (_, text) = stored.iter().find(|(other, _)| other == name).expect("an entry of this name");
+    serde_json::from_str(text).unwrap_or_else(|error| panic!("{name}: {error}"))
+}
+
+#[test]
+fn records_with_absent_fields_are_read() {
+    assert_eq!(bare::<BootRecord>("boot"), BootRecord { boot: 3, short_lives: 0 });
+    assert_eq!(bare::<CounterRecord>("counter").next, 42);
+    assert_eq!(bare::<EndsPage>("ended_jobs"), EndsPage::default());
+    assert_eq!(bare::<TuningRecord>("settings"), TuningRecord::default());
+    let demand = bare::<DemandRecord>("demand").demand;
+    assert_eq!((demand[0].priority, demand[0].gang), (Priority::Normal, 0));
+    assert_eq!((&demand[0].types, &demand[0].zone), (&None, &None));
+}
+
+#[test]
+fn keys_keep_their_text() {
+    let entries = [
+        Entry::text("watched", WATCHED),
+        Entry::text("counter", COUNTER),
+        Entry::text("types", TYPES),
+        Entry::text("settings", TUNING),
+        Entry::text("accepted_jobs", intake_key(&node("n0"), 7)),
+        Entry::text("accepted_jobs_wide", intake_key(&node("n0"), 12_345)),
+        Entry::text("cancellations", cancels_key(&node("n0"))),
+        Entry::text("ended_jobs", ends_key(PartitionId(2), 7)),
+        Entry::text("machines", machines_key(7)),
+        Entry::text("final", final_key(JobId(412))),
+        Entry::text("partition", partition_key(PartitionId(2))),
+        Entry::text("wish", wish_key(PartitionId(2))),
+        Entry::text("demand", demand_key(PartitionId(2))),
+        Entry::text("boot", boot_key(&node("n0"))),
+        Entry::text("ledger", ledger_prefix(PartitionId(2))),
+    ];
+    golden::check("keys.txt", &entries);
+}
+
+fn placed() -> Vec<PlacedTask> {
+    vec![PlacedTask(3, 57, "host-000007".into()), PlacedTask(5, 58, "host-000008".into())]
+}
+
+/// Items of all forms: done and placed tasks, one of them only, and an empty one.
+fn chunks() -> Vec<(ChunkKey, ChunkBody)> {
+    let done = || "8000000000000005".to_owned();
+    vec![
+        ((JobId(7), 0), ChunkBody { done: done(), placed: placed() }),
+        ((JobId(7), 2), ChunkBody { done: done(), placed: Vec::new() }),
+        ((JobId(412), 0), ChunkBody { done: String::new(), placed: placed() }),
+        ((JobId(413), 1), ChunkBody::default()),
+    ]
+}
+
+/// The pages that a round writes, by key.
+fn written(round: &coordination::ledger::Round) -> Vec<(String, Value)> {
+    let page = |write: &Write| match write {
+        Write::Put { put, value, lease: None } => (put.clone(), value.clone()),
+        other => panic!("a round puts pages without a lease: {other:?}"),
+    };
+    round.txn.writes.iter().map(page).collect()
+}
+
+/// A ledger of pages as they are stored.
+fn stored_ledger(value_bytes: usize) -> Ledger {
+    let item = |(key, text): (String, String)| {
+        let value = serde_json::from_str(&text).expect("JSON");
+        Item { key, value, version: 9, lease: None }
+    };
+    let pages =
+        golden::read("ledger_pages.txt").into_iter().filter(|(key, _)| key.starts_with('l'));
+    let items: Vec<Item> = pages.map(item).collect();
+    Ledger::load(PartitionId(2), &items, value_bytes, 6)
+}
+
+#[test]
+fn rounds_of_the_ledger_keep_their_bytes() {
+    let ledger = Ledger::load(PartitionId(2), &[], 4_096, 6);
+    let (round, left) = ledger.prepare(Version(10), chunks());
+    assert!(left.is_empty(), "{left:?}");
+    let (key, _) = ledger.proof(&round).expect("a page");
+    let entries = [
+        Entry::text("l/2/0000", golden::to_json(&written(&round)[0].1)),
+        Entry::text("transaction", golden::to_json(&round.txn)),
+    ];
+    assert_eq!(key, "l/2/0000");
+    golden::check("ledger_pages.txt", &entries);
+}
+
+#[test]
+fn stored_pages_of_the_ledger_are_read_and_written_again() {
+    let mut ledger = stored_ledger(4_096);
+    assert!(ledger.unreadable().is_empty());
+    for ((job, chunk), body) in chunks() {
+        assert!(ledger.chunks_of(job).contains(&(chunk, body)), "{job:?} {chunk}");
+    }
+    // Rounds without changes go around the other three pages, so that the next writes this one anew.
+    for _ in 0..3 {
+        let (round, _) = ledger.prepare(Version(10), Vec::new());
+        ledger.commit(&round, 11);
+    }
+    let entries = [Entry::text("l/2/0000", rewritten(&ledger))];
+    golden::check("ledger_rewritten.txt", &entries);
+}
+
+/// The next page of the ledger, which holds what was read and nothing new.
+fn rewritten(ledger: &Ledger) -> String {
+    let (round, _) = ledger.prepare(Version(10), Vec::new());
+    golden::to_json(&written(&round)[0].1)
+}
--- /dev/null
+++ b/crates/model/tests/golden_settings.rs
@@ -0,0 +1,124 @@
+//! The settings file as the platform writes it: the names of its fields, and what they are read as.
+
+#[path = "../../wire/tests/golden/mod.rs"]
+mod golden;
+
+use golden::Entry;
+use model::settings::{Peer, StateLimits, Team, WorkerTimes};
+use model::{NodeName, Resources, Settings, Span, TeamName, ZoneName};
+use std::collections::BTreeMap;
+use std::net::SocketAddr;
+
+const FULL: &str = include_str!("data/settings.toml");
+const PLAIN: &str = include_str!("data/settings_plain.toml");
+
+/// A name for the case, the text of the full file that is replaced, and what replaces it.
+const WRONG: &[(&str, &str, &str)] = &[
+    ("member_missing", "member = \"n0\"\n", ""),
+    ("member_empty", "member = \"n0\"", "member = \"\""),
+    ("zone_empty", "zone = \"north\"\nserve_on", "zone = \"\"\nserve_on"),
+    ("serve_on", "10.0.0.1:8080", "10.0.0.1"),
+    ("mesh_addr", "10.0.0.1:8081", "here"),
+    ("endpoints_cloud", "10.1.0.1:9001", "cloud:9001"),
+    ("endpoints_state", "10.1.0.2:9002", ""),
+    ("peer_endpoint", "[::1]:8083", "::1"),
+    ("team_cpus", "cpus = 64.5", "cpus = -1.0"),
+    ("team_cpus_max", "cpus_max = 128.0", "cpus_max = nan"),
+    ("team_gpus", "gpus = 8.0", "gpus = inf"),
+    ("team_gpus_max", "gpus_max = 16.0", "gpus_max = -0.5"),
+    ("team_twice", "name = \"guests\"", "name = \"vision\""),
+    ("objective_within", "within_s = 600.5", "within_s = 0.0"),
+    ("report", "report_s = 1.5", "report_s = 0.0"),
+    ("lease", "lease_s = 20.0", "lease_s = -20.0"),
+    ("gang_wait", "gang_wait_s = 45.0", "gang_wait_s = 0.0"),
+    ("gang_peer", "gang_peer_s = 8.0", "gang_peer_s = inf"),
+    ("cancel", "cancel_s = 60.25", "cancel_s = nan"),
+    ("state_rps", "rps = 100.0", "rps = 0.0"),
+    ("state_write_rps", "write_rps = 40.0", "write_rps = -1.0"),
+    ("state_value_small", "value_kb = 8.5", "value_kb = 0.5"),
+    ("state_value", "value_kb = 8.5", "value_kb = 0.0"),
+    ("state_txn_ops", "txn_ops = 6", "txn_ops = 1"),
+    ("cloud_rps", "rps = 10.0", "rps = 0.0"),
+];
+
+fn address(text: &str) -> SocketAddr {
+    text.parse().expect("an address")
+}
+
+fn peer(name: &str, zone: &str, mesh: &str) -> Peer {
+    Peer { name: NodeName::from(name), zone: ZoneName::from(zone), mesh: address(mesh) }
+}
+
+fn teams() -> Vec<Team> {
+    let vision = Team {
+        name: TeamName::from("vision"),
+        guarantee: Resources { milli_cpus: 64_500, milli_gpus: 8_000, memory_mb: 0 },
+        limit: Resources { milli_cpus: 128_000, milli_gpus: 16_000, memory_mb: 0 },
+    };
+    let guests = Team {
+        name: TeamName::from("guests"),
+        guarantee: Resources::default(),
+        limit: Resources { milli_cpus: u64::MAX, milli_gpus: u64::MAX, memory_mb: 0 },
+    };
+    vec![vision, guests]
+}
+
+fn plain() -> Settings {
+    Settings {
+        name: NodeName::from("n0"),
+        zone: ZoneName::from("north"),
+        listen: address("10.0.0.1:8080"),
+        mesh: address("10.0.0.1:8081"),
+        peers: Vec::new(),
+        cloud: address("10.1.0.1:9001"),
+        state: address("10.1.0.2:9002"),
+        teams: Vec::new(),
+        workers: WorkerTimes {
+            report: Span(1_500),
+            lease: Span(20_000),
+            gang_wait: Span(45_000),
+            gang_peer: Span(8_000),
+            cancel: Span(60_250),
+        },
+        state_limits: StateLimits {
+            requests_per_s: 100.0,
+            writes_per_s: 40.0,
+            value_bytes: 8_704,
+            txn_ops: 6,
+        },
+        cloud_rps: 10.0,
+        cloud_list_lag: Span(8_250),
+        sockets: 1_000,
+        goals: BTreeMap::new(),
+    }
+}
+
+fn full() -> Settings {
+    Settings {
+        peers: vec![peer("n1", "south", "10.0.0.2:8082"), peer("n2", "north", "[::1]:8083")],
+        teams: teams(),
+        sockets: 321,
+        goals: BTreeMap::from([("train".to_owned(), Span(600_500))]),
+        ..plain()
+    }
+}
+
+#[test]
+fn files_are_read_as_these_settings() {
+    assert_eq!(Settings::parse(FULL).expect("settings"), full());
+    assert_eq!(Settings::parse(PLAIN).expect("settings"), plain());
+}
+
+fn error(name: &'static str, found: &str, replacement: &str) -> Entry {
+    assert!(FULL.contains(found), "{name}: {found}");
+    let text = FULL.replacen(found, replacement, 1);
+    let error = Settings::parse(&text).expect_err(name);
+    Entry::text(name, error.to_string())
+}
+
+#[test]
+fn errors_name_the_field() {
+    let entries: Vec<Entry> =
+        WRONG.iter().map(|(name, found, replacement)| error(name, found, replacement)).collect();
+    golden::check("settings_errors.txt", &entries);
+}
--- /dev/null
+++ b/crates/wire/tests/golden_bodies.rs
@@ -0,0 +1,267 @@
+//! Bodies of the protocols as bytes: what is sent, and what is read where optional fields are absent.
+
+mod golden;
+
+use golden::body;
+use serde::de::DeserializeOwned;
+use serde_json::json;
+use wire::cloud::{
+    ListedMachine, MachineList, MachineNames, MachineState, MachineType, MachineTypes, RentRequest,
+};
+use wire::state::{
+    Change, Changes, Item, LeaseAnswer, LeaseRequest, ListPage, Txn, TxnAnswer, Write,
+};
+use wire::users::{ErrorBody, JobKind, JobRequest, JobState, JobStatus, Priority};
+use wire::workers::{
+    Command, DirectCommands, ExitCause, Redirect, Report, ReportAnswer, TaskReport, TaskState,
+};
+
+fn full_job(kind: JobKind, priority: Priority) -> JobRequest {
+    JobRequest {
+        id: "j-000412".into(),
+        class: "train".into(),
+        team: "vision".into(),
+        kind,
+        priority,
+        tasks: 16,
+        cpus: 8.0,
+        gpus: 0.5,
+        memory_gb: 64.25,
+        image: "img-07".into(),
+        image_gb: 6.2,
+        types: Some(vec!["g8".into(), "m4".into()]),
+        zone: Some("a".into()),
+        one_zone: true,
+        spread: false,
+        spot: true,
+        estimate_s: 240.0,
+        checkpoint_s: 30.5,
+        save_s: 4.0,
+        deadline_s: Some(900.0),
+    }
+}
+
+fn plain_job() -> JobRequest {
+    JobRequest {
+        types: None,
+        zone: None,
+        deadline_s: None,
+        ..full_job(JobKind::Array, Priority::Low)
+    }
+}
+
+fn status(state: JobState, done: Option<u64>, running: Option<u64>) -> JobStatus {
+    JobStatus { id: "j-000412".into(), state, done, running }
+}
+
+#[test]
+fn bodies_of_users_keep_their_bytes() {
+    let entries = [
+        body("job_group_high", full_job(JobKind::Gang, Priority::High)),
+        body("job_service_critical", full_job(JobKind::Service, Priority::Production)),
+        body("job_batch_standard", full_job(JobKind::Array, Priority::Normal)),
+        body("job_plain_low", plain_job()),
+        body("status_pending", status(JobState::Queued, Some(0), Some(0))),
+        body("status_running", status(JobState::Running, Some(3), Some(2))),
+        body("status_done", status(JobState::Done, None, None)),
+        body("status_cancelled", status(JobState::Cancelled, None, None)),
+        body("error", ErrorBody { error: "no such job".into() }),
+    ];
+    golden::check("users.txt", &entries);
+}
+
+fn task(state: TaskState, why: Option<ExitCause>, saved: Option<bool>) -> TaskReport {
+    TaskReport { task: "j-000412/3".into(), attempt: 57, state, why, saved }
+}
+
+fn exited(why: ExitCause) -> TaskReport {
+    task(TaskState::Exited, Some(why), None)
+}
+
+fn report(notice_s: Option<f64>, tasks: Vec<TaskReport>) -> Report {
+    Report {
+        machine: "host-000007".into(),
+        address: "10.0.1.7:9000".into(),
+        machine_type: "m4".into(),
+        zone: "a".into(),
+        spot: true,
+        session: 77,
+        seq: 12,
+        token: 41,
+        notice_s,
+        tasks,
+    }
+}
+
+fn commands() -> Vec<Command> {
+    let task = || "j-000412/3".to_owned();
+    vec![
+        Command::Start { task: task(), attempt: 57 },
+        Command::Stop { task: task(), attempt: 57, grace_s: 4.5 },
+        Command::Forget { task: task(), attempt: 57 },
+    ]
+}
+
+#[test]
+fn bodies_of_workers_keep_their_bytes() {
+    let entries = [
+        body("report", report(Some(30.0), vec![task(TaskState::Running, None, Some(true))])),
+        body("report_plain", report(None, Vec::new())),
+        body("task_fetching", task(TaskState::Fetching, None, None)),
+        body("task_gathering", task(TaskState::Waiting, None, Some(false))),
+        body("task_running", task(TaskState::Running, None, None)),
+        body("task_saving", task(TaskState::Saving, None, None)),
+        body("exited_done", exited(ExitCause::Done)),
+        body("exited_halted", exited(ExitCause::Stopped)),
+        body("exited_mates_gone", exited(ExitCause::PeersGone)),
+        body("exited_incomplete", exited(ExitCause::Alone)),
+        body("exited_full", exited(ExitCause::NoRoom)),
+        body("exited_busy", exited(ExitCause::Busy)),
+        body("exited_unknown", exited(ExitCause::Unknown)),
+        body("exited_error", exited(ExitCause::Error)),
+        body("answer", ReportAnswer { token: 41, commands: commands() }),
+        body("answer_empty", ReportAnswer { token: 41, commands: Vec::new() }),
+        body("redirect", Redirect { report_to: Some("n2".into()) }),
+        body("redirect_nowhere", Redirect { report_to: None }),
+        body("direct_commands", DirectCommands { token: 41, session: 77, commands: commands() }),
+    ];
+    golden::check("workers.txt", &entries);
+}
+
+fn machine_type() -> MachineType {
+    MachineType {
+        name: "g8".into(),
+        cpus: 32.0,
+        gpus: 8.0,
+        memory_gb: 256.0,
+        cache_gb: 80.5,
+        fetch_gb_per_s: 1.25,
+        price: 4.2,
+        spot_price: 1.3,
+        boot_s: 90.0,
+        zones: vec!["a".into(), "b".into()],
+    }
+}
+
+fn listed(state: MachineState) -> ListedMachine {
+    ListedMachine {
+        id: "host-000007".into(),
+        address: "10.0.1.7:9000".into(),
+        machine_type: "g8".into(),
+        zone: "a".into(),
+        spot: true,
+        state,
+        age_s: 12.5,
+    }
+}
+
+fn rent() -> RentRequest {
+    RentRequest {
+        request: "n0-41-7".into(),
+        machine_type: "g8".into(),
+        zone: "a".into(),
+        spot: true,
+        count: 3,
+    }
+}
+
+#[test]
+fn bodies_of_the_cloud_keep_their_bytes() {
+    let names = vec!["host-000007".to_owned(), "host-000008".to_owned()];
+    let all = [MachineState::Booting, MachineState::Running, MachineState::Failed].map(listed);
+    let entries = [
+        body("types", MachineTypes { types: vec![machine_type()] }),
+        body("rent", rent()),
+        body("names", MachineNames { machines: names }),
+        body("list", MachineList { machines: all.to_vec(), more: true }),
+        body("list_last", MachineList { machines: Vec::new(), more: false }),
+    ];
+    golden::check("cloud.txt", &entries);
+}
+
+fn item(lease: Option<u64>) -> Item {
+    Item { key: "s/p/0".into(), value: json!({ "term": 40 }), version: 9, lease }
+}
+
+fn change(lease: Option<u64>) -> Change {
+    let value = Some(json!({ "term": 40 }));
+    Change { put: Some("s/p/0".into()), delete: None, value, version: 9, lease }
+}
+
+fn deletion() -> Change {
+    let delete = Some("s/p/0".into());
+    Change { put: None, delete, value: None, version: 10, lease: None }
+}
+
+fn transaction() -> Txn {
+    Txn::default()
+        .when("s/p/0", 9)
+        .when("s/t", 0)
+        .write(Write::put("s/t", json!({ "next": 41 })))
+        .write(Write::put_leased("s/p/0", json!({ "term": 41 }), 500))
+        .write(Write::delete("s/w/0"))
+}
+
+#[test]
+fn bodies_of_the_state_service_keep_their_bytes() {
+    let failed = vec!["s/p/0".to_owned()];
+    let entries = [
+        body("item", item(None)),
+        body("item_leased", item(Some(500))),
+        body("list", ListPage { items: vec![item(Some(500))], more: true, revision: 77 }),
+        body("list_last", ListPage { items: Vec::new(), more: false, revision: 77 }),
+        body("txn", transaction()),
+        body("txn_empty", Txn::default()),
+        body("txn_answer", TxnAnswer { revision: 78, failed: Vec::new() }),
+        body("txn_conflict", TxnAnswer { revision: 78, failed }),
+        body("lease_request", LeaseRequest { ttl_ms: 6_000 }),
+        body("lease_answer", LeaseAnswer { lease: 500 }),
+        body(
+            "changes",
+            Changes { revision: 79, events: vec![change(None), change(Some(500)), deletion()] },
+        ),
+        body("changes_none", Changes { revision: 79, events: Vec::new() }),
+    ];
+    golden::check("state.txt", &entries);
+}
+
+/// Compares a stored body with the value it must be read as.
+fn reads<T: DeserializeOwned + PartialEq + std::fmt::Debug>(name: &str, value: &T) {
+    let stored = golden::read("read_only.txt");
+    let (_, text) = stored.iter().find(|(other, _)| other == name).expect("an entry of this name");
+    let read: T = serde_json::from_str(text).unwrap_or_else(|error| panic!("{name}: {error}"));
+    assert_eq!(read, *value, "{name} is stored as {text}");
+}
+
+#[test]
+fn bodies_with_absent_unknown_and_null_fields_are_read() {
+    reads("job_null_fields", &plain_job());
+    reads("report_absent_fields", &report(None, Vec::new()));
+    reads("task_unheard_of_cause", &exited(ExitCause::Error));
+    reads("types_absent_fields", &bare_types());
+    reads("list_absent_fields", &bare_machines());
+    reads("state_list_absent_more", &ListPage { items: Vec::new(), more: false, revision: 77 });
+    reads("txn_answer_absent_failed", &TxnAnswer { revision: 78, failed: Vec::new() });
+    reads("changes_absent_log", &Changes { revision: 79, events: Vec::new() });
+    reads("redirect_null", &Redirect { report_to: None });
+}
+
+fn bare_types() -> MachineTypes {
+    let bare = MachineType {
+        gpus: 0.0,
+        cache_gb: 0.0,
+        fetch_gb_per_s: 0.0,
+        price: 0.0,
+        spot_price: 0.0,
+        boot_s: 0.0,
+        zones: Vec::new(),
+        ..machine_type()
+    };
+    MachineTypes { types: vec![bare] }
+}
+
+fn bare_machines() -> MachineList {
+    let bare =
+        ListedMachine { address: String::new(), age_s: 0.0, ..listed(MachineState::Running) };
+    MachineList { machines: vec![bare], more: false }
+}
--- /dev/null
+++ b/crates/wire/tests/golden_mesh.rs
@@ -0,0 +1,143 @@
+//! Frames of the mesh as bytes: struct fields are told apart by their places and enum variants by their
+//! names, so nodes of two builds understand each other only while both stay.
+
+mod golden;
+
+use golden::Entry;
+use wire::mesh::{
+    DemandShape, Frame, Hint, HintKey, HintPart, JobHint, MachineHint, MachineLoad, MeshMessage,
+    PartitionLoad, MESH_VERSION,
+};
+use wire::users::Priority;
+
+fn to_hex(frame: &Frame) -> String {
+    let bytes = rmp_serde::to_vec(frame).expect("a frame");
+    bytes.iter().map(|byte| format!("{byte:02x}")).collect()
+}
+
+fn from_hex(text: &str) -> Result<Frame, rmp_serde::decode::Error> {
+    let byte = |at: usize| u8::from_str_radix(&text[at..at + 2], 16).expect("hexadecimal digits");
+    let bytes: Vec<u8> = (0..text.len()).step_by(2).map(byte).collect();
+    rmp_serde::from_slice(&bytes)
+}
+
+fn frame(name: &'static str, message: MeshMessage) -> Entry {
+    let frame = Frame { version: MESH_VERSION, from: "n1".into(), message };
+    Entry::of(name, frame, to_hex, from_hex)
+}
+
+fn shape(priority: Priority) -> DemandShape {
+    DemandShape {
+        milli_cpus: 1500,
+        milli_gpus: 2000,
+        memory_mb: 64_000,
+        types: Some(vec!["g8".into(), "m4".into()]),
+        zone: Some("a".into()),
+        spot: true,
+        tasks: 12,
+        urgent: 3,
+        estimate_ms: 240_000,
+        priority,
+        gang: 16,
+    }
+}
+
+fn plain_shape() -> DemandShape {
+    DemandShape { types: None, zone: None, spot: false, gang: 0, ..shape(Priority::Normal) }
+}
+
+fn machine_load(ceding: Option<u32>) -> MachineLoad {
+    MachineLoad {
+        machine: "host-000007".into(),
+        tasks: 4,
+        idle_ms: 5_000,
+        up: true,
+        faulty: false,
+        silent_ms: 700,
+        cedable: ceding.is_some(),
+        best_effort: ceding.is_none(),
+        ceding,
+    }
+}
+
+fn load() -> PartitionLoad {
+    PartitionLoad {
+        partition: 2,
+        term: 41,
+        demand: vec![
+            plain_shape(),
+            shape(Priority::Low),
+            shape(Priority::High),
+            shape(Priority::Production),
+        ],
+        machines: vec![machine_load(None), machine_load(Some(1))],
+    }
+}
+
+fn machine_hint(idle_at: Option<u64>) -> MachineHint {
+    MachineHint {
+        machine: "host-000007".into(),
+        address: "10.0.1.7:9000".into(),
+        session: 77,
+        reporting: true,
+        faulty: false,
+        idle_at,
+        images: vec![("img-07".into(), 6.25), ("img-08".into(), 1.0)],
+    }
+}
+
+fn job_hint() -> JobHint {
+    JobHint {
+        job: 412,
+        failures: vec![(0, 2), (7, 1)],
+        failed_on: vec!["host-000007".into()],
+        successes: 5,
+        fails_within_ms: 9_000,
+    }
+}
+
+fn hints(hints: Vec<Hint>) -> MeshMessage {
+    MeshMessage::Hints(HintPart {
+        partition: 2,
+        boot: 3,
+        term: 41,
+        after: 50,
+        upto: 60,
+        newest: 70,
+        floor: 40,
+        at_ms: 123_456,
+        hints,
+    })
+}
+
+fn alive(heard: Vec<(String, u64)>) -> MeshMessage {
+    MeshMessage::Alive { boot: 3, revision: 900, state_contact: true, ready: false, heard }
+}
+
+#[test]
+fn frames_keep_their_bytes() {
+    let release = |to| MeshMessage::Release { machine: "host-000007".into(), to };
+    let cede = |shape| MeshMessage::Cede { from: 1, to: 2, count: 3, shape };
+    let entries = [
+        frame("alive", alive(vec![("n0".into(), 120), ("n2".into(), 70_000)])),
+        frame("alive_alone", alive(Vec::new())),
+        frame("load", MeshMessage::Load(load())),
+        frame("release_to_partition", release(Some(2))),
+        frame("release_to_cloud", release(None)),
+        frame("cede", cede(shape(Priority::High))),
+        frame("cede_plain", cede(plain_shape())),
+        frame("taken", MeshMessage::Taken { partition: 2, term: 41, holder: "n2".into() }),
+        frame("gave_up", MeshMessage::GaveUp { partition: 2 }),
+        frame("want_home", MeshMessage::WantHome { partition: 2, lease: 500, boot: 3 }),
+        frame("cancelled", MeshMessage::Cancelled { jobs: vec![7, 412] }),
+        frame("progress", MeshMessage::Progress { jobs: vec![(412, 3, 2), (7, 0, 1)] }),
+        frame("follow", MeshMessage::Follow { partition: 2, boot: 3, term: 41, have: 60 }),
+        frame("hints_none", hints(Vec::new())),
+        frame("hint_machine", hints(vec![Hint::Machine(machine_hint(Some(8_000)))])),
+        frame("hint_machine_busy", hints(vec![Hint::Machine(machine_hint(None))])),
+        frame("hint_job", hints(vec![Hint::Job(job_hint())])),
+        frame("hint_gone_machine", hints(vec![Hint::Gone(HintKey::Machine("host-1".into()))])),
+        frame("hint_gone_job", hints(vec![Hint::Gone(HintKey::Job(412))])),
+    ];
+    golden::check("mesh.hex", &entries);
+}
