--- /dev/null
+++ b/crates/testkit/tests/golden_admin.rs
@@ -0,0 +1,182 @@
+//! The administration API as bytes: views of a node with machines and jobs, changes of the operators'
+//! settings, and errors.
+
+#[path = "../../wire/tests/golden/mod.rs"]
+mod golden;
+
+use coordination::records::TUNING;
+use coordination::{AdminRequest, Effect, Event, Node};
+use golden::Entry;
+use model::{CallId, Moment, NodeName};
+use serde_json::{json, Value};
+use testkit::Solo;
+use wire::mesh::MeshMessage;
+use wire::state::{StateReply, StateRequest, Txn};
+use wire::users::JobKind;
+
+const MACHINES: usize = 8;
+/// Later than everything that happens to the node before it is asked.
+const ASKED_AT: Moment = Moment(8_000);
+const TICKET: u64 = 1_000;
+/// Incarnation of the node under test.
+const BOOT: u64 = 256;
+
+fn ask(node: &mut Node, request: AdminRequest) -> Vec<Effect> {
+    node.handle(ASKED_AT, Event::Admin { ticket: TICKET, request })
+}
+
+/// The answer among a node's effects, as its status and its body.
+fn answer(effects: &[Effect]) -> Option<String> {
+    effects.iter().find_map(|effect| match effect {
+        Effect::Admin { ticket: TICKET, reply } => {
+            Some(format!("{} {}", reply.status, golden::to_json(&reply.body)))
+        }
+        _ => None,
+    })
+}
+
+fn view(node: &mut Node, name: &'static str, request: AdminRequest) -> Entry {
+    let effects = ask(node, request);
+    Entry::text(name, answer(&effects).unwrap_or_else(|| panic!("{name} is answered at once")))
+}
+
+fn from_peer(message: MeshMessage) -> Event {
+    Event::Mesh { from: NodeName::from("n1"), message }
+}
+
+fn sign_of_life() -> MeshMessage {
+    let heard = vec![("n0".to_owned(), 20)];
+    MeshMessage::Alive { boot: 9, revision: 1, state_contact: true, ready: true, heard }
+}
+
+fn follow() -> MeshMessage {
+    MeshMessage::Follow { partition: 0, boot: BOOT, term: 1, have: 0 }
+}
+
+/// A node on whose machines an array and a service run, with more that waits.
+fn busy_site() -> Solo {
+    let mut solo = Solo::with_silent_peer(MACHINES);
+    solo.submit(JobKind::Service, 1);
+    solo.submit(JobKind::Array, 12);
+    solo.submit(JobKind::Gang, 5);
+    for _ in 0..30 {
+        solo.tick(100);
+        solo.inject(from_peer(sign_of_life()));
+        for nth in 0..MACHINES {
+            solo.report(nth);
+        }
+    }
+    solo
+}
+
+#[test]
+fn views_keep_their_bytes() {
+    let mut solo = busy_site();
+    let node = solo.node();
+    node.handle(ASKED_AT, from_peer(follow()));
+    let job = |id: &str| AdminRequest::Job(id.into());
+    let entries = [
+        view(node, "settings", AdminRequest::Settings),
+        view(node, "partitions", AdminRequest::Partitions),
+        view(node, "standby", AdminRequest::Standby),
+        view(node, "machines", AdminRequest::Machines),
+        view(node, "queues", AdminRequest::Queues),
+        view(node, "job_service", job("j-000001")),
+        view(node, "job_array", job("j-000002")),
+        view(node, "job_gang", job("j-000003")),
+        view(node, "job_not_open", job("j-000099")),
+        view(node, "job_malformed", job("nothing")),
+        view(node, "metrics", AdminRequest::Metrics),
+    ];
+    golden::check("admin_views.txt", &entries);
+}
+
+/// A node that was asked for more than it could answer before it had taken its partition over.
+#[test]
+fn refusals_keep_their_names() {
+    let mut solo = Solo::new(MACHINES);
+    solo.restart();
+    solo.submit(JobKind::Array, 1);
+    for _ in 0..200 {
+        solo.tick(20);
+        solo.report(0);
+    }
+    let effects = solo
+        .node()
+        .handle(Moment(30_000), Event::Admin { ticket: TICKET, request: AdminRequest::Metrics });
+    let answer = answer(&effects).expect("an answer");
+    let body: Value = serde_json::from_str(answer.trim_start_matches("200 ")).expect("JSON");
+    let entries = [Entry::text("refusals", body["refusals"].to_string())];
+    golden::check("admin_refusals.txt", &entries);
+}
+
+fn change(settings: Value) -> AdminRequest {
+    AdminRequest::ChangeSettings { version: 7, settings }
+}
+
+#[test]
+fn wrong_settings_are_answered_with_the_field() {
+    let mut solo = Solo::new(MACHINES);
+    let node = solo.node();
+    let entries = [
+        view(node, "unknown_field", change(json!({ "lease_s": 3.0 }))),
+        view(node, "wrong_type", change(json!({ "window": "many" }))),
+        view(node, "out_of_bounds", change(json!({ "window": 0 }))),
+        view(node, "below_another", change(json!({ "max_backoff_s": 0.01 }))),
+        view(node, "initial_backoff", change(json!({ "initial_backoff_s": 0.0 }))),
+        view(node, "leftover", change(json!({ "leftover_s": 0.0 }))),
+        view(node, "silence", change(json!({ "silence_s": 0.0 }))),
+        view(node, "faulty_after", change(json!({ "faulty_after": 0 }))),
+        view(node, "set_back", change(json!({ "set_back": 1001 }))),
+        view(node, "absorb", change(json!({ "absorb_s": -1.0 }))),
+        view(node, "short_set_back", change(json!({ "short_set_back": 1001 }))),
+        view(node, "horizon", change(json!({ "horizon_s": 0.0 }))),
+        view(node, "keep_idle", change(json!({ "keep_idle_s": -1.0 }))),
+        view(node, "paid", change(json!({ "paid_s": -1.0 }))),
+        view(node, "shift_idle", change(json!({ "shift_idle_s": -1.0 }))),
+        view(node, "shift_count", change(json!({ "shift_count": 1001 }))),
+        view(node, "silent", change(json!({ "silent_s": 0.0 }))),
+        view(node, "boot_trust", change(json!({ "boot_trust": 0.0 }))),
+        view(node, "boot_patience", change(json!({ "boot_patience": 0 }))),
+    ];
+    golden::check("admin_errors.txt", &entries);
+}
+
+/// Asks for a change; returns the transaction that this leads to, with its call.
+fn write_settings(node: &mut Node, settings: Value) -> (CallId, Txn) {
+    let calls = ask(node, change(settings)).into_iter().find_map(|effect| match effect {
+        Effect::State { call, request: StateRequest::Txn(txn), .. } => {
+            txn.writes.iter().any(|write| write.key() == TUNING).then_some((call, txn))
+        }
+        _ => None,
+    });
+    calls.expect("a write of the settings")
+}
+
+/// The answer to a change, after this answer of the state service.
+fn changed(name: &'static str, reply: StateReply) -> Entry {
+    let mut solo = Solo::new(MACHINES);
+    let node = solo.node();
+    let (call, _) = write_settings(node, json!({ "window": 32 }));
+    let effects = node.handle(ASKED_AT, Event::State { call, reply });
+    Entry::text(name, answer(&effects).unwrap_or_else(|| panic!("{name} is answered")))
+}
+
+fn written(name: &'static str, settings: Value) -> Entry {
+    let mut solo = Solo::new(MACHINES);
+    let (_, txn) = write_settings(solo.node(), settings);
+    Entry::text(name, golden::to_json(&txn))
+}
+
+#[test]
+fn changes_of_settings_keep_their_bytes() {
+    let conflict = StateReply::Conflict { failed: vec!["s/c".into()], revision: 90 };
+    let entries = [
+        written("write", json!({ "window": 32, "preempt": false })),
+        written("write_defaults", json!({})),
+        changed("committed", StateReply::Committed { revision: 91 }),
+        changed("stale", conflict),
+        changed("unknown", StateReply::Unknown),
+    ];
+    golden::check("admin_changes.txt", &entries);
+}
