--- a/crates/standby/src/stream.rs
+++ b/crates/standby/src/stream.rs
@@ -2,8 +2,8 @@
 //!
 //! Each change of a hint gets the next sequence number. A part holds the hints that changed after
 //! one number up to another, so a subscriber that has missed something asks for what it lacks, and
-//! a new one starts from 0. Both the size of a part and the rate of parts are bounded: a hint that
-//! changed twice in the meantime is sent once.
+//! a new one starts from 0. The size of a part, the parts of a send and the rate of sends are
+//! bounded: a hint that changed twice in the meantime is sent once.
 
 use model::{Moment, NodeName, Span};
 use std::collections::BTreeMap;
@@ -11,14 +11,17 @@
 
 /// Approximate limit on the bytes of hints in one part.
 const MAX_PART_BYTES: usize = 16 * 1024;
-/// Time between two parts with changes to one subscriber.
+/// Parts that one subscriber is sent at a time: a copy of 8,000 machines takes 4 s.
+const MAX_PARTS_PER_SEND: usize = 16;
+/// Time between two sends of changes to one subscriber.
 const MIN_SEND_INTERVAL: Span = Span(250);
 /// A subscriber without pending changes is sent an empty part this often.
 const KEEPALIVE_INTERVAL: Span = Span(500);
 /// A subscription that has not been renewed for this long ends.
 const SUBSCRIPTION_TIMEOUT: Span = Span(4_000);
-/// Tombstones that are kept; a subscriber that lacks dropped ones starts from 0.
-const MAX_TOMBSTONES: usize = 2_000;
+/// Tombstones that are kept; a subscriber that lacks dropped ones starts from 0. As many as the
+/// machines of a large site, so that the loss of a zone drops none that have not been sent yet.
+const MAX_TOMBSTONES: usize = 8_000;
 
 #[derive(Debug)]
 struct Entry {
@@ -139,12 +142,25 @@
             .collect();
         let mut parts = Vec::new();
         for (name, after) in due {
-            let part = self.part_after(after, header);
+            let batch = self.parts_after(after, header);
             if let Some(subscriber) = self.subscribers.get_mut(&name) {
                 subscriber.sent_at = Some(now);
-                subscriber.sent = part.upto;
+                subscriber.sent = batch.last().map_or(after, |part| part.upto);
             }
-            parts.push((name, part));
+            parts.extend(batch.into_iter().map(|part| (name.clone(), part)));
+        }
+        parts
+    }
+
+    /// Consecutive parts after a sequence number, as many as one send takes; at least one.
+    fn parts_after(&self, after: u64, header: &HintPart) -> Vec<HintPart> {
+        let mut parts = vec![self.part_after(after, header)];
+        while parts.len() < MAX_PARTS_PER_SEND {
+            let Some(sent) = parts.last().map(|part| part.upto) else { break };
+            if sent >= self.last {
+                break;
+            }
+            parts.push(self.part_after(sent, header));
         }
         parts
     }
--- /dev/null
+++ b/crates/standby/tests/large_partition.rs
@@ -0,0 +1,100 @@
+//! Replication of a partition with 8,000 machines.
+
+use model::{Moment, NodeName, PartitionId};
+use standby::{Replicas, ReplicationSource, ReplicationStream};
+use std::collections::BTreeMap;
+use wire::mesh::{Hint, HintPart, MachineHint, MeshMessage};
+
+const PARTITION: PartitionId = PartitionId(0);
+/// Twice the machines of the largest site.
+const MACHINES: usize = 8_000;
+const IMAGES: usize = 11;
+/// Time between two sends of a node.
+const STEP_MS: u64 = 500;
+/// How long a home partition is left to its holder while the copy of it is not in step.
+const MAX_COPY_MS: u64 = 4_000;
+
+fn machine(number: usize) -> Hint {
+    Hint::Machine(MachineHint {
+        machine: format!("host-{number:06}"),
+        address: format!("10.0.{}.{}:9000", number / 256, number % 256),
+        session: number as u64,
+        reporting: true,
+        faulty: false,
+        idle_at: None,
+        images: (0..IMAGES).map(|image| (format!("img-{image:02}"), 1.5)).collect(),
+    })
+}
+
+/// A leader and one subscriber, over a mesh that loses nothing.
+struct Pair {
+    leader: NodeName,
+    subscriber: NodeName,
+    stream: ReplicationStream,
+    replicas: Replicas,
+    full_copies: usize,
+}
+
+impl Pair {
+    fn new() -> Self {
+        Pair {
+            leader: NodeName::from("n0"),
+            subscriber: NodeName::from("n1"),
+            stream: ReplicationStream::default(),
+            replicas: Replicas::default(),
+            full_copies: 0,
+        }
+    }
+
+    /// One step of both nodes.
+    fn step(&mut self, machines: std::ops::Range<usize>, now: Moment) {
+        let source = ReplicationSource { leader: self.leader.clone(), boot: 1, term: 1 };
+        for (_, message) in self.replicas.subscribe(&BTreeMap::from([(PARTITION, source)]), now) {
+            self.subscribe(message, now);
+        }
+        self.stream.update(machines.map(machine));
+        let header = HintPart { boot: 1, term: 1, at_ms: now.0, ..HintPart::default() };
+        for (_, part) in self.stream.due_parts(&header, now) {
+            self.full_copies += usize::from(part.after == 0);
+            if let Some(message) = self.replicas.apply(&self.leader, part, now) {
+                self.subscribe(message, now);
+            }
+        }
+    }
+
+    fn subscribe(&mut self, message: MeshMessage, now: Moment) {
+        let MeshMessage::Follow { have, .. } = message else { panic!("{message:?}") };
+        self.stream.subscribe(&self.subscriber, have, now);
+    }
+
+    fn machines(&self) -> usize {
+        self.replicas.get(PARTITION).map_or(0, |replica| replica.machines.len())
+    }
+}
+
+#[test]
+fn a_copy_is_in_step_before_a_home_is_taken_without_it() {
+    let mut pair = Pair::new();
+    for at in (0..MAX_COPY_MS).step_by(STEP_MS as usize) {
+        pair.step(0..MACHINES, Moment(at));
+    }
+    let end = Moment(MAX_COPY_MS);
+    assert_eq!(pair.machines(), MACHINES);
+    assert!(pair.replicas.is_in_sync(PARTITION, end));
+}
+
+#[test]
+fn the_loss_of_half_the_machines_sends_no_full_copy() {
+    let mut pair = Pair::new();
+    let steps = 60;
+    for step in 0..steps {
+        pair.step(0..MACHINES, Moment(step * STEP_MS));
+    }
+    assert_eq!(pair.machines(), MACHINES);
+    assert_eq!(pair.full_copies, 1);
+    for step in steps..steps + 4 {
+        pair.step(0..MACHINES / 2, Moment(step * STEP_MS));
+    }
+    assert_eq!(pair.machines(), MACHINES / 2);
+    assert_eq!(pair.full_copies, 1, "it had the copy already");
+}
--- a/crates/trackcrank/src/inbound.rs
+++ b/crates/trackcrank/src/inbound.rs
@@ -13,6 +13,15 @@
     Admin(AdminRequest, oneshot::Sender<AdminReply>),
 }
 
+/// Requests that may wait for the loop, before others are refused with 503: a report of each machine of a
+/// large site, when all turn to one node at once, and as many requests of users.
+const MAX_WAITING_REQUESTS: usize = 16_384;
+
+/// The queue between the server and the loop.
+pub fn request_queue() -> (mpsc::Sender<Inbound>, mpsc::Receiver<Inbound>) {
+    mpsc::channel(MAX_WAITING_REQUESTS)
+}
+
 /// What the server may ask without going through the loop.
 #[derive(Clone)]
 pub struct Shared {
--- a/crates/trackcrank/src/listen.rs
+++ b/crates/trackcrank/src/listen.rs
@@ -5,17 +5,20 @@
 use std::io::{Error, ErrorKind};
 use std::net::SocketAddr;
 use std::time::Duration;
-use tokio::net::TcpListener;
+use tokio::net::{TcpListener, TcpSocket};
 
 /// Pause after the first try; it doubles up to the longest.
 const PAUSE: Duration = Duration::from_millis(20);
 const LONGEST: Duration = Duration::from_secs(1);
+/// Connections that may wait to be accepted: the workers of a large site that turn to one node at once.
+/// The kernel takes no more than `net.core.somaxconn`.
+const ACCEPT_BACKLOG: u32 = 8_192;
 
 /// Binds a listener, trying again for as long as the address is in use.
 pub async fn bind(address: SocketAddr) -> Result<TcpListener, Error> {
     let mut pause = PAUSE;
     loop {
-        match TcpListener::bind(address).await {
+        match listen(address) {
             Err(error) if error.kind() == ErrorKind::AddrInUse => {
                 tracing::warn!(%address, ?pause, "the address is in use: trying again");
                 tokio::time::sleep(pause).await;
@@ -26,6 +29,18 @@
     }
 }
 
+fn listen(address: SocketAddr) -> Result<TcpListener, Error> {
+    let socket = match address {
+        SocketAddr::V4(_) => TcpSocket::new_v4()?,
+        SocketAddr::V6(_) => TcpSocket::new_v6()?,
+    };
+    // Connections of an ended process that have not timed out yet do not hold the port.
+    #[cfg(not(windows))]
+    socket.set_reuseaddr(true)?;
+    socket.bind(address)?;
+    socket.listen(ACCEPT_BACKLOG)
+}
+
 #[cfg(test)]
 mod tests {
     use super::*;
--- a/crates/trackcrank/src/mesh.rs
+++ b/crates/trackcrank/src/mesh.rs
@@ -15,9 +15,9 @@
 use tokio_util::codec::{Framed, LengthDelimitedCodec};
 use wire::mesh::{Frame, MeshMessage, MAX_FRAME, MESH_VERSION};
 
-/// Frames that may wait for a peer; when it cannot be reached the newest are dropped, since
-/// everything that is said is said again.
-const BACKLOG: usize = 64;
+/// Frames that may wait for a peer: a leader that returns many machines says so of each at once. When
+/// the peer cannot be reached the newest are dropped, since everything that is said is said again.
+const BACKLOG: usize = 8_192;
 
 fn codec() -> LengthDelimitedCodec {
     LengthDelimitedCodec::builder().max_frame_length(MAX_FRAME).new_codec()
--- a/crates/trackcrank/src/runtime.rs
+++ b/crates/trackcrank/src/runtime.rs
@@ -1,7 +1,7 @@
 //! The process around the node: one loop that feeds it events and carries out its effects.
 
 use crate::clients::HttpClient;
-use crate::inbound::{Inbound, Shared};
+use crate::inbound::{request_queue, Inbound, Shared};
 use crate::metrics::Metrics;
 use crate::{mesh, server};
 use coordination::node::Ticket;
@@ -26,7 +26,7 @@
 }
 
 async fn run(settings: Settings) -> Result<(), String> {
-    let (inbound, requests) = mpsc::channel::<Inbound>(1024);
+    let (inbound, requests) = request_queue();
     let (events, results) = mpsc::channel::<Event>(1024);
     let metrics = Arc::new(Metrics::new().map_err(|e| format!("metrics: {e}"))?);
     let client = HttpClient::new(Some(metrics.rejected().clone()));
--- a/crates/wire/src/mesh.rs
+++ b/crates/wire/src/mesh.rs
@@ -5,8 +5,9 @@
 
 /// Version of the mesh protocol; frames of another version are refused.
 pub const MESH_VERSION: u16 = 5;
-/// Largest frame that is read.
-pub const MAX_FRAME: usize = 256 * 1024;
+/// Largest frame that is read and sent: the load of a partition of 8,000 machines with the longest
+/// names fits. Versions before this bound read 256 KiB only and close the connection on more.
+pub const MAX_FRAME: usize = 4 * 1024 * 1024;
 
 /// Waiting work of one shape.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
