--- a/crates/trackcrank/src/clients.rs
+++ b/crates/trackcrank/src/clients.rs
@@ -11,12 +11,12 @@
 use hyper_util::rt::{TokioExecutor, TokioTimer};
 use model::Span;
 use serde::de::DeserializeOwned;
-use serde::Serialize;
 use std::net::SocketAddr;
 use std::time::Duration;
 use wire::cloud::{CloudReply, CloudRequest, MachineNames};
+use wire::http::{HttpCall, HttpMethod};
 use wire::json::from_object;
-use wire::state::{LeaseAnswer, LeaseRequest, StateReply, StateRequest, TxnAnswer};
+use wire::state::{LeaseAnswer, StateReply, StateRequest, TxnAnswer};
 use wire::workers::{DirectCommands, Report};
 
 /// Largest answer that is read.
@@ -77,11 +77,25 @@
         tokio::time::timeout(timeout, exchange).await.ok().flatten()
     }
 
+    /// Sends a call as one of the interfaces has it.
+    async fn send(
+        &self,
+        to: &str,
+        call: HttpCall,
+        timeout: Duration,
+    ) -> Option<(StatusCode, Bytes)> {
+        let method = match call.method {
+            HttpMethod::Get => Method::GET,
+            HttpMethod::Post => Method::POST,
+            HttpMethod::Delete => Method::DELETE,
+        };
+        self.call(method, to, &call.path, call.body, timeout).await
+    }
+
     /// A call to the state service.
     pub async fn state(&self, to: SocketAddr, request: &StateRequest, timeout: Span) -> StateReply {
-        let (method, path, body) = state_call(request);
         let timeout = Duration::from_millis(timeout.0);
-        match self.call(method, &to.to_string(), &path, body, timeout).await {
+        match self.send(&to.to_string(), request.into(), timeout).await {
             Some((status, body)) => state_reply(request, status, &body).unwrap_or_else(|| {
                 self.reject(MessageSource::State);
                 StateReply::Unknown
@@ -92,20 +106,7 @@
 
     /// A call to the cloud.
     pub async fn cloud(&self, to: SocketAddr, request: &CloudRequest) -> CloudReply {
-        let (method, path, body) = match request {
-            CloudRequest::Types => (Method::GET, "/machine_types".to_owned(), None),
-            CloudRequest::Rent(rent) => (Method::POST, "/hosts".to_owned(), encode(rent)),
-            CloudRequest::Release(names) => (
-                Method::POST,
-                "/hosts/release".to_owned(),
-                encode(&MachineNames { machines: names.clone() }),
-            ),
-            CloudRequest::List { after, limit } => {
-                (Method::GET, format!("/hosts?after={after}&limit={limit}"), None)
-            }
-        };
-        let Some((status, body)) =
-            self.call(method, &to.to_string(), &path, body, CLOUD_TIMEOUT).await
+        let Some((status, body)) = self.send(&to.to_string(), request.into(), CLOUD_TIMEOUT).await
         else {
             return CloudReply::Unknown;
         };
@@ -134,9 +135,8 @@
 
     /// Commands straight to a worker.
     pub async fn worker(&self, to: &str, commands: &DirectCommands, timeout: Span) -> DirectReply {
-        let body = encode(commands);
         let timeout = Duration::from_millis(timeout.0);
-        let answer = self.call(Method::POST, to, "/commands", body, timeout).await;
+        let answer = self.send(to, commands.into(), timeout).await;
         match answer {
             Some((status, body)) if status == StatusCode::OK || status == StatusCode::CONFLICT => {
                 match decode::<Report>(&body) {
@@ -164,37 +164,10 @@
     }
 }
 
-fn encode<T: Serialize>(value: &T) -> Option<Vec<u8>> {
-    serde_json::to_vec(value).ok()
-}
-
 fn decode<T: DeserializeOwned>(body: &[u8]) -> Option<T> {
     from_object(body).ok()
 }
 
-fn state_call(request: &StateRequest) -> (Method, String, Option<Vec<u8>>) {
-    match request {
-        StateRequest::Get { key } => (Method::GET, format!("/store/{key}"), None),
-        StateRequest::List { prefix, after, limit } => {
-            let mut path = format!("/store?prefix={prefix}&limit={limit}");
-            if !after.is_empty() {
-                path.push_str("&after=");
-                path.push_str(after);
-            }
-            (Method::GET, path, None)
-        }
-        StateRequest::Txn(txn) => (Method::POST, "/txn".into(), encode(txn)),
-        StateRequest::NewLease { ttl_ms } => {
-            (Method::POST, "/holds".into(), encode(&LeaseRequest { ttl_ms: *ttl_ms }))
-        }
-        StateRequest::Renew { lease } => (Method::POST, format!("/holds/{lease}/renew"), None),
-        StateRequest::EndLease { lease } => (Method::DELETE, format!("/holds/{lease}"), None),
-        StateRequest::Watch { prefix, after, wait_ms } => {
-            (Method::GET, format!("/changes?prefix={prefix}&after={after}&wait_ms={wait_ms}"), None)
-        }
-    }
-}
-
 /// Reads an answer of the state service; none if its body is not what belongs to the call.
 pub fn state_reply(request: &StateRequest, status: StatusCode, body: &[u8]) -> Option<StateReply> {
     let text = || String::from_utf8_lossy(body).into_owned();
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -4,6 +4,7 @@
 //! wire appear only as serde renames. Clients may depend on this crate alone.
 
 pub mod cloud;
+pub mod http;
 pub mod json;
 pub mod mesh;
 pub mod state;
