--- a/crates/coordination/src/node/mod.rs
+++ b/crates/coordination/src/node/mod.rs
@@ -308,7 +308,7 @@
     renewed: HashMap<PartitionId, (Token, Moment)>,
     acquiring: HashSet<PartitionId>,
     vacant_since: HashMap<PartitionId, Moment>,
-    peers: HashMap<NodeName, PeerView>,
+    peers: BTreeMap<NodeName, PeerView>,
     home_asked_at: Option<Moment>,
     /// Since when another node holds our home partition while we could.
     homeless_since: Option<Moment>,
@@ -316,7 +316,7 @@
     /// When others told us that they gave a partition up.
     given_up_at: HashMap<PartitionId, HashMap<NodeName, Moment>>,
     /// Partitions given up since their workers do not reach us.
-    shunned: HashMap<PartitionId, partitions::Shun>,
+    shunned: BTreeMap<PartitionId, partitions::Shun>,
     alive_at: Moment,
     load_at: Moment,
     /// When we wrote what our partitions lack, and whether that was anything.
@@ -388,12 +388,12 @@
             renewed: HashMap::new(),
             acquiring: HashSet::new(),
             vacant_since: HashMap::new(),
-            peers: HashMap::new(),
+            peers: BTreeMap::new(),
             home_asked_at: None,
             homeless_since: None,
             wishing: false,
             given_up_at: HashMap::new(),
-            shunned: HashMap::new(),
+            shunned: BTreeMap::new(),
             alive_at: Moment::default(),
             load_at: Moment::default(),
             demand_at: HashMap::new(),
--- a/crates/scheduler/src/demand.rs
+++ b/crates/scheduler/src/demand.rs
@@ -11,6 +11,9 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use wire::mesh::{DemandShape, MachineLoad};
 
+/// Waiting entries of a job that its explanation names, the first ones.
+const EXPLAINED_ENTRIES: usize = 3;
+
 /// How long a machine that is to be handed over is kept free for that.
 const CEDE_PATIENCE: Span = Span(40_000);
 
@@ -253,11 +256,11 @@
     /// Where a job stands and why it waits.
     pub fn explain(&self, id: JobId, now: Moment) -> Option<String> {
         let job = self.jobs.get(&id)?;
-        let waiting: Vec<String> = self
-            .queue
-            .keys()
-            .filter(|key| key.job() == id)
-            .take(3)
+        let mut entries: Vec<EntryKey> = self.queue.keys().filter(|key| key.job() == id).collect();
+        entries.sort_unstable();
+        let waiting: Vec<String> = entries
+            .into_iter()
+            .take(EXPLAINED_ENTRIES)
             .filter_map(|key| {
                 let (which, failures) = self.queue.whereabouts(key)?;
                 Some(format!("{which:?} after {failures} failures"))
