--- a/crates/testkit/src/lib.rs
+++ b/crates/testkit/src/lib.rs
@@ -5,6 +5,7 @@
 //! The stand-ins are written from the protocols, not from the controllers.
 
 pub mod cloud;
+pub mod fingerprint;
 pub mod history;
 pub mod known;
 pub mod rules;
--- a/crates/testkit/src/world/mod.rs
+++ b/crates/testkit/src/world/mod.rs
@@ -8,6 +8,7 @@
 mod machines;
 mod network;
 mod odd_requests;
+mod outgoing;
 mod plan;
 mod sabotage;
 mod site;
@@ -18,6 +19,7 @@
 pub use plan::{Fault, Plan, Sabotage};
 
 use crate::cloud::{Boots, Cloud};
+use crate::fingerprint::Recorder;
 use crate::known::Known;
 use crate::rules::Rules;
 use crate::served::{least, Served, Share};
@@ -164,6 +166,8 @@
     pub released_alive: u64,
     /// Early takeovers, and those of them whose holders lived, of nodes that have ended.
     early: (u64, u64),
+    /// Records what leaves the controllers, if that is wanted.
+    recorder: Option<Recorder>,
 }
 
 impl World {
@@ -213,6 +217,7 @@
             ends_at: HashMap::new(),
             released_alive: 0,
             early: (0, 0),
+            recorder: None,
             terms,
             plan,
         };
@@ -492,6 +497,7 @@
     }
 
     fn carry_out(&mut self, node: usize, life: u64, effect: Effect) {
+        self.record(node, life, &effect);
         match effect {
             Effect::State { call, request, timeout } => {
                 self.pending.insert((node, life, call));
--- /dev/null
+++ b/crates/testkit/tests/fingerprint.rs
@@ -0,0 +1,80 @@
+//! Fingerprints of behaviour: they repeat, they tell runs apart, and the short list is as stored.
+
+use testkit::fingerprint::{all_runs, short_runs, Recorder, Run, StoredDigests};
+
+/// Digests of the short list, as `cargo run --release -p testkit --example fingerprint -- --short`
+/// prints them.
+const STORED: &str = include_str!("data/fingerprint.txt");
+/// Digests of all runs. They are compared by hand, see the example of the same name.
+const STORED_FULL: &str = include_str!("data/fingerprint-full.txt");
+
+fn digest(run: &Run) -> u128 {
+    let outcome = run.play(Recorder::default());
+    assert_eq!(outcome.broken, 0, "{}: broken rules end a run early", run.name);
+    outcome.recorder.digest()
+}
+
+fn run_named(name: &str) -> Run {
+    all_runs().into_iter().find(|run| run.name == name).expect("a run of this name")
+}
+
+#[test]
+fn a_run_has_the_same_digest_again() {
+    for name in ["administration", "histories"] {
+        let run = run_named(name);
+        assert_eq!(digest(&run), digest(&run), "{name}");
+    }
+}
+
+#[test]
+fn another_seed_has_another_digest() {
+    let run = run_named("quiet_1");
+    let other = run.clone().with_seed(1_001);
+    assert_ne!(digest(&run), digest(&other));
+}
+
+#[test]
+fn a_trace_has_a_line_for_each_message_and_leaves_the_digest_as_it_is() {
+    let run = run_named("administration");
+    let traced = run.play(Recorder::with_trace()).recorder;
+    let lines = traced.trace().expect("a trace").lines().count();
+    assert_eq!(lines as u64, traced.messages());
+    assert_eq!(traced.digest(), digest(&run));
+}
+
+#[test]
+fn the_short_list_is_as_stored() {
+    let stored: StoredDigests = STORED.parse().expect("digests");
+    let mut now = StoredDigests::default();
+    for run in short_runs() {
+        now.insert(&run.name, digest(&run));
+    }
+    assert_eq!(now.differing(&stored), Vec::<&str>::new(), "what leaves the controllers differs");
+    assert_eq!(now, stored, "the stored list has other runs");
+}
+
+#[test]
+fn the_stored_lists_agree() {
+    let short: StoredDigests = STORED.parse().expect("digests");
+    let full: StoredDigests = STORED_FULL.parse().expect("digests");
+    assert_eq!(short.differing(&full), Vec::<&str>::new());
+    let mut names: Vec<String> = all_runs().into_iter().map(|run| run.name).collect();
+    let count = names.len();
+    names.sort();
+    names.dedup();
+    assert_eq!(names.len(), count, "names of runs are used twice");
+}
+
+#[test]
+fn a_stored_list_is_read_as_it_is_written() {
+    let mut digests = StoredDigests::default();
+    digests.insert("one", 1);
+    digests.insert("two", u128::MAX);
+    assert_eq!(digests.to_string().parse(), Ok(digests.clone()));
+    let mut other = digests.clone();
+    other.insert("two", 2);
+    other.insert("three", 3);
+    assert_eq!(other.differing(&digests), ["three", "two"]);
+    assert!("one".parse::<StoredDigests>().is_err());
+    assert!("one not-a-digest".parse::<StoredDigests>().is_err());
+}
