--- a/crates/fleet/tests/planning.rs
+++ b/crates/autoscaler/tests/planning.rs
@@ -1,6 +1,6 @@
 //! Plans for small fleets: rentals, transfers between partitions and returns.
 
-use fleet::{plan, FleetAction, FleetMachine, FleetPolicy, Offer, PartitionNeed};
+use autoscaler::{plan, FleetAction, FleetMachine, FleetPolicy, Offer, PartitionNeed};
 use model::{MachineName, PartitionId, Span, ZoneName};
 use std::collections::HashMap;
 use wire::cloud::MachineType;
--- a/crates/coordination/src/node/admin.rs
+++ b/crates/controller/src/controller/admin.rs
@@ -1,12 +1,12 @@
 //! Operators' requests: settings and views.
 
 use super::{Node, Purpose, Ticket, Tuning};
-use crate::budget::Importance;
 use crate::records::TUNING;
-use fleet::FleetPolicy;
+use crate::request_budget::Importance;
+use autoscaler::FleetPolicy;
 use model::Span;
-use queue::QueueConfig;
 use scheduler::Policy;
+use scheduling_queue::QueueConfig;
 use serde::{Deserialize, Serialize};
 use serde_json::{json, Value};
 use wire::state::{StateReply, StateRequest, Txn, Write};
--- a/crates/coordination/src/node/admission.rs
+++ b/crates/controller/src/controller/admission.rs
@@ -1,9 +1,9 @@
 //! Admission of submissions: what waits is written together, many jobs to a write.
 
 use super::{Node, PendingRequest, Purpose, RequestKind, Ticket, UserReply};
-use crate::budget::Importance;
-use crate::pipe::{Outcome, Pipe};
 use crate::records::{final_key, intake_key, packed_size, page_room, IntakePage, PackedJob};
+use crate::request_budget::Importance;
+use crate::serial_writer::{Outcome, Pipe};
 use model::{JobId, Moment, Revision, Span};
 use std::collections::{HashSet, VecDeque};
 use wire::state::{StateReply, StateRequest, Txn, Write};
--- a/crates/coordination/src/node/cancellations.rs
+++ b/crates/controller/src/controller/cancellations.rs
@@ -1,9 +1,9 @@
 //! Cancellations by users: those that wait are recorded together.
 
 use super::{Node, PendingRequest, Purpose, RequestKind};
-use crate::budget::Importance;
-use crate::pipe::{Outcome, Pipe};
 use crate::records::{cancels_key, CancelsRecord};
+use crate::request_budget::Importance;
+use crate::serial_writer::{Outcome, Pipe};
 use model::Span;
 use wire::mesh::MeshMessage;
 use wire::state::{StateReply, StateRequest, Txn, Write};
--- a/crates/coordination/src/node/steady.rs
+++ b/crates/controller/src/controller/crash_loop.rs
@@ -6,8 +6,8 @@
 //! decides only who takes what when, so no right hangs on it.
 
 use super::{Node, Purpose};
-use crate::budget::Importance;
 use crate::records::{boot_key, BootRecord};
+use crate::request_budget::Importance;
 use model::{Moment, NodeName, Span};
 use wire::state::{StateRequest, Txn, Write};
 
--- a/crates/coordination/src/node/leader.rs
+++ b/crates/controller/src/controller/fleet_planner.rs
@@ -1,11 +1,11 @@
 //! The leader: whoever holds the first partition makes the calls to the cloud.
 
-use super::machines::MachineChange;
+use super::machine_records::MachineChange;
 use super::{Node, Purpose, LEAD};
-use crate::budget::{Bucket, Importance};
 use crate::records::{DemandRecord, MachineRecord, TYPES};
 use crate::rejections::{MessageFault, MessageSource};
-use fleet::{FleetAction, FleetMachine, Offer, PartitionNeed};
+use crate::request_budget::{Bucket, Importance};
+use autoscaler::{FleetAction, FleetMachine, Offer, PartitionNeed};
 use model::{CallId, MachineName, Moment, NodeName, PartitionId, Span, ZoneName};
 use std::collections::{BTreeMap, HashMap};
 use wire::cloud::{
@@ -492,7 +492,8 @@
         self.leader.refused.retain(|_, until| *until > now);
         let refused: HashMap<Offer, u32> =
             self.leader.refused.keys().map(|offer| (offer.clone(), 0)).collect();
-        let actions = fleet::plan(&self.tuning.fleet, &types.types, &machines, &needs, &refused);
+        let actions =
+            autoscaler::plan(&self.tuning.fleet, &types.types, &machines, &needs, &refused);
         for action in actions {
             match action {
                 FleetAction::Rent { machine_type, zone, spot, count, partition } => {
--- a/crates/coordination/src/node/workers.rs
+++ b/crates/controller/src/controller/heartbeats.rs
@@ -1,10 +1,10 @@
 //! Reports of workers and direct calls to them.
 
-use super::holder::ReportOutcome;
-use super::report_checks::{check_answer, check_report, ReportFault};
+use super::heartbeat_checks::{check_answer, check_report, ReportFault};
+use super::leadership::ReportOutcome;
 use super::{DirectReply, Effect, Node, Purpose, ReportReply, Ticket, LAUNCH_CONTACT};
-use crate::mirror::Mirror;
 use crate::rejections::{MessageFault, MessageSource};
+use crate::state_cache::Mirror;
 use model::{CallId, MachineName, PartitionId, Session, Span, TaskId, Token};
 use scheduler::{Route, Source};
 use wire::workers::{Command, DirectCommands, Report, ReportAnswer, TaskReport, TaskState};
--- a/crates/coordination/src/node/ends.rs
+++ b/crates/controller/src/controller/job_archiver.rs
@@ -7,12 +7,12 @@
 //! job cannot come back then, since acceptances are conditional on there being no final state.
 
 use super::{Node, Purpose};
-use crate::budget::Importance;
-use crate::mirror::Mirror;
-use crate::pipe::{Outcome, Pipe};
 use crate::records::{
     cancels_key, ends_key, final_key, page_room, partition_key, EndsPage, FinalRecord,
 };
+use crate::request_budget::Importance;
+use crate::serial_writer::{Outcome, Pipe};
+use crate::state_cache::Mirror;
 use model::{JobId, JobState, NodeName, PartitionId, Span, ZoneName};
 use std::collections::BTreeSet;
 use wire::state::{StateReply, StateRequest, Txn, Write};
--- a/crates/coordination/src/node/holder.rs
+++ b/crates/controller/src/controller/leadership.rs
@@ -1,15 +1,15 @@
 //! Holding a partition: scheduling, writing rounds, ending jobs.
 
-use super::ends::Ending;
-use super::machines::MachineChange;
+use super::job_archiver::Ending;
+use super::machine_records::MachineChange;
 use super::{Node, Purpose};
-use crate::budget::Importance;
-use crate::ledger::{Ledger, Round, RoundId};
+use crate::placement_log::{Ledger, Round, RoundId};
 use crate::records::{demand_key, partition_key, DemandRecord, COUNTER};
 use crate::rejections::{MessageFault, MessageSource};
+use crate::request_budget::Importance;
+use failover::readiness::ReadinessCheck;
 use model::{JobId, MachineName, Moment, NodeName, PartitionId, Revision, Span, Token, Version};
 use scheduler::{Question, Route, Share, Source, Written};
-use standby::readiness::ReadinessCheck;
 use std::collections::BTreeMap;
 use wire::mesh::{MeshMessage, PartitionLoad};
 use wire::state::{Item, StateReply, StateRequest, Txn, Write};
--- a/crates/coordination/src/node/linearizable_reads.rs
+++ b/crates/controller/src/controller/linearizable_reads.rs
@@ -4,10 +4,10 @@
 //! of many jobs have no final state. Reads keep a pace, so that users who ask many times as often
 //! leave the budget to submissions and placements.
 
-use super::users::status;
+use super::user_requests::status;
 use super::{Node, PendingRequest, Purpose, RequestKind, UserReply};
-use crate::budget::Importance;
 use crate::records::{final_key, FinalRecord};
+use crate::request_budget::Importance;
 use model::{JobId, JobState, Moment, Span};
 use serde::Deserialize;
 use std::collections::BTreeSet;
--- a/crates/coordination/src/node/rebuild.rs
+++ b/crates/controller/src/controller/load_partition.rs
@@ -1,16 +1,16 @@
 //! Taking a partition on: reading its ledger, the checks before the first decision, building the share.
 //! A warm start and a cold one differ only in what [`Node::take_hints`] has to give.
 
-use super::ends::Ending;
-use super::holder::Loaded;
+use super::job_archiver::Ending;
+use super::leadership::Loaded;
 use super::{Node, Purpose, LAUNCH_CONTACT};
-use crate::budget::Importance;
-use crate::ledger::Ledger;
+use crate::placement_log::Ledger;
 use crate::records::{ledger_prefix, MachineRecord};
 use crate::rejections::{MessageFault, MessageSource};
+use crate::request_budget::Importance;
+use failover::readiness::{failed_checks, LeadershipFacts, ReadinessCheck};
 use model::{MachineName, Moment, PartitionId, Revision, Span, Token, ZoneName};
 use scheduler::{Machine, Share, Source};
-use standby::readiness::{failed_checks, LeadershipFacts, ReadinessCheck};
 use wire::state::{StateReply, StateRequest};
 
 /// Pause before the ledger is read again that could not be, and before one is that is not sound.
@@ -106,7 +106,7 @@
     fn leadership_facts(&self, partition: PartitionId) -> Option<LeadershipFacts> {
         let holding = self.holdings.get(&partition)?;
         let (ledger, pages) = holding.read.as_ref()?;
-        let ours = |p: &&crate::mirror::Versioned<crate::records::PartitionRecord>| {
+        let ours = |p: &&crate::state_cache::Versioned<crate::records::PartitionRecord>| {
             let record = &p.record;
             record.holder == *self.me()
                 && record.boot == self.boot
--- a/crates/coordination/src/node/machines.rs
+++ b/crates/controller/src/controller/machine_records.rs
@@ -2,11 +2,11 @@
 //! machines to a put.
 
 use super::{Node, Purpose, LEAD};
-use crate::budget::Importance;
-use crate::pipe::{Outcome, Pipe};
 use crate::records::{
     machines_key, page_room, partition_key, MachineRecord, MachinesPage, PackedMachine, COUNTER,
 };
+use crate::request_budget::Importance;
+use crate::serial_writer::{Outcome, Pipe};
 use model::{MachineName, Moment, PartitionId, Span};
 use std::collections::{BTreeMap, BTreeSet};
 use wire::state::{StateReply, StateRequest, Txn, Write};
--- a/crates/coordination/src/node/partitions.rs
+++ b/crates/controller/src/controller/membership.rs
@@ -1,14 +1,14 @@
 //! Who holds which partition: taking vacant ones, handing them home, word from peers.
 
-use super::holder::Holding;
+use super::heartbeats::WORKER_TIMEOUT;
+use super::leadership::Holding;
 use super::standby::WARMING;
-use super::workers::WORKER_TIMEOUT;
 use super::{Node, PeerView, Purpose};
-use crate::budget::Importance;
 use crate::records::{partition_key, wish_key, PartitionRecord, WishRecord, COUNTER};
 use crate::rejections::{MessageFault, MessageSource};
+use crate::request_budget::Importance;
+use failover::failure_detector::HEARTBEAT_TIMEOUT;
 use model::{MachineName, Moment, NodeName, PartitionId, Session, Span, Token};
-use standby::failure_detector::HEARTBEAT_TIMEOUT;
 use wire::mesh::MeshMessage;
 use wire::state::{StateReply, StateRequest, Txn, Write};
 
--- a/crates/coordination/src/node/mod.rs
+++ b/crates/controller/src/controller/mod.rs
@@ -3,40 +3,40 @@
 pub mod admin;
 mod admission;
 mod cancellations;
-mod ends;
-mod holder;
-mod leader;
+mod crash_loop;
+mod fleet_planner;
+mod heartbeat_checks;
+mod heartbeats;
+mod job_archiver;
+mod leadership;
 mod linearizable_reads;
-mod machines;
-mod partitions;
-mod rebuild;
-mod report_checks;
+mod load_partition;
+mod machine_records;
+mod membership;
 mod standby;
-mod steady;
-mod sync;
-mod users;
-mod workers;
-
-use crate::budget::{Bucket, Importance};
-use crate::ledger::RoundId;
-use crate::mirror::Mirror;
+mod state_sync;
+mod user_requests;
+
+use crate::placement_log::RoundId;
 use crate::rejections::RejectionCounts;
+use crate::request_budget::{Bucket, Importance};
+use crate::state_cache::Mirror;
 use admin::{AdminReply, AdminRequest};
 use admission::Admission;
+use autoscaler::FleetPolicy;
 use cancellations::Cancellations;
-use fleet::FleetPolicy;
-use holder::Holding;
-use leader::Leader;
+use fleet_planner::Leader;
+use leadership::Holding;
 use linearizable_reads::LinearizableReads;
-use machines::MachineChanges;
+use machine_records::MachineChanges;
 use model::{
     CallId, JobId, JobState, LeaseId, MachineName, Moment, NodeName, PartitionId, RejectReason,
     Settings, Span, TaskId, Token, ZoneName,
 };
-use queue::QueueConfig;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use scheduler::Policy;
+use scheduling_queue::QueueConfig;
 use std::collections::{BTreeMap, HashMap, HashSet, VecDeque};
 use wire::cloud::{CloudReply, CloudRequest, RentRequest};
 use wire::mesh::MeshMessage;
@@ -278,7 +278,7 @@
     nodes: Vec<(NodeName, ZoneName)>,
     mirror: Mirror,
     synced: bool,
-    listing: Option<sync::Listing>,
+    listing: Option<state_sync::Listing>,
     watching: bool,
     /// Since when we have been running without a stop: what we have not heard before that, we may
     /// have been unable to hear.
@@ -316,7 +316,7 @@
     /// When others told us that they gave a partition up.
     given_up_at: HashMap<PartitionId, HashMap<NodeName, Moment>>,
     /// Partitions given up since their workers do not reach us.
-    shunned: BTreeMap<PartitionId, partitions::Shun>,
+    shunned: BTreeMap<PartitionId, membership::Shun>,
     alive_at: Moment,
     load_at: Moment,
     /// When we wrote what our partitions lack, and whether that was anything.
--- a/crates/coordination/src/node/standby.rs
+++ b/crates/controller/src/controller/standby.rs
@@ -1,13 +1,13 @@
 //! Replicas of partitions that we stand by for, and the streams to our own subscribers.
 
-use super::holder::Holding;
+use super::leadership::Holding;
 use super::{Node, LEASE};
 use crate::rejections::{MessageFault, MessageSource};
+use failover::failure_detector::{Evidence, FailoverBlocker, FailureDetector};
+use failover::{assign, PartitionReplica, Replicas, ReplicationSource, ReplicationStream};
 use model::{MachineName, Moment, NodeName, PartitionId, Span, ZoneName};
 use scheduler::Share;
 use serde_json::{json, Value};
-use standby::failure_detector::{Evidence, FailoverBlocker, FailureDetector};
-use standby::{assign, PartitionReplica, Replicas, ReplicationSource, ReplicationStream};
 use std::collections::{BTreeMap, HashMap};
 use wire::mesh::{HintPart, MeshMessage};
 
--- a/crates/coordination/src/node/sync.rs
+++ b/crates/controller/src/controller/state_sync.rs
@@ -1,10 +1,10 @@
 //! Keeping the mirror: full read, watch, lease, and where answers of the state service go.
 
 use super::{Node, Purpose, LEASE, RENEW, WATCH_WAIT};
-use crate::budget::Importance;
-use crate::mirror::Changed;
 use crate::records::WATCHED;
 use crate::rejections::{MessageFault, MessageSource};
+use crate::request_budget::Importance;
+use crate::state_cache::Changed;
 use model::{CallId, LeaseId, Moment, Span};
 use wire::state::{Changes, Item, StateReply, StateRequest};
 
--- a/crates/coordination/src/lib.rs
+++ b/crates/controller/src/lib.rs
@@ -3,13 +3,13 @@
 //!
 //! [`Node::handle`] takes events and a steady time and returns effects; it does no I/O.
 
-pub mod budget;
-pub mod ledger;
-pub mod mirror;
-pub mod node;
-mod pipe;
+pub mod controller;
+pub mod placement_log;
 pub mod records;
 pub mod rejections;
+pub mod request_budget;
+mod serial_writer;
+pub mod state_cache;
 
-pub use node::admin::{AdminReply, AdminRequest};
-pub use node::{Effect, Event, Node, ReportReply, Tuning, UserReply, UserRequest};
+pub use controller::admin::{AdminReply, AdminRequest};
+pub use controller::{Effect, Event, Node, ReportReply, Tuning, UserReply, UserRequest};
--- a/crates/coordination/tests/budget.rs
+++ b/crates/controller/tests/budget.rs
@@ -1,6 +1,6 @@
 //! Token buckets: rate, reserve and the adaptive rate of a shared budget.
 
-use coordination::budget::Bucket;
+use controller::request_budget::Bucket;
 use model::Moment;
 
 #[test]
--- a/crates/coordination/tests/foreign_records.rs
+++ b/crates/controller/tests/foreign_records.rs
@@ -1,9 +1,9 @@
 //! Records of the state service that no node has written: they are counted, what was known stays, and
 //! nothing panics.
 
-use coordination::ledger::Ledger;
-use coordination::mirror::Mirror;
-use coordination::records::{CounterRecord, MachineRecord, MachinesPage, PackedMachine};
+use controller::placement_log::Ledger;
+use controller::records::{CounterRecord, MachineRecord, MachinesPage, PackedMachine};
+use controller::state_cache::Mirror;
 use model::{JobId, MachineName, NodeName, PartitionId, Version};
 use proptest::collection::vec;
 use proptest::prelude::*;
--- a/crates/coordination/tests/golden_records.rs
+++ b/crates/controller/tests/golden_records.rs
@@ -3,9 +3,9 @@
 #[path = "../../wire/tests/golden/mod.rs"]
 mod golden;
 
-use coordination::ledger::Ledger;
-use coordination::node::admin::TuningRecord;
-use coordination::records::{
+use controller::controller::admin::TuningRecord;
+use controller::placement_log::Ledger;
+use controller::records::{
     boot_key, cancels_key, demand_key, ends_key, final_key, intake_key, ledger_prefix,
     machines_key, partition_key, wish_key, BootRecord, CancelsRecord, CounterRecord, DemandRecord,
     EndsPage, FinalRecord, IntakePage, MachineRecord, MachinesPage, PackedJob, PackedMachine,
@@ -280,7 +280,7 @@
 }
 
 /// The pages that a round writes, by key.
-fn written(round: &coordination::ledger::Round) -> Vec<(String, Value)> {
+fn written(round: &controller::placement_log::Round) -> Vec<(String, Value)> {
     let page = |write: &Write| match write {
         Write::Put { put, value, lease: None } => (put.clone(), value.clone()),
         other => panic!("a round puts pages without a lease: {other:?}"),
--- a/crates/coordination/tests/ledger.rs
+++ b/crates/controller/tests/ledger.rs
@@ -1,6 +1,6 @@
 //! Rounds of the ledger across changes of holder.
 
-use coordination::ledger::Ledger;
+use controller::placement_log::Ledger;
 use model::{JobId, PartitionId, Version};
 use scheduler::ChunkBody;
 use wire::state::Write;
@@ -14,7 +14,7 @@
     let ledger = || Ledger::load(PartitionId(1), &[], 4_096, 6);
     let (ours, _) = ledger().prepare(Version(10), changes());
     let (theirs, _) = ledger().prepare(Version(12), changes());
-    let written = |round: &coordination::ledger::Round| match &round.txn.writes[..] {
+    let written = |round: &controller::placement_log::Round| match &round.txn.writes[..] {
         [Write::Put { put, value, .. }] => (put.clone(), value.clone()),
         other => panic!("one page: {other:?}"),
     };
--- a/crates/standby/tests/assign.rs
+++ b/crates/failover/tests/assign.rs
@@ -1,7 +1,7 @@
 //! Which node stands by for which partition.
 
+use failover::assign;
 use model::{NodeName, PartitionId};
-use standby::assign;
 use std::collections::BTreeMap;
 
 fn names(count: usize) -> Vec<NodeName> {
--- a/crates/standby/tests/failure_detector.rs
+++ b/crates/failover/tests/failure_detector.rs
@@ -1,9 +1,9 @@
 //! When a partition is taken over from a leader whose record still stands.
 
-use model::{MachineName, Moment, PartitionId, Span};
-use standby::failure_detector::{
+use failover::failure_detector::{
     Evidence, FailoverBlocker, FailureDetector, HEARTBEAT_TIMEOUT, WORKER_EVIDENCE_VALIDITY,
 };
+use model::{MachineName, Moment, PartitionId, Span};
 
 const P: PartitionId = PartitionId(1);
 
--- a/crates/standby/tests/large_partition.rs
+++ b/crates/failover/tests/large_partition.rs
@@ -1,7 +1,7 @@
 //! Replication of a partition with 8,000 machines.
 
+use failover::{Replicas, ReplicationSource, ReplicationStream};
 use model::{Moment, NodeName, PartitionId};
-use standby::{Replicas, ReplicationSource, ReplicationStream};
 use std::collections::BTreeMap;
 use wire::mesh::{Hint, HintPart, MachineHint, MeshMessage};
 
--- a/crates/standby/tests/readiness.rs
+++ b/crates/failover/tests/readiness.rs
@@ -1,7 +1,7 @@
 //! What keeps a new partition leader from deciding.
 
+use failover::readiness::{failed_checks, LeadershipFacts, ReadinessCheck};
 use model::{Revision, Token, Version};
-use standby::readiness::{failed_checks, LeadershipFacts, ReadinessCheck};
 
 #[test]
 fn each_failed_check_alone_keeps_a_leader_from_deciding() {
--- a/crates/standby/tests/stream.rs
+++ b/crates/failover/tests/stream.rs
@@ -1,10 +1,10 @@
 //! Seeded runs of one holder and its followers over a mesh that loses, repeats and delays: after each
 //! step a copy shows nothing that its source never said, and once the mesh is well it is equal.
 
+use failover::{Replicas, ReplicationSource, ReplicationStream};
 use model::{MachineName, Moment, NodeName, PartitionId};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
-use standby::{Replicas, ReplicationSource, ReplicationStream};
 use std::collections::{BTreeMap, BTreeSet};
 use wire::mesh::{Hint, HintPart, JobHint, MachineHint, MeshMessage};
 
--- a/crates/loadtest/src/cloud.rs
+++ b/crates/loadtest/src/cloud.rs
@@ -1,4 +1,4 @@
-//! The cloud's sockets and limits around [`testkit::cloud::Cloud`]; it tells the processes that hold the
+//! The cloud's sockets and limits around [`simulator::cloud::Cloud`]; it tells the processes that hold the
 //! workers which machines are up and which are gone.
 
 use crate::config::Experiment;
@@ -10,11 +10,11 @@
 use rand::rngs::SmallRng;
 use rand::SeedableRng;
 use serde::{Deserialize, Serialize};
+use simulator::cloud::Cloud;
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 use std::time::Duration;
-use testkit::cloud::Cloud;
 use tokio::net::TcpListener;
 use tokio::sync::Mutex;
 use wire::cloud::{CloudReply, CloudRequest, MachineNames, RentRequest};
--- a/crates/loadtest/src/config.rs
+++ b/crates/loadtest/src/config.rs
@@ -11,7 +11,7 @@
 pub const MOST_WORKERS: u32 = 30_000;
 /// Most classes of jobs.
 pub const MOST_CLASSES: usize = 15;
-/// CPUs of every hollow machine, see [`testkit::Cloud::new`](testkit::cloud::Cloud::new).
+/// CPUs of every hollow machine, see [`simulator::Cloud::new`](simulator::cloud::Cloud::new).
 pub const MACHINE_CPUS: f64 = 4.0;
 
 /// An experiment file that cannot be used.
--- a/crates/loadtest/src/rules.rs
+++ b/crates/loadtest/src/rules.rs
@@ -1,15 +1,15 @@
 //! The rules, checked after a run from what workers and users saw.
 //!
-//! What users may be told is checked by [`testkit::rules::Rules`]; what tasks may do is checked here, since
+//! What users may be told is checked by [`simulator::rules::Rules`]; what tasks may do is checked here, since
 //! a run has a hundred times the workers of a simulated world.
 
 use crate::config::Experiment;
 use crate::observations::{TaskChange, TaskEvent, UserAnswer, UserEvent};
 use crate::site::job_id;
 use serde::{Deserialize, Serialize};
+use simulator::history::{Answer, Instant};
+use simulator::rules::Rules;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
-use testkit::history::{Answer, Instant};
-use testkit::rules::Rules;
 use wire::users::{JobRequest, JobState};
 
 /// Most broken rules that are listed.
--- a/crates/loadtest/src/state_service.rs
+++ b/crates/loadtest/src/state_service.rs
@@ -1,4 +1,4 @@
-//! The state service's sockets, limits and outages around [`testkit::state::StateService`].
+//! The state service's sockets, limits and outages around [`simulator::state::StateService`].
 
 use crate::config::{Experiment, Fault};
 use crate::http::{serve, Answer, Call, SharedTally};
@@ -7,10 +7,10 @@
 use crate::site::Clock;
 use hyper::Method;
 use serde::Deserialize;
+use simulator::state::StateService;
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 use std::time::Duration;
-use testkit::state::StateService;
 use tokio::net::TcpListener;
 use tokio::sync::watch;
 use wire::state::{LeaseAnswer, LeaseRequest, StateReply, StateRequest, Txn, TxnAnswer, Write};
--- a/crates/loadtest/src/workers.rs
+++ b/crates/loadtest/src/workers.rs
@@ -1,4 +1,4 @@
-//! Hollow workers: the sockets, clocks and connections around [`testkit::worker::Worker`]. They report,
+//! Hollow workers: the sockets, clocks and connections around [`simulator::worker::Worker`]. They report,
 //! obey, and let tasks pass; no task is run.
 
 use crate::cloud::{MachineChanges, UpMachine};
@@ -9,11 +9,11 @@
 use crate::site::{controller_number, job_number, machine_number, Clock, Net};
 use hyper::Method;
 use rand::Rng;
+use simulator::worker::{Happened, Worker};
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeSet, HashMap};
 use std::rc::Rc;
 use std::time::Duration;
-use testkit::worker::{Happened, Worker};
 use tokio::net::TcpListener;
 use tokio::sync::Notify;
 use tokio::task::JoinHandle;
--- a/crates/scheduler/src/best_effort.rs
+++ b/crates/scheduler/src/best_effort.rs
@@ -6,7 +6,7 @@
 
 use crate::job::{Job, Placement};
 use crate::machine::Machine;
-use crate::share::Share;
+use crate::partition_state::Share;
 use model::{JobId, JobKind, Moment, Resources, Span, TaskId, TeamName};
 use std::collections::HashMap;
 
--- a/crates/scheduler/src/beside.rs
+++ b/crates/scheduler/src/colocation.rs
@@ -8,7 +8,7 @@
 
 use crate::job::Job;
 use crate::machine::Machine;
-use crate::share::Share;
+use crate::partition_state::Share;
 use model::{Moment, Resources, Span, TaskId};
 
 /// How long a machine may be without GPU work before what ran beside that is stopped.
--- a/crates/scheduler/src/commands.rs
+++ b/crates/scheduler/src/commands.rs
@@ -1,6 +1,6 @@
 //! What a machine is told.
 
-use crate::share::Share;
+use crate::partition_state::Share;
 use model::{Attempt, MachineName, Moment, Session, TaskId, Token};
 use wire::workers::{Command, TaskState};
 
--- a/crates/scheduler/src/consolidate.rs
+++ b/crates/scheduler/src/consolidation.rs
@@ -5,7 +5,7 @@
 //! beside others that have their image, so that the machines they leave can be used or returned.
 
 use crate::machine::Machine;
-use crate::share::{EntryKey, Promise, Share};
+use crate::partition_state::{EntryKey, Promise, Share};
 use model::{JobKind, MachineName, Moment, Resources, Span, TaskId};
 use wire::workers::TaskState;
 
--- a/crates/scheduler/src/cycle.rs
+++ b/crates/scheduler/src/cycle.rs
@@ -1,10 +1,10 @@
 //! The scheduling cycle: one entry of the queue is tried on the share's machines.
 
-use crate::beside::room_beside;
+use crate::capacity_index::MOST_PINNED;
+use crate::colocation::room_beside;
 use crate::job::Job;
 use crate::machine::Machine;
-use crate::rooms::MOST_PINNED;
-use crate::share::{EntryKey, Share};
+use crate::partition_state::{EntryKey, Share};
 use model::{JobId, JobKind, MachineName, Moment, Span, TaskId, ZoneName};
 use std::collections::{BTreeMap, HashMap, HashSet};
 
--- a/crates/scheduler/src/demand.rs
+++ b/crates/scheduler/src/demand.rs
@@ -1,10 +1,10 @@
 //! What the share lacks and what it could spare.
 
-use crate::beside::{beside, room_beside};
+use crate::colocation::{beside, room_beside};
 use crate::cycle::zone_allowed;
 use crate::job::Job;
 use crate::machine::{Ceding, Machine};
-use crate::share::{EntryKey, Share};
+use crate::partition_state::{EntryKey, Share};
 use model::{
     JobId, JobKind, MachineName, Moment, PartitionId, Priority, Resources, Span, TeamName, ZoneName,
 };
--- a/crates/scheduler/src/takeover.rs
+++ b/crates/scheduler/src/failover.rs
@@ -5,7 +5,7 @@
 //! own answer makes it heard; until then nothing is launched on it and nothing of it is gone.
 
 use crate::machine::Machine;
-use crate::share::Share;
+use crate::partition_state::Share;
 use model::{JobId, MachineName, Moment, Session, Span, Token};
 use std::sync::Arc;
 use wire::mesh::{Hint, JobHint, MachineHint};
@@ -123,7 +123,7 @@
             }
         }
         job.failed_on = hint.failed_on.iter().map(|n| MachineName::from(n.as_str())).collect();
-        job.failed_on.truncate(crate::blame::MOST_FAILED_ON);
+        job.failed_on.truncate(crate::failure_attribution::MOST_FAILED_ON);
         job.successes = job.successes.max(hint.successes);
         job.fails_within = Span(hint.fails_within_ms).min(FAILS_WITHIN);
         if job.suspect() && !job.cancelled && !job.finishing {
--- a/crates/scheduler/src/blame.rs
+++ b/crates/scheduler/src/failure_attribution.rs
@@ -7,7 +7,7 @@
 
 use crate::job::Job;
 use crate::machine::Machine;
-use crate::share::{rank_of, EntryKey, Probing, Share};
+use crate::partition_state::{rank_of, EntryKey, Probing, Share};
 use model::{JobId, JobKind, MachineName, Moment, Span, TaskId};
 use std::collections::BTreeMap;
 
--- a/crates/scheduler/src/gangs.rs
+++ b/crates/scheduler/src/gangs.rs
@@ -6,11 +6,11 @@
 //! and would not be gone by then is stopped. No two gangs wait for each other: a gang takes nothing that
 //! is kept for one before it in the order, and keeps nothing that one before it may take.
 
-use crate::beside::room_beside;
+use crate::colocation::room_beside;
 use crate::cycle::{fetch_time, image_fetch_time, score, Unplaced};
 use crate::job::{Job, Placement};
 use crate::machine::Machine;
-use crate::share::{rank_of, EntryKey, GangHold, Rank, Share};
+use crate::partition_state::{rank_of, EntryKey, GangHold, Rank, Share};
 use model::{JobId, JobKind, MachineName, Moment, Resources, Span, TaskId, ZoneName};
 use std::collections::{BTreeMap, BTreeSet};
 use wire::workers::TaskState;
--- a/crates/scheduler/src/lib.rs
+++ b/crates/scheduler/src/lib.rs
@@ -5,29 +5,29 @@
 //! times, writes what [`Share::take_dirty`] hands out, and sends what
 //! [`Share::commands_for`] says.
 
-mod beside;
 pub mod best_effort;
-pub mod blame;
+mod capacity_index;
+mod colocation;
 pub mod commands;
-pub mod consolidate;
+pub mod consolidation;
 pub mod cycle;
 pub mod demand;
+mod failover;
+pub mod failure_attribution;
 mod gangs;
 pub mod job;
+mod liveness;
 pub mod machine;
-pub mod observe;
+mod overload;
+pub mod partition_state;
 pub mod preempt;
-mod promises;
-mod rooms;
-pub mod share;
-mod shortage;
-mod silence;
-mod takeover;
-mod victims;
+mod preemption_candidates;
+pub mod reconciliation;
+mod reservations;
 
 pub use commands::Route;
+pub use failover::Question;
 pub use job::{ChunkBody, Job, PlacedTask, Placement, Stop, CHUNK};
 pub use machine::Machine;
-pub use observe::Source;
-pub use share::{ChunkKey, EntryKey, Policy, Share, Written};
-pub use takeover::Question;
+pub use partition_state::{ChunkKey, EntryKey, Policy, Share, Written};
+pub use reconciliation::Source;
--- a/crates/scheduler/src/silence.rs
+++ b/crates/scheduler/src/liveness.rs
@@ -11,9 +11,9 @@
 //! one before, have it doubted: nothing new is placed there, launches that the worker has certainly not
 //! taken are placed elsewhere, and it is asked until it answers. It is used again as soon as it does.
 
+use crate::failover::Question;
 use crate::machine::Machine;
-use crate::share::Share;
-use crate::takeover::Question;
+use crate::partition_state::Share;
 use model::{MachineName, Moment, Session, Span, Token, ZoneName};
 use std::collections::BTreeMap;
 
--- a/crates/scheduler/src/machine.rs
+++ b/crates/scheduler/src/machine.rs
@@ -1,6 +1,6 @@
 //! A machine of the share, as its newest report and our own doings show it.
 
-use crate::takeover::Followed;
+use crate::failover::Followed;
 use model::{
     Attempt, JobId, JobKind, JobSpec, MachineName, Moment, PartitionId, Resources, Seq, Session,
     Span, TaskId, Token, ZoneName,
--- a/crates/scheduler/src/shortage.rs
+++ b/crates/scheduler/src/overload.rs
@@ -8,7 +8,7 @@
 //! whatever is submitted later than the time by which a job is set back goes behind it.
 
 use crate::job::Job;
-use crate::share::Share;
+use crate::partition_state::Share;
 use model::{JobId, JobKind, Span};
 
 /// Shortage begins when what waits takes more than so many hundredths of the users' patience, and ends
--- a/crates/scheduler/src/share.rs
+++ b/crates/scheduler/src/partition_state.rs
@@ -1,14 +1,14 @@
 //! The partition's share: its jobs, machines, teams and queue.
 
+use crate::capacity_index::RoomIndex;
 use crate::job::{ChunkBody, Job, Placement, Stop, CHUNK};
 use crate::machine::Machine;
-use crate::rooms::RoomIndex;
-use crate::victims::Victims;
+use crate::preemption_candidates::Victims;
 use model::{
     Attempt, JobId, JobKind, JobSpec, MachineName, Moment, Priority, Resources, Span, TaskId,
     TeamName, Token, ZoneName,
 };
-use queue::{QueueConfig, SchedulingQueue};
+use scheduling_queue::{QueueConfig, SchedulingQueue};
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet};
 use std::sync::Arc;
 use wire::cloud::MachineType;
--- a/crates/scheduler/src/preempt.rs
+++ b/crates/scheduler/src/preempt.rs
@@ -3,11 +3,11 @@
 //! A job of higher priority may stop lower work. Work inside its team's guarantee may also
 //! stop work of any priority that another team runs beyond its own guarantee.
 
-use crate::beside::beside;
+use crate::colocation::beside;
 use crate::cycle::{fetch_time, zone_allowed, Unplaced};
 use crate::job::{Job, Placement};
 use crate::machine::Machine;
-use crate::share::{EntryKey, Promise, Share, TeamUse};
+use crate::partition_state::{EntryKey, Promise, Share, TeamUse};
 use model::{JobKind, MachineName, Moment, Priority, Resources, Span, TaskId, TeamName, ZoneName};
 use std::collections::{BTreeMap, HashSet};
 
--- a/crates/scheduler/src/observe.rs
+++ b/crates/scheduler/src/reconciliation.rs
@@ -2,7 +2,7 @@
 
 use crate::job::{Job, Placement};
 use crate::machine::{Machine, Stray};
-use crate::share::Share;
+use crate::partition_state::Share;
 use model::{Attempt, JobKind, MachineName, Moment, Seq, Session, Span, TaskId, Token};
 use wire::workers::{ExitCause, Report, TaskReport, TaskState};
 
--- a/crates/scheduler/src/promises.rs
+++ b/crates/scheduler/src/reservations.rs
@@ -5,7 +5,7 @@
 
 use crate::job::Job;
 use crate::machine::Machine;
-use crate::share::{EntryKey, Promise, Share};
+use crate::partition_state::{EntryKey, Promise, Share};
 use model::{JobId, JobKind, MachineName, Moment, Resources};
 
 impl Share {
--- a/crates/scheduler/tests/gangs.rs
+++ b/crates/scheduler/tests/gangs.rs
@@ -1,8 +1,8 @@
 //! Gangs, machines with GPUs and work beside it, on a share of three types of machines.
 
 use model::{JobId, JobSpec, MachineName, Moment, Resources, Span, TeamName, Token, ZoneName};
-use queue::QueueConfig;
 use scheduler::{Machine, Policy, Route, Share, Source};
+use scheduling_queue::QueueConfig;
 use wire::cloud::MachineType;
 use wire::users::{JobKind, JobRequest, Priority};
 use wire::workers::{Command, Report, TaskReport, TaskState};
--- a/crates/scheduler/tests/share.rs
+++ b/crates/scheduler/tests/share.rs
@@ -1,8 +1,8 @@
 //! A share on its own: launches, proofs, quota, preemption, notices.
 
 use model::{JobSpec, MachineName, Moment, Resources, Span, TeamName, Token, ZoneName};
-use queue::QueueConfig;
 use scheduler::{ChunkBody, Machine, PlacedTask, Policy, Route, Share, Source};
+use scheduling_queue::QueueConfig;
 use wire::cloud::MachineType;
 use wire::users::{JobKind, JobRequest, Priority};
 use wire::workers::{Command, ExitCause, Report, TaskReport, TaskState};
--- a/crates/queue/tests/queue.rs
+++ b/crates/scheduling-queue/tests/queue.rs
@@ -1,7 +1,7 @@
 //! Order, backoff and release of queued entries.
 
 use model::{Moment, Span};
-use queue::{QueueConfig, QueueEvent, QueueKind, SchedulingQueue};
+use scheduling_queue::{QueueConfig, QueueEvent, QueueKind, SchedulingQueue};
 
 fn queue() -> SchedulingQueue<u32, u32> {
     SchedulingQueue::new(QueueConfig {
--- a/crates/testkit/benches/scale.rs
+++ b/crates/simulator/benches/scale.rs
@@ -4,18 +4,18 @@
 //! `cargo bench -p testkit` (`-- tick` for one kind). Only the time inside `Node::handle` and its
 //! like is measured, not that of the stand-ins.
 
+use autoscaler::{FleetMachine, FleetPolicy, PartitionNeed};
 use criterion::{criterion_group, criterion_main, BenchmarkId, Criterion};
-use fleet::{FleetMachine, FleetPolicy, PartitionNeed};
+use failover::{Replicas, ReplicationSource, ReplicationStream};
 use model::{
     JobSpec, MachineName, Moment, NodeName, PartitionId, Resources, Span, TeamName, Token, ZoneName,
 };
-use queue::QueueConfig;
 use scheduler::{Machine, Policy, Share, Source};
-use standby::{Replicas, ReplicationSource, ReplicationStream};
+use scheduling_queue::QueueConfig;
+use simulator::{solo, Solo};
 use std::cell::RefCell;
 use std::collections::{BTreeMap, HashMap};
 use std::time::{Duration, Instant};
-use testkit::{solo, Solo};
 use wire::mesh::{DemandShape, HintPart};
 use wire::users::{JobKind, JobRequest, Priority};
 
@@ -234,7 +234,13 @@
         let policy = FleetPolicy::default();
         group.bench_function(BenchmarkId::new("made", size), |b| {
             b.iter(|| {
-                fleet::plan(&policy, &[solo::machine_type()], &machines, &needs, &HashMap::new())
+                autoscaler::plan(
+                    &policy,
+                    &[solo::machine_type()],
+                    &machines,
+                    &needs,
+                    &HashMap::new(),
+                )
             });
         });
     }
--- a/crates/testkit/examples/fingerprint.rs
+++ b/crates/simulator/examples/fingerprint.rs
@@ -3,12 +3,12 @@
 //! `cargo run --release -p testkit --example fingerprint -- --compare crates/testkit/tests/data/fingerprint-full.txt`
 
 use clap::Parser;
+use simulator::fingerprint::{all_runs, short_runs, Recorder, Run, StoredDigests};
 use std::error::Error;
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::Mutex;
-use testkit::fingerprint::{all_runs, short_runs, Recorder, Run, StoredDigests};
 
 /// Prints the digests of what leaves the controllers in simulated runs.
 #[derive(Parser)]
--- a/crates/testkit/examples/takeovers.rs
+++ b/crates/simulator/examples/takeovers.rs
@@ -4,9 +4,9 @@
 
 use clap::Parser;
 use serde_json::json;
+use simulator::{Fault, Plan, Takeover, World};
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::Mutex;
-use testkit::{Fault, Plan, Takeover, World};
 
 /// Measures takeovers in the simulated world.
 #[derive(Parser)]
--- a/crates/testkit/src/fingerprint/message.rs
+++ b/crates/simulator/src/fingerprint/message.rs
@@ -1,6 +1,6 @@
 //! Outgoing messages as the bytes that a process would send.
 
-use coordination::{AdminReply, Effect, ReportReply, UserReply};
+use controller::{AdminReply, Effect, ReportReply, UserReply};
 use model::NodeName;
 use serde::Serialize;
 use wire::http::HttpCall;
--- a/crates/testkit/src/fingerprint/runs.rs
+++ b/crates/simulator/src/fingerprint/runs.rs
@@ -2,7 +2,7 @@
 
 use super::Recorder;
 use crate::{Boots, Fault, Plan, World};
-use coordination::AdminRequest;
+use controller::AdminRequest;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use serde_json::json;
--- a/crates/testkit/src/solo.rs
+++ b/crates/simulator/src/solo.rs
@@ -3,9 +3,9 @@
 
 use crate::state::StateService;
 use crate::worker::Worker;
-use coordination::node::DirectReply;
-use coordination::records::{machines_key, MachineRecord, MachinesPage, PackedMachine};
-use coordination::{Effect, Event, Node, ReportReply, UserReply, UserRequest};
+use controller::controller::DirectReply;
+use controller::records::{machines_key, MachineRecord, MachinesPage, PackedMachine};
+use controller::{Effect, Event, Node, ReportReply, UserReply, UserRequest};
 use model::{CallId, MachineName, Moment, PartitionId, Settings};
 use std::collections::{HashMap, VecDeque};
 use std::time::{Duration, Instant};
--- a/crates/testkit/src/world/kinds.rs
+++ b/crates/simulator/src/world/kinds.rs
@@ -2,7 +2,7 @@
 
 use super::plan::Fault;
 use crate::history::Instant;
-use coordination::{Effect, Event, Node, ReportReply, UserRequest};
+use controller::{Effect, Event, Node, ReportReply, UserRequest};
 use model::CallId;
 use wire::cloud::CloudRequest;
 use wire::state::{StateRequest, Txn};
--- a/crates/testkit/src/world/outgoing.rs
+++ b/crates/simulator/src/world/outgoing.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 use crate::fingerprint::{Outgoing, Recorder};
-use coordination::AdminRequest;
+use controller::AdminRequest;
 
 impl World {
     /// Records all that leaves the controllers from now on.
--- a/crates/testkit/tests/days.rs
+++ b/crates/simulator/tests/days.rs
@@ -4,7 +4,7 @@
 
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
-use testkit::{for_seeds, Fault, Plan, World};
+use simulator::{for_seeds, Fault, Plan, World};
 
 /// Half as many machines again as a fleet: 2,240 can be had.
 const LARGE: u64 = 160;
--- a/crates/testkit/tests/end_of_day.rs
+++ b/crates/simulator/tests/end_of_day.rs
@@ -5,7 +5,7 @@
 
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
-use testkit::{for_seeds, Fault, Plan, Sabotage, World};
+use simulator::{for_seeds, Fault, Plan, Sabotage, World};
 
 /// Troubles of the last kind, drawn alone and together, with ends and outages among them.
 fn troubles(seed: u64, count: usize, size: u64) -> Vec<(u64, Fault)> {
--- a/crates/testkit/tests/fingerprint.rs
+++ b/crates/simulator/tests/fingerprint.rs
@@ -1,6 +1,6 @@
 //! Fingerprints of behaviour: they repeat, they tell runs apart, and the short list is as stored.
 
-use testkit::fingerprint::{all_runs, short_runs, Recorder, Run, StoredDigests};
+use simulator::fingerprint::{all_runs, short_runs, Recorder, Run, StoredDigests};
 
 /// Digests of the short list, as `cargo run --release -p testkit --example fingerprint -- --short`
 /// prints them.
--- a/crates/testkit/tests/fleet.rs
+++ b/crates/simulator/tests/fleet.rs
@@ -2,7 +2,7 @@
 //! with the rules checked as it goes. Each case states how soon work goes on, and that no task is
 //! killed by its lease for want of an answer.
 
-use testkit::{Fault, Plan, World};
+use simulator::{Fault, Plan, World};
 
 /// A site with seven to nine hundred machines up by 45 s, and more to come.
 fn fleet(seed: u64, ms: u64, mut faults: Vec<(u64, Fault)>) -> World {
--- a/crates/testkit/tests/golden_admin.rs
+++ b/crates/simulator/tests/golden_admin.rs
@@ -4,12 +4,12 @@
 #[path = "../../wire/tests/golden/mod.rs"]
 mod golden;
 
-use coordination::records::TUNING;
-use coordination::{AdminRequest, Effect, Event, Node};
+use controller::records::TUNING;
+use controller::{AdminRequest, Effect, Event, Node};
 use golden::Entry;
 use model::{CallId, Moment, NodeName};
 use serde_json::{json, Value};
-use testkit::Solo;
+use simulator::Solo;
 use wire::mesh::MeshMessage;
 use wire::state::{StateReply, StateRequest, Txn};
 use wire::users::JobKind;
--- a/crates/testkit/tests/machine_meetings.rs
+++ b/crates/simulator/tests/machine_meetings.rs
@@ -3,7 +3,7 @@
 //! change. One test a meeting, on the deciding code in the simulated world; each asserts that its meeting has
 //! come about, and one runs all of them again with a safety step broken on purpose.
 
-use testkit::{for_seeds, Boots, Fault, Met, Plan, Sabotage, World};
+use simulator::{for_seeds, Boots, Fault, Met, Plan, Sabotage, World};
 
 /// Length of each run.
 const MS: u64 = 220_000;
--- a/crates/testkit/tests/meetings.rs
+++ b/crates/simulator/tests/meetings.rs
@@ -3,7 +3,7 @@
 
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
-use testkit::{for_seeds, Boots, Fault, Met, Plan, Sabotage, World};
+use simulator::{for_seeds, Boots, Fault, Met, Plan, Sabotage, World};
 
 fn plan(seed: u64, ms: u64, faults: Vec<(u64, Fault)>) -> Plan {
     Plan::of_long_tasks(seed, ms, faults)
--- a/crates/testkit/tests/rejected_messages.rs
+++ b/crates/simulator/tests/rejected_messages.rs
@@ -1,17 +1,17 @@
 //! Malformed, stale and misrouted messages to a node change nothing and are counted, and no message makes
 //! it panic. Messages are drawn at random with fixed seeds.
 
-use coordination::node::DirectReply;
-use coordination::rejections::{MessageFault, MessageSource};
-use coordination::{AdminRequest, Event, ReportReply, UserReply, UserRequest};
+use controller::controller::DirectReply;
+use controller::rejections::{MessageFault, MessageSource};
+use controller::{AdminRequest, Event, ReportReply, UserReply, UserRequest};
 use model::{CallId, JobId, NodeName};
 use proptest::collection::vec;
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use serde_json::{json, Value};
+use simulator::solo::job;
+use simulator::Solo;
 use std::collections::BTreeMap;
-use testkit::solo::job;
-use testkit::Solo;
 use wire::cloud::{CloudReply, MachineList, MachineTypes};
 use wire::mesh::{
     DemandShape, Hint, HintKey, HintPart, JobHint, MachineHint, MachineLoad, MeshMessage,
@@ -413,7 +413,7 @@
             ["host-777777", "none", "", true, 0, token, true],
         ] })),
         number().prop_map(|order| {
-            let packed = coordination::records::PackedJob::new(order, job(9, JobKind::Gang, 3));
+            let packed = controller::records::PackedJob::new(order, job(9, JobKind::Gang, 3));
             json!({ "jobs": [packed, [], [1, 7], ["j-000001"], [order, "j-000003"]] })
         }),
         Just(json!({ "rigs": [{ "label": "m4", "vcpus": -1.0, "ram_gb": 1e300 }] })),
--- a/crates/testkit/tests/rules.rs
+++ b/crates/simulator/tests/rules.rs
@@ -2,7 +2,7 @@
 
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
-use testkit::{Boots, Fault, Plan, Sabotage, World};
+use simulator::{Boots, Fault, Plan, Sabotage, World};
 
 /// Troubles drawn from a seed: singly, together, and overlapping.
 fn troubles(seed: u64, count: usize, from: u64, to: u64) -> Vec<(u64, Fault)> {
--- a/crates/testkit/tests/stale_mirror.rs
+++ b/crates/simulator/tests/stale_mirror.rs
@@ -1,15 +1,15 @@
 //! Answers of a node whose copy of the state service lags behind what another node has written.
 
-use coordination::records::{
+use controller::records::{
     cancels_key, ends_key, final_key, intake_key, CancelsRecord, EndsPage, FinalRecord, IntakePage,
     PackedJob,
 };
-use coordination::{Effect, Event, Node, UserReply, UserRequest};
+use controller::{Effect, Event, Node, UserReply, UserRequest};
 use model::{CallId, JobId, JobState, Moment, NodeName, PartitionId, Settings};
 use serde::Serialize;
+use simulator::solo::{job, machine_type};
+use simulator::state::StateService;
 use std::collections::VecDeque;
-use testkit::solo::{job, machine_type};
-use testkit::state::StateService;
 use wire::cloud::{CloudReply, CloudRequest, MachineTypes};
 use wire::state::{StateReply, StateRequest, Txn, Write};
 use wire::users::{JobKind, JobRequest};
--- a/crates/testkit/tests/standby.rs
+++ b/crates/simulator/tests/standby.rs
@@ -2,8 +2,8 @@
 
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
-use testkit::served::Share;
-use testkit::{for_seeds, Fault, Plan, Sabotage, Takeover, World};
+use simulator::served::Share;
+use simulator::{for_seeds, Fault, Plan, Sabotage, Takeover, World};
 
 /// A site of some hundred machines, filled by the time 60 s.
 fn site(seed: u64, size: u64, ms: u64, mut faults: Vec<(u64, Fault)>) -> World {
--- a/crates/testkit/tests/user_histories.rs
+++ b/crates/simulator/tests/user_histories.rs
@@ -2,7 +2,7 @@
 //! is judged by the history of its job. Each test asserts that its meeting has come about, and each meeting is
 //! run again with a safety step broken, to show that the checker would tell.
 
-use testkit::{for_seeds, Fault, Met, Plan, Sabotage, World};
+use simulator::{for_seeds, Fault, Met, Plan, Sabotage, World};
 
 type Faults = Vec<(u64, Fault)>;
 
@@ -287,7 +287,7 @@
 
 /// The history itself.
 mod history {
-    use testkit::history::{Answer, History};
+    use simulator::history::{Answer, History};
     use wire::users::JobState;
 
     #[test]
--- a/crates/trackcrank/src/clients.rs
+++ b/crates/trackcrank/src/clients.rs
@@ -2,8 +2,8 @@
 
 use crate::metrics::RejectedMessages;
 use bytes::Bytes;
-use coordination::node::DirectReply;
-use coordination::rejections::{MessageFault, MessageSource};
+use controller::controller::DirectReply;
+use controller::rejections::{MessageFault, MessageSource};
 use http_body_util::{BodyExt, Full, Limited};
 use hyper::{Method, Request, StatusCode};
 use hyper_util::client::legacy::connect::HttpConnector;
--- a/crates/trackcrank/src/inbound.rs
+++ b/crates/trackcrank/src/inbound.rs
@@ -1,14 +1,14 @@
 //! What the server and the loop say to each other.
 
 use crate::metrics::Metrics;
-use coordination::{AdminReply, AdminRequest, ReportReply, UserReply};
+use controller::{AdminReply, AdminRequest, ReportReply, UserReply};
 use std::sync::atomic::AtomicBool;
 use std::sync::Arc;
 use tokio::sync::{mpsc, oneshot};
 
 /// What the server hands to the loop.
 pub enum Inbound {
-    User(coordination::UserRequest, oneshot::Sender<UserReply>),
+    User(controller::UserRequest, oneshot::Sender<UserReply>),
     Report(Box<wire::workers::Report>, oneshot::Sender<ReportReply>),
     Admin(AdminRequest, oneshot::Sender<AdminReply>),
 }
--- a/crates/trackcrank/src/mesh.rs
+++ b/crates/trackcrank/src/mesh.rs
@@ -2,8 +2,8 @@
 
 use crate::metrics::RejectedMessages;
 use bytes::Bytes;
-use coordination::rejections::{MessageFault, MessageSource};
-use coordination::Event;
+use controller::rejections::{MessageFault, MessageSource};
+use controller::Event;
 use futures_util::{SinkExt, StreamExt};
 use model::settings::Peer;
 use model::NodeName;
--- a/crates/trackcrank/src/metrics.rs
+++ b/crates/trackcrank/src/metrics.rs
@@ -1,6 +1,6 @@
 //! The metrics page, in Prometheus text.
 
-use coordination::rejections::{MessageFault, MessageSource};
+use controller::rejections::{MessageFault, MessageSource};
 use prometheus::{
     Encoder, GaugeVec, Histogram, HistogramOpts, IntCounterVec, Opts, Registry, TextEncoder,
 };
--- a/crates/trackcrank/src/server.rs
+++ b/crates/trackcrank/src/server.rs
@@ -1,8 +1,8 @@
 //! The HTTP server for users, workers and health checks.
 
 use crate::inbound::{Inbound, Shared};
-use coordination::rejections::{MessageFault, MessageSource};
-use coordination::{AdminReply, AdminRequest, ReportReply, UserReply, UserRequest};
+use controller::rejections::{MessageFault, MessageSource};
+use controller::{AdminReply, AdminRequest, ReportReply, UserReply, UserRequest};
 use model::JobId;
 use poem::error::ReadBodyError;
 use poem::http::StatusCode;
--- a/crates/trackcrank/tests/golden_metrics.rs
+++ b/crates/trackcrank/tests/golden_metrics.rs
@@ -3,7 +3,7 @@
 #[path = "../../wire/tests/golden/mod.rs"]
 mod golden;
 
-use coordination::rejections::{MessageFault, MessageSource};
+use controller::rejections::{MessageFault, MessageSource};
 use golden::Entry;
 use serde_json::{json, Value};
 use std::fs;
--- a/crates/trackcrank/tests/http_requests.rs
+++ b/crates/trackcrank/tests/http_requests.rs
@@ -1,7 +1,7 @@
 //! Requests as they come over HTTP: what is malformed is answered as the protocol says, is counted and
 //! never reaches the node's state.
 
-use coordination::{Event, Node};
+use controller::{Event, Node};
 use model::{Moment, Settings};
 use poem::http::{Method, StatusCode};
 use poem::{Endpoint, IntoEndpoint, Request};
@@ -38,13 +38,13 @@
         let (mut user, mut report, mut admin) = (user, report, admin);
         for effect in node.handle(Moment(10), event) {
             match effect {
-                coordination::Effect::User { reply, .. } => {
+                controller::Effect::User { reply, .. } => {
                     user.take().map(|answer| answer.send(reply));
                 }
-                coordination::Effect::Report { reply, .. } => {
+                controller::Effect::Report { reply, .. } => {
                     report.take().map(|answer| answer.send(reply));
                 }
-                coordination::Effect::Admin { reply, .. } => {
+                controller::Effect::Admin { reply, .. } => {
                     admin.take().map(|answer| answer.send(reply));
                 }
                 _ => {}
--- a/crates/trackcrank/tests/large_site.rs
+++ b/crates/trackcrank/tests/large_site.rs
@@ -1,6 +1,6 @@
 //! What comes at once at a site of 8,000 machines is neither lost nor refused.
 
-use coordination::Event;
+use controller::Event;
 use model::settings::Peer;
 use model::{NodeName, ZoneName};
 use std::net::SocketAddr;
