--- a/crates/autoscaler/src/capacity.rs
+++ b/crates/autoscaler/src/capacity.rs
@@ -2,7 +2,9 @@
 
 use crate::machine::FleetMachine;
 use crate::pending::PendingWork;
-use model::{Resources, Span, ZoneName};
+use model::DurationExt;
+use model::{Resources, ZoneName};
+use std::time::Duration;
 use wire::cloud::MachineType;
 
 /// Unit of [`IncomingMachine::time_left`]: a machine's whole time within the horizon.
@@ -43,7 +45,7 @@
 
     /// Assigns as many waiting tasks as possible. Services and gangs occupy resources; array work
     /// occupies time within the horizon, at least one task per slot. Returns the number of tasks.
-    pub(crate) fn assign(&mut self, work: &PendingWork<'_>, horizon: Span) -> u64 {
+    pub(crate) fn assign(&mut self, work: &PendingWork<'_>, horizon: Duration) -> u64 {
         if work.waiting == 0 || !work.task_size.fits(&self.free) {
             return 0;
         }
@@ -57,7 +59,8 @@
             return 0;
         }
         // The scarcest resource limits how many tasks run at the same time.
-        let time_per_task = (WHOLE_HORIZON * work.task_ms / (slots * horizon.0).max(1)).max(1);
+        let time_per_task =
+            (WHOLE_HORIZON * work.task_ms / (slots * horizon.whole_millis()).max(1)).max(1);
         let assigned = (self.time_left / time_per_task).max(slots).min(work.waiting);
         self.time_left = self.time_left.saturating_sub(assigned * time_per_task);
         assigned
--- a/crates/autoscaler/src/machine.rs
+++ b/crates/autoscaler/src/machine.rs
@@ -1,6 +1,7 @@
 //! Inputs and outputs of a plan: machines, the needs of partitions, actions.
 
-use model::{MachineName, PartitionId, Span, ZoneName};
+use model::{MachineName, PartitionId, ZoneName};
+use std::time::Duration;
 use wire::mesh::DemandShape;
 
 /// A machine as the fleet planner sees it.
@@ -14,16 +15,16 @@
     /// Its worker reports to the partition leader.
     pub reporting: bool,
     pub tasks: u32,
-    pub idle_for: Span,
+    pub idle_for: Duration,
     pub faulty: bool,
     pub leaving: bool,
-    pub age: Span,
+    pub age: Duration,
     /// How long its partition leader could have received a report: since the machine joined the
     /// partition, or since the leader took the partition over. Before that, a missing report is
     /// no evidence against the machine.
-    pub observable_for: Span,
+    pub observable_for: Duration,
     /// Time since its last report, if it has ever reported.
-    pub silent_for: Span,
+    pub silent_for: Duration,
     /// The cloud reports that it stopped of its own accord.
     pub failed: bool,
     /// Whether the partition leader's view of it is fresh.
--- a/crates/autoscaler/src/planner.rs
+++ b/crates/autoscaler/src/planner.rs
@@ -4,9 +4,11 @@
 use crate::machine::{FleetAction, FleetMachine, Offer, PartitionNeed};
 use crate::pending::{task_size, PendingWork, Tier};
 use crate::policy::FleetPolicy;
-use model::{PartitionId, Span};
+use model::duration_from_secs;
+use model::PartitionId;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, HashMap};
+use std::time::Duration;
 use wire::cloud::MachineType;
 use wire::mesh::DemandShape;
 
@@ -14,7 +16,7 @@
 pub(crate) const MAX_MACHINES_PER_REQUEST: u32 = 50;
 
 /// Added to the time for which a booting machine counts as capacity, for its first report.
-const REPORT_DELAY: Span = Span(2_000);
+const REPORT_DELAY: Duration = Duration::from_secs(2);
 
 /// A machine type that gangs wait for.
 pub(crate) struct GangMachineType<'a> {
@@ -201,8 +203,8 @@
     /// Whether the machine is expected to report soon. One that is late may never report, so work
     /// must not wait for it; what tasks on a machine that does not report use is not known.
     fn is_booting(&self, machine: &FleetMachine, machine_type: &MachineType) -> bool {
-        let expected =
-            Span::from_secs(machine_type.boot_s * self.policy.boot_capacity_factor) + REPORT_DELAY;
+        let expected = duration_from_secs(machine_type.boot_s * self.policy.boot_capacity_factor)
+            + REPORT_DELAY;
         !machine.reporting && machine.tasks == 0 && machine.observable_for <= expected
     }
 
--- a/crates/autoscaler/src/returns.rs
+++ b/crates/autoscaler/src/returns.rs
@@ -2,14 +2,17 @@
 
 use crate::machine::{FleetAction, FleetMachine};
 use crate::planner::Planner;
-use model::{MachineName, Span};
+use model::duration_from_secs;
+use model::DurationExt;
+use model::MachineName;
 use std::collections::HashSet;
+use std::time::Duration;
 
 /// Boot time of machines whose type is not known.
-const DEFAULT_BOOT_TIME: Span = Span(60_000);
+const DEFAULT_BOOT_TIME: Duration = Duration::from_secs(60);
 
 /// Added to the time after which a machine that has never reported is given up.
-const FIRST_REPORT_ALLOWANCE: Span = Span(10_000);
+const FIRST_REPORT_ALLOWANCE: Duration = Duration::from_secs(10);
 
 impl Planner<'_> {
     /// Returns machines that are of no further use.
@@ -32,8 +35,9 @@
     fn never_reported(&self, machine: &FleetMachine) -> bool {
         let boot_time = self
             .machine_type(&machine.machine_type)
-            .map_or(DEFAULT_BOOT_TIME, |machine_type| Span::from_secs(machine_type.boot_s));
-        let limit = boot_time * self.policy.boot_timeout_factor + FIRST_REPORT_ALLOWANCE;
+            .map_or(DEFAULT_BOOT_TIME, |machine_type| duration_from_secs(machine_type.boot_s));
+        let limit =
+            boot_time.saturating_times(self.policy.boot_timeout_factor) + FIRST_REPORT_ALLOWANCE;
         !machine.reporting && machine.observable_for > limit
     }
 
--- a/crates/autoscaler/tests/planning.rs
+++ b/crates/autoscaler/tests/planning.rs
@@ -1,8 +1,9 @@
 //! Plans for small fleets: rentals, transfers between partitions and returns.
 
 use autoscaler::{plan, FleetAction, FleetMachine, FleetPolicy, Offer, PartitionNeed};
-use model::{MachineName, PartitionId, Span, ZoneName};
+use model::{MachineName, PartitionId, ZoneName};
 use std::collections::HashMap;
+use std::time::Duration;
 use wire::cloud::MachineType;
 use wire::mesh::DemandShape;
 use wire::users::Priority;
@@ -31,12 +32,12 @@
         partition: PartitionId(partition),
         reporting: true,
         tasks: 1,
-        idle_for: Span::ZERO,
+        idle_for: Duration::ZERO,
         faulty: false,
         leaving: false,
-        age: Span(100_000),
-        observable_for: Span(100_000),
-        silent_for: Span::ZERO,
+        age: Duration::from_secs(100),
+        observable_for: Duration::from_secs(100),
+        silent_for: Duration::ZERO,
         failed: false,
         view_is_fresh: true,
         transferable,
@@ -102,7 +103,7 @@
         .map(|n| FleetMachine { spot: true, best_effort: true, ..machine(n, 0, true) })
         .collect();
     let refused = HashMap::from([(offer("m4", "a", true), 0)]);
-    let policy = FleetPolicy { horizon: Span(1_000), ..FleetPolicy::default() };
+    let policy = FleetPolicy { horizon: Duration::from_secs(1), ..FleetPolicy::default() };
     let actions = plan(&policy, &[kind()], &machines, &[low.clone(), normal], &refused);
     assert_eq!(ceded(&actions).last(), Some(&(0, 1, 2)), "{actions:?}");
     let rents = |a: &&FleetAction| matches!(a, FleetAction::Rent { .. });
@@ -118,10 +119,10 @@
     let moved = FleetMachine {
         reporting: false,
         tasks: 0,
-        observable_for: Span(500),
+        observable_for: Duration::from_millis(500),
         ..machine(1, 0, false)
     };
-    let lost = FleetMachine { observable_for: Span(100_000), ..moved.clone() };
+    let lost = FleetMachine { observable_for: Duration::from_secs(100), ..moved.clone() };
     let policy = FleetPolicy::default();
     let plan = |m: FleetMachine| plan(&policy, &[kind()], &[m], &[], &HashMap::new());
     assert_eq!(plan(moved), []);
@@ -179,7 +180,7 @@
         zone: ZoneName::from("b"),
         reporting: false,
         tasks: 0,
-        observable_for: Span(1_000),
+        observable_for: Duration::from_secs(1),
         ..machine(n, 1, false)
     };
     let coming: Vec<FleetMachine> = (0..4).map(boots).collect();
@@ -190,7 +191,7 @@
 #[test]
 fn gpu_machines_are_not_rented_for_cpu_work_and_gang_types_are_left_to_gangs() {
     let types = three_types();
-    let policy = FleetPolicy { horizon: Span(1_000), ..FleetPolicy::default() };
+    let policy = FleetPolicy { horizon: Duration::from_secs(1), ..FleetPolicy::default() };
     let gone = |name: &str| {
         let of = |zone: &str| (offer(name, zone, false), 0);
         [of("a"), of("b")]
@@ -209,7 +210,7 @@
 fn urgent_work_is_rented_first_and_the_rest_in_turn() {
     let refused = HashMap::new();
     let needs = [need(0, 30, 0), need(1, 30, 3)];
-    let policy = FleetPolicy { horizon: Span(1_000), ..FleetPolicy::default() };
+    let policy = FleetPolicy { horizon: Duration::from_secs(1), ..FleetPolicy::default() };
     let actions = plan(&policy, &[kind()], &[], &needs, &refused);
     let rented: Vec<(u32, u32)> = actions
         .iter()
--- a/crates/controller/src/controller/admin.rs
+++ b/crates/controller/src/controller/admin.rs
@@ -1,15 +1,16 @@
 //! Operators' requests: settings and views.
 
-use super::{Node, Purpose, Ticket, Tuning};
+use super::{CallKind, Controller, Ticket, Tuning};
 use crate::records::TUNING;
-use crate::request_budget::Importance;
+use crate::request_budget::CallPriority;
 use autoscaler::FleetPolicy;
-use model::Span;
+use model::duration_from_secs;
+use model::DurationExt;
 use scheduler::Policy;
 use scheduling_queue::QueueConfig;
 use serde::{Deserialize, Serialize};
 use serde_json::{json, Value};
-use wire::state::{StateReply, StateRequest, Txn, Write};
+use wire::state::{StateReply, StateRequest, Transaction, Write};
 
 /// What an operator asks.
 #[derive(Debug, Clone)]
@@ -76,23 +77,23 @@
 impl From<&Tuning> for TuningRecord {
     fn from(t: &Tuning) -> Self {
         TuningRecord {
-            initial_backoff_s: t.queue.initial_backoff.as_secs(),
-            max_backoff_s: t.queue.max_backoff.as_secs(),
-            leftover_s: t.queue.leftover.as_secs(),
-            silence_s: t.policy.silence.as_secs(),
+            initial_backoff_s: t.queue.initial_backoff.as_secs_f64(),
+            max_backoff_s: t.queue.max_backoff.as_secs_f64(),
+            leftover_s: t.queue.leftover.as_secs_f64(),
+            silence_s: t.policy.silence.as_secs_f64(),
             window: t.policy.window,
             faulty_after: t.policy.faulty_after,
             preempt: t.policy.preempt,
             set_back: t.policy.set_back,
             move_replicas: t.policy.move_replicas,
-            absorb_s: t.policy.absorb.as_secs(),
+            absorb_s: t.policy.absorb.as_secs_f64(),
             short_set_back: t.policy.short_set_back,
-            horizon_s: t.fleet.horizon.as_secs(),
-            keep_idle_s: t.fleet.keep_idle.as_secs(),
-            paid_s: t.fleet.minimum_billing.as_secs(),
-            shift_idle_s: t.fleet.transfer_idle.as_secs(),
+            horizon_s: t.fleet.horizon.as_secs_f64(),
+            keep_idle_s: t.fleet.keep_idle.as_secs_f64(),
+            paid_s: t.fleet.minimum_billing.as_secs_f64(),
+            shift_idle_s: t.fleet.transfer_idle.as_secs_f64(),
             shift_count: t.fleet.max_idle_transfers,
-            silent_s: t.fleet.report_timeout.as_secs(),
+            silent_s: t.fleet.report_timeout.as_secs_f64(),
             boot_trust: t.fleet.boot_capacity_factor,
             boot_patience: t.fleet.boot_timeout_factor,
         }
@@ -128,27 +129,27 @@
         within("boot_patience", self.boot_patience as f64, 1.0, 1000.0)?;
         Ok(Tuning {
             queue: QueueConfig {
-                initial_backoff: Span::from_secs(self.initial_backoff_s),
-                max_backoff: Span::from_secs(self.max_backoff_s),
-                leftover: Span::from_secs(self.leftover_s),
+                initial_backoff: duration_from_secs(self.initial_backoff_s),
+                max_backoff: duration_from_secs(self.max_backoff_s),
+                leftover: duration_from_secs(self.leftover_s),
             },
             policy: Policy {
-                silence: Span::from_secs(self.silence_s),
+                silence: duration_from_secs(self.silence_s),
                 window: self.window,
                 faulty_after: self.faulty_after,
                 preempt: self.preempt,
                 set_back: self.set_back,
                 move_replicas: self.move_replicas,
-                absorb: Span::from_secs(self.absorb_s),
+                absorb: duration_from_secs(self.absorb_s),
                 short_set_back: self.short_set_back,
             },
             fleet: FleetPolicy {
-                horizon: Span::from_secs(self.horizon_s),
-                keep_idle: Span::from_secs(self.keep_idle_s),
-                minimum_billing: Span::from_secs(self.paid_s),
-                transfer_idle: Span::from_secs(self.shift_idle_s),
+                horizon: duration_from_secs(self.horizon_s),
+                keep_idle: duration_from_secs(self.keep_idle_s),
+                minimum_billing: duration_from_secs(self.paid_s),
+                transfer_idle: duration_from_secs(self.shift_idle_s),
                 max_idle_transfers: self.shift_count,
-                report_timeout: Span::from_secs(self.silent_s),
+                report_timeout: duration_from_secs(self.silent_s),
                 boot_capacity_factor: self.boot_trust,
                 boot_timeout_factor: self.boot_patience,
             },
@@ -156,7 +157,7 @@
     }
 }
 
-impl Node {
+impl Controller {
     pub(super) fn on_admin(&mut self, ticket: Ticket, request: AdminRequest) {
         let reply = match request {
             AdminRequest::ChangeSettings { version, settings } => {
@@ -199,9 +200,9 @@
         record.check().map_err(|e| AdminReply::error(400, e))?;
         let value =
             serde_json::to_value(record).map_err(|e| AdminReply::error(400, e.to_string()))?;
-        let txn = Txn::default().when(TUNING, version).write(Write::put(TUNING, value));
-        let purpose = Purpose::TuningWrite { ticket };
-        self.state(Importance::Rest, StateRequest::Txn(txn), purpose);
+        let txn = Transaction::default().when(TUNING, version).write(Write::put(TUNING, value));
+        let purpose = CallKind::TuningWrite { ticket };
+        self.state(CallPriority::Rest, StateRequest::Transaction(txn), purpose);
         Ok(())
     }
 
@@ -274,7 +275,7 @@
                 json!({
                     "machine": name,
                     "record": crate::records::PackedMachine::new(name, &m.record),
-                    "silent_ms": own.and_then(|m| m.reported_at).map(|at| self.now.since(at).0),
+                    "silent_ms": own.and_then(|m| m.reported_at).map(|at| self.now.duration_since(at).whole_millis()),
                     "tasks": own.map(|m| m.tasks.iter().map(|t| t.to_string()).collect::<Vec<_>>()),
                     "faulty": own.map(|m| m.faulty),
                     "unreached": own.map(|m| m.is_unreached()),
@@ -353,7 +354,7 @@
                 "partitions_held": self.holdings.len(),
                 "partitions_in_step": self.partitions_in_step(),
                 "machines_unreached": self.unreached_machines(),
-                "answers_left_s": self.answers_left().as_secs(),
+                "answers_left_s": self.answers_left().as_secs_f64(),
                 "without_state": u64::from(!self.in_contact(super::LAUNCH_CONTACT)),
             },
         })
--- a/crates/controller/src/controller/admission.rs
+++ b/crates/controller/src/controller/admission.rs
@@ -1,22 +1,23 @@
 //! Admission of submissions: what waits is written together, many jobs to a write.
 
-use super::{Node, PendingRequest, Purpose, RequestKind, Ticket, UserReply};
-use crate::records::{final_key, intake_key, packed_size, page_room, IntakePage, PackedJob};
-use crate::request_budget::Importance;
-use crate::serial_writer::{Outcome, Pipe};
-use model::{JobId, Moment, Revision, Span};
+use super::{CallKind, Controller, PendingRequest, RequestKind, Ticket, UserReply};
+use crate::records::{final_key, intake_key, packed_size, page_room, AcceptedJobsPage, PackedJob};
+use crate::request_budget::CallPriority;
+use crate::serial_writer::{Outcome, SerialWriter};
+use model::{JobId, Revision, Timestamp};
 use std::collections::{HashSet, VecDeque};
-use wire::state::{StateReply, StateRequest, Txn, Write};
+use std::time::Duration;
+use wire::state::{StateReply, StateRequest, Transaction, Write};
 use wire::users::JobRequest;
 
 /// Submissions that may wait before others are refused: what is written within a second, as a rule.
 const MAX_PENDING: usize = 150;
 /// A submission that has waited for longer is refused: its user's patience is limited.
-const MAX_PENDING_TIME: Span = Span(1_500);
+const MAX_PENDING_TIME: Duration = Duration::from_millis(1_500);
 /// Pages of accepted jobs that one transaction writes at most.
 const MAX_PAGES_PER_WRITE: usize = 2;
 /// How long the mirror may lag behind a write of accepted jobs before a read is made for their answers.
-const MAX_MIRROR_LAG: Span = Span(300);
+const MAX_MIRROR_LAG: Duration = Duration::from_millis(300);
 /// Conditions that the state service takes for each change of a transaction.
 const CONDITIONS_PER_CHANGE: usize = 4;
 
@@ -26,14 +27,14 @@
     ticket: Ticket,
     id: JobId,
     job: JobRequest,
-    since: Moment,
+    since: Timestamp,
     /// When it came, on the nodes' common clock.
     order: u64,
 }
 
 impl PendingSubmission {
     /// The same request, waiting for a read instead of a write.
-    fn into_request(self, kind: RequestKind, since: Moment) -> PendingRequest {
+    fn into_request(self, kind: RequestKind, since: Timestamp) -> PendingRequest {
         PendingRequest { ticket: self.ticket, kind, id: self.id, since }
     }
 }
@@ -42,7 +43,7 @@
 #[derive(Debug, Default)]
 pub(crate) struct Admission {
     pending: VecDeque<PendingSubmission>,
-    writes: Pipe<Vec<PendingSubmission>>,
+    writes: SerialWriter<Vec<PendingSubmission>>,
     /// Accepted durably; answered once the mirror shows everything up to that write.
     unconfirmed: Vec<PendingRequest>,
     /// The revision of that write.
@@ -60,7 +61,7 @@
 /// A transaction that accepts jobs, while it is made up.
 #[derive(Default)]
 struct AdmissionBatch {
-    txn: Txn,
+    txn: Transaction,
     submissions: Vec<PendingSubmission>,
     ids: HashSet<JobId>,
     /// Submissions of jobs that are in the batch already: answered once it is written.
@@ -68,7 +69,7 @@
     pages: Vec<u32>,
 }
 
-impl Node {
+impl Controller {
     /// Takes a checked submission in, or refuses it at once.
     pub(super) fn admit(&mut self, ticket: Ticket, id: JobId, job: JobRequest) {
         if self.admission.pending.len() >= MAX_PENDING {
@@ -92,14 +93,14 @@
         self.confirm_accepted();
         let ready = self.admission.writes.ready(self.now, self.mirror.revision);
         let waiting = !self.admission.pending.is_empty();
-        if waiting && ready && self.synced && self.may_write(Importance::Accept, 1.0) {
+        if waiting && ready && self.synced && self.may_write(CallPriority::Accept, 1.0) {
             self.write_accepted();
         }
     }
 
     fn refuse_overdue_submissions(&mut self) {
         while let Some(first) = self.admission.pending.front() {
-            if self.now.since(first.since) <= MAX_PENDING_TIME {
+            if self.now.duration_since(first.since) <= MAX_PENDING_TIME {
                 break;
             }
             let ticket = first.ticket;
@@ -115,7 +116,7 @@
     /// revision is no older than anything that was confirmed before the submission came.
     fn confirm_accepted(&mut self) {
         let Some(first) = self.admission.unconfirmed.first() else { return };
-        let lag = self.now.since(first.since);
+        let lag = self.now.duration_since(first.since);
         if !self.synced {
             let requests = std::mem::take(&mut self.admission.unconfirmed);
             self.refuse_all(requests);
@@ -172,8 +173,17 @@
             self.admission.pending.push_front(again);
         }
         if !batch.submissions.is_empty() {
-            self.admission.writes.send(batch.submissions, batch.txn.clone(), self.now, Span(0));
-            self.state(Importance::Accept, StateRequest::Txn(batch.txn), Purpose::Accept);
+            self.admission.writes.send(
+                batch.submissions,
+                batch.txn.clone(),
+                self.now,
+                Duration::ZERO,
+            );
+            self.state(
+                CallPriority::Accept,
+                StateRequest::Transaction(batch.txn),
+                CallKind::Accept,
+            );
         }
     }
 
@@ -214,7 +224,7 @@
         if batch.submissions.len() == before {
             return false;
         }
-        let value = serde_json::to_value(IntakePage { jobs }).unwrap_or_default();
+        let value = serde_json::to_value(AcceptedJobsPage { jobs }).unwrap_or_default();
         let txn = std::mem::take(&mut batch.txn);
         batch.txn = txn.when(&key, page.version).write(Write::put(&key, value));
         batch.pages.push(page.number);
@@ -223,7 +233,7 @@
 
     pub(super) fn on_accept_written(&mut self, reply: StateReply) {
         match self.admission.writes.answered(reply, self.now) {
-            Outcome::Written(batch) => {
+            Outcome::CommittedChanges(batch) => {
                 let since = self.now;
                 let requests =
                     batch.into_iter().map(|job| job.into_request(RequestKind::Accepted, since));
@@ -260,8 +270,13 @@
                 for submission in batch.into_iter().flatten() {
                     self.busy(submission.ticket, 1);
                 }
-                let request = StateRequest::Txn(txn);
-                self.again(Span(200), Importance::Accept, request, Purpose::Accept);
+                let request = StateRequest::Transaction(txn);
+                self.again(
+                    Duration::from_millis(200),
+                    CallPriority::Accept,
+                    request,
+                    CallKind::Accept,
+                );
             }
             Outcome::Nothing => {}
         }
--- a/crates/controller/src/controller/cancellations.rs
+++ b/crates/controller/src/controller/cancellations.rs
@@ -1,12 +1,12 @@
 //! Cancellations by users: those that wait are recorded together.
 
-use super::{Node, PendingRequest, Purpose, RequestKind};
-use crate::records::{cancels_key, CancelsRecord};
-use crate::request_budget::Importance;
-use crate::serial_writer::{Outcome, Pipe};
-use model::Span;
+use super::{CallKind, Controller, PendingRequest, RequestKind};
+use crate::records::{cancels_key, CancellationsRecord};
+use crate::request_budget::CallPriority;
+use crate::serial_writer::{Outcome, SerialWriter};
+use std::time::Duration;
 use wire::mesh::MeshMessage;
-use wire::state::{StateReply, StateRequest, Txn, Write};
+use wire::state::{StateReply, StateRequest, Transaction, Write};
 
 /// How often a cancellation whose write met a conflict is tried again.
 const MAX_CONFLICTS: u32 = 5;
@@ -15,10 +15,10 @@
 #[derive(Debug, Default)]
 pub(crate) struct Cancellations {
     pending: Vec<PendingRequest>,
-    writes: Pipe<Vec<PendingRequest>>,
+    writes: SerialWriter<Vec<PendingRequest>>,
 }
 
-impl Node {
+impl Controller {
     /// Takes a cancellation of an open job in.
     pub(super) fn cancel(&mut self, request: PendingRequest) {
         self.cancellations.pending.push(request);
@@ -27,7 +27,7 @@
     pub(super) fn step_cancellations(&mut self) {
         let ready = self.cancellations.writes.ready(self.now, self.mirror.revision);
         let waiting = !self.cancellations.pending.is_empty();
-        if waiting && ready && self.synced && self.may_write(Importance::Accept, 1.0) {
+        if waiting && ready && self.synced && self.may_write(CallPriority::Accept, 1.0) {
             self.write_cancellations();
         }
     }
@@ -52,16 +52,16 @@
             }
             batch.push(request);
         }
-        let value = serde_json::to_value(CancelsRecord { jobs }).unwrap_or_default();
-        let txn = Txn::default().when(&key, version).write(Write::put(&key, value));
-        self.cancellations.writes.send(batch, txn.clone(), self.now, Span(0));
-        self.state(Importance::Accept, StateRequest::Txn(txn), Purpose::Cancel);
+        let value = serde_json::to_value(CancellationsRecord { jobs }).unwrap_or_default();
+        let txn = Transaction::default().when(&key, version).write(Write::put(&key, value));
+        self.cancellations.writes.send(batch, txn.clone(), self.now, Duration::ZERO);
+        self.state(CallPriority::Accept, StateRequest::Transaction(txn), CallKind::Cancel);
     }
 
     pub(super) fn on_cancel_written(&mut self, reply: StateReply) {
         match self.cancellations.writes.answered(reply, self.now) {
             // The job may have finished before: a read that begins now tells which came first.
-            Outcome::Written(requests) => {
+            Outcome::CommittedChanges(requests) => {
                 // The leader of its partition may be without the state service.
                 let jobs = requests.iter().map(|request| request.id.0).collect();
                 self.broadcast(MeshMessage::Cancelled { jobs });
@@ -83,8 +83,13 @@
             Outcome::Again(txn) => {
                 let requests = self.cancellations.writes.under_way().map(std::mem::take);
                 self.refuse_all(requests.unwrap_or_default());
-                let request = StateRequest::Txn(txn);
-                self.again(Span(200), Importance::Accept, request, Purpose::Cancel);
+                let request = StateRequest::Transaction(txn);
+                self.again(
+                    Duration::from_millis(200),
+                    CallPriority::Accept,
+                    request,
+                    CallKind::Cancel,
+                );
             }
             Outcome::Nothing => {}
         }
--- a/crates/controller/src/controller/crash_loop.rs
+++ b/crates/controller/src/controller/crash_loop.rs
@@ -5,18 +5,19 @@
 //! the count is a part of what a life announces itself with, and goes to zero once it has been long. It
 //! decides only who takes what when, so no right hangs on it.
 
-use super::{Node, Purpose};
-use crate::records::{boot_key, BootRecord};
-use crate::request_budget::Importance;
-use model::{Moment, NodeName, Span};
-use wire::state::{StateRequest, Txn, Write};
+use super::{CallKind, Controller};
+use crate::records::{boot_key, IncarnationRecord};
+use crate::request_budget::CallPriority;
+use model::{ControllerName, Timestamp};
+use std::time::Duration;
+use wire::state::{StateRequest, Transaction, Write};
 
 /// A life that lasted for so long was no short one.
-const LONG: Span = Span(10_000);
+const LONG: Duration = Duration::from_secs(10);
 /// So many short lives in a row, the present one among them, make a node restless.
 const RESTLESS: u32 = 3;
 
-impl Node {
+impl Controller {
     /// Announces this life before it holds anything, so that others can tell that the one before is
     /// over. True once it is announced.
     pub(super) fn announce(&mut self) -> bool {
@@ -25,7 +26,8 @@
         if !known {
             let before = before.map_or(0, |record| record.short_lives);
             self.write_boot(before.saturating_add(1));
-        } else if self.now >= Moment::default() + LONG && before.is_some_and(|b| b.short_lives > 0)
+        } else if self.now >= Timestamp::default() + LONG
+            && before.is_some_and(|b| b.short_lives > 0)
         {
             self.write_boot(0);
         }
@@ -33,19 +35,19 @@
     }
 
     fn write_boot(&mut self, short_lives: u32) {
-        if self.calls.values().any(|p| matches!(p, Purpose::Boot)) {
+        if self.calls.values().any(|p| matches!(p, CallKind::Boot)) {
             return;
         }
         let key = boot_key(self.me());
         let version = self.mirror.boots.get(self.me()).map_or(0, |b| b.version.0);
-        let record = BootRecord { boot: self.boot, short_lives };
+        let record = IncarnationRecord { boot: self.boot, short_lives };
         let value = serde_json::to_value(record).unwrap_or_default();
-        let txn = Txn::default().when(&key, version).write(Write::put(&key, value));
-        self.state(Importance::Lease, StateRequest::Txn(txn), Purpose::Boot);
+        let txn = Transaction::default().when(&key, version).write(Write::put(&key, value));
+        self.state(CallPriority::Lease, StateRequest::Transaction(txn), CallKind::Boot);
     }
 
     /// Whether a node has had several short lives in a row.
-    pub(super) fn is_restless(&self, node: &NodeName) -> bool {
+    pub(super) fn is_restless(&self, node: &ControllerName) -> bool {
         self.mirror.boots.get(node).is_some_and(|b| b.record.short_lives >= RESTLESS)
     }
 
--- a/crates/controller/src/controller/fleet_planner.rs
+++ b/crates/controller/src/controller/fleet_planner.rs
@@ -1,27 +1,29 @@
 //! The leader: whoever holds the first partition makes the calls to the cloud.
 
 use super::machine_records::MachineChange;
-use super::{Node, Purpose, LEAD};
+use super::{CallKind, Controller, FLEET_PLANNER_PARTITION};
 use crate::records::{DemandRecord, MachineRecord, TYPES};
 use crate::rejections::{MessageFault, MessageSource};
-use crate::request_budget::{Bucket, Importance};
+use crate::request_budget::{CallPriority, TokenBucket};
 use autoscaler::{FleetAction, FleetMachine, Offer, PartitionNeed};
-use model::{CallId, MachineName, Moment, NodeName, PartitionId, Span, ZoneName};
+use model::duration_from_secs;
+use model::{CallId, ControllerName, MachineName, PartitionId, Timestamp, ZoneName};
 use std::collections::{BTreeMap, HashMap};
+use std::time::Duration;
 use wire::cloud::{
     CloudReply, CloudRequest, ListedMachine, MachineState, MachineType, MachineTypes, RentRequest,
 };
-use wire::mesh::{MeshMessage, PartitionLoad};
-use wire::state::{StateRequest, Txn, Write};
+use wire::mesh::{MeshMessage, PartitionStatus};
+use wire::state::{StateRequest, Transaction, Write};
 
 /// How long an offer that was refused is left alone.
-const REFUSED: Span = Span(6_000);
+const REFUSED: Duration = Duration::from_secs(6);
 
 /// How long late reports, copies of them and old lists may speak of a machine that has been deleted.
-const GONE: Span = Span(120_000);
+const GONE: Duration = Duration::from_secs(120);
 
 /// Time between two looks at which machines lack a record or are to be released.
-const LOOK: Span = Span(50);
+const LOOK: Duration = Duration::from_millis(50);
 
 /// The record of a machine rented by this request.
 fn record_of(request: &RentRequest, partition: PartitionId) -> MachineRecord {
@@ -37,35 +39,35 @@
 
 /// What the leader knows and has under way.
 #[derive(Debug)]
-pub(crate) struct Leader {
-    calls: Bucket,
-    loads: HashMap<PartitionId, (PartitionLoad, Moment)>,
-    listed: HashMap<MachineName, (ListedMachine, Moment)>,
+pub(crate) struct FleetPlanner {
+    calls: TokenBucket,
+    loads: HashMap<PartitionId, (PartitionStatus, Timestamp)>,
+    listed: HashMap<MachineName, (ListedMachine, Timestamp)>,
     /// Since when each machine has been in its partition, as far as this leader knows.
-    first_seen: HashMap<MachineName, (PartitionId, Moment)>,
+    first_seen: HashMap<MachineName, (PartitionId, Timestamp)>,
     /// Under which term each partition is held, and since when its holder has told us so.
-    held: HashMap<PartitionId, (u64, Moment)>,
+    held: HashMap<PartitionId, (u64, Timestamp)>,
     unrecorded: BTreeMap<MachineName, MachineRecord>,
-    refused: HashMap<Offer, Moment>,
+    refused: HashMap<Offer, Timestamp>,
     renting: BTreeMap<CallId, (RentRequest, PartitionId)>,
-    releasing: HashMap<MachineName, Moment>,
-    deleting: HashMap<MachineName, Moment>,
-    asked: HashMap<MachineName, Moment>,
+    releasing: HashMap<MachineName, Timestamp>,
+    deleting: HashMap<MachineName, Timestamp>,
+    asked: HashMap<MachineName, Timestamp>,
     pub(super) types_pending: bool,
-    types_at: Option<Moment>,
+    types_at: Option<Timestamp>,
     prices: Option<MachineTypes>,
-    list_at: Moment,
+    list_at: Timestamp,
     listing: bool,
-    plan_at: Moment,
-    looked_at: Moment,
+    plan_at: Timestamp,
+    looked_at: Timestamp,
     requests: u64,
-    retries: Vec<(Moment, RentRequest, PartitionId)>,
+    retries: Vec<(Timestamp, RentRequest, PartitionId)>,
 }
 
-impl Leader {
+impl FleetPlanner {
     pub(super) fn new(rps: f64) -> Self {
-        Leader {
-            calls: Bucket::new(rps * 0.8, rps),
+        FleetPlanner {
+            calls: TokenBucket::new(rps * 0.8, rps),
             loads: HashMap::new(),
             listed: HashMap::new(),
             first_seen: HashMap::new(),
@@ -79,10 +81,10 @@
             types_pending: false,
             types_at: None,
             prices: None,
-            list_at: Moment::default(),
+            list_at: Timestamp::default(),
             listing: false,
-            plan_at: Moment::default(),
-            looked_at: Moment::default(),
+            plan_at: Timestamp::default(),
+            looked_at: Timestamp::default(),
             requests: 0,
             retries: Vec::new(),
         }
@@ -95,14 +97,18 @@
         machine_type: &str,
         zone: &str,
         spot: bool,
-        now: Moment,
+        now: Timestamp,
     ) {
         // One that has just been released may still be in a late report or an old list.
-        let gone = self.deleting.get(name).is_some_and(|at| now.since(*at) < GONE);
+        let gone = self.deleting.get(name).is_some_and(|at| now.duration_since(*at) < GONE);
         if gone || self.unrecorded.contains_key(name) {
             return;
         }
-        let rented = self.renting.values().next().map_or(LEAD, |(_, partition)| *partition);
+        let rented = self
+            .renting
+            .values()
+            .next()
+            .map_or(FLEET_PLANNER_PARTITION, |(_, partition)| *partition);
         let record = MachineRecord {
             machine_type: machine_type.into(),
             zone: zone.into(),
@@ -121,13 +127,13 @@
     }
 }
 
-impl Node {
+impl Controller {
     /// The node that leads now, as far as the mirror tells.
-    pub(super) fn leader_node(&self) -> Option<NodeName> {
-        self.mirror.partitions.get(&LEAD).map(|p| p.record.holder.clone())
+    pub(super) fn leader_node(&self) -> Option<ControllerName> {
+        self.mirror.partitions.get(&FLEET_PLANNER_PARTITION).map(|p| p.record.holder.clone())
     }
 
-    pub(super) fn on_load(&mut self, load: PartitionLoad) {
+    pub(super) fn on_load(&mut self, load: PartitionStatus) {
         let partition = PartitionId(load.partition);
         let newer = self.leader.loads.get(&partition).is_none_or(|(old, _)| old.term <= load.term);
         if newer {
@@ -143,7 +149,12 @@
     /// know nothing then, so none is shifted or returned.
     pub(super) fn demand_written(&mut self, partition: PartitionId, record: DemandRecord) {
         let DemandRecord { term, demand } = record;
-        self.on_load(PartitionLoad { partition: partition.0, term, demand, machines: Vec::new() });
+        self.on_load(PartitionStatus {
+            partition: partition.0,
+            term,
+            demand,
+            machines: Vec::new(),
+        });
     }
 
     pub(super) fn types_changed(&mut self) {
@@ -165,8 +176,10 @@
     }
 
     pub(super) fn step_leader(&mut self) {
-        let leads =
-            self.holdings.get(&LEAD).is_some_and(|h| h.share().is_some() && !h.is_yielding());
+        let leads = self
+            .holdings
+            .get(&FLEET_PLANNER_PARTITION)
+            .is_some_and(|h| h.share().is_some() && !h.is_yielding());
         // Every node may ask for the types while nobody knows them.
         if self.synced && (leads || self.mirror.types.is_none()) {
             self.ask_types();
@@ -174,37 +187,41 @@
         if !leads || !self.in_contact(super::LAUNCH_CONTACT) {
             return;
         }
-        if self.now.since(self.leader.looked_at) >= LOOK {
+        if self.now.duration_since(self.leader.looked_at) >= LOOK {
             self.leader.looked_at = self.now;
             self.record_machines();
             self.release_leaving();
         }
-        if self.now.since(self.leader.list_at) >= Span(4_000)
+        if self.now.duration_since(self.leader.list_at) >= Duration::from_secs(4)
             && !self.leader.listing
             && self.leader.calls.take(self.now, 1.0, 1.0)
         {
             self.leader.list_at = self.now;
             self.leader.listing = true;
             let request = CloudRequest::List { after: String::new(), limit: 500 };
-            self.cloud(request, Purpose::CloudList { gathered: Vec::new() });
+            self.cloud(request, CallKind::CloudList { gathered: Vec::new() });
         }
         let now = self.now;
         let due: Vec<_> = self.leader.retries.extract_if(.., |r| r.0 <= now).collect();
         for (_, request, partition) in due {
             self.rent(request, partition);
         }
-        if self.now.since(self.leader.plan_at) >= Span(500) {
+        if self.now.duration_since(self.leader.plan_at) >= Duration::from_millis(500) {
             self.leader.plan_at = self.now;
             self.plan_fleet();
         }
     }
 
     fn ask_types(&mut self) {
-        let pause = if self.mirror.types.is_none() { Span(400) } else { Span(60_000) };
-        let due = self.leader.types_at.is_none_or(|at| self.now.since(at) >= pause);
+        let pause = if self.mirror.types.is_none() {
+            Duration::from_millis(400)
+        } else {
+            Duration::from_secs(60)
+        };
+        let due = self.leader.types_at.is_none_or(|at| self.now.duration_since(at) >= pause);
         if due && self.leader.calls.take(self.now, 1.0, 0.0) {
             self.leader.types_at = Some(self.now);
-            self.cloud(CloudRequest::Types, Purpose::Types);
+            self.cloud(CloudRequest::Types, CallKind::Types);
         }
     }
 
@@ -231,7 +248,7 @@
                         .leader
                         .releasing
                         .get(*name)
-                        .is_none_or(|at| now.since(*at) >= Span(5_000))
+                        .is_none_or(|at| now.duration_since(*at) >= Duration::from_secs(5))
             })
             .map(|(name, _)| name.clone())
             .take(100)
@@ -243,7 +260,7 @@
             self.leader.releasing.insert(name.clone(), now);
         }
         let request = CloudRequest::Release(names.iter().map(|n| n.to_string()).collect());
-        self.cloud(request, Purpose::Release(names));
+        self.cloud(request, CallKind::Release(names));
     }
 
     fn delete_record(&mut self, name: MachineName) {
@@ -252,7 +269,7 @@
     }
 
     fn rent(&mut self, request: RentRequest, partition: PartitionId) {
-        let purpose = Purpose::Rent { request: request.clone(), partition };
+        let purpose = CallKind::Rent { request: request.clone(), partition };
         let call = self.cloud(CloudRequest::Rent(request.clone()), purpose);
         self.leader.renting.insert(call, (request, partition));
     }
@@ -266,27 +283,28 @@
             self.counters.cloud_refused += 1;
         }
         match purpose {
-            Purpose::Types => {
+            CallKind::Types => {
                 if let CloudReply::Types(types) = reply {
                     self.take_types(types);
                 }
             }
-            Purpose::Rent { request, partition } => {
+            CallKind::Rent { request, partition } => {
                 self.leader.renting.remove(&call);
                 self.on_rented(request, partition, reply);
             }
-            Purpose::Release(names) => {
+            CallKind::Release(names) => {
                 for name in names {
                     match reply {
                         CloudReply::Released => self.delete_record(name),
                         _ => {
-                            let at = Moment(self.now.0.saturating_sub(4_000));
+                            let at =
+                                Timestamp::from_millis(self.now.as_millis().saturating_sub(4_000));
                             self.leader.releasing.insert(name, at);
                         }
                     }
                 }
             }
-            Purpose::CloudList { gathered } => self.on_cloud_list(gathered, reply),
+            CallKind::CloudList { gathered } => self.on_cloud_list(gathered, reply),
             _ => {}
         }
     }
@@ -306,8 +324,8 @@
             self.leader.types_pending = true;
             let version = self.mirror.types.as_ref().map_or(0, |t| t.version.0);
             let value = serde_json::to_value(types).unwrap_or_default();
-            let txn = Txn::default().when(TYPES, version).write(Write::put(TYPES, value));
-            self.state(Importance::Lease, StateRequest::Txn(txn), Purpose::TypesWrite);
+            let txn = Transaction::default().when(TYPES, version).write(Write::put(TYPES, value));
+            self.state(CallPriority::Lease, StateRequest::Transaction(txn), CallKind::TypesWrite);
         }
     }
 
@@ -343,11 +361,11 @@
             }
             // Its answer is lost: the same name asks for the same machines.
             CloudReply::Unknown => {
-                let at = self.now + Span(500);
+                let at = self.now + Duration::from_millis(500);
                 self.leader.retries.push((at, request, partition));
             }
             _ => {
-                self.leader.refused.insert(offer, self.now + Span(1_500));
+                self.leader.refused.insert(offer, self.now + Duration::from_millis(1_500));
             }
         }
     }
@@ -367,7 +385,7 @@
         }
         gathered.extend(list.machines);
         if let (true, Some(after)) = (list.more, after) {
-            self.cloud(CloudRequest::List { after, limit: 500 }, Purpose::CloudList { gathered });
+            self.cloud(CloudRequest::List { after, limit: 500 }, CallKind::CloudList { gathered });
             return;
         }
         self.leader.listing = false;
@@ -379,8 +397,8 @@
             }
             self.leader.listed.insert(name, (machine, now));
         }
-        self.leader.listed.retain(|_, (_, at)| now.since(*at) < Span(120_000));
-        self.leader.deleting.retain(|_, at| now.since(*at) < GONE);
+        self.leader.listed.retain(|_, (_, at)| now.duration_since(*at) < Duration::from_secs(120));
+        self.leader.deleting.retain(|_, at| now.duration_since(*at) < GONE);
     }
 
     /// The fleet as the leader knows it.
@@ -394,15 +412,15 @@
                 *seen = (r.partition, now);
             }
             let (there, held) = (seen.1, self.leader.held.get(&r.partition).map(|held| held.1));
-            let observable_for = now.since(held.map_or(there, |held| held.max(there)));
+            let observable_for = now.duration_since(held.map_or(there, |held| held.max(there)));
             let load = self.leader.loads.get(&r.partition).and_then(|(load, at)| {
-                let fresh = now.since(*at) <= Span(2_500);
+                let fresh = now.duration_since(*at) <= Duration::from_millis(2_500);
                 // A holder tells of its machines in the order of their names.
                 let at = load.machines.binary_search_by(|m| m.machine.as_str().cmp(name.as_str()));
                 at.ok().map(|at| (&load.machines[at], fresh))
             });
             let listed = self.leader.listed.get(name).map(|(m, _)| m);
-            let age = listed.map_or(Span::ZERO, |m| Span::from_secs(m.age_s));
+            let age = listed.map_or(Duration::ZERO, |m| duration_from_secs(m.age_s));
             machines.push(FleetMachine {
                 name: name.clone(),
                 machine_type: r.machine_type.clone(),
@@ -411,12 +429,13 @@
                 partition: r.partition,
                 reporting: load.is_some_and(|(m, _)| m.up),
                 tasks: load.map_or(0, |(m, _)| m.tasks),
-                idle_for: load.map_or(Span::ZERO, |(m, _)| Span(m.idle_ms)),
+                idle_for: load.map_or(Duration::ZERO, |(m, _)| Duration::from_millis(m.idle_ms)),
                 faulty: load.is_some_and(|(m, _)| m.faulty),
                 leaving: r.leaving,
-                age: age.max(now.since(there)),
+                age: age.max(now.duration_since(there)),
                 observable_for,
-                silent_for: load.map_or(Span::ZERO, |(m, _)| Span(m.silent_ms)),
+                silent_for: load
+                    .map_or(Duration::ZERO, |(m, _)| Duration::from_millis(m.silent_ms)),
                 failed: listed.is_some_and(|m| m.state == MachineState::Failed),
                 view_is_fresh: load.is_some_and(|(_, fresh)| fresh),
                 transferable: load.is_some_and(|(m, _)| m.cedable),
@@ -449,12 +468,12 @@
                 partition: record.partition,
                 reporting: false,
                 tasks: 0,
-                idle_for: Span::ZERO,
+                idle_for: Duration::ZERO,
                 faulty: false,
                 leaving: false,
-                age: Span::ZERO,
-                observable_for: Span::ZERO,
-                silent_for: Span::ZERO,
+                age: Duration::ZERO,
+                observable_for: Duration::ZERO,
+                silent_for: Duration::ZERO,
                 failed: false,
                 view_is_fresh: false,
                 transferable: false,
@@ -480,7 +499,7 @@
         for number in 0..self.partition_count() {
             let partition = PartitionId(number);
             let Some((load, at)) = self.leader.loads.get(&partition) else { continue };
-            if now.since(*at) > Span(2_500) {
+            if now.duration_since(*at) > Duration::from_millis(2_500) {
                 continue;
             }
             let home_zone = self
@@ -522,7 +541,12 @@
 
     fn ask_release(&mut self, machine: &MachineName, to: Option<u32>) {
         let now = self.now;
-        if self.leader.asked.get(machine).is_some_and(|at| now.since(*at) < Span(2_000)) {
+        if self
+            .leader
+            .asked
+            .get(machine)
+            .is_some_and(|at| now.duration_since(*at) < Duration::from_secs(2))
+        {
             return;
         }
         self.leader.asked.insert(machine.clone(), now);
--- a/crates/controller/src/controller/heartbeat_checks.rs
+++ b/crates/controller/src/controller/heartbeat_checks.rs
@@ -1,14 +1,14 @@
 //! Whether a worker's report can be relied on at all, before anything is concluded from it.
 
 use model::{MachineName, TaskId};
-use wire::workers::Report;
+use wire::workers::Heartbeat;
 
 /// Longest name of a machine, a type or a zone, and longest address.
 const LONGEST_NAME: usize = 255;
 
 /// Why a report proves nothing.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum ReportFault {
+pub(super) enum HeartbeatFault {
     /// A name or an address that no worker has.
     Name,
     /// A task that cannot be read: whether one of ours is there is not known then.
@@ -18,25 +18,25 @@
 }
 
 /// Checks what a report must hold for its list of tasks to be complete and its address to be used.
-pub(super) fn check_report(report: &Report) -> Result<(), ReportFault> {
+pub(super) fn check_report(report: &Heartbeat) -> Result<(), HeartbeatFault> {
     let names = [&report.machine, &report.machine_type, &report.zone];
     if names.iter().any(|name| name.is_empty() || name.len() > LONGEST_NAME) {
-        return Err(ReportFault::Name);
+        return Err(HeartbeatFault::Name);
     }
     if !is_address(&report.address) {
-        return Err(ReportFault::Name);
+        return Err(HeartbeatFault::Name);
     }
     if report.tasks.iter().any(|entry| TaskId::parse(&entry.task).is_none()) {
-        return Err(ReportFault::Task);
+        return Err(HeartbeatFault::Task);
     }
     Ok(())
 }
 
 /// Checks the answer to a direct call to `asked`.
-pub(super) fn check_answer(report: &Report, asked: &MachineName) -> Result<(), ReportFault> {
+pub(super) fn check_answer(report: &Heartbeat, asked: &MachineName) -> Result<(), HeartbeatFault> {
     check_report(report)?;
     if report.machine != asked.as_str() {
-        return Err(ReportFault::OtherMachine);
+        return Err(HeartbeatFault::OtherMachine);
     }
     Ok(())
 }
--- a/crates/controller/src/controller/heartbeats.rs
+++ b/crates/controller/src/controller/heartbeats.rs
@@ -1,43 +1,44 @@
 //! Reports of workers and direct calls to them.
 
-use super::heartbeat_checks::{check_answer, check_report, ReportFault};
-use super::leadership::ReportOutcome;
-use super::{DirectReply, Effect, Node, Purpose, ReportReply, Ticket, LAUNCH_CONTACT};
+use super::heartbeat_checks::{check_answer, check_report, HeartbeatFault};
+use super::leadership::HeartbeatOutcome;
+use super::{CallKind, Controller, DirectReply, Effect, HeartbeatReply, Ticket, LAUNCH_CONTACT};
 use crate::rejections::{MessageFault, MessageSource};
-use crate::state_cache::Mirror;
-use model::{CallId, MachineName, PartitionId, Session, Span, TaskId, Token};
-use scheduler::{Route, Source};
-use wire::workers::{Command, DirectCommands, Report, ReportAnswer, TaskReport, TaskState};
+use crate::state_cache::StateCache;
+use model::{CallId, FencingToken, MachineName, PartitionId, TaskId, WorkerEpoch};
+use scheduler::{CommandRoute, StatusSource};
+use std::time::Duration;
+use wire::workers::{Command, DirectCommands, Heartbeat, HeartbeatResponse, TaskState, TaskStatus};
 
 /// Patience with a direct call that carries commands, and with one to a partition given up.
-pub(super) const WORKER_TIMEOUT: Span = Span(2_500);
+pub(super) const WORKER_TIMEOUT: Duration = Duration::from_millis(2_500);
 
-impl Node {
-    pub(super) fn on_report(&mut self, ticket: Ticket, report: Report) {
+impl Controller {
+    pub(super) fn on_report(&mut self, ticket: Ticket, report: Heartbeat) {
         let reply = match check_report(&report) {
             Ok(()) => self.report_reply(&report),
             Err(fault) => {
                 tracing::warn!(machine = report.machine, ?fault, "a report is rejected");
                 self.counters.rejections.add(MessageSource::Worker, MessageFault::Malformed);
-                ReportReply::Malformed
+                HeartbeatReply::Malformed
             }
         };
-        if let ReportReply::Redirect(_) = reply {
+        if let HeartbeatReply::Redirect(_) = reply {
             self.counters.rejections.add(MessageSource::Worker, MessageFault::Misrouted);
         }
-        if reply == ReportReply::Unavailable {
+        if reply == HeartbeatReply::Unavailable {
             *self.counters.refusals.entry("report").or_default() += 1;
         }
-        self.effects.push(Effect::Report { ticket, reply });
+        self.effects.push(Effect::Heartbeat { ticket, reply });
     }
 
-    fn report_reply(&mut self, report: &Report) -> ReportReply {
+    fn report_reply(&mut self, report: &Heartbeat) -> HeartbeatReply {
         let name = MachineName::from(report.machine.as_str());
         let Some(record) = self.mirror.machines.get(&name) else {
             return self.report_of_unknown(&name, report);
         };
         let partition = record.record.partition;
-        let recorded = Token(record.record.token);
+        let recorded = FencingToken(record.record.token);
         // Without a confirmed read of changes within the span that `cancel_s` leaves, nobody
         // may keep a worker's lease alive: a cancelled task could live on.
         let entitled = self.in_contact(self.settings.blind_span());
@@ -47,60 +48,60 @@
             return match holder {
                 Some(holder) if holder != self.settings.name => {
                     self.record_worker_contact(partition, &name);
-                    ReportReply::Redirect(Some(holder))
+                    HeartbeatReply::Redirect(Some(holder))
                 }
-                _ => ReportReply::Unavailable,
+                _ => HeartbeatReply::Unavailable,
             };
         };
         if let Some(successor) = holding.successor() {
-            return ReportReply::Redirect(Some(successor.clone()));
+            return HeartbeatReply::Redirect(Some(successor.clone()));
         }
         if !entitled || holding.is_yielding() {
-            return ReportReply::Unavailable;
+            return HeartbeatReply::Unavailable;
         }
         let token = holding.token().max(recorded);
-        if Token(report.token) > token {
+        if FencingToken(report.token) > token {
             // Someone with a newer right has spoken to it.
-            return ReportReply::Redirect(None);
+            return HeartbeatReply::Redirect(None);
         }
         let halts = || halts_of_cancelled(&self.mirror, report);
         let commands = match holding.answer_report(&name, report, token, launches, halts, self.now)
         {
-            ReportOutcome::Answered(commands) => commands,
-            ReportOutcome::Stale(commands) => {
+            HeartbeatOutcome::Answered(commands) => commands,
+            HeartbeatOutcome::Stale(commands) => {
                 self.counters.rejections.add(MessageSource::Worker, MessageFault::Stale);
                 commands
             }
-            ReportOutcome::Withheld => {
+            HeartbeatOutcome::Withheld => {
                 tracing::warn!(machine = %name, "not answered: a launch of a cancelled task may come yet");
                 self.counters.answers_withheld += 1;
-                return ReportReply::Unavailable;
+                return HeartbeatReply::Unavailable;
             }
         };
-        ReportReply::Answer(ReportAnswer { token: token.0, commands })
+        HeartbeatReply::Answer(HeartbeatResponse { token: token.0, commands })
     }
 
     /// For how long workers may be answered if no further read of changes succeeds.
-    pub(super) fn answers_left(&self) -> Span {
+    pub(super) fn answers_left(&self) -> Duration {
         let until = self.contact_at.map(|at| at + self.settings.blind_span());
-        until.unwrap_or_default().since(self.now)
+        until.unwrap_or_default().duration_since(self.now)
     }
 
     /// How old a read of changes may be for launches: within the span in which a successor counts us as
     /// one who may still answer, since it waits for no launch that is sent later.
-    fn launch_span(&self) -> Span {
+    fn launch_span(&self) -> Duration {
         LAUNCH_CONTACT.min(self.settings.blind_span())
     }
 
     /// A machine without a record: the leader takes it in.
-    fn report_of_unknown(&mut self, name: &MachineName, report: &Report) -> ReportReply {
+    fn report_of_unknown(&mut self, name: &MachineName, report: &Heartbeat) -> HeartbeatReply {
         match self.leader_node() {
             Some(leader) if leader == *self.me() => {
                 self.leader.found(name, &report.machine_type, &report.zone, report.spot, self.now);
-                ReportReply::Unavailable
+                HeartbeatReply::Unavailable
             }
-            Some(leader) => ReportReply::Redirect(Some(leader)),
-            None => ReportReply::Unavailable,
+            Some(leader) => HeartbeatReply::Redirect(Some(leader)),
+            None => HeartbeatReply::Unavailable,
         }
     }
 
@@ -118,7 +119,7 @@
         if let Some(share) = holding.share_mut() {
             for name in share.take_urgent() {
                 let Some((address, token, session)) = share.direct_terms(&name) else { continue };
-                let commands = share.commands_for(&name, Route::Direct, now);
+                let commands = share.commands_for(&name, CommandRoute::Direct, now);
                 if !commands.is_empty() {
                     calls.push((name, address, token, session, commands));
                 }
@@ -134,7 +135,7 @@
                     _ => None,
                 })
                 .collect();
-            let call = self.call(Purpose::Direct { partition, machine, launches });
+            let call = self.call(CallKind::Direct { partition, machine, launches });
             let body = DirectCommands { token: token.0, session: session.0, commands };
             self.effects.push(Effect::Worker { call, address, body, timeout: WORKER_TIMEOUT });
         }
@@ -145,10 +146,10 @@
     pub(super) fn ask_worker(
         &mut self,
         address: String,
-        token: Token,
-        session: Session,
-        purpose: Purpose,
-        timeout: Span,
+        token: FencingToken,
+        session: WorkerEpoch,
+        purpose: CallKind,
+        timeout: Duration,
     ) {
         let call = self.call(purpose);
         let body = DirectCommands { token: token.0, session: session.0, commands: Vec::new() };
@@ -163,7 +164,7 @@
         match reply {
             DirectReply::Answered(report) => {
                 share.was_asked(machine, true, now);
-                share.observe(&report, Source::Direct, now);
+                share.observe(&report, StatusSource::Direct, now);
             }
             DirectReply::Unknown => share.was_asked(machine, false, now),
         }
@@ -176,8 +177,8 @@
         let Err(fault) = check_answer(report, asked) else { return reply };
         tracing::warn!(%asked, by = report.machine, ?fault, "a worker's answer is rejected");
         let fault = match fault {
-            ReportFault::OtherMachine => MessageFault::Misrouted,
-            ReportFault::Name | ReportFault::Task => MessageFault::Malformed,
+            HeartbeatFault::OtherMachine => MessageFault::Misrouted,
+            HeartbeatFault::Name | HeartbeatFault::Task => MessageFault::Malformed,
         };
         self.counters.rejections.add(MessageSource::Worker, fault);
         DirectReply::Unknown
@@ -185,15 +186,15 @@
 
     pub(super) fn on_direct(&mut self, call: CallId, reply: DirectReply) {
         match self.calls.remove(&call) {
-            Some(Purpose::Direct { partition, machine, launches }) => {
+            Some(CallKind::Direct { partition, machine, launches }) => {
                 let reply = self.checked_answer(&machine, reply);
                 self.on_commanded(partition, &machine, &launches, reply);
             }
-            Some(Purpose::Probe { partition, machine }) => {
+            Some(CallKind::Probe { partition, machine }) => {
                 let reply = self.checked_answer(&machine, reply);
                 self.on_probed(partition, matches!(reply, DirectReply::Answered(_)));
             }
-            Some(Purpose::Ask { partition, machine }) => {
+            Some(CallKind::Ask { partition, machine }) => {
                 let reply = self.checked_answer(&machine, reply);
                 self.on_asked(partition, &machine, reply);
             }
@@ -217,7 +218,7 @@
             DirectReply::Unknown => share.was_unanswered(machine, now),
             DirectReply::Answered(report) => {
                 share.direct_answered(machine, launches);
-                share.observe(&report, Source::Direct, now);
+                share.observe(&report, StatusSource::Direct, now);
             }
         }
     }
@@ -227,8 +228,8 @@
 /// lease up for a whole length after the contact by which it answers, and has to know for each cancelled
 /// task that it ends; who has not read its ledger knows of them by the report. The halt shares the fate of
 /// the answer: where one is lost, so is the other.
-fn halts_of_cancelled(mirror: &Mirror, report: &Report) -> Vec<Command> {
-    let halt = |entry: &TaskReport| {
+fn halts_of_cancelled(mirror: &StateCache, report: &Heartbeat) -> Vec<Command> {
+    let halt = |entry: &TaskStatus| {
         let task = TaskId::parse(&entry.task)?;
         let there = entry.state != TaskState::Exited && mirror.is_cancelled(task.job);
         let (task, attempt) = (entry.task.clone(), entry.attempt);
--- a/crates/controller/src/controller/job_archiver.rs
+++ b/crates/controller/src/controller/job_archiver.rs
@@ -6,34 +6,35 @@
 //! leaves its page when it is filed and no page of accepted jobs shows the job any more; the
 //! job cannot come back then, since acceptances are conditional on there being no final state.
 
-use super::{Node, Purpose};
+use super::{CallKind, Controller};
 use crate::records::{
-    cancels_key, ends_key, final_key, page_room, partition_key, EndsPage, FinalRecord,
+    cancels_key, ends_key, final_key, page_room, partition_key, FinalRecord, TerminalJobsPage,
 };
-use crate::request_budget::Importance;
-use crate::serial_writer::{Outcome, Pipe};
-use crate::state_cache::Mirror;
-use model::{JobId, JobState, NodeName, PartitionId, Span, ZoneName};
+use crate::request_budget::CallPriority;
+use crate::serial_writer::{Outcome, SerialWriter};
+use crate::state_cache::StateCache;
+use model::{ControllerName, JobId, JobState, PartitionId, ZoneName};
 use std::collections::BTreeSet;
-use wire::state::{StateReply, StateRequest, Txn, Write};
+use std::time::Duration;
+use wire::state::{StateReply, StateRequest, Transaction, Write};
 
 /// Least time between two writes of ends, so that several go together.
-const GAP: Span = Span(150);
+const GAP: Duration = Duration::from_millis(150);
 
 /// Ends of a partition's jobs on their way.
 #[derive(Debug, Default)]
-pub(crate) struct Ending {
+pub(crate) struct JobArchiver {
     jobs: BTreeSet<JobId>,
-    pipe: Pipe<()>,
+    pipe: SerialWriter<()>,
 }
 
-impl Node {
+impl Controller {
     pub(super) fn step_ends(&mut self, partition: PartitionId) {
         let (now, revision) = (self.now, self.mirror.revision);
-        let budget = self.may_write(Importance::Accept, 1.0);
+        let budget = self.may_write(CallPriority::Accept, 1.0);
         let most = self.settings.state_limits.txn_ops - 1;
         let room = self.page_entries();
-        let spare = self.may_write(Importance::Rest, most as f64 + 1.0);
+        let spare = self.may_write(CallPriority::Rest, most as f64 + 1.0);
         let Some(holding) = self.holdings.get_mut(&partition) else { return };
         let (version, term) = (holding.version(), holding.term().0);
         let Some((share, ending)) = holding.share_and_ending() else { return };
@@ -60,8 +61,8 @@
         let Some(holding) = self.holdings.get_mut(&partition) else { return };
         let Some((_, ending)) = holding.share_and_ending() else { return };
         ending.pipe.send((), txn.clone(), now, GAP);
-        let purpose = Purpose::Ends { partition, term };
-        self.state(Importance::Accept, StateRequest::Txn(txn), purpose);
+        let purpose = CallKind::Ends { partition, term };
+        self.state(CallPriority::Accept, StateRequest::Transaction(txn), purpose);
     }
 
     /// How many ids a page takes: each has 20 digits at most.
@@ -75,8 +76,13 @@
         let Some((_, ending)) = holding.share_and_ending() else { return };
         // Whatever came of it, the mirror shows: what is not over by then is written anew.
         if let Outcome::Again(txn) = ending.pipe.answered(reply, now) {
-            let purpose = Purpose::Ends { partition, term };
-            self.again(Span(200), Importance::Accept, StateRequest::Txn(txn), purpose);
+            let purpose = CallKind::Ends { partition, term };
+            self.again(
+                Duration::from_millis(200),
+                CallPriority::Accept,
+                StateRequest::Transaction(txn),
+                purpose,
+            );
         }
     }
 
@@ -92,16 +98,16 @@
 
 /// The ends of these jobs, as many as their page takes.
 fn write_ends(
-    mirror: &Mirror,
-    nodes: &[(NodeName, ZoneName)],
+    mirror: &StateCache,
+    nodes: &[(ControllerName, ZoneName)],
     partition: PartitionId,
     jobs: &BTreeSet<JobId>,
     room: usize,
-) -> Txn {
+) -> Transaction {
     let mut number = 0;
     let (page_version, mut page) = loop {
         let Some(old) = mirror.ends.get(&(partition, number)) else {
-            break (0, EndsPage::default());
+            break (0, TerminalJobsPage::default());
         };
         let mut page = old.record.clone();
         page.drop_unlisted(|id| mirror.is_listed(id));
@@ -116,7 +122,7 @@
         page.push(*id, if cancelled { JobState::Cancelled } else { JobState::Done });
     }
     let key = ends_key(partition, number);
-    let mut txn = Txn::default().when(&key, page_version);
+    let mut txn = Transaction::default().when(&key, page_version);
     for (node, _) in nodes {
         txn = txn.when(cancels_key(node), mirror.cancels.get(node).map_or(0, |c| c.version.0));
     }
@@ -124,7 +130,7 @@
 }
 
 /// Files as many final states as a transaction takes.
-fn file_ends(mirror: &Mirror, partition: PartitionId, most: usize) -> Option<Txn> {
+fn file_ends(mirror: &StateCache, partition: PartitionId, most: usize) -> Option<Transaction> {
     let pages = mirror.ends.range((partition, 0)..=(partition, u32::MAX));
     let ((_, number), old) =
         pages.max_by_key(|(_, page)| page.record.done.len() + page.record.cancelled.len())?;
@@ -136,7 +142,7 @@
         return None;
     }
     let key = ends_key(partition, *number);
-    let mut txn = Txn::default().when(&key, old.version.0);
+    let mut txn = Transaction::default().when(&key, old.version.0);
     for (id, state) in filed {
         let value = serde_json::to_value(FinalRecord { state }).unwrap_or_default();
         txn = txn.write(Write::put(final_key(id), value));
--- a/crates/controller/src/controller/leadership.rs
+++ b/crates/controller/src/controller/leadership.rs
@@ -1,93 +1,97 @@
 //! Holding a partition: scheduling, writing rounds, ending jobs.
 
-use super::job_archiver::Ending;
+use super::job_archiver::JobArchiver;
 use super::machine_records::MachineChange;
-use super::{Node, Purpose};
-use crate::placement_log::{Ledger, Round, RoundId};
+use super::{CallKind, Controller};
+use crate::placement_log::{CommitId, LogCommit, PlacementLog};
 use crate::records::{demand_key, partition_key, DemandRecord, COUNTER};
 use crate::rejections::{MessageFault, MessageSource};
-use crate::request_budget::Importance;
+use crate::request_budget::CallPriority;
 use failover::readiness::ReadinessCheck;
-use model::{JobId, MachineName, Moment, NodeName, PartitionId, Revision, Span, Token, Version};
-use scheduler::{Question, Route, Share, Source, Written};
+use model::DurationExt;
+use model::{
+    ControllerName, FencingToken, JobId, MachineName, PartitionId, Revision, Timestamp, Version,
+};
+use scheduler::{CommandRoute, CommittedChanges, PartitionState, Probe, StatusSource};
 use std::collections::BTreeMap;
-use wire::mesh::{MeshMessage, PartitionLoad};
-use wire::state::{Item, StateReply, StateRequest, Txn, Write};
-use wire::workers::{Command, Report};
+use std::time::Duration;
+use wire::mesh::{MeshMessage, PartitionStatus};
+use wire::state::{Item, StateReply, StateRequest, Transaction, Write};
+use wire::workers::{Command, Heartbeat};
 
 /// Pause between rounds that carry placements.
-const ROUND_GAP: Span = Span(60);
+const ROUND_GAP: Duration = Duration::from_millis(60);
 /// Pause between rounds that carry outcomes only.
-const OUTCOME_GAP: Span = Span(400);
+const OUTCOME_GAP: Duration = Duration::from_millis(400);
 /// Time between writes of what a partition lacks while the leader cannot be told.
-const DEMAND_PACE: Span = Span(2_000);
+const DEMAND_PACE: Duration = Duration::from_secs(2);
 /// Shapes of waiting work that are written then.
 const MOST_SHAPES: usize = 8;
 /// Time between two looks at all machines of the share, for what comes with time and not with an
 /// event. Events come a thousand a second, and with a look at each the cost grew with the square
 /// of the fleet.
-const LOOK: Span = Span(100);
+const LOOK: Duration = Duration::from_millis(100);
 /// Patience with a machine that is asked whether it is there.
-const ASK_TIMEOUT: Span = Span(900);
+const ASK_TIMEOUT: Duration = Duration::from_millis(900);
 /// Time between two tries to take a higher token for all machines of a partition.
-const RAISE_PACE: Span = Span(2_000);
+const RAISE_PACE: Duration = Duration::from_secs(2);
 /// Entries tried in one step; the rest follow in the next.
 const CYCLES: usize = 400;
 
 /// A round that is being written.
 #[derive(Debug)]
 struct Writing {
-    round: Round,
-    written: Written,
+    round: LogCommit,
+    written: CommittedChanges,
 }
 
 /// A partition that this node holds.
 #[derive(Debug)]
-pub(crate) struct Holding {
-    term: Token,
+pub(crate) struct PartitionLeadership {
+    term: FencingToken,
     /// A higher token for all its machines, taken from the counter since.
-    raised: Token,
+    raised: FencingToken,
     raising: bool,
-    raise_at: Moment,
+    raise_at: Timestamp,
     version: Version,
-    pub(super) since: Moment,
+    pub(super) since: Timestamp,
     /// Present once the ledger has been read and all checks held.
-    pub(super) loaded: Option<Box<Loaded>>,
+    pub(super) loaded: Option<Box<LoadedPartition>>,
     /// Pages read so far, and what the state service stood at when the first was.
     pub(super) pages: Vec<Item>,
     pub(super) read_at: Option<Revision>,
     /// The ledger as read, while checks do not hold: which did not when they were last tried.
-    pub(super) read: Option<(Revision, Ledger)>,
+    pub(super) read: Option<(Revision, PlacementLog)>,
     pub(super) failed_checks: Vec<ReadinessCheck>,
     /// Reports answered before the share was built; they still prove what they prove.
-    pub(super) early: BTreeMap<MachineName, (Report, Moment)>,
-    suspects: Vec<(NodeName, u64)>,
-    pub(super) entitled_until: Moment,
+    pub(super) early: BTreeMap<MachineName, (Heartbeat, Timestamp)>,
+    suspects: Vec<(ControllerName, u64)>,
+    pub(super) entitled_until: Timestamp,
     yielding: bool,
-    yield_until: Option<Moment>,
-    successor: Option<NodeName>,
-    round_at: Moment,
-    looked_at: Moment,
+    yield_until: Option<Timestamp>,
+    successor: Option<ControllerName>,
+    round_at: Timestamp,
+    looked_at: Timestamp,
 }
 
 #[derive(Debug)]
-pub(super) struct Loaded {
-    ledger: Ledger,
-    share: Share,
+pub(super) struct LoadedPartition {
+    ledger: PlacementLog,
+    share: PartitionState,
     writing: Option<Writing>,
-    ending: Ending,
+    ending: JobArchiver,
     more_cycles: bool,
 }
 
-impl Loaded {
-    pub(super) fn new(ledger: Ledger, share: Share, ending: Ending) -> Self {
-        Loaded { ledger, share, writing: None, ending, more_cycles: true }
+impl LoadedPartition {
+    pub(super) fn new(ledger: PlacementLog, share: PartitionState, ending: JobArchiver) -> Self {
+        LoadedPartition { ledger, share, writing: None, ending, more_cycles: true }
     }
 }
 
 /// What came of a report.
 #[derive(Debug)]
-pub(super) enum ReportOutcome {
+pub(super) enum HeartbeatOutcome {
     Answered(Vec<Command>),
     /// Something newer is known of the machine: it proves nothing, and is answered with these commands.
     Stale(Vec<Command>),
@@ -95,19 +99,19 @@
     Withheld,
 }
 
-impl Holding {
+impl PartitionLeadership {
     pub(super) fn new(
-        term: Token,
+        term: FencingToken,
         version: Version,
-        entitled_until: Moment,
-        suspects: Vec<(NodeName, u64)>,
-        now: Moment,
+        entitled_until: Timestamp,
+        suspects: Vec<(ControllerName, u64)>,
+        now: Timestamp,
     ) -> Self {
-        Holding {
+        PartitionLeadership {
             term,
-            raised: Token(0),
+            raised: FencingToken(0),
             raising: false,
-            raise_at: Moment::default(),
+            raise_at: Timestamp::default(),
             version,
             since: now,
             loaded: None,
@@ -122,7 +126,7 @@
             yield_until: None,
             successor: None,
             round_at: now,
-            looked_at: Moment::default(),
+            looked_at: Timestamp::default(),
         }
     }
 
@@ -133,11 +137,11 @@
         self.read = None;
     }
 
-    pub(super) fn term(&self) -> Token {
+    pub(super) fn term(&self) -> FencingToken {
         self.term
     }
     /// The least token that its machines are answered with.
-    pub(super) fn token(&self) -> Token {
+    pub(super) fn token(&self) -> FencingToken {
         self.term.max(self.raised)
     }
     pub(super) fn version(&self) -> Version {
@@ -146,13 +150,13 @@
     pub(super) fn set_version(&mut self, version: Version) {
         self.version = version;
     }
-    pub(super) fn suspects(&self) -> &[(NodeName, u64)] {
+    pub(super) fn suspects(&self) -> &[(ControllerName, u64)] {
         &self.suspects
     }
-    pub(super) fn successor(&self) -> Option<&NodeName> {
+    pub(super) fn successor(&self) -> Option<&ControllerName> {
         self.successor.as_ref()
     }
-    pub(super) fn set_successor(&mut self, successor: NodeName) {
+    pub(super) fn set_successor(&mut self, successor: ControllerName) {
         self.successor = Some(successor);
     }
     pub(super) fn is_yielding(&self) -> bool {
@@ -162,23 +166,23 @@
         self.yielding = yielding;
         self.yield_until = None;
     }
-    pub(super) fn yield_until(&mut self, until: Moment) {
+    pub(super) fn yield_until(&mut self, until: Timestamp) {
         self.yield_until = Some(until);
     }
-    pub(super) fn share_mut(&mut self) -> Option<&mut Share> {
+    pub(super) fn share_mut(&mut self) -> Option<&mut PartitionState> {
         self.loaded.as_mut().map(|l| &mut l.share)
     }
-    pub(super) fn share_and_ending(&mut self) -> Option<(&mut Share, &mut Ending)> {
+    pub(super) fn share_and_ending(&mut self) -> Option<(&mut PartitionState, &mut JobArchiver)> {
         self.loaded.as_mut().map(|l| (&mut l.share, &mut l.ending))
     }
     /// A job is over, and that is durable.
-    pub(super) fn forget_job(&mut self, id: JobId, now: Moment) {
+    pub(super) fn forget_job(&mut self, id: JobId, now: Timestamp) {
         if let Some(loaded) = &mut self.loaded {
             loaded.share.remove_job(id, now);
             loaded.ledger.forget_job(id);
         }
     }
-    pub(super) fn share(&self) -> Option<&Share> {
+    pub(super) fn share(&self) -> Option<&PartitionState> {
         self.loaded.as_ref().map(|l| &l.share)
     }
 
@@ -191,7 +195,13 @@
 
     /// A peer says up to which revision it knows the changes: beyond our own record it knows
     /// that it holds this partition no more, and answers for it no more.
-    pub(super) fn peer_knows(&mut self, peer: &NodeName, boot: u64, revision: u64, now: Moment) {
+    pub(super) fn peer_knows(
+        &mut self,
+        peer: &ControllerName,
+        boot: u64,
+        revision: u64,
+        now: Timestamp,
+    ) {
         if revision < self.version.0 || self.suspects.is_empty() {
             return;
         }
@@ -199,7 +209,7 @@
         self.clear_suspicion(now);
     }
 
-    fn clear_suspicion(&mut self, now: Moment) {
+    fn clear_suspicion(&mut self, now: Timestamp) {
         if self.suspects.is_empty() && self.entitled_until > now {
             self.entitled_until = now;
             if let Some(loaded) = &mut self.loaded {
@@ -219,44 +229,44 @@
     pub(super) fn answer_report(
         &mut self,
         name: &MachineName,
-        report: &Report,
-        token: Token,
+        report: &Heartbeat,
+        token: FencingToken,
         launches: bool,
         halts: impl FnOnce() -> Vec<Command>,
-        now: Moment,
-    ) -> ReportOutcome {
+        now: Timestamp,
+    ) -> HeartbeatOutcome {
         let Some(loaded) = &mut self.loaded else {
             // Keep the lease alive; what to do with tasks is not known yet, but for those that a user
             // has cancelled. Our token voids what a predecessor has under way.
             self.early.insert(name.clone(), (report.clone(), now));
-            return ReportOutcome::Answered(halts());
+            return HeartbeatOutcome::Answered(halts());
         };
         let share = &mut loaded.share;
         let Some(machine) = share.machines.get_mut(name) else {
-            return ReportOutcome::Answered(halts());
+            return HeartbeatOutcome::Answered(halts());
         };
         machine.token = machine.token.max(token);
-        let newer = share.observe(report, Source::Report, now);
+        let newer = share.observe(report, StatusSource::Heartbeat, now);
         if !share.may_answer(name, now) {
-            return ReportOutcome::Withheld;
+            return HeartbeatOutcome::Withheld;
         }
         if let Some(machine) = share.machines.get_mut(name) {
             machine.answer(newer, now);
         }
         if !newer {
-            return ReportOutcome::Stale(halts());
+            return HeartbeatOutcome::Stale(halts());
         }
-        let mut commands = share.commands_for(name, Route::Answer, now);
+        let mut commands = share.commands_for(name, CommandRoute::Answer, now);
         if !launches {
             commands.retain(|c| !matches!(c, Command::Start { .. }));
         }
-        ReportOutcome::Answered(commands)
+        HeartbeatOutcome::Answered(commands)
     }
 
-    pub(super) fn wants_tick(&self, now: Moment) -> Option<Moment> {
+    pub(super) fn wants_tick(&self, now: Timestamp) -> Option<Timestamp> {
         let loaded = self.loaded.as_ref()?;
         if loaded.more_cycles {
-            return Some(now + Span(2));
+            return Some(now + Duration::from_millis(2));
         }
         let flush = loaded.share.queue.next_flush();
         let round = (loaded.writing.is_none() && loaded.share.has_dirty())
@@ -265,14 +275,18 @@
     }
 }
 
-impl Node {
+impl Controller {
     /// The partition of a team: teams are dealt out in the order of the settings.
     pub(super) fn partition_of_team(&self, team: &model::TeamName) -> Option<PartitionId> {
         let index = self.settings.teams.iter().position(|t| t.name == *team)?;
         Some(PartitionId(index as u32 % self.partition_count().max(1)))
     }
 
-    pub(super) fn current(&mut self, partition: PartitionId, term: u64) -> Option<&mut Holding> {
+    pub(super) fn current(
+        &mut self,
+        partition: PartitionId,
+        term: u64,
+    ) -> Option<&mut PartitionLeadership> {
         self.holdings.get_mut(&partition).filter(|h| h.term.0 == term)
     }
 
@@ -282,7 +296,9 @@
             self.progress.remove(&id);
             return;
         };
-        self.clock_ahead = self.clock_ahead.max(Span(open.order().saturating_sub(self.now.0)));
+        self.clock_ahead = self
+            .clock_ahead
+            .max(Duration::from_millis(open.order().saturating_sub(self.now.as_millis())));
         let Some(partition) = self.partition_of_team(&open.spec.team) else { return };
         let cancelled = self.mirror.is_cancelled(id);
         let now = self.now;
@@ -334,7 +350,7 @@
                 Some(record) if record.partition == *partition => {
                     match loaded.share.machines.get_mut(name) {
                         Some(machine) => {
-                            machine.token = least.max(Token(record.token));
+                            machine.token = least.max(FencingToken(record.token));
                             machine.leaving =
                                 record.leaving || self.machine_changes.take_away(name);
                         }
@@ -360,7 +376,7 @@
         for partition in partitions {
             self.step_holding(partition);
         }
-        if self.now.since(self.load_at) >= Span(500) {
+        if self.now.duration_since(self.load_at) >= Duration::from_millis(500) {
             self.load_at = self.now;
             self.tell_loads();
         }
@@ -385,7 +401,7 @@
         if holding.yielding || holding.successor.is_some() {
             return;
         }
-        let look = now.since(holding.looked_at) >= LOOK;
+        let look = now.duration_since(holding.looked_at) >= LOOK;
         if holding.loaded.is_none() {
             self.take_on(partition);
         }
@@ -423,11 +439,12 @@
     fn write_round(&mut self, partition: PartitionId) {
         let now = self.now;
         // What is made up only when it can go out carries more and is fresher.
-        if self.machine_changes.held_up(now) || !self.may_write(Importance::Placement, 1.0) {
+        if self.machine_changes.held_up(now) || !self.may_write(CallPriority::Placement, 1.0) {
             return;
         }
         let Some(holding) = self.holdings.get_mut(&partition) else { return };
-        let (version, term, since) = (holding.version, holding.term.0, now.since(holding.round_at));
+        let (version, term, since) =
+            (holding.version, holding.term.0, now.duration_since(holding.round_at));
         let Some(loaded) = holding.loaded.as_mut() else { return };
         if loaded.writing.is_some() || !loaded.share.has_dirty() {
             return;
@@ -446,8 +463,8 @@
         let txn = round.txn.clone();
         loaded.writing = Some(Writing { round, written });
         holding.round_at = now;
-        let purpose = Purpose::LedgerWrite { partition, term };
-        self.state(Importance::Placement, StateRequest::Txn(txn), purpose);
+        let purpose = CallKind::LedgerWrite { partition, term };
+        self.state(CallPriority::Placement, StateRequest::Transaction(txn), purpose);
     }
 
     pub(super) fn on_round(&mut self, partition: PartitionId, term: u64, reply: StateReply) {
@@ -465,8 +482,8 @@
             // Either an earlier copy of this very round was applied, or the right is lost.
             StateReply::Conflict { .. } => {
                 if let Some((key, id)) = loaded.ledger.proof(&writing.round) {
-                    let purpose = Purpose::LedgerProof { partition, term, id };
-                    self.state(Importance::Placement, StateRequest::Get { key }, purpose);
+                    let purpose = CallKind::LedgerProof { partition, term, id };
+                    self.state(CallPriority::Placement, StateRequest::Get { key }, purpose);
                 }
             }
             StateReply::Invalid(problem) => {
@@ -475,13 +492,13 @@
             }
             // The same round again: its conditions let it be applied once at most.
             other => {
-                let request = StateRequest::Txn(writing.round.txn.clone());
+                let request = StateRequest::Transaction(writing.round.txn.clone());
                 let after = match other {
-                    StateReply::Refused { throttled: true } => Span(80),
-                    _ => Span(200),
+                    StateReply::Refused { throttled: true } => Duration::from_millis(80),
+                    _ => Duration::from_millis(200),
                 };
-                let purpose = Purpose::LedgerWrite { partition, term };
-                self.again(after, Importance::Placement, request, purpose);
+                let purpose = CallKind::LedgerWrite { partition, term };
+                self.again(after, CallPriority::Placement, request, purpose);
             }
         }
     }
@@ -490,14 +507,14 @@
         &mut self,
         partition: PartitionId,
         term: u64,
-        id: RoundId,
+        id: CommitId,
         reply: StateReply,
     ) {
         let Some(holding) = self.current(partition, term) else { return };
         let Some(loaded) = holding.loaded.as_mut() else { return };
         let Some(writing) = &loaded.writing else { return };
         match reply {
-            StateReply::Item(item) if Ledger::proves(&item.value, id) => {
+            StateReply::Item(item) if PlacementLog::proves(&item.value, id) => {
                 loaded.ledger.commit(&writing.round, item.version);
                 loaded.share.confirm(&writing.written);
                 loaded.writing = None;
@@ -505,9 +522,14 @@
             StateReply::Item(_) | StateReply::Missing => self.reload(partition),
             _ => {
                 if let Some((key, id)) = loaded.ledger.proof(&writing.round) {
-                    let purpose = Purpose::LedgerProof { partition, term, id };
+                    let purpose = CallKind::LedgerProof { partition, term, id };
                     let request = StateRequest::Get { key };
-                    self.again(Span(150), Importance::Placement, request, purpose);
+                    self.again(
+                        Duration::from_millis(150),
+                        CallPriority::Placement,
+                        request,
+                        purpose,
+                    );
                 }
             }
         }
@@ -517,7 +539,7 @@
     fn unreached(&self, partition: PartitionId) -> bool {
         let now = self.now;
         // Workers report every 1.25 times the interval at the latest; their leases run meanwhile.
-        let silence = Span(self.settings.workers.report.0 * 2 + 500);
+        let silence = Duration::from_millis(self.settings.workers.report.whole_millis() * 2 + 500);
         let Some(holding) = self.holdings.get(&partition) else { return false };
         let Some(share) = holding.share() else { return false };
         // Machines that boot say nothing about us.
@@ -525,11 +547,14 @@
         let (mut all, mut silent) = (0, 0);
         for machine in known {
             all += 1;
-            silent += u32::from(machine.reported_at.is_none_or(|at| now.since(at) > silence));
+            silent +=
+                u32::from(machine.reported_at.is_none_or(|at| now.duration_since(at) > silence));
         }
         // Workers turn elsewhere while we stand still, and need as long to find us again.
         let since = holding.since.max(self.awake_since);
-        now.since(since) >= silence + Span(3_000) && all >= 2 && silent * 10 >= all * 9
+        now.duration_since(since) >= silence + Duration::from_secs(3)
+            && all >= 2
+            && silent * 10 >= all * 9
     }
 
     /// Asks machines that have been quiet whether they are there.
@@ -539,8 +564,8 @@
         let since = holding.since;
         let Some(share) = holding.share_mut() else { return };
         for question in share.to_be_asked(since, now) {
-            let Question { machine, address, token, session } = question;
-            let purpose = Purpose::Ask { partition, machine };
+            let Probe { machine, address, token, session } = question;
+            let purpose = CallKind::Ask { partition, machine };
             self.ask_worker(address, token, session, purpose, ASK_TIMEOUT);
         }
     }
@@ -550,7 +575,10 @@
     fn give_up_silent(&mut self, partition: PartitionId) {
         let now = self.now;
         let report = self.settings.workers.report;
-        let (late, patience) = (Span(report.0 * 5 / 4 + 200), Span(report.0 * 9 / 4 + 500));
+        let (late, patience) = (
+            Duration::from_millis(report.whole_millis() * 5 / 4 + 200),
+            Duration::from_millis(report.whole_millis() * 9 / 4 + 500),
+        );
         let contact = self.in_contact(super::LAUNCH_CONTACT);
         let Some(holding) = self.holdings.get_mut(&partition) else { return };
         // Workers need a moment to find a new holder, or one that stood still.
@@ -560,7 +588,7 @@
         }
         let Some(loaded) = holding.loaded.as_mut() else { return };
         let mut silent = loaded.share.lost();
-        if now.since(since) >= patience + Span(1_500) {
+        if now.duration_since(since) >= patience + Duration::from_millis(1_500) {
             silent.extend(loaded.share.silent_with_replicas(since, now, late, patience));
         }
         silent.retain(|name| !self.machine_changes.concern(name));
@@ -590,7 +618,7 @@
     fn raise_all(&mut self, partition: PartitionId) {
         let now = self.now;
         let Some(holding) = self.holdings.get_mut(&partition) else { return };
-        let keeps = |share: &Share| share.machines.values().any(|m| m.keeps_exited(now));
+        let keeps = |share: &PartitionState| share.machines.values().any(|m| m.keeps_exited(now));
         if holding.raising || now < holding.raise_at || !holding.share().is_some_and(keeps) {
             return;
         }
@@ -601,12 +629,12 @@
             self.mirror.counter.as_ref().map(|c| c.record.clone()).unwrap_or_default();
         counter.next = token + 1;
         let value = serde_json::to_value(counter).unwrap_or_default();
-        let txn = Txn::default()
+        let txn = Transaction::default()
             .when(partition_key(partition), version)
             .when(COUNTER, self.mirror.counter_version())
             .write(Write::put(COUNTER, value));
-        let purpose = Purpose::RaiseAll { partition, term, token };
-        self.state(Importance::Placement, StateRequest::Txn(txn), purpose);
+        let purpose = CallKind::RaiseAll { partition, term, token };
+        self.state(CallPriority::Placement, StateRequest::Transaction(txn), purpose);
     }
 
     pub(super) fn on_raised(
@@ -620,7 +648,7 @@
         holding.raising = false;
         // Whatever else came of it: a number that nobody uses, and another is taken.
         if let StateReply::Committed { .. } = reply {
-            holding.raised = holding.raised.max(Token(token));
+            holding.raised = holding.raised.max(FencingToken(token));
             let token = holding.token();
             if let Some(share) = holding.share_mut() {
                 share.machines.values_mut().for_each(|m| m.token = m.token.max(token));
@@ -690,12 +718,12 @@
 
     /// Tells a leader that we do not reach over the mesh what a partition lacks, so that machines
     /// are rented for it all the same.
-    fn write_demand(&mut self, load: PartitionLoad) {
+    fn write_demand(&mut self, load: PartitionStatus) {
         let partition = PartitionId(load.partition);
         let lacks = !load.demand.is_empty();
         let (at, lacked) = self.demand_at.get(&partition).copied().unwrap_or_default();
-        let due = at == Moment::default() || self.now.since(at) >= DEMAND_PACE;
-        if !(lacks || lacked) || !due || !self.may_write(Importance::Placement, 1.0) {
+        let due = at == Timestamp::default() || self.now.duration_since(at) >= DEMAND_PACE;
+        if !(lacks || lacked) || !due || !self.may_write(CallPriority::Placement, 1.0) {
             return;
         }
         self.demand_at.insert(partition, (self.now, lacks));
@@ -707,11 +735,11 @@
         let right = self.holdings.get(&partition).map_or(0, |h| h.version.0);
         let version = self.mirror.demands.get(&partition).map_or(0, |version| version.0);
         let key = demand_key(partition);
-        let txn = Txn::default()
+        let txn = Transaction::default()
             .when(partition_key(partition), right)
             .when(&key, version)
             .write(Write::put(&key, value));
-        self.state(Importance::Placement, StateRequest::Txn(txn), Purpose::Demand);
+        self.state(CallPriority::Placement, StateRequest::Transaction(txn), CallKind::Demand);
     }
 
     /// What each of our partitions lacks and could spare, and how far its jobs are.
@@ -729,13 +757,13 @@
                         self.mirror.machines.get(&machine.name).is_some_and(|m| m.record.leaving);
                 }
             }
-            if now.0 % 5_000 < 500 {
+            if now.as_millis() % 5_000 < 500 {
                 loaded.share.describe(*partition, now);
             }
             loaded.share.tidy_best_effort(now);
             loaded.share.tidy_beside(now);
             loaded.share.look_for_shortage();
-            loads.push(PartitionLoad {
+            loads.push(PartitionStatus {
                 partition: partition.0,
                 term: holding.term.0,
                 demand: loaded.share.demand(now),
--- a/crates/controller/src/controller/linearizable_reads.rs
+++ b/crates/controller/src/controller/linearizable_reads.rs
@@ -5,20 +5,21 @@
 //! leave the budget to submissions and placements.
 
 use super::user_requests::status;
-use super::{Node, PendingRequest, Purpose, RequestKind, UserReply};
+use super::{CallKind, Controller, PendingRequest, RequestKind, UserReply};
 use crate::records::{final_key, FinalRecord};
-use crate::request_budget::Importance;
-use model::{JobId, JobState, Moment, Span};
+use crate::request_budget::CallPriority;
+use model::{JobId, JobState, Timestamp};
 use serde::Deserialize;
 use std::collections::BTreeSet;
-use wire::state::{StateReply, StateRequest, Txn};
+use std::time::Duration;
+use wire::state::{StateReply, StateRequest, Transaction};
 
 /// Fraction of the requests a second that one kind of these reads takes at most, for all nodes.
 const READ_FRACTION: f64 = 0.2;
 /// A request whose read is refused for want of budget is read for again for so long.
-const MAX_RETRY_TIME: Span = Span(1_000);
+const MAX_RETRY_TIME: Duration = Duration::from_secs(1);
 /// Pause after such a refusal.
-const REFUSAL_PAUSE: Span = Span(60);
+const REFUSAL_PAUSE: Duration = Duration::from_millis(60);
 
 /// Requests that wait for reads.
 #[derive(Debug, Default)]
@@ -26,11 +27,11 @@
     /// They need a read of changes that begins now or later.
     queued: Vec<PendingRequest>,
     reading: bool,
-    read_next: Moment,
+    read_next: Timestamp,
     /// Their jobs are not open, by such a read: is there a final state?
     not_open: Vec<PendingRequest>,
     comparing: bool,
-    compare_next: Moment,
+    compare_next: Timestamp,
 }
 
 impl LinearizableReads {
@@ -43,11 +44,11 @@
     }
 }
 
-impl Node {
+impl Controller {
     /// Least time between two reads of a kind.
-    fn read_pace(&self) -> Span {
+    fn read_pace(&self) -> Duration {
         let all = self.settings.state_limits.requests_per_s * READ_FRACTION;
-        Span((1_000.0 * f64::from(self.partition_count()) / all.max(1.0)) as u64)
+        Duration::from_millis((1_000.0 * f64::from(self.partition_count()) / all.max(1.0)) as u64)
     }
 
     pub(super) fn step_reads(&mut self) {
@@ -61,8 +62,8 @@
             reads.reading = true;
             reads.read_next = now + pace;
             let requests = std::mem::take(&mut reads.queued);
-            let read = self.watch_request(Span::ZERO);
-            self.state(Importance::Accept, read, Purpose::ReadChanges(requests));
+            let read = self.watch_request(Duration::ZERO);
+            self.state(CallPriority::Accept, read, CallKind::ReadChanges(requests));
         }
         let reads = &mut self.reads;
         if !reads.not_open.is_empty() && !reads.comparing && now >= reads.compare_next {
@@ -74,17 +75,18 @@
                 reads.not_open.iter().map(|request| request.id).take(most).collect();
             let requests =
                 reads.not_open.extract_if(.., |request| ids.contains(&request.id)).collect();
-            let txn = ids.iter().fold(Txn::default(), |txn, id| txn.when(final_key(*id), 0));
+            let txn =
+                ids.iter().fold(Transaction::default(), |txn, id| txn.when(final_key(*id), 0));
             self.state(
-                Importance::Accept,
-                StateRequest::Txn(txn),
-                Purpose::CompareFinals(requests),
+                CallPriority::Accept,
+                StateRequest::Transaction(txn),
+                CallKind::CompareFinals(requests),
             );
         }
     }
 
     /// When the next read is due, if one waits for its pace.
-    pub(super) fn next_read(&self) -> Option<Moment> {
+    pub(super) fn next_read(&self) -> Option<Timestamp> {
         let reads = &self.reads;
         let read = (!reads.queued.is_empty() && !reads.reading).then_some(reads.read_next);
         let check = (!reads.not_open.is_empty() && !reads.comparing).then_some(reads.compare_next);
@@ -95,7 +97,7 @@
         &mut self,
         requests: Vec<PendingRequest>,
         reply: StateReply,
-        sent: Moment,
+        sent: Timestamp,
     ) {
         self.reads.reading = false;
         match reply {
@@ -121,8 +123,9 @@
     /// Those that may be read for once more; the others are refused.
     fn retryable(&mut self, requests: Vec<PendingRequest>) -> Vec<PendingRequest> {
         let now = self.now;
-        let (retryable, late): (Vec<PendingRequest>, Vec<PendingRequest>) =
-            requests.into_iter().partition(|request| now.since(request.since) < MAX_RETRY_TIME);
+        let (retryable, late): (Vec<PendingRequest>, Vec<PendingRequest>) = requests
+            .into_iter()
+            .partition(|request| now.duration_since(request.since) < MAX_RETRY_TIME);
         self.refuse_all(late);
         retryable
     }
@@ -147,7 +150,7 @@
                     let key = final_key(request.id);
                     if failed.contains(&key) {
                         let read = StateRequest::Get { key };
-                        self.state(Importance::Accept, read, Purpose::FinalRead { request });
+                        self.state(CallPriority::Accept, read, CallKind::FinalRead { request });
                     } else {
                         self.on_final_read(request, StateReply::Missing);
                     }
--- a/crates/controller/src/controller/load_partition.rs
+++ b/crates/controller/src/controller/load_partition.rs
@@ -1,25 +1,26 @@
 //! Taking a partition on: reading its ledger, the checks before the first decision, building the share.
-//! A warm start and a cold one differ only in what [`Node::take_hints`] has to give.
+//! A warm start and a cold one differ only in what [`Controller::take_hints`] has to give.
 
-use super::job_archiver::Ending;
-use super::leadership::Loaded;
-use super::{Node, Purpose, LAUNCH_CONTACT};
-use crate::placement_log::Ledger;
+use super::job_archiver::JobArchiver;
+use super::leadership::LoadedPartition;
+use super::{CallKind, Controller, LAUNCH_CONTACT};
+use crate::placement_log::PlacementLog;
 use crate::records::{ledger_prefix, MachineRecord};
 use crate::rejections::{MessageFault, MessageSource};
-use crate::request_budget::Importance;
+use crate::request_budget::CallPriority;
 use failover::readiness::{failed_checks, LeadershipFacts, ReadinessCheck};
-use model::{MachineName, Moment, PartitionId, Revision, Span, Token, ZoneName};
-use scheduler::{Machine, Share, Source};
+use model::{FencingToken, MachineName, PartitionId, Revision, Timestamp, ZoneName};
+use scheduler::{Machine, PartitionState, StatusSource};
+use std::time::Duration;
 use wire::state::{StateReply, StateRequest};
 
 /// Pause before the ledger is read again that could not be, and before one is that is not sound.
-const AGAIN: Span = Span(150);
-const UNSOUND: Span = Span(2_000);
+const AGAIN: Duration = Duration::from_millis(150);
+const UNSOUND: Duration = Duration::from_secs(2);
 /// Time between two tries to take a partition of our own anew.
-const RENEW_PACE: Span = Span(2_000);
+const RENEW_PACE: Duration = Duration::from_secs(2);
 
-impl Node {
+impl Controller {
     pub(super) fn load_ledger(&mut self, partition: PartitionId) {
         self.list_ledger(partition, String::new());
     }
@@ -29,22 +30,22 @@
         &self,
         partition: PartitionId,
         after: String,
-    ) -> Option<(StateRequest, Purpose)> {
+    ) -> Option<(StateRequest, CallKind)> {
         let term = self.holdings.get(&partition)?.term().0;
         let request = StateRequest::List { prefix: ledger_prefix(partition), after, limit: 100 };
-        Some((request, Purpose::LedgerList { partition, term }))
+        Some((request, CallKind::LedgerList { partition, term }))
     }
 
     fn list_ledger(&mut self, partition: PartitionId, after: String) {
         let Some((request, purpose)) = self.ledger_read(partition, after) else { return };
-        self.state(Importance::Lease, request, purpose);
+        self.state(CallPriority::Lease, request, purpose);
     }
 
-    fn list_again(&mut self, partition: PartitionId, after: Span) {
+    fn list_again(&mut self, partition: PartitionId, after: Duration) {
         let Some(holding) = self.holdings.get_mut(&partition) else { return };
         holding.start_reading();
         let Some((request, purpose)) = self.ledger_read(partition, String::new()) else { return };
-        self.again(after, Importance::Lease, request, purpose);
+        self.again(after, CallPriority::Lease, request, purpose);
     }
 
     pub(super) fn on_ledger(&mut self, partition: PartitionId, term: u64, reply: StateReply) {
@@ -71,7 +72,7 @@
             return;
         }
         let pages = std::mem::take(&mut holding.pages);
-        let ledger = Ledger::load(partition, &pages, bytes, ops);
+        let ledger = PlacementLog::load(partition, &pages, bytes, ops);
         let unreadable = ledger.unreadable().len() as u64;
         holding.read = Some((revision, ledger));
         self.counters.rejections.add_many(
@@ -116,7 +117,7 @@
             mirrored_record: self.mirror.partitions.get(&partition).filter(ours).map(|p| p.version),
             own_version: holding.version(),
             term: holding.term(),
-            next_token: Token(self.mirror.next_token()),
+            next_token: FencingToken(self.mirror.next_token()),
             mirror_revision: self.mirror.revision,
             ledger_revision: Some(*ledger),
             unreadable_pages: pages.unreadable().len(),
@@ -138,7 +139,7 @@
             .map(|t| (t.name.clone(), t.guarantee, t.limit))
             .collect();
         let workers = &self.settings.workers;
-        let mut share = Share::new(
+        let mut share = PartitionState::new(
             teams,
             workers.lease,
             self.tuning.policy.clone(),
@@ -180,7 +181,7 @@
             if let Some(machine) = share.machines.get_mut(&name) {
                 machine.answered_at = at;
             }
-            share.observe(&report, Source::Report, at);
+            share.observe(&report, StatusSource::Heartbeat, at);
         }
         tracing::info!(
             %partition,
@@ -189,7 +190,8 @@
             followed,
             "partition ready"
         );
-        holding.loaded = Some(Box::new(Loaded::new(ledger, share, Ending::default())));
+        holding.loaded =
+            Some(Box::new(LoadedPartition::new(ledger, share, JobArchiver::default())));
         self.holdings.insert(partition, holding);
     }
 
@@ -210,7 +212,7 @@
         &self,
         name: &MachineName,
         record: &MachineRecord,
-        term: Token,
+        term: FencingToken,
     ) -> Option<Machine> {
         let kind = self
             .mirror
@@ -220,7 +222,7 @@
             .types
             .iter()
             .find(|t| t.name == record.machine_type)?;
-        let token = term.max(Token(record.token));
+        let token = term.max(FencingToken(record.token));
         let zone = ZoneName::from(record.zone.as_str());
         let mut machine = Machine::new(name.clone(), kind, zone, record.spot, token);
         machine.leaving = record.leaving || self.machine_changes.take_away(name);
@@ -235,7 +237,7 @@
         tracing::warn!(%partition, term = %holding.term(), "taking the partition anew");
         // Not taken up again under this term.
         self.given_away.insert(partition, holding.term());
-        self.renewed.insert(partition, (holding.term(), Moment::default()));
+        self.renewed.insert(partition, (holding.term(), Timestamp::default()));
         self.renew_term(partition);
     }
 
@@ -244,11 +246,11 @@
         let Some((wrong, tried)) = self.renewed.get(&partition).copied() else { return };
         let Some(held) = self.mirror.partitions.get(&partition) else { return };
         let version = held.version.0;
-        if Token(held.record.term) != wrong {
+        if FencingToken(held.record.term) != wrong {
             self.renewed.remove(&partition);
             return;
         }
-        let soon = tried > Moment::default() && self.now.since(tried) < RENEW_PACE;
+        let soon = tried > Timestamp::default() && self.now.duration_since(tried) < RENEW_PACE;
         if !soon && !self.acquiring.contains(&partition) {
             self.renewed.insert(partition, (wrong, self.now));
             self.acquire(partition, version);
--- a/crates/controller/src/controller/machine_records.rs
+++ b/crates/controller/src/controller/machine_records.rs
@@ -1,20 +1,21 @@
 //! Changes of machines' records: what is wanted is gathered and written together, many
 //! machines to a put.
 
-use super::{Node, Purpose, LEAD};
+use super::{CallKind, Controller, FLEET_PLANNER_PARTITION};
 use crate::records::{
     machines_key, page_room, partition_key, MachineRecord, MachinesPage, PackedMachine, COUNTER,
 };
-use crate::request_budget::Importance;
-use crate::serial_writer::{Outcome, Pipe};
-use model::{MachineName, Moment, PartitionId, Span};
+use crate::request_budget::CallPriority;
+use crate::serial_writer::{Outcome, SerialWriter};
+use model::{MachineName, PartitionId, Timestamp};
 use std::collections::{BTreeMap, BTreeSet};
-use wire::state::{StateReply, StateRequest, Txn, Write};
+use std::time::Duration;
+use wire::state::{StateReply, StateRequest, Transaction, Write};
 
 /// How long a write waits behind rounds.
-const PATIENCE: Span = Span(1_000);
+const PATIENCE: Duration = Duration::from_secs(1);
 /// Least time between two writes, so that several changes go together.
-const GAP: Span = Span(100);
+const GAP: Duration = Duration::from_millis(100);
 
 /// A change that is wanted of a machine's record.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -35,9 +36,9 @@
 #[derive(Debug, Default)]
 pub(crate) struct MachineChanges {
     wanted: BTreeMap<MachineName, MachineChange>,
-    pipe: Pipe<()>,
+    pipe: SerialWriter<()>,
     /// Since when a write could go out but for the budget.
-    held_up_since: Option<Moment>,
+    held_up_since: Option<Timestamp>,
 }
 
 impl MachineChanges {
@@ -59,8 +60,8 @@
     /// Whether a write has waited for its part of the budget for long. Rounds, which ask first and come
     /// whenever a put is free, then let it pass: a node that had taken over a second partition did not
     /// get to give up its dead machines for 10 s, and their tasks waited for that.
-    pub fn held_up(&self, now: Moment) -> bool {
-        self.held_up_since.is_some_and(|at| now.since(at) >= PATIENCE)
+    pub fn held_up(&self, now: Timestamp) -> bool {
+        self.held_up_since.is_some_and(|at| now.duration_since(at) >= PATIENCE)
     }
 
     /// Whether the machine is about to leave its share.
@@ -69,7 +70,7 @@
     }
 }
 
-impl Node {
+impl Controller {
     /// Whether the change still makes sense as the mirror and our shares stand. What does not is
     /// dropped; whoever wanted it looks again.
     fn still_wanted(&self, name: &MachineName, change: &MachineChange) -> bool {
@@ -80,7 +81,9 @@
             .and_then(|holding| holding.share());
         let machine = share.and_then(|share| share.machines.get(name));
         match change {
-            MachineChange::Create(_) => known.is_none() && self.holdings.contains_key(&LEAD),
+            MachineChange::Create(_) => {
+                known.is_none() && self.holdings.contains_key(&FLEET_PLANNER_PARTITION)
+            }
             MachineChange::Delete => known.is_some(),
             MachineChange::Leave => machine.is_some() && known.is_some_and(|r| !r.leaving),
             // Only what is idle and takes nothing new may change hands.
@@ -101,7 +104,7 @@
             self.machine_changes.held_up_since = None;
             return;
         }
-        if !self.may_write(Importance::Placement, 1.0) {
+        if !self.may_write(CallPriority::Placement, 1.0) {
             self.machine_changes.held_up_since.get_or_insert(now);
             return;
         }
@@ -116,11 +119,11 @@
             return;
         }
         self.machine_changes.pipe.send((), txn.clone(), now, GAP);
-        self.state(Importance::Placement, StateRequest::Txn(txn), Purpose::Machines);
+        self.state(CallPriority::Placement, StateRequest::Transaction(txn), CallKind::Machines);
     }
 
     /// Writes as many of the changes as a transaction takes.
-    fn machines_txn(&self, wanted: &BTreeMap<MachineName, MachineChange>) -> Txn {
+    fn machines_txn(&self, wanted: &BTreeMap<MachineName, MachineChange>) -> Transaction {
         let most_pages = (self.settings.state_limits.txn_ops - 1).clamp(1, 4);
         let room = page_room(self.settings.state_limits.value_bytes);
         let token = self.mirror.next_token();
@@ -152,7 +155,7 @@
             let records = pages.entry(page).or_insert_with(|| self.page_records(page));
             match change {
                 MachineChange::Create(_) => {
-                    rights.insert(LEAD);
+                    rights.insert(FLEET_PLANNER_PARTITION);
                 }
                 // The cloud's word needs no right.
                 MachineChange::Delete => {
@@ -174,7 +177,7 @@
             }
             records.insert(name, record);
         }
-        let mut txn = Txn::default();
+        let mut txn = Transaction::default();
         for partition in rights {
             let version = self.holdings.get(&partition).map_or(0, |h| h.version().0);
             txn = txn.when(partition_key(partition), version);
@@ -213,8 +216,13 @@
     pub(super) fn on_machines(&mut self, reply: StateReply) {
         // What is still wanted is made up anew when the mirror has caught up.
         if let Outcome::Again(txn) = self.machine_changes.pipe.answered(reply, self.now) {
-            let request = StateRequest::Txn(txn);
-            self.again(Span(200), Importance::Placement, request, Purpose::Machines);
+            let request = StateRequest::Transaction(txn);
+            self.again(
+                Duration::from_millis(200),
+                CallPriority::Placement,
+                request,
+                CallKind::Machines,
+            );
         }
     }
 }
--- a/crates/controller/src/controller/membership.rs
+++ b/crates/controller/src/controller/membership.rs
@@ -1,76 +1,78 @@
 //! Who holds which partition: taking vacant ones, handing them home, word from peers.
 
 use super::heartbeats::WORKER_TIMEOUT;
-use super::leadership::Holding;
+use super::leadership::PartitionLeadership;
 use super::standby::WARMING;
-use super::{Node, PeerView, Purpose};
-use crate::records::{partition_key, wish_key, PartitionRecord, WishRecord, COUNTER};
+use super::{CallKind, Controller, PeerStatus};
+use crate::records::{partition_key, wish_key, PartitionRecord, ReclaimRecord, COUNTER};
 use crate::rejections::{MessageFault, MessageSource};
-use crate::request_budget::Importance;
+use crate::request_budget::CallPriority;
 use failover::failure_detector::HEARTBEAT_TIMEOUT;
-use model::{MachineName, Moment, NodeName, PartitionId, Session, Span, Token};
+use model::DurationExt;
+use model::{ControllerName, FencingToken, MachineName, PartitionId, Timestamp, WorkerEpoch};
+use std::time::Duration;
 use wire::mesh::MeshMessage;
-use wire::state::{StateReply, StateRequest, Txn, Write};
+use wire::state::{StateReply, StateRequest, Transaction, Write};
 
 /// Time between signs of life.
-const ALIVE: Span = Span(400);
+const ALIVE: Duration = Duration::from_millis(400);
 /// A peer that has been silent for longer is not counted on.
-const PEER_SILENCE: Span = Span(1_500);
+const PEER_SILENCE: Duration = Duration::from_millis(1_500);
 /// How long a vacant partition is left to its home node while that seems alive.
-const HOME_FIRST: Span = Span(600);
+const HOME_FIRST: Duration = Duration::from_millis(600);
 /// How long our home partition may be held by another node that we ask over the mesh, before
 /// we ask through the state service: the two may not reach each other.
-const HOMELESS: Span = Span(2_000);
+const HOMELESS: Duration = Duration::from_secs(2);
 /// Pause before a partition whose workers did not reach us is taken or asked for again; it
 /// doubles with every time, up to a limit.
-const SHUN: Span = Span(15_000);
-const LONGEST_SHUN: Span = Span(120_000);
+const SHUN: Duration = Duration::from_secs(15);
+const LONGEST_SHUN: Duration = Duration::from_secs(120);
 /// Time between calls to its workers after that pause, and how many are called: it is asked for
 /// again once one answers.
-const PROBE: Span = Span(2_000);
+const PROBE: Duration = Duration::from_secs(2);
 const PROBED: usize = 6;
 /// A partition that we have given up and nobody has taken for so long is ours again: better a
 /// holder that few reach than none.
-const NOBODY: Span = Span(5_000);
+const NOBODY: Duration = Duration::from_secs(5);
 /// Time between two tries to take a partition whose record stands.
-const EARLY_PACE: Span = Span(300);
+const EARLY_PACE: Duration = Duration::from_millis(300);
 /// How long a restless node leaves its vacant home to others.
-const RESTLESS_WAIT: Span = Span(1_500);
+const RESTLESS_WAIT: Duration = Duration::from_millis(1_500);
 /// How long a vacant partition is left to each node that is before us in line.
-const LINE: Span = Span(250);
+const LINE: Duration = Duration::from_millis(250);
 
 /// A partition that we have given up since its workers did not reach us.
 #[derive(Debug, Default)]
-pub(crate) struct Shun {
+pub(crate) struct ReacquisitionBackoff {
     /// Not taken again before then, whatever its workers say.
-    until: Moment,
+    until: Timestamp,
     /// The pause after the next time.
-    pause: Span,
+    pause: Duration,
     /// Some of its machines, with their addresses.
     workers: Vec<(MachineName, String)>,
-    probed_at: Moment,
+    probed_at: Timestamp,
     /// One of them has answered since.
     reached: bool,
 }
 
-impl Node {
+impl Controller {
     /// Number of partitions: one a node.
     pub(super) fn partition_count(&self) -> u32 {
         self.nodes.len() as u32
     }
 
-    pub(super) fn home_of(&self, partition: PartitionId) -> Option<&NodeName> {
+    pub(super) fn home_of(&self, partition: PartitionId) -> Option<&ControllerName> {
         self.nodes.get(partition.0 as usize).map(|(name, _)| name)
     }
 
-    pub(super) fn peer_lives(&self, name: &NodeName) -> bool {
-        self.peers.get(name).is_some_and(|p| self.now.since(p.heard_at) <= PEER_SILENCE)
+    pub(super) fn peer_lives(&self, name: &ControllerName) -> bool {
+        self.peers.get(name).is_some_and(|p| self.now.duration_since(p.heard_at) <= PEER_SILENCE)
     }
 
     /// Whether a peer, by its own last word, has heard us lately. Each direction is a connection of its own, and
     /// one may be cut without the other.
-    pub(super) fn is_heard_by(&self, peer: &NodeName) -> bool {
-        let heard = |view: &PeerView| {
+    pub(super) fn is_heard_by(&self, peer: &ControllerName) -> bool {
+        let heard = |view: &PeerStatus| {
             let us = view.heard.iter().find(|(name, _)| name == self.me());
             us.is_some_and(|(_, ago)| *ago <= PEER_SILENCE)
         };
@@ -78,7 +80,11 @@
     }
 
     pub(super) fn step_partitions(&mut self) {
-        if !self.synced || !self.booted || self.lease.is_none() || !self.in_contact(Span(3_000)) {
+        if !self.synced
+            || !self.booted
+            || self.lease.is_none()
+            || !self.in_contact(Duration::from_secs(3))
+        {
             return;
         }
         for number in 0..self.partition_count() {
@@ -115,7 +121,7 @@
         let Some(held) = self.mirror.partitions.get(&partition) else { return };
         let (holder, boot, version) =
             (held.record.holder.clone(), held.record.boot, held.version.0);
-        let soon = self.now.since(self.standby.tried_at) < EARLY_PACE;
+        let soon = self.now.duration_since(self.standby.tried_at) < EARLY_PACE;
         if self.acquiring.contains(&partition) || self.shuns(partition) || soon {
             return;
         }
@@ -131,7 +137,11 @@
             return;
         }
         // The most frequent blocker first: this is checked at each event.
-        if self.peers.get(&holder).is_some_and(|p| self.now.since(p.heard_at) < HEARTBEAT_TIMEOUT) {
+        if self
+            .peers
+            .get(&holder)
+            .is_some_and(|p| self.now.duration_since(p.heard_at) < HEARTBEAT_TIMEOUT)
+        {
             return;
         }
         let stands_by = self.standbys().get(&partition) == Some(&me);
@@ -163,14 +173,14 @@
         let mut due = Vec::new();
         for (partition, shun) in &mut self.shunned {
             let waits = now >= shun.until && !shun.reached && now < shun.until + LONGEST_SHUN;
-            if waits && now.since(shun.probed_at) >= PROBE {
+            if waits && now.duration_since(shun.probed_at) >= PROBE {
                 shun.probed_at = now;
                 due.extend(shun.workers.iter().map(|worker| (*partition, worker.clone())));
             }
         }
         for (partition, (machine, address)) in due {
-            let purpose = Purpose::Probe { partition, machine };
-            self.ask_worker(address, Token(0), Session(0), purpose, WORKER_TIMEOUT);
+            let purpose = CallKind::Probe { partition, machine };
+            self.ask_worker(address, FencingToken(0), WorkerEpoch(0), purpose, WORKER_TIMEOUT);
         }
     }
 
@@ -182,7 +192,7 @@
 
     /// Home nodes that do not reach us over the mesh ask through the state service.
     fn grant_wishes(&mut self) {
-        let wishes: Vec<(PartitionId, WishRecord)> = self
+        let wishes: Vec<(PartitionId, ReclaimRecord)> = self
             .mirror
             .wishes
             .iter()
@@ -200,12 +210,12 @@
     pub(super) fn give_up(&mut self, partition: PartitionId) {
         // Whoever has given it up as well does no better: where all machines of a partition had died, its
         // holders gave it up to each other for ever, each before it could find that out.
-        let gave_up = |name: &NodeName| {
+        let gave_up = |name: &ControllerName| {
             let at = self.given_up_at.get(&partition).and_then(|by| by.get(name));
-            at.is_some_and(|at| self.now.since(*at) < LONGEST_SHUN)
+            at.is_some_and(|at| self.now.duration_since(*at) < LONGEST_SHUN)
         };
         let others = self.peers.iter().any(|(name, peer)| {
-            let lives = self.now.since(peer.heard_at) <= PEER_SILENCE;
+            let lives = self.now.duration_since(peer.heard_at) <= PEER_SILENCE;
             peer.ready && peer.state_contact && lives && !gave_up(name)
         });
         let Some(holding) = self.holdings.get_mut(&partition) else { return };
@@ -217,18 +227,22 @@
         // takes it next counts our answers until we show that we know.
         holding.set_yielding(true);
         let key = partition_key(partition);
-        let txn = Txn::default().when(&key, holding.version().0).write(Write::delete(&key));
+        let txn = Transaction::default().when(&key, holding.version().0).write(Write::delete(&key));
         let workers = holding.share().map(|share| share.addresses(PROBED)).unwrap_or_default();
         let pause = self.shunned.get(&partition).map_or(SHUN, |shun| shun.pause);
-        let shun = Shun {
+        let shun = ReacquisitionBackoff {
             until: self.now + pause,
-            pause: Span(pause.0 * 2).min(LONGEST_SHUN),
+            pause: Duration::from_millis(pause.whole_millis() * 2).min(LONGEST_SHUN),
             workers,
-            ..Shun::default()
+            ..ReacquisitionBackoff::default()
         };
         self.shunned.insert(partition, shun);
         self.broadcast(MeshMessage::GaveUp { partition: partition.0 });
-        self.state(Importance::Lease, StateRequest::Txn(txn), Purpose::GiveUp(partition));
+        self.state(
+            CallPriority::Lease,
+            StateRequest::Transaction(txn),
+            CallKind::GiveUp(partition),
+        );
     }
 
     pub(super) fn on_given_up(&mut self, partition: PartitionId, reply: StateReply) {
@@ -243,7 +257,7 @@
             // It may yet be applied.
             StateReply::Unknown => {
                 holding.set_yielding(true);
-                holding.yield_until(self.now + Span(2_000));
+                holding.yield_until(self.now + Duration::from_secs(2));
             }
             _ => holding.set_yielding(false),
         }
@@ -251,24 +265,24 @@
 
     /// How long we leave a vacant partition to others: its home node goes first, then who stood by
     /// for it, then the node with the fewest partitions.
-    fn wait_in_line(&self, partition: PartitionId) -> Span {
-        let Some(home) = self.home_of(partition) else { return Span::ZERO };
+    fn wait_in_line(&self, partition: PartitionId) -> Duration {
+        let Some(home) = self.home_of(partition) else { return Duration::ZERO };
         if home == self.me() {
-            return if self.leaves_to_others() { RESTLESS_WAIT } else { Span::ZERO };
+            return if self.leaves_to_others() { RESTLESS_WAIT } else { Duration::ZERO };
         }
-        let mut wait = Span::ZERO;
-        if !self.peers.contains_key(home) && self.now.0 < 3_000 {
+        let mut wait = Duration::ZERO;
+        if !self.peers.contains_key(home) && self.now.as_millis() < 3_000 {
             // We have just started ourselves; perhaps all have.
-            wait = Span(1_500);
+            wait = Duration::from_millis(1_500);
         } else if self.home_counts(partition) && !self.was_given_up(partition) {
             wait = HOME_FIRST;
         }
-        let burden = |name: &NodeName| {
+        let burden = |name: &ControllerName| {
             self.mirror.partitions.values().filter(|p| p.record.holder == *name).count()
         };
         // Who stood by for it last knows most of it.
         let standby = self.standby.assigned.get(&partition);
-        let rank = |name: &NodeName| (standby != Some(name), burden(name), name.clone());
+        let rank = |name: &ControllerName| (standby != Some(name), burden(name), name.clone());
         let mine = rank(self.me());
         let before = self
             .nodes
@@ -277,12 +291,12 @@
                 name != self.me() && name != home && self.peer_lives(name) && rank(name) < mine
             })
             .count() as u64;
-        wait + LINE * before
+        wait + LINE.saturating_times(before)
     }
 
     fn was_given_up(&self, partition: PartitionId) -> bool {
         let by = self.given_up_at.get(&partition);
-        by.is_some_and(|by| by.values().any(|at| self.now.since(*at) < NOBODY))
+        by.is_some_and(|by| by.values().any(|at| self.now.duration_since(*at) < NOBODY))
     }
 
     /// Writes a partition's record under the next term and under its new holder's lease,
@@ -293,7 +307,7 @@
         version: u64,
         record: &PartitionRecord,
         lease: u64,
-    ) -> Txn {
+    ) -> Transaction {
         let mut counter =
             self.mirror.counter.as_ref().map(|c| c.record.clone()).unwrap_or_default();
         counter.next = record.term + 1;
@@ -302,7 +316,7 @@
         let key = partition_key(partition);
         let value = serde_json::to_value(record).unwrap_or_default();
         let count = serde_json::to_value(counter).unwrap_or_default();
-        Txn::default()
+        Transaction::default()
             .when(&key, version)
             .when(COUNTER, self.mirror.counter_version())
             .write(Write::put_leased(&key, value, lease))
@@ -321,13 +335,17 @@
         };
         let txn = self.partition_txn(partition, version, &record, lease.0);
         self.acquiring.insert(partition);
-        self.state(Importance::Lease, StateRequest::Txn(txn), Purpose::Acquire(partition));
+        self.state(
+            CallPriority::Lease,
+            StateRequest::Transaction(txn),
+            CallKind::Acquire(partition),
+        );
     }
 
     /// Earlier holders of a partition that may not know yet that they have lost it.
-    fn suspects_of(&self, partition: PartitionId) -> Vec<(NodeName, u64)> {
+    fn suspects_of(&self, partition: PartitionId) -> Vec<(ControllerName, u64)> {
         let Some(counter) = &self.mirror.counter else { return Vec::new() };
-        let mut suspects: Vec<(NodeName, u64)> =
+        let mut suspects: Vec<(ControllerName, u64)> =
             counter.record.suspects.get(&partition.0).cloned().unwrap_or_default();
         suspects.extend(counter.record.takers.get(&partition.0).cloned());
         // What we answered ourselves ended when we lost it.
@@ -337,7 +355,7 @@
     }
 
     /// Whether this incarnation is known to be over: a later one has announced itself.
-    pub(super) fn surely_ended(&self, (name, boot): &(NodeName, u64)) -> bool {
+    pub(super) fn surely_ended(&self, (name, boot): &(ControllerName, u64)) -> bool {
         self.mirror.boots.get(name).is_some_and(|b| b.record.boot != *boot)
     }
 
@@ -371,7 +389,7 @@
             }
             return;
         }
-        let term = Token(record.term);
+        let term = FencingToken(record.term);
         // The mirror may still show what has just been handed over.
         if self.given_away.get(&partition) == Some(&term) {
             return;
@@ -387,10 +405,10 @@
         let until = if suspects.is_empty() {
             self.now
         } else {
-            self.now + self.settings.blind_span().with_drift()
+            self.now + self.settings.blind_span().with_clock_drift()
         };
         tracing::info!(%partition, %term, suspects = suspects.len(), "took a partition");
-        let holding = Holding::new(term, held.version, until, suspects, self.now);
+        let holding = PartitionLeadership::new(term, held.version, until, suspects, self.now);
         self.holdings.insert(partition, holding);
         self.load_ledger(partition);
         let message = MeshMessage::Taken {
@@ -416,26 +434,28 @@
         if self.shuns(partition) || self.mirror.types.is_none() || self.leaves_to_others() {
             return;
         }
-        let homeless = self.now.since(*self.homeless_since.get_or_insert(self.now));
+        let homeless = self.now.duration_since(*self.homeless_since.get_or_insert(self.now));
         let known = self.mirror.wishes.get(&partition).is_some_and(|w| w.record.lease == lease.0);
         // Whoever hears the holder is handed it once it is warm.
         let unheard = !self.peer_lives(&held.record.holder) || homeless >= HOMELESS + WARMING;
         if homeless >= HOMELESS && unheard && !known && !self.wishing {
             self.wishing = true;
-            let wish = WishRecord { node: self.me().clone(), boot: self.boot, lease: lease.0 };
+            let wish = ReclaimRecord { node: self.me().clone(), boot: self.boot, lease: lease.0 };
             let value = serde_json::to_value(wish).unwrap_or_default();
             let write = Write::put_leased(wish_key(partition), value, lease.0);
             // Late, it would ask again for what has been granted, and may have moved on since.
             let version = self.mirror.wishes.get(&partition).map_or(0, |w| w.version.0);
-            let txn = Txn::default()
+            let txn = Transaction::default()
                 .when(wish_key(partition), version)
                 .when(partition_key(partition), held.version.0)
                 .write(write);
-            self.state(Importance::Lease, StateRequest::Txn(txn), Purpose::Wish);
+            self.state(CallPriority::Lease, StateRequest::Transaction(txn), CallKind::Wish);
         }
         let Some(held) = self.mirror.partitions.get(&partition) else { return };
         let holder = held.record.holder.clone();
-        let due = self.home_asked_at.is_none_or(|at| self.now.since(at) >= Span(1_000));
+        let due = self
+            .home_asked_at
+            .is_none_or(|at| self.now.duration_since(at) >= Duration::from_secs(1));
         if due && self.peer_lives(&holder) && self.is_warm(partition, homeless) {
             self.home_asked_at = Some(self.now);
             let message =
@@ -444,8 +464,8 @@
         }
     }
 
-    fn hand_over(&mut self, partition: PartitionId, to: &NodeName, lease: u64, boot: u64) {
-        if self.home_of(partition) != Some(to) || !self.in_contact(Span(3_000)) {
+    fn hand_over(&mut self, partition: PartitionId, to: &ControllerName, lease: u64, boot: u64) {
+        if self.home_of(partition) != Some(to) || !self.in_contact(Duration::from_secs(3)) {
             return;
         }
         let Some(holding) = self.holdings.get_mut(&partition) else { return };
@@ -465,14 +485,14 @@
         if self.mirror.wishes.contains_key(&partition) {
             txn = txn.write(Write::delete(wish_key(partition)));
         }
-        let purpose = Purpose::HandOver { partition, to: to.clone() };
-        self.state(Importance::Lease, StateRequest::Txn(txn), purpose);
+        let purpose = CallKind::HandOver { partition, to: to.clone() };
+        self.state(CallPriority::Lease, StateRequest::Transaction(txn), purpose);
     }
 
     pub(super) fn on_handed_over(
         &mut self,
         partition: PartitionId,
-        to: NodeName,
+        to: ControllerName,
         reply: StateReply,
     ) {
         match reply {
@@ -487,7 +507,7 @@
             StateReply::Unknown => {
                 if let Some(holding) = self.holdings.get_mut(&partition) {
                     holding.set_yielding(true);
-                    holding.yield_until(self.now + Span(2_000));
+                    holding.yield_until(self.now + Duration::from_secs(2));
                 }
             }
             _ => {
@@ -499,35 +519,35 @@
     }
 
     pub(super) fn step_mesh(&mut self) {
-        if self.now.since(self.alive_at) < ALIVE && self.alive_at.0 > 0 {
+        if self.now.duration_since(self.alive_at) < ALIVE && self.alive_at.as_millis() > 0 {
             return;
         }
         self.alive_at = self.now;
-        let heard = self
-            .peers
-            .iter()
-            .map(|(name, peer)| (name.to_string(), self.now.since(peer.heard_at).0));
+        let heard = self.peers.iter().map(|(name, peer)| {
+            (name.to_string(), self.now.duration_since(peer.heard_at).whole_millis())
+        });
         let message = MeshMessage::Alive {
             heard: heard.collect(),
             boot: self.boot,
             revision: if self.synced { self.mirror.revision.0 } else { 0 },
-            state_contact: self.synced && self.in_contact(Span(3_000)),
+            state_contact: self.synced && self.in_contact(Duration::from_secs(3)),
             ready: self.synced && self.booted,
         };
         self.broadcast(message);
     }
 
-    pub(super) fn on_mesh(&mut self, from: NodeName, message: MeshMessage) {
+    pub(super) fn on_mesh(&mut self, from: ControllerName, message: MeshMessage) {
         if !self.settings.peers.iter().any(|p| p.name == from) {
             self.counters.rejections.add(MessageSource::Peer, MessageFault::UnknownSender);
             return;
         }
         match message {
             MeshMessage::Alive { boot, revision, state_contact, ready, heard } => {
-                let heard =
-                    heard.iter().map(|(name, ago)| (NodeName::from(name.as_str()), Span(*ago)));
+                let heard = heard.iter().map(|(name, ago)| {
+                    (ControllerName::from(name.as_str()), Duration::from_millis(*ago))
+                });
                 let heard = heard.collect();
-                let view = PeerView { heard_at: self.now, boot, state_contact, ready, heard };
+                let view = PeerStatus { heard_at: self.now, boot, state_contact, ready, heard };
                 self.detect_false_suspicion(&from, boot);
                 self.peers.insert(from.clone(), view);
                 let now = self.now;
@@ -547,9 +567,9 @@
             }
             MeshMessage::Taken { partition, term, holder } => {
                 if let Some(holding) = self.holdings.get_mut(&PartitionId(partition)) {
-                    if Token(term) > holding.term() {
+                    if FencingToken(term) > holding.term() {
                         tracing::warn!(partition, term, holder, "a successor has taken over");
-                        holding.set_successor(NodeName::from(holder.as_str()));
+                        holding.set_successor(ControllerName::from(holder.as_str()));
                     }
                 }
             }
--- a/crates/controller/src/controller/mod.rs
+++ b/crates/controller/src/controller/mod.rs
@@ -1,5 +1,7 @@
 //! The node: its state, its events and its effects.
 
+use model::DurationExt;
+use std::time::Duration;
 pub mod admin;
 mod admission;
 mod cancellations;
@@ -17,21 +19,21 @@
 mod state_sync;
 mod user_requests;
 
-use crate::placement_log::RoundId;
+use crate::placement_log::CommitId;
 use crate::rejections::RejectionCounts;
-use crate::request_budget::{Bucket, Importance};
-use crate::state_cache::Mirror;
+use crate::request_budget::{CallPriority, TokenBucket};
+use crate::state_cache::StateCache;
 use admin::{AdminReply, AdminRequest};
 use admission::Admission;
 use autoscaler::FleetPolicy;
 use cancellations::Cancellations;
-use fleet_planner::Leader;
-use leadership::Holding;
+use fleet_planner::FleetPlanner;
+use leadership::PartitionLeadership;
 use linearizable_reads::LinearizableReads;
 use machine_records::MachineChanges;
 use model::{
-    CallId, JobId, JobState, LeaseId, MachineName, Moment, NodeName, PartitionId, RejectReason,
-    Settings, Span, TaskId, Token, ZoneName,
+    CallId, ControllerName, FencingToken, JobId, JobState, LeaseId, MachineName, PartitionId,
+    RejectReason, Settings, TaskId, Timestamp, ZoneName,
 };
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -42,7 +44,7 @@
 use wire::mesh::MeshMessage;
 use wire::state::{StateReply, StateRequest};
 use wire::users::{JobRequest, JobStatus};
-use wire::workers::{DirectCommands, Report, ReportAnswer};
+use wire::workers::{DirectCommands, Heartbeat, HeartbeatResponse};
 
 /// What operators may change at run time. Nothing here can loosen a rule.
 #[derive(Debug, Clone, PartialEq, Default)]
@@ -79,9 +81,9 @@
 
 /// An answer to a worker's report.
 #[derive(Debug, Clone, PartialEq)]
-pub enum ReportReply {
-    Answer(ReportAnswer),
-    Redirect(Option<NodeName>),
+pub enum HeartbeatReply {
+    Answer(HeartbeatResponse),
+    Redirect(Option<ControllerName>),
     Unavailable,
     /// 400: nothing was concluded from it.
     Malformed,
@@ -91,7 +93,7 @@
 #[derive(Debug, Clone)]
 pub enum DirectReply {
     /// Executed, or refused as a whole; either way it will not be executed later.
-    Answered(Box<Report>),
+    Answered(Box<Heartbeat>),
     /// No usable answer: it may yet be executed.
     Unknown,
 }
@@ -103,21 +105,21 @@
     State { call: CallId, reply: StateReply },
     Cloud { call: CallId, reply: CloudReply },
     Worker { call: CallId, reply: DirectReply },
-    Mesh { from: NodeName, message: MeshMessage },
+    Mesh { from: ControllerName, message: MeshMessage },
     User { ticket: Ticket, request: UserRequest },
-    Report { ticket: Ticket, report: Box<Report> },
+    Heartbeat { ticket: Ticket, report: Box<Heartbeat> },
     Admin { ticket: Ticket, request: AdminRequest },
 }
 
 /// What the node wants done.
 #[derive(Debug, Clone)]
 pub enum Effect {
-    State { call: CallId, request: StateRequest, timeout: Span },
+    State { call: CallId, request: StateRequest, timeout: Duration },
     Cloud { call: CallId, request: CloudRequest },
-    Worker { call: CallId, address: String, body: DirectCommands, timeout: Span },
-    Mesh { to: NodeName, message: MeshMessage },
+    Worker { call: CallId, address: String, body: DirectCommands, timeout: Duration },
+    Mesh { to: ControllerName, message: MeshMessage },
     User { ticket: Ticket, reply: UserReply },
-    Report { ticket: Ticket, reply: ReportReply },
+    Heartbeat { ticket: Ticket, reply: HeartbeatReply },
     Admin { ticket: Ticket, reply: AdminReply },
 }
 
@@ -127,7 +129,7 @@
     ticket: Ticket,
     kind: RequestKind,
     id: JobId,
-    since: Moment,
+    since: Timestamp,
 }
 
 /// What a user's request asks for.
@@ -148,7 +150,7 @@
 
 /// Why a call was made.
 #[derive(Debug)]
-pub(crate) enum Purpose {
+pub(crate) enum CallKind {
     List,
     Watch,
     /// A read of changes that answers these requests.
@@ -159,7 +161,7 @@
     Acquire(PartitionId),
     HandOver {
         partition: PartitionId,
-        to: NodeName,
+        to: ControllerName,
     },
     /// A higher token for all machines of a partition.
     RaiseAll {
@@ -194,7 +196,7 @@
     LedgerProof {
         partition: PartitionId,
         term: u64,
-        id: RoundId,
+        id: CommitId,
     },
     /// A write of accepted jobs.
     Accept,
@@ -233,13 +235,13 @@
 
 /// What a peer said last.
 #[derive(Debug, Clone)]
-pub(crate) struct PeerView {
-    heard_at: Moment,
+pub(crate) struct PeerStatus {
+    heard_at: Timestamp,
     boot: u64,
     state_contact: bool,
     ready: bool,
     /// How long before that it had heard others.
-    heard: Vec<(NodeName, Span)>,
+    heard: Vec<(ControllerName, Duration)>,
 }
 
 /// Counts for the metrics.
@@ -268,89 +270,89 @@
 }
 
 /// A controller node.
-pub struct Node {
+pub struct Controller {
     settings: Settings,
     tuning: Tuning,
     rng: SmallRng,
-    now: Moment,
+    now: Timestamp,
     boot: u64,
     booted: bool,
-    nodes: Vec<(NodeName, ZoneName)>,
-    mirror: Mirror,
+    nodes: Vec<(ControllerName, ZoneName)>,
+    mirror: StateCache,
     synced: bool,
-    listing: Option<state_sync::Listing>,
+    listing: Option<state_sync::FullRead>,
     watching: bool,
     /// Since when we have been running without a stop: what we have not heard before that, we may
     /// have been unable to hear.
-    awake_since: Moment,
+    awake_since: Timestamp,
     /// How far the nodes' common clock is ahead of ours.
-    clock_ahead: Span,
+    clock_ahead: Duration,
     /// Sending time of the last confirmed read of changes.
-    contact_at: Option<Moment>,
+    contact_at: Option<Timestamp>,
     /// The one before: what has changed since may have been so from then on.
-    contact_before: Option<Moment>,
-    sent_at: HashMap<CallId, Moment>,
+    contact_before: Option<Timestamp>,
+    sent_at: HashMap<CallId, Timestamp>,
     lease: Option<LeaseId>,
     lease_pending: bool,
-    renew_at: Moment,
-    calls: HashMap<CallId, Purpose>,
+    renew_at: Timestamp,
+    calls: HashMap<CallId, CallKind>,
     next_call: u64,
-    outbox: BTreeMap<Importance, VecDeque<(CallId, StateRequest)>>,
+    outbox: BTreeMap<CallPriority, VecDeque<(CallId, StateRequest)>>,
     /// Calls to be made again later.
-    retries: Vec<(Moment, CallId, Importance, StateRequest)>,
-    requests: Bucket,
-    writes: Bucket,
-    holdings: BTreeMap<PartitionId, Holding>,
+    retries: Vec<(Timestamp, CallId, CallPriority, StateRequest)>,
+    requests: TokenBucket,
+    writes: TokenBucket,
+    holdings: BTreeMap<PartitionId, PartitionLeadership>,
     /// Terms under which partitions were handed over: they are not taken up again.
-    given_away: HashMap<PartitionId, Token>,
+    given_away: HashMap<PartitionId, FencingToken>,
     /// Partitions of ours that are to be taken anew, under a term of their own: our idea of them was wrong.
     /// The term that was wrong, and when a new one was tried for.
-    renewed: HashMap<PartitionId, (Token, Moment)>,
+    renewed: HashMap<PartitionId, (FencingToken, Timestamp)>,
     acquiring: HashSet<PartitionId>,
-    vacant_since: HashMap<PartitionId, Moment>,
-    peers: BTreeMap<NodeName, PeerView>,
-    home_asked_at: Option<Moment>,
+    vacant_since: HashMap<PartitionId, Timestamp>,
+    peers: BTreeMap<ControllerName, PeerStatus>,
+    home_asked_at: Option<Timestamp>,
     /// Since when another node holds our home partition while we could.
-    homeless_since: Option<Moment>,
+    homeless_since: Option<Timestamp>,
     wishing: bool,
     /// When others told us that they gave a partition up.
-    given_up_at: HashMap<PartitionId, HashMap<NodeName, Moment>>,
+    given_up_at: HashMap<PartitionId, HashMap<ControllerName, Timestamp>>,
     /// Partitions given up since their workers do not reach us.
-    shunned: BTreeMap<PartitionId, membership::Shun>,
-    alive_at: Moment,
-    load_at: Moment,
+    shunned: BTreeMap<PartitionId, membership::ReacquisitionBackoff>,
+    alive_at: Timestamp,
+    load_at: Timestamp,
     /// When we wrote what our partitions lack, and whether that was anything.
-    demand_at: HashMap<PartitionId, (Moment, bool)>,
+    demand_at: HashMap<PartitionId, (Timestamp, bool)>,
     progress: HashMap<JobId, (u64, u64)>,
     finals: HashMap<JobId, JobState>,
     reads: LinearizableReads,
     admission: Admission,
     cancellations: Cancellations,
     machine_changes: MachineChanges,
-    leader: Leader,
+    leader: FleetPlanner,
     standby: standby::Standby,
     effects: Vec<Effect>,
     pub counters: Counters,
 }
 
 /// The loop turns ten times a second; after a longer pause we must have stood still.
-const STOOD_STILL: Span = Span(1_000);
+const STOOD_STILL: Duration = Duration::from_secs(1);
 /// Life of a node's lease in the state service.
-const LEASE: Span = Span(3_500);
+const LEASE: Duration = Duration::from_millis(3_500);
 /// Time between renewals.
-const RENEW: Span = Span(900);
+const RENEW: Duration = Duration::from_millis(900);
 /// Longest wait of the watch.
-const WATCH_WAIT: Span = Span(1_500);
+const WATCH_WAIT: Duration = Duration::from_millis(1_500);
 /// Patience with a call to the state service.
-const CALL_TIMEOUT: Span = Span(1_500);
+const CALL_TIMEOUT: Duration = Duration::from_millis(1_500);
 /// Launches need changes read not longer ago than this.
-const LAUNCH_CONTACT: Span = Span(4_500);
+const LAUNCH_CONTACT: Duration = Duration::from_millis(4_500);
 /// The partition whose holder is the leader.
-pub(crate) const LEAD: PartitionId = PartitionId(0);
+pub(crate) const FLEET_PLANNER_PARTITION: PartitionId = PartitionId(0);
 /// Final states that are kept in memory.
 const FINALS: usize = 200_000;
 
-impl Node {
+impl Controller {
     /// A node that has just started. `seed` must be random, it names the incarnation.
     pub fn new(settings: Settings, seed: u64) -> Self {
         let nodes = settings.nodes();
@@ -358,31 +360,34 @@
         let count = nodes.len().max(1) as f64;
         // Others are often idle, so each node may use more than its even part for a while;
         // a 429 tells when that was too much.
-        Node {
+        Controller {
             tuning: Tuning::default(),
             rng: SmallRng::seed_from_u64(seed),
-            now: Moment::default(),
+            now: Timestamp::default(),
             boot: seed >> 12,
             booted: false,
             nodes,
-            mirror: Mirror::default(),
+            mirror: StateCache::default(),
             synced: false,
             listing: None,
             watching: false,
-            awake_since: Moment::default(),
-            clock_ahead: Span::ZERO,
+            awake_since: Timestamp::default(),
+            clock_ahead: Duration::ZERO,
             contact_at: None,
             contact_before: None,
             sent_at: HashMap::new(),
             lease: None,
             lease_pending: false,
-            renew_at: Moment::default(),
+            renew_at: Timestamp::default(),
             calls: HashMap::new(),
             next_call: 0,
             outbox: BTreeMap::new(),
             retries: Vec::new(),
-            requests: Bucket::shared(limits.requests_per_s / count, limits.requests_per_s / count),
-            writes: Bucket::shared(limits.writes_per_s / count, limits.writes_per_s * 0.6),
+            requests: TokenBucket::shared(
+                limits.requests_per_s / count,
+                limits.requests_per_s / count,
+            ),
+            writes: TokenBucket::shared(limits.writes_per_s / count, limits.writes_per_s * 0.6),
             holdings: BTreeMap::new(),
             given_away: HashMap::new(),
             renewed: HashMap::new(),
@@ -394,8 +399,8 @@
             wishing: false,
             given_up_at: HashMap::new(),
             shunned: BTreeMap::new(),
-            alive_at: Moment::default(),
-            load_at: Moment::default(),
+            alive_at: Timestamp::default(),
+            load_at: Timestamp::default(),
             demand_at: HashMap::new(),
             progress: HashMap::new(),
             finals: HashMap::new(),
@@ -403,7 +408,7 @@
             admission: Admission::default(),
             cancellations: Cancellations::default(),
             machine_changes: MachineChanges::default(),
-            leader: Leader::new(settings.cloud_rps),
+            leader: FleetPlanner::new(settings.cloud_rps),
             standby: standby::Standby::default(),
             effects: Vec::new(),
             counters: Counters::default(),
@@ -412,8 +417,8 @@
     }
 
     /// Takes in an event at a steady time and returns what is to be done.
-    pub fn handle(&mut self, now: Moment, event: Event) -> Vec<Effect> {
-        if now.since(self.now) >= STOOD_STILL {
+    pub fn handle(&mut self, now: Timestamp, event: Event) -> Vec<Effect> {
+        if now.duration_since(self.now) >= STOOD_STILL {
             self.wake(now);
         }
         self.now = self.now.max(now);
@@ -424,7 +429,7 @@
             Event::Worker { call, reply } => self.on_direct(call, reply),
             Event::Mesh { from, message } => self.on_mesh(from, message),
             Event::User { ticket, request } => self.on_user(ticket, request),
-            Event::Report { ticket, report } => self.on_report(ticket, *report),
+            Event::Heartbeat { ticket, report } => self.on_report(ticket, *report),
             Event::Admin { ticket, request } => self.on_admin(ticket, request),
         }
         self.step();
@@ -433,9 +438,9 @@
 
     /// We stood still while clocks ran on. Rights are judged by when their evidence was sent, so
     /// nothing changes for them; but the silence of others was our own.
-    fn wake(&mut self, now: Moment) {
-        let stood = now.since(self.now);
-        tracing::warn!(stood_ms = stood.0, "stood still");
+    fn wake(&mut self, now: Timestamp) {
+        let stood = now.duration_since(self.now);
+        tracing::warn!(stood_ms = stood.whole_millis(), "stood still");
         self.counters.stood_still += 1;
         self.awake_since = now;
         for peer in self.peers.values_mut() {
@@ -468,8 +473,8 @@
     }
 
     /// When the next `Tick` is due at the latest.
-    pub fn next_tick(&self) -> Moment {
-        let mut next = self.now + Span(100);
+    pub fn next_tick(&self) -> Timestamp {
+        let mut next = self.now + Duration::from_millis(100);
         for holding in self.holdings.values() {
             if let Some(at) = holding.wants_tick(self.now) {
                 next = next.min(at);
@@ -482,60 +487,60 @@
             next = next.min(at);
         }
         if self.outbox.values().any(|queue| !queue.is_empty()) {
-            next = next.min(self.now + Span(20));
+            next = next.min(self.now + Duration::from_millis(20));
         }
-        next.max(self.now + Span(2))
+        next.max(self.now + Duration::from_millis(2))
     }
 
     /// Whether users may be sent here.
     pub fn healthy(&self) -> bool {
-        let contact = |at: Moment| self.now.since(at) <= Span(4_000);
+        let contact = |at: Timestamp| self.now.duration_since(at) <= Duration::from_secs(4);
         if self.synced && self.contact_at.is_some_and(contact) {
             return true;
         }
         // When nobody has contact, going unhealthy helps nobody and costs time afterwards. Who hears none
         // of the others either is cut off itself: they may serve.
-        let heard = |p: &&PeerView| self.now.since(p.heard_at) <= Span(2_000);
+        let heard = |p: &&PeerStatus| self.now.duration_since(p.heard_at) <= Duration::from_secs(2);
         let peer_serves = self.peers.values().filter(heard).any(|p| p.state_contact);
         let alone = !self.peers.is_empty() && !self.peers.values().any(|p| heard(&p));
         self.synced && !peer_serves && !alone
     }
 
-    fn in_contact(&self, within: Span) -> bool {
-        self.contact_at.is_some_and(|at| self.now.since(at) <= within)
+    fn in_contact(&self, within: Duration) -> bool {
+        self.contact_at.is_some_and(|at| self.now.duration_since(at) <= within)
     }
 
     /// Now on a clock that all nodes share: each reads its steady clock and goes ahead as far as
     /// the records that it sees (a Lamport clock in ms). It orders submissions across restarts and
     /// takeovers; no right or proof hangs on it.
     fn common_time(&self) -> u64 {
-        self.now.0.saturating_add(self.clock_ahead.0)
+        self.now.as_millis().saturating_add(self.clock_ahead.whole_millis())
     }
 
-    fn me(&self) -> &NodeName {
+    fn me(&self) -> &ControllerName {
         &self.settings.name
     }
 
-    fn call(&mut self, purpose: Purpose) -> CallId {
+    fn call(&mut self, purpose: CallKind) -> CallId {
         self.next_call += 1;
         let call = CallId(self.next_call);
         self.calls.insert(call, purpose);
         call
     }
 
-    fn state(&mut self, importance: Importance, request: StateRequest, purpose: Purpose) {
+    fn state(&mut self, importance: CallPriority, request: StateRequest, purpose: CallKind) {
         let call = self.call(purpose);
         self.outbox.entry(importance).or_default().push_back((call, request));
     }
 
-    fn cloud(&mut self, request: CloudRequest, purpose: Purpose) -> CallId {
+    fn cloud(&mut self, request: CloudRequest, purpose: CallKind) -> CallId {
         let call = self.call(purpose);
         self.counters.cloud_calls += 1;
         self.effects.push(Effect::Cloud { call, request });
         call
     }
 
-    fn mesh(&mut self, to: &NodeName, message: MeshMessage) {
+    fn mesh(&mut self, to: &ControllerName, message: MeshMessage) {
         self.effects.push(Effect::Mesh { to: to.clone(), message });
     }
 
@@ -548,21 +553,21 @@
     /// Makes the same call again after a pause: its outcome is still open, or it was refused.
     fn again(
         &mut self,
-        after: Span,
-        importance: Importance,
+        after: Duration,
+        importance: CallPriority,
         request: StateRequest,
-        purpose: Purpose,
+        purpose: CallKind,
     ) {
         let call = self.call(purpose);
-        let jitter = Span(self.rng.random_range(0..40));
+        let jitter = Duration::from_millis(self.rng.random_range(0..40));
         self.retries.push((self.now + after + jitter, call, importance, request));
     }
 
     /// Whether a write of so many puts would go out at once. Writes that pack what waits are made
     /// up only then.
-    fn may_write(&mut self, importance: Importance, puts: f64) -> bool {
+    fn may_write(&mut self, importance: CallPriority, puts: f64) -> bool {
         let waits = self.outbox.range(..=importance).any(|(_, queue)| {
-            queue.iter().any(|(_, request)| matches!(request, StateRequest::Txn(_)))
+            queue.iter().any(|(_, request)| matches!(request, StateRequest::Transaction(_)))
         });
         !waits && self.writes.level(self.now) >= puts + importance.reserves().1
     }
@@ -580,7 +585,7 @@
             let mut blocked = false;
             for (call, request) in queue.drain(..) {
                 let puts = match &request {
-                    StateRequest::Txn(txn) => txn.writes.len() as f64,
+                    StateRequest::Transaction(txn) => txn.writes.len() as f64,
                     _ => 0.0,
                 };
                 let goes = self.requests.level(now) >= 1.0 + request_reserve
@@ -599,7 +604,9 @@
         }
         for (call, request) in going {
             let timeout = match &request {
-                StateRequest::Watch { wait_ms, .. } => CALL_TIMEOUT + Span(*wait_ms),
+                StateRequest::Watch { wait_ms, .. } => {
+                    CALL_TIMEOUT + Duration::from_millis(*wait_ms)
+                }
                 _ => CALL_TIMEOUT,
             };
             self.sent_at.insert(call, now);
--- a/crates/controller/src/controller/standby.rs
+++ b/crates/controller/src/controller/standby.rs
@@ -1,24 +1,25 @@
 //! Replicas of partitions that we stand by for, and the streams to our own subscribers.
 
-use super::leadership::Holding;
-use super::{Node, LEASE};
+use super::leadership::PartitionLeadership;
+use super::{Controller, LEASE};
 use crate::rejections::{MessageFault, MessageSource};
 use failover::failure_detector::{Evidence, FailoverBlocker, FailureDetector};
 use failover::{assign, PartitionReplica, Replicas, ReplicationSource, ReplicationStream};
-use model::{MachineName, Moment, NodeName, PartitionId, Span, ZoneName};
-use scheduler::Share;
+use model::{ControllerName, MachineName, PartitionId, Timestamp, ZoneName};
+use scheduler::PartitionState;
 use serde_json::{json, Value};
 use std::collections::{BTreeMap, HashMap};
-use wire::mesh::{HintPart, MeshMessage};
+use std::time::Duration;
+use wire::mesh::{MeshMessage, ReplicationBatch};
 
 /// How late a lease may end, the news of it included.
-const LEASE_SLACK: Span = Span(1_000);
+const LEASE_SLACK: Duration = Duration::from_secs(1);
 /// Up to so many nodes follow everybody.
 const FEW: usize = 4;
 /// Time between two looks at what we know and our subscribers do not.
-const LOOK: Span = Span(500);
+const LOOK: Duration = Duration::from_millis(500);
 /// How long our home partition is left to its holder while we are not in step with it.
-pub(super) const WARMING: Span = Span(4_000);
+pub(super) const WARMING: Duration = Duration::from_secs(4);
 
 /// Standing by: the part of a node that is about following and being followed.
 #[derive(Debug, Default)]
@@ -28,22 +29,22 @@
     streams: BTreeMap<PartitionId, (u64, ReplicationStream)>,
     failure_detector: FailureDetector,
     /// Who stood by for each partition when it had a holder last.
-    pub(super) assigned: BTreeMap<PartitionId, NodeName>,
-    looked_at: Moment,
+    pub(super) assigned: BTreeMap<PartitionId, ControllerName>,
+    looked_at: Timestamp,
     /// When a partition whose record stood was last tried for.
-    pub(super) tried_at: Moment,
+    pub(super) tried_at: Timestamp,
     /// Partitions taken from holders whose records stood, with the holders' incarnations and when.
-    taken: HashMap<PartitionId, (NodeName, u64, Moment)>,
+    taken: HashMap<PartitionId, (ControllerName, u64, Timestamp)>,
 }
 
-impl Node {
+impl Controller {
     /// Who stands by for each partition, as far as we know who lives.
-    pub(super) fn standbys(&self) -> BTreeMap<PartitionId, NodeName> {
-        let names: Vec<NodeName> =
+    pub(super) fn standbys(&self) -> BTreeMap<PartitionId, ControllerName> {
+        let names: Vec<ControllerName> =
             self.nodes.iter().map(|(name, _): &(_, ZoneName)| name.clone()).collect();
         let holders =
             self.mirror.partitions.iter().map(|(id, p)| (*id, p.record.holder.clone())).collect();
-        let live = |name: &NodeName| {
+        let live = |name: &ControllerName| {
             name == self.me()
                 || (self.peer_lives(name) && self.peers.get(name).is_some_and(|p| p.ready))
         };
@@ -54,7 +55,7 @@
     /// there are few nodes each follows all, so that a holder may end together with its standby.
     fn followed(
         &self,
-        standbys: &BTreeMap<PartitionId, NodeName>,
+        standbys: &BTreeMap<PartitionId, ControllerName>,
     ) -> BTreeMap<PartitionId, ReplicationSource> {
         let few = self.nodes.len() <= FEW;
         let mut wanted = BTreeMap::new();
@@ -73,7 +74,7 @@
     }
 
     pub(super) fn step_standby(&mut self) {
-        if !self.synced || !self.booted || self.now.since(self.standby.looked_at) < LOOK {
+        if !self.synced || !self.booted || self.now.duration_since(self.standby.looked_at) < LOOK {
             return;
         }
         let now = self.now;
@@ -88,17 +89,17 @@
         self.standby.streams.retain(|partition, _| self.holdings.contains_key(partition));
         for (partition, (term, stream)) in &mut self.standby.streams {
             let holding = self.holdings.get(partition).filter(|h| h.term().0 == *term);
-            let Some(share) = holding.and_then(Holding::share) else { continue };
+            let Some(share) = holding.and_then(PartitionLeadership::share) else { continue };
             if !stream.has_subscribers(now) {
                 continue;
             }
             stream.update(share.hints(now));
-            let header = HintPart {
+            let header = ReplicationBatch {
                 partition: partition.0,
                 boot: self.boot,
                 term: *term,
-                at_ms: now.0,
-                ..HintPart::default()
+                at_ms: now.as_millis(),
+                ..ReplicationBatch::default()
             };
             parts.extend(stream.due_parts(&header, now));
         }
@@ -109,7 +110,7 @@
 
     pub(super) fn on_follow(
         &mut self,
-        from: &NodeName,
+        from: &ControllerName,
         partition: u32,
         boot: u64,
         term: u64,
@@ -129,7 +130,7 @@
         stream.1.subscribe(from, have, self.now);
     }
 
-    pub(super) fn on_hints(&mut self, from: &NodeName, part: HintPart) {
+    pub(super) fn on_hints(&mut self, from: &ControllerName, part: ReplicationBatch) {
         let now = self.now;
         if let Some(answer) = self.standby.replicas.apply(from, part, now) {
             self.mesh(from, answer);
@@ -137,7 +138,7 @@
     }
 
     /// Whether our home partition could be taken on without a gap, or has been waited for long enough.
-    pub(super) fn is_warm(&self, partition: PartitionId, homeless: Span) -> bool {
+    pub(super) fn is_warm(&self, partition: PartitionId, homeless: Duration) -> bool {
         homeless >= WARMING || self.standby.replicas.is_in_sync(partition, self.now)
     }
 
@@ -165,7 +166,7 @@
         let peer_heartbeat_age = others
             .filter_map(|(_, peer)| {
                 let said = peer.heard.iter().find(|(name, _)| name == holder)?;
-                Some(said.1 + self.now.since(peer.heard_at))
+                Some(said.1 + self.now.duration_since(peer.heard_at))
             })
             .min();
         let evidence = Evidence {
@@ -184,7 +185,7 @@
     pub(super) fn record_early_failover(
         &mut self,
         partition: PartitionId,
-        holder: NodeName,
+        holder: ControllerName,
         boot: u64,
     ) {
         self.counters.early_takeovers += 1;
@@ -193,10 +194,10 @@
 
     /// A node is there: if we took a partition from this very incarnation just now, that was wrong.
     /// One that comes back later than its lease in the state service lasts had lost it anyway.
-    pub(super) fn detect_false_suspicion(&mut self, node: &NodeName, boot: u64) {
+    pub(super) fn detect_false_suspicion(&mut self, node: &ControllerName, boot: u64) {
         let now = self.now;
-        self.standby.taken.retain(|_, by| now.since(by.2) <= LEASE + LEASE_SLACK);
-        let was_leader = |by: &(NodeName, u64, Moment)| (&by.0, by.1) == (node, boot);
+        self.standby.taken.retain(|_, by| now.duration_since(by.2) <= LEASE + LEASE_SLACK);
+        let was_leader = |by: &(ControllerName, u64, Timestamp)| (&by.0, by.1) == (node, boot);
         let taken: Vec<PartitionId> =
             self.standby.taken.iter().filter(|(_, by)| was_leader(by)).map(|(p, _)| *p).collect();
         for partition in taken {
@@ -208,7 +209,11 @@
     }
 
     /// Gives a share what its last holder told us.
-    pub(super) fn take_hints(&mut self, partition: PartitionId, share: &mut Share) -> usize {
+    pub(super) fn take_hints(
+        &mut self,
+        partition: PartitionId,
+        share: &mut PartitionState,
+    ) -> usize {
         let Some(replica) = self.standby.replicas.remove(partition) else { return 0 };
         for machine in replica.machines.values() {
             share.follow_machine(&machine.hint, machine.idle_since);
@@ -260,8 +265,8 @@
                     "partition": partition.0, "holder": replica.source().leader,
                     "term": replica.source().term, "behind": lag.changes,
                     "in_step": self.standby.replicas.is_in_sync(*partition, now),
-                    "followed_s": now.since(lag.subscribed_since).as_secs(),
-                    "heard_s": lag.updated_at.map(|at| now.since(at).as_secs()),
+                    "followed_s": now.duration_since(lag.subscribed_since).as_secs_f64(),
+                    "heard_s": lag.updated_at.map(|at| now.duration_since(at).as_secs_f64()),
                     "machines": replica.machines.len(), "jobs": replica.jobs.len(),
                 })
             })
--- a/crates/controller/src/controller/state_sync.rs
+++ b/crates/controller/src/controller/state_sync.rs
@@ -1,16 +1,18 @@
 //! Keeping the mirror: full read, watch, lease, and where answers of the state service go.
 
-use super::{Node, Purpose, LEASE, RENEW, WATCH_WAIT};
+use super::{CallKind, Controller, LEASE, RENEW, WATCH_WAIT};
 use crate::records::WATCHED;
 use crate::rejections::{MessageFault, MessageSource};
-use crate::request_budget::Importance;
-use crate::state_cache::Changed;
-use model::{CallId, LeaseId, Moment, Span};
+use crate::request_budget::CallPriority;
+use crate::state_cache::CacheEvent;
+use model::DurationExt;
+use model::{CallId, LeaseId, Timestamp};
+use std::time::Duration;
 use wire::state::{Changes, Item, StateReply, StateRequest};
 
 /// A full read on its way.
 #[derive(Debug, Default)]
-pub(crate) struct Listing {
+pub(crate) struct FullRead {
     items: Vec<Item>,
     revision: Option<u64>,
 }
@@ -20,35 +22,35 @@
     StateRequest::List { prefix: WATCHED.into(), after, limit: 500 }
 }
 
-impl Node {
+impl Controller {
     pub(super) fn step_sync(&mut self) {
         if !self.synced && self.listing.is_none() {
-            self.listing = Some(Listing::default());
+            self.listing = Some(FullRead::default());
             self.list_from(String::new());
         }
         if self.synced && !self.watching {
             self.watching = true;
             let request = self.watch_request(self.watch_wait());
-            self.state(Importance::Lease, request, Purpose::Watch);
+            self.state(CallPriority::Lease, request, CallKind::Watch);
         }
     }
 
     /// How long a watch waits: where little time is left for answers without a read, reads come often.
-    fn watch_wait(&self) -> Span {
-        WATCH_WAIT.min((self.settings.blind_span() / 2).max(Span(100)))
+    fn watch_wait(&self) -> Duration {
+        WATCH_WAIT.min((self.settings.blind_span() / 2).max(Duration::from_millis(100)))
     }
 
     /// A read of what has changed since the mirror's revision.
-    pub(super) fn watch_request(&self, wait: Span) -> StateRequest {
+    pub(super) fn watch_request(&self, wait: Duration) -> StateRequest {
         StateRequest::Watch {
             prefix: WATCHED.into(),
             after: self.mirror.revision.0,
-            wait_ms: wait.0,
+            wait_ms: wait.whole_millis(),
         }
     }
 
     fn list_from(&mut self, after: String) {
-        self.state(Importance::Lease, list_request(after), Purpose::List);
+        self.state(CallPriority::Lease, list_request(after), CallKind::List);
     }
 
     pub(super) fn step_lease(&mut self) {
@@ -67,11 +69,11 @@
         match self.lease {
             Some(lease) => {
                 let request = StateRequest::Renew { lease: lease.0 };
-                self.state(Importance::Lease, request, Purpose::Renew(lease));
+                self.state(CallPriority::Lease, request, CallKind::Renew(lease));
             }
             None => {
-                let request = StateRequest::NewLease { ttl_ms: LEASE.0 };
-                self.state(Importance::Lease, request, Purpose::NewLease);
+                let request = StateRequest::NewLease { ttl_ms: LEASE.whole_millis() };
+                self.state(CallPriority::Lease, request, CallKind::NewLease);
             }
         }
     }
@@ -88,61 +90,61 @@
             // What changes something may have met either limit; the rest only that of requests.
             match purpose {
                 _ if !throttled => {}
-                Purpose::List
-                | Purpose::Watch
-                | Purpose::ReadChanges(_)
-                | Purpose::NewLease
-                | Purpose::Renew(_)
-                | Purpose::LedgerList { .. }
-                | Purpose::LedgerProof { .. }
-                | Purpose::FinalRead { .. }
-                | Purpose::CompareFinals(_) => self.requests.drain(self.now),
+                CallKind::List
+                | CallKind::Watch
+                | CallKind::ReadChanges(_)
+                | CallKind::NewLease
+                | CallKind::Renew(_)
+                | CallKind::LedgerList { .. }
+                | CallKind::LedgerProof { .. }
+                | CallKind::FinalRead { .. }
+                | CallKind::CompareFinals(_) => self.requests.drain(self.now),
                 _ => self.writes.drain(self.now),
             }
         }
         match purpose {
-            Purpose::List => self.on_list(reply),
-            Purpose::Watch => self.on_watch(reply, sent),
-            Purpose::ReadChanges(requests) => self.on_changes_read(requests, reply, sent),
-            Purpose::NewLease => {
+            CallKind::List => self.on_list(reply),
+            CallKind::Watch => self.on_watch(reply, sent),
+            CallKind::ReadChanges(requests) => self.on_changes_read(requests, reply, sent),
+            CallKind::NewLease => {
                 self.lease_pending = false;
-                self.renew_at = self.now + Span(200);
+                self.renew_at = self.now + Duration::from_millis(200);
                 if let StateReply::Lease(lease) = reply {
                     self.lease = Some(LeaseId(lease));
                     self.renew_at = self.now + RENEW;
                 }
             }
-            Purpose::Renew(lease) => self.on_renewed(lease, reply, sent),
-            Purpose::Boot => {}
-            Purpose::Acquire(partition) => self.on_acquired(partition, &reply),
-            Purpose::HandOver { partition, to } => self.on_handed_over(partition, to, reply),
-            Purpose::Wish => self.wishing = false,
-            Purpose::Demand => {}
-            Purpose::GiveUp(partition) => self.on_given_up(partition, reply),
-            Purpose::RaiseAll { partition, term, token } => {
+            CallKind::Renew(lease) => self.on_renewed(lease, reply, sent),
+            CallKind::Boot => {}
+            CallKind::Acquire(partition) => self.on_acquired(partition, &reply),
+            CallKind::HandOver { partition, to } => self.on_handed_over(partition, to, reply),
+            CallKind::Wish => self.wishing = false,
+            CallKind::Demand => {}
+            CallKind::GiveUp(partition) => self.on_given_up(partition, reply),
+            CallKind::RaiseAll { partition, term, token } => {
                 self.on_raised(partition, term, token, reply);
             }
-            Purpose::LedgerList { partition, term } => self.on_ledger(partition, term, reply),
-            Purpose::LedgerWrite { partition, term } => self.on_round(partition, term, reply),
-            Purpose::LedgerProof { partition, term, id } => {
+            CallKind::LedgerList { partition, term } => self.on_ledger(partition, term, reply),
+            CallKind::LedgerWrite { partition, term } => self.on_round(partition, term, reply),
+            CallKind::LedgerProof { partition, term, id } => {
                 self.on_proof(partition, term, id, reply);
             }
-            Purpose::Accept => self.on_accept_written(reply),
-            Purpose::Cancel => self.on_cancel_written(reply),
-            Purpose::CompareFinals(requests) => self.on_finals_compared(requests, reply),
-            Purpose::FinalRead { request } => self.on_final_read(request, reply),
-            Purpose::Ends { partition, term } => self.on_ends(partition, term, reply),
-            Purpose::Machines => self.on_machines(reply),
-            Purpose::TypesWrite => self.leader.types_pending = false,
-            Purpose::TuningWrite { ticket } => self.on_tuning_written(ticket, reply),
+            CallKind::Accept => self.on_accept_written(reply),
+            CallKind::Cancel => self.on_cancel_written(reply),
+            CallKind::CompareFinals(requests) => self.on_finals_compared(requests, reply),
+            CallKind::FinalRead { request } => self.on_final_read(request, reply),
+            CallKind::Ends { partition, term } => self.on_ends(partition, term, reply),
+            CallKind::Machines => self.on_machines(reply),
+            CallKind::TypesWrite => self.leader.types_pending = false,
+            CallKind::TuningWrite { ticket } => self.on_tuning_written(ticket, reply),
             // These go to the cloud or to workers.
-            Purpose::Types
-            | Purpose::Rent { .. }
-            | Purpose::Release(_)
-            | Purpose::CloudList { .. }
-            | Purpose::Probe { .. }
-            | Purpose::Ask { .. }
-            | Purpose::Direct { .. } => {}
+            CallKind::Types
+            | CallKind::Rent { .. }
+            | CallKind::Release(_)
+            | CallKind::CloudList { .. }
+            | CallKind::Probe { .. }
+            | CallKind::Ask { .. }
+            | CallKind::Direct { .. } => {}
         }
     }
 
@@ -179,12 +181,12 @@
 
     /// Begins the full read again, after a pause.
     fn list_anew(&mut self) {
-        self.listing = Some(Listing::default());
+        self.listing = Some(FullRead::default());
         let request = list_request(String::new());
-        self.again(Span(200), Importance::Lease, request, Purpose::List);
+        self.again(Duration::from_millis(200), CallPriority::Lease, request, CallKind::List);
     }
 
-    fn on_watch(&mut self, reply: StateReply, sent: Moment) {
+    fn on_watch(&mut self, reply: StateReply, sent: Timestamp) {
         match reply {
             StateReply::Changes(changes) => {
                 self.watching = false;
@@ -196,19 +198,24 @@
             }
             _ => {
                 let request = self.watch_request(self.watch_wait());
-                self.again(Span(200), Importance::Lease, request, Purpose::Watch);
+                self.again(
+                    Duration::from_millis(200),
+                    CallPriority::Lease,
+                    request,
+                    CallKind::Watch,
+                );
             }
         }
     }
 
-    pub(super) fn take_changes(&mut self, changes: &Changes, sent: Moment) {
+    pub(super) fn take_changes(&mut self, changes: &Changes, sent: Timestamp) {
         self.contact_before = self.contact_at;
         self.contact_at = Some(self.contact_at.map_or(sent, |at| at.max(sent)));
         let changed = self.mirror.apply(changes);
         self.on_changed(changed);
     }
 
-    fn on_changed(&mut self, changed: Vec<Changed>) {
+    fn on_changed(&mut self, changed: Vec<CacheEvent>) {
         let unreadable = self.mirror.take_rejected();
         self.counters.rejections.add_many(
             MessageSource::State,
@@ -217,19 +224,19 @@
         );
         for change in changed {
             match change {
-                Changed::Job(id) => self.job_changed(id),
-                Changed::Ended(id, state) => self.job_ended(id, state),
-                Changed::Demand(id, record) => self.demand_written(id, record),
-                Changed::Partition(id) => self.partition_changed(id),
-                Changed::Machine(name) => self.machine_changed(&name),
-                Changed::Types => self.types_changed(),
-                Changed::Tuning => self.tuning_changed(),
-                Changed::Boot(_) => {}
+                CacheEvent::Job(id) => self.job_changed(id),
+                CacheEvent::Ended(id, state) => self.job_ended(id, state),
+                CacheEvent::Demand(id, record) => self.demand_written(id, record),
+                CacheEvent::Partition(id) => self.partition_changed(id),
+                CacheEvent::Machine(name) => self.machine_changed(&name),
+                CacheEvent::Types => self.types_changed(),
+                CacheEvent::Tuning => self.tuning_changed(),
+                CacheEvent::Boot(_) => {}
             }
         }
     }
 
-    fn on_renewed(&mut self, lease: LeaseId, reply: StateReply, sent: Moment) {
+    fn on_renewed(&mut self, lease: LeaseId, reply: StateReply, sent: Timestamp) {
         self.lease_pending = false;
         match reply {
             StateReply::Ok => {
@@ -241,7 +248,7 @@
                 self.lease = None;
                 self.renew_at = self.now;
             }
-            _ => self.renew_at = self.now + Span(200),
+            _ => self.renew_at = self.now + Duration::from_millis(200),
         }
     }
 }
--- a/crates/controller/src/controller/user_requests.rs
+++ b/crates/controller/src/controller/user_requests.rs
@@ -1,15 +1,16 @@
 //! Answers to users. Done and cancelled are said only once they are durable; anything else
 //! only after a read of the state service that began after the question.
 
-use super::{Node, PendingRequest, RequestKind, Ticket, UserReply, UserRequest};
-use model::{JobId, JobSpec, JobState, Span};
+use super::{Controller, PendingRequest, RequestKind, Ticket, UserReply, UserRequest};
+use model::{JobId, JobSpec, JobState};
+use std::time::Duration;
 use wire::users::{JobRequest, JobStatus};
 
 pub(super) fn status(id: JobId, state: JobState) -> JobStatus {
     JobStatus { id: id.to_string(), state, done: None, running: None }
 }
 
-impl Node {
+impl Controller {
     pub(super) fn on_user(&mut self, ticket: Ticket, request: UserRequest) {
         match request {
             UserRequest::Submit(job) => self.on_submit(ticket, *job),
@@ -63,7 +64,7 @@
             self.read_for(ticket, id, RequestKind::Resubmit { reject: Some(reason) });
             return;
         }
-        if !self.in_contact(Span(6_000)) {
+        if !self.in_contact(Duration::from_secs(6)) {
             self.busy(ticket, 1);
             return;
         }
--- a/crates/controller/src/lib.rs
+++ b/crates/controller/src/lib.rs
@@ -1,7 +1,7 @@
 //! One controller node as a pure state machine: partitions and terms, takeover and
 //! hand-over, records in the state service, answers to users and workers.
 //!
-//! [`Node::handle`] takes events and a steady time and returns effects; it does no I/O.
+//! [`Controller::handle`] takes events and a steady time and returns effects; it does no I/O.
 
 pub mod controller;
 pub mod placement_log;
@@ -12,4 +12,4 @@
 pub mod state_cache;
 
 pub use controller::admin::{AdminReply, AdminRequest};
-pub use controller::{Effect, Event, Node, ReportReply, Tuning, UserReply, UserRequest};
+pub use controller::{Controller, Effect, Event, HeartbeatReply, Tuning, UserReply, UserRequest};
--- a/crates/controller/src/placement_log.rs
+++ b/crates/controller/src/placement_log.rs
@@ -8,20 +8,20 @@
 
 use model::job::MAX_TASKS;
 use model::{JobId, PartitionId, Version};
-use scheduler::{ChunkBody, ChunkKey, CHUNK};
+use scheduler::{ChunkKey, TaskChunk, CHUNK};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
-use wire::state::{Item, Txn, Write};
+use wire::state::{Item, Transaction, Write};
 
 /// One item of a page.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-struct Entry(u64, u32, ChunkBody);
+struct Entry(u64, u32, TaskChunk);
 
 /// What tells a round from every other. Successors go on counting where the ledger stands, so that a round
 /// of theirs may have the number of one of ours that was never written: the version of the partition's
 /// record under which it was made belongs to it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct RoundId {
+pub struct CommitId {
     number: u64,
     right: Version,
 }
@@ -45,32 +45,32 @@
 
 /// An item's newest copy, which is as new as the page that holds it.
 #[derive(Debug, Clone)]
-struct Kept {
+struct LogEntry {
     page: usize,
-    body: ChunkBody,
+    body: TaskChunk,
     size: usize,
 }
 
 /// A round on its way.
 #[derive(Debug, Clone)]
-pub struct Round {
-    pub txn: Txn,
+pub struct LogCommit {
+    pub txn: Transaction,
     right: Version,
     /// Chunks it writes anew.
     pub keys: Vec<ChunkKey>,
     pages: Vec<(usize, u64)>,
-    bodies: Vec<(usize, ChunkKey, ChunkBody, usize)>,
+    bodies: Vec<(usize, ChunkKey, TaskChunk, usize)>,
     dropped: Vec<ChunkKey>,
 }
 
 /// The ledger.
 #[derive(Debug)]
-pub struct Ledger {
+pub struct PlacementLog {
     partition: PartitionId,
     limit: usize,
     most_pages: usize,
     pages: Vec<Page>,
-    items: BTreeMap<ChunkKey, Kept>,
+    items: BTreeMap<ChunkKey, LogEntry>,
     cursor: usize,
     round: u64,
     unreadable: Vec<String>,
@@ -82,7 +82,7 @@
     #[error(transparent)]
     Unreadable(#[from] serde_json::Error),
     #[error("its round {0} leaves no room to count on")]
-    Round(u64),
+    LogCommit(u64),
     #[error("its item {1} of job {0} is not sound")]
     Item(u64, u32),
 }
@@ -91,7 +91,7 @@
 fn read_page(value: &serde_json::Value) -> Result<PageBody, PageError> {
     let body = PageBody::deserialize(value)?;
     if body.round >= ROUND_LIMIT {
-        return Err(PageError::Round(body.round));
+        return Err(PageError::LogCommit(body.round));
     }
     let sound = |Entry(_, chunk, body): &&Entry| *chunk < CHUNKS && body.is_sound();
     match body.items.iter().find(|entry| !sound(entry)) {
@@ -109,7 +109,7 @@
 /// Pages that a partition starts with.
 const FIRST_PAGES: usize = 4;
 
-impl Ledger {
+impl PlacementLog {
     /// Key of a page.
     fn key(&self, page: usize) -> String {
         format!("{}{page:04}", crate::records::ledger_prefix(self.partition))
@@ -122,7 +122,7 @@
         value_bytes: usize,
         txn_ops: usize,
     ) -> Self {
-        let mut ledger = Ledger {
+        let mut ledger = PlacementLog {
             partition,
             // Room for the frame of the page.
             limit: value_bytes.saturating_sub(128),
@@ -158,7 +158,7 @@
                 let known = ledger.items.get(&key);
                 if known.is_none_or(|kept| ledger.pages[kept.page].round < body.round) {
                     let size = size_of(&chunk_body);
-                    ledger.keep(key, Kept { page: number, body: chunk_body, size });
+                    ledger.keep(key, LogEntry { page: number, body: chunk_body, size });
                 }
             }
         }
@@ -171,7 +171,7 @@
     }
 
     /// What is known of a job.
-    pub fn chunks_of(&self, job: JobId) -> Vec<(u32, ChunkBody)> {
+    pub fn chunks_of(&self, job: JobId) -> Vec<(u32, TaskChunk)> {
         self.items
             .range((job, 0)..=(job, u32::MAX))
             .map(|(key, kept)| (key.1, kept.body.clone()))
@@ -200,7 +200,7 @@
         }
     }
 
-    fn keep(&mut self, key: ChunkKey, kept: Kept) {
+    fn keep(&mut self, key: ChunkKey, kept: LogEntry) {
         self.drop_item(&key);
         self.pages[kept.page].holds.insert(key);
         self.items.insert(key, kept);
@@ -210,10 +210,10 @@
     pub fn prepare(
         &self,
         partition_version: Version,
-        changes: Vec<(ChunkKey, ChunkBody)>,
-    ) -> (Round, Vec<ChunkKey>) {
-        let mut round = Round {
-            txn: Txn::default()
+        changes: Vec<(ChunkKey, TaskChunk)>,
+    ) -> (LogCommit, Vec<ChunkKey>) {
+        let mut round = LogCommit {
+            txn: Transaction::default()
                 .when(crate::records::partition_key(self.partition), partition_version.0),
             right: partition_version,
             keys: Vec::new(),
@@ -233,8 +233,8 @@
             let mut page = (self.cursor + step) % count;
             // What stays on the page: also the old copy of a change that finds no room in this
             // round, since dropping it would lose what is durable.
-            let mut items: BTreeMap<ChunkKey, (ChunkBody, usize)> = self.carried(page, &written);
-            let total = |items: &BTreeMap<ChunkKey, (ChunkBody, usize)>| {
+            let mut items: BTreeMap<ChunkKey, (TaskChunk, usize)> = self.carried(page, &written);
+            let total = |items: &BTreeMap<ChunkKey, (TaskChunk, usize)>| {
                 items.values().map(|(_, size)| size).sum::<usize>()
             };
             if total(&items) * 4 > self.limit * 3 && !left.is_empty() {
@@ -249,7 +249,7 @@
             number += 1;
             // An empty item may go once no page can hold an older copy of it.
             items.retain(|key, (body, _)| {
-                let kept_in = |kept: &Kept| self.pages[kept.page].round;
+                let kept_in = |kept: &LogEntry| self.pages[kept.page].round;
                 let gone =
                     body.is_empty() && self.items.get(key).is_some_and(|k| oldest >= kept_in(k));
                 if gone {
@@ -288,7 +288,7 @@
         &self,
         page: usize,
         written: &BTreeSet<ChunkKey>,
-    ) -> BTreeMap<ChunkKey, (ChunkBody, usize)> {
+    ) -> BTreeMap<ChunkKey, (TaskChunk, usize)> {
         let holds = self.pages.get(page).into_iter().flat_map(|page| &page.holds);
         holds
             .filter(|key| !written.contains(*key))
@@ -298,7 +298,7 @@
     }
 
     /// The round is durable at this revision.
-    pub fn commit(&mut self, round: &Round, revision: u64) {
+    pub fn commit(&mut self, round: &LogCommit, revision: u64) {
         for (page, number) in &round.pages {
             if self.pages.len() <= *page {
                 self.pages.resize(*page + 1, Page::default());
@@ -312,7 +312,7 @@
             self.drop_item(key);
         }
         for (page, key, body, size) in &round.bodies {
-            self.keep(*key, Kept { page: *page, body: body.clone(), size: *size });
+            self.keep(*key, LogEntry { page: *page, body: body.clone(), size: *size });
         }
         if self.cursor >= self.pages.len() {
             self.cursor = 0;
@@ -320,19 +320,19 @@
     }
 
     /// Key of a page that the round writes, with what proves that it was written.
-    pub fn proof(&self, round: &Round) -> Option<(String, RoundId)> {
-        let id = |number| RoundId { number, right: round.right };
+    pub fn proof(&self, round: &LogCommit) -> Option<(String, CommitId)> {
+        let id = |number| CommitId { number, right: round.right };
         round.pages.first().map(|(page, number)| (self.key(*page), id(*number)))
     }
 
     /// Whether a page read back was written by this round.
-    pub fn proves(value: &serde_json::Value, id: RoundId) -> bool {
-        let written = |body: PageBody| RoundId { number: body.round, right: Version(body.right) };
+    pub fn proves(value: &serde_json::Value, id: CommitId) -> bool {
+        let written = |body: PageBody| CommitId { number: body.round, right: Version(body.right) };
         PageBody::deserialize(value).is_ok_and(|body| written(body) == id)
     }
 }
 
-fn size_of(body: &ChunkBody) -> usize {
+fn size_of(body: &TaskChunk) -> usize {
     let placed: usize = body.placed.iter().map(|p| p.2.len() + 32).sum();
     32 + body.done.len() + placed
 }
--- a/crates/controller/src/records.rs
+++ b/crates/controller/src/records.rs
@@ -5,7 +5,7 @@
 //! by one, so what comes in numbers (accepted jobs, cancellations, ends, machines) is packed,
 //! many to a value.
 
-use model::{JobId, NodeName, PartitionId};
+use model::{ControllerName, JobId, PartitionId};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use wire::mesh::DemandShape;
@@ -37,12 +37,12 @@
 }
 
 /// Key of a page of accepted jobs. Only the node named writes it.
-pub fn intake_key(node: &NodeName, page: u32) -> String {
+pub fn intake_key(node: &ControllerName, page: u32) -> String {
     format!("s/j/{node}/{page:04}")
 }
 
 /// Key of a node's cancellations. Only that node writes it.
-pub fn cancels_key(node: &NodeName) -> String {
+pub fn cancels_key(node: &ControllerName) -> String {
     format!("s/x/{node}")
 }
 
@@ -77,7 +77,7 @@
 }
 
 /// Key of a node's incarnation.
-pub fn boot_key(name: &NodeName) -> String {
+pub fn boot_key(name: &ControllerName) -> String {
     format!("s/b/{name}")
 }
 
@@ -87,7 +87,7 @@
 }
 
 /// An accepted job on its page, without field names since many share a value. First comes when
-/// it was submitted, in ms on the nodes' common clock (`Node::common_time`): jobs are counted
+/// it was submitted, in ms on the nodes' common clock (`Controller::common_time`): jobs are counted
 /// against guarantees and queued in that order, whoever holds their partition.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct PackedJob(
@@ -167,20 +167,20 @@
 
 /// A page of accepted jobs. Entries stay raw until it is clear which of them are new.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
-pub struct IntakePage {
+pub struct AcceptedJobsPage {
     pub jobs: Vec<serde_json::Value>,
 }
 
 /// A node's cancellations of jobs that are not over.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct CancelsRecord {
+pub struct CancellationsRecord {
     pub jobs: Vec<u64>,
 }
 
 /// Jobs that are over, while their final states are not all filed under their ids yet or a
 /// page of accepted jobs still shows them.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct EndsPage {
+pub struct TerminalJobsPage {
     #[serde(rename = "d", default)]
     pub done: Vec<u64>,
     #[serde(rename = "c", default)]
@@ -192,7 +192,7 @@
     pub filed_cancelled: Vec<u64>,
 }
 
-impl EndsPage {
+impl TerminalJobsPage {
     /// Its jobs with their final states.
     pub fn jobs(&self) -> impl Iterator<Item = (JobId, JobState)> + '_ {
         let done = self.done.iter().chain(&self.filed_done);
@@ -226,7 +226,7 @@
         let cancelled = self.cancelled.drain(..self.cancelled.len().min(rest)).collect::<Vec<_>>();
         self.filed_done.extend(&done);
         self.filed_cancelled.extend(&cancelled);
-        EndsPage { done, cancelled, ..EndsPage::default() }.jobs().collect()
+        TerminalJobsPage { done, cancelled, ..TerminalJobsPage::default() }.jobs().collect()
     }
 
     /// Drops filed jobs that are listed nowhere any more.
@@ -245,12 +245,12 @@
 /// Who holds a partition. Bound to the holder's lease.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PartitionRecord {
-    pub holder: NodeName,
+    pub holder: ControllerName,
     pub boot: u64,
     pub term: u64,
     /// Earlier holders that may still answer workers for a while.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
-    pub suspects: Vec<(NodeName, u64)>,
+    pub suspects: Vec<(ControllerName, u64)>,
 }
 
 /// A rented machine and whose share it is in.
@@ -310,8 +310,8 @@
 
 /// A home node's wish to hold its partition again.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct WishRecord {
-    pub node: NodeName,
+pub struct ReclaimRecord {
+    pub node: ControllerName,
     pub boot: u64,
     /// The lease under which it would hold the partition.
     pub lease: u64,
@@ -326,18 +326,18 @@
 
 /// The counter, and who took each partition last.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
-pub struct CounterRecord {
+pub struct TokenCounterRecord {
     pub next: u64,
     #[serde(default)]
-    pub takers: BTreeMap<u32, (NodeName, u64)>,
+    pub takers: BTreeMap<u32, (ControllerName, u64)>,
     /// Holders before the last taker that were not known to be over when it took.
     #[serde(default)]
-    pub suspects: BTreeMap<u32, Vec<(NodeName, u64)>>,
+    pub suspects: BTreeMap<u32, Vec<(ControllerName, u64)>>,
 }
 
 /// A node's current incarnation.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct BootRecord {
+pub struct IncarnationRecord {
     pub boot: u64,
     /// Lives in a row, this one among them, that were short, as far as it knows.
     #[serde(default)]
--- a/crates/controller/src/request_budget.rs
+++ b/crates/controller/src/request_budget.rs
@@ -1,6 +1,7 @@
 //! Request budgets: token buckets, and the importance of calls that share them.
 
-use model::Moment;
+use model::DurationExt;
+use model::Timestamp;
 
 /// Maximum multiple of its even share of a budget that a node uses while others leave it.
 const MAX_RATE_FACTOR: f64 = 2.0;
@@ -13,26 +14,26 @@
 
 /// A token bucket.
 #[derive(Debug, Clone)]
-pub struct Bucket {
+pub struct TokenBucket {
     rate_per_ms: f64,
     /// Multiple of the rate that is used now.
     rate_factor: f64,
     max_rate_factor: f64,
     capacity: f64,
     level: f64,
-    refilled_at: Moment,
+    refilled_at: Timestamp,
 }
 
-impl Bucket {
+impl TokenBucket {
     /// A full bucket with a fixed rate.
     pub fn new(rate_per_s: f64, capacity: f64) -> Self {
-        Bucket {
+        TokenBucket {
             rate_per_ms: rate_per_s / 1000.0,
             rate_factor: 1.0,
             max_rate_factor: 1.0,
             capacity,
             level: capacity,
-            refilled_at: Moment::default(),
+            refilled_at: Timestamp::default(),
         }
     }
 
@@ -40,15 +41,15 @@
     /// so the rate varies between that share and a multiple of it: it grows until the service
     /// refuses a call (additive increase, multiplicative decrease).
     pub fn shared(even_per_s: f64, capacity: f64) -> Self {
-        Bucket {
+        TokenBucket {
             rate_factor: INITIAL_RATE_FACTOR,
             max_rate_factor: MAX_RATE_FACTOR,
-            ..Bucket::new(even_per_s, capacity)
+            ..TokenBucket::new(even_per_s, capacity)
         }
     }
 
-    fn refill(&mut self, now: Moment) {
-        let passed_ms = now.since(self.refilled_at).0 as f64;
+    fn refill(&mut self, now: Timestamp) {
+        let passed_ms = now.duration_since(self.refilled_at).whole_millis() as f64;
         let added = passed_ms * self.rate_per_ms * self.rate_factor;
         self.level = (self.level + added).min(self.capacity);
         let increase = passed_ms / 1000.0 * RATE_INCREASE_PER_S;
@@ -57,14 +58,14 @@
     }
 
     /// Tokens available now.
-    pub fn level(&mut self, now: Moment) -> f64 {
+    pub fn level(&mut self, now: Timestamp) -> f64 {
         self.refill(now);
         self.level
     }
 
     /// Takes `amount` tokens if at least `reserve` remain, for more important calls. A full bucket
     /// without a reserve always gives, so that an amount above its capacity is possible at all.
-    pub fn take(&mut self, now: Moment, amount: f64, reserve: f64) -> bool {
+    pub fn take(&mut self, now: Timestamp, amount: f64, reserve: f64) -> bool {
         self.refill(now);
         let is_enough = self.level >= amount + reserve;
         let is_full = self.level >= self.capacity && reserve == 0.0;
@@ -76,7 +77,7 @@
     }
 
     /// Empties the bucket and lowers its rate: the service refused a call for want of budget.
-    pub fn drain(&mut self, now: Moment) {
+    pub fn drain(&mut self, now: Timestamp) {
         self.refill(now);
         self.level = self.level.min(0.0);
         self.rate_factor = (self.rate_factor * RATE_DECREASE).max(1.0);
@@ -85,7 +86,7 @@
 
 /// How much a call to the state service matters.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Importance {
+pub enum CallPriority {
     /// Leases and terms.
     Lease,
     /// What users wait for.
@@ -96,14 +97,14 @@
     Rest,
 }
 
-impl Importance {
+impl CallPriority {
     /// Requests and writes that calls of this importance leave for more important ones.
     pub fn reserves(self) -> (f64, f64) {
         match self {
-            Importance::Lease => (-20.0, -5.0),
-            Importance::Accept => (2.0, 0.0),
-            Importance::Placement => (4.0, 1.0),
-            Importance::Rest => (6.0, 3.0),
+            CallPriority::Lease => (-20.0, -5.0),
+            CallPriority::Accept => (2.0, 0.0),
+            CallPriority::Placement => (4.0, 1.0),
+            CallPriority::Rest => (6.0, 3.0),
         }
     }
 }
--- a/crates/controller/src/serial_writer.rs
+++ b/crates/controller/src/serial_writer.rs
@@ -5,41 +5,42 @@
 //! write whose outcome is unknown is sent again as it is: its conditions let it be applied once
 //! at most, and a conflict says that no copy of it can be applied any more.
 
-use model::{Moment, Revision, Span};
-use wire::state::{StateReply, Txn};
+use model::{Revision, Timestamp};
+use std::time::Duration;
+use wire::state::{StateReply, Transaction};
 
 /// A pipe for writes that carry `T`.
 #[derive(Debug)]
-pub(crate) struct Pipe<T> {
-    sent: Option<(T, Txn)>,
+pub(crate) struct SerialWriter<T> {
+    sent: Option<(T, Transaction)>,
     settled_at: Revision,
-    not_before: Moment,
+    not_before: Timestamp,
 }
 
 /// What came of a write.
 #[derive(Debug)]
 pub(crate) enum Outcome<T> {
     /// It is durable.
-    Written(T),
+    CommittedChanges(T),
     /// These keys had changed; it is not applied, unless an earlier copy was.
     Conflict(T, Vec<String>),
     /// Certainly not applied.
     Refused { what: T, throttled: bool },
     /// Unknown: to be sent again.
-    Again(Txn),
+    Again(Transaction),
     /// The pipe has sent nothing.
     Nothing,
 }
 
-impl<T> Default for Pipe<T> {
+impl<T> Default for SerialWriter<T> {
     fn default() -> Self {
-        Pipe { sent: None, settled_at: Revision(0), not_before: Moment::default() }
+        SerialWriter { sent: None, settled_at: Revision(0), not_before: Timestamp::default() }
     }
 }
 
-impl<T> Pipe<T> {
+impl<T> SerialWriter<T> {
     /// Whether the next write may be made up from a mirror at `known`.
-    pub fn ready(&self, now: Moment, known: Revision) -> bool {
+    pub fn ready(&self, now: Timestamp, known: Revision) -> bool {
         self.sent.is_none() && now >= self.not_before && known >= self.settled_at
     }
 
@@ -49,7 +50,7 @@
     }
 
     /// Remembers a write that goes out; the next one does so after `gap` at the earliest.
-    pub fn send(&mut self, what: T, txn: Txn, now: Moment, gap: Span) {
+    pub fn send(&mut self, what: T, txn: Transaction, now: Timestamp, gap: Duration) {
         self.sent = Some((what, txn));
         self.not_before = now + gap;
     }
@@ -60,12 +61,12 @@
     }
 
     /// Takes in the answer to the write.
-    pub fn answered(&mut self, reply: StateReply, now: Moment) -> Outcome<T> {
+    pub fn answered(&mut self, reply: StateReply, now: Timestamp) -> Outcome<T> {
         let Some((what, txn)) = self.sent.take() else { return Outcome::Nothing };
         match reply {
             StateReply::Committed { revision } => {
                 self.settled_at = Revision(revision);
-                Outcome::Written(what)
+                Outcome::CommittedChanges(what)
             }
             StateReply::Conflict { failed, revision } => {
                 tracing::debug!(?failed, puts = txn.writes.len(), "a write met a conflict");
@@ -73,13 +74,14 @@
                 Outcome::Conflict(what, failed)
             }
             StateReply::Refused { throttled } => {
-                let pause = if throttled { Span(80) } else { Span(200) };
+                let pause =
+                    if throttled { Duration::from_millis(80) } else { Duration::from_millis(200) };
                 self.not_before = now + pause;
                 Outcome::Refused { what, throttled }
             }
             StateReply::Invalid(problem) => {
                 tracing::error!(problem, "the state service calls a write malformed");
-                self.not_before = now + Span(1_000);
+                self.not_before = now + Duration::from_secs(1);
                 Outcome::Refused { what, throttled: false }
             }
             _ => {
@@ -97,27 +99,28 @@
 
     #[test]
     fn the_next_write_waits_for_the_mirror() {
-        let mut pipe = Pipe::default();
-        let now = Moment(10);
+        let mut pipe = SerialWriter::default();
+        let now = Timestamp::from_millis(10);
         assert!(pipe.ready(now, Revision(3)));
-        pipe.send("a", Txn::default(), now, Span(0));
+        pipe.send("a", Transaction::default(), now, Duration::ZERO);
         assert!(!pipe.ready(now, Revision(3)));
         let outcome = pipe.answered(StateReply::Unknown, now);
         assert!(matches!(outcome, Outcome::Again(_)), "{outcome:?}");
         assert!(!pipe.ready(now, Revision(3)), "the outcome is open");
         let outcome = pipe.answered(StateReply::Committed { revision: 5 }, now);
-        assert!(matches!(outcome, Outcome::Written("a")), "{outcome:?}");
+        assert!(matches!(outcome, Outcome::CommittedChanges("a")), "{outcome:?}");
         assert!(!pipe.ready(now, Revision(4)), "the mirror does not show it yet");
         assert!(pipe.ready(now, Revision(5)));
     }
 
     #[test]
     fn a_refused_write_is_given_back_and_the_next_one_pauses() {
-        let mut pipe = Pipe::default();
-        pipe.send("a", Txn::default(), Moment(0), Span(0));
-        let outcome = pipe.answered(StateReply::Refused { throttled: true }, Moment(5));
+        let mut pipe = SerialWriter::default();
+        pipe.send("a", Transaction::default(), Timestamp::from_millis(0), Duration::ZERO);
+        let outcome =
+            pipe.answered(StateReply::Refused { throttled: true }, Timestamp::from_millis(5));
         assert!(matches!(outcome, Outcome::Refused { what: "a", throttled: true }), "{outcome:?}");
-        assert!(!pipe.ready(Moment(50), Revision(0)));
-        assert!(pipe.ready(Moment(85), Revision(0)));
+        assert!(!pipe.ready(Timestamp::from_millis(50), Revision(0)));
+        assert!(pipe.ready(Timestamp::from_millis(85), Revision(0)));
     }
 }
