--- a/crates/controller/src/state_cache.rs
+++ b/crates/controller/src/state_cache.rs
@@ -1,7 +1,9 @@
 //! This node's copy of the watched part of the state service.
 
 use crate::records::*;
-use model::{JobId, JobSpec, JobState, MachineName, NodeName, PartitionId, Revision, Version};
+use model::{
+    ControllerName, JobId, JobSpec, JobState, MachineName, PartitionId, Revision, Version,
+};
 use serde::de::DeserializeOwned;
 use serde_json::Value;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
@@ -34,7 +36,7 @@
 
 /// A machine's record and the page that holds it.
 #[derive(Debug, Clone, PartialEq)]
-pub struct KnownMachine {
+pub struct CachedMachine {
     pub record: MachineRecord,
     pub page: u32,
     /// Bytes that it may come to take there.
@@ -51,9 +53,9 @@
 
 /// How many pages name each job.
 #[derive(Debug, Default)]
-struct Tally(HashMap<JobId, u32>);
+struct ReferenceCounts(HashMap<JobId, u32>);
 
-impl Tally {
+impl ReferenceCounts {
     /// One page more names the job; true if it is the first.
     fn add(&mut self, id: JobId) -> bool {
         let pages = self.0.entry(id).or_default();
@@ -78,7 +80,7 @@
 
 /// What changed when events were applied.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Changed {
+pub enum CacheEvent {
     /// A job was accepted or cancelled.
     Job(JobId),
     /// A job is over.
@@ -87,34 +89,34 @@
     /// A holder has written what its partition lacks.
     Demand(PartitionId, DemandRecord),
     Machine(MachineName),
-    Boot(NodeName),
+    Boot(ControllerName),
     Types,
     Tuning,
 }
 
 /// The copy.
 #[derive(Debug, Default)]
-pub struct Mirror {
+pub struct StateCache {
     /// Jobs that are accepted and not over.
     pub jobs: BTreeMap<JobId, OpenJob>,
     /// Pages of accepted jobs by key: what they show, over or not.
     pub intake: BTreeMap<String, Versioned<Vec<JobId>>>,
-    pub cancels: BTreeMap<NodeName, Versioned<BTreeSet<JobId>>>,
-    pub ends: BTreeMap<(PartitionId, u32), Versioned<EndsPage>>,
+    pub cancels: BTreeMap<ControllerName, Versioned<BTreeSet<JobId>>>,
+    pub ends: BTreeMap<(PartitionId, u32), Versioned<TerminalJobsPage>>,
     /// Jobs that are over, with the pages of ended jobs that name them. This and the next are
     /// counted as pages change: gathered from all pages at each end of a job, they were a sixth of
     /// a controller's time at a thousand machines.
-    ended: Tally,
+    ended: ReferenceCounts,
     /// Jobs on pages of accepted jobs, over or not.
-    listed: Tally,
+    listed: ReferenceCounts,
     pub partitions: BTreeMap<PartitionId, Versioned<PartitionRecord>>,
-    pub wishes: BTreeMap<PartitionId, Versioned<WishRecord>>,
+    pub wishes: BTreeMap<PartitionId, Versioned<ReclaimRecord>>,
     /// Versions of what holders have written that their partitions lack.
     pub demands: BTreeMap<PartitionId, Version>,
-    pub machines: BTreeMap<MachineName, KnownMachine>,
+    pub machines: BTreeMap<MachineName, CachedMachine>,
     pub machine_pages: BTreeMap<u32, Versioned<MachinePage>>,
-    pub boots: BTreeMap<NodeName, Versioned<BootRecord>>,
-    pub counter: Option<Versioned<CounterRecord>>,
+    pub boots: BTreeMap<ControllerName, Versioned<IncarnationRecord>>,
+    pub counter: Option<Versioned<TokenCounterRecord>>,
     pub types: Option<Versioned<MachineTypes>>,
     pub tuning: Option<Versioned<Value>>,
     /// All changes up to here have been applied.
@@ -149,7 +151,7 @@
     Some(rest.split_once('/').unwrap_or((rest, "")))
 }
 
-impl Mirror {
+impl StateCache {
     /// Version of the counter, 0 if there is none.
     pub fn counter_version(&self) -> u64 {
         self.counter.as_ref().map_or(0, |c| c.version.0)
@@ -201,7 +203,7 @@
 
     /// Takes in the counter. Tokens only rise, whatever is written there.
     fn put_counter(&mut self, key: &str, value: &Value, version: Version) {
-        let Some(mut record) = self.decode::<CounterRecord>(key, value) else { return };
+        let Some(mut record) = self.decode::<TokenCounterRecord>(key, value) else { return };
         if record.next >= TOKEN_LIMIT {
             self.reject(key, &"no tokens are left");
             return;
@@ -214,7 +216,7 @@
         self.counter = Some(Versioned { record, version });
     }
 
-    fn put(&mut self, key: &str, value: &Value, version: u64, changed: &mut Vec<Changed>) {
+    fn put(&mut self, key: &str, value: &Value, version: u64, changed: &mut Vec<CacheEvent>) {
         let version = Version(version);
         let Some((kind, name)) = parts(key) else {
             self.reject(key, &"it is not under the watched prefix");
@@ -223,12 +225,12 @@
         match kind {
             "j" => self.put_intake(key, value, version, changed),
             "x" => {
-                let Some(record) = self.decode::<CancelsRecord>(key, value) else { return };
+                let Some(record) = self.decode::<CancellationsRecord>(key, value) else { return };
                 let record: BTreeSet<JobId> = record.jobs.into_iter().map(JobId).collect();
-                let name = NodeName::from(name);
+                let name = ControllerName::from(name);
                 let before = self.cancels.get(&name).map(|c| &c.record);
                 let new = record.iter().filter(|id| before.is_none_or(|old| !old.contains(id)));
-                changed.extend(new.map(|id| Changed::Job(*id)));
+                changed.extend(new.map(|id| CacheEvent::Job(*id)));
                 self.cancels.insert(name, Versioned { record, version });
             }
             "e" => self.put_ends(key, name, value, version, changed),
@@ -236,7 +238,7 @@
                 let read = self.decode_numbered(key, partition(name), value);
                 let Some((partition, record)) = read else { return };
                 self.partitions.insert(partition, Versioned { record, version });
-                changed.push(Changed::Partition(partition));
+                changed.push(CacheEvent::Partition(partition));
             }
             "w" => {
                 let read = self.decode_numbered(key, partition(name), value);
@@ -248,7 +250,7 @@
                 let read = self.decode_numbered(key, partition(name), value);
                 if let Some((partition, record)) = read {
                     self.demands.insert(partition, version);
-                    changed.push(Changed::Demand(partition, record));
+                    changed.push(CacheEvent::Demand(partition, record));
                 }
             }
             "m" => {
@@ -259,19 +261,19 @@
             }
             "b" => {
                 let Some(record) = self.decode(key, value) else { return };
-                let name = NodeName::from(name);
+                let name = ControllerName::from(name);
                 self.boots.insert(name.clone(), Versioned { record, version });
-                changed.push(Changed::Boot(name));
+                changed.push(CacheEvent::Boot(name));
             }
             "t" => self.put_counter(key, value, version),
             "k" => {
                 let Some(record) = self.decode(key, value) else { return };
                 self.types = Some(Versioned { record, version });
-                changed.push(Changed::Types);
+                changed.push(CacheEvent::Types);
             }
             "c" => {
                 self.tuning = Some(Versioned { record: value.clone(), version });
-                changed.push(Changed::Tuning);
+                changed.push(CacheEvent::Tuning);
             }
             _ => self.reject(key, &"nothing of this kind is kept"),
         }
@@ -282,10 +284,10 @@
         key: &str,
         value: &Value,
         version: Version,
-        changed: &mut Vec<Changed>,
+        changed: &mut Vec<CacheEvent>,
     ) {
         let number = key.rsplit_once('/').and_then(|(_, page)| page_number(page));
-        let read = self.decode_numbered::<_, IntakePage>(key, number, value);
+        let read = self.decode_numbered::<_, AcceptedJobsPage>(key, number, value);
         let Some((_, page)) = read else { return };
         let mut ids = Vec::new();
         for entry in &page.jobs {
@@ -310,7 +312,7 @@
             let size = packed_size(&packed);
             let job = OpenJob { packed: Arc::new(packed), size, spec: Arc::new(spec) };
             self.jobs.insert(id, job);
-            changed.push(Changed::Job(id));
+            changed.push(CacheEvent::Job(id));
         }
         for id in &ids {
             self.listed.add(*id);
@@ -327,17 +329,17 @@
         name: &str,
         value: &Value,
         version: Version,
-        changed: &mut Vec<Changed>,
+        changed: &mut Vec<CacheEvent>,
     ) {
         let place = name.split_once('/').and_then(|(partition, page)| {
             Some((PartitionId(number(partition)?), page_number(page)?))
         });
-        let read = self.decode_numbered::<_, EndsPage>(key, place, value);
+        let read = self.decode_numbered::<_, TerminalJobsPage>(key, place, value);
         let Some((place, record)) = read else { return };
         for (id, state) in record.jobs() {
             if self.ended.add(id) {
                 self.jobs.remove(&id);
-                changed.push(Changed::Ended(id, state));
+                changed.push(CacheEvent::Ended(id, state));
             }
         }
         // What a page no longer names is on no page of accepted jobs any more either.
@@ -352,7 +354,7 @@
         page: u32,
         record: MachinesPage,
         version: Version,
-        changed: &mut Vec<Changed>,
+        changed: &mut Vec<CacheEvent>,
     ) {
         let mut new = MachinePage::default();
         for packed in record.machines {
@@ -366,8 +368,8 @@
                 Some(known) if known.record == record && known.page == page => known.size,
                 _ => {
                     let size = PackedMachine::most_bytes(&name, &record);
-                    self.machines.insert(name.clone(), KnownMachine { record, page, size });
-                    changed.push(Changed::Machine(name.clone()));
+                    self.machines.insert(name.clone(), CachedMachine { record, page, size });
+                    changed.push(CacheEvent::Machine(name.clone()));
                     size
                 }
             };
@@ -385,17 +387,17 @@
                 continue;
             }
             self.machines.remove(&name);
-            changed.push(Changed::Machine(name));
+            changed.push(CacheEvent::Machine(name));
         }
     }
 
-    fn delete(&mut self, key: &str, changed: &mut Vec<Changed>) {
+    fn delete(&mut self, key: &str, changed: &mut Vec<CacheEvent>) {
         let Some((kind, name)) = parts(key) else { return };
         match kind {
             "p" => {
                 if let Some(partition) = partition(name) {
                     self.partitions.remove(&partition);
-                    changed.push(Changed::Partition(partition));
+                    changed.push(CacheEvent::Partition(partition));
                 }
             }
             "w" => {
@@ -405,7 +407,7 @@
             }
             "c" => {
                 self.tuning = None;
-                changed.push(Changed::Tuning);
+                changed.push(CacheEvent::Tuning);
             }
             // Pages are written again, never deleted.
             _ => {}
@@ -414,7 +416,7 @@
 
     /// Applies an answer to a watch. Changes that are known already are passed over, so that
     /// overlapping answers cannot bring back what has been deleted since.
-    pub fn apply(&mut self, changes: &Changes) -> Vec<Changed> {
+    pub fn apply(&mut self, changes: &Changes) -> Vec<CacheEvent> {
         let mut changed = Vec::new();
         let mut events: Vec<_> =
             changes.events.iter().filter(|e| e.version > self.revision.0).collect();
@@ -434,14 +436,14 @@
     }
 
     /// What a full read shows of the counter is no lower than what was known before.
-    fn keep_tokens_rising(&mut self, before: Option<Versioned<CounterRecord>>) {
+    fn keep_tokens_rising(&mut self, before: Option<Versioned<TokenCounterRecord>>) {
         let (Some(counter), Some(before)) = (&mut self.counter, before) else { return };
         counter.record.next = counter.record.next.max(before.record.next);
     }
 
     /// Replaces the copy by a full read, begun at `revision`. Keys come in order, so the ends
     /// of jobs are known before the pages that show them.
-    pub fn replace(&mut self, items: &[Item], revision: u64) -> Vec<Changed> {
+    pub fn replace(&mut self, items: &[Item], revision: u64) -> Vec<CacheEvent> {
         let old = std::mem::take(self);
         self.rejected = old.rejected;
         let mut list = Vec::new();
@@ -449,17 +451,17 @@
             self.put(&item.key, &item.value, item.version, &mut list);
         }
         self.keep_tokens_rising(old.counter);
-        let gone = |kept: bool, change: Changed| (!kept).then_some(change);
+        let gone = |kept: bool, change: CacheEvent| (!kept).then_some(change);
         list.extend(
-            old.partitions
-                .keys()
-                .filter_map(|id| gone(self.partitions.contains_key(id), Changed::Partition(*id))),
+            old.partitions.keys().filter_map(|id| {
+                gone(self.partitions.contains_key(id), CacheEvent::Partition(*id))
+            }),
         );
         list.extend(old.machines.keys().filter_map(|name| {
-            gone(self.machines.contains_key(name), Changed::Machine(name.clone()))
+            gone(self.machines.contains_key(name), CacheEvent::Machine(name.clone()))
         }));
         list.extend(
-            old.jobs.keys().filter_map(|id| gone(self.jobs.contains_key(id), Changed::Job(*id))),
+            old.jobs.keys().filter_map(|id| gone(self.jobs.contains_key(id), CacheEvent::Job(*id))),
         );
         self.revision = Revision(revision);
         list
--- a/crates/controller/tests/foreign_records.rs
+++ b/crates/controller/tests/foreign_records.rs
@@ -1,10 +1,10 @@
 //! Records of the state service that no node has written: they are counted, what was known stays, and
 //! nothing panics.
 
-use controller::placement_log::Ledger;
-use controller::records::{CounterRecord, MachineRecord, MachinesPage, PackedMachine};
-use controller::state_cache::Mirror;
-use model::{JobId, MachineName, NodeName, PartitionId, Version};
+use controller::placement_log::PlacementLog;
+use controller::records::{MachineRecord, MachinesPage, PackedMachine, TokenCounterRecord};
+use controller::state_cache::StateCache;
+use model::{ControllerName, JobId, MachineName, PartitionId, Version};
 use proptest::collection::vec;
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
@@ -25,14 +25,14 @@
     Change { put: Some(key.into()), delete: None, value, version, lease: None }
 }
 
-fn apply(mirror: &mut Mirror, key: &str, value: Value) {
+fn apply(mirror: &mut StateCache, key: &str, value: Value) {
     let version = mirror.revision.0 + 1;
     mirror.apply(&Changes { revision: version, events: vec![put(key, value, version)] });
 }
 
 #[test]
 fn record_that_cannot_be_read_leaves_what_was_known() {
-    let mut mirror = Mirror::default();
+    let mut mirror = StateCache::default();
     apply(&mut mirror, "s/t", json!({ "next": 41 }));
     apply(&mut mirror, "s/k", json!({ "rigs": [] }));
     apply(&mut mirror, "s/p/0", json!({ "holder": "n0", "boot": 1, "term": 40 }));
@@ -67,20 +67,20 @@
     assert!(mirror.types.is_some());
     let partitions: Vec<_> = mirror.partitions.keys().copied().collect();
     assert_eq!(partitions, [PartitionId(0)]);
-    assert_eq!(mirror.partitions[&PartitionId(0)].record.holder, NodeName::from("n0"));
+    assert_eq!(mirror.partitions[&PartitionId(0)].record.holder, ControllerName::from("n0"));
     assert!(mirror.is_cancelled(JobId(412)));
-    assert_eq!(mirror.boots[&NodeName::from("n0")].record.boot, 1);
+    assert_eq!(mirror.boots[&ControllerName::from("n0")].record.boot, 1);
     assert!(mirror.machine_pages.is_empty() && mirror.intake.is_empty());
 }
 
 #[test]
 fn tokens_only_rise_whatever_is_written() {
-    let mut mirror = Mirror::default();
+    let mut mirror = StateCache::default();
     apply(&mut mirror, "s/t", json!({ "next": 41 }));
     apply(&mut mirror, "s/t", json!({ "next": 7 }));
     assert_eq!((mirror.next_token(), mirror.counter_version()), (41, 2));
     assert_eq!(mirror.take_rejected(), 1);
-    let counter = CounterRecord { next: 9, ..CounterRecord::default() };
+    let counter = TokenCounterRecord { next: 9, ..TokenCounterRecord::default() };
     let value = serde_json::to_value(counter).expect("a record");
     mirror.replace(&[Item { key: "s/t".into(), value, version: 5, lease: None }], 6);
     assert_eq!((mirror.next_token(), mirror.counter_version()), (41, 5));
@@ -88,7 +88,7 @@
 
 #[test]
 fn machine_on_another_page_meanwhile_is_not_dropped_with_its_old_one() {
-    let mut mirror = Mirror::default();
+    let mut mirror = StateCache::default();
     let record = MachineRecord {
         machine_type: "m4".into(),
         zone: "a".into(),
@@ -131,11 +131,11 @@
     ];
     for page in pages {
         let items = [ledger_page("l/0/0002", page.clone())];
-        let ledger = Ledger::load(PartitionId(0), &items, 4096, 8);
+        let ledger = PlacementLog::load(PartitionId(0), &items, 4096, 8);
         assert_eq!(ledger.unreadable(), ["l/0/0002"], "{page}");
     }
     let sound = json!({ "round": 1, "items": [[412, 1562, { "d": "ffff", "p": [[63, 1, "h"]] }]] });
-    let ledger = Ledger::load(PartitionId(0), &[ledger_page("l/0/0002", sound)], 4096, 8);
+    let ledger = PlacementLog::load(PartitionId(0), &[ledger_page("l/0/0002", sound)], 4096, 8);
     assert!(ledger.unreadable().is_empty());
     assert_eq!(ledger.jobs(), [JobId(412)]);
 }
@@ -171,7 +171,7 @@
     fn random_records_are_rejected_or_read(
         events in vec(("s/[jxepwdmbtkcz](/(n0/)?[0-9]{1,4})?", any_json(), any::<bool>()), 1..12),
     ) {
-        let mut mirror = Mirror::default();
+        let mut mirror = StateCache::default();
         let mut items = Vec::new();
         for (at, (key, value, deleted)) in events.into_iter().enumerate() {
             let version = at as u64 + 1;
@@ -195,7 +195,7 @@
     ) {
         let items: Vec<Item> =
             pages.into_iter().map(|(key, value)| ledger_page(&key, value)).collect();
-        let ledger = Ledger::load(PartitionId(0), &items, 4096, 8);
+        let ledger = PlacementLog::load(PartitionId(0), &items, 4096, 8);
         for job in ledger.jobs() {
             ledger.chunks_of(job);
         }
--- a/crates/controller/tests/golden_records.rs
+++ b/crates/controller/tests/golden_records.rs
@@ -4,16 +4,17 @@
 mod golden;
 
 use controller::controller::admin::TuningRecord;
-use controller::placement_log::Ledger;
+use controller::placement_log::PlacementLog;
 use controller::records::{
     boot_key, cancels_key, demand_key, ends_key, final_key, intake_key, ledger_prefix,
-    machines_key, partition_key, wish_key, BootRecord, CancelsRecord, CounterRecord, DemandRecord,
-    EndsPage, FinalRecord, IntakePage, MachineRecord, MachinesPage, PackedJob, PackedMachine,
-    PartitionRecord, WishRecord, COUNTER, TUNING, TYPES, WATCHED,
+    machines_key, partition_key, wish_key, AcceptedJobsPage, CancellationsRecord, DemandRecord,
+    FinalRecord, IncarnationRecord, MachineRecord, MachinesPage, PackedJob, PackedMachine,
+    PartitionRecord, ReclaimRecord, TerminalJobsPage, TokenCounterRecord, COUNTER, TUNING, TYPES,
+    WATCHED,
 };
 use golden::{record, Entry};
-use model::{JobId, MachineName, NodeName, PartitionId, Version};
-use scheduler::{ChunkBody, ChunkKey, PlacedTask};
+use model::{ControllerName, JobId, MachineName, PartitionId, Version};
+use scheduler::{ChunkKey, PlacedTask, TaskChunk};
 use serde_json::Value;
 use std::collections::BTreeMap;
 use wire::cloud::{MachineType, MachineTypes};
@@ -21,8 +22,8 @@
 use wire::state::{Item, Write};
 use wire::users::{JobKind, JobRequest, JobState, Priority};
 
-fn node(name: &str) -> NodeName {
-    NodeName::from(name)
+fn node(name: &str) -> ControllerName {
+    ControllerName::from(name)
 }
 
 fn full_job(kind: JobKind, priority: Priority) -> JobRequest {
@@ -69,11 +70,11 @@
 fn intake(name: &'static str, job: JobRequest) -> Entry {
     let encode = |job: &JobRequest| {
         let packed = serde_json::to_value(PackedJob::new(86_400_007, job.clone()));
-        let page = IntakePage { jobs: vec![packed.expect("a value")] };
+        let page = AcceptedJobsPage { jobs: vec![packed.expect("a value")] };
         golden::to_json(&serde_json::to_value(page).expect("a value"))
     };
     let decode = |text: &str| -> Result<JobRequest, serde_json::Error> {
-        let page: IntakePage = serde_json::from_str(text)?;
+        let page: AcceptedJobsPage = serde_json::from_str(text)?;
         let packed: PackedJob = serde_json::from_value(page.jobs[0].clone())?;
         assert_eq!((packed.0, packed.id()), (86_400_007, "j-000412"));
         Ok(packed.request())
@@ -88,13 +89,13 @@
         intake("batch_standard", spot_job()),
         intake("group_high", full_job(JobKind::Gang, Priority::High)),
         intake("service_critical", full_job(JobKind::Service, Priority::Production)),
-        record("none", IntakePage::default()),
+        record("none", AcceptedJobsPage::default()),
     ];
     golden::check("accepted_jobs.txt", &entries);
 }
 
-fn ends() -> EndsPage {
-    EndsPage {
+fn ends() -> TerminalJobsPage {
+    TerminalJobsPage {
         done: vec![1, 2],
         cancelled: vec![3],
         filed_done: vec![4, 5, 6],
@@ -102,7 +103,7 @@
     }
 }
 
-fn partition(suspects: Vec<(NodeName, u64)>) -> PartitionRecord {
+fn partition(suspects: Vec<(ControllerName, u64)>) -> PartitionRecord {
     PartitionRecord { holder: node("n0"), boot: 3, term: 41, suspects }
 }
 
@@ -141,8 +142,8 @@
     DemandRecord { term: 41, demand: vec![shape(None, None), limited] }
 }
 
-fn counter() -> CounterRecord {
-    CounterRecord {
+fn counter() -> TokenCounterRecord {
+    TokenCounterRecord {
         next: 42,
         takers: BTreeMap::from([(0, (node("n0"), 3)), (10, (node("n2"), 4))]),
         suspects: BTreeMap::from([(2, vec![(node("n1"), 5), (node("n0"), 6)])]),
@@ -194,21 +195,21 @@
     let page = MachinesPage { machines: vec![machine(true, false), machine(false, true)] };
     let suspects = vec![(node("n1"), 5), (node("n2"), 6)];
     let entries = [
-        record("cancellations", CancelsRecord { jobs: vec![7, 412] }),
-        record("cancellations_none", CancelsRecord::default()),
+        record("cancellations", CancellationsRecord { jobs: vec![7, 412] }),
+        record("cancellations_none", CancellationsRecord::default()),
         record("ended_jobs", ends()),
-        record("ended_jobs_none", EndsPage::default()),
+        record("ended_jobs_none", TerminalJobsPage::default()),
         record("final_done", FinalRecord { state: JobState::Done }),
         record("final_cancelled", FinalRecord { state: JobState::Cancelled }),
         record("partition", partition(Vec::new())),
         record("partition_suspects", partition(suspects)),
         record("machines", page),
         record("machines_none", MachinesPage::default()),
-        record("wish", WishRecord { node: node("n0"), boot: 3, lease: 500 }),
+        record("wish", ReclaimRecord { node: node("n0"), boot: 3, lease: 500 }),
         record("demand", demand()),
         record("counter", counter()),
-        record("counter_first", CounterRecord::default()),
-        record("boot", BootRecord { boot: 3, short_lives: 2 }),
+        record("counter_first", TokenCounterRecord::default()),
+        record("boot", IncarnationRecord { boot: 3, short_lives: 2 }),
         record("types", machine_types()),
         record("settings", tuning()),
         record("settings_default", TuningRecord::default()),
@@ -233,9 +234,9 @@
 
 #[test]
 fn records_with_absent_fields_are_read() {
-    assert_eq!(bare::<BootRecord>("boot"), BootRecord { boot: 3, short_lives: 0 });
-    assert_eq!(bare::<CounterRecord>("counter").next, 42);
-    assert_eq!(bare::<EndsPage>("ended_jobs"), EndsPage::default());
+    assert_eq!(bare::<IncarnationRecord>("boot"), IncarnationRecord { boot: 3, short_lives: 0 });
+    assert_eq!(bare::<TokenCounterRecord>("counter").next, 42);
+    assert_eq!(bare::<TerminalJobsPage>("ended_jobs"), TerminalJobsPage::default());
     assert_eq!(bare::<TuningRecord>("settings"), TuningRecord::default());
     let demand = bare::<DemandRecord>("demand").demand;
     assert_eq!((demand[0].priority, demand[0].gang), (Priority::Normal, 0));
@@ -269,18 +270,18 @@
 }
 
 /// Items of all forms: done and placed tasks, one of them only, and an empty one.
-fn chunks() -> Vec<(ChunkKey, ChunkBody)> {
+fn chunks() -> Vec<(ChunkKey, TaskChunk)> {
     let done = || "8000000000000005".to_owned();
     vec![
-        ((JobId(7), 0), ChunkBody { done: done(), placed: placed() }),
-        ((JobId(7), 2), ChunkBody { done: done(), placed: Vec::new() }),
-        ((JobId(412), 0), ChunkBody { done: String::new(), placed: placed() }),
-        ((JobId(413), 1), ChunkBody::default()),
+        ((JobId(7), 0), TaskChunk { done: done(), placed: placed() }),
+        ((JobId(7), 2), TaskChunk { done: done(), placed: Vec::new() }),
+        ((JobId(412), 0), TaskChunk { done: String::new(), placed: placed() }),
+        ((JobId(413), 1), TaskChunk::default()),
     ]
 }
 
 /// The pages that a round writes, by key.
-fn written(round: &controller::placement_log::Round) -> Vec<(String, Value)> {
+fn written(round: &controller::placement_log::LogCommit) -> Vec<(String, Value)> {
     let page = |write: &Write| match write {
         Write::Put { put, value, lease: None } => (put.clone(), value.clone()),
         other => panic!("a round puts pages without a lease: {other:?}"),
@@ -289,7 +290,7 @@
 }
 
 /// A ledger of pages as they are stored.
-fn stored_ledger(value_bytes: usize) -> Ledger {
+fn stored_ledger(value_bytes: usize) -> PlacementLog {
     let item = |(key, text): (String, String)| {
         let value = serde_json::from_str(&text).expect("JSON");
         Item { key, value, version: 9, lease: None }
@@ -297,12 +298,12 @@
     let pages =
         golden::read("ledger_pages.txt").into_iter().filter(|(key, _)| key.starts_with('l'));
     let items: Vec<Item> = pages.map(item).collect();
-    Ledger::load(PartitionId(2), &items, value_bytes, 6)
+    PlacementLog::load(PartitionId(2), &items, value_bytes, 6)
 }
 
 #[test]
 fn rounds_of_the_ledger_keep_their_bytes() {
-    let ledger = Ledger::load(PartitionId(2), &[], 4_096, 6);
+    let ledger = PlacementLog::load(PartitionId(2), &[], 4_096, 6);
     let (round, left) = ledger.prepare(Version(10), chunks());
     assert!(left.is_empty(), "{left:?}");
     let (key, _) = ledger.proof(&round).expect("a page");
@@ -331,7 +332,7 @@
 }
 
 /// The next page of the ledger, which holds what was read and nothing new.
-fn rewritten(ledger: &Ledger) -> String {
+fn rewritten(ledger: &PlacementLog) -> String {
     let (round, _) = ledger.prepare(Version(10), Vec::new());
     golden::to_json(&written(&round)[0].1)
 }
--- a/crates/controller/tests/ledger.rs
+++ b/crates/controller/tests/ledger.rs
@@ -1,8 +1,8 @@
 //! Rounds of the ledger across changes of holder.
 
-use controller::placement_log::Ledger;
+use controller::placement_log::PlacementLog;
 use model::{JobId, PartitionId, Version};
-use scheduler::ChunkBody;
+use scheduler::TaskChunk;
 use wire::state::Write;
 
 /// A predecessor whose round met a conflict reads the page back, and may do so before it hears of its
@@ -10,11 +10,11 @@
 /// page.
 #[test]
 fn a_round_of_a_successor_proves_nothing_about_ours() {
-    let changes = || vec![((JobId(7), 0), ChunkBody::default())];
-    let ledger = || Ledger::load(PartitionId(1), &[], 4_096, 6);
+    let changes = || vec![((JobId(7), 0), TaskChunk::default())];
+    let ledger = || PlacementLog::load(PartitionId(1), &[], 4_096, 6);
     let (ours, _) = ledger().prepare(Version(10), changes());
     let (theirs, _) = ledger().prepare(Version(12), changes());
-    let written = |round: &controller::placement_log::Round| match &round.txn.writes[..] {
+    let written = |round: &controller::placement_log::LogCommit| match &round.txn.writes[..] {
         [Write::Put { put, value, .. }] => (put.clone(), value.clone()),
         other => panic!("one page: {other:?}"),
     };
@@ -22,6 +22,6 @@
     assert_eq!(written(&ours).0, key);
     assert_eq!(written(&theirs).0, key, "the same page");
     assert_eq!(written(&ours).1["round"], written(&theirs).1["round"], "the same number");
-    assert!(Ledger::proves(&written(&ours).1, id));
-    assert!(!Ledger::proves(&written(&theirs).1, id));
+    assert!(PlacementLog::proves(&written(&ours).1, id));
+    assert!(!PlacementLog::proves(&written(&theirs).1, id));
 }
--- a/crates/failover/src/assign.rs
+++ b/crates/failover/src/assign.rs
@@ -1,6 +1,6 @@
 //! Assignment of standbys: every node computes the same one from what all of them know.
 
-use model::{NodeName, PartitionId};
+use model::{ControllerName, PartitionId};
 use std::collections::BTreeMap;
 
 /// Load of leading a partition, relative to standing by for one.
@@ -15,11 +15,11 @@
 /// each node stands by for its neighbour, and the partitions of a node that crashes are spread as
 /// evenly as possible.
 pub fn assign(
-    nodes: &[NodeName],
-    is_live: impl Fn(&NodeName) -> bool,
-    leaders: &BTreeMap<PartitionId, NodeName>,
-) -> BTreeMap<PartitionId, NodeName> {
-    let mut loads: BTreeMap<&NodeName, usize> = BTreeMap::new();
+    nodes: &[ControllerName],
+    is_live: impl Fn(&ControllerName) -> bool,
+    leaders: &BTreeMap<PartitionId, ControllerName>,
+) -> BTreeMap<PartitionId, ControllerName> {
+    let mut loads: BTreeMap<&ControllerName, usize> = BTreeMap::new();
     for leader in leaders.values() {
         *loads.entry(leader).or_default() += LEADER_LOAD;
     }
--- a/crates/failover/src/failure_detector.rs
+++ b/crates/failover/src/failure_detector.rs
@@ -7,21 +7,22 @@
 //! as one that may still answer workers. A false suspicion costs one needless failover; each
 //! [`FailoverBlocker`] is there to keep these rare.
 
-use model::{MachineName, Moment, PartitionId, Span};
+use model::{MachineName, PartitionId, Timestamp};
 use std::collections::BTreeMap;
+use std::time::Duration;
 
 /// A leader is suspected only after this time without a heartbeat: a packet or two may be lost.
-pub const HEARTBEAT_TIMEOUT: Span = Span(1_300);
+pub const HEARTBEAT_TIMEOUT: Duration = Duration::from_millis(1_300);
 /// A heartbeat received by another node counts if it is younger than this.
-const MAX_PEER_HEARTBEAT_AGE: Span = Span(1_000);
+const MAX_PEER_HEARTBEAT_AGE: Duration = Duration::from_secs(1);
 /// How long a worker that contacted us instead of the leader counts as evidence.
-pub const WORKER_EVIDENCE_VALIDITY: Span = Span(3_000);
+pub const WORKER_EVIDENCE_VALIDITY: Duration = Duration::from_secs(3);
 /// After a pause of this process, heartbeats may have been missed.
-const PAUSE_RECOVERY: Span = Span(2_000);
+const PAUSE_RECOVERY: Duration = Duration::from_secs(2);
 /// Maximum age of the last answer of the state service.
-const MAX_STATE_READ_AGE: Span = Span(1_500);
+const MAX_STATE_READ_AGE: Duration = Duration::from_millis(1_500);
 /// After a false suspicion the partition is not taken over early for this time.
-const FALSE_SUSPICION_COOLDOWN: Span = Span(120_000);
+const FALSE_SUSPICION_COOLDOWN: Duration = Duration::from_secs(120);
 /// Workers that may contact us for reasons of their own, whatever the size of the partition.
 const UNRELATED_WORKERS: usize = 2;
 /// One in this many reporting workers may contact us for reasons of its own.
@@ -51,25 +52,25 @@
 /// What is known of a partition leader.
 #[derive(Debug, Clone, Copy)]
 pub struct Evidence {
-    pub now: Moment,
+    pub now: Timestamp,
     /// Last heartbeat of the incarnation that its record names.
-    pub last_heartbeat: Option<Moment>,
+    pub last_heartbeat: Option<Timestamp>,
     /// Age of the last heartbeat that any other live node reports to have received.
-    pub peer_heartbeat_age: Option<Span>,
+    pub peer_heartbeat_age: Option<Duration>,
     /// Machines that report to it, by our replica.
     pub reporting_machines: usize,
     /// Whether our replica was complete when it was last updated.
     pub replica_complete: bool,
-    pub last_state_read: Option<Moment>,
+    pub last_state_read: Option<Timestamp>,
     /// When this process last resumed after a pause.
-    pub resumed_at: Moment,
+    pub resumed_at: Timestamp,
 }
 
 /// The evidence that this node has collected itself.
 #[derive(Debug, Default)]
 pub struct FailureDetector {
-    worker_contacts: BTreeMap<PartitionId, BTreeMap<MachineName, Moment>>,
-    false_suspicions: BTreeMap<PartitionId, Moment>,
+    worker_contacts: BTreeMap<PartitionId, BTreeMap<MachineName, Timestamp>>,
+    false_suspicions: BTreeMap<PartitionId, Timestamp>,
 }
 
 impl FailureDetector {
@@ -78,15 +79,15 @@
         &mut self,
         partition: PartitionId,
         machine: &MachineName,
-        now: Moment,
+        now: Timestamp,
     ) {
         let contacts = self.worker_contacts.entry(partition).or_default();
-        contacts.retain(|_, at| now.since(*at) <= WORKER_EVIDENCE_VALIDITY);
+        contacts.retain(|_, at| now.duration_since(*at) <= WORKER_EVIDENCE_VALIDITY);
         contacts.insert(machine.clone(), now);
     }
 
     /// A leader that we took the partition over from is alive after all.
-    pub fn record_false_suspicion(&mut self, partition: PartitionId, now: Moment) {
+    pub fn record_false_suspicion(&mut self, partition: PartitionId, now: Timestamp) {
         self.false_suspicions.insert(partition, now);
     }
 
@@ -100,7 +101,7 @@
         let now = evidence.now;
         let heartbeat = evidence.last_heartbeat;
         let checks = [
-            (LeaderAlive, heartbeat.is_none_or(|at| now.since(at) < HEARTBEAT_TIMEOUT)),
+            (LeaderAlive, heartbeat.is_none_or(|at| now.duration_since(at) < HEARTBEAT_TIMEOUT)),
             (
                 LeaderAliveForPeers,
                 evidence.peer_heartbeat_age.is_some_and(|age| age < MAX_PEER_HEARTBEAT_AGE),
@@ -109,9 +110,11 @@
             (ReplicaBehind, !evidence.replica_complete),
             (
                 StateServiceUnreachable,
-                evidence.last_state_read.is_none_or(|at| now.since(at) > MAX_STATE_READ_AGE),
+                evidence
+                    .last_state_read
+                    .is_none_or(|at| now.duration_since(at) > MAX_STATE_READ_AGE),
             ),
-            (RecentlyPaused, now.since(evidence.resumed_at) < PAUSE_RECOVERY),
+            (RecentlyPaused, now.duration_since(evidence.resumed_at) < PAUSE_RECOVERY),
             (RecentFalseSuspicion, self.was_falsely_suspected(partition, now)),
         ];
         checks.into_iter().filter(|(_, holds)| *holds).map(|(blocker, _)| blocker).collect()
@@ -119,7 +122,8 @@
 
     /// Whether more workers contact us than do so for reasons of their own.
     fn workers_leave(&self, partition: PartitionId, evidence: &Evidence) -> bool {
-        let is_valid = |at: &&Moment| evidence.now.since(**at) <= WORKER_EVIDENCE_VALIDITY;
+        let is_valid =
+            |at: &&Timestamp| evidence.now.duration_since(**at) <= WORKER_EVIDENCE_VALIDITY;
         let contacts = self
             .worker_contacts
             .get(&partition)
@@ -127,8 +131,8 @@
         contacts >= UNRELATED_WORKERS + evidence.reporting_machines / UNRELATED_WORKER_RATIO
     }
 
-    fn was_falsely_suspected(&self, partition: PartitionId, now: Moment) -> bool {
+    fn was_falsely_suspected(&self, partition: PartitionId, now: Timestamp) -> bool {
         let last = self.false_suspicions.get(&partition);
-        last.is_some_and(|at| now.since(*at) < FALSE_SUSPICION_COOLDOWN)
+        last.is_some_and(|at| now.duration_since(*at) < FALSE_SUSPICION_COOLDOWN)
     }
 }
--- a/crates/failover/src/readiness.rs
+++ b/crates/failover/src/readiness.rs
@@ -5,7 +5,7 @@
 //! all checks pass. A check that does not pass yet is repeated; one that cannot pass is why the
 //! partition waits (`/admin/v1/standby`).
 
-use model::{Revision, Token, Version};
+use model::{FencingToken, Revision, Version};
 
 /// A check, and what it guards against.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
@@ -38,9 +38,9 @@
     pub mirrored_record: Option<Version>,
     /// The version that our writes are conditional on.
     pub own_version: Version,
-    pub term: Token,
+    pub term: FencingToken,
     /// The next token that will be issued.
-    pub next_token: Token,
+    pub next_token: FencingToken,
     /// All changes up to here are in the mirror.
     pub mirror_revision: Revision,
     /// Revision of the state service when the first page of the ledger was read.
--- a/crates/failover/src/replica.rs
+++ b/crates/failover/src/replica.rs
@@ -5,23 +5,27 @@
 //! After a change of leader the replica starts from 0, but keeps the former leader's hints until
 //! the first part of the new one.
 
-use model::{MachineName, Moment, NodeName, PartitionId, Span};
+use model::{ControllerName, MachineName, PartitionId, Timestamp};
 use std::collections::BTreeMap;
-use wire::mesh::{Hint, HintKey, HintPart, JobHint, MachineHint, MeshMessage};
+use std::time::Duration;
+use wire::mesh::{
+    JobFailureSnapshot, MachineSnapshot, MeshMessage, ReplicatedRecord, ReplicationBatch,
+    ReplicationKey,
+};
 
 /// Time between two renewals of a subscription.
-const RENEWAL_INTERVAL: Span = Span(1_000);
+const RENEWAL_INTERVAL: Duration = Duration::from_secs(1);
 /// A replica that has not been updated for longer is not in sync.
-const MAX_UPDATE_AGE: Span = Span(1_600);
+const MAX_UPDATE_AGE: Duration = Duration::from_millis(1_600);
 /// How long a replica is kept whose partition has no leader, or one we do not subscribe to.
-const RETENTION: Span = Span(30_000);
+const RETENTION: Duration = Duration::from_secs(30);
 /// Maximum number of hints kept for one partition.
 const MAX_HINTS: usize = 20_000;
 
 /// The leader that a replica subscribes to.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ReplicationSource {
-    pub leader: NodeName,
+    pub leader: ControllerName,
     /// Incarnation of the leader.
     pub boot: u64,
     pub term: u64,
@@ -30,9 +34,9 @@
 /// A machine as its partition leader reports it.
 #[derive(Debug)]
 pub struct ReplicatedMachine {
-    pub hint: MachineHint,
+    pub hint: MachineSnapshot,
     /// Since when it has been idle, by our clock.
-    pub idle_since: Option<Moment>,
+    pub idle_since: Option<Timestamp>,
 }
 
 /// How far a replica is behind its source.
@@ -40,8 +44,8 @@
 pub struct ReplicationLag {
     /// Changes that it lacks.
     pub changes: u64,
-    pub subscribed_since: Moment,
-    pub updated_at: Option<Moment>,
+    pub subscribed_since: Timestamp,
+    pub updated_at: Option<Timestamp>,
 }
 
 /// What a partition leader has reported about its partition.
@@ -52,19 +56,19 @@
     applied: u64,
     /// The last change that the source has announced.
     announced: u64,
-    subscribed_since: Moment,
-    updated_at: Option<Moment>,
+    subscribed_since: Timestamp,
+    updated_at: Option<Timestamp>,
     /// When the replica was last asked for.
-    wanted_at: Moment,
-    renewed_at: Option<Moment>,
+    wanted_at: Timestamp,
+    renewed_at: Option<Timestamp>,
     /// Nothing was missing after the last update.
     complete: bool,
     pub machines: BTreeMap<MachineName, ReplicatedMachine>,
-    pub jobs: BTreeMap<u64, JobHint>,
+    pub jobs: BTreeMap<u64, JobFailureSnapshot>,
 }
 
 impl PartitionReplica {
-    fn new(source: ReplicationSource, now: Moment) -> Self {
+    fn new(source: ReplicationSource, now: Timestamp) -> Self {
         PartitionReplica {
             source,
             applied: 0,
@@ -102,31 +106,31 @@
     }
 
     /// A message that starts or renews the subscription after what has been applied.
-    fn subscription(&mut self, partition: PartitionId, now: Moment) -> MeshMessage {
+    fn subscription(&mut self, partition: PartitionId, now: Timestamp) -> MeshMessage {
         self.renewed_at = Some(now);
         let ReplicationSource { boot, term, .. } = self.source;
         MeshMessage::Follow { partition: partition.0, boot, term, have: self.applied }
     }
 
-    fn apply(&mut self, hint: Hint, sent_at: Moment, now: Moment) {
+    fn apply(&mut self, hint: ReplicatedRecord, sent_at: Timestamp, now: Timestamp) {
         let full = self.machines.len() + self.jobs.len() >= MAX_HINTS;
         match hint {
-            Hint::Machine(hint) => {
+            ReplicatedRecord::Machine(hint) => {
                 let name = MachineName::from(hint.machine.as_str());
                 if !full || self.machines.contains_key(&name) {
                     let idle_since = idle_since(&hint, sent_at, now);
                     self.machines.insert(name, ReplicatedMachine { hint, idle_since });
                 }
             }
-            Hint::Job(hint) => {
+            ReplicatedRecord::Job(hint) => {
                 if !full || self.jobs.contains_key(&hint.job) {
                     self.jobs.insert(hint.job, hint);
                 }
             }
-            Hint::Gone(HintKey::Machine(name)) => {
+            ReplicatedRecord::Gone(ReplicationKey::Machine(name)) => {
                 self.machines.remove(&MachineName::from(name.as_str()));
             }
-            Hint::Gone(HintKey::Job(id)) => {
+            ReplicatedRecord::Gone(ReplicationKey::Job(id)) => {
                 self.jobs.remove(&id);
             }
         }
@@ -142,10 +146,10 @@
 
 /// Since when a machine has been idle, by our clock. Clocks of nodes differ: the time for which it
 /// had been idle when the hint was sent counts.
-fn idle_since(hint: &MachineHint, sent_at: Moment, now: Moment) -> Option<Moment> {
+fn idle_since(hint: &MachineSnapshot, sent_at: Timestamp, now: Timestamp) -> Option<Timestamp> {
     let idle_at = hint.idle_at?;
-    let idle_for = sent_at.0 - idle_at.min(sent_at.0);
-    Some(Moment(now.0.saturating_sub(idle_for)))
+    let idle_for = sent_at.as_millis() - idle_at.min(sent_at.as_millis());
+    Some(Timestamp::from_millis(now.as_millis().saturating_sub(idle_for)))
 }
 
 /// All replicas of a node.
@@ -159,8 +163,8 @@
     pub fn subscribe(
         &mut self,
         wanted: &BTreeMap<PartitionId, ReplicationSource>,
-        now: Moment,
-    ) -> Vec<(NodeName, MeshMessage)> {
+        now: Timestamp,
+    ) -> Vec<(ControllerName, MeshMessage)> {
         let mut messages = Vec::new();
         for (partition, source) in wanted {
             let replica = self
@@ -174,16 +178,21 @@
                 replica.jobs = old.jobs;
             }
             replica.wanted_at = now;
-            if replica.renewed_at.is_none_or(|at| now.since(at) >= RENEWAL_INTERVAL) {
+            if replica.renewed_at.is_none_or(|at| now.duration_since(at) >= RENEWAL_INTERVAL) {
                 messages.push((source.leader.clone(), replica.subscription(*partition, now)));
             }
         }
-        self.by_partition.retain(|_, replica| now.since(replica.wanted_at) < RETENTION);
+        self.by_partition.retain(|_, replica| now.duration_since(replica.wanted_at) < RETENTION);
         messages
     }
 
     /// Applies a part; returns what to ask its sender for if something is missing.
-    pub fn apply(&mut self, from: &NodeName, part: HintPart, now: Moment) -> Option<MeshMessage> {
+    pub fn apply(
+        &mut self,
+        from: &ControllerName,
+        part: ReplicationBatch,
+        now: Timestamp,
+    ) -> Option<MeshMessage> {
         let partition = PartitionId(part.partition);
         let replica = self.by_partition.get_mut(&partition)?;
         let ReplicationSource { leader, boot, term } = &replica.source;
@@ -206,7 +215,7 @@
             return None;
         }
         for hint in part.hints {
-            replica.apply(hint, Moment(part.at_ms), now);
+            replica.apply(hint, Timestamp::from_millis(part.at_ms), now);
         }
         replica.applied = part.upto;
         replica.announced = part.newest;
@@ -224,9 +233,10 @@
     }
 
     /// Whether the partition could be taken over now with all that its leader knew.
-    pub fn is_in_sync(&self, partition: PartitionId, now: Moment) -> bool {
+    pub fn is_in_sync(&self, partition: PartitionId, now: Timestamp) -> bool {
         self.by_partition.get(&partition).is_some_and(|replica| {
-            replica.complete && replica.updated_at.is_some_and(|at| now.since(at) <= MAX_UPDATE_AGE)
+            replica.complete
+                && replica.updated_at.is_some_and(|at| now.duration_since(at) <= MAX_UPDATE_AGE)
         })
     }
 
--- a/crates/failover/src/stream.rs
+++ b/crates/failover/src/stream.rs
@@ -5,20 +5,21 @@
 //! a new one starts from 0. The size of a part, the parts of a send and the rate of sends are
 //! bounded: a hint that changed twice in the meantime is sent once.
 
-use model::{Moment, NodeName, Span};
+use model::{ControllerName, Timestamp};
 use std::collections::BTreeMap;
-use wire::mesh::{Hint, HintKey, HintPart};
+use std::time::Duration;
+use wire::mesh::{ReplicatedRecord, ReplicationBatch, ReplicationKey};
 
 /// Approximate limit on the bytes of hints in one part.
 const MAX_PART_BYTES: usize = 16 * 1024;
 /// Parts that one subscriber is sent at a time: a copy of 8,000 machines takes 4 s.
 const MAX_PARTS_PER_SEND: usize = 16;
 /// Time between two sends of changes to one subscriber.
-const MIN_SEND_INTERVAL: Span = Span(250);
+const MIN_SEND_INTERVAL: Duration = Duration::from_millis(250);
 /// A subscriber without pending changes is sent an empty part this often.
-const KEEPALIVE_INTERVAL: Span = Span(500);
+const KEEPALIVE_INTERVAL: Duration = Duration::from_millis(500);
 /// A subscription that has not been renewed for this long ends.
-const SUBSCRIPTION_TIMEOUT: Span = Span(4_000);
+const SUBSCRIPTION_TIMEOUT: Duration = Duration::from_secs(4);
 /// Tombstones that are kept; a subscriber that lacks dropped ones starts from 0. As many as the
 /// machines of a large site, so that the loss of a zone drops none that have not been sent yet.
 const MAX_TOMBSTONES: usize = 8_000;
@@ -28,7 +29,7 @@
     /// Sequence number of its last change.
     sequence: u64,
     /// None is a tombstone: the hint was removed, which subscribers must learn too.
-    hint: Option<Hint>,
+    hint: Option<ReplicatedRecord>,
     /// The last update that contained the hint.
     update: u64,
 }
@@ -37,8 +38,8 @@
 struct Subscriber {
     /// It has been sent all changes up to this number.
     sent: u64,
-    renewed_at: Moment,
-    sent_at: Option<Moment>,
+    renewed_at: Timestamp,
+    sent_at: Option<Timestamp>,
 }
 
 /// The hints that a partition leader replicates, and its subscribers.
@@ -48,17 +49,17 @@
     last: u64,
     /// Number of updates so far.
     updates: u64,
-    entries: BTreeMap<HintKey, Entry>,
-    by_sequence: BTreeMap<u64, HintKey>,
+    entries: BTreeMap<ReplicationKey, Entry>,
+    by_sequence: BTreeMap<u64, ReplicationKey>,
     tombstones: usize,
     /// Tombstones up to this number have been dropped.
     dropped: u64,
-    subscribers: BTreeMap<NodeName, Subscriber>,
+    subscribers: BTreeMap<ControllerName, Subscriber>,
 }
 
 impl ReplicationStream {
     /// Starts or renews the subscription of a node that has applied all changes up to `applied`.
-    pub fn subscribe(&mut self, node: &NodeName, applied: u64, now: Moment) {
+    pub fn subscribe(&mut self, node: &ControllerName, applied: u64, now: Timestamp) {
         // A node that lacks dropped tombstones has to start from 0.
         let applied = if applied < self.dropped { 0 } else { applied.min(self.last) };
         match self.subscribers.get_mut(node) {
@@ -74,18 +75,18 @@
     }
 
     /// Whether there are subscribers: otherwise the hints need not be collected.
-    pub fn has_subscribers(&mut self, now: Moment) -> bool {
-        self.subscribers.retain(|_, s| now.since(s.renewed_at) < SUBSCRIPTION_TIMEOUT);
+    pub fn has_subscribers(&mut self, now: Timestamp) -> bool {
+        self.subscribers.retain(|_, s| now.duration_since(s.renewed_at) < SUBSCRIPTION_TIMEOUT);
         !self.subscribers.is_empty()
     }
 
     /// Subscribers, and how many changes each has still to be sent.
-    pub fn subscribers(&self) -> impl Iterator<Item = (&NodeName, u64)> {
+    pub fn subscribers(&self) -> impl Iterator<Item = (&ControllerName, u64)> {
         self.subscribers.iter().map(|(name, subscriber)| (name, self.last - subscriber.sent))
     }
 
     /// Compares all current hints with those known: each difference gets a new sequence number.
-    pub fn update(&mut self, hints: impl IntoIterator<Item = Hint>) {
+    pub fn update(&mut self, hints: impl IntoIterator<Item = ReplicatedRecord>) {
         self.updates += 1;
         for hint in hints {
             let key = hint.key();
@@ -94,7 +95,7 @@
                 _ => self.record_change(key, Some(hint)),
             }
         }
-        let removed: Vec<HintKey> = self
+        let removed: Vec<ReplicationKey> = self
             .entries
             .iter()
             .filter(|(_, entry)| entry.hint.is_some() && entry.update != self.updates)
@@ -108,7 +109,7 @@
         }
     }
 
-    fn record_change(&mut self, key: HintKey, hint: Option<Hint>) {
+    fn record_change(&mut self, key: ReplicationKey, hint: Option<ReplicatedRecord>) {
         self.last += 1;
         self.tombstones += usize::from(hint.is_none());
         let entry = Entry { sequence: self.last, hint, update: self.updates };
@@ -121,7 +122,7 @@
 
     fn drop_oldest_tombstone(&mut self) {
         let is_tombstone =
-            |key: &HintKey| self.entries.get(key).is_some_and(|entry| entry.hint.is_none());
+            |key: &ReplicationKey| self.entries.get(key).is_some_and(|entry| entry.hint.is_none());
         let oldest = self.by_sequence.iter().find(|(_, key)| is_tombstone(key));
         let Some((sequence, key)) = oldest else { return };
         let (sequence, key) = (*sequence, key.clone());
@@ -133,8 +134,12 @@
 
     /// The parts that are due, each with its subscriber. `header` gives the fields that do not
     /// depend on the subscriber.
-    pub fn due_parts(&mut self, header: &HintPart, now: Moment) -> Vec<(NodeName, HintPart)> {
-        let due: Vec<(NodeName, u64)> = self
+    pub fn due_parts(
+        &mut self,
+        header: &ReplicationBatch,
+        now: Timestamp,
+    ) -> Vec<(ControllerName, ReplicationBatch)> {
+        let due: Vec<(ControllerName, u64)> = self
             .subscribers
             .iter()
             .filter(|(_, subscriber)| self.is_due(subscriber, now))
@@ -153,7 +158,7 @@
     }
 
     /// Consecutive parts after a sequence number, as many as one send takes; at least one.
-    fn parts_after(&self, after: u64, header: &HintPart) -> Vec<HintPart> {
+    fn parts_after(&self, after: u64, header: &ReplicationBatch) -> Vec<ReplicationBatch> {
         let mut parts = vec![self.part_after(after, header)];
         while parts.len() < MAX_PARTS_PER_SEND {
             let Some(sent) = parts.last().map(|part| part.upto) else { break };
@@ -165,14 +170,14 @@
         parts
     }
 
-    fn is_due(&self, subscriber: &Subscriber, now: Moment) -> bool {
+    fn is_due(&self, subscriber: &Subscriber, now: Timestamp) -> bool {
         let has_changes = subscriber.sent < self.last;
         let interval = if has_changes { MIN_SEND_INTERVAL } else { KEEPALIVE_INTERVAL };
-        subscriber.sent_at.is_none_or(|at| now.since(at) >= interval)
+        subscriber.sent_at.is_none_or(|at| now.duration_since(at) >= interval)
     }
 
     /// The changes after a sequence number, as many as fit into one part.
-    fn part_after(&self, after: u64, header: &HintPart) -> HintPart {
+    fn part_after(&self, after: u64, header: &ReplicationBatch) -> ReplicationBatch {
         let (mut upto, mut bytes, mut hints) = (self.last, 0, Vec::new());
         for (sequence, key) in self.by_sequence.range(after + 1..) {
             if bytes >= MAX_PART_BYTES {
@@ -180,10 +185,17 @@
                 break;
             }
             let hint = self.entries.get(key).and_then(|entry| entry.hint.clone());
-            let hint = hint.unwrap_or_else(|| Hint::Gone(key.clone()));
+            let hint = hint.unwrap_or_else(|| ReplicatedRecord::Gone(key.clone()));
             bytes += hint.weight();
             hints.push(hint);
         }
-        HintPart { after, upto, newest: self.last, floor: self.dropped, hints, ..header.clone() }
+        ReplicationBatch {
+            after,
+            upto,
+            newest: self.last,
+            floor: self.dropped,
+            hints,
+            ..header.clone()
+        }
     }
 }
--- a/crates/failover/tests/assign.rs
+++ b/crates/failover/tests/assign.rs
@@ -1,22 +1,22 @@
 //! Which node stands by for which partition.
 
 use failover::assign;
-use model::{NodeName, PartitionId};
+use model::{ControllerName, PartitionId};
 use std::collections::BTreeMap;
 
-fn names(count: usize) -> Vec<NodeName> {
-    (0..count).map(|n| NodeName::from(format!("n{n}").as_str())).collect()
+fn names(count: usize) -> Vec<ControllerName> {
+    (0..count).map(|n| ControllerName::from(format!("n{n}").as_str())).collect()
 }
 
 /// Partitions led by these nodes.
-fn leaders(by: &[usize]) -> BTreeMap<PartitionId, NodeName> {
+fn leaders(by: &[usize]) -> BTreeMap<PartitionId, ControllerName> {
     let nodes = names(8);
     by.iter().enumerate().map(|(p, n)| (PartitionId(p as u32), nodes[*n].clone())).collect()
 }
 
 fn standbys(count: usize, crashed: &[usize], by: &[usize]) -> Vec<String> {
     let nodes = names(count);
-    let crashed: Vec<&NodeName> = crashed.iter().map(|n| &nodes[*n]).collect();
+    let crashed: Vec<&ControllerName> = crashed.iter().map(|n| &nodes[*n]).collect();
     let found = assign(&nodes, |node| !crashed.contains(&node), &leaders(by));
     found.values().map(ToString::to_string).collect()
 }
--- a/crates/failover/tests/failure_detector.rs
+++ b/crates/failover/tests/failure_detector.rs
@@ -3,25 +3,29 @@
 use failover::failure_detector::{
     Evidence, FailoverBlocker, FailureDetector, HEARTBEAT_TIMEOUT, WORKER_EVIDENCE_VALIDITY,
 };
-use model::{MachineName, Moment, PartitionId, Span};
+use model::DurationExt;
+use model::{MachineName, PartitionId, Timestamp};
+use std::time::Duration;
 
 const P: PartitionId = PartitionId(1);
 
 /// All evidence of a leader that has crashed.
 fn crashed() -> (FailureDetector, Evidence) {
-    let now = Moment(100_000);
+    let now = Timestamp::from_millis(100_000);
     let mut detector = FailureDetector::default();
     for n in 0..8 {
         detector.record_worker_contact(P, &MachineName::from(format!("host-{n}").as_str()), now);
     }
     let evidence = Evidence {
         now,
-        last_heartbeat: Some(Moment(now.0 - HEARTBEAT_TIMEOUT.0)),
-        peer_heartbeat_age: Some(Span(1_500)),
+        last_heartbeat: Some(Timestamp::from_millis(
+            now.as_millis() - HEARTBEAT_TIMEOUT.whole_millis(),
+        )),
+        peer_heartbeat_age: Some(Duration::from_millis(1_500)),
         reporting_machines: 300,
         replica_complete: true,
         last_state_read: Some(now),
-        resumed_at: Moment(0),
+        resumed_at: Timestamp::from_millis(0),
     };
     (detector, evidence)
 }
@@ -38,13 +42,13 @@
 fn each_blocker_alone_prevents_failover() {
     let (mut detector, evidence) = crashed();
     let now = evidence.now;
-    let just = Some(Moment(now.0 - 900));
-    let old_read = Some(Moment(now.0 - 2_000));
+    let just = Some(Timestamp::from_millis(now.as_millis() - 900));
+    let old_read = Some(Timestamp::from_millis(now.as_millis() - 2_000));
     let cases = [
         (Evidence { last_heartbeat: just, ..evidence }, FailoverBlocker::LeaderAlive),
         (Evidence { last_heartbeat: None, ..evidence }, FailoverBlocker::LeaderAlive),
         (
-            Evidence { peer_heartbeat_age: Some(Span(400)), ..evidence },
+            Evidence { peer_heartbeat_age: Some(Duration::from_millis(400)), ..evidence },
             FailoverBlocker::LeaderAliveForPeers,
         ),
         (
@@ -57,13 +61,16 @@
             Evidence { last_state_read: old_read, ..evidence },
             FailoverBlocker::StateServiceUnreachable,
         ),
-        (Evidence { resumed_at: Moment(now.0 - 500), ..evidence }, FailoverBlocker::RecentlyPaused),
+        (
+            Evidence { resumed_at: Timestamp::from_millis(now.as_millis() - 500), ..evidence },
+            FailoverBlocker::RecentlyPaused,
+        ),
     ];
     for (evidence, blocker) in cases {
         assert_eq!(detector.failover_blockers(P, &evidence), [blocker]);
     }
     let later = Evidence {
-        now: now + WORKER_EVIDENCE_VALIDITY + Span(1),
+        now: now + WORKER_EVIDENCE_VALIDITY + Duration::from_millis(1),
         last_state_read: Some(now + WORKER_EVIDENCE_VALIDITY),
         ..evidence
     };
--- a/crates/failover/tests/large_partition.rs
+++ b/crates/failover/tests/large_partition.rs
@@ -1,9 +1,9 @@
 //! Replication of a partition with 8,000 machines.
 
 use failover::{Replicas, ReplicationSource, ReplicationStream};
-use model::{Moment, NodeName, PartitionId};
+use model::{ControllerName, PartitionId, Timestamp};
 use std::collections::BTreeMap;
-use wire::mesh::{Hint, HintPart, MachineHint, MeshMessage};
+use wire::mesh::{MachineSnapshot, MeshMessage, ReplicatedRecord, ReplicationBatch};
 
 const PARTITION: PartitionId = PartitionId(0);
 /// Twice the machines of the largest site.
@@ -14,8 +14,8 @@
 /// How long a home partition is left to its holder while the copy of it is not in step.
 const MAX_COPY_MS: u64 = 4_000;
 
-fn machine(number: usize) -> Hint {
-    Hint::Machine(MachineHint {
+fn machine(number: usize) -> ReplicatedRecord {
+    ReplicatedRecord::Machine(MachineSnapshot {
         machine: format!("host-{number:06}"),
         address: format!("10.0.{}.{}:9000", number / 256, number % 256),
         session: number as u64,
@@ -28,8 +28,8 @@
 
 /// A leader and one subscriber, over a mesh that loses nothing.
 struct Pair {
-    leader: NodeName,
-    subscriber: NodeName,
+    leader: ControllerName,
+    subscriber: ControllerName,
     stream: ReplicationStream,
     replicas: Replicas,
     full_copies: usize,
@@ -38,8 +38,8 @@
 impl Pair {
     fn new() -> Self {
         Pair {
-            leader: NodeName::from("n0"),
-            subscriber: NodeName::from("n1"),
+            leader: ControllerName::from("n0"),
+            subscriber: ControllerName::from("n1"),
             stream: ReplicationStream::default(),
             replicas: Replicas::default(),
             full_copies: 0,
@@ -47,13 +47,18 @@
     }
 
     /// One step of both nodes.
-    fn step(&mut self, machines: std::ops::Range<usize>, now: Moment) {
+    fn step(&mut self, machines: std::ops::Range<usize>, now: Timestamp) {
         let source = ReplicationSource { leader: self.leader.clone(), boot: 1, term: 1 };
         for (_, message) in self.replicas.subscribe(&BTreeMap::from([(PARTITION, source)]), now) {
             self.subscribe(message, now);
         }
         self.stream.update(machines.map(machine));
-        let header = HintPart { boot: 1, term: 1, at_ms: now.0, ..HintPart::default() };
+        let header = ReplicationBatch {
+            boot: 1,
+            term: 1,
+            at_ms: now.as_millis(),
+            ..ReplicationBatch::default()
+        };
         for (_, part) in self.stream.due_parts(&header, now) {
             self.full_copies += usize::from(part.after == 0);
             if let Some(message) = self.replicas.apply(&self.leader, part, now) {
@@ -62,7 +67,7 @@
         }
     }
 
-    fn subscribe(&mut self, message: MeshMessage, now: Moment) {
+    fn subscribe(&mut self, message: MeshMessage, now: Timestamp) {
         let MeshMessage::Follow { have, .. } = message else { panic!("{message:?}") };
         self.stream.subscribe(&self.subscriber, have, now);
     }
@@ -76,9 +81,9 @@
 fn a_copy_is_in_step_before_a_home_is_taken_without_it() {
     let mut pair = Pair::new();
     for at in (0..MAX_COPY_MS).step_by(STEP_MS as usize) {
-        pair.step(0..MACHINES, Moment(at));
+        pair.step(0..MACHINES, Timestamp::from_millis(at));
     }
-    let end = Moment(MAX_COPY_MS);
+    let end = Timestamp::from_millis(MAX_COPY_MS);
     assert_eq!(pair.machines(), MACHINES);
     assert!(pair.replicas.is_in_sync(PARTITION, end));
 }
@@ -88,12 +93,12 @@
     let mut pair = Pair::new();
     let steps = 60;
     for step in 0..steps {
-        pair.step(0..MACHINES, Moment(step * STEP_MS));
+        pair.step(0..MACHINES, Timestamp::from_millis(step * STEP_MS));
     }
     assert_eq!(pair.machines(), MACHINES);
     assert_eq!(pair.full_copies, 1);
     for step in steps..steps + 4 {
-        pair.step(0..MACHINES / 2, Moment(step * STEP_MS));
+        pair.step(0..MACHINES / 2, Timestamp::from_millis(step * STEP_MS));
     }
     assert_eq!(pair.machines(), MACHINES / 2);
     assert_eq!(pair.full_copies, 1, "it had the copy already");
--- a/crates/failover/tests/readiness.rs
+++ b/crates/failover/tests/readiness.rs
@@ -1,15 +1,15 @@
 //! What keeps a new partition leader from deciding.
 
 use failover::readiness::{failed_checks, LeadershipFacts, ReadinessCheck};
-use model::{Revision, Token, Version};
+use model::{FencingToken, Revision, Version};
 
 #[test]
 fn each_failed_check_alone_keeps_a_leader_from_deciding() {
     let sound = LeadershipFacts {
         mirrored_record: Some(Version(70)),
         own_version: Version(70),
-        term: Token(8),
-        next_token: Token(9),
+        term: FencingToken(8),
+        next_token: FencingToken(9),
         mirror_revision: Revision(70),
         ledger_revision: Some(Revision(71)),
         unreadable_pages: 0,
@@ -23,7 +23,7 @@
             LeadershipFacts { mirrored_record: Some(Version(69)), ..sound },
             ReadinessCheck::OwnRecord,
         ),
-        (LeadershipFacts { next_token: Token(8), ..sound }, ReadinessCheck::TermGivenOut),
+        (LeadershipFacts { next_token: FencingToken(8), ..sound }, ReadinessCheck::TermGivenOut),
         (LeadershipFacts { mirror_revision: Revision(69), ..sound }, ReadinessCheck::MirrorReached),
         (LeadershipFacts { ledger_revision: None, ..sound }, ReadinessCheck::LedgerRead),
         (
--- a/crates/failover/tests/stream.rs
+++ b/crates/failover/tests/stream.rs
@@ -2,16 +2,18 @@
 //! step a copy shows nothing that its source never said, and once the mesh is well it is equal.
 
 use failover::{Replicas, ReplicationSource, ReplicationStream};
-use model::{MachineName, Moment, NodeName, PartitionId};
+use model::{ControllerName, MachineName, PartitionId, Timestamp};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use std::collections::{BTreeMap, BTreeSet};
-use wire::mesh::{Hint, HintPart, JobHint, MachineHint, MeshMessage};
+use wire::mesh::{
+    JobFailureSnapshot, MachineSnapshot, MeshMessage, ReplicatedRecord, ReplicationBatch,
+};
 
 const P: PartitionId = PartitionId(2);
 
-fn machine(n: u32, session: u64) -> Hint {
-    Hint::Machine(MachineHint {
+fn machine(n: u32, session: u64) -> ReplicatedRecord {
+    ReplicatedRecord::Machine(MachineSnapshot {
         machine: format!("host-{n:04}"),
         address: format!("10.0.0.{n}:9000"),
         session,
@@ -22,10 +24,10 @@
     })
 }
 
-fn job(n: u64, failures: u32) -> Hint {
+fn job(n: u64, failures: u32) -> ReplicatedRecord {
     let failed_on = vec!["host-0001".to_owned()];
     let (successes, fails_within_ms) = (0, 900);
-    Hint::Job(JobHint {
+    ReplicatedRecord::Job(JobFailureSnapshot {
         job: n,
         failures: vec![(0, failures)],
         failed_on,
@@ -69,24 +71,24 @@
         self.stream.update(machines.chain(jobs));
     }
 
-    fn part(&self, now: Moment) -> HintPart {
-        let (boot, at_ms) = (self.boot, now.0);
-        HintPart { partition: P.0, boot, term: 7, at_ms, ..HintPart::default() }
+    fn part(&self, now: Timestamp) -> ReplicationBatch {
+        let (boot, at_ms) = (self.boot, now.as_millis());
+        ReplicationBatch { partition: P.0, boot, term: 7, at_ms, ..ReplicationBatch::default() }
     }
 }
 
 #[test]
 fn copies_say_only_what_was_said_and_end_up_equal() {
-    let (holder_name, me) = (NodeName::from("n0"), NodeName::from("n1"));
+    let (holder_name, me) = (ControllerName::from("n0"), ControllerName::from("n1"));
     for seed in 0..40 {
         let mut rng = SmallRng::seed_from_u64(seed);
         let mut said = BTreeSet::new();
         let mut holder = Holder::new(1);
         let mut replicas = Replicas::default();
-        let mut on_way: Vec<(Moment, HintPart)> = Vec::new();
+        let mut on_way: Vec<(Timestamp, ReplicationBatch)> = Vec::new();
         let (well_from, ends) = (20_000, 32_000);
         for at in (0..ends).step_by(250) {
-            let now = Moment(at);
+            let now = Timestamp::from_millis(at);
             if at < well_from {
                 holder.change(&mut rng, &mut said);
                 if rng.random_bool(0.03) {
@@ -112,15 +114,15 @@
                 }
             }
             for (_, part) in holder.stream.due_parts(&holder.part(now), now) {
-                let bytes: usize = part.hints.iter().map(Hint::weight).sum();
+                let bytes: usize = part.hints.iter().map(ReplicatedRecord::weight).sum();
                 assert!(bytes < 20 * 1024, "seed {seed}: a part of {bytes} bytes");
                 if rng.random_bool(loss) {
                     continue;
                 }
                 let delay = if at < well_from { rng.random_range(0..3_000) } else { 1 };
-                on_way.push((Moment(at + delay), part.clone()));
+                on_way.push((Timestamp::from_millis(at + delay), part.clone()));
                 if rng.random_bool(loss) {
-                    on_way.push((Moment(at + delay + 900), part));
+                    on_way.push((Timestamp::from_millis(at + delay + 900), part));
                 }
             }
             let replica = replicas.get(P);
@@ -129,7 +131,7 @@
                 assert!(said.contains(&known), "seed {seed}: {known:?} was never said");
             }
         }
-        assert!(replicas.is_in_sync(P, Moment(ends)), "seed {seed}");
+        assert!(replicas.is_in_sync(P, Timestamp::from_millis(ends)), "seed {seed}");
         let Some(copy) = replicas.remove(P) else { panic!("seed {seed}: no copy") };
         let machines: BTreeMap<MachineName, u64> = copy
             .machines
@@ -152,11 +154,14 @@
 /// word, and what a copy holds stays until the new holder speaks.
 #[test]
 fn words_of_others_are_not_used() {
-    let (old, new) = (NodeName::from("n0"), NodeName::from("n1"));
+    let (old, new) = (ControllerName::from("n0"), ControllerName::from("n1"));
     let mut replicas = Replicas::default();
-    let source =
-        |leader: &NodeName, boot, term| ReplicationSource { leader: leader.clone(), boot, term };
-    let part = |boot, term, session| HintPart {
+    let source = |leader: &ControllerName, boot, term| ReplicationSource {
+        leader: leader.clone(),
+        boot,
+        term,
+    };
+    let part = |boot, term, session| ReplicationBatch {
         partition: P.0,
         boot,
         term,
@@ -171,17 +176,20 @@
         let copy = replicas.get(P).expect("a copy");
         copy.machines.values().next().map(|machine| machine.hint.session)
     };
-    replicas.subscribe(&BTreeMap::from([(P, source(&old, 5, 3))]), Moment(10));
-    assert_eq!(replicas.apply(&old, part(5, 3, 11), Moment(20)), None);
+    replicas.subscribe(&BTreeMap::from([(P, source(&old, 5, 3))]), Timestamp::from_millis(10));
+    assert_eq!(replicas.apply(&old, part(5, 3, 11), Timestamp::from_millis(20)), None);
     assert_eq!(session(&replicas), Some(11));
-    replicas.subscribe(&BTreeMap::from([(P, source(&new, 6, 4))]), Moment(30));
-    assert!(!replicas.is_in_sync(P, Moment(30)), "the new holder has said nothing yet");
-    replicas.apply(&old, part(5, 3, 12), Moment(40));
-    replicas.apply(&old, part(6, 4, 13), Moment(40));
-    replicas.apply(&new, part(6, 3, 14), Moment(40));
-    replicas.apply(&new, part(9, 4, 15), Moment(40));
+    replicas.subscribe(&BTreeMap::from([(P, source(&new, 6, 4))]), Timestamp::from_millis(30));
+    assert!(
+        !replicas.is_in_sync(P, Timestamp::from_millis(30)),
+        "the new holder has said nothing yet"
+    );
+    replicas.apply(&old, part(5, 3, 12), Timestamp::from_millis(40));
+    replicas.apply(&old, part(6, 4, 13), Timestamp::from_millis(40));
+    replicas.apply(&new, part(6, 3, 14), Timestamp::from_millis(40));
+    replicas.apply(&new, part(9, 4, 15), Timestamp::from_millis(40));
     assert_eq!(session(&replicas), Some(11));
-    replicas.apply(&new, part(6, 4, 16), Moment(50));
+    replicas.apply(&new, part(6, 4, 16), Timestamp::from_millis(50));
     assert_eq!(session(&replicas), Some(16));
-    assert!(replicas.is_in_sync(P, Moment(50)));
+    assert!(replicas.is_in_sync(P, Timestamp::from_millis(50)));
 }
--- a/crates/loadtest/src/state_service.rs
+++ b/crates/loadtest/src/state_service.rs
@@ -13,7 +13,9 @@
 use std::time::Duration;
 use tokio::net::TcpListener;
 use tokio::sync::watch;
-use wire::state::{LeaseAnswer, LeaseRequest, StateReply, StateRequest, Txn, TxnAnswer, Write};
+use wire::state::{
+    LeaseRequest, LeaseResponse, StateReply, StateRequest, Transaction, TransactionResponse, Write,
+};
 
 /// How often leases are looked at; one may end 100 ms late.
 const LEASES_EVERY: Duration = Duration::from_millis(50);
@@ -158,7 +160,7 @@
         if let StateRequest::Watch { prefix, after, wait_ms } = &request {
             return answer(kind, self.watch(prefix, *after, *wait_ms).await);
         }
-        if let StateRequest::Txn(txn) = &request {
+        if let StateRequest::Transaction(txn) = &request {
             if let Some(problem) = self.too_large(txn, call.body.len()) {
                 return Answer::error(kind, 400, &problem);
             }
@@ -186,7 +188,7 @@
         }
     }
 
-    fn too_large(&self, txn: &Txn, bytes: usize) -> Option<String> {
+    fn too_large(&self, txn: &Transaction, bytes: usize) -> Option<String> {
         let state = &self.experiment.state;
         if txn.writes.len() > state.txn_ops || txn.conditions.len() > 4 * state.txn_ops {
             return Some("too many operations".into());
@@ -213,7 +215,7 @@
         }
         (Method::GET, ["store", key @ ..]) => ("get", StateRequest::Get { key: key.join("/") }),
         (Method::POST, ["txn"]) => {
-            ("txn", StateRequest::Txn(serde_json::from_slice(&call.body).ok()?))
+            ("txn", StateRequest::Transaction(serde_json::from_slice(&call.body).ok()?))
         }
         (Method::POST, ["holds"]) => {
             let lease: LeaseRequest = serde_json::from_slice(&call.body).ok()?;
@@ -244,12 +246,12 @@
             Answer::json(kind, 200, &page)
         }
         StateReply::Committed { revision } => {
-            Answer::json(kind, 200, &TxnAnswer { revision, failed: Vec::new() })
+            Answer::json(kind, 200, &TransactionResponse { revision, failed: Vec::new() })
         }
         StateReply::Conflict { failed, revision } => {
-            Answer::json(kind, 409, &TxnAnswer { revision, failed })
+            Answer::json(kind, 409, &TransactionResponse { revision, failed })
         }
-        StateReply::Lease(lease) => Answer::json(kind, 200, &LeaseAnswer { lease }),
+        StateReply::Lease(lease) => Answer::json(kind, 200, &LeaseResponse { lease }),
         StateReply::Ok => Answer { status: 200, body: b"{}".to_vec(), kind },
         StateReply::LeaseGone if kind == "txn" => Answer::error(kind, 400, "no such lease"),
         StateReply::LeaseGone => Answer::error(kind, 404, "no such lease"),
--- a/crates/loadtest/src/workers.rs
+++ b/crates/loadtest/src/workers.rs
@@ -18,7 +18,7 @@
 use tokio::sync::Notify;
 use tokio::task::JoinHandle;
 use wire::users::JobRequest;
-use wire::workers::{Command, DirectCommands, Redirect, Report, ReportAnswer};
+use wire::workers::{Command, DirectCommands, Heartbeat, HeartbeatResponse, Redirect};
 
 /// How long a report waits for its answer.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(4_000);
@@ -331,7 +331,7 @@
         });
     }
 
-    fn message(&self, state: &mut HollowState) -> Report {
+    fn message(&self, state: &mut HollowState) -> Heartbeat {
         let mut report = state.worker.report();
         report.address = self.site.net.worker(self.machine).to_string();
         report
@@ -400,7 +400,7 @@
         match answer {
             Some((200, body, client)) => {
                 self.state.borrow_mut().connection = Some(client);
-                match serde_json::from_slice::<ReportAnswer>(&body) {
+                match serde_json::from_slice::<HeartbeatResponse>(&body) {
                     Ok(answer) => self.obey(number, sent, &answer),
                     Err(_) => self.try_node(node + 1, NEXT_NODE_MS),
                 }
@@ -418,7 +418,7 @@
         }
     }
 
-    fn obey(&self, number: u64, sent: u64, answer: &ReportAnswer) {
+    fn obey(&self, number: u64, sent: u64, answer: &HeartbeatResponse) {
         self.site.fetch_jobs(&answer.commands);
         let now = self.site.clock.now_ms();
         {
--- a/crates/model/src/ids.rs
+++ b/crates/model/src/ids.rs
@@ -48,7 +48,7 @@
 
 number!(
     /// Entitlement of a controller to command a machine; terms are drawn from the same counter.
-    Token
+    FencingToken
 );
 number!(
     /// One start of a task, or of a whole gang.
@@ -68,11 +68,11 @@
 );
 number!(
     /// A worker's session.
-    Session
+    WorkerEpoch
 );
 number!(
     /// Number of a worker's message within its life.
-    Seq
+    SequenceNumber
 );
 number!(
     /// Correlates a request of the deciding code with its answer.
@@ -81,7 +81,7 @@
 
 name!(
     /// A controller node.
-    NodeName
+    ControllerName
 );
 name!(
     /// A rented machine.
--- a/crates/model/src/job.rs
+++ b/crates/model/src/job.rs
@@ -1,6 +1,8 @@
 //! Jobs: checking what users submit.
 
-use crate::{JobId, JobKind, Priority, Resources, Settings, Span, TeamName, ZoneName};
+use crate::duration_from_secs;
+use crate::{JobId, JobKind, Priority, Resources, Settings, TeamName, ZoneName};
+use std::time::Duration;
 use thiserror::Error;
 use wire::cloud::MachineType;
 use wire::users::JobRequest;
@@ -25,10 +27,10 @@
     pub one_zone: bool,
     pub spread: bool,
     pub spot: bool,
-    pub estimate: Span,
-    pub checkpoint: Span,
-    pub save: Span,
-    pub deadline: Option<Span>,
+    pub estimate: Duration,
+    pub checkpoint: Duration,
+    pub save: Duration,
+    pub deadline: Option<Duration>,
 }
 
 /// A field that makes a submission malformed (400).
@@ -91,7 +93,7 @@
             return Err(InvalidJob { field: "vcpus", problem: "a task must take something" });
         }
         let deadline = match request.deadline_s {
-            Some(seconds) => Some(Span::from_secs(amount("due_s", seconds)?)),
+            Some(seconds) => Some(duration_from_secs(amount("due_s", seconds)?)),
             None => None,
         };
         Ok(JobSpec {
@@ -109,9 +111,9 @@
             one_zone: request.one_zone,
             spread: request.spread,
             spot: request.spot,
-            estimate: Span::from_secs(amount("expect_s", request.estimate_s)?),
-            checkpoint: Span::from_secs(amount("notch_s", request.checkpoint_s)?),
-            save: Span::from_secs(amount("stash_s", request.save_s)?),
+            estimate: duration_from_secs(amount("expect_s", request.estimate_s)?),
+            checkpoint: duration_from_secs(amount("notch_s", request.checkpoint_s)?),
+            save: duration_from_secs(amount("stash_s", request.save_s)?),
             deadline,
         })
     }
--- a/crates/model/src/lib.rs
+++ b/crates/model/src/lib.rs
@@ -10,5 +10,5 @@
 pub use job::{InvalidJob, JobSpec, RejectReason};
 pub use resources::Resources;
 pub use settings::Settings;
-pub use time::{Moment, Span};
+pub use time::{duration_from_secs, DurationExt, Timestamp};
 pub use wire::users::{JobKind, JobState, Priority};
--- a/crates/model/src/settings/file.rs
+++ b/crates/model/src/settings/file.rs
@@ -3,10 +3,12 @@
 //! Unknown fields are ignored. The first field that fails a check is reported.
 
 use super::{Peer, Settings, SettingsError, StateLimits, Team, WorkerTimes};
-use crate::{NodeName, Resources, Span, TeamName, ZoneName};
+use crate::duration_from_secs;
+use crate::{ControllerName, Resources, TeamName, ZoneName};
 use serde::Deserialize;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
+use std::time::Duration;
 
 /// Sockets that a node may open if the file sets no quota.
 const DEFAULT_SOCKETS: usize = 1000;
@@ -130,7 +132,7 @@
     let mut peers = Vec::new();
     for (index, peer) in list.iter().enumerate() {
         peers.push(Peer {
-            name: NodeName::from(peer.member.as_str()),
+            name: ControllerName::from(peer.member.as_str()),
             zone: ZoneName::from(peer.zone.as_str()),
             mesh: address(&format!("peers[{index}].endpoint"), &peer.endpoint)?,
         });
@@ -172,7 +174,7 @@
 
 fn worker_times(workers: &FileWorkers) -> Result<WorkerTimes, SettingsError> {
     let span = |field: &str, value: f64| {
-        positive(&format!("settings.workers.{field}"), value).map(Span::from_secs)
+        positive(&format!("settings.workers.{field}"), value).map(duration_from_secs)
     };
     Ok(WorkerTimes {
         report: span("report_s", workers.report_s)?,
@@ -196,8 +198,8 @@
 }
 
 /// Time within which jobs of each class should be finished.
-fn goals(objectives: &[FileObjective]) -> Result<BTreeMap<String, Span>, SettingsError> {
-    let mut goals: BTreeMap<String, Span> = BTreeMap::new();
+fn goals(objectives: &[FileObjective]) -> Result<BTreeMap<String, Duration>, SettingsError> {
+    let mut goals: BTreeMap<String, Duration> = BTreeMap::new();
     for (index, objective) in objectives.iter().enumerate() {
         let FileObjective { kind: Some(kind), class: Some(class), within_s: Some(within) } =
             objective
@@ -208,7 +210,7 @@
             continue;
         }
         let field = format!("settings.objectives[{index}].within_s");
-        let within = Span::from_secs(positive(&field, *within)?);
+        let within = duration_from_secs(positive(&field, *within)?);
         let goal = goals.entry(class.clone()).or_insert(within);
         *goal = within.min(*goal);
     }
@@ -229,7 +231,7 @@
         let value_bytes = value_bytes(&params.state)?;
         let goals = goals(&params.objectives)?;
         Ok(Settings {
-            name: NodeName::from(file.member.as_str()),
+            name: ControllerName::from(file.member.as_str()),
             zone: ZoneName::from(file.zone.as_str()),
             listen: address("serve_on", &file.serve_on)?,
             mesh: address("mesh_addr", &file.mesh_addr)?,
@@ -245,7 +247,7 @@
                 txn_ops: params.state.txn_ops,
             },
             cloud_rps: positive("settings.cloud.rps", params.cloud.rps)?,
-            cloud_list_lag: Span::from_secs(params.cloud.list_lag_s),
+            cloud_list_lag: duration_from_secs(params.cloud.list_lag_s),
             sockets: params.quota.as_ref().map_or(DEFAULT_SOCKETS, |quota| quota.sockets),
             goals,
         })
--- a/crates/model/src/settings/mod.rs
+++ b/crates/model/src/settings/mod.rs
@@ -1,8 +1,10 @@
 //! The settings of a node.
 
+use crate::DurationExt;
+use std::time::Duration;
 mod file;
 
-use crate::{NodeName, Resources, Span, TeamName, ZoneName};
+use crate::{ControllerName, Resources, TeamName, ZoneName};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use thiserror::Error;
@@ -27,7 +29,7 @@
 /// Another controller node.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Peer {
-    pub name: NodeName,
+    pub name: ControllerName,
     pub zone: ZoneName,
     pub mesh: SocketAddr,
 }
@@ -35,11 +37,11 @@
 /// How workers behave.
 #[derive(Debug, Clone, PartialEq)]
 pub struct WorkerTimes {
-    pub report: Span,
-    pub lease: Span,
-    pub gang_wait: Span,
-    pub gang_peer: Span,
-    pub cancel: Span,
+    pub report: Duration,
+    pub lease: Duration,
+    pub gang_wait: Duration,
+    pub gang_peer: Duration,
+    pub cancel: Duration,
 }
 
 /// Limits of the state service.
@@ -54,7 +56,7 @@
 /// Checked settings.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Settings {
-    pub name: NodeName,
+    pub name: ControllerName,
     pub zone: ZoneName,
     pub listen: SocketAddr,
     pub mesh: SocketAddr,
@@ -65,10 +67,10 @@
     pub workers: WorkerTimes,
     pub state_limits: StateLimits,
     pub cloud_rps: f64,
-    pub cloud_list_lag: Span,
+    pub cloud_list_lag: Duration,
     pub sockets: usize,
     /// Time within which jobs of a class should be finished, the shortest where several are named.
-    pub goals: BTreeMap<String, Span>,
+    pub goals: BTreeMap<String, Duration>,
 }
 
 impl Settings {
@@ -78,7 +80,7 @@
     }
 
     /// All nodes with their zones, in the order that every node agrees on.
-    pub fn nodes(&self) -> Vec<(NodeName, ZoneName)> {
+    pub fn nodes(&self) -> Vec<(ControllerName, ZoneName)> {
         let mut nodes: Vec<_> =
             self.peers.iter().map(|p| (p.name.clone(), p.zone.clone())).collect();
         nodes.push((self.name.clone(), self.zone.clone()));
@@ -91,9 +93,9 @@
     /// confirmed read of changes: what a worker's lease leaves of `cancel_s`, less a margin
     /// for drift and for the delivery of the stop itself. Where little is left, half of that: without the
     /// margin the rule holds still, and with no time at all no worker could ever be answered.
-    pub fn blind_span(&self) -> Span {
-        let left = self.workers.cancel.saturating_sub(self.workers.lease.with_drift());
-        let margin = Span(1000) + self.workers.report;
+    pub fn blind_span(&self) -> Duration {
+        let left = self.workers.cancel.saturating_sub(self.workers.lease.with_clock_drift());
+        let margin = Duration::from_secs(1) + self.workers.report;
         left.saturating_sub(margin.min(left / 2))
     }
 }
--- a/crates/model/tests/golden_settings.rs
+++ b/crates/model/tests/golden_settings.rs
@@ -1,11 +1,13 @@
 //! The settings file as the platform writes it: the names of its fields, and what they are read as.
 
+use std::time::Duration;
+
 #[path = "../../wire/tests/golden/mod.rs"]
 mod golden;
 
 use golden::Entry;
 use model::settings::{Peer, StateLimits, Team, WorkerTimes};
-use model::{NodeName, Resources, Settings, Span, TeamName, ZoneName};
+use model::{ControllerName, Resources, Settings, TeamName, ZoneName};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
@@ -46,7 +48,7 @@
 }
 
 fn peer(name: &str, zone: &str, mesh: &str) -> Peer {
-    Peer { name: NodeName::from(name), zone: ZoneName::from(zone), mesh: address(mesh) }
+    Peer { name: ControllerName::from(name), zone: ZoneName::from(zone), mesh: address(mesh) }
 }
 
 fn teams() -> Vec<Team> {
@@ -65,7 +67,7 @@
 
 fn plain() -> Settings {
     Settings {
-        name: NodeName::from("n0"),
+        name: ControllerName::from("n0"),
         zone: ZoneName::from("north"),
         listen: address("10.0.0.1:8080"),
         mesh: address("10.0.0.1:8081"),
@@ -74,11 +76,11 @@
         state: address("10.1.0.2:9002"),
         teams: Vec::new(),
         workers: WorkerTimes {
-            report: Span(1_500),
-            lease: Span(20_000),
-            gang_wait: Span(45_000),
-            gang_peer: Span(8_000),
-            cancel: Span(60_250),
+            report: Duration::from_millis(1_500),
+            lease: Duration::from_secs(20),
+            gang_wait: Duration::from_secs(45),
+            gang_peer: Duration::from_secs(8),
+            cancel: Duration::from_millis(60_250),
         },
         state_limits: StateLimits {
             requests_per_s: 100.0,
@@ -87,7 +89,7 @@
             txn_ops: 6,
         },
         cloud_rps: 10.0,
-        cloud_list_lag: Span(8_250),
+        cloud_list_lag: Duration::from_millis(8_250),
         sockets: 1_000,
         goals: BTreeMap::new(),
     }
@@ -98,7 +100,7 @@
         peers: vec![peer("n1", "south", "10.0.0.2:8082"), peer("n2", "north", "[::1]:8083")],
         teams: teams(),
         sockets: 321,
-        goals: BTreeMap::from([("train".to_owned(), Span(600_500))]),
+        goals: BTreeMap::from([("train".to_owned(), Duration::from_millis(600_500))]),
         ..plain()
     }
 }
--- a/crates/scheduler/src/best_effort.rs
+++ b/crates/scheduler/src/best_effort.rs
@@ -6,20 +6,22 @@
 
 use crate::job::{Job, Placement};
 use crate::machine::Machine;
-use crate::partition_state::Share;
-use model::{JobId, JobKind, Moment, Resources, Span, TaskId, TeamName};
+use crate::partition_state::PartitionState;
+use model::DurationExt;
+use model::{JobId, JobKind, Resources, TaskId, TeamName, Timestamp};
 use std::collections::HashMap;
+use std::time::Duration;
 
 /// Tasks that end within this time are not stopped to make room: waiting costs less.
-const SOON: Span = Span(8_000);
+const SOON: Duration = Duration::from_secs(8);
 /// How long a machine is left to the best-effort tasks that remain on it.
-const LINGER: Span = Span(10_000);
+const LINGER: Duration = Duration::from_secs(10);
 /// How long a team's best-effort work may have hardly any place before it may take a few anywhere.
-const STRANDED: Span = Span(120_000);
+const STRANDED: Duration = Duration::from_secs(120);
 /// So many.
 const FOOTHOLD: usize = 8;
 
-impl Share {
+impl PartitionState {
     /// Whether a machine is a place for the job as far as this goes: best-effort work does not
     /// keep ordinary machines alive that it could do without.
     pub(crate) fn may_linger(&self, job: &Job, machine: &Machine) -> bool {
@@ -32,7 +34,7 @@
     }
 
     /// A job found no room just now.
-    pub(crate) fn note_roomless(&mut self, id: JobId, now: Moment) {
+    pub(crate) fn note_roomless(&mut self, id: JobId, now: Timestamp) {
         if self.jobs.get(&id).is_some_and(|job| !job.best_effort()) {
             self.roomless.insert(id, now);
         }
@@ -40,7 +42,7 @@
 
     /// Whether a machine's room is left to other jobs, which found none lately and back off: if
     /// best-effort tasks took it meanwhile they would only be stopped again.
-    pub(crate) fn left_to_others(&self, job: &Job, machine: &Machine, now: Moment) -> bool {
+    pub(crate) fn left_to_others(&self, job: &Job, machine: &Machine, now: Timestamp) -> bool {
         if !job.best_effort() {
             return false;
         }
@@ -52,12 +54,20 @@
     }
 
     /// Whether stopping a best-effort task for other work costs little.
-    pub(crate) fn stops_cheaply(&self, victim: &Job, placement: &Placement, now: Moment) -> bool {
-        let ran = now.since(placement.placed_at);
-        let left = Span(victim.spec.estimate.0.saturating_sub(ran.0));
+    pub(crate) fn stops_cheaply(
+        &self,
+        victim: &Job,
+        placement: &Placement,
+        now: Timestamp,
+    ) -> bool {
+        let ran = now.duration_since(placement.placed_at);
+        let left = Duration::from_millis(
+            victim.spec.estimate.whole_millis().saturating_sub(ran.whole_millis()),
+        );
         victim.spec.best_effort()
             && left > SOON
-            && (victim.spec.checkpoint > Span::ZERO || ran.0 * 4 < victim.spec.estimate.0)
+            && (victim.spec.checkpoint > Duration::ZERO
+                || ran.whole_millis() * 4 < victim.spec.estimate.whole_millis())
     }
 
     /// Work that is lost when a task is stopped, in ms: what it has done, the time to save it, or,
@@ -67,27 +77,28 @@
         victim: &Job,
         placement: &Placement,
         at_once: bool,
-        now: Moment,
+        now: Timestamp,
     ) -> u64 {
-        let ran = now.since(placement.placed_at).0;
-        if victim.spec.checkpoint == Span::ZERO {
+        let ran = now.duration_since(placement.placed_at).whole_millis();
+        if victim.spec.checkpoint == Duration::ZERO {
             ran
         } else if at_once && victim.spec.best_effort() {
-            ran % victim.spec.checkpoint.0
+            ran % victim.spec.checkpoint.whole_millis()
         } else {
-            ran.min(victim.spec.save.0 + 1_000)
+            ran.min(victim.spec.save.whole_millis() + 1_000)
         }
     }
 
     /// Whether a best-effort task is gone within seconds when its place is wanted.
-    fn gives_way(&self, job: &Job, placement: &Placement, now: Moment) -> bool {
-        let ran = now.since(placement.placed_at);
+    fn gives_way(&self, job: &Job, placement: &Placement, now: Timestamp) -> bool {
+        let ran = now.duration_since(placement.placed_at);
         !job.guaranteed
-            && (job.spec.checkpoint > Span::ZERO || job.spec.estimate.0 < ran.0 + SOON.0)
+            && (job.spec.checkpoint > Duration::ZERO
+                || job.spec.estimate.whole_millis() < ran.whole_millis() + SOON.whole_millis())
     }
 
     /// What best-effort tasks would leave to other work within seconds.
-    pub(crate) fn clearable(&self, machine: &Machine, now: Moment) -> Resources {
+    pub(crate) fn clearable(&self, machine: &Machine, now: Timestamp) -> Resources {
         let mut sum = Resources::default();
         if machine.best_effort == 0 {
             return sum;
@@ -104,7 +115,7 @@
     }
 
     /// Whether all that runs on a machine is best-effort work that is soon gone when asked.
-    pub(crate) fn only_best_effort(&self, machine: &Machine, now: Moment) -> bool {
+    pub(crate) fn only_best_effort(&self, machine: &Machine, now: Timestamp) -> bool {
         !machine.tasks.is_empty()
             && machine.regular() == 0
             && machine.tasks.iter().all(|task| {
@@ -115,11 +126,11 @@
     }
 
     /// Stops the best-effort tasks of a machine that save; the others run out.
-    pub(crate) fn clear_best_effort(&mut self, tasks: Vec<TaskId>, now: Moment) {
+    pub(crate) fn clear_best_effort(&mut self, tasks: Vec<TaskId>, now: Timestamp) {
         for task in tasks {
             let saves = self.jobs.get(&task.job).is_some_and(|job| {
                 job.spec.best_effort()
-                    && job.spec.checkpoint > Span::ZERO
+                    && job.spec.checkpoint > Duration::ZERO
                     && job.placed.get(&task.index).is_some_and(|p| p.stop.is_none())
             });
             if saves {
@@ -131,7 +142,7 @@
 
     /// Sends best-effort work away from ordinary machines on which nothing else is left, and
     /// notes which jobs have found no place for long.
-    pub fn tidy_best_effort(&mut self, now: Moment) {
+    pub fn tidy_best_effort(&mut self, now: Timestamp) {
         // By team: places taken, and the job that waits longest.
         let mut teams: HashMap<TeamName, (usize, Option<(u64, JobId)>)> = HashMap::new();
         for job in self.jobs.values_mut().filter(|job| job.spec.best_effort()) {
@@ -151,7 +162,7 @@
             };
             let since = *team.thin_since.get_or_insert(now);
             if let Some(job) = self.jobs.get_mut(id) {
-                job.stranded = now.since(since) > STRANDED;
+                job.stranded = now.duration_since(since) > STRANDED;
             }
         }
         let leaves = |task: &&TaskId| {
@@ -164,7 +175,7 @@
             .machines
             .values()
             .filter(|m| !m.spot && m.best_effort > 0 && m.regular() == 0)
-            .filter(|m| now.since(m.regular_left_at) > LINGER)
+            .filter(|m| now.duration_since(m.regular_left_at) > LINGER)
             .flat_map(|m| m.tasks.iter().filter(leaves).copied())
             .collect();
         self.clear_best_effort(tasks, now);
@@ -182,5 +193,5 @@
 /// Whether tasks of the job are gone within seconds when a machine is wanted: beside arrays, which
 /// end sooner than they do, others would remain alone.
 fn leaves_soon(job: &Job) -> bool {
-    job.spec.checkpoint > Span::ZERO || job.spec.estimate < SOON
+    job.spec.checkpoint > Duration::ZERO || job.spec.estimate < SOON
 }
--- a/crates/scheduler/src/capacity_index.rs
+++ b/crates/scheduler/src/capacity_index.rs
@@ -27,14 +27,14 @@
     spot: bool,
 }
 
-type Rooms = BTreeMap<Place, BTreeSet<MachineName>>;
+type FreeCapacityMap = BTreeMap<Place, BTreeSet<MachineName>>;
 
 /// The index.
 #[derive(Debug, Default)]
-pub(crate) struct RoomIndex {
+pub(crate) struct CapacityIndex {
     classes: Vec<Class>,
-    all: Rooms,
-    by_image: HashMap<Arc<str>, Rooms>,
+    all: FreeCapacityMap,
+    by_image: HashMap<Arc<str>, FreeCapacityMap>,
 }
 
 fn place_of(machine: &Machine, class: u32) -> Place {
@@ -47,11 +47,11 @@
     }
 }
 
-fn put(rooms: &mut Rooms, place: Place, name: &MachineName) {
+fn put(rooms: &mut FreeCapacityMap, place: Place, name: &MachineName) {
     rooms.entry(place).or_default().insert(name.clone());
 }
 
-fn take(rooms: &mut Rooms, place: Place, name: &MachineName) {
+fn take(rooms: &mut FreeCapacityMap, place: Place, name: &MachineName) {
     if let Some(names) = rooms.get_mut(&place) {
         names.remove(name);
         if names.is_empty() {
@@ -60,7 +60,7 @@
     }
 }
 
-impl RoomIndex {
+impl CapacityIndex {
     fn class_of(&mut self, machine: &Machine) -> u32 {
         let known = self.classes.iter().position(|class| {
             class.spot == machine.spot
@@ -99,7 +99,7 @@
             return;
         }
         machine.place = Some(place);
-        let shift = |rooms: &mut Rooms| {
+        let shift = |rooms: &mut FreeCapacityMap| {
             take(rooms, old, &machine.name);
             put(rooms, place, &machine.name);
         };
@@ -170,7 +170,7 @@
         fit: impl Fn(&Machine) -> bool,
         score: impl Fn(&Machine) -> S,
     ) -> Option<&'a Machine> {
-        let among = |rooms: &Rooms| {
+        let among = |rooms: &FreeCapacityMap| {
             let firsts = Levels::new(rooms, &self.classes, spec).filter_map(|mut level| {
                 level.find_map(|(_, names)| names.iter().filter_map(&find).find(|m| fit(m)))
             });
@@ -183,14 +183,14 @@
 
 /// Levels of a map that may hold a task: same class, replicas and free GPUs, rising free CPUs.
 struct Levels<'a> {
-    rooms: &'a Rooms,
+    rooms: &'a FreeCapacityMap,
     allowed: Vec<bool>,
     needs: Resources,
     after: Option<Place>,
 }
 
 impl<'a> Levels<'a> {
-    fn new(rooms: &'a Rooms, classes: &[Class], spec: &JobSpec) -> Self {
+    fn new(rooms: &'a FreeCapacityMap, classes: &[Class], spec: &JobSpec) -> Self {
         let allowed = classes.iter().map(|c| spec.allows(&c.machine_type, &c.zone, c.spot));
         Levels { rooms, allowed: allowed.collect(), needs: spec.needs, after: None }
     }
@@ -224,7 +224,7 @@
 mod tests {
     use super::*;
     use crate::job::Job;
-    use model::{JobId, Moment, TaskId, Token};
+    use model::{FencingToken, JobId, TaskId, Timestamp};
     use rand::rngs::SmallRng;
     use rand::{Rng, SeedableRng};
     use wire::cloud::MachineType;
@@ -253,7 +253,7 @@
             save_s: 0.0,
             deadline_s: None,
         };
-        Job::new(JobSpec::try_from(&request).expect("a good job"), 0, Moment(0))
+        Job::new(JobSpec::try_from(&request).expect("a good job"), 0, Timestamp::from_millis(0))
     }
 
     fn machine(n: u64, rng: &mut SmallRng) -> Machine {
@@ -271,7 +271,7 @@
         };
         let zone = ZoneName::from(if rng.random_bool(0.5) { "a" } else { "b" });
         let name = MachineName::from(format!("host-{n:06}").as_str());
-        Machine::new(name, &kind, zone, rng.random_bool(0.4), Token(1))
+        Machine::new(name, &kind, zone, rng.random_bool(0.4), FencingToken(1))
     }
 
     /// Less is better: the order in which levels, and the machines within them, stand.
@@ -288,7 +288,7 @@
         let mut found = 0;
         for seed in 0..40 {
             let mut rng = SmallRng::seed_from_u64(seed);
-            let mut index = RoomIndex::default();
+            let mut index = CapacityIndex::default();
             let mut machines: BTreeMap<MachineName, Machine> = BTreeMap::new();
             let mut held: Vec<(MachineName, TaskId, Arc<JobSpec>)> = Vec::new();
             for step in 0..400u64 {
@@ -317,7 +317,7 @@
                         let at = rng.random_range(0..held.len());
                         let (name, task, spec) = held.swap_remove(at);
                         let on = machines.get_mut(&name).expect("it is there");
-                        on.let_go(task, &spec, Moment(step));
+                        on.let_go(task, &spec, Timestamp::from_millis(step));
                         index.update(on);
                     }
                     (4 | 5, Some(name)) => {
--- a/crates/scheduler/src/colocation.rs
+++ b/crates/scheduler/src/colocation.rs
@@ -8,13 +8,15 @@
 
 use crate::job::Job;
 use crate::machine::Machine;
-use crate::partition_state::Share;
-use model::{Moment, Resources, Span, TaskId};
+use crate::partition_state::PartitionState;
+use model::DurationExt;
+use model::{Resources, TaskId, Timestamp};
+use std::time::Duration;
 
 /// How long a machine may be without GPU work before what ran beside that is stopped.
-const LINGER: Span = Span(3_000);
+const LINGER: Duration = Duration::from_secs(3);
 /// What ends within this time is not stopped.
-const SOON: Span = Span(3_000);
+const SOON: Duration = Duration::from_secs(3);
 
 /// Whether tasks of a job run on a machine only beside GPU work.
 pub(crate) fn beside(machine: &Machine, job: &Job) -> bool {
@@ -42,23 +44,24 @@
     })
 }
 
-impl Share {
+impl PartitionState {
     /// Stops what runs on machines with GPUs on which no GPU work is left.
-    pub fn tidy_beside(&mut self, now: Moment) {
+    pub fn tidy_beside(&mut self, now: Timestamp) {
         let mut stops: Vec<TaskId> = Vec::new();
         for machine in self.machines.values_mut().filter(|m| m.capacity.milli_gpus > 0) {
             if machine.used.milli_gpus > 0 || machine.tasks.is_empty() {
                 machine.no_gpu_work_since = None;
                 continue;
             }
-            if now.since(*machine.no_gpu_work_since.get_or_insert(now)) < LINGER {
+            if now.duration_since(*machine.no_gpu_work_since.get_or_insert(now)) < LINGER {
                 continue;
             }
             for task in &machine.tasks {
                 let Some(job) = self.jobs.get(&task.job) else { continue };
                 let Some(placement) = job.placed.get(&task.index) else { continue };
-                let ran = now.since(placement.placed_at).0;
-                let left = Span(job.spec.estimate.0.saturating_sub(ran));
+                let ran = now.duration_since(placement.placed_at).whole_millis();
+                let left =
+                    Duration::from_millis(job.spec.estimate.whole_millis().saturating_sub(ran));
                 if job.only_beside && placement.stop.is_none() && left > SOON {
                     stops.push(*task);
                 }
--- a/crates/scheduler/src/commands.rs
+++ b/crates/scheduler/src/commands.rs
@@ -1,22 +1,27 @@
 //! What a machine is told.
 
-use crate::partition_state::Share;
-use model::{Attempt, MachineName, Moment, Session, TaskId, Token};
+use crate::partition_state::PartitionState;
+use model::{Attempt, FencingToken, MachineName, TaskId, Timestamp, WorkerEpoch};
 use wire::workers::{Command, TaskState};
 
 /// By which way commands go.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Route {
+pub enum CommandRoute {
     /// In the answer to a report: dies with it.
     Answer,
     /// Straight to the worker: may arrive late.
     Direct,
 }
 
-impl Share {
+impl PartitionState {
     /// Commands for a machine: launches of durable placements, stops, and forgets of tasks
     /// whose outcome is durable.
-    pub fn commands_for(&mut self, name: &MachineName, route: Route, now: Moment) -> Vec<Command> {
+    pub fn commands_for(
+        &mut self,
+        name: &MachineName,
+        route: CommandRoute,
+        now: Timestamp,
+    ) -> Vec<Command> {
         let Some(machine) = self.machines.get(name) else { return Vec::new() };
         let mut commands = Vec::new();
         for stray in &machine.strays {
@@ -40,7 +45,7 @@
         let tasks: Vec<TaskId> = machine.tasks.iter().copied().collect();
         let mut launches = Vec::new();
         for task in tasks {
-            let waits = |share: &Share| {
+            let waits = |share: &PartitionState| {
                 let job = share.jobs.get(&task.job)?;
                 Some(share.waits_for_fetches(job, share.machines.get(name)?))
             };
@@ -66,27 +71,27 @@
                 && !(noticed && p.launched.is_none())
             {
                 // A direct launch that waits for its answer is not doubled by another.
-                if route == Route::Direct && p.unanswered.is_some() {
+                if route == CommandRoute::Direct && p.unanswered.is_some() {
                     continue;
                 }
                 p.launched = Some(session);
                 match route {
-                    Route::Direct => p.unanswered = Some((token, session)),
-                    Route::Answer => p.in_answer = true,
+                    CommandRoute::Direct => p.unanswered = Some((token, session)),
+                    CommandRoute::Answer => p.in_answer = true,
                 }
                 launches.push(((task, p.attempt), Command::Start { task: id, attempt }));
             }
         }
         if let Some(machine) = self.machines.get_mut(name) {
             match route {
-                Route::Direct => {
+                CommandRoute::Direct => {
                     if !launches.is_empty() {
                         machine.direct_at = now;
                     }
                     let sent = launches.iter().map(|(id, _)| (*id, (token, session)));
                     machine.direct.extend(sent);
                 }
-                Route::Answer => {
+                CommandRoute::Answer => {
                     machine.answer_launches = launches.iter().map(|(id, _)| *id).collect();
                 }
             }
@@ -109,7 +114,7 @@
     }
 
     /// Session and token under which a direct call to the machine would be accepted.
-    pub fn direct_terms(&self, name: &MachineName) -> Option<(String, Token, Session)> {
+    pub fn direct_terms(&self, name: &MachineName) -> Option<(String, FencingToken, WorkerEpoch)> {
         let machine = self.machines.get(name)?;
         machine.heard_at?;
         Some((machine.address.clone()?, machine.token, machine.session))
--- a/crates/scheduler/src/consolidation.rs
+++ b/crates/scheduler/src/consolidation.rs
@@ -5,25 +5,26 @@
 //! beside others that have their image, so that the machines they leave can be used or returned.
 
 use crate::machine::Machine;
-use crate::partition_state::{EntryKey, Promise, Share};
-use model::{JobKind, MachineName, Moment, Resources, Span, TaskId};
+use crate::partition_state::{EntryKey, PartitionState, Reservation};
+use model::{JobKind, MachineName, Resources, TaskId, Timestamp};
+use std::time::Duration;
 use wire::workers::TaskState;
 
 /// A replica stays where it is for so long at least: a start that is undone sooner was none.
-const SETTLED: Span = Span(45_000);
+const SETTLED: Duration = Duration::from_secs(45);
 /// Time between two machines that are emptied, so that few replicas are down at a time.
-const PACE: Span = Span(1_500);
+const PACE: Duration = Duration::from_millis(1_500);
 /// How long a machine is kept free for being emptied, and room for those that move.
-const PATIENCE: Span = Span(10_000);
+const PATIENCE: Duration = Duration::from_secs(10);
 /// Emptiest machines that are looked at.
 const LOOKED_AT: usize = 6;
 
-impl Share {
+impl PartitionState {
     /// Starts to empty one machine if its replicas have better places.
-    pub fn consolidate(&mut self, now: Moment) {
+    pub fn consolidate(&mut self, now: Timestamp) {
         if !self.policy.move_replicas
             || !self.picture_stands(now)
-            || now.since(self.consolidated_at) < PACE
+            || now.duration_since(self.consolidated_at) < PACE
             || self.queue.has_active()
         {
             return;
@@ -45,7 +46,7 @@
         self.clear_best_effort(rest.unwrap_or_default(), now);
         for (task, target, needs) in moves {
             let limit_of = self.jobs.get(&task.job).map(|job| job.spec.team.clone());
-            let promise = Promise { machine: target, needs, until: now + PATIENCE, limit_of };
+            let promise = Reservation { machine: target, needs, until: now + PATIENCE, limit_of };
             self.promise(EntryKey::Task(task), promise);
             let grace = self.grace_of(task);
             self.stop_task(task, grace, now);
@@ -53,7 +54,7 @@
     }
 
     /// Whether only settled replicas run on the machine.
-    fn may_empty(&self, machine: &Machine, now: Moment) -> bool {
+    fn may_empty(&self, machine: &Machine, now: Timestamp) -> bool {
         machine.pinned > 0
             && machine.pinned == machine.regular()
             && machine.usable(now, self.silence())
@@ -66,7 +67,7 @@
                 free && job.placed.get(&task.index).is_some_and(|p| {
                     p.stop.is_none()
                         && p.seen == Some(TaskState::Running)
-                        && now.since(p.placed_at) >= SETTLED
+                        && now.duration_since(p.placed_at) >= SETTLED
                 })
             })
     }
@@ -75,7 +76,7 @@
     fn better_places(
         &self,
         source: &Machine,
-        now: Moment,
+        now: Timestamp,
     ) -> Option<Vec<(TaskId, MachineName, Resources)>> {
         let mut taken: Vec<(MachineName, Resources)> = Vec::new();
         let mut moves = Vec::new();
--- a/crates/scheduler/src/cycle.rs
+++ b/crates/scheduler/src/cycle.rs
@@ -4,22 +4,24 @@
 use crate::colocation::room_beside;
 use crate::job::Job;
 use crate::machine::Machine;
-use crate::partition_state::{EntryKey, Share};
-use model::{JobId, JobKind, MachineName, Moment, Span, TaskId, ZoneName};
+use crate::partition_state::{EntryKey, PartitionState};
+use model::DurationExt;
+use model::{JobId, JobKind, MachineName, TaskId, Timestamp, ZoneName};
 use std::collections::{BTreeMap, HashMap, HashSet};
+use std::time::Duration;
 
 /// How long freed room is left to a job that found none: its backoff lasts as long at most.
-const NEXT_IN_LINE: Span = Span(1_500);
+const NEXT_IN_LINE: Duration = Duration::from_millis(1_500);
 
 /// Time between two looks at which machines take anything at all.
-const SORT_OUT: Span = Span(100);
+const SORT_OUT: Duration = Duration::from_millis(100);
 
 /// Fetches that take less are not worth stopping a task elsewhere for.
-const WORTH_STOPPING: Span = Span(500);
+const WORTH_STOPPING: Duration = Duration::from_millis(500);
 
 /// Why an entry found no place.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Unplaced {
+pub enum PlacementFailure {
     /// The team's limit is reached.
     Quota,
     /// No usable machine has room.
@@ -28,22 +30,22 @@
     Image,
 }
 
-impl Share {
+impl PartitionState {
     /// Runs both flushes and then cycles until the active heap is empty or `most` entries
     /// have been tried. True if entries are left.
-    pub fn run_cycles(&mut self, now: Moment, most: usize) -> bool {
+    pub fn run_cycles(&mut self, now: Timestamp, most: usize) -> bool {
         self.sort_out(now);
         let preempt = self.policy.preempt && self.picture_stands(now);
         self.refresh_guarantees();
         self.queue.flush(now);
         self.queue_probes(now);
-        self.roomless.retain(|_, at| now.since(*at) <= NEXT_IN_LINE);
+        self.roomless.retain(|_, at| now.duration_since(*at) <= NEXT_IN_LINE);
         self.expire_promises(now);
         self.renew_holds(now);
         self.note_waiting_gangs();
         self.keep_limits();
         // Tasks of one job are alike: where one has found no place just now, the next will not.
-        let mut placeless: HashMap<JobId, Unplaced> = HashMap::new();
+        let mut placeless: HashMap<JobId, PlacementFailure> = HashMap::new();
         let mut helpless: HashSet<JobId> = HashSet::new();
         for _ in 0..most {
             let Some(entry) = self.queue.pop() else { return false };
@@ -65,10 +67,10 @@
                     if placeless.insert(entry.job(), why).is_none() {
                         tracing::debug!(job = %entry.job(), ?why, "no place");
                     }
-                    if why == Unplaced::Room {
+                    if why == PlacementFailure::Room {
                         self.note_roomless(entry.job(), now);
                     }
-                    let tried = helpless.contains(&entry.job()) || why == Unplaced::Image;
+                    let tried = helpless.contains(&entry.job()) || why == PlacementFailure::Image;
                     if preempt && !tried && !self.make_room(entry, why, now) {
                         helpless.insert(entry.job());
                     }
@@ -80,8 +82,8 @@
     }
 
     /// Takes machines out of the index that take nothing at present, and others in.
-    fn sort_out(&mut self, now: Moment) {
-        if now.since(self.sorted_at) < SORT_OUT {
+    fn sort_out(&mut self, now: Timestamp) {
+        if now.duration_since(self.sorted_at) < SORT_OUT {
             return;
         }
         self.sorted_at = now;
@@ -95,28 +97,35 @@
         }
     }
 
-    fn try_task(&mut self, task: TaskId, now: Moment) -> Result<(), Unplaced> {
+    fn try_task(&mut self, task: TaskId, now: Timestamp) -> Result<(), PlacementFailure> {
         let Some(job) = self.jobs.get(&task.job) else { return Ok(()) };
         if job.cancelled || job.is_done(task.index) || job.placed.contains_key(&task.index) {
             return Ok(());
         }
         let entry = EntryKey::Task(task);
         if !self.limit_room(entry, job, 1) {
-            return Err(Unplaced::Quota);
+            return Err(PlacementFailure::Quota);
         }
         let promised = self.promised_machine(entry, job, now).is_some();
-        let machine = self.place_for(entry, job, now).ok_or(Unplaced::Room)?;
+        let machine = self.place_for(entry, job, now).ok_or(PlacementFailure::Room)?;
         let fetch = fetch_time(job, machine);
         let name = machine.name.clone();
-        if fetch > Span::ZERO && job.spec.kind == JobKind::Array && self.sooner(job, fetch, now) {
-            return Err(Unplaced::Image);
+        if fetch > Duration::ZERO && job.spec.kind == JobKind::Array && self.sooner(job, fetch, now)
+        {
+            return Err(PlacementFailure::Image);
         }
         let stops = self.policy.preempt && self.picture && self.stops_for(job).is_some();
         if fetch >= WORTH_STOPPING && !promised && stops {
-            let stops = self.cheapest_stops(entry, job, Unplaced::Room, Some(fetch.0), now);
+            let stops = self.cheapest_stops(
+                entry,
+                job,
+                PlacementFailure::Room,
+                Some(fetch.whole_millis()),
+                now,
+            );
             if let Some(stops) = stops {
-                self.carry_out(entry, stops, Unplaced::Room, now);
-                return Err(Unplaced::Room);
+                self.carry_out(entry, stops, PlacementFailure::Room, now);
+                return Err(PlacementFailure::Room);
             }
         }
         let attempt = self.new_attempt();
@@ -125,14 +134,14 @@
     }
 
     /// Where room is being made for an entry, if it may still go there.
-    fn promised_machine(&self, entry: EntryKey, job: &Job, now: Moment) -> Option<&Machine> {
+    fn promised_machine(&self, entry: EntryKey, job: &Job, now: Timestamp) -> Option<&Machine> {
         let machine = self.machines.get(&self.promises.get(&entry)?.machine)?;
         self.admits(job, machine, now).then_some(machine)
     }
 
     /// The best machine with room for a task. Where room is being made for it, the task waits for
     /// that, or takes another place with its image.
-    pub(crate) fn place_for(&self, entry: EntryKey, job: &Job, now: Moment) -> Option<&Machine> {
+    pub(crate) fn place_for(&self, entry: EntryKey, job: &Job, now: Timestamp) -> Option<&Machine> {
         let zones = self.zones_of(job);
         let promised = self.promised_machine(entry, job, now);
         let before = self.gangs_before(job, now);
@@ -151,7 +160,7 @@
 
     /// Whether running tasks will leave room for all that waits of an array on machines that
     /// have its image before another machine could have fetched it.
-    fn sooner(&self, job: &Job, fetch: Span, now: Moment) -> bool {
+    fn sooner(&self, job: &Job, fetch: Duration, now: Timestamp) -> bool {
         let mut turns_over = 0;
         let holders = self.rooms.holders(&job.spec.image);
         for machine in holders.filter_map(|name| self.machines.get(name)) {
@@ -161,7 +170,8 @@
             }
         }
         // Estimates are often wrong by half.
-        job.waiting() * job.spec.estimate.0.max(1_000) * 2 < turns_over * fetch.0
+        job.waiting() * job.spec.estimate.whole_millis().max(1_000) * 2
+            < turns_over * fetch.whole_millis()
     }
 
     /// Whether the team's limit leaves room for so many more tasks of the job.
@@ -172,7 +182,7 @@
     }
 
     /// Filters that do not depend on the room left.
-    pub(crate) fn admits(&self, job: &Job, machine: &Machine, now: Moment) -> bool {
+    pub(crate) fn admits(&self, job: &Job, machine: &Machine, now: Timestamp) -> bool {
         machine.usable(now, self.silence())
             && job.spec.allows(&machine.machine_type, &machine.zone, machine.spot)
             && !(job.failed_on.contains(&machine.name)
@@ -202,16 +212,16 @@
 }
 
 /// How long the machine would have to fetch the job's image.
-pub(crate) fn fetch_time(job: &Job, machine: &Machine) -> Span {
+pub(crate) fn fetch_time(job: &Job, machine: &Machine) -> Duration {
     if machine.has_image(&job.spec.image) {
-        return Span::ZERO;
+        return Duration::ZERO;
     }
     image_fetch_time(job, machine)
 }
 
 /// How long the machine takes to fetch the job's image if it lacks it.
-pub(crate) fn image_fetch_time(job: &Job, machine: &Machine) -> Span {
-    Span((job.spec.image_gb / machine.fetch_gb_per_s.max(0.01) * 1000.0) as u64)
+pub(crate) fn image_fetch_time(job: &Job, machine: &Machine) -> Duration {
+    Duration::from_millis((job.spec.image_gb / machine.fetch_gb_per_s.max(0.01) * 1000.0) as u64)
 }
 
 /// The least score is taken: first the shortest image fetch, then cheap machines for work that
@@ -223,7 +233,7 @@
     let service = job.spec.kind == JobKind::Service;
     let replicas = machine.pinned.min(if service { MOST_PINNED } else { 1 });
     (
-        fetch_time(job, machine).0,
+        fetch_time(job, machine).whole_millis(),
         !machine.spot,
         MOST_PINNED - replicas,
         left.milli_gpus,
--- a/crates/scheduler/src/demand.rs
+++ b/crates/scheduler/src/demand.rs
@@ -3,29 +3,31 @@
 use crate::colocation::{beside, room_beside};
 use crate::cycle::zone_allowed;
 use crate::job::Job;
-use crate::machine::{Ceding, Machine};
-use crate::partition_state::{EntryKey, Share};
+use crate::machine::{Machine, PendingTransfer};
+use crate::partition_state::{EntryKey, PartitionState};
+use model::DurationExt;
 use model::{
-    JobId, JobKind, MachineName, Moment, PartitionId, Priority, Resources, Span, TeamName, ZoneName,
+    JobId, JobKind, MachineName, PartitionId, Priority, Resources, TeamName, Timestamp, ZoneName,
 };
 use std::collections::{BTreeMap, BTreeSet, HashMap};
-use wire::mesh::{DemandShape, MachineLoad};
+use std::time::Duration;
+use wire::mesh::{DemandShape, MachineStatus};
 
 /// Waiting entries of a job that its explanation names, the first ones.
 const EXPLAINED_ENTRIES: usize = 3;
 
 /// How long a machine that is to be handed over is kept free for that.
-const CEDE_PATIENCE: Span = Span(40_000);
+const CEDE_PATIENCE: Duration = Duration::from_secs(40);
 
 /// Room on a machine while it is dealt out.
-struct Room<'a> {
+struct FreeCapacity<'a> {
     machine: &'a Machine,
     free: Resources,
     /// What best-effort tasks take; they give way to other work.
     cleared: Resources,
 }
 
-impl Room<'_> {
+impl FreeCapacity<'_> {
     fn holds(&self, job: &Job) -> u64 {
         let cleared = if job.spec.best_effort() { Resources::default() } else { self.cleared };
         room_beside(job, self.machine, self.free + cleared)
@@ -42,7 +44,7 @@
 struct Stoppable<'a>(BTreeMap<(&'a TeamName, Priority), Resources>);
 
 impl<'a> Stoppable<'a> {
-    fn of(share: &'a Share) -> Self {
+    fn of(share: &'a PartitionState) -> Self {
         let mut sums: BTreeMap<(&TeamName, Priority), Resources> = BTreeMap::new();
         let stops = |job: &&Job| share.policy.preempt && job.spec.kind != JobKind::Gang;
         for job in share.jobs.values().filter(stops) {
@@ -53,7 +55,7 @@
     }
 
     /// Takes room for so many tasks of a job, the lowest first; how many it was.
-    fn take(&mut self, share: &Share, job: &Job, tasks: u64) -> u64 {
+    fn take(&mut self, share: &PartitionState, job: &Job, tasks: u64) -> u64 {
         if tasks == 0 || share.stops_for(job) != Some(false) {
             return 0;
         }
@@ -70,10 +72,10 @@
     }
 }
 
-impl Share {
+impl PartitionState {
     /// Waiting work that its team's limit would let start, by shape.
     /// What fits into the room there is will be placed soon and is no demand.
-    pub fn demand(&self, now: Moment) -> Vec<DemandShape> {
+    pub fn demand(&self, now: Timestamp) -> Vec<DemandShape> {
         let mut waiting: BTreeMap<(bool, u64, JobId), u64> = BTreeMap::new();
         for key in self.queue.keys() {
             let job = key.job();
@@ -88,11 +90,11 @@
         let least = waiting.keys().filter_map(|(_, _, id)| self.jobs.get(id));
         let least = least.map(|job| job.spec.needs.milli_cpus).min().unwrap_or(0);
         // Machines that are full for all that waits are not looked at job by job.
-        let mut free: Vec<Room> = self
+        let mut free: Vec<FreeCapacity> = self
             .machines
             .values()
             .filter(|m| m.usable(now, self.silence()))
-            .map(|m| Room { machine: m, free: m.free(), cleared: self.clearable(m, now) })
+            .map(|m| FreeCapacity { machine: m, free: m.free(), cleared: self.clearable(m, now) })
             .filter(|room| (room.free + room.cleared).milli_cpus >= least)
             .collect();
         let mut absorbed = self.turnover();
@@ -129,7 +131,8 @@
                 continue;
             }
             let priority = if foothold { Priority::Normal } else { job.spec.priority };
-            let urgent = if job.guaranteed || job.spec.estimate.0 == 0 { tasks } else { 0 };
+            let urgent =
+                if job.guaranteed || job.spec.estimate.whole_millis() == 0 { tasks } else { 0 };
             let whole = job.spec.one_zone && job.placed.is_empty();
             let gang = if whole { u64::from(job.spec.tasks) } else { 0 };
             let same = shapes.iter_mut().find(|s| {
@@ -141,13 +144,13 @@
                     && s.spot == job.spec.spot
                     && s.priority == priority
                     && s.gang + gang == 0
-                    && (s.estimate_ms == 0) == (job.spec.estimate.0 == 0)
+                    && (s.estimate_ms == 0) == (job.spec.estimate.whole_millis() == 0)
             });
             match same {
                 Some(shape) => {
                     shape.tasks += tasks;
                     shape.urgent += urgent;
-                    shape.estimate_ms = shape.estimate_ms.max(job.spec.estimate.0);
+                    shape.estimate_ms = shape.estimate_ms.max(job.spec.estimate.whole_millis());
                 }
                 None => shapes.push(DemandShape {
                     milli_cpus: per.milli_cpus,
@@ -158,7 +161,7 @@
                     spot: job.spec.spot,
                     tasks,
                     urgent,
-                    estimate_ms: job.spec.estimate.0,
+                    estimate_ms: job.spec.estimate.whole_millis(),
                     priority,
                     gang,
                 }),
@@ -175,10 +178,11 @@
             if job.spec.kind != JobKind::Array || !self.quota_room(job, 1) {
                 continue;
             }
-            let lasts = job.spec.estimate.0.max(1_000);
+            let lasts = job.spec.estimate.whole_millis().max(1_000);
             let running = job.placed.len() as u64;
-            let part =
-                |each: u64| (running * each * self.policy.absorb.0 / lasts).min(running * each);
+            let part = |each: u64| {
+                (running * each * self.policy.absorb.whole_millis() / lasts).min(running * each)
+            };
             let needs = job.spec.needs;
             freed += Resources {
                 milli_cpus: part(needs.milli_cpus),
@@ -195,8 +199,8 @@
         &self,
         job: &Job,
         tasks: u64,
-        free: &mut [Room],
-        now: Moment,
+        free: &mut [FreeCapacity],
+        now: Timestamp,
     ) -> (u64, Option<String>) {
         let needs = job.spec.needs;
         let mut zones = self.zones_of(job);
@@ -254,7 +258,7 @@
     }
 
     /// Where a job stands and why it waits.
-    pub fn explain(&self, id: JobId, now: Moment) -> Option<String> {
+    pub fn explain(&self, id: JobId, now: Timestamp) -> Option<String> {
         let job = self.jobs.get(&id)?;
         let mut entries: Vec<EntryKey> = self.queue.keys().filter(|key| key.job() == id).collect();
         entries.sort_unstable();
@@ -284,7 +288,7 @@
     }
 
     /// A line for the log: how full the share is and what waits.
-    pub fn describe(&self, partition: model::PartitionId, now: Moment) {
+    pub fn describe(&self, partition: model::PartitionId, now: Timestamp) {
         let (mut up, mut spot, mut capacity, mut used, mut fetching) = (0, 0, 0, 0, 0);
         let (mut gpus, mut gpus_used) = (0, 0);
         for machine in self.machines.values().filter(|m| m.usable(now, self.silence())) {
@@ -349,7 +353,12 @@
 
     /// Whether nothing on the machine would be missed by a guarantee, or by users who want their
     /// replicas where they are.
-    fn cedable(&self, machine: &Machine, spare_gpus: &BTreeSet<&MachineName>, now: Moment) -> bool {
+    fn cedable(
+        &self,
+        machine: &Machine,
+        spare_gpus: &BTreeSet<&MachineName>,
+        now: Timestamp,
+    ) -> bool {
         machine.pinned == 0
             && !self.kept_for_gangs(machine, now)
             && (spare_gpus.contains(&machine.name) || self.runs_no_guarantee(machine))
@@ -366,7 +375,7 @@
     /// Marks machines to be handed to another partition as they empty, until there are `count`
     /// of them; first those with best-effort work only, which is sent away, then those that will
     /// be empty soonest.
-    pub fn cede(&mut self, to: PartitionId, count: usize, shape: &DemandShape, now: Moment) {
+    pub fn cede(&mut self, to: PartitionId, count: usize, shape: &DemandShape, now: Timestamp) {
         let needs = Resources {
             milli_cpus: shape.milli_cpus,
             milli_gpus: shape.milli_gpus,
@@ -386,11 +395,11 @@
                 // What runs beside GPU work is stopped once that is over.
                 let job = self.jobs.get(&task.job).filter(|job| !beside(m, job))?;
                 let placement = job.placed.get(&task.index)?;
-                Some((placement.placed_at + job.spec.estimate).since(now))
+                Some((placement.placed_at + job.spec.estimate).duration_since(now))
             });
-            left.max().unwrap_or(Span::ZERO)
+            left.max().unwrap_or(Duration::ZERO)
         };
-        let mut machines: Vec<(bool, Span, MachineName)> = self
+        let mut machines: Vec<(bool, Duration, MachineName)> = self
             .machines
             .values()
             .filter(suits)
@@ -402,7 +411,7 @@
         for (regular, _, name) in machines.into_iter().take(missing) {
             let Some(machine) = self.machines.get_mut(&name) else { continue };
             tracing::debug!(machine = %name, %to, tasks = machine.tasks.len(), "to be handed over once empty");
-            machine.ceding = Some(Ceding { to, until: now + CEDE_PATIENCE });
+            machine.ceding = Some(PendingTransfer { to, until: now + CEDE_PATIENCE });
             if !regular {
                 let tasks = machine.tasks.iter().copied().collect();
                 self.clear_best_effort(tasks, now);
@@ -411,7 +420,7 @@
     }
 
     /// Machines that are empty and to be handed over.
-    pub fn ceded(&mut self, now: Moment) -> Vec<(MachineName, PartitionId)> {
+    pub fn ceded(&mut self, now: Timestamp) -> Vec<(MachineName, PartitionId)> {
         let mut ready = Vec::new();
         for machine in self.machines.values_mut() {
             let Some(ceding) = machine.ceding else { continue };
@@ -426,25 +435,25 @@
     }
 
     /// The share's machines for the leader.
-    pub fn loads(&self, now: Moment) -> Vec<MachineLoad> {
+    pub fn loads(&self, now: Timestamp) -> Vec<MachineStatus> {
         let spare = self.spare_gpu_machines();
         self.machines
             .values()
-            .map(|m| MachineLoad {
+            .map(|m| MachineStatus {
                 machine: m.name.to_string(),
                 tasks: m.tasks.len() as u32,
                 // What is kept for a gang is not idle.
                 idle_ms: if m.tasks.is_empty() && !self.kept_for_gangs(m, now) {
-                    now.since(m.idle_since).0
+                    now.duration_since(m.idle_since).whole_millis()
                 } else {
                     0
                 },
                 up: m.is_up(),
                 faulty: m.faulty,
                 silent_ms: match m.heard_at {
-                    Some(at) => now.since(at.max(self.awake_since)).0,
+                    Some(at) => now.duration_since(at.max(self.awake_since)).whole_millis(),
                     None if m.followed.is_some() => {
-                        now.since(self.held_since.max(self.awake_since)).0
+                        now.duration_since(self.held_since.max(self.awake_since)).whole_millis()
                     }
                     None => 0,
                 },
--- a/crates/scheduler/src/failover.rs
+++ b/crates/scheduler/src/failover.rs
@@ -5,27 +5,29 @@
 //! own answer makes it heard; until then nothing is launched on it and nothing of it is gone.
 
 use crate::machine::Machine;
-use crate::partition_state::Share;
-use model::{JobId, MachineName, Moment, Session, Span, Token};
+use crate::partition_state::PartitionState;
+use model::DurationExt;
+use model::{FencingToken, JobId, MachineName, Timestamp, WorkerEpoch};
 use std::sync::Arc;
-use wire::mesh::{Hint, JobHint, MachineHint};
+use std::time::Duration;
+use wire::mesh::{JobFailureSnapshot, MachineSnapshot, ReplicatedRecord};
 
 /// Idle time that is worth telling of: shorter times change too often.
-const IDLE: Span = Span(2_000);
+const IDLE: Duration = Duration::from_secs(2);
 /// Failures of single tasks that are told of one job.
 const FAILURES: usize = 64;
 /// The longest that a task is believed to take to fail by word alone: a service that has run for a
 /// multiple of that is sound again, whatever was said of it.
-const FAILS_WITHIN: Span = Span(20_000);
+const FAILS_WITHIN: Duration = Duration::from_secs(20);
 /// Time beyond their longest report interval that workers may need to find a new holder: a report
 /// that is not answered, and the pause before the next node is tried.
-const FINDING: Span = Span(6_000);
+const FINDING: Duration = Duration::from_secs(6);
 
 /// What a predecessor said of a machine that has not been heard yet.
 #[derive(Debug, Clone)]
-pub(crate) struct Followed {
+pub(crate) struct ReplicatedEndpoint {
     pub address: String,
-    pub session: Session,
+    pub session: WorkerEpoch,
     /// It reported to the predecessor.
     pub reporting: bool,
 }
@@ -33,11 +35,11 @@
 /// A question to a machine: is it there? Asked under our token it also learns who holds it now, after
 /// which nothing that a predecessor has sent is executed.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Question {
+pub struct Probe {
     pub machine: MachineName,
     pub address: String,
-    pub token: Token,
-    pub session: Session,
+    pub token: FencingToken,
+    pub session: WorkerEpoch,
 }
 
 impl Machine {
@@ -49,48 +51,48 @@
 
     /// What is known of it. A machine that we have only been told of ourselves is passed on, so that
     /// it is asked by whoever comes next, too.
-    fn hint(&self, now: Moment, silence: Span) -> Option<Hint> {
+    fn hint(&self, now: Timestamp, silence: Duration) -> Option<ReplicatedRecord> {
         let (address, session) = match &self.followed {
             Some(told) => (&told.address, told.session),
             None => (self.address.as_ref()?, self.session),
         };
-        let idle = self.tasks.is_empty() && now.since(self.idle_since) >= IDLE;
+        let idle = self.tasks.is_empty() && now.duration_since(self.idle_since) >= IDLE;
         let mut images: Vec<(String, f64)> =
             self.images.iter().map(|(name, gb)| (name.to_string(), *gb)).collect();
         // In the order of their names, so that a mere use changes nothing.
         images.sort_by(|a, b| a.0.cmp(&b.0));
-        Some(Hint::Machine(MachineHint {
+        Some(ReplicatedRecord::Machine(MachineSnapshot {
             machine: self.name.to_string(),
             address: address.clone(),
             session: session.0,
-            reporting: self.reported_at.is_some_and(|at| now.since(at) <= silence),
+            reporting: self.reported_at.is_some_and(|at| now.duration_since(at) <= silence),
             faulty: self.faulty,
-            idle_at: idle.then_some(self.idle_since.0),
+            idle_at: idle.then_some(self.idle_since.as_millis()),
             images,
         }))
     }
 }
 
-impl Share {
+impl PartitionState {
     /// What a successor could not read from the records.
-    pub fn hints(&self, now: Moment) -> Vec<Hint> {
+    pub fn hints(&self, now: Timestamp) -> Vec<ReplicatedRecord> {
         let silence = self.silence();
         let machines = self.machines.values().filter_map(|m| m.hint(now, silence));
         let failed = self.jobs.values().filter(|j| !j.failed_on.is_empty() && !j.finishing);
         let jobs = failed.map(|job| {
-            Hint::Job(JobHint {
+            ReplicatedRecord::Job(JobFailureSnapshot {
                 job: job.spec.id.0,
                 failures: job.failures.iter().take(FAILURES).map(|(i, n)| (*i, *n)).collect(),
                 failed_on: job.failed_on.iter().map(ToString::to_string).collect(),
                 successes: job.successes,
-                fails_within_ms: job.fails_within.0,
+                fails_within_ms: job.fails_within.whole_millis(),
             })
         });
         machines.chain(jobs).collect()
     }
 
     /// Takes a predecessor's word on a machine that we have not heard ourselves.
-    pub fn follow_machine(&mut self, hint: &MachineHint, idle_since: Option<Moment>) {
+    pub fn follow_machine(&mut self, hint: &MachineSnapshot, idle_since: Option<Timestamp>) {
         let name = MachineName::from(hint.machine.as_str());
         let Some(machine) = self.machines.get_mut(&name) else { return };
         for (image, gb) in &hint.images {
@@ -104,16 +106,16 @@
             machine.idle_since = machine.idle_since.min(since);
         }
         if machine.heard_at.is_none() && !hint.address.is_empty() {
-            machine.followed = Some(Followed {
+            machine.followed = Some(ReplicatedEndpoint {
                 address: hint.address.clone(),
-                session: Session(hint.session),
+                session: WorkerEpoch(hint.session),
                 reporting: hint.reporting,
             });
         }
     }
 
     /// Takes a predecessor's word on how a job has failed.
-    pub fn follow_job(&mut self, hint: &JobHint, now: Moment) {
+    pub fn follow_job(&mut self, hint: &JobFailureSnapshot, now: Timestamp) {
         let id = JobId(hint.job);
         let Some(job) = self.jobs.get_mut(&id) else { return };
         let tasks = job.spec.tasks;
@@ -125,7 +127,7 @@
         job.failed_on = hint.failed_on.iter().map(|n| MachineName::from(n.as_str())).collect();
         job.failed_on.truncate(crate::failure_attribution::MOST_FAILED_ON);
         job.successes = job.successes.max(hint.successes);
-        job.fails_within = Span(hint.fails_within_ms).min(FAILS_WITHIN);
+        job.fails_within = Duration::from_millis(hint.fails_within_ms).min(FAILS_WITHIN);
         if job.suspect() && !job.cancelled && !job.finishing {
             self.begin_probing(id, now);
         }
@@ -133,12 +135,13 @@
 
     /// Whether enough of the machines have been heard, or had the time to be, for stopping and moving
     /// work: what looks like want of room before that is want of reports. Once it stands it stays.
-    pub(crate) fn picture_stands(&mut self, now: Moment) -> bool {
+    pub(crate) fn picture_stands(&mut self, now: Timestamp) -> bool {
         if !self.picture {
             let heard = self.machines.values().filter(|m| m.reported_at.is_some()).count();
             let most = heard * 10 >= self.machines.len() * 9;
-            let had_time = Span(self.report.0 * 5 / 4) + FINDING;
-            self.picture = most || now.since(self.held_since.max(self.awake_since)) >= had_time;
+            let had_time = Duration::from_millis(self.report.whole_millis() * 5 / 4) + FINDING;
+            self.picture =
+                most || now.duration_since(self.held_since.max(self.awake_since)) >= had_time;
         }
         self.picture
     }
--- a/crates/scheduler/src/failure_attribution.rs
+++ b/crates/scheduler/src/failure_attribution.rs
@@ -7,19 +7,21 @@
 
 use crate::job::Job;
 use crate::machine::Machine;
-use crate::partition_state::{rank_of, EntryKey, Probing, Share};
-use model::{JobId, JobKind, MachineName, Moment, Span, TaskId};
+use crate::partition_state::{rank_of, EntryKey, JobProbe, PartitionState};
+use model::DurationExt;
+use model::{JobId, JobKind, MachineName, TaskId, Timestamp};
 use std::collections::BTreeMap;
+use std::time::Duration;
 
 /// Machines on which a job must have failed to be suspect.
 const DIFFERENT: usize = 3;
 /// Machines that are remembered of one job.
 pub(crate) const MOST_FAILED_ON: usize = 2 * DIFFERENT;
 /// Time between the first two probes of a suspect job, which doubles up to a limit.
-const FIRST_PROBE: Span = Span(1_000);
-const LONGEST_PROBE: Span = Span(30_000);
+const FIRST_PROBE: Duration = Duration::from_secs(1);
+const LONGEST_PROBE: Duration = Duration::from_secs(30);
 /// A task that has run for so much longer than twice the time in which others failed is sound.
-const SOUND: Span = Span(5_000);
+const SOUND: Duration = Duration::from_secs(5);
 
 impl Job {
     /// Whether it failed on several machines and never succeeded: then it says nothing about them.
@@ -28,20 +30,20 @@
     }
 
     /// A task that was placed at `since` runs.
-    pub(crate) fn seen_running(&mut self, since: Moment, now: Moment) {
-        if self.suspect() && now.since(since) > self.fails_within * 2 + SOUND {
+    pub(crate) fn seen_running(&mut self, since: Timestamp, now: Timestamp) {
+        if self.suspect() && now.duration_since(since) > self.fails_within * 2 + SOUND {
             self.successes += 1;
         }
     }
 }
 
-impl Share {
+impl PartitionState {
     /// A task failed.
-    pub(crate) fn task_error(&mut self, task: TaskId, name: &MachineName, now: Moment) {
+    pub(crate) fn task_error(&mut self, task: TaskId, name: &MachineName, now: Timestamp) {
         let Some(job) = self.jobs.get_mut(&task.job) else { return };
         *job.failures.entry(task.index).or_default() += 1;
         if let Some(placement) = job.placed.get(&task.index) {
-            job.fails_within = job.fails_within.max(now.since(placement.placed_at));
+            job.fails_within = job.fails_within.max(now.duration_since(placement.placed_at));
         }
         let suspect_before = job.suspect();
         if !job.failed_on.contains(name) {
@@ -90,20 +92,20 @@
     }
 
     /// Takes a suspect job out of the queue, so that it takes no room from sound work.
-    pub(crate) fn begin_probing(&mut self, id: JobId, now: Moment) {
+    pub(crate) fn begin_probing(&mut self, id: JobId, now: Timestamp) {
         let Some(job) = self.jobs.get_mut(&id) else { return };
         tracing::info!(job = %id, "fails on every machine: probed from now on");
         let queued = std::mem::take(&mut job.cursor);
         self.unqueue(id, queued);
-        self.probing.insert(id, Probing { next: now + FIRST_PROBE, pause: FIRST_PROBE });
+        self.probing.insert(id, JobProbe { next: now + FIRST_PROBE, pause: FIRST_PROBE });
     }
 
     /// Queues probes that are due, and all of a job that has succeeded.
-    pub(crate) fn queue_probes(&mut self, now: Moment) {
+    pub(crate) fn queue_probes(&mut self, now: Timestamp) {
         if self.probing.is_empty() {
             return;
         }
-        let mut probing: BTreeMap<JobId, Probing> = std::mem::take(&mut self.probing);
+        let mut probing: BTreeMap<JobId, JobProbe> = std::mem::take(&mut self.probing);
         let mut cleared = Vec::new();
         probing.retain(|id, probe| {
             let Some(job) = self.jobs.get(id).filter(|j| !j.cancelled && !j.finishing) else {
@@ -126,7 +128,7 @@
             if let Some(entry) = entry.filter(|entry| !self.queue.contains(*entry)) {
                 self.queue.add(entry, rank_of(job));
             }
-            probe.pause = Span(probe.pause.0 * 2).min(LONGEST_PROBE);
+            probe.pause = Duration::from_millis(probe.pause.whole_millis() * 2).min(LONGEST_PROBE);
             probe.next = now + probe.pause;
             true
         });
--- a/crates/scheduler/src/gangs.rs
+++ b/crates/scheduler/src/gangs.rs
@@ -7,42 +7,44 @@
 //! is kept for one before it in the order, and keeps nothing that one before it may take.
 
 use crate::colocation::room_beside;
-use crate::cycle::{fetch_time, image_fetch_time, score, Unplaced};
+use crate::cycle::{fetch_time, image_fetch_time, score, PlacementFailure};
 use crate::job::{Job, Placement};
 use crate::machine::Machine;
-use crate::partition_state::{rank_of, EntryKey, GangHold, Rank, Share};
-use model::{JobId, JobKind, MachineName, Moment, Resources, Span, TaskId, ZoneName};
+use crate::partition_state::{rank_of, EntryKey, GangReservation, PartitionState, Rank};
+use model::DurationExt;
+use model::{JobId, JobKind, MachineName, Resources, TaskId, Timestamp, ZoneName};
 use std::collections::{BTreeMap, BTreeSet};
+use std::time::Duration;
 use wire::workers::TaskState;
 
 /// How long machines are kept for a gang that its team's limit keeps back.
-const GANG_HOLD: Span = Span(60_000);
+const GANG_HOLD: Duration = Duration::from_secs(60);
 /// Time after which the machines kept for gangs are chosen anew: tasks end sooner or later than expected.
-const HOLD_REVIEW: Span = Span(2_000);
+const HOLD_REVIEW: Duration = Duration::from_secs(2);
 /// How long a job leaves machines to gangs for which it has others to run on.
-const LEFT_FOR: Span = Span(120_000);
+const LEFT_FOR: Duration = Duration::from_secs(120);
 /// A machine on which tasks have to be stopped counts as free after so long: one that empties by itself
 /// before costs nothing.
-const STOPPING: Span = Span(20_000);
+const STOPPING: Duration = Duration::from_secs(20);
 /// What is left of a task that has outrun its estimate, at the least.
-const OVERDUE: Span = Span(5_000);
+const OVERDUE: Duration = Duration::from_secs(5);
 /// A task that has outrun its estimate takes this part of the time that it has run, once more.
 const OVERRUN_PART: u64 = 4;
 /// Rentals take longer than this: a gang whose machines are free before is no demand.
-const SOON: Span = Span(15_000);
+const SOON: Duration = Duration::from_secs(15);
 
-impl Share {
+impl PartitionState {
     /// Places a gang as a whole, or not at all.
-    pub(crate) fn try_gang(&mut self, id: JobId, now: Moment) -> Result<(), Unplaced> {
+    pub(crate) fn try_gang(&mut self, id: JobId, now: Timestamp) -> Result<(), PlacementFailure> {
         let Some(job) = self.jobs.get(&id) else { return Ok(()) };
         // The old attempt's tasks keep their machines and zones until they are gone.
         if job.cancelled || job.all_done() || !job.placed.is_empty() {
             return Ok(());
         }
         if !self.limit_room(EntryKey::Gang(id), job, u64::from(job.spec.tasks)) {
-            return Err(Unplaced::Quota);
+            return Err(PlacementFailure::Quota);
         }
-        let places = self.fit_gang(job, now).ok_or(Unplaced::Room)?;
+        let places = self.fit_gang(job, now).ok_or(PlacementFailure::Room)?;
         let attempt = self.new_attempt();
         if let Some(job) = self.jobs.get_mut(&id) {
             job.gang_began = None;
@@ -55,7 +57,7 @@
     }
 
     /// Machines for all tasks of a gang, or none.
-    fn fit_gang(&self, job: &Job, now: Moment) -> Option<Vec<MachineName>> {
+    fn fit_gang(&self, job: &Job, now: Timestamp) -> Option<Vec<MachineName>> {
         let entry = EntryKey::Gang(job.spec.id);
         let mut by_zone: BTreeMap<&ZoneName, Vec<(&Machine, u64)>> = BTreeMap::new();
         let roomy = self.rooms.with_room(&job.spec).filter_map(|name| self.machines.get(name));
@@ -93,7 +95,7 @@
 
     /// Whether a machine is kept for a gang that goes before this job, unless the job is over on it
     /// before the gang can start.
-    pub(crate) fn held_from(&self, job: &Job, machine: &Machine, now: Moment) -> bool {
+    pub(crate) fn held_from(&self, job: &Job, machine: &Machine, now: Timestamp) -> bool {
         let Some(hold) = machine.held_for.and_then(|gang| self.gang_holds.get(&gang)) else {
             return false;
         };
@@ -118,7 +120,7 @@
     }
 
     /// Why a gang waits, in words.
-    pub(crate) fn explain_gang(&self, job: &Job, now: Moment) -> String {
+    pub(crate) fn explain_gang(&self, job: &Job, now: Timestamp) -> String {
         if job.spec.kind != JobKind::Gang || job.all_done() {
             return String::new();
         }
@@ -134,7 +136,7 @@
             return format!(
                 "{} machines are kept for it (the first in {zone}), free in {} s",
                 hold.machines.len(),
-                hold.ready_at.since(now).0 / 1_000,
+                hold.ready_at.duration_since(now).whole_millis() / 1_000,
             );
         }
         let hold = self.machines.values().filter(|m| self.admits(job, m, now));
@@ -161,12 +163,12 @@
     }
 
     /// A task of a gang is seen running, so that the gang has begun.
-    pub(crate) fn gang_runs(&mut self, id: JobId, now: Moment) {
+    pub(crate) fn gang_runs(&mut self, id: JobId, now: Timestamp) {
         let Some(job) = self.jobs.get_mut(&id) else { return };
         if job.spec.kind != JobKind::Gang || job.gang_began.is_some() {
             return;
         }
-        let waited_ms = now.since(job.seen_at).0;
+        let waited_ms = now.duration_since(job.seen_at).whole_millis();
         tracing::debug!(job = %id, class = job.spec.class, tasks = job.spec.tasks, waited_ms, "a gang begins");
         job.gang_began = Some(now);
     }
@@ -209,8 +211,8 @@
 
     /// Gangs that wait for machines of which a job has others to run on: arrays that take each freed one
     /// would be stopped as soon as a gang has enough of them. One of each kind, usually none.
-    pub(crate) fn gangs_before(&self, job: &Job, now: Moment) -> Vec<&Job> {
-        if job.spec.kind == JobKind::Gang || now.since(job.seen_at) > LEFT_FOR {
+    pub(crate) fn gangs_before(&self, job: &Job, now: Timestamp) -> Vec<&Job> {
+        if job.spec.kind == JobKind::Gang || now.duration_since(job.seen_at) > LEFT_FOR {
             return Vec::new();
         }
         let gangs = self.waiting_gangs.iter().filter_map(|id| self.jobs.get(id));
@@ -221,7 +223,7 @@
     }
 
     /// Whether a machine is left to one of these gangs.
-    pub(crate) fn left_to(&self, gangs: &[&Job], machine: &Machine, now: Moment) -> bool {
+    pub(crate) fn left_to(&self, gangs: &[&Job], machine: &Machine, now: Timestamp) -> bool {
         let of_use = |gang: &&Job| {
             self.admits(gang, machine, now) && room_beside(gang, machine, machine.capacity) > 0
         };
@@ -229,7 +231,7 @@
     }
 
     /// Whether a machine is kept for a gang, or is empty and of use to one that waits.
-    pub(crate) fn kept_for_gangs(&self, machine: &Machine, now: Moment) -> bool {
+    pub(crate) fn kept_for_gangs(&self, machine: &Machine, now: Timestamp) -> bool {
         let of_use = || {
             let gangs: Vec<&Job> =
                 self.waiting_gangs.iter().filter_map(|id| self.jobs.get(id)).collect();
@@ -253,8 +255,8 @@
     /// Chooses anew what is kept for the gangs that still wait, in their order, once it has been kept for
     /// long enough or on a machine that its gang could not use now. All at one time, since what was given
     /// up before it is chosen again goes to whatever is tried in between.
-    pub(crate) fn renew_holds(&mut self, now: Moment) {
-        let stands = |hold: &GangHold| {
+    pub(crate) fn renew_holds(&mut self, now: Timestamp) {
+        let stands = |hold: &GangReservation| {
             let usable = |name: &MachineName| {
                 let Some(machine) = self.machines.get(name) else { return false };
                 let admits = self.jobs.get(&hold.job).is_some_and(|j| self.admits(j, machine, now));
@@ -267,7 +269,7 @@
         if self.gang_holds.values().all(stands) {
             return;
         }
-        let mut gangs: Vec<(Rank, JobId, Moment)> = self
+        let mut gangs: Vec<(Rank, JobId, Timestamp)> = self
             .gang_holds
             .values()
             .filter_map(|hold| Some((rank_of(self.jobs.get(&hold.job)?), hold.job, hold.until)))
@@ -299,9 +301,15 @@
     }
 
     /// A gang that has failed twice gets machines enough kept for it.
-    pub(crate) fn hold_for_gang(&mut self, id: JobId, why: Unplaced, stops: bool, now: Moment) {
+    pub(crate) fn hold_for_gang(
+        &mut self,
+        id: JobId,
+        why: PlacementFailure,
+        stops: bool,
+        now: Timestamp,
+    ) {
         let failures = self.queue.whereabouts(EntryKey::Gang(id)).map_or(0, |(_, n)| n);
-        if failures < 2 || why != Unplaced::Room {
+        if failures < 2 || why != PlacementFailure::Room {
             return;
         }
         if !self.gang_holds.contains_key(&id) && !self.keep_for_gang(id, now + GANG_HOLD, now) {
@@ -314,7 +322,7 @@
 
     /// Keeps machines for a gang, if there are enough for it. Gangs behind it that had some of them choose
     /// anew.
-    fn keep_for_gang(&mut self, id: JobId, until: Moment, now: Moment) -> bool {
+    fn keep_for_gang(&mut self, id: JobId, until: Timestamp, now: Timestamp) -> bool {
         let chosen = self.jobs.get(&id).and_then(|job| self.choose_hold(job, until, now));
         let Some(hold) = chosen else { return false };
         let taken: BTreeSet<JobId> =
@@ -325,16 +333,16 @@
                 machine.held_for = Some(id);
             }
         }
-        tracing::debug!(job = %id, machines = hold.machines.len(), in_ms = hold.ready_at.since(now).0, "machines kept for a gang");
+        tracing::debug!(job = %id, machines = hold.machines.len(), in_ms = hold.ready_at.duration_since(now).whole_millis(), "machines kept for a gang");
         self.gang_holds.insert(id, hold);
         true
     }
 
     /// The machines on which a gang could start soonest, of those that are kept for none before it.
-    fn choose_hold(&self, job: &Job, until: Moment, now: Moment) -> Option<GangHold> {
+    fn choose_hold(&self, job: &Job, until: Timestamp, now: Timestamp) -> Option<GangReservation> {
         let rank = rank_of(job);
         let goes_before = |gang: JobId| self.jobs.get(&gang).is_some_and(|g| rank_of(g) < rank);
-        let mut zones: BTreeMap<&ZoneName, Vec<(Moment, &Machine, u64)>> = BTreeMap::new();
+        let mut zones: BTreeMap<&ZoneName, Vec<(Timestamp, &Machine, u64)>> = BTreeMap::new();
         let mut all = Vec::new();
         for machine in self.machines.values().filter(|m| self.admits(job, m, now)) {
             let count = room_beside(job, machine, machine.capacity);
@@ -351,17 +359,17 @@
         let lists = zones.into_values().chain([all]);
         let (ready_at, machines) =
             lists.filter_map(|list| soonest(job, list)).min_by_key(|(ready, _)| *ready)?;
-        Some(GangHold { job: job.spec.id, machines, ready_at, chosen_at: now, until })
+        Some(GangReservation { job: job.spec.id, machines, ready_at, chosen_at: now, until })
     }
 
     /// When a task of a gang has room on a machine at the latest, as far as estimates tell, if what it may
     /// stop is stopped. None if what runs there does not end by itself.
-    fn free_at(&self, job: &Job, machine: &Machine, now: Moment) -> Option<Moment> {
+    fn free_at(&self, job: &Job, machine: &Machine, now: Timestamp) -> Option<Timestamp> {
         let mut room = self.room_for(EntryKey::Gang(job.spec.id), machine);
         if room_beside(job, machine, room) > 0 {
             return Some(now);
         }
-        let mut ends: Vec<(Moment, Resources)> = machine
+        let mut ends: Vec<(Timestamp, Resources)> = machine
             .tasks
             .iter()
             .filter_map(|task| {
@@ -388,17 +396,19 @@
 
     /// When a task ends, as far as its estimate tells. Estimates are often wrong by half: what has run for
     /// long is not taken to end at once.
-    fn ends_at(&self, job: &Job, placement: &Placement, now: Moment) -> Moment {
+    fn ends_at(&self, job: &Job, placement: &Placement, now: Timestamp) -> Timestamp {
         let began = job.gang_began.unwrap_or_else(|| self.begins_at(job, placement));
-        let overrun = Span(now.since(began).0 / OVERRUN_PART).max(OVERDUE);
+        let overrun =
+            Duration::from_millis(now.duration_since(began).whole_millis() / OVERRUN_PART)
+                .max(OVERDUE);
         (began + job.spec.estimate).max(now + overrun)
     }
 
     /// When a placed task has its image; a gang begins once all of its tasks have theirs.
-    fn begins_at(&self, job: &Job, placement: &Placement) -> Moment {
+    fn begins_at(&self, job: &Job, placement: &Placement) -> Timestamp {
         let fetched = |placement: &Placement| {
             let machine = self.machines.get(&placement.machine);
-            let fetch = machine.map_or(Span::ZERO, |machine| image_fetch_time(job, machine));
+            let fetch = machine.map_or(Duration::ZERO, |machine| image_fetch_time(job, machine));
             placement.placed_at + fetch
         };
         if job.spec.kind != JobKind::Gang {
@@ -408,7 +418,7 @@
     }
 
     /// Stops what would not be gone from a gang's machines by the time that the last of them is free.
-    fn clear_for_gang(&mut self, id: JobId, now: Moment) {
+    fn clear_for_gang(&mut self, id: JobId, now: Timestamp) {
         let Some(hold) = self.gang_holds.get(&id) else { return };
         let Some(job) = self.jobs.get(&id) else { return };
         let mut stops = Vec::new();
@@ -446,7 +456,7 @@
     }
 
     /// The zone kept for a gang, if it will be free before machines could be rented.
-    pub(crate) fn held_soon(&self, id: JobId, now: Moment) -> bool {
+    pub(crate) fn held_soon(&self, id: JobId, now: Timestamp) -> bool {
         self.gang_holds.get(&id).is_some_and(|hold| hold.ready_at <= now + SOON)
     }
 }
@@ -455,8 +465,8 @@
 /// then the ones that are free last: what is free now would stand idle until then.
 fn soonest(
     job: &Job,
-    mut list: Vec<(Moment, &Machine, u64)>,
-) -> Option<(Moment, BTreeMap<MachineName, u64>)> {
+    mut list: Vec<(Timestamp, &Machine, u64)>,
+) -> Option<(Timestamp, BTreeMap<MachineName, u64>)> {
     list.sort_by(|a, b| (a.0, score(job, a.1), &a.1.name).cmp(&(b.0, score(job, b.1), &b.1.name)));
     let (ready_at, _) = first_enough(job, &list)?;
     list.retain(|(ready, ..)| *ready <= ready_at);
@@ -468,11 +478,11 @@
 /// The first machines of a list that are enough for a gang, and when the last of them is free.
 fn first_enough(
     job: &Job,
-    list: &[(Moment, &Machine, u64)],
-) -> Option<(Moment, BTreeMap<MachineName, u64>)> {
+    list: &[(Timestamp, &Machine, u64)],
+) -> Option<(Timestamp, BTreeMap<MachineName, u64>)> {
     let mut zones: BTreeMap<&ZoneName, u64> = BTreeMap::new();
     let mut left = u64::from(job.spec.tasks);
-    let (mut kept, mut last) = (BTreeMap::new(), Moment::default());
+    let (mut kept, mut last) = (BTreeMap::new(), Timestamp::default());
     for (ready, machine, count) in list {
         let here = zones.entry(&machine.zone).or_default();
         let cap = u64::from(job.spec.zone_limit()).saturating_sub(*here);
--- a/crates/scheduler/src/job.rs
+++ b/crates/scheduler/src/job.rs
@@ -1,9 +1,10 @@
 //! A job within a partition, and the placements of its tasks.
 
-use model::{Attempt, JobKind, JobSpec, MachineName, Moment, Session, Span, Token};
+use model::{Attempt, FencingToken, JobKind, JobSpec, MachineName, Timestamp, WorkerEpoch};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::sync::Arc;
+use std::time::Duration;
 use wire::workers::TaskState;
 
 /// Tasks whose progress is recorded together.
@@ -26,17 +27,17 @@
     /// Taken over from a predecessor, which may have launched it in ways unknown to us.
     pub inherited: bool,
     /// Session of the worker in which it was launched by us.
-    pub launched: Option<Session>,
+    pub launched: Option<WorkerEpoch>,
     /// Launched in the answer to a report. Only the next report settles whether it got there:
     /// the body of a direct answer may be older than the arrival of that answer.
     pub in_answer: bool,
     /// A direct launch whose answer never came: it may yet be executed until the worker has
     /// seen a higher token or a newer session.
-    pub unanswered: Option<(Token, Session)>,
+    pub unanswered: Option<(FencingToken, WorkerEpoch)>,
     /// State in the newest report.
     pub seen: Option<TaskState>,
     pub stop: Option<Stop>,
-    pub placed_at: Moment,
+    pub placed_at: Timestamp,
 }
 
 /// A job that is neither done nor cleared away.
@@ -45,18 +46,18 @@
     pub spec: Arc<JobSpec>,
     /// When it was submitted, in ms on a clock that all holders share.
     pub order: u64,
-    pub seen_at: Moment,
+    pub seen_at: Timestamp,
     /// How far its size sets it back in the order.
-    pub set_back: Span,
+    pub set_back: Duration,
     /// When it should be over, counted from its submission: its own deadline, or what is expected
     /// of its class.
-    pub goal: Option<Span>,
+    pub goal: Option<Duration>,
     /// How far what is left of it sets it back further in a shortage.
-    pub put_back: Span,
+    pub put_back: Duration,
     pub cancelled: bool,
     /// Until when its machines may be answered while a launch of it that could still arrive is not void:
     /// an answer after that could keep it running for longer than a cancellation allows.
-    pub(crate) answer_until: Moment,
+    pub(crate) answer_until: Timestamp,
     /// Its end is being written or has been written.
     pub finishing: bool,
     done: Vec<u64>,
@@ -70,7 +71,7 @@
     pub failed_on: Vec<MachineName>,
     pub successes: u32,
     /// The longest that a task took to fail.
-    pub fails_within: Span,
+    pub fails_within: Duration,
     /// Best-effort work whose team has had hardly any place for so long that it may take a few
     /// anywhere.
     pub stranded: bool,
@@ -83,7 +84,7 @@
     /// On machines with GPUs it runs beside work that uses them, and takes nothing from it.
     pub only_beside: bool,
     /// When the gang's tasks were first seen running, in this attempt and by this holder.
-    pub gang_began: Option<Moment>,
+    pub gang_began: Option<Timestamp>,
 }
 
 /// A placed task as the ledger keeps it.
@@ -92,7 +93,7 @@
 
 /// Progress of one chunk of a job's tasks, as the ledger keeps it.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
-pub struct ChunkBody {
+pub struct TaskChunk {
     /// Bit i: task i of the chunk is done. Hexadecimal, to be exact in every JSON reader.
     #[serde(rename = "d", default, skip_serializing_if = "String::is_empty")]
     pub done: String,
@@ -100,7 +101,7 @@
     pub placed: Vec<PlacedTask>,
 }
 
-impl ChunkBody {
+impl TaskChunk {
     /// Whether nothing is to be remembered.
     pub fn is_empty(&self) -> bool {
         self.done.is_empty() && self.placed.is_empty()
@@ -116,7 +117,7 @@
 
 impl Placement {
     /// A placement that has just been chosen and is known to nobody else.
-    pub fn new(machine: MachineName, attempt: Attempt, now: Moment) -> Self {
+    pub fn new(machine: MachineName, attempt: Attempt, now: Timestamp) -> Self {
         Placement {
             machine,
             attempt,
@@ -132,25 +133,25 @@
     }
 
     /// A placement that a predecessor has recorded and may have launched.
-    pub fn inherited(machine: MachineName, attempt: Attempt, now: Moment) -> Self {
+    pub fn inherited(machine: MachineName, attempt: Attempt, now: Timestamp) -> Self {
         Placement { recorded: true, inherited: true, ..Placement::new(machine, attempt, now) }
     }
 }
 
 impl Job {
     /// A job of which nothing has run.
-    pub fn new(spec: impl Into<Arc<JobSpec>>, order: u64, now: Moment) -> Self {
+    pub fn new(spec: impl Into<Arc<JobSpec>>, order: u64, now: Timestamp) -> Self {
         let spec = spec.into();
         let words = spec.tasks.div_ceil(CHUNK) as usize;
         Job {
             spec,
             order,
             seen_at: now,
-            set_back: Span::ZERO,
+            set_back: Duration::ZERO,
             goal: None,
-            put_back: Span::ZERO,
+            put_back: Duration::ZERO,
             cancelled: false,
-            answer_until: Moment::default(),
+            answer_until: Timestamp::default(),
             finishing: false,
             done: vec![0; words],
             done_count: 0,
@@ -159,7 +160,7 @@
             failures: BTreeMap::new(),
             failed_on: Vec::new(),
             successes: 0,
-            fails_within: Span::ZERO,
+            fails_within: Duration::ZERO,
             stranded: false,
             guaranteed: false,
             entitled: false,
@@ -213,7 +214,7 @@
     }
 
     /// The chunk's progress for the ledger.
-    pub fn chunk(&self, chunk: u32) -> ChunkBody {
+    pub fn chunk(&self, chunk: u32) -> TaskChunk {
         let word = self.done.get(chunk as usize).copied().unwrap_or(0);
         let from = chunk * CHUNK;
         let placed = self
@@ -221,11 +222,11 @@
             .range(from..from + CHUNK)
             .map(|(index, p)| PlacedTask(index - from, p.attempt.0, p.machine.to_string()))
             .collect();
-        ChunkBody { done: if word == 0 { String::new() } else { format!("{word:x}") }, placed }
+        TaskChunk { done: if word == 0 { String::new() } else { format!("{word:x}") }, placed }
     }
 
     /// Takes over a chunk from the ledger. Placements come back as inherited.
-    pub fn restore(&mut self, chunk: u32, body: &ChunkBody, now: Moment) {
+    pub fn restore(&mut self, chunk: u32, body: &TaskChunk, now: Timestamp) {
         let from = chunk * CHUNK;
         if let Ok(word) = u64::from_str_radix(&body.done, 16) {
             for bit in (0..CHUNK).filter(|bit| word & (1 << bit) != 0) {
--- a/crates/scheduler/src/lib.rs
+++ b/crates/scheduler/src/lib.rs
@@ -1,9 +1,9 @@
 //! What runs where within one partition: scheduling cycles, filters and scores, quota,
 //! guarantee, preemption, gangs, and the bookkeeping of what workers report.
 //!
-//! Nothing here does I/O. The owner of a [`Share`] feeds it jobs, machines, reports and
-//! times, writes what [`Share::take_dirty`] hands out, and sends what
-//! [`Share::commands_for`] says.
+//! Nothing here does I/O. The owner of a [`PartitionState`] feeds it jobs, machines, reports and
+//! times, writes what [`PartitionState::take_dirty`] hands out, and sends what
+//! [`PartitionState::commands_for`] says.
 
 pub mod best_effort;
 mod capacity_index;
@@ -25,9 +25,9 @@
 pub mod reconciliation;
 mod reservations;
 
-pub use commands::Route;
-pub use failover::Question;
-pub use job::{ChunkBody, Job, PlacedTask, Placement, Stop, CHUNK};
+pub use commands::CommandRoute;
+pub use failover::Probe;
+pub use job::{Job, PlacedTask, Placement, Stop, TaskChunk, CHUNK};
 pub use machine::Machine;
-pub use partition_state::{ChunkKey, EntryKey, Policy, Share, Written};
-pub use reconciliation::Source;
+pub use partition_state::{ChunkKey, CommittedChanges, EntryKey, PartitionState, Policy};
+pub use reconciliation::StatusSource;
--- a/crates/scheduler/src/liveness.rs
+++ b/crates/scheduler/src/liveness.rs
@@ -11,22 +11,24 @@
 //! one before, have it doubted: nothing new is placed there, launches that the worker has certainly not
 //! taken are placed elsewhere, and it is asked until it answers. It is used again as soon as it does.
 
-use crate::failover::Question;
+use crate::failover::Probe;
 use crate::machine::Machine;
-use crate::partition_state::Share;
-use model::{MachineName, Moment, Session, Span, Token, ZoneName};
+use crate::partition_state::PartitionState;
+use model::DurationExt;
+use model::{FencingToken, MachineName, Timestamp, WorkerEpoch, ZoneName};
 use std::collections::BTreeMap;
+use std::time::Duration;
 
 /// A machine with replicas that has been quiet for so long is asked.
-const QUIET: Span = Span(3_000);
+const QUIET: Duration = Duration::from_secs(3);
 /// One in whose zone another has just not answered.
-const ALARMED: Span = Span(400);
+const ALARMED: Duration = Duration::from_millis(400);
 /// How long an alarm lasts.
-const ALARM: Span = Span(6_000);
+const ALARM: Duration = Duration::from_secs(6);
 /// Pause between a question without an answer and the next.
-const AGAIN: Span = Span(250);
+const AGAIN: Duration = Duration::from_millis(250);
 /// Pause between two questions to one that is doubted.
-const DOUBTED: Span = Span(1_000);
+const DOUBTED: Duration = Duration::from_secs(1);
 /// Questions without an answer after which a machine is lost.
 const LOST: u32 = 2;
 /// Machines asked in one look.
@@ -34,22 +36,24 @@
 /// Machines of a predecessor that are asked for the first time in one look: each costs a connection.
 const FIRST_ASKED: usize = 50;
 
-impl Share {
+impl PartitionState {
     /// Machines to be asked whether they are there. `since` is when workers had time to find us.
     /// Those that only a predecessor has heard are asked at once, under our token: a new holder need
     /// not wait until each has found it, and one that ended with its holder is missed like any other.
-    pub fn to_be_asked(&mut self, since: Moment, now: Moment) -> Vec<Question> {
+    pub fn to_be_asked(&mut self, since: Timestamp, now: Timestamp) -> Vec<Probe> {
         let since = since.max(self.awake_since);
-        let overdue = Span(self.report.0 * 5 / 4) + Span(300);
+        let overdue =
+            Duration::from_millis(self.report.whole_millis() * 5 / 4) + Duration::from_millis(300);
         let mut list = Vec::new();
         let mut first = 0;
         for machine in self.machines.values_mut() {
             if let Some(followed) = &machine.followed {
-                let due = machine.asked.missed == 0 || now.since(machine.asked.at) >= AGAIN;
+                let due =
+                    machine.asked.missed == 0 || now.duration_since(machine.asked.at) >= AGAIN;
                 if due && !machine.asked.pending && !machine.leaving && first < FIRST_ASKED {
                     first += 1;
                     machine.asked.pending = true;
-                    list.push(Question {
+                    list.push(Probe {
                         machine: machine.name.clone(),
                         address: followed.address.clone(),
                         token: machine.token,
@@ -58,7 +62,8 @@
                 }
                 continue;
             }
-            let doubted = machine.doubted.is_some() && now.since(machine.asked.at) >= DOUBTED;
+            let doubted =
+                machine.doubted.is_some() && now.duration_since(machine.asked.at) >= DOUBTED;
             let asks = !machine.tasks.is_empty() || doubted;
             if !asks || machine.asked.pending || machine.leaving {
                 continue;
@@ -66,21 +71,22 @@
             let (Some(heard), Some(address)) = (machine.heard_at, &machine.address) else {
                 continue;
             };
-            let alarm = self.alarms.get(&machine.zone).is_some_and(|at| now.since(*at) < ALARM);
+            let alarm =
+                self.alarms.get(&machine.zone).is_some_and(|at| now.duration_since(*at) < ALARM);
             let quiet = match (machine.asked.missed, alarm, machine.pinned > 0) {
                 (1.., ..) => AGAIN,
                 (0, true, _) => ALARMED,
                 (0, false, true) => QUIET.min(overdue),
                 (0, false, false) => overdue,
             };
-            let quiet = now.since(heard.max(since).max(machine.asked.at)) >= quiet;
+            let quiet = now.duration_since(heard.max(since).max(machine.asked.at)) >= quiet;
             if (quiet || doubted) && list.len() < MOST_ASKED {
                 machine.asked.pending = true;
-                list.push(Question {
+                list.push(Probe {
                     machine: machine.name.clone(),
                     address: address.clone(),
-                    token: Token(0),
-                    session: Session(0),
+                    token: FencingToken(0),
+                    session: WorkerEpoch(0),
                 });
             }
         }
@@ -88,7 +94,7 @@
     }
 
     /// What came of a question.
-    pub fn was_asked(&mut self, name: &MachineName, answered: bool, now: Moment) {
+    pub fn was_asked(&mut self, name: &MachineName, answered: bool, now: Timestamp) {
         let Some(machine) = self.machines.get_mut(name) else { return };
         machine.asked.pending = false;
         if answered {
@@ -105,13 +111,13 @@
             machine.followed = None;
         }
         let alarm = self.alarms.entry(machine.zone.clone()).or_insert(now);
-        if now.since(*alarm) >= ALARM {
+        if now.duration_since(*alarm) >= ALARM {
             *alarm = now;
         }
     }
 
     /// Commands to a machine were not answered.
-    pub fn was_unanswered(&mut self, name: &MachineName, now: Moment) {
+    pub fn was_unanswered(&mut self, name: &MachineName, now: Timestamp) {
         if let Some(machine) = self.machines.get_mut(name) {
             machine.doubted.get_or_insert(now);
         }
@@ -126,7 +132,7 @@
         }
         // Nobody asks those that run nothing; one whose lease has lapsed meanwhile was asked.
         let was_asked = |m: &&Machine| !m.tasks.is_empty() || m.asked.missed > 0;
-        let mut zones: BTreeMap<&ZoneName, Vec<Moment>> = BTreeMap::new();
+        let mut zones: BTreeMap<&ZoneName, Vec<Timestamp>> = BTreeMap::new();
         for machine in self.machines.values().filter(was_asked) {
             let heard = machine.heard_at.unwrap_or_default();
             zones.entry(&machine.zone).or_default().push(heard);
@@ -152,15 +158,15 @@
     /// rule.
     pub fn silent_with_replicas(
         &self,
-        held_since: Moment,
-        now: Moment,
-        late: Span,
-        patience: Span,
+        held_since: Timestamp,
+        now: Timestamp,
+        late: Duration,
+        patience: Duration,
     ) -> Vec<MachineName> {
         // A machine that boots has nothing on it and is not missed yet.
-        let silent = |m: &&Machine, patience: Span| match m.reported_at {
-            Some(at) => now.since(at.max(self.awake_since)) > patience,
-            None => !m.tasks.is_empty() && now.since(held_since) > patience,
+        let silent = |m: &&Machine, patience: Duration| match m.reported_at {
+            Some(at) => now.duration_since(at.max(self.awake_since)) > patience,
+            None => !m.tasks.is_empty() && now.duration_since(held_since) > patience,
         };
         // Many at a time, or the first of many: the fault lies with us or with the network.
         let count = self.machines.values().filter(|m| silent(m, late)).count();
--- a/crates/scheduler/src/machine.rs
+++ b/crates/scheduler/src/machine.rs
@@ -1,21 +1,23 @@
 //! A machine of the share, as its newest report and our own doings show it.
 
-use crate::failover::Followed;
+use crate::failover::ReplicatedEndpoint;
+use model::DurationExt;
 use model::{
-    Attempt, JobId, JobKind, JobSpec, MachineName, Moment, PartitionId, Resources, Seq, Session,
-    Span, TaskId, Token, ZoneName,
+    Attempt, FencingToken, JobId, JobKind, JobSpec, MachineName, PartitionId, Resources,
+    SequenceNumber, TaskId, Timestamp, WorkerEpoch, ZoneName,
 };
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
+use std::time::Duration;
 use wire::cloud::MachineType;
 use wire::workers::{ExitCause, TaskState};
 
 /// How long exited tasks are kept before tokens are raised for them: those of some time at once.
-const KEPT_EXITED: Span = Span(45_000);
+const KEPT_EXITED: Duration = Duration::from_secs(45);
 
 /// A task in the newest report that has no placement here.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Stray {
+pub struct OrphanedTask {
     pub task: TaskId,
     pub attempt: Attempt,
     pub state: TaskState,
@@ -24,10 +26,10 @@
 
 /// A machine's way to another partition.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Ceding {
+pub struct PendingTransfer {
     pub to: PartitionId,
     /// When it is kept after all if it is not empty by then.
-    pub until: Moment,
+    pub until: Timestamp,
 }
 
 /// Where a machine stands in the index.
@@ -41,14 +43,14 @@
 
 /// What came of asking a machine.
 #[derive(Debug, Clone, Copy, Default)]
-pub(crate) struct Asked {
+pub(crate) struct ProbeState {
     /// A question is under way.
     pub pending: bool,
     /// Questions without an answer since it was heard last.
     pub missed: u32,
     /// When the first and the last of them were given up.
-    pub first: Moment,
-    pub at: Moment,
+    pub first: Timestamp,
+    pub at: Timestamp,
 }
 
 /// A machine.
@@ -69,7 +71,7 @@
     /// A gang for which it is kept.
     pub(crate) held_for: Option<JobId>,
     /// Since when a machine with GPUs has had other work only.
-    pub(crate) no_gpu_work_since: Option<Moment>,
+    pub(crate) no_gpu_work_since: Option<Timestamp>,
     /// Where it stands in the index of rooms.
     pub(crate) place: Option<Place>,
     pub tasks: BTreeSet<TaskId>,
@@ -79,56 +81,56 @@
     pub best_effort: u64,
     pub best_effort_used: Resources,
     /// When the last task that is not best-effort left.
-    pub regular_left_at: Moment,
+    pub regular_left_at: Timestamp,
     /// Token that our answers bear.
-    pub token: Token,
-    pub session: Session,
-    pub seq: Seq,
+    pub token: FencingToken,
+    pub session: WorkerEpoch,
+    pub seq: SequenceNumber,
     /// Highest token that the worker says it has seen.
-    pub seen_token: Token,
+    pub seen_token: FencingToken,
     /// When the newest report came in; none: not heard since we hold the share.
-    pub heard_at: Option<Moment>,
+    pub heard_at: Option<Timestamp>,
     /// What a predecessor said of it, until it is heard.
-    pub(crate) followed: Option<Followed>,
+    pub(crate) followed: Option<ReplicatedEndpoint>,
     /// What came of asking it directly whether it is there.
-    pub(crate) asked: Asked,
+    pub(crate) asked: ProbeState,
     /// Since when nothing shows that what we send reaches it, although it may be heard: see `silence.rs`.
-    pub(crate) doubted: Option<Moment>,
+    pub(crate) doubted: Option<Timestamp>,
     /// When we answered it last.
-    pub answered_at: Moment,
+    pub answered_at: Timestamp,
     /// When we last sent it a direct launch. A session that nobody answers still lives for one
     /// lease from its begin, and the launch named a session that had begun by then.
-    pub direct_at: Moment,
+    pub direct_at: Timestamp,
     /// When its newest report came in, as opposed to a direct answer: only reports keep its
     /// lease alive, so only they make it fit for new tasks.
-    pub reported_at: Option<Moment>,
+    pub reported_at: Option<Timestamp>,
     /// When the cloud takes it.
-    pub notice: Option<Moment>,
+    pub notice: Option<Timestamp>,
     /// On its way to another partition or back to the cloud.
     pub leaving: bool,
     /// Fails what it starts.
     pub faulty: bool,
     /// Failures since the last success, by job.
     pub blame: BTreeMap<JobId, u32>,
-    pub strays: Vec<Stray>,
+    pub strays: Vec<OrphanedTask>,
     /// Images it holds, least recently used first.
     pub images: Vec<(Arc<str>, f64)>,
-    pub idle_since: Moment,
+    pub idle_since: Timestamp,
     /// Goes to another partition as soon as it is empty, and takes nothing new until then.
-    pub ceding: Option<Ceding>,
+    pub ceding: Option<PendingTransfer>,
     /// Being emptied until then, and takes nothing new.
-    pub emptied_until: Option<Moment>,
+    pub emptied_until: Option<Timestamp>,
     /// Launches in the newest answer to a report, which may still be under way: only the next
     /// report shows that it has arrived or was dropped.
     pub answer_launches: Vec<(TaskId, Attempt)>,
     /// Direct launches of ours whose attempts the worker may still remember: under which token and in which
     /// session. A copy of one may come at any later time, also of one that was answered.
-    pub(crate) direct: BTreeMap<(TaskId, Attempt), (Token, Session)>,
+    pub(crate) direct: BTreeMap<(TaskId, Attempt), (FencingToken, WorkerEpoch)>,
     /// Since when it has had exited tasks that must not be forgotten before it has seen a higher token.
-    pub(crate) kept_since: Option<Moment>,
+    pub(crate) kept_since: Option<Timestamp>,
     /// Token and session of a lost direct launch. Only a worker that has seen a higher token or
     /// has begun a newer session will not execute it any more.
-    pub lost_launch: Option<(Token, Session)>,
+    pub lost_launch: Option<(FencingToken, WorkerEpoch)>,
 }
 
 impl Machine {
@@ -150,7 +152,7 @@
     }
 
     /// Counts a task out.
-    pub fn let_go(&mut self, task: TaskId, spec: &JobSpec, now: Moment) {
+    pub fn let_go(&mut self, task: TaskId, spec: &JobSpec, now: Timestamp) {
         if self.tasks.remove(&task) {
             self.used -= spec.needs;
             self.pinned -= u64::from(spec.kind == JobKind::Service);
@@ -172,7 +174,7 @@
         kind: &MachineType,
         zone: ZoneName,
         spot: bool,
-        token: Token,
+        token: FencingToken,
     ) -> Self {
         Machine {
             name,
@@ -192,17 +194,17 @@
             pinned: 0,
             best_effort: 0,
             best_effort_used: Resources::default(),
-            regular_left_at: Moment::default(),
+            regular_left_at: Timestamp::default(),
             token,
-            session: Session(0),
-            seq: Seq(0),
-            seen_token: Token(0),
+            session: WorkerEpoch(0),
+            seq: SequenceNumber(0),
+            seen_token: FencingToken(0),
             heard_at: None,
             followed: None,
-            asked: Asked::default(),
+            asked: ProbeState::default(),
             doubted: None,
-            answered_at: Moment::default(),
-            direct_at: Moment::default(),
+            answered_at: Timestamp::default(),
+            direct_at: Timestamp::default(),
             reported_at: None,
             notice: None,
             leaving: false,
@@ -210,7 +212,7 @@
             blame: BTreeMap::new(),
             strays: Vec::new(),
             images: Vec::new(),
-            idle_since: Moment::default(),
+            idle_since: Timestamp::default(),
             ceding: None,
             emptied_until: None,
             answer_launches: Vec::new(),
@@ -246,7 +248,7 @@
     }
 
     /// Whether new tasks may be placed here.
-    pub fn usable(&self, now: Moment, silence: Span) -> bool {
+    pub fn usable(&self, now: Timestamp, silence: Duration) -> bool {
         !self.leaving
             && self.ceding.is_none()
             && self.emptied_until.is_none_or(|until| now >= until)
@@ -255,11 +257,11 @@
             && self.doubted.is_none()
             && self.notice.is_none()
             && self.seen_token <= self.token
-            && self.reported_at.is_some_and(|at| now.since(at) <= silence)
+            && self.reported_at.is_some_and(|at| now.duration_since(at) <= silence)
     }
 
     /// A direct launch was lost that could start again what is forgotten now.
-    pub fn lose_launch(&mut self, token: Token, session: Session) {
+    pub fn lose_launch(&mut self, token: FencingToken, session: WorkerEpoch) {
         let (old, before) = self.lost_launch.unwrap_or_default();
         self.lost_launch = Some((old.max(token), before.max(session)));
     }
@@ -267,14 +269,14 @@
     /// Whether no launch of an exited task can arrive any more that the worker would execute. An attempt
     /// that it remembers has no effect, so a copy of a launch does harm only after its forget; even where
     /// the task was completed, since its job may have been cancelled after that.
-    pub(crate) fn may_forget(&self, stray: &Stray) -> bool {
+    pub(crate) fn may_forget(&self, stray: &OrphanedTask) -> bool {
         self.direct
             .get(&(stray.task, stray.attempt))
             .is_none_or(|(token, session)| self.seen_token > *token || self.session > *session)
     }
 
     /// Notes which exited tasks are kept, and what need not be known of launches any more.
-    pub(crate) fn keep_exited(&mut self, now: Moment) {
+    pub(crate) fn keep_exited(&mut self, now: Timestamp) {
         let strays = std::mem::take(&mut self.strays);
         let kept = strays.iter().any(|s| s.state == TaskState::Exited && !self.may_forget(s));
         self.kept_since = kept.then(|| self.kept_since.unwrap_or(now));
@@ -292,14 +294,14 @@
 
     /// Whether it has kept exited tasks for so long that all machines of the share should get a higher
     /// token.
-    pub fn keeps_exited(&self, now: Moment) -> bool {
-        let kept = self.kept_since.is_some_and(|at| now.since(at) >= KEPT_EXITED);
+    pub fn keeps_exited(&self, now: Timestamp) -> bool {
+        let kept = self.kept_since.is_some_and(|at| now.duration_since(at) >= KEPT_EXITED);
         kept && self.seen_token >= self.token
     }
 
     /// Whether we have answered it so lately that its lease should stand.
-    pub(crate) fn answered_lately(&self, lease: Span, now: Moment) -> bool {
-        self.answered_at > Moment::default() && now.since(self.answered_at) < lease
+    pub(crate) fn answered_lately(&self, lease: Duration, now: Timestamp) -> bool {
+        self.answered_at > Timestamp::default() && now.duration_since(self.answered_at) < lease
     }
 
     /// Whether it is heard and not reached: it reports, and nothing that we send gets there.
@@ -309,13 +311,13 @@
 
     /// We answer a report. One that is older than what is known was sent before that came in, so an answer
     /// to it keeps the lease up for no longer: a copy that comes late does not put the end of a lease off.
-    pub fn answer(&mut self, newer: bool, now: Moment) {
+    pub fn answer(&mut self, newer: bool, now: Timestamp) {
         let known = self.heard_at.unwrap_or_default();
         self.answered_at = self.answered_at.max(if newer { now } else { known });
     }
 
     /// Whether every task must be gone: nobody entitled has answered for a whole lease.
-    pub fn lapsed(&self, now: Moment, entitled_until: Moment, lease: Span) -> bool {
-        now > self.answered_at.max(self.direct_at).max(entitled_until) + lease.with_drift()
+    pub fn lapsed(&self, now: Timestamp, entitled_until: Timestamp, lease: Duration) -> bool {
+        now > self.answered_at.max(self.direct_at).max(entitled_until) + lease.with_clock_drift()
     }
 }
--- a/crates/scheduler/src/overload.rs
+++ b/crates/scheduler/src/overload.rs
@@ -8,8 +8,10 @@
 //! whatever is submitted later than the time by which a job is set back goes behind it.
 
 use crate::job::Job;
-use crate::partition_state::Share;
-use model::{JobId, JobKind, Span};
+use crate::partition_state::PartitionState;
+use model::DurationExt;
+use model::{JobId, JobKind};
+use std::time::Duration;
 
 /// Shortage begins when what waits takes more than so many hundredths of the users' patience, and ends
 /// below the other.
@@ -23,7 +25,7 @@
     }
 }
 
-impl Share {
+impl PartitionState {
     /// Notes whether there is a shortage, and sets jobs back as it asks for.
     pub fn look_for_shortage(&mut self) {
         let (mut waiting, mut patience) = (0, u64::MAX);
@@ -31,8 +33,9 @@
             let Some(goal) = job.goal.filter(|_| job.is_awaited()) else { continue };
             // What its team's limit keeps back is no want of machines.
             if self.quota_room(job, 1) {
-                waiting += job.waiting() * job.spec.needs.milli_cpus * job.spec.estimate.0;
-                patience = patience.min(goal.0);
+                waiting +=
+                    job.waiting() * job.spec.needs.milli_cpus * job.spec.estimate.whole_millis();
+                patience = patience.min(goal.whole_millis());
             }
         }
         let mut cpus = 0;
@@ -51,14 +54,16 @@
         }
         let times = if short { self.policy.short_set_back } else { 0 };
         let change = |job: &Job| {
-            let left = job.set_back.0 * job.waiting() / u64::from(job.spec.tasks.max(1));
-            let put_back = Span(if job.is_awaited() { left * times } else { 0 });
+            let left =
+                job.set_back.whole_millis() * job.waiting() / u64::from(job.spec.tasks.max(1));
+            let put_back = Duration::from_millis(if job.is_awaited() { left * times } else { 0 });
             // What is left shrinks with each task; a new place in the order is worth its cost only now
             // and then.
-            let far = put_back.0.abs_diff(job.put_back.0) * 4 > job.put_back.0;
-            (put_back != job.put_back && (far || put_back == Span::ZERO)).then_some(put_back)
+            let far = put_back.whole_millis().abs_diff(job.put_back.whole_millis()) * 4
+                > job.put_back.whole_millis();
+            (put_back != job.put_back && (far || put_back == Duration::ZERO)).then_some(put_back)
         };
-        let changed: Vec<(JobId, Span)> =
+        let changed: Vec<(JobId, Duration)> =
             self.jobs.iter().filter_map(|(id, job)| Some((*id, change(job)?))).collect();
         for (id, put_back) in changed {
             let Some(job) = self.jobs.get_mut(&id) else { continue };
