--- a/crates/scheduler/src/partition_state.rs
+++ b/crates/scheduler/src/partition_state.rs
@@ -1,16 +1,18 @@
 //! The partition's share: its jobs, machines, teams and queue.
 
-use crate::capacity_index::RoomIndex;
-use crate::job::{ChunkBody, Job, Placement, Stop, CHUNK};
+use crate::capacity_index::CapacityIndex;
+use crate::job::{Job, Placement, Stop, TaskChunk, CHUNK};
 use crate::machine::Machine;
-use crate::preemption_candidates::Victims;
+use crate::preemption_candidates::PreemptionCandidates;
+use model::DurationExt;
 use model::{
-    Attempt, JobId, JobKind, JobSpec, MachineName, Moment, Priority, Resources, Span, TaskId,
-    TeamName, Token, ZoneName,
+    Attempt, FencingToken, JobId, JobKind, JobSpec, MachineName, Priority, Resources, TaskId,
+    TeamName, Timestamp, ZoneName,
 };
 use scheduling_queue::{QueueConfig, SchedulingQueue};
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet};
 use std::sync::Arc;
+use std::time::Duration;
 use wire::cloud::MachineType;
 
 /// An entry of the queue: a task, or a whole gang.
@@ -41,7 +43,7 @@
 pub struct Policy {
     /// A machine whose report has not come so long after the longest time between two reports
     /// gets no new tasks.
-    pub silence: Span,
+    pub silence: Duration,
     /// Tasks of one array that wait in the queue at a time.
     pub window: u32,
     /// Failures without a success after which a machine is set aside.
@@ -53,7 +55,7 @@
     /// Whether replicas are moved together.
     pub move_replicas: bool,
     /// Array work that running tasks make room for within this time is no demand for machines.
-    pub absorb: Span,
+    pub absorb: Duration,
     /// How many further times what is left of a job sets it back in a shortage; 0: the order stays.
     pub short_set_back: u64,
 }
@@ -61,13 +63,13 @@
 impl Default for Policy {
     fn default() -> Self {
         Policy {
-            silence: Span(2_000),
+            silence: Duration::from_secs(2),
             window: 256,
             faulty_after: 2,
             preempt: true,
             set_back: 3,
             move_replicas: true,
-            absorb: Span(8_000),
+            absorb: Duration::from_secs(8),
             short_set_back: 4,
         }
     }
@@ -75,7 +77,7 @@
 
 /// A team's amounts.
 #[derive(Debug, Clone, Default)]
-pub struct TeamUse {
+pub struct TeamUsage {
     pub guarantee: Resources,
     pub limit: Resources,
     pub used: Resources,
@@ -84,7 +86,7 @@
     /// What gangs need of it on machines that are kept for them, beyond what is used there now.
     pub(crate) held: Resources,
     /// Since when its best-effort work has had hardly any place.
-    pub thin_since: Option<Moment>,
+    pub thin_since: Option<Timestamp>,
     /// Its jobs that are neither ending nor cancelled, in the order of their submission.
     open: BTreeSet<(u64, JobId)>,
     /// Those of them that were last found to lie within its guarantee.
@@ -93,7 +95,7 @@
     pub(crate) stale: bool,
 }
 
-impl TeamUse {
+impl TeamUsage {
     fn opened(&mut self, job: &Job) {
         self.open.insert((job.order, job.spec.id));
         self.stale = true;
@@ -106,75 +108,75 @@
 
 /// Machines that are kept for a gang.
 #[derive(Debug, Clone)]
-pub(crate) struct GangHold {
+pub(crate) struct GangReservation {
     pub job: JobId,
     /// The machines, and how many of its tasks each is to take.
     pub machines: BTreeMap<MachineName, u64>,
     /// When the last of them should have room.
-    pub ready_at: Moment,
-    pub chosen_at: Moment,
+    pub ready_at: Timestamp,
+    pub chosen_at: Timestamp,
     /// Until when they are kept though the team's limit keeps the gang back.
-    pub until: Moment,
+    pub until: Timestamp,
 }
 
 /// Room kept for an entry.
 #[derive(Debug, Clone)]
-pub(crate) struct Promise {
+pub(crate) struct Reservation {
     pub machine: MachineName,
     pub needs: Resources,
-    pub until: Moment,
+    pub until: Timestamp,
     /// The team whose limit is in the way, of which as much is kept.
     pub limit_of: Option<TeamName>,
 }
 
 /// How a suspect job is probed.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct Probing {
-    pub next: Moment,
-    pub pause: Span,
+pub(crate) struct JobProbe {
+    pub next: Timestamp,
+    pub pause: Duration,
 }
 
 /// What a ledger round holds, to be confirmed when it is durable.
 #[derive(Debug, Clone, Default)]
-pub struct Written {
+pub struct CommittedChanges {
     pub placements: Vec<(TaskId, Attempt)>,
     pub outcomes: Vec<(TaskId, Attempt)>,
 }
 
 /// The share.
 #[derive(Debug)]
-pub struct Share {
+pub struct PartitionState {
     pub policy: Policy,
-    pub lease: Span,
+    pub lease: Duration,
     /// How long tasks of a gang wait for each other.
-    pub gang_wait: Span,
+    pub gang_wait: Duration,
     /// How often workers report as a rule; they may take a quarter longer.
-    pub report: Span,
+    pub report: Duration,
     /// Since when we have been running without a stop. Silence before that was our own.
-    pub awake_since: Moment,
+    pub awake_since: Timestamp,
     /// Since when we have held it.
-    pub held_since: Moment,
+    pub held_since: Timestamp,
     /// Most of the machines have been heard since then, or had the time to be.
     pub(crate) picture: bool,
     /// Until when a predecessor may have answered any machine.
-    pub entitled_until: Moment,
+    pub entitled_until: Timestamp,
     /// Within what time a class's jobs should be over, where they have no deadline of their own.
-    pub goals: BTreeMap<String, Span>,
+    pub goals: BTreeMap<String, Duration>,
     /// What waits takes longer than the users' patience lasts.
     pub(crate) short: bool,
     /// Zones in which machines can be had, the nearest first.
     pub zones: Vec<ZoneName>,
     /// Gangs that have failed to fit and wait, one of each kind.
     pub(crate) waiting_gangs: Vec<JobId>,
-    /// Types of machines that can be had, see [`Share::know_types`].
+    /// Types of machines that can be had, see [`PartitionState::know_types`].
     pub(crate) types: Vec<MachineType>,
     /// Machines kept for gangs that have failed to fit.
-    pub(crate) gang_holds: BTreeMap<JobId, GangHold>,
+    pub(crate) gang_holds: BTreeMap<JobId, GangReservation>,
     pub jobs: BTreeMap<JobId, Job>,
     pub machines: BTreeMap<MachineName, Machine>,
-    pub teams: HashMap<TeamName, TeamUse>,
+    pub teams: HashMap<TeamName, TeamUsage>,
     pub queue: SchedulingQueue<EntryKey, Rank>,
-    term: Token,
+    term: FencingToken,
     attempts: u64,
     dirty: BTreeSet<ChunkKey>,
     /// Outcomes that are not durable yet: their tasks must not be forgotten.
@@ -184,43 +186,43 @@
     /// Machines to be sent commands at once.
     pub(crate) urgent: BTreeSet<MachineName>,
     /// Room kept for entries for which tasks are being stopped.
-    pub(crate) promises: HashMap<EntryKey, Promise>,
+    pub(crate) promises: HashMap<EntryKey, Reservation>,
     /// The machines by room and image, those that take nothing left out.
-    pub(crate) rooms: RoomIndex,
-    pub(crate) sorted_at: Moment,
+    pub(crate) rooms: CapacityIndex,
+    pub(crate) sorted_at: Timestamp,
     /// Since when machines of a zone have not answered.
-    pub(crate) alarms: BTreeMap<ZoneName, Moment>,
+    pub(crate) alarms: BTreeMap<ZoneName, Timestamp>,
     /// What could be stopped to make room.
-    pub(crate) victims: Victims,
+    pub(crate) victims: PreemptionCandidates,
     /// Placements that are not durable yet.
     unrecorded: usize,
     /// Jobs that are not best-effort and lately found no room: when.
-    pub(crate) roomless: BTreeMap<JobId, Moment>,
+    pub(crate) roomless: BTreeMap<JobId, Timestamp>,
     /// Suspect jobs, which are not queued as others are.
-    pub(crate) probing: BTreeMap<JobId, Probing>,
-    pub(crate) consolidated_at: Moment,
+    pub(crate) probing: BTreeMap<JobId, JobProbe>,
+    pub(crate) consolidated_at: Timestamp,
     /// Waits from first sight to placement, for the metrics (ms).
     pub waits: Vec<u64>,
 }
 
-impl Share {
+impl PartitionState {
     /// An empty share held under `term`.
     pub fn new(
         teams: impl IntoIterator<Item = (TeamName, Resources, Resources)>,
-        lease: Span,
+        lease: Duration,
         policy: Policy,
         queue: QueueConfig,
-        term: Token,
+        term: FencingToken,
     ) -> Self {
-        Share {
+        PartitionState {
             policy,
             lease,
-            gang_wait: Span(u64::MAX),
-            report: Span::ZERO,
-            awake_since: Moment::default(),
-            held_since: Moment::default(),
+            gang_wait: Duration::from_millis(u64::MAX),
+            report: Duration::ZERO,
+            awake_since: Timestamp::default(),
+            held_since: Timestamp::default(),
             picture: false,
-            entitled_until: Moment::default(),
+            entitled_until: Timestamp::default(),
             goals: BTreeMap::new(),
             short: false,
             zones: Vec::new(),
@@ -232,7 +234,7 @@
             teams: teams
                 .into_iter()
                 .map(|(name, guarantee, limit)| {
-                    (name, TeamUse { guarantee, limit, ..TeamUse::default() })
+                    (name, TeamUsage { guarantee, limit, ..TeamUsage::default() })
                 })
                 .collect(),
             queue: SchedulingQueue::new(queue),
@@ -243,14 +245,14 @@
             finished: Vec::new(),
             urgent: BTreeSet::new(),
             promises: HashMap::new(),
-            rooms: RoomIndex::default(),
-            sorted_at: Moment::default(),
+            rooms: CapacityIndex::default(),
+            sorted_at: Timestamp::default(),
             alarms: BTreeMap::new(),
-            victims: Victims::default(),
+            victims: PreemptionCandidates::default(),
             unrecorded: 0,
             roomless: BTreeMap::new(),
             probing: BTreeMap::new(),
-            consolidated_at: Moment::default(),
+            consolidated_at: Timestamp::default(),
             waits: Vec::new(),
         }
     }
@@ -258,8 +260,8 @@
     /// A machine that has been silent for longer gets no new tasks. Workers report every 2 s on
     /// some sites and every 6 s on others: by a fixed 4 s, idle machines of the latter took nothing
     /// for a part of the time.
-    pub(crate) fn silence(&self) -> Span {
-        Span(self.report.0 * 5 / 4) + self.policy.silence
+    pub(crate) fn silence(&self) -> Duration {
+        Duration::from_millis(self.report.whole_millis() * 5 / 4) + self.policy.silence
     }
 
     /// Which types of machines can be had: work without GPUs runs on such with GPUs beside others only,
@@ -282,8 +284,8 @@
         &mut self,
         spec: impl Into<Arc<JobSpec>>,
         order: u64,
-        chunks: &[(u32, ChunkBody)],
-        now: Moment,
+        chunks: &[(u32, TaskChunk)],
+        now: Timestamp,
     ) {
         let spec = spec.into();
         let id = spec.id;
@@ -316,8 +318,8 @@
             tasks = job.spec.tasks,
             priority = ?job.spec.priority,
             spot = job.spec.spot,
-            estimate_ms = job.spec.estimate.0,
-            deadline_ms = job.spec.deadline.map(|d| d.0),
+            estimate_ms = job.spec.estimate.whole_millis(),
+            deadline_ms = job.spec.deadline.map(|d| d.whole_millis()),
             "new job"
         );
         self.jobs.insert(id, job);
@@ -335,20 +337,20 @@
 
     /// How far a job's size sets it back: a multiple of the time that it takes alone. A team
     /// without a limit counts as if it had the largest of the others'.
-    fn set_back_of(&self, spec: &JobSpec) -> Span {
+    fn set_back_of(&self, spec: &JobSpec) -> Duration {
         let per = Resources { memory_mb: 0, ..spec.needs };
-        let at_once = |team: &TeamUse| team.limit.holds(&per);
+        let at_once = |team: &TeamUsage| team.limit.holds(&per);
         let limited = |count: &u64| *count < u64::MAX / 1_000_000;
         let own = self.teams.get(&spec.team).map(at_once).filter(limited);
         let largest = || self.teams.values().map(at_once).filter(limited).max();
         let at_once = own.or_else(largest).unwrap_or(1).max(1);
         // A gang is one entry, and large ones would wait for ever behind small ones otherwise.
         let tasks = if spec.kind == JobKind::Gang { 1 } else { u64::from(spec.tasks) };
-        Span(spec.estimate.0 * tasks / at_once * self.policy.set_back)
+        Duration::from_millis(spec.estimate.whole_millis() * tasks / at_once * self.policy.set_back)
     }
 
     /// Adds a machine to the share.
-    pub fn add_machine(&mut self, machine: Machine, now: Moment) {
+    pub fn add_machine(&mut self, machine: Machine, now: Timestamp) {
         let name = machine.name.clone();
         if self.machines.contains_key(&name) {
             return;
@@ -359,7 +361,7 @@
 
     /// The cloud has confirmed that a machine and everything on it are gone, or it has left
     /// the share while empty.
-    pub fn remove_machine(&mut self, name: &MachineName, now: Moment) {
+    pub fn remove_machine(&mut self, name: &MachineName, now: Timestamp) {
         let Some(machine) = self.machines.get(name) else { return };
         let tasks: Vec<TaskId> = machine.tasks.iter().copied().collect();
         for task in tasks {
@@ -372,7 +374,7 @@
     }
 
     /// The user has cancelled: nothing is started any more, everything is stopped.
-    pub fn cancel_job(&mut self, id: JobId, now: Moment) {
+    pub fn cancel_job(&mut self, id: JobId, now: Timestamp) {
         let Some(job) = self.jobs.get_mut(&id) else { return };
         if job.cancelled {
             return;
@@ -390,7 +392,7 @@
 
     /// A job was cancelled: whoever holds it may answer its machines until then whatever is under way to
     /// them, and no longer.
-    pub fn bound_answers(&mut self, id: JobId, until: Moment) {
+    pub fn bound_answers(&mut self, id: JobId, until: Timestamp) {
         if let Some(job) = self.jobs.get_mut(&id).filter(|job| job.cancelled) {
             job.answer_until = until;
         }
@@ -401,7 +403,7 @@
     /// of a predecessor, or under a lower token, is voided by it. A direct launch of ours without an
     /// answer is not, and where the state service gives no higher token, only the end of the lease is
     /// left.
-    pub fn may_answer(&self, name: &MachineName, now: Moment) -> bool {
+    pub fn may_answer(&self, name: &MachineName, now: Timestamp) -> bool {
         let Some(machine) = self.machines.get(name) else { return true };
         let under_way = |p: &Placement| {
             let void = |(token, session)| token < machine.token || session < machine.session;
@@ -416,7 +418,7 @@
     }
 
     /// Stops a task. One that was certainly never launched is gone at once.
-    pub fn stop_task(&mut self, task: TaskId, grace_ms: u64, now: Moment) {
+    pub fn stop_task(&mut self, task: TaskId, grace_ms: u64, now: Timestamp) {
         let Some(job) = self.jobs.get_mut(&task.job) else { return };
         let Some(placement) = job.placed.get_mut(&task.index) else { return };
         if placement.launched.is_none() && !placement.inherited && placement.seen.is_none() {
@@ -477,7 +479,7 @@
     }
 
     /// Takes a placement out of every count.
-    fn count_out(&mut self, task: TaskId, spec: &JobSpec, placement: &Placement, now: Moment) {
+    fn count_out(&mut self, task: TaskId, spec: &JobSpec, placement: &Placement, now: Timestamp) {
         if let Some(team) = self.teams.get_mut(&spec.team) {
             team.used -= spec.needs;
         }
@@ -491,7 +493,7 @@
 
     /// Removes a placement whose task is proven gone or was never launched, and queues the
     /// task again unless the job is over.
-    pub(crate) fn drop_placement(&mut self, task: TaskId, now: Moment, requeue: bool) {
+    pub(crate) fn drop_placement(&mut self, task: TaskId, now: Timestamp, requeue: bool) {
         let Some(job) = self.jobs.get_mut(&task.job) else { return };
         let Some(placement) = job.placed.remove(&task.index) else { return };
         let spec = job.spec.clone();
@@ -515,7 +517,7 @@
     }
 
     /// The rest of a gang that lost a member stops; when all are gone it starts anew.
-    fn gang_lost_member(&mut self, id: JobId, now: Moment) {
+    fn gang_lost_member(&mut self, id: JobId, now: Timestamp) {
         let Some(job) = self.jobs.get_mut(&id) else { return };
         if job.placed.is_empty() {
             job.gang_began = None;
@@ -536,11 +538,14 @@
 
     /// Orderly stop of a gang: every member gets its halt in the same round, with grace to
     /// save if the gang has started.
-    pub fn stop_gang(&mut self, id: JobId, now: Moment) {
+    pub fn stop_gang(&mut self, id: JobId, now: Timestamp) {
         let Some(job) = self.jobs.get(&id) else { return };
         let progress = job.gang_began.is_some() && !job.cancelled && !job.all_done();
-        let grace =
-            if job.spec.checkpoint > Span::ZERO && progress { job.spec.save.0 + 1_000 } else { 0 };
+        let grace = if job.spec.checkpoint > Duration::ZERO && progress {
+            job.spec.save.whole_millis() + 1_000
+        } else {
+            0
+        };
         let members: Vec<u32> =
             job.placed.iter().filter(|(_, p)| p.stop.is_none()).map(|(i, _)| *i).collect();
         for index in members {
@@ -574,10 +579,10 @@
     }
 
     /// The job's end is durable, which settles the outcomes of all its tasks.
-    pub fn remove_job(&mut self, id: JobId, now: Moment) {
+    pub fn remove_job(&mut self, id: JobId, now: Timestamp) {
         self.close(id);
         let Some(job) = self.jobs.remove(&id) else { return };
-        tracing::debug!(job = %id, took_ms = now.since(job.seen_at).0, "job over");
+        tracing::debug!(job = %id, took_ms = now.duration_since(job.seen_at).whole_millis(), "job over");
         self.unqueue(id, job.cursor);
         for (index, placement) in &job.placed {
             self.count_out(TaskId { job: id, index: *index }, &job.spec, placement, now);
@@ -626,7 +631,7 @@
     }
 
     /// Hands out the chunks that changed since the last call.
-    pub fn take_dirty(&mut self) -> Vec<(ChunkKey, ChunkBody)> {
+    pub fn take_dirty(&mut self) -> Vec<(ChunkKey, TaskChunk)> {
         std::mem::take(&mut self.dirty)
             .into_iter()
             .filter_map(|key| self.jobs.get(&key.0).map(|job| (key, job.chunk(key.1))))
@@ -639,8 +644,8 @@
     }
 
     /// What a round with these chunks would make durable.
-    pub fn written_by(&self, keys: &[ChunkKey]) -> Written {
-        let mut written = Written::default();
+    pub fn written_by(&self, keys: &[ChunkKey]) -> CommittedChanges {
+        let mut written = CommittedChanges::default();
         for (id, chunk) in keys {
             let Some(job) = self.jobs.get(id) else { continue };
             let from = chunk * CHUNK;
@@ -661,7 +666,7 @@
     }
 
     /// The round is durable: its placements may be launched, its outcomes forgotten.
-    pub fn confirm(&mut self, written: &Written) {
+    pub fn confirm(&mut self, written: &CommittedChanges) {
         for (task, attempt) in &written.placements {
             let Some(job) = self.jobs.get_mut(&task.job) else { continue };
             if let Some(p) = job.placed.get_mut(&task.index) {
@@ -743,21 +748,21 @@
 
 /// A job's place among its equals.
 fn due(job: &Job) -> u64 {
-    job.order.saturating_add(job.set_back.0 + job.put_back.0)
+    job.order.saturating_add(job.set_back.whole_millis() + job.put_back.whole_millis())
 }
 
-impl Share {
+impl PartitionState {
     /// Records a placement and counts it at once.
     pub(crate) fn place(
         &mut self,
         task: TaskId,
         machine: &MachineName,
         attempt: Attempt,
-        now: Moment,
+        now: Timestamp,
     ) {
         let Some(job) = self.jobs.get_mut(&task.job) else { return };
         let placement = Placement::new(machine.clone(), attempt, now);
-        let waited = now.since(job.seen_at).0;
+        let waited = now.duration_since(job.seen_at).whole_millis();
         let cached = self.machines.get(machine).is_some_and(|m| m.has_image(&job.spec.image));
         tracing::debug!(%task, %machine, class = job.spec.class, waited, cached, guaranteed = job.guaranteed, "placed");
         self.waits.push(waited);
--- a/crates/scheduler/src/preempt.rs
+++ b/crates/scheduler/src/preempt.rs
@@ -4,21 +4,23 @@
 //! stop work of any priority that another team runs beyond its own guarantee.
 
 use crate::colocation::beside;
-use crate::cycle::{fetch_time, zone_allowed, Unplaced};
+use crate::cycle::{fetch_time, zone_allowed, PlacementFailure};
 use crate::job::{Job, Placement};
 use crate::machine::Machine;
-use crate::partition_state::{EntryKey, Promise, Share, TeamUse};
-use model::{JobKind, MachineName, Moment, Priority, Resources, Span, TaskId, TeamName, ZoneName};
+use crate::partition_state::{EntryKey, PartitionState, Reservation, TeamUsage};
+use model::DurationExt;
+use model::{JobKind, MachineName, Priority, Resources, TaskId, TeamName, Timestamp, ZoneName};
 use std::collections::{BTreeMap, HashSet};
+use std::time::Duration;
 
 /// How long freed room is kept for the entry that asked for it.
-const NOMINATION: Span = Span(15_000);
+const NOMINATION: Duration = Duration::from_secs(15);
 /// Entries for which room may be under way at a time before work that is not urgent has to wait.
 const MOST_NOMINATED: usize = 24;
 
 /// Tasks on one machine that could be stopped, and what that costs in milliseconds.
 #[derive(Debug)]
-pub(crate) struct Stops {
+pub(crate) struct PreemptionPlan {
     pub cost: u64,
     pub victims: Vec<TaskId>,
     pub machine: MachineName,
@@ -28,13 +30,13 @@
 struct Search<'a> {
     entry: EntryKey,
     job: &'a Job,
-    why: Unplaced,
+    why: PlacementFailure,
     only_cheap: bool,
     zones: BTreeMap<ZoneName, u32>,
-    now: Moment,
+    now: Timestamp,
 }
 
-impl Share {
+impl PartitionState {
     /// Whether `victim` may be stopped for the sake of `job`. No chain of such stops leads back to where
     /// it began: within a team they go down in priority, between teams down in `standing`. When
     /// guarantee and priority each let one stop the other, thousands of tasks were stopped in turn
@@ -54,15 +56,20 @@
 
     /// After a failed cycle: stops the cheapest set of tasks on one machine that lets the
     /// entry in, and keeps the room for it. False if that would not help entries like it.
-    pub(crate) fn make_room(&mut self, entry: EntryKey, why: Unplaced, now: Moment) -> bool {
+    pub(crate) fn make_room(
+        &mut self,
+        entry: EntryKey,
+        why: PlacementFailure,
+        now: Timestamp,
+    ) -> bool {
         let EntryKey::Task(task) = entry else { return false };
         let Some(job) = self.jobs.get(&task.job) else { return false };
         if self.promises.contains_key(&entry) {
             return true;
         }
         let stops = match why {
-            Unplaced::Quota => self.stops_for_limit(entry, job, now),
-            Unplaced::Room | Unplaced::Image => None,
+            PlacementFailure::Quota => self.stops_for_limit(entry, job, now),
+            PlacementFailure::Room | PlacementFailure::Image => None,
         };
         let stops = stops.or_else(|| self.cheapest_stops(entry, job, why, None, now));
         let Some(stops) = stops else { return false };
@@ -72,7 +79,7 @@
 
     /// Whether anything that runs could be stopped for the sake of a job at all.
     fn may_stop_any(&self, job: &Job) -> bool {
-        let over = |team: &TeamUse| !team.used.fits_quota(&team.guarantee);
+        let over = |team: &TeamUsage| !team.used.fits_quota(&team.guarantee);
         self.victims.any_below(job.spec.priority)
             || (job.guaranteed && self.teams.values().any(over))
     }
@@ -84,18 +91,18 @@
         &self,
         entry: EntryKey,
         job: &Job,
-        why: Unplaced,
+        why: PlacementFailure,
         below: Option<u64>,
-        now: Moment,
-    ) -> Option<Stops> {
+        now: Timestamp,
+    ) -> Option<PreemptionPlan> {
         let only_cheap = self.stops_for(job)?;
         if only_cheap && self.promises.len() >= MOST_NOMINATED || !self.may_stop_any(job) {
             return None;
         }
         let search = Search { entry, job, why, only_cheap, zones: self.zones_of(job), now };
-        let mut best: Option<Stops> = None;
+        let mut best: Option<PreemptionPlan> = None;
         let mut seen: HashSet<&MachineName> = HashSet::new();
-        let mut look = |task: TaskId, best: &mut Option<Stops>| {
+        let mut look = |task: TaskId, best: &mut Option<PreemptionPlan>| {
             let victim = self.jobs.get(&task.job)?;
             let placement = victim.placed.get(&task.index)?;
             if !self.may_go(&search, victim, placement) || !seen.insert(&placement.machine) {
@@ -113,7 +120,7 @@
         };
         for (placed_at, task) in self.victims.newest() {
             // A machine on which this is the newest costs more than this.
-            let ran = now.since(placed_at).0;
+            let ran = now.duration_since(placed_at).whole_millis();
             let most = best.as_ref().map(|least| least.cost).into_iter().chain(below).min();
             if most.is_some_and(|most| ran >= most) {
                 break;
@@ -128,14 +135,19 @@
 
     /// Where a machine has room and only the team's limit is in the way: the team's own tasks of lower
     /// priority that cost least to stop, wherever they run.
-    fn stops_for_limit(&self, entry: EntryKey, job: &Job, now: Moment) -> Option<Stops> {
+    fn stops_for_limit(
+        &self,
+        entry: EntryKey,
+        job: &Job,
+        now: Timestamp,
+    ) -> Option<PreemptionPlan> {
         if self.stops_for(job)? {
             return None;
         }
         let machine = self.place_for(entry, job, now)?.name.clone();
         let team = self.teams.get(&job.spec.team)?;
         let wanted = team.used + team.promised + job.spec.needs;
-        let mut stops = Stops { cost: 0, victims: Vec::new(), machine };
+        let mut stops = PreemptionPlan { cost: 0, victims: Vec::new(), machine };
         // What is being stopped for others is counted with what is kept for them.
         let mut freed = self.being_stopped(&job.spec.team);
         let tasks = self.victims.newest().map(|(_, task)| task).chain(self.victims.saving());
@@ -168,13 +180,14 @@
     /// Whether a task may be stopped in this search.
     fn may_go(&self, search: &Search<'_>, victim: &Job, placement: &Placement) -> bool {
         // Against the team's own limit only the team's own tasks help.
-        let helps = search.why == Unplaced::Room || victim.spec.team == search.job.spec.team;
+        let helps =
+            search.why == PlacementFailure::Room || victim.spec.team == search.job.spec.team;
         let cheap = || !search.only_cheap || self.stops_cheaply(victim, placement, search.now);
         helps && self.may_stop(search.job, victim, placement) && cheap()
     }
 
     /// The cheapest stops on a machine that let the entry in, if there are any.
-    fn stops_on(&self, search: &Search<'_>, machine: &Machine) -> Option<Stops> {
+    fn stops_on(&self, search: &Search<'_>, machine: &Machine) -> Option<PreemptionPlan> {
         let Search { entry, job, why, now, .. } = *search;
         if !self.admits(job, machine, now)
             || !zone_allowed(job, &machine.zone, &search.zones)
@@ -198,10 +211,10 @@
         victims.sort_unstable_by_key(|(lost, id, _)| (*lost, *id));
         let mut room = self.room_for(entry, machine);
         let mut freed = Resources::default();
-        let mut cost = fetch_time(job, machine).0;
+        let mut cost = fetch_time(job, machine).whole_millis();
         let mut chosen = Vec::new();
         let quota = |freed: &Resources| {
-            why == Unplaced::Room
+            why == PlacementFailure::Room
                 || self.teams.get(&job.spec.team).is_some_and(|team| {
                     (team.used.less(freed) + job.spec.needs).fits_quota(&team.limit)
                 })
@@ -216,16 +229,23 @@
             chosen.push(id);
         }
         let enough = !chosen.is_empty() && job.spec.needs.fits(&room) && quota(&freed);
-        enough.then(|| Stops { cost, victims: chosen, machine: machine.name.clone() })
+        enough.then(|| PreemptionPlan { cost, victims: chosen, machine: machine.name.clone() })
     }
 
     /// Stops the tasks and keeps their room for the entry.
-    pub(crate) fn carry_out(&mut self, entry: EntryKey, stops: Stops, why: Unplaced, now: Moment) {
+    pub(crate) fn carry_out(
+        &mut self,
+        entry: EntryKey,
+        stops: PreemptionPlan,
+        why: PlacementFailure,
+        now: Timestamp,
+    ) {
         let Some(job) = self.jobs.get(&entry.job()) else { return };
         let needs = job.spec.needs;
         let urgent = self.stops_for(job) == Some(false);
-        let limit_of = (why == Unplaced::Quota).then(|| job.spec.team.clone());
-        let promise = Promise { machine: stops.machine, needs, until: now + NOMINATION, limit_of };
+        let limit_of = (why == PlacementFailure::Quota).then(|| job.spec.team.clone());
+        let promise =
+            Reservation { machine: stops.machine, needs, until: now + NOMINATION, limit_of };
         self.promise(entry, promise);
         for victim in stops.victims {
             tracing::debug!(job = %entry.job(), %victim, "stopping a task to make room");
@@ -239,8 +259,8 @@
     /// Grace that lets a task save, 0 if it never does.
     pub(crate) fn grace_of(&self, task: TaskId) -> u64 {
         self.jobs.get(&task.job).map_or(0, |job| {
-            if job.spec.checkpoint > Span::ZERO {
-                job.spec.save.0 + 1_000
+            if job.spec.checkpoint > Duration::ZERO {
+                job.spec.save.whole_millis() + 1_000
             } else {
                 0
             }
--- a/crates/scheduler/src/preemption_candidates.rs
+++ b/crates/scheduler/src/preemption_candidates.rs
@@ -5,27 +5,28 @@
 //! longer than the best that was found costs.
 
 use crate::job::Placement;
-use model::{JobKind, JobSpec, Moment, Priority, Span, TaskId};
+use model::{JobKind, JobSpec, Priority, TaskId, Timestamp};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet};
+use std::time::Duration;
 
 /// The placements that run or are about to and have not been told to stop. Gangs are not stopped
 /// for others.
 #[derive(Debug, Default)]
-pub(crate) struct Victims {
-    newest: BTreeSet<(Reverse<Moment>, TaskId)>,
+pub(crate) struct PreemptionCandidates {
+    newest: BTreeSet<(Reverse<Timestamp>, TaskId)>,
     /// Those that save: what they lose does not grow with their time.
     saving: BTreeSet<TaskId>,
     by_priority: BTreeMap<Priority, usize>,
 }
 
-impl Victims {
+impl PreemptionCandidates {
     /// A task has been placed.
     pub(crate) fn add(&mut self, task: TaskId, spec: &JobSpec, placement: &Placement) {
         if spec.kind == JobKind::Gang || placement.stop.is_some() {
             return;
         }
-        let new = if spec.checkpoint > Span::ZERO {
+        let new = if spec.checkpoint > Duration::ZERO {
             self.saving.insert(task)
         } else {
             self.newest.insert((Reverse(placement.placed_at), task))
@@ -36,7 +37,7 @@
     }
 
     /// A task is gone, or has been told to stop.
-    pub(crate) fn remove(&mut self, task: TaskId, priority: Priority, placed_at: Moment) {
+    pub(crate) fn remove(&mut self, task: TaskId, priority: Priority, placed_at: Timestamp) {
         if self.newest.remove(&(Reverse(placed_at), task)) || self.saving.remove(&task) {
             if let Some(count) = self.by_priority.get_mut(&priority) {
                 *count -= 1;
@@ -50,7 +51,7 @@
     }
 
     /// Those that do not save, with the time of their placement, newest first.
-    pub(crate) fn newest(&self) -> impl Iterator<Item = (Moment, TaskId)> + '_ {
+    pub(crate) fn newest(&self) -> impl Iterator<Item = (Timestamp, TaskId)> + '_ {
         self.newest.iter().map(|(Reverse(at), task)| (*at, *task))
     }
 
--- a/crates/scheduler/src/reconciliation.rs
+++ b/crates/scheduler/src/reconciliation.rs
@@ -1,39 +1,43 @@
 //! What reports prove.
 
 use crate::job::{Job, Placement};
-use crate::machine::{Machine, Stray};
-use crate::partition_state::Share;
-use model::{Attempt, JobKind, MachineName, Moment, Seq, Session, Span, TaskId, Token};
-use wire::workers::{ExitCause, Report, TaskReport, TaskState};
+use crate::machine::{Machine, OrphanedTask};
+use crate::partition_state::PartitionState;
+use model::duration_from_secs;
+use model::{
+    Attempt, FencingToken, JobKind, MachineName, SequenceNumber, TaskId, Timestamp, WorkerEpoch,
+};
+use std::time::Duration;
+use wire::workers::{ExitCause, Heartbeat, TaskState, TaskStatus};
 
 /// How long before a machine is taken its tasks are stopped, besides the time to save.
-const LAST_MOMENT: Span = Span(2_500);
+const LAST_MOMENT: Duration = Duration::from_millis(2_500);
 
 /// How a worker's message reached us.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Source {
+pub enum StatusSource {
     /// A report: the worker has dealt with the answer to the one before.
-    Report,
+    Heartbeat,
     /// The answer to a direct call: an answer of ours may still be on its way.
     Direct,
 }
 
-impl Share {
+impl PartitionState {
     /// Takes in a report or the body of a worker's answer. False if it is not newer than
     /// what is known: then it proves nothing.
-    pub fn observe(&mut self, report: &Report, source: Source, now: Moment) -> bool {
+    pub fn observe(&mut self, report: &Heartbeat, source: StatusSource, now: Timestamp) -> bool {
         let name = MachineName::from(report.machine.as_str());
         let silence = self.silence();
         let Some(machine) = self.machines.get_mut(&name) else { return false };
-        let (session, seq) = (Session(report.session), Seq(report.seq));
+        let (session, seq) = (WorkerEpoch(report.session), SequenceNumber(report.seq));
         if machine.heard_at.is_some() && (session, seq) <= (machine.session, machine.seq) {
             return false;
         }
         let first = machine.heard_at.is_none();
-        let reached = source == Source::Direct && machine.doubted.take().is_some();
+        let reached = source == StatusSource::Direct && machine.doubted.take().is_some();
         if reached {
             tracing::debug!(machine = %name, "reached again");
-        } else if source == Source::Report
+        } else if source == StatusSource::Heartbeat
             && !first
             && session > machine.session
             && machine.answered_lately(self.lease, now)
@@ -44,10 +48,10 @@
         let returns = !machine.usable(now, silence);
         machine.session = session;
         machine.seq = seq;
-        machine.seen_token = machine.seen_token.max(Token(report.token));
+        machine.seen_token = machine.seen_token.max(FencingToken(report.token));
         machine.heard_at = Some(now);
         machine.asked.missed = 0;
-        if source == Source::Report {
+        if source == StatusSource::Heartbeat {
             machine.reported_at = Some(now);
             // One report is in flight at a time, so the answer to the one before is settled.
             machine.answer_launches.clear();
@@ -59,11 +63,11 @@
                 machine.reported_at.get_or_insert(now);
             }
         }
-        machine.notice = report.notice_s.map(|s| now + Span::from_secs(s));
+        machine.notice = report.notice_s.map(|s| now + duration_from_secs(s));
         if first && machine.tasks.is_empty() {
             machine.idle_since = now;
         }
-        let has_token = Token(report.token) >= machine.token;
+        let has_token = FencingToken(report.token) >= machine.token;
         // Any report would bear the current token: only a higher one than the launch's counts.
         if machine
             .lost_launch
@@ -71,7 +75,7 @@
         {
             machine.lost_launch = None;
         }
-        let listed: Vec<(TaskId, &TaskReport)> = report
+        let listed: Vec<(TaskId, &TaskStatus)> = report
             .tasks
             .iter()
             .filter_map(|entry| Some((TaskId::parse(&entry.task)?, entry)))
@@ -86,7 +90,7 @@
                 self.rooms.enter(machine);
             }
         }
-        if first || reached || source == Source::Report && returns {
+        if first || reached || source == StatusSource::Heartbeat && returns {
             self.queue.move_all(now);
         }
         true
@@ -96,16 +100,16 @@
         &mut self,
         task: TaskId,
         name: &MachineName,
-        listed: &[(TaskId, &TaskReport)],
+        listed: &[(TaskId, &TaskStatus)],
         has_token: bool,
-        source: Source,
-        now: Moment,
+        source: StatusSource,
+        now: Timestamp,
     ) {
         let Some(machine) = self.machines.get_mut(name) else { return };
         let Some(job) = self.jobs.get_mut(&task.job) else { return };
         let Some(placement) = job.placed.get_mut(&task.index) else { return };
         settle_direct(placement, machine);
-        let this = |(id, entry): &&(TaskId, &TaskReport)| {
+        let this = |(id, entry): &&(TaskId, &TaskStatus)| {
             *id == task && Attempt(entry.attempt) == placement.attempt
         };
         let Some((_, entry)) = listed.iter().find(this) else {
@@ -132,7 +136,7 @@
     }
 
     /// A newer report does not show the task.
-    fn absent(&mut self, task: TaskId, has_token: bool, source: Source, now: Moment) {
+    fn absent(&mut self, task: TaskId, has_token: bool, source: StatusSource, now: Timestamp) {
         let Some(job) = self.jobs.get_mut(&task.job) else { return };
         let gang = job.spec.kind == JobKind::Gang;
         let Some(placement) = job.placed.get_mut(&task.index) else { return };
@@ -146,7 +150,7 @@
             }
             return;
         }
-        if placement.in_answer && source == Source::Direct {
+        if placement.in_answer && source == StatusSource::Direct {
             return;
         }
         placement.in_answer = false;
@@ -175,7 +179,7 @@
     }
 
     /// An exited task: its outcome is kept, and the task forgotten once that is durable.
-    fn exited(&mut self, task: TaskId, why: ExitCause, now: Moment) {
+    fn exited(&mut self, task: TaskId, why: ExitCause, now: Timestamp) {
         let Some(job) = self.jobs.get_mut(&task.job) else { return };
         let Some(placement) = job.placed.get(&task.index) else { return };
         let attempt = placement.attempt;
@@ -219,7 +223,12 @@
     }
 
     /// Tasks on the machine that have no placement here.
-    fn find_strays(&mut self, name: &MachineName, listed: &[(TaskId, &TaskReport)], now: Moment) {
+    fn find_strays(
+        &mut self,
+        name: &MachineName,
+        listed: &[(TaskId, &TaskStatus)],
+        now: Timestamp,
+    ) {
         let mut strays = Vec::new();
         for (task, entry) in listed.iter().copied() {
             let attempt = Attempt(entry.attempt);
@@ -229,7 +238,7 @@
                 .and_then(|job| job.placed.get(&task.index))
                 .is_some_and(|p| p.machine == *name && p.attempt == attempt);
             if !ours {
-                strays.push(Stray { task, attempt, state: entry.state, why: entry.why });
+                strays.push(OrphanedTask { task, attempt, state: entry.state, why: entry.why });
             }
         }
         if let Some(machine) = self.machines.get_mut(name) {
@@ -241,14 +250,14 @@
     /// Tasks on machines that the cloud is about to take are stopped just before: those that save
     /// get the time to, and for all of them the exit is proof at once, where a machine that is
     /// gone would have to be waited out for a whole lease.
-    pub fn drain_noticed(&mut self, now: Moment) {
+    pub fn drain_noticed(&mut self, now: Timestamp) {
         let mut stops = Vec::new();
         for machine in self.machines.values() {
             let Some(taken) = machine.notice else { continue };
-            let left = Span(taken.0.saturating_sub(now.0));
+            let left = Duration::from_millis(taken.as_millis().saturating_sub(now.as_millis()));
             for task in &machine.tasks {
                 let Some(job) = self.jobs.get(&task.job) else { continue };
-                let saves = job.spec.checkpoint > Span::ZERO;
+                let saves = job.spec.checkpoint > Duration::ZERO;
                 let needed = if saves { job.spec.save + LAST_MOMENT } else { LAST_MOMENT };
                 let stops_already = job.placed.get(&task.index).is_some_and(|p| p.stop.is_some());
                 if left <= needed && !stops_already {
@@ -268,7 +277,7 @@
 
     /// Machines on which every task must be gone since nobody can have answered them for a
     /// whole lease.
-    pub fn expire_leases(&mut self, now: Moment) {
+    pub fn expire_leases(&mut self, now: Timestamp) {
         let lapsed: Vec<MachineName> = self
             .machines
             .values()
--- a/crates/scheduler/src/reservations.rs
+++ b/crates/scheduler/src/reservations.rs
@@ -5,12 +5,12 @@
 
 use crate::job::Job;
 use crate::machine::Machine;
-use crate::partition_state::{EntryKey, Promise, Share};
-use model::{JobId, JobKind, MachineName, Moment, Resources};
+use crate::partition_state::{EntryKey, PartitionState, Reservation};
+use model::{JobId, JobKind, MachineName, Resources, Timestamp};
 
-impl Share {
+impl PartitionState {
     /// Keeps room on a machine for an entry, instead of what was kept for it before.
-    pub(crate) fn promise(&mut self, entry: EntryKey, promise: Promise) {
+    pub(crate) fn promise(&mut self, entry: EntryKey, promise: Reservation) {
         self.unpromise(&entry);
         if let Some(machine) = self.machines.get_mut(&promise.machine) {
             machine.promised += promise.needs;
@@ -35,7 +35,7 @@
         }
     }
 
-    fn unpromise_where(&mut self, ended: impl Fn(&EntryKey, &Promise) -> bool) {
+    fn unpromise_where(&mut self, ended: impl Fn(&EntryKey, &Reservation) -> bool) {
         let entries: Vec<EntryKey> =
             self.promises.iter().filter(|(e, p)| ended(e, p)).map(|(e, _)| *e).collect();
         for entry in entries {
@@ -44,7 +44,7 @@
     }
 
     /// Gives up promises whose time is over.
-    pub(crate) fn expire_promises(&mut self, now: Moment) {
+    pub(crate) fn expire_promises(&mut self, now: Timestamp) {
         self.unpromise_where(|_, promise| promise.until <= now);
     }
 
--- a/crates/scheduling-queue/src/queue.rs
+++ b/crates/scheduling-queue/src/queue.rs
@@ -2,9 +2,10 @@
 
 use crate::config::QueueConfig;
 use crate::metrics::{QueueEvent, QueueKind};
-use model::{Moment, Span};
+use model::Timestamp;
 use std::collections::{BTreeSet, HashMap};
 use std::hash::Hash;
+use std::time::Duration;
 
 /// Where an entry is. Each state names what its position in the queue is ordered by.
 #[derive(Debug, Clone, Copy)]
@@ -14,11 +15,11 @@
     },
     Backoff {
         rank: R,
-        until: Moment,
+        until: Timestamp,
     },
     Unschedulable {
         rank: R,
-        since: Moment,
+        since: Timestamp,
     },
     /// Removed from the queue by the running cycle.
     InCycle {
@@ -41,7 +42,7 @@
 struct Entry<R> {
     state: State<R>,
     failures: u32,
-    failed_at: Moment,
+    failed_at: Timestamp,
 }
 
 /// The queue. `K` identifies an entry, `R` is its rank: the lowest rank is tried first.
@@ -50,8 +51,8 @@
     config: QueueConfig,
     entries: HashMap<K, Entry<R>>,
     active: BTreeSet<(R, K)>,
-    backoff: BTreeSet<(Moment, K)>,
-    unschedulable: BTreeSet<(Moment, K)>,
+    backoff: BTreeSet<(Timestamp, K)>,
+    unschedulable: BTreeSet<(Timestamp, K)>,
     /// Number of the last cycle.
     cycle: u64,
     /// The cycle in which the last move request came.
@@ -80,7 +81,7 @@
     }
 
     /// The backoff that follows the given number of failures.
-    pub fn backoff_after(&self, failures: u32) -> Span {
+    pub fn backoff_after(&self, failures: u32) -> Duration {
         self.config.backoff_after(failures)
     }
 
@@ -90,12 +91,12 @@
             return;
         }
         let state = State::Active { rank };
-        self.entries.insert(key, Entry { state, failures: 0, failed_at: Moment::default() });
+        self.entries.insert(key, Entry { state, failures: 0, failed_at: Timestamp::default() });
         self.enqueue(key, state, QueueEvent::Add);
     }
 
     /// Adds an entry whose last run failed: it backs off as if a cycle had failed so often.
-    pub fn add_failed(&mut self, key: K, rank: R, failures: u32, now: Moment) {
+    pub fn add_failed(&mut self, key: K, rank: R, failures: u32, now: Timestamp) {
         if self.entries.contains_key(&key) {
             return;
         }
@@ -143,7 +144,7 @@
     }
 
     /// Ends the entry's cycle: it found no place.
-    pub fn failed(&mut self, key: K, now: Moment) {
+    pub fn failed(&mut self, key: K, now: Timestamp) {
         let Some(entry) = self.entries.get_mut(&key) else { return };
         let State::InCycle { rank, cycle } = entry.state else { return };
         entry.failures = entry.failures.saturating_add(1);
@@ -159,7 +160,7 @@
 
     /// A move request: unschedulable entries become active, or back off for the rest of their
     /// backoff.
-    pub fn move_all(&mut self, now: Moment) {
+    pub fn move_all(&mut self, now: Timestamp) {
         self.move_cycle = Some(self.cycle);
         let unschedulable: Vec<K> = self.unschedulable.iter().map(|(_, key)| *key).collect();
         for key in unschedulable {
@@ -168,7 +169,7 @@
     }
 
     /// Releases entries whose backoff has ended, and those unschedulable for too long.
-    pub fn flush(&mut self, now: Moment) {
+    pub fn flush(&mut self, now: Timestamp) {
         while let Some(&(until, key)) = self.backoff.first() {
             if until > now {
                 break;
@@ -187,7 +188,7 @@
     }
 
     /// When the next flush has something to do.
-    pub fn next_flush(&self) -> Option<Moment> {
+    pub fn next_flush(&self) -> Option<Timestamp> {
         let backoff = self.backoff.first().map(|(until, _)| *until);
         let leftover = self.unschedulable.first().map(|(since, _)| *since + self.config.leftover);
         [backoff, leftover].into_iter().flatten().min()
@@ -228,7 +229,7 @@
     }
 
     /// Makes an unschedulable entry active, or has it back off for the rest of its backoff.
-    fn release(&mut self, key: K, now: Moment, event: QueueEvent) {
+    fn release(&mut self, key: K, now: Timestamp, event: QueueEvent) {
         let Some(entry) = self.entries.get(&key) else { return };
         let State::Unschedulable { rank, .. } = entry.state else { return };
         let until = entry.failed_at + self.backoff_after(entry.failures);
--- a/crates/simulator/benches/scale.rs
+++ b/crates/simulator/benches/scale.rs
@@ -1,22 +1,23 @@
 //! What each kind of event costs the deciding code as the fleet grows: a share of so many
 //! machines, full of tasks, with a tenth as much work waiting.
 //!
-//! `cargo bench -p testkit` (`-- tick` for one kind). Only the time inside `Node::handle` and its
+//! `cargo bench -p testkit` (`-- tick` for one kind). Only the time inside `Controller::handle` and its
 //! like is measured, not that of the stand-ins.
 
 use autoscaler::{FleetMachine, FleetPolicy, PartitionNeed};
 use criterion::{criterion_group, criterion_main, BenchmarkId, Criterion};
 use failover::{Replicas, ReplicationSource, ReplicationStream};
 use model::{
-    JobSpec, MachineName, Moment, NodeName, PartitionId, Resources, Span, TeamName, Token, ZoneName,
+    ControllerName, FencingToken, JobSpec, MachineName, PartitionId, Resources, TeamName,
+    Timestamp, ZoneName,
 };
-use scheduler::{Machine, Policy, Share, Source};
+use scheduler::{Machine, PartitionState, Policy, StatusSource};
 use scheduling_queue::QueueConfig;
 use simulator::{solo, Solo};
 use std::cell::RefCell;
 use std::collections::{BTreeMap, HashMap};
 use std::time::{Duration, Instant};
-use wire::mesh::{DemandShape, HintPart};
+use wire::mesh::{DemandShape, ReplicationBatch};
 use wire::users::{JobKind, JobRequest, Priority};
 
 const SIZES: [usize; 4] = [300, 1_000, 3_000, 10_000];
@@ -77,18 +78,24 @@
 }
 
 /// A share with idle machines that have just reported.
-fn share(size: usize) -> Share {
+fn share(size: usize) -> PartitionState {
     let amounts = Resources::offered(1e6, 0.0, 0.0);
     let teams = [(TeamName::from("t"), Resources::default(), amounts)];
     // Time goes on by seconds here without another report.
-    let policy = Policy { silence: Span(u64::MAX / 2), ..Policy::default() };
-    let mut share = Share::new(teams, Span(600_000), policy, QueueConfig::default(), Token(5));
+    let policy = Policy { silence: Duration::from_millis(u64::MAX / 2), ..Policy::default() };
+    let mut share = PartitionState::new(
+        teams,
+        Duration::from_secs(600),
+        policy,
+        QueueConfig::default(),
+        FencingToken(5),
+    );
     for mut worker in (0..size).map(solo::worker) {
         let name = MachineName::from(worker.name.as_str());
         let zone = ZoneName::from(worker.zone.as_str());
-        let machine = Machine::new(name, &solo::machine_type(), zone, worker.spot, Token(5));
-        share.add_machine(machine, Moment(0));
-        share.observe(&worker.report(), Source::Report, Moment(1));
+        let machine = Machine::new(name, &solo::machine_type(), zone, worker.spot, FencingToken(5));
+        share.add_machine(machine, Timestamp::from_millis(0));
+        share.observe(&worker.report(), StatusSource::Heartbeat, Timestamp::from_millis(1));
     }
     share
 }
@@ -98,28 +105,31 @@
 fn standing_by(c: &mut Criterion) {
     let mut group = c.benchmark_group("standby");
     group.sample_size(10);
-    let (holder, follower) = (NodeName::from("n0"), NodeName::from("n1"));
+    let (holder, follower) = (ControllerName::from("n0"), ControllerName::from("n1"));
     let source = ReplicationSource { leader: holder.clone(), boot: 1, term: 5 };
-    let part = HintPart { boot: 1, term: 5, ..HintPart::default() };
+    let part = ReplicationBatch { boot: 1, term: 5, ..ReplicationBatch::default() };
     for size in SIZES {
         let mut share = share(size);
         let mut stream = ReplicationStream::default();
-        stream.update(share.hints(Moment(2)));
-        stream.subscribe(&follower, 0, Moment(2));
+        stream.update(share.hints(Timestamp::from_millis(2)));
+        stream.subscribe(&follower, 0, Timestamp::from_millis(2));
         group.bench_function(BenchmarkId::new("look", size), |b| {
             b.iter(|| {
-                stream.update(share.hints(Moment(2)));
-                stream.due_parts(&part, Moment(2)).len()
+                stream.update(share.hints(Timestamp::from_millis(2)));
+                stream.due_parts(&part, Timestamp::from_millis(2)).len()
             });
         });
         let mut clock = 10_000;
         let mut whole = |stream: &mut ReplicationStream| {
-            stream.subscribe(&follower, 0, Moment(clock));
-            let mut parts: Vec<HintPart> = Vec::new();
+            stream.subscribe(&follower, 0, Timestamp::from_millis(clock));
+            let mut parts: Vec<ReplicationBatch> = Vec::new();
             while parts.last().is_none_or(|part| part.upto < part.newest) {
                 clock += 1_000;
                 parts.extend(
-                    stream.due_parts(&part, Moment(clock)).into_iter().map(|(_, part)| part),
+                    stream
+                        .due_parts(&part, Timestamp::from_millis(clock))
+                        .into_iter()
+                        .map(|(_, part)| part),
                 );
             }
             parts
@@ -131,9 +141,9 @@
         let wanted = BTreeMap::from([(PartitionId(0), source.clone())]);
         let follow = || {
             let mut replicas = Replicas::default();
-            replicas.subscribe(&wanted, Moment(4));
+            replicas.subscribe(&wanted, Timestamp::from_millis(4));
             for part in &parts {
-                replicas.apply(&holder, part.clone(), Moment(4));
+                replicas.apply(&holder, part.clone(), Timestamp::from_millis(4));
             }
             replicas
         };
@@ -159,9 +169,9 @@
         let mut time = 2;
         let mut id = 1;
         let mut empty = share(size);
-        let mut one = |share: &mut Share, cpus: f64| {
+        let mut one = |share: &mut PartitionState, cpus: f64| {
             (time, id) = (time + 2_000, id + 1);
-            let now = Moment(time);
+            let now = Timestamp::from_millis(time);
             share.add_job(spec(id, 1, cpus), id, &[], now);
             let start = Instant::now();
             share.run_cycles(now, 10);
@@ -174,8 +184,8 @@
             b.iter_custom(|iters| (0..iters).map(|_| one(&mut empty, 1.0)).sum());
         });
         let mut full = share(size);
-        full.add_job(spec(1, size as u64, 4.0), 1, &[], Moment(2));
-        while full.run_cycles(Moment(2), 10_000) {}
+        full.add_job(spec(1, size as u64, 4.0), 1, &[], Timestamp::from_millis(2));
+        while full.run_cycles(Timestamp::from_millis(2), 10_000) {}
         group.bench_function(BenchmarkId::new("no_room", size), |b| {
             b.iter_custom(|iters| (0..iters).map(|_| one(&mut full, 1.0)).sum());
         });
@@ -198,12 +208,12 @@
                 partition: PartitionId(nth as u32 % 3),
                 reporting: nth % 20 != 1,
                 tasks: u32::from(nth % 20 != 0) * 4,
-                idle_for: Span(if nth % 20 == 0 { 5_000 } else { 0 }),
+                idle_for: Duration::from_millis(if nth % 20 == 0 { 5_000 } else { 0 }),
                 faulty: false,
                 leaving: false,
-                age: Span(100_000),
-                observable_for: Span(10_000),
-                silent_for: Span::ZERO,
+                age: Duration::from_secs(100),
+                observable_for: Duration::from_secs(10),
+                silent_for: Duration::ZERO,
                 failed: false,
                 view_is_fresh: true,
                 transferable: nth % 4 == 0,
--- a/crates/simulator/src/fingerprint/message.rs
+++ b/crates/simulator/src/fingerprint/message.rs
@@ -1,7 +1,7 @@
 //! Outgoing messages as the bytes that a process would send.
 
-use controller::{AdminReply, Effect, ReportReply, UserReply};
-use model::NodeName;
+use controller::{AdminReply, Effect, HeartbeatReply, UserReply};
+use model::ControllerName;
 use serde::Serialize;
 use wire::http::HttpCall;
 use wire::mesh::{Frame, MeshMessage, MESH_VERSION};
@@ -39,7 +39,7 @@
             }
             Effect::Mesh { to, message } => Self::frame(sender, to, message),
             Effect::User { ticket, reply } => user_reply(reply).to(format!("user {ticket:08}")),
-            Effect::Report { reply, .. } => {
+            Effect::Heartbeat { reply, .. } => {
                 let machine = reporter.unwrap_or("unknown");
                 report_reply(reply).to(format!("worker {machine}"))
             }
@@ -55,7 +55,7 @@
         Outgoing { recipient, bytes, readable: None }
     }
 
-    fn frame(sender: usize, to: &NodeName, message: &MeshMessage) -> Self {
+    fn frame(sender: usize, to: &ControllerName, message: &MeshMessage) -> Self {
         let frame =
             Frame { version: MESH_VERSION, from: format!("n{sender}"), message: message.clone() };
         Outgoing {
@@ -115,15 +115,15 @@
     }
 }
 
-fn report_reply(reply: &ReportReply) -> Answer {
+fn report_reply(reply: &HeartbeatReply) -> Answer {
     match reply {
-        ReportReply::Answer(answer) => Answer::json(OK, answer),
-        ReportReply::Redirect(node) => {
-            let redirect = Redirect { report_to: node.as_ref().map(NodeName::to_string) };
+        HeartbeatReply::Answer(answer) => Answer::json(OK, answer),
+        HeartbeatReply::Redirect(node) => {
+            let redirect = Redirect { report_to: node.as_ref().map(ControllerName::to_string) };
             Answer::json(MISDIRECTED, &redirect)
         }
-        ReportReply::Malformed => Answer::error(BAD_REQUEST),
-        ReportReply::Unavailable => Answer::busy(REPORT_RETRY_S),
+        HeartbeatReply::Malformed => Answer::error(BAD_REQUEST),
+        HeartbeatReply::Unavailable => Answer::busy(REPORT_RETRY_S),
     }
 }
 
--- a/crates/simulator/src/solo.rs
+++ b/crates/simulator/src/solo.rs
@@ -5,14 +5,14 @@
 use crate::worker::Worker;
 use controller::controller::DirectReply;
 use controller::records::{machines_key, MachineRecord, MachinesPage, PackedMachine};
-use controller::{Effect, Event, Node, ReportReply, UserReply, UserRequest};
-use model::{CallId, MachineName, Moment, PartitionId, Settings};
+use controller::{Controller, Effect, Event, HeartbeatReply, UserReply, UserRequest};
+use model::{CallId, MachineName, PartitionId, Settings, Timestamp};
 use std::collections::{HashMap, VecDeque};
 use std::time::{Duration, Instant};
 use wire::cloud::{CloudReply, CloudRequest, MachineType, MachineTypes};
-use wire::state::{StateReply, StateRequest, Txn, Write};
+use wire::state::{StateReply, StateRequest, Transaction, Write};
 use wire::users::{JobKind, JobRequest, Priority};
-use wire::workers::{Report, TaskState};
+use wire::workers::{Heartbeat, TaskState};
 
 /// Tasks that a machine holds.
 const SLOTS: u64 = 4;
@@ -25,7 +25,7 @@
 /// The node and what surrounds it.
 pub struct Solo {
     settings: Settings,
-    node: Node,
+    node: Controller,
     state: StateService,
     now: u64,
     workers: Vec<Worker>,
@@ -37,8 +37,8 @@
     answered: usize,
     machines: usize,
     /// Another machine that stands at all addresses: it answers direct calls with this report.
-    impostor: Option<Report>,
-    report_replies: Vec<ReportReply>,
+    impostor: Option<Heartbeat>,
+    report_replies: Vec<HeartbeatReply>,
     user_replies: Vec<UserReply>,
 }
 
@@ -144,10 +144,10 @@
             });
             let value = serde_json::to_value(MachinesPage { machines: records.collect() });
             let write = Write::put(machines_key(page as u32), value.unwrap_or_default());
-            state.execute(1, &StateRequest::Txn(Txn::default().write(write)));
+            state.execute(1, &StateRequest::Transaction(Transaction::default().write(write)));
         }
         let mut solo = Solo {
-            node: Node::new(settings.clone(), 1 << 20),
+            node: Controller::new(settings.clone(), 1 << 20),
             settings,
             state,
             now: 10,
@@ -243,7 +243,7 @@
         let report = self.workers[nth].report();
         self.now += 1;
         self.tickets += 1;
-        self.feed(Event::Report { ticket: self.tickets, report: Box::new(report) })
+        self.feed(Event::Heartbeat { ticket: self.tickets, report: Box::new(report) })
     }
 
     /// A report of a machine on which one array task has just completed; what it cost.
@@ -296,7 +296,7 @@
 
     /// Another incarnation of the node starts on the same state, after the lease of this one.
     pub fn restart(&mut self) {
-        self.node = Node::new(self.settings.clone(), (2 + self.now) << 20);
+        self.node = Controller::new(self.settings.clone(), (2 + self.now) << 20);
         self.watch = None;
         self.events.clear();
         self.now += 10_000;
@@ -309,7 +309,7 @@
         self.events.push_back(event);
         while let Some(event) = self.events.pop_front() {
             let start = Instant::now();
-            let effects = self.node.handle(Moment(self.now), event);
+            let effects = self.node.handle(Timestamp::from_millis(self.now), event);
             spent += start.elapsed();
             for effect in effects {
                 self.carry_out(effect);
@@ -342,12 +342,12 @@
                 let worker = &mut self.workers[nth];
                 worker.check_lease(self.now, LEASE);
                 worker.direct(body.token, body.session, &body.commands, self.now, &self.jobs);
-                let report: Box<Report> = Box::new(worker.report());
+                let report: Box<Heartbeat> = Box::new(worker.report());
                 let reply = DirectReply::Answered(report);
                 self.events.push_back(Event::Worker { call, reply });
             }
-            Effect::Report { reply, .. } => {
-                self.answered += usize::from(matches!(reply, ReportReply::Answer(_)));
+            Effect::Heartbeat { reply, .. } => {
+                self.answered += usize::from(matches!(reply, HeartbeatReply::Answer(_)));
                 self.report_replies.push(reply);
             }
             Effect::User { reply, .. } => self.user_replies.push(reply),
@@ -390,25 +390,25 @@
     }
 
     /// Hands a report to the node as it is.
-    pub fn send_report(&mut self, report: Report) {
+    pub fn send_report(&mut self, report: Heartbeat) {
         self.tickets += 1;
-        self.feed(Event::Report { ticket: self.tickets, report: Box::new(report) });
+        self.feed(Event::Heartbeat { ticket: self.tickets, report: Box::new(report) });
     }
 
     /// Puts a value into the state service, as some other program might.
     pub fn write(&mut self, key: &str, value: serde_json::Value) {
-        let txn = Txn::default().write(Write::put(key, value));
-        self.state.execute(self.now, &StateRequest::Txn(txn));
+        let txn = Transaction::default().write(Write::put(key, value));
+        self.state.execute(self.now, &StateRequest::Transaction(txn));
     }
 
     /// From now on another machine stands at all addresses: it executes no direct call and answers with
     /// this report. None: each machine answers for itself.
-    pub fn answer_direct_calls_with(&mut self, report: Option<Report>) {
+    pub fn answer_direct_calls_with(&mut self, report: Option<Heartbeat>) {
         self.impostor = report;
     }
 
     /// The node.
-    pub fn node(&mut self) -> &mut Node {
+    pub fn node(&mut self) -> &mut Controller {
         &mut self.node
     }
 
@@ -418,7 +418,7 @@
     }
 
     /// Answers to reports since this was asked last.
-    pub fn take_report_replies(&mut self) -> Vec<ReportReply> {
+    pub fn take_report_replies(&mut self) -> Vec<HeartbeatReply> {
         std::mem::take(&mut self.report_replies)
     }
 
--- a/crates/simulator/src/state.rs
+++ b/crates/simulator/src/state.rs
@@ -1,7 +1,7 @@
 //! Stand-in of the state service.
 
 use std::collections::{BTreeMap, VecDeque};
-use wire::state::{Change, Changes, Item, ListPage, StateReply, StateRequest, Txn, Write};
+use wire::state::{Change, Changes, Item, ListPage, StateReply, StateRequest, Transaction, Write};
 
 #[derive(Debug, Clone)]
 struct Stored {
@@ -105,7 +105,7 @@
         false
     }
 
-    fn txn(&mut self, now: u64, txn: &Txn) -> StateReply {
+    fn txn(&mut self, now: u64, txn: &Transaction) -> StateReply {
         if self.over_budget(now, txn.writes.len()) {
             return StateReply::Refused { throttled: true };
         }
@@ -212,7 +212,7 @@
                 let more = items.next().is_some();
                 StateReply::List(ListPage { items: page, more, revision: self.revision })
             }
-            StateRequest::Txn(txn) => self.txn(now, txn),
+            StateRequest::Transaction(txn) => self.txn(now, txn),
             StateRequest::NewLease { ttl_ms } => {
                 self.next_lease += 1;
                 self.leases.insert(self.next_lease, (now + ttl_ms, *ttl_ms));
--- a/crates/simulator/src/worker.rs
+++ b/crates/simulator/src/worker.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use wire::users::{JobKind, JobRequest};
-use wire::workers::{Command, ExitCause, Report, ReportAnswer, TaskReport, TaskState};
+use wire::workers::{Command, ExitCause, Heartbeat, HeartbeatResponse, TaskState, TaskStatus};
 
 /// A task on the machine.
 #[derive(Debug, Clone)]
@@ -102,9 +102,9 @@
     }
 
     /// The next message about the machine.
-    pub fn report(&mut self) -> Report {
+    pub fn report(&mut self) -> Heartbeat {
         self.seq += 1;
-        Report {
+        Heartbeat {
             machine: self.name.clone(),
             address: format!("{}:9000", self.name),
             machine_type: self.machine_type.clone(),
@@ -117,7 +117,7 @@
             tasks: self
                 .tasks
                 .iter()
-                .map(|((task, attempt), held)| TaskReport {
+                .map(|((task, attempt), held)| TaskStatus {
                     task: task.clone(),
                     attempt: *attempt,
                     state: held.state,
@@ -129,7 +129,7 @@
     }
 
     /// Whether something newer than this report has been sent.
-    pub fn has_said_more(&self, report: &Report) -> bool {
+    pub fn has_said_more(&self, report: &Heartbeat) -> bool {
         (report.session, report.seq) < (self.session, self.seq)
     }
 
@@ -149,7 +149,7 @@
     pub fn answered(
         &mut self,
         number: u64,
-        answer: &ReportAnswer,
+        answer: &HeartbeatResponse,
         now: u64,
         jobs: &HashMap<String, JobRequest>,
     ) -> bool {
--- a/crates/simulator/src/world/faults.rs
+++ b/crates/simulator/src/world/faults.rs
@@ -171,8 +171,8 @@
 
     /// Writes a value past everybody.
     pub(super) fn write_past(&mut self, key: &str, value: serde_json::Value) {
-        let txn = Txn::default().write(Write::put(key, value));
-        self.state.execute(self.now, &StateRequest::Txn(txn));
+        let txn = Transaction::default().write(Write::put(key, value));
+        self.state.execute(self.now, &StateRequest::Transaction(txn));
         self.answer_watches();
     }
 
--- a/crates/simulator/src/world/interference.rs
+++ b/crates/simulator/src/world/interference.rs
@@ -1,7 +1,7 @@
 //! Messages that come late, twice, on one way only or without an answer.
 
 use super::*;
-use wire::workers::Report;
+use wire::workers::Heartbeat;
 
 /// Longest time from a holder's record to a copy that meets its begin, in ms.
 const BEGIN: u64 = 400;
@@ -32,7 +32,7 @@
     pub(super) fn as_intercepted(&mut self, message: Message) -> Option<Message> {
         let message = self.without_some_launches(message);
         match &message {
-            Message::Report { .. } => {
+            Message::Heartbeat { .. } => {
                 let copied = |cut: &Cut| match cut {
                     Cut::KeptCopies(percent) => Some(*percent),
                     _ => None,
@@ -71,7 +71,7 @@
         let holder = self.holder(partition).and_then(|name| name.strip_prefix('n')?.parse().ok());
         let Some(holder) = holder else { return };
         for copy in std::mem::take(&mut self.interference.copies) {
-            let Message::Report { machine, mut report, .. } = copy else { continue };
+            let Message::Heartbeat { machine, mut report, .. } = copy else { continue };
             if self.plan.sabotage == Some(Sabotage::CopiesTrusted) {
                 report.seq += 1_000_000;
             }
@@ -79,24 +79,24 @@
             for node in 0..NODES {
                 let (machine, report) = (machine.clone(), report.clone());
                 // Its answer goes to nobody.
-                let message = Message::Report { node, machine, number: 0, report };
+                let message = Message::Heartbeat { node, machine, number: 0, report };
                 let after = self.rng.random_range(1..BEGIN);
                 self.at(self.now + after, Happening::Copy(Box::new(message)));
             }
         }
         for held in std::mem::take(&mut self.interference.reports) {
-            let Message::Report { machine, number, mut report, .. } = held else { continue };
+            let Message::Heartbeat { machine, number, mut report, .. } = held else { continue };
             if self.plan.sabotage == Some(Sabotage::CopiesTrusted) {
                 report.seq += 1_000_000;
             }
-            let message = Message::Report { node: holder, machine, number, report };
+            let message = Message::Heartbeat { node: holder, machine, number, report };
             let after = self.rng.random_range(1_000..6_000);
             self.at(self.now + after, Happening::HeldReport(Box::new(message)));
         }
     }
 
     /// Whether a kept copy is an old one of a machine whose holder begins.
-    fn note_kept(&mut self, machines: &BTreeSet<String>, machine: &str, report: &Report) {
+    fn note_kept(&mut self, machines: &BTreeSet<String>, machine: &str, report: &Heartbeat) {
         let Some(worker) = self.workers.get(machine).filter(|w| !w.dead) else { return };
         if machines.contains(machine) && worker.has_said_more(report) {
             self.met.old_at_begin += 1;
@@ -113,7 +113,7 @@
     pub(super) fn late_command(&mut self, message: Message) {
         let Message::Direct { node, life, machine, body, .. } = &message else { return };
         let (now, lease) = (self.now, self.terms.lease);
-        if self.is_cut(Place::Node(*node), self.machine(machine)) {
+        if self.is_cut(Place::Controller(*node), self.machine(machine)) {
             self.at(now + 1_000, Happening::LateCommand(Box::new(message)));
             return;
         }
@@ -164,7 +164,7 @@
 
     /// Whether what one node tells another is lost.
     pub(super) fn is_lost_between_nodes(&mut self, from: Place, to: Place) -> bool {
-        let (Place::Node(from), Place::Node(to)) = (from, to) else { return false };
+        let (Place::Controller(from), Place::Controller(to)) = (from, to) else { return false };
         let lost = self.cuts.contains(&Cut::OneWay(from, to));
         self.met.lost_on_one_way += u64::from(lost);
         lost
@@ -192,7 +192,7 @@
 
     /// How many times slower a link is than usual.
     pub(super) fn slowness(&self, from: Place, to: Place) -> u64 {
-        let linked = |place| matches!(place, Place::Node(_) | Place::Machine(_));
+        let linked = |place| matches!(place, Place::Controller(_) | Place::Machine(_));
         let slow = self.cuts.iter().find_map(|cut| match cut {
             Cut::SlowLinks(times) => Some(*times),
             _ => None,
@@ -206,7 +206,7 @@
             Cut::LostAnswers(percent) => Some(*percent),
             _ => None,
         };
-        matches!(request, StateRequest::Txn(_)) && self.meant(lost)
+        matches!(request, StateRequest::Transaction(_)) && self.meant(lost)
     }
 
     /// The answer to a transaction that was carried out is lost.
--- a/crates/simulator/src/world/kinds.rs
+++ b/crates/simulator/src/world/kinds.rs
@@ -2,25 +2,25 @@
 
 use super::plan::Fault;
 use crate::history::Instant;
-use controller::{Effect, Event, Node, ReportReply, UserRequest};
+use controller::{Controller, Effect, Event, HeartbeatReply, UserRequest};
 use model::CallId;
 use wire::cloud::CloudRequest;
-use wire::state::{StateRequest, Txn};
-use wire::workers::{Command, DirectCommands, Report};
+use wire::state::{StateRequest, Transaction};
+use wire::workers::{Command, DirectCommands, Heartbeat};
 
 #[derive(Debug, Clone)]
 pub(super) enum Message {
     State { node: usize, life: u64, call: CallId, request: StateRequest },
     Cloud { node: usize, life: u64, call: CallId, request: CloudRequest },
-    Node { node: usize, life: u64, event: Event },
-    Report { node: usize, machine: String, number: u64, report: Box<Report> },
-    ReportAnswer { machine: String, number: u64, node: usize, reply: ReportReply },
+    Controller { node: usize, life: u64, event: Event },
+    Heartbeat { node: usize, machine: String, number: u64, report: Box<Heartbeat> },
+    HeartbeatResponse { machine: String, number: u64, node: usize, reply: HeartbeatReply },
     Direct { node: usize, life: u64, call: CallId, machine: String, body: DirectCommands },
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub(super) enum Place {
-    Node(usize),
+    Controller(usize),
     State,
     Cloud,
     Machine(u64),
@@ -66,7 +66,7 @@
         life: u64,
         /// Transactions of the node that had been carried out when it was sent.
         newer_than: u64,
-        txn: Txn,
+        txn: Transaction,
     },
     /// A direct command comes late.
     LateCommand(Box<Message>),
@@ -139,7 +139,7 @@
 }
 
 pub(super) struct Running {
-    pub(super) node: Node,
+    pub(super) node: Controller,
     pub(super) life: u64,
     pub(super) since: u64,
     pub(super) rate: f64,
--- a/crates/simulator/src/world/machines.rs
+++ b/crates/simulator/src/world/machines.rs
@@ -19,7 +19,7 @@
         machine: &str,
         number: u64,
         node: usize,
-        reply: ReportReply,
+        reply: HeartbeatReply,
     ) {
         let now = self.now;
         let ignore_tokens = self.plan.sabotage == Some(Sabotage::TokensIgnored);
@@ -30,7 +30,7 @@
         worker.check_lease(now, self.terms.lease);
         match reply {
             // `Worker::answered` takes the report out of flight.
-            ReportReply::Answer(mut answer) => {
+            HeartbeatReply::Answer(mut answer) => {
                 if ignore_tokens {
                     answer.token = answer.token.max(worker.token);
                 }
@@ -43,7 +43,7 @@
                     self.note_launch(machine, &answer.commands);
                 }
             }
-            ReportReply::Redirect(Some(to)) => {
+            HeartbeatReply::Redirect(Some(to)) => {
                 worker.in_flight = None;
                 let to: usize = to.as_str().trim_start_matches('n').parse().unwrap_or(0);
                 if to == node {
@@ -54,7 +54,9 @@
                     worker.next_report = now + self.rng.random_range(0..500);
                 }
             }
-            ReportReply::Redirect(None) | ReportReply::Unavailable | ReportReply::Malformed => {
+            HeartbeatReply::Redirect(None)
+            | HeartbeatReply::Unavailable
+            | HeartbeatReply::Malformed => {
                 worker.in_flight = None;
                 worker.node = (node + 1) % NODES;
                 worker.next_report = now + 1_000;
@@ -151,8 +153,8 @@
             worker.next_report = now + 1_000;
             return;
         }
-        let message = Message::Report { node, machine: name.to_owned(), number, report };
-        self.send(from, Place::Node(node), message);
+        let message = Message::Heartbeat { node, machine: name.to_owned(), number, report };
+        self.send(from, Place::Controller(node), message);
     }
 
     /// Gangs start when all their tasks wait, end together, and notice lost members.
--- a/crates/simulator/src/world/mod.rs
+++ b/crates/simulator/src/world/mod.rs
@@ -1,4 +1,4 @@
-//! The world: a queue of events in simulated time, a network, and real [`Node`]s.
+//! The world: a queue of events in simulated time, a network, and real [`Controller`]s.
 
 mod cancellations;
 mod close_looks;
@@ -16,6 +16,7 @@
 mod users;
 mod views;
 
+use model::DurationExt;
 pub use plan::{Fault, Plan, Sabotage};
 
 use crate::cloud::{Boots, Cloud};
@@ -29,10 +30,10 @@
 use crate::worker::{Happened, Worker, MISTAKEN};
 use close_looks::{Confirmation, Looks};
 use controller::controller::DirectReply;
-use controller::{Effect, Event, Node, ReportReply, UserReply, UserRequest};
+use controller::{Controller, Effect, Event, HeartbeatReply, UserReply, UserRequest};
 use interference::Interference;
 use kinds::{starts, Asked, Cut, Happening, Message, Place, Queued, Running};
-use model::{CallId, JobId, Moment, NodeName, Settings};
+use model::{CallId, ControllerName, JobId, Settings, Timestamp};
 use odd_requests::Refusal;
 use rand::rngs::SmallRng;
 use rand::seq::SliceRandom;
@@ -42,8 +43,8 @@
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap, HashMap, HashSet};
 use users::LAST_TRY;
 use wire::cloud::{CloudReply, CloudRequest};
-use wire::mesh::{Hint, MeshMessage};
-use wire::state::{StateReply, StateRequest, Txn, Write};
+use wire::mesh::{MeshMessage, ReplicatedRecord};
+use wire::state::{StateReply, StateRequest, Transaction, Write};
 use wire::users::{JobKind, JobRequest, JobState, Priority};
 use wire::workers::{Command, ExitCause, TaskState};
 
@@ -453,7 +454,7 @@
             frozen.waiting.push(event);
             return;
         }
-        let local = Moment(((now - running.since) as f64 * running.rate) as u64);
+        let local = Timestamp::from_millis(((now - running.since) as f64 * running.rate) as u64);
         let effects = running.node.handle(local, event);
         let life = running.life;
         if let Some(frozen) = running.frozen.as_mut() {
@@ -462,7 +463,7 @@
             return;
         }
         let next = running.node.next_tick();
-        let at = running.since + (next.0 as f64 / running.rate).ceil() as u64;
+        let at = running.since + (next.as_millis() as f64 / running.rate).ceil() as u64;
         if running.ticking <= now || at < running.ticking {
             running.ticking = at.max(now + 1);
             let at = running.ticking;
@@ -480,12 +481,12 @@
     fn ends_here(&mut self, node: usize, effect: &Effect) -> bool {
         let Some((done, last)) = self.ends_at.get_mut(&node) else { return false };
         let changes = match effect {
-            Effect::State { request, .. } => matches!(request, StateRequest::Txn(_)),
+            Effect::State { request, .. } => matches!(request, StateRequest::Transaction(_)),
             Effect::Cloud { request, .. } => !matches!(request, CloudRequest::List { .. }),
             Effect::Worker { body, .. } => !body.commands.is_empty(),
             Effect::Mesh { message, .. } => !matches!(message, MeshMessage::Alive { .. }),
             Effect::User { .. } => true,
-            Effect::Report { .. } | Effect::Admin { .. } => false,
+            Effect::Heartbeat { .. } | Effect::Admin { .. } => false,
         };
         *done += u64::from(changes);
         if !changes || done < last {
@@ -502,25 +503,25 @@
             Effect::State { call, request, timeout } => {
                 self.pending.insert((node, life, call));
                 let event = Event::State { call, reply: StateReply::Unknown };
-                self.time_out(timeout.0, node, life, call, event);
+                self.time_out(timeout.whole_millis(), node, life, call, event);
                 let message = Message::State { node, life, call, request };
-                self.send(Place::Node(node), Place::State, message);
+                self.send(Place::Controller(node), Place::State, message);
             }
             Effect::Cloud { call, request } => {
                 self.pending.insert((node, life, call));
                 let event = Event::Cloud { call, reply: CloudReply::Unknown };
                 self.time_out(4_000, node, life, call, event);
                 let message = Message::Cloud { node, life, call, request };
-                self.send(Place::Node(node), Place::Cloud, message);
+                self.send(Place::Controller(node), Place::Cloud, message);
             }
             Effect::Worker { call, address, body, timeout } => {
                 self.pending.insert((node, life, call));
                 let event = Event::Worker { call, reply: DirectReply::Unknown };
-                self.time_out(timeout.0, node, life, call, event);
+                self.time_out(timeout.whole_millis(), node, life, call, event);
                 let machine = address.trim_end_matches(":9000").to_owned();
                 let to = self.machine(&machine);
                 let message = Message::Direct { node, life, call, machine, body };
-                self.send(Place::Node(node), to, message);
+                self.send(Place::Controller(node), to, message);
             }
             Effect::Mesh { to, message } => {
                 let Some(other) = to.as_str().trim_start_matches('n').parse::<usize>().ok() else {
@@ -534,11 +535,11 @@
                     self.user_answer(asked, reply);
                 }
             }
-            Effect::Report { ticket, reply } => {
+            Effect::Heartbeat { ticket, reply } => {
                 if let Some((machine, number)) = self.report_tickets.remove(&(node, life, ticket)) {
                     let to = self.machine(&machine);
-                    let message = Message::ReportAnswer { machine, number, node, reply };
-                    self.send(Place::Node(node), to, message);
+                    let message = Message::HeartbeatResponse { machine, number, node, reply };
+                    self.send(Place::Controller(node), to, message);
                 }
             }
         }
@@ -651,7 +652,7 @@
         let rate = 1.0 + self.rng.random_range(-0.0005..0.0005);
         let seed = self.rng.random();
         self.nodes[node] = Some(Running {
-            node: Node::new(settings, seed),
+            node: Controller::new(settings, seed),
             life: self.lives,
             since: self.now,
             rate,
--- a/crates/simulator/src/world/network.rs
+++ b/crates/simulator/src/world/network.rs
@@ -9,8 +9,8 @@
 
     pub(super) fn zone_of(&self, place: Place) -> Option<String> {
         match place {
-            Place::Node(1) => Some("b".into()),
-            Place::Node(_) => Some("a".into()),
+            Place::Controller(1) => Some("b".into()),
+            Place::Controller(_) => Some("a".into()),
             Place::Machine(n) => {
                 self.cloud.machines.get(&format!("host-{n:06}")).map(|m| m.zone.clone())
             }
@@ -21,13 +21,13 @@
     pub(super) fn is_cut(&self, from: Place, to: Place) -> bool {
         let between = |a: Place, b: Place| (from, to) == (a, b) || (from, to) == (b, a);
         let node_machine = |n: usize| {
-            matches!((from, to), (Place::Node(x), Place::Machine(_))
-                | (Place::Machine(_), Place::Node(x)) if x == n)
+            matches!((from, to), (Place::Controller(x), Place::Machine(_))
+                | (Place::Machine(_), Place::Controller(x)) if x == n)
         };
         self.cuts.iter().any(|cut| match cut {
-            Cut::State(n) => between(Place::Node(*n), Place::State),
+            Cut::State(n) => between(Place::Controller(*n), Place::State),
             Cut::Workers(n) => node_machine(*n),
-            Cut::Mesh(n) => matches!((from, to), (Place::Node(a), Place::Node(b))
+            Cut::Mesh(n) => matches!((from, to), (Place::Controller(a), Place::Controller(b))
                 if (a == *n) != (b == *n)),
             Cut::Zones => match (self.zone_of(from), self.zone_of(to)) {
                 (Some(a), Some(b)) => a != b,
@@ -56,7 +56,7 @@
 
     /// Whether a message is lost on its way to a machine.
     fn is_lost(&self, from: Place, to: Place) -> bool {
-        let (Place::Node(_), Place::Machine(_)) = (from, to) else { return false };
+        let (Place::Controller(_), Place::Machine(_)) = (from, to) else { return false };
         self.cuts.iter().any(|cut| match cut {
             Cut::Unreached(name) => self.machine(name) == to,
             Cut::UnreachedZone => self.zone_of(to).is_some_and(|zone| zone == "b"),
@@ -67,8 +67,8 @@
     /// Has copies of a message come later, if there are such at present.
     fn copy(&mut self, message: &Message) {
         let copied = match message {
-            Message::Report { .. } | Message::Direct { .. } => true,
-            Message::State { request, .. } => matches!(request, StateRequest::Txn(_)),
+            Message::Heartbeat { .. } | Message::Direct { .. } => true,
+            Message::State { request, .. } => matches!(request, StateRequest::Transaction(_)),
             Message::Cloud { request, .. } => !matches!(request, CloudRequest::List { .. }),
             _ => false,
         };
@@ -77,7 +77,7 @@
         }
         for _ in 0..self.rng.random_range(1..4) {
             let mut copy = message.clone();
-            if let Message::Report { node, number, report, .. } = &mut copy {
+            if let Message::Heartbeat { node, number, report, .. } = &mut copy {
                 // Its answer goes to nobody.
                 (*node, *number) = (self.rng.random_range(0..NODES), 0);
                 if self.plan.sabotage == Some(Sabotage::CopiesTrusted) {
@@ -91,7 +91,7 @@
 
     /// Whether a copy of a report is older than what its machine has said since.
     pub(super) fn note_copy(&mut self, message: &Message) {
-        let Message::Report { machine, report, .. } = message else { return };
+        let Message::Heartbeat { machine, report, .. } = message else { return };
         let Some(worker) = self.workers.get(machine).filter(|w| !w.dead) else { return };
         self.met.old_reports += u64::from(worker.has_said_more(report));
         self.met.old_sessions += u64::from(report.session < worker.session);
@@ -129,10 +129,11 @@
     pub(super) fn send_mesh(&mut self, node: usize, other: usize, message: MeshMessage) {
         let Some(life) = self.nodes[other].as_ref().map(|r| r.life) else { return };
         let Some(message) = self.as_sabotaged(message) else { return };
-        let event = Event::Mesh { from: NodeName::from(format!("n{node}").as_str()), message };
+        let event =
+            Event::Mesh { from: ControllerName::from(format!("n{node}").as_str()), message };
         self.copy_mesh(other, &event);
-        let message = Message::Node { node: other, life, event };
-        self.send(Place::Node(node), Place::Node(other), message);
+        let message = Message::Controller { node: other, life, event };
+        self.send(Place::Controller(node), Place::Controller(other), message);
     }
 
     pub(super) fn time_out(
@@ -167,19 +168,19 @@
                 // Now and then the answer is lost.
                 if !self.rng.random_bool(0.02) {
                     let event = Event::Cloud { call, reply };
-                    let message = Message::Node { node, life, event };
-                    self.send(Place::Cloud, Place::Node(node), message);
+                    let message = Message::Controller { node, life, event };
+                    self.send(Place::Cloud, Place::Controller(node), message);
                 }
             }
-            Message::Node { node, life, event } => self.node_event(node, life, event),
-            Message::Report { node, machine, number, report } => {
+            Message::Controller { node, life, event } => self.node_event(node, life, event),
+            Message::Heartbeat { node, machine, number, report } => {
                 let Some(life) = self.nodes[node].as_ref().map(|r| r.life) else { return };
                 self.next_ticket += 1;
                 let ticket = self.next_ticket;
                 self.report_tickets.insert((node, life, ticket), (machine, number));
-                self.feed(node, Event::Report { ticket, report });
+                self.feed(node, Event::Heartbeat { ticket, report });
             }
-            Message::ReportAnswer { machine, number, node, reply } => {
+            Message::HeartbeatResponse { machine, number, node, reply } => {
                 self.report_answer(&machine, number, node, reply);
             }
             Message::Direct { node, life, call, machine, body } => {
@@ -202,7 +203,7 @@
                     self.note_launch(&machine, &body.commands);
                 }
                 let event = Event::Worker { call, reply: DirectReply::Answered(report) };
-                self.send(from, Place::Node(node), Message::Node { node, life, event });
+                self.send(from, Place::Controller(node), Message::Controller { node, life, event });
             }
         }
     }
--- a/crates/simulator/src/world/outgoing.rs
+++ b/crates/simulator/src/world/outgoing.rs
@@ -25,7 +25,7 @@
     pub(super) fn record(&mut self, node: usize, life: u64, effect: &Effect) {
         let Some(recorder) = &mut self.recorder else { return };
         let reporter = match effect {
-            Effect::Report { ticket, .. } => self.report_tickets.get(&(node, life, *ticket)),
+            Effect::Heartbeat { ticket, .. } => self.report_tickets.get(&(node, life, *ticket)),
             _ => None,
         };
         let machine = reporter.map(|(machine, _)| machine.as_str());
--- a/crates/simulator/src/world/sabotage.rs
+++ b/crates/simulator/src/world/sabotage.rs
@@ -38,7 +38,7 @@
     pub(super) fn without_some_launches(&self, mut message: Message) -> Message {
         let sabotaged = self.plan.sabotage == Some(Sabotage::SomeNeverStarted);
         let commands = match &mut message {
-            Message::ReportAnswer { reply: ReportReply::Answer(answer), .. } => {
+            Message::HeartbeatResponse { reply: HeartbeatReply::Answer(answer), .. } => {
                 &mut answer.commands
             }
             Message::Direct { body, .. } => &mut body.commands,
@@ -56,10 +56,10 @@
         message
     }
 
-    pub(super) fn lie(&mut self, hint: &mut Hint, names: &[String]) {
+    pub(super) fn lie(&mut self, hint: &mut ReplicatedRecord, names: &[String]) {
         let Some(other) = names.get(self.rng.random_range(0..names.len().max(1))) else { return };
         match hint {
-            Hint::Machine(hint) => match self.rng.random_range(0..9) {
+            ReplicatedRecord::Machine(hint) => match self.rng.random_range(0..9) {
                 0 => hint.address = format!("{other}:9000"),
                 1 => hint.session += 1,
                 2 => hint.session = hint.session.saturating_sub(1),
@@ -70,12 +70,12 @@
                 7 => hint.idle_at = Some(u64::MAX),
                 _ => {}
             },
-            Hint::Job(hint) => {
+            ReplicatedRecord::Job(hint) => {
                 hint.failures = vec![(0, u32::MAX), (u32::MAX, 1)];
                 hint.failed_on = names.iter().take(4).cloned().collect();
                 hint.fails_within_ms = u64::MAX;
             }
-            Hint::Gone(_) => {}
+            ReplicatedRecord::Gone(_) => {}
         }
     }
 }
--- a/crates/simulator/src/world/state.rs
+++ b/crates/simulator/src/world/state.rs
@@ -5,7 +5,7 @@
 
 /// Partitions whose records a request writes, with the new terms.
 fn holders_written(request: &StateRequest) -> Vec<(u32, u64)> {
-    let StateRequest::Txn(txn) = request else { return Vec::new() };
+    let StateRequest::Transaction(txn) = request else { return Vec::new() };
     let record = |write: &Write| match write {
         Write::Put { put, value, .. } => {
             let partition = put.strip_prefix("s/p/")?.parse().ok()?;
@@ -41,8 +41,8 @@
     pub(super) fn state_answer(&mut self, node: usize, life: u64, call: CallId, reply: StateReply) {
         self.note_read(node, &reply);
         let event = Event::State { call, reply };
-        let message = Message::Node { node, life, event };
-        self.send(Place::State, Place::Node(node), message);
+        let message = Message::Controller { node, life, event };
+        self.send(Place::State, Place::Controller(node), message);
     }
 
     pub(super) fn state_request(
@@ -78,7 +78,7 @@
         }
         let lost = self.loses_answer(&request);
         let mut pretend = false;
-        if let StateRequest::Txn(txn) = &mut request {
+        if let StateRequest::Transaction(txn) = &mut request {
             let page = |w: &Write| matches!(w, Write::Put { put, .. } if put.starts_with("l/"));
             match self.plan.sabotage {
                 Some(Sabotage::PredecessorsForgotten) => forget_predecessors(&mut txn.writes),
@@ -132,7 +132,7 @@
                 self.next_holder_begins(&living, partition);
                 self.takeovers.taken(partition, before.as_deref(), term, living, self.now);
             }
-            if matches!(request, StateRequest::Txn(_)) {
+            if matches!(request, StateRequest::Transaction(_)) {
                 self.carried_out[node] += 1;
             }
         }
@@ -141,7 +141,7 @@
 
     /// Whether a transaction gets no answer and is carried out later, if there are such at present.
     fn is_late(&mut self, node: usize, life: u64, request: &StateRequest) -> bool {
-        let StateRequest::Txn(txn) = request else { return false };
+        let StateRequest::Transaction(txn) = request else { return false };
         let percent = self.cuts.iter().find_map(|cut| match cut {
             Cut::LateWrites(percent) => Some(*percent),
             _ => None,
@@ -157,7 +157,13 @@
     }
 
     /// A late transaction is carried out.
-    pub(super) fn late_write(&mut self, node: usize, life: u64, newer_than: u64, mut txn: Txn) {
+    pub(super) fn late_write(
+        &mut self,
+        node: usize,
+        life: u64,
+        newer_than: u64,
+        mut txn: Transaction,
+    ) {
         if self.outage() {
             return;
         }
@@ -166,7 +172,7 @@
         }
         let newer = self.carried_out[node] > newer_than;
         let writes = !txn.writes.is_empty();
-        let reply = self.carry_out_state(node, &StateRequest::Txn(txn), false);
+        let reply = self.carry_out_state(node, &StateRequest::Transaction(txn), false);
         if writes && matches!(reply, StateReply::Committed { .. }) {
             self.met.late_writes += 1;
             self.met.late_after_newer += u64::from(newer);
--- a/crates/simulator/tests/golden_admin.rs
+++ b/crates/simulator/tests/golden_admin.rs
@@ -5,23 +5,23 @@
 mod golden;
 
 use controller::records::TUNING;
-use controller::{AdminRequest, Effect, Event, Node};
+use controller::{AdminRequest, Controller, Effect, Event};
 use golden::Entry;
-use model::{CallId, Moment, NodeName};
+use model::{CallId, ControllerName, Timestamp};
 use serde_json::{json, Value};
 use simulator::Solo;
 use wire::mesh::MeshMessage;
-use wire::state::{StateReply, StateRequest, Txn};
+use wire::state::{StateReply, StateRequest, Transaction};
 use wire::users::JobKind;
 
 const MACHINES: usize = 8;
 /// Later than everything that happens to the node before it is asked.
-const ASKED_AT: Moment = Moment(8_000);
+const ASKED_AT: Timestamp = Timestamp::from_millis(8_000);
 const TICKET: u64 = 1_000;
 /// Incarnation of the node under test.
 const BOOT: u64 = 256;
 
-fn ask(node: &mut Node, request: AdminRequest) -> Vec<Effect> {
+fn ask(node: &mut Controller, request: AdminRequest) -> Vec<Effect> {
     node.handle(ASKED_AT, Event::Admin { ticket: TICKET, request })
 }
 
@@ -35,13 +35,13 @@
     })
 }
 
-fn view(node: &mut Node, name: &'static str, request: AdminRequest) -> Entry {
+fn view(node: &mut Controller, name: &'static str, request: AdminRequest) -> Entry {
     let effects = ask(node, request);
     Entry::text(name, answer(&effects).unwrap_or_else(|| panic!("{name} is answered at once")))
 }
 
 fn from_peer(message: MeshMessage) -> Event {
-    Event::Mesh { from: NodeName::from("n1"), message }
+    Event::Mesh { from: ControllerName::from("n1"), message }
 }
 
 fn sign_of_life() -> MeshMessage {
@@ -101,9 +101,10 @@
         solo.tick(20);
         solo.report(0);
     }
-    let effects = solo
-        .node()
-        .handle(Moment(30_000), Event::Admin { ticket: TICKET, request: AdminRequest::Metrics });
+    let effects = solo.node().handle(
+        Timestamp::from_millis(30_000),
+        Event::Admin { ticket: TICKET, request: AdminRequest::Metrics },
+    );
     let answer = answer(&effects).expect("an answer");
     let body: Value = serde_json::from_str(answer.trim_start_matches("200 ")).expect("JSON");
     let entries = [Entry::text("refusals", body["refusals"].to_string())];
@@ -143,9 +144,9 @@
 }
 
 /// Asks for a change; returns the transaction that this leads to, with its call.
-fn write_settings(node: &mut Node, settings: Value) -> (CallId, Txn) {
+fn write_settings(node: &mut Controller, settings: Value) -> (CallId, Transaction) {
     let calls = ask(node, change(settings)).into_iter().find_map(|effect| match effect {
-        Effect::State { call, request: StateRequest::Txn(txn), .. } => {
+        Effect::State { call, request: StateRequest::Transaction(txn), .. } => {
             txn.writes.iter().any(|write| write.key() == TUNING).then_some((call, txn))
         }
         _ => None,
--- a/crates/simulator/tests/rejected_messages.rs
+++ b/crates/simulator/tests/rejected_messages.rs
@@ -3,8 +3,8 @@
 
 use controller::controller::DirectReply;
 use controller::rejections::{MessageFault, MessageSource};
-use controller::{AdminRequest, Event, ReportReply, UserReply, UserRequest};
-use model::{CallId, JobId, NodeName};
+use controller::{AdminRequest, Event, HeartbeatReply, UserReply, UserRequest};
+use model::{CallId, ControllerName, JobId};
 use proptest::collection::vec;
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
@@ -14,12 +14,12 @@
 use std::collections::BTreeMap;
 use wire::cloud::{CloudReply, MachineList, MachineTypes};
 use wire::mesh::{
-    DemandShape, Hint, HintKey, HintPart, JobHint, MachineHint, MachineLoad, MeshMessage,
-    PartitionLoad,
+    DemandShape, JobFailureSnapshot, MachineSnapshot, MachineStatus, MeshMessage, PartitionStatus,
+    ReplicatedRecord, ReplicationBatch, ReplicationKey,
 };
 use wire::state::{Changes, Item, ListPage, StateReply};
 use wire::users::{JobKind, Priority};
-use wire::workers::{ExitCause, Report, TaskReport, TaskState};
+use wire::workers::{ExitCause, Heartbeat, TaskState, TaskStatus};
 
 const MACHINES: usize = 3;
 
@@ -82,7 +82,7 @@
     solo.answer_direct_calls_with(None);
     for _ in 0..20 {
         let tokens = solo.take_report_replies().into_iter().filter_map(|reply| match reply {
-            ReportReply::Answer(answer) => Some(answer.token),
+            HeartbeatReply::Answer(answer) => Some(answer.token),
             _ => None,
         });
         let newest = tokens.max().expect("workers are answered");
@@ -102,7 +102,7 @@
     let before = view(&mut solo);
     let counted = rejected(&mut solo, MessageSource::Worker, MessageFault::Stale);
     solo.send_report(old);
-    assert!(matches!(solo.take_report_replies().last(), Some(ReportReply::Answer(_))));
+    assert!(matches!(solo.take_report_replies().last(), Some(HeartbeatReply::Answer(_))));
     assert_eq!(view(&mut solo), before);
     assert_eq!(rejected(&mut solo, MessageSource::Worker, MessageFault::Stale), counted + 1);
 }
@@ -120,7 +120,7 @@
     ];
     for sender in ["n0", "stranger", "", "n1 "] {
         for message in &messages {
-            let (from, message) = (NodeName::from(sender), message.clone());
+            let (from, message) = (ControllerName::from(sender), message.clone());
             solo.inject(Event::Mesh { from, message });
         }
     }
@@ -128,15 +128,15 @@
     assert_eq!(rejected(&mut solo, MessageSource::Peer, MessageFault::UnknownSender), 16);
     // A peer cannot take a partition over for another, nor have a machine moved to none.
     let message = MeshMessage::Taken { partition: 0, term: 1 << 30, holder: "n7".into() };
-    solo.inject(Event::Mesh { from: NodeName::from("n1"), message });
+    solo.inject(Event::Mesh { from: ControllerName::from("n1"), message });
     assert_eq!(rejected(&mut solo, MessageSource::Peer, MessageFault::Misrouted), 1);
     let message = MeshMessage::Release { machine: "host-000000".into(), to: Some(7) };
-    solo.inject(Event::Mesh { from: NodeName::from("n1"), message });
+    solo.inject(Event::Mesh { from: ControllerName::from("n1"), message });
     assert_eq!(rejected(&mut solo, MessageSource::Peer, MessageFault::Malformed), 1);
     solo.take_report_replies();
     run(&mut solo, 1);
     let replies = solo.take_report_replies();
-    assert!(replies.iter().all(|reply| matches!(reply, ReportReply::Answer(_))), "{replies:?}");
+    assert!(replies.iter().all(|reply| matches!(reply, HeartbeatReply::Answer(_))), "{replies:?}");
     for _ in 0..8 {
         solo.submit(JobKind::Array, 3);
     }
@@ -246,21 +246,21 @@
         term in number(),
         demand in vec(shape(), 0..4),
         machines in vec((machine_name(), small_number(), number(), any::<[bool; 4]>()), 0..4),
-    ) -> PartitionLoad {
-        let machine = |(machine, tasks, ms, flags): (String, u32, u64, [bool; 4])| MachineLoad {
+    ) -> PartitionStatus {
+        let machine = |(machine, tasks, ms, flags): (String, u32, u64, [bool; 4])| MachineStatus {
             machine, tasks, idle_ms: ms, up: flags[0], faulty: flags[1], silent_ms: ms,
             cedable: flags[2], best_effort: flags[3], ceding: flags[0].then_some(tasks),
         };
-        PartitionLoad {
+        PartitionStatus {
             partition, term, demand, machines: machines.into_iter().map(machine).collect(),
         }
     }
 }
 
-fn hint() -> impl Strategy<Value = Hint> {
+fn hint() -> impl Strategy<Value = ReplicatedRecord> {
     let machine = (machine_name(), number(), prop::option::of(number()), amount()).prop_map(
         |(machine, session, idle_at, gb)| {
-            Hint::Machine(MachineHint {
+            ReplicatedRecord::Machine(MachineSnapshot {
                 address: format!("{machine}:9000"),
                 machine,
                 session,
@@ -274,15 +274,21 @@
     let job = (number(), vec((small_number(), small_number()), 0..3), small_number(), number())
         .prop_map(|(job, failures, successes, fails_within_ms)| {
             let failed_on = vec!["host-000000".to_owned(); 3];
-            Hint::Job(JobHint { job, failures, failed_on, successes, fails_within_ms })
+            ReplicatedRecord::Job(JobFailureSnapshot {
+                job,
+                failures,
+                failed_on,
+                successes,
+                fails_within_ms,
+            })
         });
-    let gone = number().prop_map(|id| Hint::Gone(HintKey::Job(id)));
+    let gone = number().prop_map(|id| ReplicatedRecord::Gone(ReplicationKey::Job(id)));
     prop_oneof![machine, job, gone]
 }
 
-fn hints() -> impl Strategy<Value = HintPart> {
+fn hints() -> impl Strategy<Value = ReplicationBatch> {
     (small_number(), vec(number(), 7), vec(hint(), 0..4)).prop_map(|(partition, n, hints)| {
-        HintPart {
+        ReplicationBatch {
             partition,
             boot: n[0],
             term: n[1],
@@ -327,7 +333,7 @@
     ]
 }
 
-fn task_report() -> impl Strategy<Value = TaskReport> {
+fn task_report() -> impl Strategy<Value = TaskStatus> {
     let state = prop::sample::select(vec![
         TaskState::Fetching,
         TaskState::Waiting,
@@ -342,7 +348,7 @@
         ExitCause::Busy,
         ExitCause::Error,
     ]));
-    (task_name(), number(), state, why).prop_map(|(task, attempt, state, why)| TaskReport {
+    (task_name(), number(), state, why).prop_map(|(task, attempt, state, why)| TaskStatus {
         task,
         attempt,
         state,
@@ -351,12 +357,12 @@
     })
 }
 
-fn report() -> impl Strategy<Value = Report> {
+fn report() -> impl Strategy<Value = Heartbeat> {
     let place = ("m4|", "[ab]?", any::<bool>());
     let numbers = (number(), number(), number());
     let tasks = vec(task_report(), 0..5);
     (machine_name(), place, numbers, prop::option::of(amount()), tasks).prop_map(
-        |(machine, (machine_type, zone, spot), (session, seq, token), notice_s, tasks)| Report {
+        |(machine, (machine_type, zone, spot), (session, seq, token), notice_s, tasks)| Heartbeat {
             address: format!("{machine}:9000"),
             machine,
             machine_type,
@@ -427,11 +433,11 @@
     Tick(u64),
     Reports,
     Mesh(&'static str, MeshMessage),
-    Forged(Report),
+    Forged(Heartbeat),
     Foreign(String, Value),
     LateState(StateReply),
     LateCloud(CloudReply),
-    LateWorker(Report),
+    LateWorker(Heartbeat),
     Ask(u64),
     Cancel(u64),
     Submit(u64, f64),
@@ -487,7 +493,7 @@
         }
         Step::Reports => run(solo, 1),
         Step::Mesh(from, message) => {
-            solo.inject(Event::Mesh { from: NodeName::from(from), message });
+            solo.inject(Event::Mesh { from: ControllerName::from(from), message });
         }
         Step::Forged(report) => solo.send_report(report),
         Step::Foreign(key, value) => solo.write(&key, value),
@@ -579,12 +585,12 @@
             solo.send_report(report);
         }
         let replies = solo.take_report_replies();
-        prop_assert!(replies.iter().all(|reply| *reply == ReportReply::Malformed), "{replies:?}");
+        prop_assert!(replies.iter().all(|reply| *reply == HeartbeatReply::Malformed), "{replies:?}");
         let counted = rejected(&mut solo, MessageSource::Worker, MessageFault::Malformed);
         prop_assert_eq!(counted, faults.len() as u64);
         prop_assert_eq!(view(&mut solo), before);
         run(&mut solo, 1);
         let replies = solo.take_report_replies();
-        prop_assert!(replies.iter().all(|reply| matches!(reply, ReportReply::Answer(_))));
+        prop_assert!(replies.iter().all(|reply| matches!(reply, HeartbeatReply::Answer(_))));
     }
 }
--- a/crates/simulator/tests/stale_mirror.rs
+++ b/crates/simulator/tests/stale_mirror.rs
@@ -1,17 +1,17 @@
 //! Answers of a node whose copy of the state service lags behind what another node has written.
 
 use controller::records::{
-    cancels_key, ends_key, final_key, intake_key, CancelsRecord, EndsPage, FinalRecord, IntakePage,
-    PackedJob,
+    cancels_key, ends_key, final_key, intake_key, AcceptedJobsPage, CancellationsRecord,
+    FinalRecord, PackedJob, TerminalJobsPage,
 };
-use controller::{Effect, Event, Node, UserReply, UserRequest};
-use model::{CallId, JobId, JobState, Moment, NodeName, PartitionId, Settings};
+use controller::{Controller, Effect, Event, UserReply, UserRequest};
+use model::{CallId, ControllerName, JobId, JobState, PartitionId, Settings, Timestamp};
 use serde::Serialize;
 use simulator::solo::{job, machine_type};
 use simulator::state::StateService;
 use std::collections::VecDeque;
 use wire::cloud::{CloudReply, CloudRequest, MachineTypes};
-use wire::state::{StateReply, StateRequest, Txn, Write};
+use wire::state::{StateReply, StateRequest, Transaction, Write};
 use wire::users::{JobKind, JobRequest};
 
 const SETTINGS: &str = r#"
@@ -49,7 +49,7 @@
 /// A node and its state service. Watches that wait are answered only by [`Harness::deliver_watch`];
 /// reads that do not wait are answered at once.
 struct Harness {
-    node: Node,
+    node: Controller,
     state: StateService,
     now: u64,
     events: VecDeque<Event>,
@@ -64,7 +64,7 @@
     fn new() -> Self {
         let settings = Settings::parse(SETTINGS).expect("the settings are valid");
         let mut harness = Harness {
-            node: Node::new(settings, 1 << 20),
+            node: Controller::new(settings, 1 << 20),
             state: StateService::new(1e9),
             now: 10,
             events: VecDeque::new(),
@@ -99,25 +99,28 @@
     /// A write by the other node.
     fn other_writes(&mut self, key: String, record: &impl Serialize) {
         let value = serde_json::to_value(record).expect("records are JSON");
-        let txn = Txn::default().write(Write::put(key, value));
-        let reply = self.state.execute(self.now, &StateRequest::Txn(txn));
+        let txn = Transaction::default().write(Write::put(key, value));
+        let reply = self.state.execute(self.now, &StateRequest::Transaction(txn));
         assert!(matches!(reply, StateReply::Committed { .. }), "{reply:?}");
     }
 
     fn other_accepts(&mut self, job: &JobRequest) {
         let packed = serde_json::to_value(PackedJob::new(1, job.clone())).expect("a job is JSON");
-        let page = IntakePage { jobs: vec![packed] };
-        self.other_writes(intake_key(&NodeName::from("n1"), 0), &page);
+        let page = AcceptedJobsPage { jobs: vec![packed] };
+        self.other_writes(intake_key(&ControllerName::from("n1"), 0), &page);
     }
 
     fn other_cancels(&mut self, id: JobId) {
-        self.other_writes(cancels_key(&NodeName::from("n1")), &CancelsRecord { jobs: vec![id.0] });
+        self.other_writes(
+            cancels_key(&ControllerName::from("n1")),
+            &CancellationsRecord { jobs: vec![id.0] },
+        );
     }
 
     fn feed(&mut self, event: Event) {
         self.events.push_back(event);
         while let Some(event) = self.events.pop_front() {
-            for effect in self.node.handle(Moment(self.now), event) {
+            for effect in self.node.handle(Timestamp::from_millis(self.now), event) {
                 self.carry_out(effect);
             }
         }
@@ -151,7 +154,8 @@
             }
             other => self.state.execute(self.now, other),
         };
-        let comparison = matches!(&request, StateRequest::Txn(txn) if txn.writes.is_empty());
+        let comparison =
+            matches!(&request, StateRequest::Transaction(txn) if txn.writes.is_empty());
         if comparison && std::mem::take(&mut self.hold_comparison) {
             self.held_comparison = Some((call, reply));
             return;
@@ -209,7 +213,7 @@
         harness.other_accepts(&job);
         harness.other_cancels(id);
         harness.ask(submit(&job));
-        assert!(harness.state.value(&intake_key(&NodeName::from("n0"), 0)).is_some());
+        assert!(harness.state.value(&intake_key(&ControllerName::from("n0"), 0)).is_some());
         if watch_delivered {
             harness.deliver_watch();
         }
@@ -225,7 +229,7 @@
     let mut harness = Harness::new();
     let (id, job) = array();
     harness.other_accepts(&job);
-    let page = EndsPage { done: vec![id.0], ..EndsPage::default() };
+    let page = TerminalJobsPage { done: vec![id.0], ..TerminalJobsPage::default() };
     harness.other_writes(ends_key(PartitionId(1), 0), &page);
     harness.ask(submit(&job));
     for _ in 0..10 {
--- a/crates/trackcrank/src/clients.rs
+++ b/crates/trackcrank/src/clients.rs
@@ -9,15 +9,14 @@
 use hyper_util::client::legacy::connect::HttpConnector;
 use hyper_util::client::legacy::Client;
 use hyper_util::rt::{TokioExecutor, TokioTimer};
-use model::Span;
 use serde::de::DeserializeOwned;
 use std::net::SocketAddr;
 use std::time::Duration;
 use wire::cloud::{CloudReply, CloudRequest, MachineNames};
 use wire::http::{HttpCall, HttpMethod};
 use wire::json::from_object;
-use wire::state::{LeaseAnswer, StateReply, StateRequest, TxnAnswer};
-use wire::workers::{DirectCommands, Report};
+use wire::state::{LeaseResponse, StateReply, StateRequest, TransactionResponse};
+use wire::workers::{DirectCommands, Heartbeat};
 
 /// Largest answer that is read.
 const MAX_ANSWER: usize = 16 * 1024 * 1024;
@@ -93,8 +92,12 @@
     }
 
     /// A call to the state service.
-    pub async fn state(&self, to: SocketAddr, request: &StateRequest, timeout: Span) -> StateReply {
-        let timeout = Duration::from_millis(timeout.0);
+    pub async fn state(
+        &self,
+        to: SocketAddr,
+        request: &StateRequest,
+        timeout: Duration,
+    ) -> StateReply {
         match self.send(&to.to_string(), request.into(), timeout).await {
             Some((status, body)) => state_reply(request, status, &body).unwrap_or_else(|| {
                 self.reject(MessageSource::State);
@@ -134,12 +137,16 @@
     }
 
     /// Commands straight to a worker.
-    pub async fn worker(&self, to: &str, commands: &DirectCommands, timeout: Span) -> DirectReply {
-        let timeout = Duration::from_millis(timeout.0);
+    pub async fn worker(
+        &self,
+        to: &str,
+        commands: &DirectCommands,
+        timeout: Duration,
+    ) -> DirectReply {
         let answer = self.send(to, commands.into(), timeout).await;
         match answer {
             Some((status, body)) if status == StatusCode::OK || status == StatusCode::CONFLICT => {
-                match decode::<Report>(&body) {
+                match decode::<Heartbeat>(&body) {
                     Some(report) => DirectReply::Answered(Box::new(report)),
                     None => {
                         self.reject(MessageSource::Worker);
@@ -178,7 +185,7 @@
         404 if lease_call => return Some(StateReply::LeaseGone),
         404 if matches!(request, StateRequest::Get { .. }) => return Some(StateReply::Missing),
         409 => {
-            let TxnAnswer { failed, revision } = decode(body)?;
+            let TransactionResponse { failed, revision } = decode(body)?;
             return Some(StateReply::Conflict { failed, revision });
         }
         410 => return Some(StateReply::Compacted),
@@ -190,10 +197,10 @@
     match request {
         StateRequest::Get { .. } => decode(body).map(StateReply::Item),
         StateRequest::List { .. } => decode(body).map(StateReply::List),
-        StateRequest::Txn(_) => decode::<TxnAnswer>(body)
+        StateRequest::Transaction(_) => decode::<TransactionResponse>(body)
             .map(|answer| StateReply::Committed { revision: answer.revision }),
         StateRequest::NewLease { .. } => {
-            decode::<LeaseAnswer>(body).map(|answer| StateReply::Lease(answer.lease))
+            decode::<LeaseResponse>(body).map(|answer| StateReply::Lease(answer.lease))
         }
         StateRequest::Renew { .. } | StateRequest::EndLease { .. } => Some(StateReply::Ok),
         StateRequest::Watch { .. } => decode(body).map(StateReply::Changes),
--- a/crates/trackcrank/src/inbound.rs
+++ b/crates/trackcrank/src/inbound.rs
@@ -1,7 +1,7 @@
 //! What the server and the loop say to each other.
 
 use crate::metrics::Metrics;
-use controller::{AdminReply, AdminRequest, ReportReply, UserReply};
+use controller::{AdminReply, AdminRequest, HeartbeatReply, UserReply};
 use std::sync::atomic::AtomicBool;
 use std::sync::Arc;
 use tokio::sync::{mpsc, oneshot};
@@ -9,7 +9,7 @@
 /// What the server hands to the loop.
 pub enum Inbound {
     User(controller::UserRequest, oneshot::Sender<UserReply>),
-    Report(Box<wire::workers::Report>, oneshot::Sender<ReportReply>),
+    Heartbeat(Box<wire::workers::Heartbeat>, oneshot::Sender<HeartbeatReply>),
     Admin(AdminRequest, oneshot::Sender<AdminReply>),
 }
 
--- a/crates/trackcrank/src/mesh.rs
+++ b/crates/trackcrank/src/mesh.rs
@@ -6,7 +6,7 @@
 use controller::Event;
 use futures_util::{SinkExt, StreamExt};
 use model::settings::Peer;
-use model::NodeName;
+use model::ControllerName;
 use serde::de::IgnoredAny;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -24,7 +24,7 @@
 }
 
 /// Keeps a connection to a peer and returns where to put messages for it.
-pub fn connect(me: NodeName, peer: Peer) -> mpsc::Sender<MeshMessage> {
+pub fn connect(me: ControllerName, peer: Peer) -> mpsc::Sender<MeshMessage> {
     let (sender, mut queue) = mpsc::channel::<MeshMessage>(BACKLOG);
     tokio::spawn(async move {
         let patience = Duration::from_millis(1_500);
@@ -103,7 +103,7 @@
         };
         match decode(&bytes) {
             Ok(frame) => {
-                let from = NodeName::from(frame.from.as_str());
+                let from = ControllerName::from(frame.from.as_str());
                 if events.send(Event::Mesh { from, message: frame.message }).await.is_err() {
                     return;
                 }
--- a/crates/trackcrank/src/runtime.rs
+++ b/crates/trackcrank/src/runtime.rs
@@ -5,8 +5,8 @@
 use crate::metrics::Metrics;
 use crate::{mesh, server};
 use controller::controller::Ticket;
-use controller::{AdminReply, Effect, Event, Node, ReportReply, UserReply};
-use model::{Moment, NodeName, Settings};
+use controller::{AdminReply, Controller, Effect, Event, HeartbeatReply, UserReply};
+use model::{ControllerName, Settings, Timestamp};
 use rand::Rng;
 use std::collections::HashMap;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -58,7 +58,7 @@
             Ok(Err(problem)) => format!("serve_on {listen}: {problem}"),
             _ => "the server has ended".into(),
         }),
-        () = process.run(Node::new(settings, seed), requests, results, shared) => Ok(()),
+        () = process.run(Controller::new(settings, seed), requests, results, shared) => Ok(()),
     }
 }
 
@@ -67,9 +67,9 @@
     state: std::net::SocketAddr,
     cloud: std::net::SocketAddr,
     events: mpsc::Sender<Event>,
-    peers: HashMap<NodeName, mpsc::Sender<MeshMessage>>,
+    peers: HashMap<ControllerName, mpsc::Sender<MeshMessage>>,
     users: HashMap<Ticket, oneshot::Sender<UserReply>>,
-    reports: HashMap<Ticket, oneshot::Sender<ReportReply>>,
+    reports: HashMap<Ticket, oneshot::Sender<HeartbeatReply>>,
     admins: HashMap<Ticket, oneshot::Sender<AdminReply>>,
     next_ticket: Ticket,
 }
@@ -77,15 +77,15 @@
 impl Process {
     async fn run(
         mut self,
-        mut node: Node,
+        mut node: Controller,
         mut requests: mpsc::Receiver<Inbound>,
         mut results: mpsc::Receiver<Event>,
         shared: Shared,
     ) {
         let start = Instant::now();
-        let now = || Moment(start.elapsed().as_millis() as u64);
+        let now = || Timestamp::from_millis(start.elapsed().as_millis() as u64);
         loop {
-            let due = start + Duration::from_millis(node.next_tick().0);
+            let due = start + Duration::from_millis(node.next_tick().as_millis());
             let event = tokio::select! {
                 biased;
                 Some(event) = results.recv() => event,
@@ -117,9 +117,9 @@
                 self.admins.insert(ticket, answer);
                 Event::Admin { ticket, request }
             }
-            Inbound::Report(report, answer) => {
+            Inbound::Heartbeat(report, answer) => {
                 self.reports.insert(ticket, answer);
-                Event::Report { ticket, report }
+                Event::Heartbeat { ticket, report }
             }
         }
     }
@@ -163,7 +163,7 @@
                     let _ = answer.send(reply);
                 }
             }
-            Effect::Report { ticket, reply } => {
+            Effect::Heartbeat { ticket, reply } => {
                 if let Some(answer) = self.reports.remove(&ticket) {
                     let _ = answer.send(reply);
                 }
--- a/crates/trackcrank/src/server.rs
+++ b/crates/trackcrank/src/server.rs
@@ -2,7 +2,7 @@
 
 use crate::inbound::{Inbound, Shared};
 use controller::rejections::{MessageFault, MessageSource};
-use controller::{AdminReply, AdminRequest, ReportReply, UserReply, UserRequest};
+use controller::{AdminReply, AdminRequest, HeartbeatReply, UserReply, UserRequest};
 use model::JobId;
 use poem::error::ReadBodyError;
 use poem::http::StatusCode;
@@ -16,7 +16,7 @@
 use tokio::sync::oneshot;
 use wire::json::from_object;
 use wire::users::{ErrorBody, JobRequest};
-use wire::workers::{Redirect, Report};
+use wire::workers::{Heartbeat, Redirect};
 
 /// Largest request body.
 const MAX_BODY: usize = 64 * 1024;
@@ -144,22 +144,24 @@
 
 #[handler]
 async fn report(body: Body, shared: Data<&Shared>) -> Response {
-    let report = match read_object::<Report>(body, MessageSource::Worker, &shared).await {
+    let report = match read_object::<Heartbeat>(body, MessageSource::Worker, &shared).await {
         Ok(report) => report,
         Err(refused) => return refused,
     };
     let (sender, answer) = oneshot::channel();
-    if shared.inbound.try_send(Inbound::Report(Box::new(report), sender)).is_err() {
+    if shared.inbound.try_send(Inbound::Heartbeat(Box::new(report), sender)).is_err() {
         return busy(1);
     }
     match answer.await {
-        Ok(ReportReply::Answer(answer)) => json(StatusCode::OK, &answer),
-        Ok(ReportReply::Redirect(node)) => json(
+        Ok(HeartbeatReply::Answer(answer)) => json(StatusCode::OK, &answer),
+        Ok(HeartbeatReply::Redirect(node)) => json(
             StatusCode::MISDIRECTED_REQUEST,
             &Redirect { report_to: node.map(|n| n.to_string()) },
         ),
-        Ok(ReportReply::Malformed) => problem(StatusCode::BAD_REQUEST, "the report is malformed"),
-        Ok(ReportReply::Unavailable) | Err(_) => busy(1),
+        Ok(HeartbeatReply::Malformed) => {
+            problem(StatusCode::BAD_REQUEST, "the report is malformed")
+        }
+        Ok(HeartbeatReply::Unavailable) | Err(_) => busy(1),
     }
 }
 
--- a/crates/trackcrank/tests/http_requests.rs
+++ b/crates/trackcrank/tests/http_requests.rs
@@ -1,8 +1,8 @@
 //! Requests as they come over HTTP: what is malformed is answered as the protocol says, is counted and
 //! never reaches the node's state.
 
-use controller::{Event, Node};
-use model::{Moment, Settings};
+use controller::{Controller, Event};
+use model::{Settings, Timestamp};
 use poem::http::{Method, StatusCode};
 use poem::{Endpoint, IntoEndpoint, Request};
 use serde_json::{json, Value};
@@ -22,26 +22,26 @@
 
 /// Feeds what the server hands on to a node that has not read the state service yet.
 async fn run_node(mut requests: mpsc::Receiver<Inbound>) {
-    let mut node = Node::new(Settings::parse(SETTINGS).expect("settings"), 1 << 20);
+    let mut node = Controller::new(Settings::parse(SETTINGS).expect("settings"), 1 << 20);
     while let Some(request) = requests.recv().await {
         let (event, user, report, admin) = match request {
             Inbound::User(request, answer) => {
                 (Event::User { ticket: 1, request }, Some(answer), None, None)
             }
-            Inbound::Report(report, answer) => {
-                (Event::Report { ticket: 1, report }, None, Some(answer), None)
+            Inbound::Heartbeat(report, answer) => {
+                (Event::Heartbeat { ticket: 1, report }, None, Some(answer), None)
             }
             Inbound::Admin(request, answer) => {
                 (Event::Admin { ticket: 1, request }, None, None, Some(answer))
             }
         };
         let (mut user, mut report, mut admin) = (user, report, admin);
-        for effect in node.handle(Moment(10), event) {
+        for effect in node.handle(Timestamp::from_millis(10), event) {
             match effect {
                 controller::Effect::User { reply, .. } => {
                     user.take().map(|answer| answer.send(reply));
                 }
-                controller::Effect::Report { reply, .. } => {
+                controller::Effect::Heartbeat { reply, .. } => {
                     report.take().map(|answer| answer.send(reply));
                 }
                 controller::Effect::Admin { reply, .. } => {
--- a/crates/trackcrank/tests/large_site.rs
+++ b/crates/trackcrank/tests/large_site.rs
@@ -2,7 +2,7 @@
 
 use controller::Event;
 use model::settings::Peer;
-use model::{NodeName, ZoneName};
+use model::{ControllerName, ZoneName};
 use std::net::SocketAddr;
 use std::time::Duration;
 use tokio::net::TcpStream;
@@ -11,7 +11,7 @@
 use trackcrank::metrics::Metrics;
 use trackcrank::{listen, mesh};
 use wire::mesh::MeshMessage;
-use wire::workers::Report;
+use wire::workers::Heartbeat;
 
 /// Twice the machines of the largest site.
 const MACHINES: usize = 8_000;
@@ -31,9 +31,9 @@
     let (events, mut received) = mpsc::channel(64);
     let metrics = Metrics::new().expect("metrics");
     mesh::listen(address, events, metrics.rejected().clone()).await.expect("bound");
-    let name = NodeName::from("n1");
+    let name = ControllerName::from("n1");
     let peer = Peer { name, zone: ZoneName::from("a"), mesh: address };
-    let sender = mesh::connect(NodeName::from("n0"), peer);
+    let sender = mesh::connect(ControllerName::from("n0"), peer);
     for number in 0..MACHINES {
         let message = MeshMessage::Release { machine: format!("host-{number:06}"), to: None };
         assert!(sender.try_send(message).is_ok(), "message {number} is dropped");
@@ -59,8 +59,8 @@
     }
 }
 
-fn report(number: usize) -> Report {
-    Report {
+fn report(number: usize) -> Heartbeat {
+    Heartbeat {
         machine: format!("host-{number:06}"),
         address: "10.0.0.1:9000".into(),
         machine_type: "t4".into(),
@@ -80,7 +80,7 @@
     let (queue, _requests) = request_queue();
     for number in 0..MACHINES {
         let (answer, _) = oneshot::channel();
-        let waits = queue.try_send(Inbound::Report(Box::new(report(number)), answer));
+        let waits = queue.try_send(Inbound::Heartbeat(Box::new(report(number)), answer));
         assert!(waits.is_ok(), "report {number} is refused");
     }
 }
--- a/crates/wire/src/http.rs
+++ b/crates/wire/src/http.rs
@@ -57,7 +57,7 @@
                 }
                 HttpCall::get(path)
             }
-            StateRequest::Txn(txn) => HttpCall::post("/txn", txn),
+            StateRequest::Transaction(txn) => HttpCall::post("/txn", txn),
             StateRequest::NewLease { ttl_ms } => {
                 HttpCall::post("/holds", &LeaseRequest { ttl_ms: *ttl_ms })
             }
--- a/crates/wire/src/mesh.rs
+++ b/crates/wire/src/mesh.rs
@@ -49,7 +49,7 @@
 
 /// A holder's view of one of its machines.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct MachineLoad {
+pub struct MachineStatus {
     pub machine: String,
     pub tasks: u32,
     /// How long it has been without tasks.
@@ -69,11 +69,11 @@
 
 /// What a holder tells the leader about its partition.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct PartitionLoad {
+pub struct PartitionStatus {
     pub partition: u32,
     pub term: u64,
     pub demand: Vec<DemandShape>,
-    pub machines: Vec<MachineLoad>,
+    pub machines: Vec<MachineStatus>,
 }
 
 /// One mesh message.
@@ -90,7 +90,7 @@
         heard: Vec<(String, u64)>,
     },
     /// Holder to leader.
-    Load(PartitionLoad),
+    Load(PartitionStatus),
     /// Leader to holder: give up an idle machine, to a partition or to the cloud.
     Release { machine: String, to: Option<u32> },
     /// Leader to holder: hand `count` machines of partition `from` that suit the shape over to
@@ -110,13 +110,13 @@
     /// was numbered up to `have`. Repeated for as long as it follows.
     Follow { partition: u32, boot: u64, term: u64, have: u64 },
     /// A holder's hints to whoever follows.
-    Hints(HintPart),
+    Hints(ReplicationBatch),
 }
 
 /// What a holder knows of one of its machines beyond the records. Hints prove nothing: whoever takes
 /// the partition on asks the machine before it relies on any.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct MachineHint {
+pub struct MachineSnapshot {
     pub machine: String,
     pub address: String,
     pub session: u64,
@@ -132,7 +132,7 @@
 
 /// What a holder has learned of a job by its failures.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct JobHint {
+pub struct JobFailureSnapshot {
     pub job: u64,
     /// Failures in a row of single tasks, of a few at most.
     pub failures: Vec<(u32, u32)>,
@@ -143,49 +143,49 @@
 
 /// What a hint is about.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub enum HintKey {
+pub enum ReplicationKey {
     Machine(String),
     Job(u64),
 }
 
 /// One hint.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub enum Hint {
-    Machine(MachineHint),
-    Job(JobHint),
+pub enum ReplicatedRecord {
+    Machine(MachineSnapshot),
+    Job(JobFailureSnapshot),
     /// There is nothing to be said of it any more.
-    Gone(HintKey),
+    Gone(ReplicationKey),
 }
 
-impl Hint {
+impl ReplicatedRecord {
     /// What it is about.
-    pub fn key(&self) -> HintKey {
+    pub fn key(&self) -> ReplicationKey {
         match self {
-            Hint::Machine(hint) => HintKey::Machine(hint.machine.clone()),
-            Hint::Job(hint) => HintKey::Job(hint.job),
-            Hint::Gone(key) => key.clone(),
+            ReplicatedRecord::Machine(hint) => ReplicationKey::Machine(hint.machine.clone()),
+            ReplicatedRecord::Job(hint) => ReplicationKey::Job(hint.job),
+            ReplicatedRecord::Gone(key) => key.clone(),
         }
     }
 
     /// Bytes that it takes in a frame, roughly.
     pub fn weight(&self) -> usize {
         match self {
-            Hint::Machine(hint) => {
+            ReplicatedRecord::Machine(hint) => {
                 let images: usize = hint.images.iter().map(|(name, _)| name.len() + 10).sum();
                 hint.machine.len() + hint.address.len() + 24 + images
             }
-            Hint::Job(hint) => {
+            ReplicatedRecord::Job(hint) => {
                 let machines: usize = hint.failed_on.iter().map(|name| name.len() + 1).sum();
                 24 + hint.failures.len() * 6 + machines
             }
-            Hint::Gone(_) => 24,
+            ReplicatedRecord::Gone(_) => 24,
         }
     }
 }
 
 /// Hints that changed after one number up to another.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
-pub struct HintPart {
+pub struct ReplicationBatch {
     pub partition: u32,
     pub boot: u64,
     pub term: u64,
@@ -197,7 +197,7 @@
     pub floor: u64,
     /// The sender's steady clock.
     pub at_ms: u64,
-    pub hints: Vec<Hint>,
+    pub hints: Vec<ReplicatedRecord>,
 }
 
 /// A frame.
--- a/crates/wire/src/state.rs
+++ b/crates/wire/src/state.rs
@@ -92,14 +92,14 @@
 
 /// `POST /txn`.
 #[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize)]
-pub struct Txn {
+pub struct Transaction {
     #[serde(rename = "if", default)]
     pub conditions: Vec<Condition>,
     #[serde(rename = "writes", default)]
     pub writes: Vec<Write>,
 }
 
-impl Txn {
+impl Transaction {
     /// Adds a condition.
     pub fn when(mut self, key: impl Into<String>, version: u64) -> Self {
         self.conditions.push(Condition { key: key.into(), version });
@@ -114,7 +114,7 @@
 
 /// Answer to a transaction, 200 or 409.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct TxnAnswer {
+pub struct TransactionResponse {
     #[serde(rename = "epoch")]
     pub revision: u64,
     #[serde(default)]
@@ -130,7 +130,7 @@
 
 /// Answer to a lease request.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct LeaseAnswer {
+pub struct LeaseResponse {
     #[serde(rename = "hold")]
     pub lease: u64,
 }
@@ -164,7 +164,7 @@
 pub enum StateRequest {
     Get { key: String },
     List { prefix: String, after: String, limit: u32 },
-    Txn(Txn),
+    Transaction(Transaction),
     NewLease { ttl_ms: u64 },
     Renew { lease: u64 },
     EndLease { lease: u64 },
--- a/crates/wire/src/workers.rs
+++ b/crates/wire/src/workers.rs
@@ -35,7 +35,7 @@
 
 /// One task in a report.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct TaskReport {
+pub struct TaskStatus {
     #[serde(rename = "piece")]
     pub task: String,
     #[serde(rename = "try")]
@@ -50,7 +50,7 @@
 
 /// `POST /hello`, and the body of a worker's answers.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Report {
+pub struct Heartbeat {
     #[serde(rename = "host")]
     pub machine: String,
     pub address: String,
@@ -69,7 +69,7 @@
     #[serde(rename = "warning_s", default)]
     pub notice_s: Option<f64>,
     #[serde(rename = "pieces", default)]
-    pub tasks: Vec<TaskReport>,
+    pub tasks: Vec<TaskStatus>,
 }
 
 /// A command to a worker.
@@ -103,7 +103,7 @@
 
 /// 200 answer to a report.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct ReportAnswer {
+pub struct HeartbeatResponse {
     #[serde(rename = "baton")]
     pub token: u64,
     #[serde(rename = "orders")]
--- a/crates/wire/tests/decoders.rs
+++ b/crates/wire/tests/decoders.rs
@@ -9,10 +9,12 @@
 use serde_json::{json, Map, Value};
 use wire::cloud::{MachineList, MachineNames, MachineTypes};
 use wire::json::{from_object, BodyError};
-use wire::mesh::{DemandShape, Frame, HintPart, MachineHint, MeshMessage, MESH_VERSION};
-use wire::state::{Changes, Item, LeaseAnswer, ListPage, Txn, TxnAnswer};
+use wire::mesh::{
+    DemandShape, Frame, MachineSnapshot, MeshMessage, ReplicationBatch, MESH_VERSION,
+};
+use wire::state::{Changes, Item, LeaseResponse, ListPage, Transaction, TransactionResponse};
 use wire::users::{JobRequest, JobStatus, Priority};
-use wire::workers::{DirectCommands, Redirect, Report, ReportAnswer};
+use wire::workers::{DirectCommands, Heartbeat, HeartbeatResponse, Redirect};
 
 fn config(seed: u64) -> ProptestConfig {
     ProptestConfig {
@@ -130,15 +132,15 @@
 fn check_all(body: &[u8]) -> Result<(), TestCaseError> {
     check::<JobRequest>(body)?;
     check::<JobStatus>(body)?;
-    check::<Report>(body)?;
-    check::<ReportAnswer>(body)?;
+    check::<Heartbeat>(body)?;
+    check::<HeartbeatResponse>(body)?;
     check::<Redirect>(body)?;
     check::<DirectCommands>(body)?;
     check::<Item>(body)?;
     check::<ListPage>(body)?;
-    check::<Txn>(body)?;
-    check::<TxnAnswer>(body)?;
-    check::<LeaseAnswer>(body)?;
+    check::<Transaction>(body)?;
+    check::<TransactionResponse>(body)?;
+    check::<LeaseResponse>(body)?;
     check::<Changes>(body)?;
     check::<MachineTypes>(body)?;
     check::<MachineList>(body)?;
@@ -159,7 +161,7 @@
         priority: Priority::Normal,
         gang: 0,
     };
-    let hint = MachineHint {
+    let hint = MachineSnapshot {
         machine: "host-000231".into(),
         address: "10.1.0.232:9000".into(),
         session: 1,
@@ -168,7 +170,10 @@
         idle_at: Some(7),
         images: vec![("img-07".into(), 6.2)],
     };
-    let hints = HintPart { hints: vec![wire::mesh::Hint::Machine(hint)], ..HintPart::default() };
+    let hints = ReplicationBatch {
+        hints: vec![wire::mesh::ReplicatedRecord::Machine(hint)],
+        ..ReplicationBatch::default()
+    };
     let heard = vec![("n2".to_owned(), 7)];
     let messages = [
         MeshMessage::Alive { boot: 1, revision: 2, state_contact: true, ready: true, heard },
@@ -246,13 +251,13 @@
     let texts: Vec<String> = valid_messages().iter().map(Value::to_string).collect();
     let body = |at: usize| texts[at].as_bytes();
     assert!(from_object::<JobRequest>(body(0)).is_ok());
-    assert!(from_object::<Report>(body(1)).is_ok());
+    assert!(from_object::<Heartbeat>(body(1)).is_ok());
     assert!(from_object::<DirectCommands>(body(2)).is_ok());
     assert!(from_object::<Changes>(body(3)).is_ok());
     assert!(from_object::<ListPage>(body(4)).is_ok());
-    assert!(from_object::<Txn>(body(5)).is_ok());
-    assert!(from_object::<TxnAnswer>(body(6)).is_ok());
-    assert!(from_object::<LeaseAnswer>(body(7)).is_ok());
+    assert!(from_object::<Transaction>(body(5)).is_ok());
+    assert!(from_object::<TransactionResponse>(body(6)).is_ok());
+    assert!(from_object::<LeaseResponse>(body(7)).is_ok());
     assert!(from_object::<MachineList>(body(8)).is_ok());
     assert!(from_object::<MachineTypes>(body(9)).is_ok());
     assert!(from_object::<JobStatus>(body(10)).is_ok());
--- a/crates/wire/tests/frame_sizes.rs
+++ b/crates/wire/tests/frame_sizes.rs
@@ -1,7 +1,7 @@
 //! The frames of a site of 8,000 machines, all of them in one partition, are no larger than peers read.
 
 use wire::mesh::{
-    DemandShape, Frame, MachineLoad, MeshMessage, PartitionLoad, MAX_FRAME, MESH_VERSION,
+    DemandShape, Frame, MachineStatus, MeshMessage, PartitionStatus, MAX_FRAME, MESH_VERSION,
 };
 use wire::users::Priority;
 
@@ -18,8 +18,8 @@
     rmp_serde::to_vec(&frame).expect("a frame").len()
 }
 
-fn machine(number: usize, name_length: usize) -> MachineLoad {
-    MachineLoad {
+fn machine(number: usize, name_length: usize) -> MachineStatus {
+    MachineStatus {
         machine: format!("{number:0name_length$}"),
         tasks: 1_000,
         idle_ms: 50 * ONE_DAY_MS,
@@ -49,7 +49,7 @@
 }
 
 fn load(machines: usize, name_length: usize) -> MeshMessage {
-    MeshMessage::Load(PartitionLoad {
+    MeshMessage::Load(PartitionStatus {
         partition: 70_000,
         term: u64::MAX,
         demand: (0..SHAPES).map(shape).collect(),
--- a/crates/wire/tests/golden_bodies.rs
+++ b/crates/wire/tests/golden_bodies.rs
@@ -9,11 +9,13 @@
     ListedMachine, MachineList, MachineNames, MachineState, MachineType, MachineTypes, RentRequest,
 };
 use wire::state::{
-    Change, Changes, Item, LeaseAnswer, LeaseRequest, ListPage, Txn, TxnAnswer, Write,
+    Change, Changes, Item, LeaseRequest, LeaseResponse, ListPage, Transaction, TransactionResponse,
+    Write,
 };
 use wire::users::{ErrorBody, JobKind, JobRequest, JobState, JobStatus, Priority};
 use wire::workers::{
-    Command, DirectCommands, ExitCause, Redirect, Report, ReportAnswer, TaskReport, TaskState,
+    Command, DirectCommands, ExitCause, Heartbeat, HeartbeatResponse, Redirect, TaskState,
+    TaskStatus,
 };
 
 fn full_job(kind: JobKind, priority: Priority) -> JobRequest {
@@ -70,16 +72,16 @@
     golden::check("users.txt", &entries);
 }
 
-fn task(state: TaskState, why: Option<ExitCause>, saved: Option<bool>) -> TaskReport {
-    TaskReport { task: "j-000412/3".into(), attempt: 57, state, why, saved }
+fn task(state: TaskState, why: Option<ExitCause>, saved: Option<bool>) -> TaskStatus {
+    TaskStatus { task: "j-000412/3".into(), attempt: 57, state, why, saved }
 }
 
-fn exited(why: ExitCause) -> TaskReport {
+fn exited(why: ExitCause) -> TaskStatus {
     task(TaskState::Exited, Some(why), None)
 }
 
-fn report(notice_s: Option<f64>, tasks: Vec<TaskReport>) -> Report {
-    Report {
+fn report(notice_s: Option<f64>, tasks: Vec<TaskStatus>) -> Heartbeat {
+    Heartbeat {
         machine: "host-000007".into(),
         address: "10.0.1.7:9000".into(),
         machine_type: "m4".into(),
@@ -119,8 +121,8 @@
         body("exited_busy", exited(ExitCause::Busy)),
         body("exited_unknown", exited(ExitCause::Unknown)),
         body("exited_error", exited(ExitCause::Error)),
-        body("answer", ReportAnswer { token: 41, commands: commands() }),
-        body("answer_empty", ReportAnswer { token: 41, commands: Vec::new() }),
+        body("answer", HeartbeatResponse { token: 41, commands: commands() }),
+        body("answer_empty", HeartbeatResponse { token: 41, commands: Vec::new() }),
         body("redirect", Redirect { report_to: Some("n2".into()) }),
         body("redirect_nowhere", Redirect { report_to: None }),
         body("direct_commands", DirectCommands { token: 41, session: 77, commands: commands() }),
@@ -193,8 +195,8 @@
     Change { put: None, delete, value: None, version: 10, lease: None }
 }
 
-fn transaction() -> Txn {
-    Txn::default()
+fn transaction() -> Transaction {
+    Transaction::default()
         .when("s/p/0", 9)
         .when("s/t", 0)
         .write(Write::put("s/t", json!({ "next": 41 })))
@@ -211,11 +213,11 @@
         body("list", ListPage { items: vec![item(Some(500))], more: true, revision: 77 }),
         body("list_last", ListPage { items: Vec::new(), more: false, revision: 77 }),
         body("txn", transaction()),
-        body("txn_empty", Txn::default()),
-        body("txn_answer", TxnAnswer { revision: 78, failed: Vec::new() }),
-        body("txn_conflict", TxnAnswer { revision: 78, failed }),
+        body("txn_empty", Transaction::default()),
+        body("txn_answer", TransactionResponse { revision: 78, failed: Vec::new() }),
+        body("txn_conflict", TransactionResponse { revision: 78, failed }),
         body("lease_request", LeaseRequest { ttl_ms: 6_000 }),
-        body("lease_answer", LeaseAnswer { lease: 500 }),
+        body("lease_answer", LeaseResponse { lease: 500 }),
         body(
             "changes",
             Changes { revision: 79, events: vec![change(None), change(Some(500)), deletion()] },
@@ -241,7 +243,7 @@
     reads("types_absent_fields", &bare_types());
     reads("list_absent_fields", &bare_machines());
     reads("state_list_absent_more", &ListPage { items: Vec::new(), more: false, revision: 77 });
-    reads("txn_answer_absent_failed", &TxnAnswer { revision: 78, failed: Vec::new() });
+    reads("txn_answer_absent_failed", &TransactionResponse { revision: 78, failed: Vec::new() });
     reads("changes_absent_log", &Changes { revision: 79, events: Vec::new() });
     reads("redirect_null", &Redirect { report_to: None });
 }
--- a/crates/wire/tests/golden_mesh.rs
+++ b/crates/wire/tests/golden_mesh.rs
@@ -5,8 +5,8 @@
 
 use golden::Entry;
 use wire::mesh::{
-    DemandShape, Frame, Hint, HintKey, HintPart, JobHint, MachineHint, MachineLoad, MeshMessage,
-    PartitionLoad, MESH_VERSION,
+    DemandShape, Frame, JobFailureSnapshot, MachineSnapshot, MachineStatus, MeshMessage,
+    PartitionStatus, ReplicatedRecord, ReplicationBatch, ReplicationKey, MESH_VERSION,
 };
 use wire::users::Priority;
 
@@ -46,8 +46,8 @@
     DemandShape { types: None, zone: None, spot: false, gang: 0, ..shape(Priority::Normal) }
 }
 
-fn machine_load(ceding: Option<u32>) -> MachineLoad {
-    MachineLoad {
+fn machine_load(ceding: Option<u32>) -> MachineStatus {
+    MachineStatus {
         machine: "host-000007".into(),
         tasks: 4,
         idle_ms: 5_000,
@@ -60,8 +60,8 @@
     }
 }
 
-fn load() -> PartitionLoad {
-    PartitionLoad {
+fn load() -> PartitionStatus {
+    PartitionStatus {
         partition: 2,
         term: 41,
         demand: vec![
@@ -74,8 +74,8 @@
     }
 }
 
-fn machine_hint(idle_at: Option<u64>) -> MachineHint {
-    MachineHint {
+fn machine_hint(idle_at: Option<u64>) -> MachineSnapshot {
+    MachineSnapshot {
         machine: "host-000007".into(),
         address: "10.0.1.7:9000".into(),
         session: 77,
@@ -86,8 +86,8 @@
     }
 }
 
-fn job_hint() -> JobHint {
-    JobHint {
+fn job_hint() -> JobFailureSnapshot {
+    JobFailureSnapshot {
         job: 412,
         failures: vec![(0, 2), (7, 1)],
         failed_on: vec!["host-000007".into()],
@@ -96,8 +96,8 @@
     }
 }
 
-fn hints(hints: Vec<Hint>) -> MeshMessage {
-    MeshMessage::Hints(HintPart {
+fn hints(hints: Vec<ReplicatedRecord>) -> MeshMessage {
+    MeshMessage::Hints(ReplicationBatch {
         partition: 2,
         boot: 3,
         term: 41,
@@ -133,11 +133,14 @@
         frame("progress", MeshMessage::Progress { jobs: vec![(412, 3, 2), (7, 0, 1)] }),
         frame("follow", MeshMessage::Follow { partition: 2, boot: 3, term: 41, have: 60 }),
         frame("hints_none", hints(Vec::new())),
-        frame("hint_machine", hints(vec![Hint::Machine(machine_hint(Some(8_000)))])),
-        frame("hint_machine_busy", hints(vec![Hint::Machine(machine_hint(None))])),
-        frame("hint_job", hints(vec![Hint::Job(job_hint())])),
-        frame("hint_gone_machine", hints(vec![Hint::Gone(HintKey::Machine("host-1".into()))])),
-        frame("hint_gone_job", hints(vec![Hint::Gone(HintKey::Job(412))])),
+        frame("hint_machine", hints(vec![ReplicatedRecord::Machine(machine_hint(Some(8_000)))])),
+        frame("hint_machine_busy", hints(vec![ReplicatedRecord::Machine(machine_hint(None))])),
+        frame("hint_job", hints(vec![ReplicatedRecord::Job(job_hint())])),
+        frame(
+            "hint_gone_machine",
+            hints(vec![ReplicatedRecord::Gone(ReplicationKey::Machine("host-1".into()))]),
+        ),
+        frame("hint_gone_job", hints(vec![ReplicatedRecord::Gone(ReplicationKey::Job(412))])),
     ];
     golden::check("mesh.hex", &entries);
 }
