--- a/crates/autoscaler/src/capacity.rs
+++ b/crates/autoscaler/src/capacity.rs
@@ -49,7 +49,7 @@
         if work.waiting == 0 || !work.task_size.fits(&self.free) {
             return 0;
         }
-        let slots = self.free.holds(&work.task_size);
+        let slots = self.free.how_many_fit(&work.task_size);
         if work.concurrent {
             let assigned = slots.min(work.waiting);
             self.free -= work.task_size.times(assigned);
--- a/crates/autoscaler/src/machine.rs
+++ b/crates/autoscaler/src/machine.rs
@@ -16,7 +16,7 @@
     pub reporting: bool,
     pub tasks: u32,
     pub idle_for: Duration,
-    pub faulty: bool,
+    pub quarantined: bool,
     pub leaving: bool,
     pub age: Duration,
     /// How long its partition leader could have received a report: since the machine joined the
@@ -24,7 +24,7 @@
     /// no evidence against the machine.
     pub observable_for: Duration,
     /// Time since its last report, if it has ever reported.
-    pub silent_for: Duration,
+    pub since_heartbeat: Duration,
     /// The cloud reports that it stopped of its own accord.
     pub failed: bool,
     /// Whether the partition leader's view of it is fresh.
@@ -43,7 +43,7 @@
         self.view_is_fresh
             && self.reporting
             && !self.leaving
-            && !self.faulty
+            && !self.quarantined
             && self.transfer_to.is_none()
     }
 }
--- a/crates/autoscaler/src/offers.rs
+++ b/crates/autoscaler/src/offers.rs
@@ -49,7 +49,7 @@
         let home = &self.needs[work.need].home_zone;
         let mut cheapest: Option<(f64, RentableMachine<'a>)> = None;
         for machine in self.rentable_machines(work, spot_only) {
-            let slots = capacity_of(machine.machine_type).holds(&work.task_size);
+            let slots = capacity_of(machine.machine_type).how_many_fit(&work.task_size);
             let distance = if machine.zone == *home { 1.0 } else { OTHER_ZONE_FACTOR };
             let cost = machine.price() * distance / slots.min(MAX_SLOTS) as f64;
             if cheapest.as_ref().is_none_or(|(lowest, _)| cost < *lowest) {
--- a/crates/autoscaler/src/planner.rs
+++ b/crates/autoscaler/src/planner.rs
@@ -190,7 +190,7 @@
     /// Machines that boot in the partition or are being transferred to it.
     fn incoming_to(&self, partition: PartitionId) -> Vec<IncomingMachine> {
         let mut incoming = Vec::new();
-        for machine in self.machines.iter().filter(|m| !m.leaving && !m.faulty) {
+        for machine in self.machines.iter().filter(|m| !m.leaving && !m.quarantined) {
             let Some(machine_type) = self.machine_type(&machine.machine_type) else { continue };
             let boots = machine.partition == partition && self.is_booting(machine, machine_type);
             if boots || machine.transfer_to == Some(partition) {
--- a/crates/autoscaler/src/rebalance.rs
+++ b/crates/autoscaler/src/rebalance.rs
@@ -116,7 +116,8 @@
             .machine_types
             .iter()
             .filter(|machine_type| work.machine_types.contains(&machine_type.name.as_str()));
-        let slots = planned.map(|machine_type| capacity_of(machine_type).holds(&work.task_size));
+        let slots =
+            planned.map(|machine_type| capacity_of(machine_type).how_many_fit(&work.task_size));
         slots.max().unwrap_or(1).max(1)
     }
 
--- a/crates/autoscaler/src/returns.rs
+++ b/crates/autoscaler/src/returns.rs
@@ -43,8 +43,9 @@
 
     /// Whether it runs nothing and is faulty, failed or no longer reports.
     fn is_lost(&self, machine: &FleetMachine) -> bool {
-        let stopped =
-            machine.faulty || machine.failed || machine.silent_for >= self.policy.report_timeout;
+        let stopped = machine.quarantined
+            || machine.failed
+            || machine.since_heartbeat >= self.policy.report_timeout;
         machine.tasks == 0 && stopped
     }
 }
--- a/crates/autoscaler/src/zones.rs
+++ b/crates/autoscaler/src/zones.rs
@@ -54,7 +54,7 @@
         let machines = self.incoming[work.need].iter();
         machines
             .filter(|m| work.suits(&m.machine_type, m.zone.as_str(), m.spot))
-            .map(|machine| machine.free.holds(&work.task_size))
+            .map(|machine| machine.free.how_many_fit(&work.task_size))
             .sum()
     }
 }
--- a/crates/controller/src/controller/admin.rs
+++ b/crates/controller/src/controller/admin.rs
@@ -79,15 +79,15 @@
         TuningRecord {
             initial_backoff_s: t.queue.initial_backoff.as_secs_f64(),
             max_backoff_s: t.queue.max_backoff.as_secs_f64(),
-            leftover_s: t.queue.leftover.as_secs_f64(),
-            silence_s: t.policy.silence.as_secs_f64(),
+            leftover_s: t.queue.unschedulable_timeout.as_secs_f64(),
+            silence_s: t.policy.heartbeat_grace.as_secs_f64(),
             window: t.policy.window,
-            faulty_after: t.policy.faulty_after,
+            faulty_after: t.policy.quarantine_threshold,
             preempt: t.policy.preempt,
-            set_back: t.policy.set_back,
+            set_back: t.policy.size_penalty_factor,
             move_replicas: t.policy.move_replicas,
             absorb_s: t.policy.absorb.as_secs_f64(),
-            short_set_back: t.policy.short_set_back,
+            short_set_back: t.policy.overload_penalty_factor,
             horizon_s: t.fleet.horizon.as_secs_f64(),
             keep_idle_s: t.fleet.keep_idle.as_secs_f64(),
             paid_s: t.fleet.minimum_billing.as_secs_f64(),
@@ -131,17 +131,17 @@
             queue: QueueConfig {
                 initial_backoff: duration_from_secs(self.initial_backoff_s),
                 max_backoff: duration_from_secs(self.max_backoff_s),
-                leftover: duration_from_secs(self.leftover_s),
+                unschedulable_timeout: duration_from_secs(self.leftover_s),
             },
             policy: Policy {
-                silence: duration_from_secs(self.silence_s),
+                heartbeat_grace: duration_from_secs(self.silence_s),
                 window: self.window,
-                faulty_after: self.faulty_after,
+                quarantine_threshold: self.faulty_after,
                 preempt: self.preempt,
-                set_back: self.set_back,
+                size_penalty_factor: self.set_back,
                 move_replicas: self.move_replicas,
                 absorb: duration_from_secs(self.absorb_s),
-                short_set_back: self.short_set_back,
+                overload_penalty_factor: self.short_set_back,
             },
             fleet: FleetPolicy {
                 horizon: duration_from_secs(self.horizon_s),
@@ -158,7 +158,7 @@
 }
 
 impl Controller {
-    pub(super) fn on_admin(&mut self, ticket: Ticket, request: AdminRequest) {
+    pub(super) fn handle_admin_request(&mut self, ticket: Ticket, request: AdminRequest) {
         let reply = match request {
             AdminRequest::ChangeSettings { version, settings } => {
                 match self.change_settings(ticket, version, settings) {
@@ -185,7 +185,7 @@
     }
 
     fn settings_view(&self) -> Value {
-        let version = self.mirror.tuning.as_ref().map_or(0, |t| t.version.0);
+        let version = self.cache.tuning.as_ref().map_or(0, |t| t.version.0);
         json!({ "version": version, "settings": TuningRecord::from(&self.tuning) })
     }
 
@@ -206,7 +206,7 @@
         Ok(())
     }
 
-    pub(super) fn on_tuning_written(&mut self, ticket: Ticket, reply: StateReply) {
+    pub(super) fn handle_settings_written(&mut self, ticket: Ticket, reply: StateReply) {
         let answer = match reply {
             StateReply::Committed { revision } => {
                 AdminReply::new(200, json!({ "version": revision }))
@@ -219,7 +219,7 @@
 
     /// The record has changed: it takes effect at once on every node.
     pub(super) fn tuning_changed(&mut self) {
-        let tuning = match &self.mirror.tuning {
+        let tuning = match &self.cache.tuning {
             None => Tuning::default(),
             Some(current) => {
                 let record = TuningRecord::deserialize(&current.record);
@@ -233,10 +233,10 @@
             }
         };
         tracing::info!("operators' settings take effect");
-        for holding in self.holdings.values_mut() {
-            if let Some(share) = holding.share_mut() {
-                share.policy = tuning.policy.clone();
-                share.queue.configure(tuning.queue);
+        for leadership in self.leaderships.values_mut() {
+            if let Some(partition_state) = leadership.partition_state_mut() {
+                partition_state.policy = tuning.policy.clone();
+                partition_state.queue.configure(tuning.queue);
             }
         }
         self.tuning = tuning;
@@ -246,12 +246,12 @@
         let list: Vec<Value> = (0..self.partition_count())
             .map(|number| {
                 let id = model::PartitionId(number);
-                let record = self.mirror.partitions.get(&id).map(|p| &p.record);
-                let own = self.holdings.get(&id).and_then(|h| h.share());
+                let record = self.cache.partitions.get(&id).map(|p| &p.record);
+                let own = self.leaderships.get(&id).and_then(|h| h.partition_state());
                 json!({
                     "partition": number,
-                    "home": self.home_of(id),
-                    "holder": record.map(|r| r.holder.to_string()),
+                    "home": self.preferred_leader(id),
+                    "holder": record.map(|r| r.leader.to_string()),
                     "term": record.map(|r| r.term),
                     "machines": own.map(|s| s.machines.len()),
                     "jobs": own.map(|s| s.jobs.len()),
@@ -263,22 +263,22 @@
 
     fn machines_view(&self) -> Value {
         let list: Vec<Value> = self
-            .mirror
+            .cache
             .machines
             .iter()
             .map(|(name, m)| {
                 let own = self
-                    .holdings
+                    .leaderships
                     .get(&m.record.partition)
-                    .and_then(|h| h.share())
+                    .and_then(|h| h.partition_state())
                     .and_then(|s| s.machines.get(name));
                 json!({
                     "machine": name,
                     "record": crate::records::PackedMachine::new(name, &m.record),
-                    "silent_ms": own.and_then(|m| m.reported_at).map(|at| self.now.duration_since(at).whole_millis()),
+                    "silent_ms": own.and_then(|m| m.last_heartbeat_at).map(|at| self.now.duration_since(at).whole_millis()),
                     "tasks": own.map(|m| m.tasks.iter().map(|t| t.to_string()).collect::<Vec<_>>()),
-                    "faulty": own.map(|m| m.faulty),
-                    "unreached": own.map(|m| m.is_unreached()),
+                    "faulty": own.map(|m| m.quarantined),
+                    "unreached": own.map(|m| m.is_unreachable()),
                 })
             })
             .collect();
@@ -286,18 +286,18 @@
     }
 
     /// Machines of ours that are heard and not reached.
-    fn unreached_machines(&self) -> usize {
-        let shares = self.holdings.values().filter_map(|h| h.share());
-        shares.flat_map(|s| s.machines.values()).filter(|m| m.is_unreached()).count()
+    fn unreachable_machine_count(&self) -> usize {
+        let shares = self.leaderships.values().filter_map(|h| h.partition_state());
+        shares.flat_map(|s| s.machines.values()).filter(|m| m.is_unreachable()).count()
     }
 
     fn queues_view(&self) -> Value {
         let list: Vec<Value> = self
-            .holdings
+            .leaderships
             .iter()
-            .filter_map(|(id, h)| h.share().map(|s| (id, s)))
-            .map(|(id, share)| {
-                let pending: serde_json::Map<String, Value> = share
+            .filter_map(|(id, h)| h.partition_state().map(|s| (id, s)))
+            .map(|(id, partition_state)| {
+                let pending: serde_json::Map<String, Value> = partition_state
                     .queue
                     .pending()
                     .iter()
@@ -306,7 +306,7 @@
                 json!({
                     "partition": id,
                     "pending": pending,
-                    "demand": share.demand(self.now).iter().map(|d| d.tasks).sum::<u64>(),
+                    "demand": partition_state.demand(self.now).iter().map(|d| d.tasks).sum::<u64>(),
                 })
             })
             .collect();
@@ -317,11 +317,11 @@
     fn metrics_view(&self) -> Value {
         let mut pending = std::collections::BTreeMap::new();
         let mut incoming = std::collections::BTreeMap::new();
-        for share in self.holdings.values().filter_map(|h| h.share()) {
-            for (which, n) in share.queue.pending() {
+        for partition_state in self.leaderships.values().filter_map(|h| h.partition_state()) {
+            for (which, n) in partition_state.queue.pending() {
                 *pending.entry(format!("{which:?}").to_lowercase()).or_insert(0) += n as u64;
             }
-            for ((which, cause), n) in share.queue.incoming() {
+            for ((which, cause), n) in partition_state.queue.incoming() {
                 let key =
                     (format!("{which:?}").to_lowercase(), format!("{cause:?}").to_lowercase());
                 *incoming.entry(key).or_insert(0u64) += n;
@@ -349,13 +349,13 @@
                 "cloud_refused": c.cloud_refused,
             },
             "gauges": {
-                "open_jobs": self.mirror.jobs.len(),
-                "machines": self.mirror.machines.len(),
-                "partitions_held": self.holdings.len(),
+                "open_jobs": self.cache.jobs.len(),
+                "machines": self.cache.machines.len(),
+                "partitions_held": self.leaderships.len(),
                 "partitions_in_step": self.partitions_in_step(),
-                "machines_unreached": self.unreached_machines(),
-                "answers_left_s": self.answers_left().as_secs_f64(),
-                "without_state": u64::from(!self.in_contact(super::LAUNCH_CONTACT)),
+                "machines_unreached": self.unreachable_machine_count(),
+                "answers_left_s": self.remaining_lease_validity().as_secs_f64(),
+                "without_state": u64::from(!self.has_recent_state_read(super::MAX_LAUNCH_READ_AGE)),
             },
         })
     }
--- a/crates/controller/src/controller/admission.rs
+++ b/crates/controller/src/controller/admission.rs
@@ -1,7 +1,9 @@
 //! Admission of submissions: what waits is written together, many jobs to a write.
 
 use super::{CallKind, Controller, PendingRequest, RequestKind, Ticket, UserReply};
-use crate::records::{final_key, intake_key, packed_size, page_room, AcceptedJobsPage, PackedJob};
+use crate::records::{
+    accepted_jobs_key, final_key, packed_size, page_capacity, AcceptedJobsPage, PackedJob,
+};
 use crate::request_budget::CallPriority;
 use crate::serial_writer::{Outcome, SerialWriter};
 use model::{JobId, Revision, Timestamp};
@@ -77,21 +79,21 @@
             return;
         }
         if packed_size(&PackedJob::new(u64::MAX, job.clone()))
-            > page_room(self.settings.state_limits.value_bytes)
+            > page_capacity(self.settings.state_limits.value_bytes)
         {
             let problem = "the job's description is too long".to_owned();
             self.reply_user(ticket, UserReply::Invalid(problem));
             return;
         }
-        let order = self.common_time();
+        let order = self.logical_time();
         let submission = PendingSubmission { ticket, id, job, since: self.now, order };
         self.admission.pending.push_back(submission);
     }
 
-    pub(super) fn step_admission(&mut self) {
+    pub(super) fn advance_admission(&mut self) {
         self.refuse_overdue_submissions();
         self.confirm_accepted();
-        let ready = self.admission.writes.ready(self.now, self.mirror.revision);
+        let ready = self.admission.writes.ready(self.now, self.cache.revision);
         let waiting = !self.admission.pending.is_empty();
         if waiting && ready && self.synced && self.may_write(CallPriority::Accept, 1.0) {
             self.write_accepted();
@@ -120,7 +122,7 @@
         if !self.synced {
             let requests = std::mem::take(&mut self.admission.unconfirmed);
             self.refuse_all(requests);
-        } else if self.mirror.revision >= self.admission.written_at {
+        } else if self.cache.revision >= self.admission.written_at {
             for request in std::mem::take(&mut self.admission.unconfirmed) {
                 self.answer(request);
             }
@@ -134,14 +136,14 @@
     fn choose_page(&self, room: usize, taken: &[u32]) -> OpenPage {
         let mut best: Option<OpenPage> = None;
         let mut next = 0;
-        let prefix = intake_key(self.me(), 0);
+        let prefix = accepted_jobs_key(self.own_name(), 0);
         let prefix = &prefix[..prefix.len() - 4];
-        for (key, page) in self.mirror.intake.range(prefix.to_owned()..) {
+        for (key, page) in self.cache.intake.range(prefix.to_owned()..) {
             let Some(number) = key.strip_prefix(prefix).and_then(|n| n.parse::<u32>().ok()) else {
                 break;
             };
             next = next.max(number + 1);
-            let open = page.record.iter().filter_map(|id| self.mirror.jobs.get(id));
+            let open = page.record.iter().filter_map(|id| self.cache.jobs.get(id));
             let free_bytes = room.saturating_sub(open.map(|job| job.size).sum());
             let better = best.as_ref().is_none_or(|best| free_bytes > best.free_bytes);
             if !taken.contains(&number) && better {
@@ -157,7 +159,7 @@
     /// Writes as many pending submissions as a transaction takes.
     fn write_accepted(&mut self) {
         let limits = &self.settings.state_limits;
-        let room = page_room(limits.value_bytes);
+        let room = page_capacity(limits.value_bytes);
         let most_pages = MAX_PAGES_PER_WRITE.min(limits.txn_ops);
         // Each job adds a condition.
         let most_jobs =
@@ -189,17 +191,17 @@
 
     /// Adds pending submissions to a page and the page to the batch; false if the page takes none.
     fn fill_page(&mut self, page: &OpenPage, batch: &mut AdmissionBatch, most_jobs: usize) -> bool {
-        let key = intake_key(self.me(), page.number);
-        let kept = self.mirror.intake.get(&key).into_iter().flat_map(|p| &p.record);
+        let key = accepted_jobs_key(self.own_name(), page.number);
+        let kept = self.cache.intake.get(&key).into_iter().flat_map(|p| &p.record);
         let mut jobs: Vec<serde_json::Value> = kept
-            .filter_map(|id| self.mirror.jobs.get(id))
+            .filter_map(|id| self.cache.jobs.get(id))
             .filter_map(|job| serde_json::to_value(&*job.packed).ok())
             .collect();
         let mut free_bytes = page.free_bytes;
         let before = batch.submissions.len();
         while batch.submissions.len() < most_jobs {
             let Some(next) = self.admission.pending.pop_front() else { break };
-            if self.mirror.jobs.contains_key(&next.id) || self.finals.contains_key(&next.id) {
+            if self.cache.jobs.contains_key(&next.id) || self.finals.contains_key(&next.id) {
                 let since = next.since;
                 let kind = RequestKind::Resubmit { reject: None };
                 self.reads.enqueue(next.into_request(kind, since));
@@ -231,7 +233,7 @@
         true
     }
 
-    pub(super) fn on_accept_written(&mut self, reply: StateReply) {
+    pub(super) fn handle_acceptance_written(&mut self, reply: StateReply) {
         match self.admission.writes.answered(reply, self.now) {
             Outcome::CommittedChanges(batch) => {
                 let since = self.now;
@@ -271,7 +273,7 @@
                     self.busy(submission.ticket, 1);
                 }
                 let request = StateRequest::Transaction(txn);
-                self.again(
+                self.retry_later(
                     Duration::from_millis(200),
                     CallPriority::Accept,
                     request,
--- a/crates/controller/src/controller/cancellations.rs
+++ b/crates/controller/src/controller/cancellations.rs
@@ -1,7 +1,7 @@
 //! Cancellations by users: those that wait are recorded together.
 
 use super::{CallKind, Controller, PendingRequest, RequestKind};
-use crate::records::{cancels_key, CancellationsRecord};
+use crate::records::{cancellations_key, CancellationsRecord};
 use crate::request_budget::CallPriority;
 use crate::serial_writer::{Outcome, SerialWriter};
 use std::time::Duration;
@@ -24,8 +24,8 @@
         self.cancellations.pending.push(request);
     }
 
-    pub(super) fn step_cancellations(&mut self) {
-        let ready = self.cancellations.writes.ready(self.now, self.mirror.revision);
+    pub(super) fn advance_cancellations(&mut self) {
+        let ready = self.cancellations.writes.ready(self.now, self.cache.revision);
         let waiting = !self.cancellations.pending.is_empty();
         if waiting && ready && self.synced && self.may_write(CallPriority::Accept, 1.0) {
             self.write_cancellations();
@@ -33,13 +33,13 @@
     }
 
     fn write_cancellations(&mut self) {
-        let key = cancels_key(self.me());
-        let old = self.mirror.cancels.get(self.me());
+        let key = cancellations_key(self.own_name());
+        let old = self.cache.cancels.get(self.own_name());
         let version = old.map_or(0, |c| c.version.0);
         // Those of finished jobs have served.
         let open = old.into_iter().flat_map(|c| &c.record);
         let mut jobs: Vec<u64> =
-            open.filter(|id| self.mirror.jobs.contains_key(id)).map(|id| id.0).collect();
+            open.filter(|id| self.cache.jobs.contains_key(id)).map(|id| id.0).collect();
         let room = self.page_entries();
         let mut batch = Vec::new();
         for request in std::mem::take(&mut self.cancellations.pending) {
@@ -58,13 +58,13 @@
         self.state(CallPriority::Accept, StateRequest::Transaction(txn), CallKind::Cancel);
     }
 
-    pub(super) fn on_cancel_written(&mut self, reply: StateReply) {
+    pub(super) fn handle_cancellation_written(&mut self, reply: StateReply) {
         match self.cancellations.writes.answered(reply, self.now) {
             // The job may have finished before: a read that begins now tells which came first.
             Outcome::CommittedChanges(requests) => {
                 // The leader of its partition may be without the state service.
                 let jobs = requests.iter().map(|request| request.id.0).collect();
-                self.broadcast(MeshMessage::Cancelled { jobs });
+                self.broadcast(MeshMessage::JobsCancelled { jobs });
                 self.reads.enqueue_all(requests);
             }
             Outcome::Conflict(requests, _)
@@ -84,7 +84,7 @@
                 let requests = self.cancellations.writes.under_way().map(std::mem::take);
                 self.refuse_all(requests.unwrap_or_default());
                 let request = StateRequest::Transaction(txn);
-                self.again(
+                self.retry_later(
                     Duration::from_millis(200),
                     CallPriority::Accept,
                     request,
--- a/crates/controller/src/controller/crash_loop.rs
+++ b/crates/controller/src/controller/crash_loop.rs
@@ -6,27 +6,27 @@
 //! decides only who takes what when, so no right hangs on it.
 
 use super::{CallKind, Controller};
-use crate::records::{boot_key, IncarnationRecord};
+use crate::records::{incarnation_key, IncarnationRecord};
 use crate::request_budget::CallPriority;
 use model::{ControllerName, Timestamp};
 use std::time::Duration;
 use wire::state::{StateRequest, Transaction, Write};
 
 /// A life that lasted for so long was no short one.
-const LONG: Duration = Duration::from_secs(10);
+const STABLE_AFTER: Duration = Duration::from_secs(10);
 /// So many short lives in a row, the present one among them, make a node restless.
-const RESTLESS: u32 = 3;
+const CRASH_LOOP_THRESHOLD: u32 = 3;
 
 impl Controller {
     /// Announces this life before it holds anything, so that others can tell that the one before is
     /// over. True once it is announced.
     pub(super) fn announce(&mut self) -> bool {
-        let before = self.mirror.boots.get(self.me()).map(|b| b.record.clone());
-        let known = before.as_ref().is_some_and(|record| record.boot == self.boot);
+        let before = self.cache.incarnations.get(self.own_name()).map(|b| b.record.clone());
+        let known = before.as_ref().is_some_and(|record| record.incarnation == self.incarnation);
         if !known {
             let before = before.map_or(0, |record| record.short_lives);
             self.write_boot(before.saturating_add(1));
-        } else if self.now >= Timestamp::default() + LONG
+        } else if self.now >= Timestamp::default() + STABLE_AFTER
             && before.is_some_and(|b| b.short_lives > 0)
         {
             self.write_boot(0);
@@ -38,26 +38,28 @@
         if self.calls.values().any(|p| matches!(p, CallKind::Boot)) {
             return;
         }
-        let key = boot_key(self.me());
-        let version = self.mirror.boots.get(self.me()).map_or(0, |b| b.version.0);
-        let record = IncarnationRecord { boot: self.boot, short_lives };
+        let key = incarnation_key(self.own_name());
+        let version = self.cache.incarnations.get(self.own_name()).map_or(0, |b| b.version.0);
+        let record = IncarnationRecord { incarnation: self.incarnation, short_lives };
         let value = serde_json::to_value(record).unwrap_or_default();
         let txn = Transaction::default().when(&key, version).write(Write::put(&key, value));
         self.state(CallPriority::Lease, StateRequest::Transaction(txn), CallKind::Boot);
     }
 
     /// Whether a node has had several short lives in a row.
-    pub(super) fn is_restless(&self, node: &ControllerName) -> bool {
-        self.mirror.boots.get(node).is_some_and(|b| b.record.short_lives >= RESTLESS)
+    pub(super) fn is_crash_looping(&self, node: &ControllerName) -> bool {
+        self.cache
+            .incarnations
+            .get(node)
+            .is_some_and(|b| b.record.short_lives >= CRASH_LOOP_THRESHOLD)
     }
 
     /// Whether we leave even our home to others for now. Where all are restless everybody takes what is
     /// his, as ever.
-    pub(super) fn leaves_to_others(&self) -> bool {
-        self.is_restless(self.me())
-            && self
-                .peers
-                .iter()
-                .any(|(name, peer)| peer.ready && self.peer_lives(name) && !self.is_restless(name))
+    pub(super) fn defers_to_peers(&self) -> bool {
+        self.is_crash_looping(self.own_name())
+            && self.peers.iter().any(|(name, peer)| {
+                peer.ready && self.peer_is_alive(name) && !self.is_crash_looping(name)
+            })
     }
 }
--- a/crates/controller/src/controller/fleet_planner.rs
+++ b/crates/controller/src/controller/fleet_planner.rs
@@ -17,13 +17,13 @@
 use wire::state::{StateRequest, Transaction, Write};
 
 /// How long an offer that was refused is left alone.
-const REFUSED: Duration = Duration::from_secs(6);
+const REFUSED_OFFER_PAUSE: Duration = Duration::from_secs(6);
 
 /// How long late reports, copies of them and old lists may speak of a machine that has been deleted.
-const GONE: Duration = Duration::from_secs(120);
+const DELETED_MACHINE_RETENTION: Duration = Duration::from_secs(120);
 
 /// Time between two looks at which machines lack a record or are to be released.
-const LOOK: Duration = Duration::from_millis(50);
+const SCAN_INTERVAL: Duration = Duration::from_millis(50);
 
 /// The record of a machine rented by this request.
 fn record_of(request: &RentRequest, partition: PartitionId) -> MachineRecord {
@@ -59,7 +59,7 @@
     list_at: Timestamp,
     listing: bool,
     plan_at: Timestamp,
-    looked_at: Timestamp,
+    scanned_at: Timestamp,
     requests: u64,
     retries: Vec<(Timestamp, RentRequest, PartitionId)>,
 }
@@ -84,7 +84,7 @@
             list_at: Timestamp::default(),
             listing: false,
             plan_at: Timestamp::default(),
-            looked_at: Timestamp::default(),
+            scanned_at: Timestamp::default(),
             requests: 0,
             retries: Vec::new(),
         }
@@ -100,7 +100,10 @@
         now: Timestamp,
     ) {
         // One that has just been released may still be in a late report or an old list.
-        let gone = self.deleting.get(name).is_some_and(|at| now.duration_since(*at) < GONE);
+        let gone = self
+            .deleting
+            .get(name)
+            .is_some_and(|at| now.duration_since(*at) < DELETED_MACHINE_RETENTION);
         if gone || self.unrecorded.contains_key(name) {
             return;
         }
@@ -129,19 +132,20 @@
 
 impl Controller {
     /// The node that leads now, as far as the mirror tells.
-    pub(super) fn leader_node(&self) -> Option<ControllerName> {
-        self.mirror.partitions.get(&FLEET_PLANNER_PARTITION).map(|p| p.record.holder.clone())
+    pub(super) fn fleet_planner_controller(&self) -> Option<ControllerName> {
+        self.cache.partitions.get(&FLEET_PLANNER_PARTITION).map(|p| p.record.leader.clone())
     }
 
-    pub(super) fn on_load(&mut self, load: PartitionStatus) {
+    pub(super) fn handle_partition_status(&mut self, load: PartitionStatus) {
         let partition = PartitionId(load.partition);
-        let newer = self.leader.loads.get(&partition).is_none_or(|(old, _)| old.term <= load.term);
+        let newer =
+            self.fleet_planner.loads.get(&partition).is_none_or(|(old, _)| old.term <= load.term);
         if newer {
-            let held = self.leader.held.entry(partition).or_insert((load.term, self.now));
+            let held = self.fleet_planner.held.entry(partition).or_insert((load.term, self.now));
             if held.0 != load.term {
                 *held = (load.term, self.now);
             }
-            self.leader.loads.insert(partition, (load, self.now));
+            self.fleet_planner.loads.insert(partition, (load, self.now));
         }
     }
 
@@ -149,7 +153,7 @@
     /// know nothing then, so none is shifted or returned.
     pub(super) fn demand_written(&mut self, partition: PartitionId, record: DemandRecord) {
         let DemandRecord { term, demand } = record;
-        self.on_load(PartitionStatus {
+        self.handle_partition_status(PartitionStatus {
             partition: partition.0,
             term,
             demand,
@@ -158,78 +162,80 @@
     }
 
     pub(super) fn types_changed(&mut self) {
-        let partitions: Vec<PartitionId> = self.holdings.keys().copied().collect();
+        let partitions: Vec<PartitionId> = self.leaderships.keys().copied().collect();
         for partition in partitions {
             let zones = self.zones_near(partition);
-            if let Some(share) = self.holdings.get_mut(&partition).and_then(|h| h.share_mut()) {
-                share.zones = zones;
-                if let Some(types) = &self.mirror.types {
-                    share.know_types(&types.record.types);
+            if let Some(partition_state) =
+                self.leaderships.get_mut(&partition).and_then(|h| h.partition_state_mut())
+            {
+                partition_state.zones = zones;
+                if let Some(types) = &self.cache.types {
+                    partition_state.set_machine_types(&types.record.types);
                 }
             }
         }
         // Machines whose type was unknown until now can be taken into their shares.
-        let names: Vec<MachineName> = self.mirror.machines.keys().cloned().collect();
+        let names: Vec<MachineName> = self.cache.machines.keys().cloned().collect();
         for name in names {
             self.machine_changed(&name);
         }
     }
 
-    pub(super) fn step_leader(&mut self) {
-        let leads = self
-            .holdings
+    pub(super) fn run_fleet_planner(&mut self) {
+        let is_fleet_planner = self
+            .leaderships
             .get(&FLEET_PLANNER_PARTITION)
-            .is_some_and(|h| h.share().is_some() && !h.is_yielding());
+            .is_some_and(|h| h.partition_state().is_some() && !h.is_transferring());
         // Every node may ask for the types while nobody knows them.
-        if self.synced && (leads || self.mirror.types.is_none()) {
-            self.ask_types();
+        if self.synced && (is_fleet_planner || self.cache.types.is_none()) {
+            self.request_machine_types();
         }
-        if !leads || !self.in_contact(super::LAUNCH_CONTACT) {
+        if !is_fleet_planner || !self.has_recent_state_read(super::MAX_LAUNCH_READ_AGE) {
             return;
         }
-        if self.now.duration_since(self.leader.looked_at) >= LOOK {
-            self.leader.looked_at = self.now;
+        if self.now.duration_since(self.fleet_planner.scanned_at) >= SCAN_INTERVAL {
+            self.fleet_planner.scanned_at = self.now;
             self.record_machines();
             self.release_leaving();
         }
-        if self.now.duration_since(self.leader.list_at) >= Duration::from_secs(4)
-            && !self.leader.listing
-            && self.leader.calls.take(self.now, 1.0, 1.0)
+        if self.now.duration_since(self.fleet_planner.list_at) >= Duration::from_secs(4)
+            && !self.fleet_planner.listing
+            && self.fleet_planner.calls.take(self.now, 1.0, 1.0)
         {
-            self.leader.list_at = self.now;
-            self.leader.listing = true;
+            self.fleet_planner.list_at = self.now;
+            self.fleet_planner.listing = true;
             let request = CloudRequest::List { after: String::new(), limit: 500 };
             self.cloud(request, CallKind::CloudList { gathered: Vec::new() });
         }
         let now = self.now;
-        let due: Vec<_> = self.leader.retries.extract_if(.., |r| r.0 <= now).collect();
+        let due: Vec<_> = self.fleet_planner.retries.extract_if(.., |r| r.0 <= now).collect();
         for (_, request, partition) in due {
             self.rent(request, partition);
         }
-        if self.now.duration_since(self.leader.plan_at) >= Duration::from_millis(500) {
-            self.leader.plan_at = self.now;
+        if self.now.duration_since(self.fleet_planner.plan_at) >= Duration::from_millis(500) {
+            self.fleet_planner.plan_at = self.now;
             self.plan_fleet();
         }
     }
 
-    fn ask_types(&mut self) {
-        let pause = if self.mirror.types.is_none() {
+    fn request_machine_types(&mut self) {
+        let pause = if self.cache.types.is_none() {
             Duration::from_millis(400)
         } else {
             Duration::from_secs(60)
         };
-        let due = self.leader.types_at.is_none_or(|at| self.now.duration_since(at) >= pause);
-        if due && self.leader.calls.take(self.now, 1.0, 0.0) {
-            self.leader.types_at = Some(self.now);
+        let due = self.fleet_planner.types_at.is_none_or(|at| self.now.duration_since(at) >= pause);
+        if due && self.fleet_planner.calls.take(self.now, 1.0, 0.0) {
+            self.fleet_planner.types_at = Some(self.now);
             self.cloud(CloudRequest::Types, CallKind::Types);
         }
     }
 
     /// Wants records for machines that have none.
     fn record_machines(&mut self) {
-        let known = &self.mirror.machines;
-        self.leader.unrecorded.retain(|name, _| !known.contains_key(name));
-        for (name, record) in &self.leader.unrecorded {
+        let known = &self.cache.machines;
+        self.fleet_planner.unrecorded.retain(|name, _| !known.contains_key(name));
+        for (name, record) in &self.fleet_planner.unrecorded {
             self.machine_changes.want(name, MachineChange::Create(record.clone()));
         }
     }
@@ -238,14 +244,14 @@
     fn release_leaving(&mut self) {
         let now = self.now;
         let names: Vec<MachineName> = self
-            .mirror
+            .cache
             .machines
             .iter()
             .filter(|(name, m)| {
                 m.record.leaving
                     && !self.machine_changes.concern(name)
                     && self
-                        .leader
+                        .fleet_planner
                         .releasing
                         .get(*name)
                         .is_none_or(|at| now.duration_since(*at) >= Duration::from_secs(5))
@@ -253,28 +259,28 @@
             .map(|(name, _)| name.clone())
             .take(100)
             .collect();
-        if names.is_empty() || !self.leader.calls.take(now, 1.0, 0.0) {
+        if names.is_empty() || !self.fleet_planner.calls.take(now, 1.0, 0.0) {
             return;
         }
         for name in &names {
-            self.leader.releasing.insert(name.clone(), now);
+            self.fleet_planner.releasing.insert(name.clone(), now);
         }
         let request = CloudRequest::Release(names.iter().map(|n| n.to_string()).collect());
         self.cloud(request, CallKind::Release(names));
     }
 
     fn delete_record(&mut self, name: MachineName) {
-        self.leader.deleting.insert(name.clone(), self.now);
+        self.fleet_planner.deleting.insert(name.clone(), self.now);
         self.machine_changes.want(&name, MachineChange::Delete);
     }
 
     fn rent(&mut self, request: RentRequest, partition: PartitionId) {
         let purpose = CallKind::Rent { request: request.clone(), partition };
         let call = self.cloud(CloudRequest::Rent(request.clone()), purpose);
-        self.leader.renting.insert(call, (request, partition));
+        self.fleet_planner.renting.insert(call, (request, partition));
     }
 
-    pub(super) fn on_cloud(&mut self, call: CallId, reply: CloudReply) {
+    pub(super) fn handle_cloud_reply(&mut self, call: CallId, reply: CloudReply) {
         let Some(purpose) = self.calls.remove(&call) else {
             self.counters.rejections.add(MessageSource::Cloud, MessageFault::Stale);
             return;
@@ -289,8 +295,8 @@
                 }
             }
             CallKind::Rent { request, partition } => {
-                self.leader.renting.remove(&call);
-                self.on_rented(request, partition, reply);
+                self.fleet_planner.renting.remove(&call);
+                self.handle_rental_reply(request, partition, reply);
             }
             CallKind::Release(names) => {
                 for name in names {
@@ -299,12 +305,12 @@
                         _ => {
                             let at =
                                 Timestamp::from_millis(self.now.as_millis().saturating_sub(4_000));
-                            self.leader.releasing.insert(name, at);
+                            self.fleet_planner.releasing.insert(name, at);
                         }
                     }
                 }
             }
-            CallKind::CloudList { gathered } => self.on_cloud_list(gathered, reply),
+            CallKind::CloudList { gathered } => self.handle_machine_list(gathered, reply),
             _ => {}
         }
     }
@@ -317,19 +323,24 @@
             }
             list
         };
-        let known = self.mirror.types.as_ref().map(|t| shape(&t.record));
+        let known = self.cache.types.as_ref().map(|t| shape(&t.record));
         let changed = known.as_ref() != Some(&shape(&types));
-        self.leader.prices = Some(types.clone());
-        if changed && !self.leader.types_pending {
-            self.leader.types_pending = true;
-            let version = self.mirror.types.as_ref().map_or(0, |t| t.version.0);
+        self.fleet_planner.prices = Some(types.clone());
+        if changed && !self.fleet_planner.types_pending {
+            self.fleet_planner.types_pending = true;
+            let version = self.cache.types.as_ref().map_or(0, |t| t.version.0);
             let value = serde_json::to_value(types).unwrap_or_default();
             let txn = Transaction::default().when(TYPES, version).write(Write::put(TYPES, value));
             self.state(CallPriority::Lease, StateRequest::Transaction(txn), CallKind::TypesWrite);
         }
     }
 
-    fn on_rented(&mut self, request: RentRequest, partition: PartitionId, reply: CloudReply) {
+    fn handle_rental_reply(
+        &mut self,
+        request: RentRequest,
+        partition: PartitionId,
+        reply: CloudReply,
+    ) {
         let offer = Offer {
             machine_type: request.machine_type.clone(),
             zone: ZoneName::from(request.zone.as_str()),
@@ -338,7 +349,7 @@
         match reply {
             CloudReply::Rented(names) => {
                 if (names.len() as u32) < request.count {
-                    self.leader.refused.insert(offer, self.now + REFUSED);
+                    self.fleet_planner.refused.insert(offer, self.now + REFUSED_OFFER_PAUSE);
                 }
                 tracing::info!(
                     machine_type = request.machine_type,
@@ -351,28 +362,28 @@
                 );
                 for name in names {
                     let name = MachineName::from(name.as_str());
-                    self.leader.first_seen.insert(name.clone(), (partition, self.now));
+                    self.fleet_planner.first_seen.insert(name.clone(), (partition, self.now));
                     let record = record_of(&request, partition);
-                    self.leader.unrecorded.insert(name, record);
+                    self.fleet_planner.unrecorded.insert(name, record);
                 }
             }
             CloudReply::NoCapacity => {
-                self.leader.refused.insert(offer, self.now + REFUSED);
+                self.fleet_planner.refused.insert(offer, self.now + REFUSED_OFFER_PAUSE);
             }
             // Its answer is lost: the same name asks for the same machines.
             CloudReply::Unknown => {
                 let at = self.now + Duration::from_millis(500);
-                self.leader.retries.push((at, request, partition));
+                self.fleet_planner.retries.push((at, request, partition));
             }
             _ => {
-                self.leader.refused.insert(offer, self.now + Duration::from_millis(1_500));
+                self.fleet_planner.refused.insert(offer, self.now + Duration::from_millis(1_500));
             }
         }
     }
 
-    fn on_cloud_list(&mut self, mut gathered: Vec<ListedMachine>, reply: CloudReply) {
+    fn handle_machine_list(&mut self, mut gathered: Vec<ListedMachine>, reply: CloudReply) {
         let CloudReply::List(list) = reply else {
-            self.leader.listing = false;
+            self.fleet_planner.listing = false;
             return;
         };
         let before = gathered.last().map(|m| m.id.as_str());
@@ -380,7 +391,7 @@
         if list.more && (after.is_none() || after.as_deref() == before) {
             // It would be asked for again and again; what it lacks must not count as gone.
             self.counters.rejections.add(MessageSource::Cloud, MessageFault::Malformed);
-            self.leader.listing = false;
+            self.fleet_planner.listing = false;
             return;
         }
         gathered.extend(list.machines);
@@ -388,38 +399,50 @@
             self.cloud(CloudRequest::List { after, limit: 500 }, CallKind::CloudList { gathered });
             return;
         }
-        self.leader.listing = false;
+        self.fleet_planner.listing = false;
         let now = self.now;
         for machine in gathered {
             let name = MachineName::from(machine.id.as_str());
-            if !self.mirror.machines.contains_key(&name) {
-                self.leader.found(&name, &machine.machine_type, &machine.zone, machine.spot, now);
+            if !self.cache.machines.contains_key(&name) {
+                self.fleet_planner.found(
+                    &name,
+                    &machine.machine_type,
+                    &machine.zone,
+                    machine.spot,
+                    now,
+                );
             }
-            self.leader.listed.insert(name, (machine, now));
+            self.fleet_planner.listed.insert(name, (machine, now));
         }
-        self.leader.listed.retain(|_, (_, at)| now.duration_since(*at) < Duration::from_secs(120));
-        self.leader.deleting.retain(|_, at| now.duration_since(*at) < GONE);
+        self.fleet_planner
+            .listed
+            .retain(|_, (_, at)| now.duration_since(*at) < Duration::from_secs(120));
+        self.fleet_planner
+            .deleting
+            .retain(|_, at| now.duration_since(*at) < DELETED_MACHINE_RETENTION);
     }
 
     /// The fleet as the leader knows it.
     fn fleet(&mut self) -> Vec<FleetMachine> {
         let now = self.now;
         let mut machines = Vec::new();
-        for (name, record) in &self.mirror.machines {
+        for (name, record) in &self.cache.machines {
             let r = &record.record;
-            let seen = self.leader.first_seen.entry(name.clone()).or_insert((r.partition, now));
+            let seen =
+                self.fleet_planner.first_seen.entry(name.clone()).or_insert((r.partition, now));
             if seen.0 != r.partition {
                 *seen = (r.partition, now);
             }
-            let (there, held) = (seen.1, self.leader.held.get(&r.partition).map(|held| held.1));
+            let (there, held) =
+                (seen.1, self.fleet_planner.held.get(&r.partition).map(|held| held.1));
             let observable_for = now.duration_since(held.map_or(there, |held| held.max(there)));
-            let load = self.leader.loads.get(&r.partition).and_then(|(load, at)| {
+            let load = self.fleet_planner.loads.get(&r.partition).and_then(|(load, at)| {
                 let fresh = now.duration_since(*at) <= Duration::from_millis(2_500);
                 // A holder tells of its machines in the order of their names.
                 let at = load.machines.binary_search_by(|m| m.machine.as_str().cmp(name.as_str()));
                 at.ok().map(|at| (&load.machines[at], fresh))
             });
-            let listed = self.leader.listed.get(name).map(|(m, _)| m);
+            let listed = self.fleet_planner.listed.get(name).map(|(m, _)| m);
             let age = listed.map_or(Duration::ZERO, |m| duration_from_secs(m.age_s));
             machines.push(FleetMachine {
                 name: name.clone(),
@@ -430,29 +453,30 @@
                 reporting: load.is_some_and(|(m, _)| m.up),
                 tasks: load.map_or(0, |(m, _)| m.tasks),
                 idle_for: load.map_or(Duration::ZERO, |(m, _)| Duration::from_millis(m.idle_ms)),
-                faulty: load.is_some_and(|(m, _)| m.faulty),
+                quarantined: load.is_some_and(|(m, _)| m.quarantined),
                 leaving: r.leaving,
                 age: age.max(now.duration_since(there)),
                 observable_for,
-                silent_for: load
-                    .map_or(Duration::ZERO, |(m, _)| Duration::from_millis(m.silent_ms)),
+                since_heartbeat: load
+                    .map_or(Duration::ZERO, |(m, _)| Duration::from_millis(m.since_heartbeat_ms)),
                 failed: listed.is_some_and(|m| m.state == MachineState::Failed),
                 view_is_fresh: load.is_some_and(|(_, fresh)| fresh),
-                transferable: load.is_some_and(|(m, _)| m.cedable),
+                transferable: load.is_some_and(|(m, _)| m.transferable),
                 best_effort: load.is_some_and(|(m, _)| m.best_effort),
-                transfer_to: load.and_then(|(m, _)| m.ceding).map(PartitionId),
+                transfer_to: load.and_then(|(m, _)| m.transfer_to).map(PartitionId),
             });
         }
         let mut pending: Vec<(String, MachineRecord)> = self
-            .leader
+            .fleet_planner
             .unrecorded
             .iter()
-            .filter(|(name, _)| !self.mirror.machines.contains_key(*name))
+            .filter(|(name, _)| !self.cache.machines.contains_key(*name))
             .map(|(name, record)| (name.to_string(), record.clone()))
             .collect();
         // Machines that are being asked for count as coming.
-        let retries = self.leader.retries.iter().map(|r| (&r.1, r.2));
-        let asked = self.leader.renting.values().map(|(request, p)| (request, *p)).chain(retries);
+        let retries = self.fleet_planner.retries.iter().map(|r| (&r.1, r.2));
+        let asked =
+            self.fleet_planner.renting.values().map(|(request, p)| (request, *p)).chain(retries);
         for (request, partition) in asked {
             for n in 0..request.count {
                 let record = record_of(request, partition);
@@ -469,11 +493,11 @@
                 reporting: false,
                 tasks: 0,
                 idle_for: Duration::ZERO,
-                faulty: false,
+                quarantined: false,
                 leaving: false,
                 age: Duration::ZERO,
                 observable_for: Duration::ZERO,
-                silent_for: Duration::ZERO,
+                since_heartbeat: Duration::ZERO,
                 failed: false,
                 view_is_fresh: false,
                 transferable: false,
@@ -487,10 +511,10 @@
     fn plan_fleet(&mut self) {
         let now = self.now;
         let Some(types) = self
-            .leader
+            .fleet_planner
             .prices
             .clone()
-            .or_else(|| self.mirror.types.as_ref().map(|t| t.record.clone()))
+            .or_else(|| self.cache.types.as_ref().map(|t| t.record.clone()))
         else {
             return;
         };
@@ -498,7 +522,7 @@
         let mut needs = Vec::new();
         for number in 0..self.partition_count() {
             let partition = PartitionId(number);
-            let Some((load, at)) = self.leader.loads.get(&partition) else { continue };
+            let Some((load, at)) = self.fleet_planner.loads.get(&partition) else { continue };
             if now.duration_since(*at) > Duration::from_millis(2_500) {
                 continue;
             }
@@ -508,21 +532,26 @@
                 .map_or_else(|| self.settings.zone.clone(), |(_, zone)| zone.clone());
             needs.push(PartitionNeed { partition, home_zone, demand: load.demand.clone() });
         }
-        self.leader.refused.retain(|_, until| *until > now);
+        self.fleet_planner.refused.retain(|_, until| *until > now);
         let refused: HashMap<Offer, u32> =
-            self.leader.refused.keys().map(|offer| (offer.clone(), 0)).collect();
+            self.fleet_planner.refused.keys().map(|offer| (offer.clone(), 0)).collect();
         let actions =
             autoscaler::plan(&self.tuning.fleet, &types.types, &machines, &needs, &refused);
         for action in actions {
             match action {
                 FleetAction::Rent { machine_type, zone, spot, count, partition } => {
-                    if !self.leader.calls.take(now, 1.0, 0.0) {
+                    if !self.fleet_planner.calls.take(now, 1.0, 0.0) {
                         continue;
                     }
-                    self.leader.requests += 1;
+                    self.fleet_planner.requests += 1;
                     // The incarnation is random, so the name is never used again.
                     let request = RentRequest {
-                        request: format!("{}-{:x}-{}", self.me(), self.boot, self.leader.requests),
+                        request: format!(
+                            "{}-{:x}-{}",
+                            self.own_name(),
+                            self.incarnation,
+                            self.fleet_planner.requests
+                        ),
                         machine_type,
                         zone: zone.to_string(),
                         spot,
@@ -530,49 +559,56 @@
                     };
                     self.rent(request, partition);
                 }
-                FleetAction::TransferIdle { machine, to } => self.ask_release(&machine, Some(to.0)),
-                FleetAction::Return { machine } => self.ask_release(&machine, None),
+                FleetAction::TransferIdle { machine, to } => {
+                    self.request_release(&machine, Some(to.0))
+                }
+                FleetAction::Return { machine } => self.request_release(&machine, None),
                 FleetAction::TransferWhenEmpty { from, to, shape, count } => {
-                    self.ask_cede(MeshMessage::Cede { from: from.0, to: to.0, count, shape });
+                    self.request_transfer(MeshMessage::TransferMachines {
+                        from: from.0,
+                        to: to.0,
+                        count,
+                        shape,
+                    });
                 }
             }
         }
     }
 
-    fn ask_release(&mut self, machine: &MachineName, to: Option<u32>) {
+    fn request_release(&mut self, machine: &MachineName, to: Option<u32>) {
         let now = self.now;
         if self
-            .leader
+            .fleet_planner
             .asked
             .get(machine)
             .is_some_and(|at| now.duration_since(*at) < Duration::from_secs(2))
         {
             return;
         }
-        self.leader.asked.insert(machine.clone(), now);
-        let Some(record) = self.mirror.machines.get(machine) else { return };
-        let Some(holder) =
-            self.mirror.partitions.get(&record.record.partition).map(|p| p.record.holder.clone())
+        self.fleet_planner.asked.insert(machine.clone(), now);
+        let Some(record) = self.cache.machines.get(machine) else { return };
+        let Some(leader) =
+            self.cache.partitions.get(&record.record.partition).map(|p| p.record.leader.clone())
         else {
             return;
         };
         tracing::info!(%machine, ?to, "releasing an idle machine");
-        if holder == *self.me() {
-            self.on_release_asked(machine.as_str(), to);
+        if leader == *self.own_name() {
+            self.handle_release_request(machine.as_str(), to);
         } else {
-            self.mesh(&holder, MeshMessage::Release { machine: machine.to_string(), to });
+            self.mesh(&leader, MeshMessage::ReleaseMachine { machine: machine.to_string(), to });
         }
     }
 
     /// Asks a holder to hand over machines that are not empty yet.
-    fn ask_cede(&mut self, message: MeshMessage) {
-        let MeshMessage::Cede { from, .. } = &message else { return };
-        let record = self.mirror.partitions.get(&PartitionId(*from));
-        let Some(holder) = record.map(|p| p.record.holder.clone()) else { return };
-        if holder == *self.me() {
-            self.on_cede_asked(&message);
+    fn request_transfer(&mut self, message: MeshMessage) {
+        let MeshMessage::TransferMachines { from, .. } = &message else { return };
+        let record = self.cache.partitions.get(&PartitionId(*from));
+        let Some(leader) = record.map(|p| p.record.leader.clone()) else { return };
+        if leader == *self.own_name() {
+            self.handle_transfer_request(&message);
         } else {
-            self.mesh(&holder, message);
+            self.mesh(&leader, message);
         }
     }
 }
--- a/crates/controller/src/controller/heartbeat_checks.rs
+++ b/crates/controller/src/controller/heartbeat_checks.rs
@@ -4,7 +4,7 @@
 use wire::workers::Heartbeat;
 
 /// Longest name of a machine, a type or a zone, and longest address.
-const LONGEST_NAME: usize = 255;
+const MAX_NAME_LENGTH: usize = 255;
 
 /// Why a report proves nothing.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -20,7 +20,7 @@
 /// Checks what a report must hold for its list of tasks to be complete and its address to be used.
 pub(super) fn check_report(report: &Heartbeat) -> Result<(), HeartbeatFault> {
     let names = [&report.machine, &report.machine_type, &report.zone];
-    if names.iter().any(|name| name.is_empty() || name.len() > LONGEST_NAME) {
+    if names.iter().any(|name| name.is_empty() || name.len() > MAX_NAME_LENGTH) {
         return Err(HeartbeatFault::Name);
     }
     if !is_address(&report.address) {
@@ -44,5 +44,5 @@
 /// Whether the text can be the authority of a URL, and nothing besides.
 fn is_address(text: &str) -> bool {
     let allowed = |byte: u8| byte.is_ascii_alphanumeric() || b".:-_[]%".contains(&byte);
-    !text.is_empty() && text.len() <= LONGEST_NAME && text.bytes().all(allowed)
+    !text.is_empty() && text.len() <= MAX_NAME_LENGTH && text.bytes().all(allowed)
 }
--- a/crates/controller/src/controller/heartbeats.rs
+++ b/crates/controller/src/controller/heartbeats.rs
@@ -2,7 +2,9 @@
 
 use super::heartbeat_checks::{check_answer, check_report, HeartbeatFault};
 use super::leadership::HeartbeatOutcome;
-use super::{CallKind, Controller, DirectReply, Effect, HeartbeatReply, Ticket, LAUNCH_CONTACT};
+use super::{
+    CallKind, Controller, DirectReply, Effect, HeartbeatReply, Ticket, MAX_LAUNCH_READ_AGE,
+};
 use crate::rejections::{MessageFault, MessageSource};
 use crate::state_cache::StateCache;
 use model::{CallId, FencingToken, MachineName, PartitionId, TaskId, WorkerEpoch};
@@ -14,9 +16,9 @@
 pub(super) const WORKER_TIMEOUT: Duration = Duration::from_millis(2_500);
 
 impl Controller {
-    pub(super) fn on_report(&mut self, ticket: Ticket, report: Heartbeat) {
+    pub(super) fn handle_heartbeat(&mut self, ticket: Ticket, report: Heartbeat) {
         let reply = match check_report(&report) {
-            Ok(()) => self.report_reply(&report),
+            Ok(()) => self.heartbeat_reply(&report),
             Err(fault) => {
                 tracing::warn!(machine = report.machine, ?fault, "a report is rejected");
                 self.counters.rejections.add(MessageSource::Worker, MessageFault::Malformed);
@@ -32,40 +34,41 @@
         self.effects.push(Effect::Heartbeat { ticket, reply });
     }
 
-    fn report_reply(&mut self, report: &Heartbeat) -> HeartbeatReply {
+    fn heartbeat_reply(&mut self, report: &Heartbeat) -> HeartbeatReply {
         let name = MachineName::from(report.machine.as_str());
-        let Some(record) = self.mirror.machines.get(&name) else {
-            return self.report_of_unknown(&name, report);
+        let Some(record) = self.cache.machines.get(&name) else {
+            return self.handle_unregistered_heartbeat(&name, report);
         };
         let partition = record.record.partition;
         let recorded = FencingToken(record.record.token);
         // Without a confirmed read of changes within the span that `cancel_s` leaves, nobody
         // may keep a worker's lease alive: a cancelled task could live on.
-        let entitled = self.in_contact(self.settings.blind_span());
-        let launches = self.in_contact(self.launch_span());
-        let Some(holding) = self.holdings.get_mut(&partition) else {
-            let holder = self.mirror.partitions.get(&partition).map(|p| p.record.holder.clone());
-            return match holder {
-                Some(holder) if holder != self.settings.name => {
+        let entitled = self.has_recent_state_read(self.settings.lease_validity());
+        let launches = self.has_recent_state_read(self.launch_validity());
+        let Some(leadership) = self.leaderships.get_mut(&partition) else {
+            let leader = self.cache.partitions.get(&partition).map(|p| p.record.leader.clone());
+            return match leader {
+                Some(leader) if leader != self.settings.name => {
                     self.record_worker_contact(partition, &name);
-                    HeartbeatReply::Redirect(Some(holder))
+                    HeartbeatReply::Redirect(Some(leader))
                 }
                 _ => HeartbeatReply::Unavailable,
             };
         };
-        if let Some(successor) = holding.successor() {
+        if let Some(successor) = leadership.successor() {
             return HeartbeatReply::Redirect(Some(successor.clone()));
         }
-        if !entitled || holding.is_yielding() {
+        if !entitled || leadership.is_transferring() {
             return HeartbeatReply::Unavailable;
         }
-        let token = holding.token().max(recorded);
+        let token = leadership.token().max(recorded);
         if FencingToken(report.token) > token {
             // Someone with a newer right has spoken to it.
             return HeartbeatReply::Redirect(None);
         }
-        let halts = || halts_of_cancelled(&self.mirror, report);
-        let commands = match holding.answer_report(&name, report, token, launches, halts, self.now)
+        let halts = || halts_of_cancelled(&self.cache, report);
+        let commands = match leadership
+            .handle_heartbeat(&name, report, token, launches, halts, self.now)
         {
             HeartbeatOutcome::Answered(commands) => commands,
             HeartbeatOutcome::Stale(commands) => {
@@ -82,44 +85,57 @@
     }
 
     /// For how long workers may be answered if no further read of changes succeeds.
-    pub(super) fn answers_left(&self) -> Duration {
-        let until = self.contact_at.map(|at| at + self.settings.blind_span());
+    pub(super) fn remaining_lease_validity(&self) -> Duration {
+        let until = self.last_state_read_at.map(|at| at + self.settings.lease_validity());
         until.unwrap_or_default().duration_since(self.now)
     }
 
     /// How old a read of changes may be for launches: within the span in which a successor counts us as
     /// one who may still answer, since it waits for no launch that is sent later.
-    fn launch_span(&self) -> Duration {
-        LAUNCH_CONTACT.min(self.settings.blind_span())
+    fn launch_validity(&self) -> Duration {
+        MAX_LAUNCH_READ_AGE.min(self.settings.lease_validity())
     }
 
     /// A machine without a record: the leader takes it in.
-    fn report_of_unknown(&mut self, name: &MachineName, report: &Heartbeat) -> HeartbeatReply {
-        match self.leader_node() {
-            Some(leader) if leader == *self.me() => {
-                self.leader.found(name, &report.machine_type, &report.zone, report.spot, self.now);
+    fn handle_unregistered_heartbeat(
+        &mut self,
+        name: &MachineName,
+        report: &Heartbeat,
+    ) -> HeartbeatReply {
+        match self.fleet_planner_controller() {
+            Some(fleet_planner) if fleet_planner == *self.own_name() => {
+                self.fleet_planner.found(
+                    name,
+                    &report.machine_type,
+                    &report.zone,
+                    report.spot,
+                    self.now,
+                );
                 HeartbeatReply::Unavailable
             }
-            Some(leader) => HeartbeatReply::Redirect(Some(leader)),
+            Some(fleet_planner) => HeartbeatReply::Redirect(Some(fleet_planner)),
             None => HeartbeatReply::Unavailable,
         }
     }
 
     /// Sends commands straight to machines for which something has become urgent.
     pub(super) fn send_direct(&mut self, partition: PartitionId) {
-        if !self.in_contact(self.launch_span()) {
+        if !self.has_recent_state_read(self.launch_validity()) {
             return;
         }
         let now = self.now;
-        let Some(holding) = self.holdings.get_mut(&partition) else { return };
-        if holding.is_yielding() || holding.successor().is_some() {
+        let Some(leadership) = self.leaderships.get_mut(&partition) else { return };
+        if leadership.is_transferring() || leadership.successor().is_some() {
             return;
         }
         let mut calls = Vec::new();
-        if let Some(share) = holding.share_mut() {
-            for name in share.take_urgent() {
-                let Some((address, token, session)) = share.direct_terms(&name) else { continue };
-                let commands = share.commands_for(&name, CommandRoute::Direct, now);
+        if let Some(partition_state) = leadership.partition_state_mut() {
+            for name in partition_state.take_urgent_machines() {
+                let Some((address, token, session)) = partition_state.direct_call_target(&name)
+                else {
+                    continue;
+                };
+                let commands = partition_state.commands_for(&name, CommandRoute::Direct, now);
                 if !commands.is_empty() {
                     calls.push((name, address, token, session, commands));
                 }
@@ -143,7 +159,7 @@
 
     /// Asks a worker for a report. Nothing is executed, since there are no commands; a token that is
     /// not 0 is raised where the session is the one named.
-    pub(super) fn ask_worker(
+    pub(super) fn send_probe(
         &mut self,
         address: String,
         token: FencingToken,
@@ -157,16 +173,22 @@
     }
 
     /// A machine was asked whether it is there.
-    fn on_asked(&mut self, partition: PartitionId, machine: &MachineName, reply: DirectReply) {
+    fn handle_probe_reply(
+        &mut self,
+        partition: PartitionId,
+        machine: &MachineName,
+        reply: DirectReply,
+    ) {
         let now = self.now;
-        let share = self.holdings.get_mut(&partition).and_then(|h| h.share_mut());
-        let Some(share) = share else { return };
+        let partition_state =
+            self.leaderships.get_mut(&partition).and_then(|h| h.partition_state_mut());
+        let Some(partition_state) = partition_state else { return };
         match reply {
             DirectReply::Answered(report) => {
-                share.was_asked(machine, true, now);
-                share.observe(&report, StatusSource::Direct, now);
+                partition_state.record_probe_result(machine, true, now);
+                partition_state.reconcile(&report, StatusSource::Direct, now);
             }
-            DirectReply::Unknown => share.was_asked(machine, false, now),
+            DirectReply::Unknown => partition_state.record_probe_result(machine, false, now),
         }
     }
 
@@ -184,26 +206,29 @@
         DirectReply::Unknown
     }
 
-    pub(super) fn on_direct(&mut self, call: CallId, reply: DirectReply) {
+    pub(super) fn handle_worker_reply(&mut self, call: CallId, reply: DirectReply) {
         match self.calls.remove(&call) {
             Some(CallKind::Direct { partition, machine, launches }) => {
                 let reply = self.checked_answer(&machine, reply);
-                self.on_commanded(partition, &machine, &launches, reply);
+                self.handle_command_reply(partition, &machine, &launches, reply);
             }
             Some(CallKind::Probe { partition, machine }) => {
                 let reply = self.checked_answer(&machine, reply);
-                self.on_probed(partition, matches!(reply, DirectReply::Answered(_)));
+                self.handle_reachability_reply(
+                    partition,
+                    matches!(reply, DirectReply::Answered(_)),
+                );
             }
             Some(CallKind::Ask { partition, machine }) => {
                 let reply = self.checked_answer(&machine, reply);
-                self.on_asked(partition, &machine, reply);
+                self.handle_probe_reply(partition, &machine, reply);
             }
             _ => self.counters.rejections.add(MessageSource::Worker, MessageFault::Stale),
         }
     }
 
     /// What came of commands that were sent straight to a machine.
-    fn on_commanded(
+    fn handle_command_reply(
         &mut self,
         partition: PartitionId,
         machine: &MachineName,
@@ -211,14 +236,16 @@
         reply: DirectReply,
     ) {
         let now = self.now;
-        let Some(share) = self.holdings.get_mut(&partition).and_then(|h| h.share_mut()) else {
+        let Some(partition_state) =
+            self.leaderships.get_mut(&partition).and_then(|h| h.partition_state_mut())
+        else {
             return;
         };
         match reply {
-            DirectReply::Unknown => share.was_unanswered(machine, now),
+            DirectReply::Unknown => partition_state.record_unanswered_commands(machine, now),
             DirectReply::Answered(report) => {
-                share.direct_answered(machine, launches);
-                share.observe(&report, StatusSource::Direct, now);
+                partition_state.record_direct_response(machine, launches);
+                partition_state.reconcile(&report, StatusSource::Direct, now);
             }
         }
     }
@@ -228,10 +255,10 @@
 /// lease up for a whole length after the contact by which it answers, and has to know for each cancelled
 /// task that it ends; who has not read its ledger knows of them by the report. The halt shares the fate of
 /// the answer: where one is lost, so is the other.
-fn halts_of_cancelled(mirror: &StateCache, report: &Heartbeat) -> Vec<Command> {
+fn halts_of_cancelled(cache: &StateCache, report: &Heartbeat) -> Vec<Command> {
     let halt = |entry: &TaskStatus| {
         let task = TaskId::parse(&entry.task)?;
-        let there = entry.state != TaskState::Exited && mirror.is_cancelled(task.job);
+        let there = entry.state != TaskState::Exited && cache.is_cancelled(task.job);
         let (task, attempt) = (entry.task.clone(), entry.attempt);
         there.then_some(Command::Stop { task, attempt, grace_s: 0.0 })
     };
--- a/crates/controller/src/controller/job_archiver.rs
+++ b/crates/controller/src/controller/job_archiver.rs
@@ -8,7 +8,8 @@
 
 use super::{CallKind, Controller};
 use crate::records::{
-    cancels_key, ends_key, final_key, page_room, partition_key, FinalRecord, TerminalJobsPage,
+    cancellations_key, final_key, page_capacity, partition_key, terminal_jobs_key, FinalRecord,
+    TerminalJobsPage,
 };
 use crate::request_budget::CallPriority;
 use crate::serial_writer::{Outcome, SerialWriter};
@@ -19,7 +20,7 @@
 use wire::state::{StateReply, StateRequest, Transaction, Write};
 
 /// Least time between two writes of ends, so that several go together.
-const GAP: Duration = Duration::from_millis(150);
+const WRITE_INTERVAL: Duration = Duration::from_millis(150);
 
 /// Ends of a partition's jobs on their way.
 #[derive(Debug, Default)]
@@ -29,28 +30,31 @@
 }
 
 impl Controller {
-    pub(super) fn step_ends(&mut self, partition: PartitionId) {
-        let (now, revision) = (self.now, self.mirror.revision);
+    pub(super) fn archive_terminal_jobs(&mut self, partition: PartitionId) {
+        let (now, revision) = (self.now, self.cache.revision);
         let budget = self.may_write(CallPriority::Accept, 1.0);
         let most = self.settings.state_limits.txn_ops - 1;
         let room = self.page_entries();
         let spare = self.may_write(CallPriority::Rest, most as f64 + 1.0);
-        let Some(holding) = self.holdings.get_mut(&partition) else { return };
-        let (version, term) = (holding.version(), holding.term().0);
-        let Some((share, ending)) = holding.share_and_ending() else { return };
-        ending.jobs.extend(share.take_finished());
-        if !budget || !ending.pipe.ready(now, revision) {
+        let Some(leadership) = self.leaderships.get_mut(&partition) else { return };
+        let (version, term) = (leadership.version(), leadership.term().0);
+        let Some((partition_state, archiver)) = leadership.partition_state_and_archiver() else {
+            return;
+        };
+        archiver.jobs.extend(partition_state.take_finished());
+        if !budget || !archiver.pipe.ready(now, revision) {
             return;
         }
-        ending.jobs.retain(|id| self.mirror.jobs.contains_key(id));
+        archiver.jobs.retain(|id| self.cache.jobs.contains_key(id));
         // One that is over by another node's word that it is cancelled waits for the record of that.
-        let all_done = |id: &JobId| share.jobs.get(id).is_some_and(scheduler::Job::all_done);
-        let recorded = |id: &&JobId| self.mirror.is_cancelled(**id) || all_done(id);
-        let over: BTreeSet<JobId> = ending.jobs.iter().filter(recorded).copied().collect();
+        let all_done =
+            |id: &JobId| partition_state.jobs.get(id).is_some_and(scheduler::Job::all_done);
+        let recorded = |id: &&JobId| self.cache.is_cancelled(**id) || all_done(id);
+        let over: BTreeSet<JobId> = archiver.jobs.iter().filter(recorded).copied().collect();
         let txn = if !over.is_empty() {
-            write_ends(&self.mirror, &self.nodes, partition, &over, room)
+            write_ends(&self.cache, &self.nodes, partition, &over, room)
         } else if spare {
-            match file_ends(&self.mirror, partition, most) {
+            match file_ends(&self.cache, partition, most) {
                 Some(txn) => txn,
                 None => return,
             }
@@ -58,26 +62,31 @@
             return;
         };
         let txn = txn.when(partition_key(partition), version.0);
-        let Some(holding) = self.holdings.get_mut(&partition) else { return };
-        let Some((_, ending)) = holding.share_and_ending() else { return };
-        ending.pipe.send((), txn.clone(), now, GAP);
+        let Some(leadership) = self.leaderships.get_mut(&partition) else { return };
+        let Some((_, archiver)) = leadership.partition_state_and_archiver() else { return };
+        archiver.pipe.send((), txn.clone(), now, WRITE_INTERVAL);
         let purpose = CallKind::Ends { partition, term };
         self.state(CallPriority::Accept, StateRequest::Transaction(txn), purpose);
     }
 
     /// How many ids a page takes: each has 20 digits at most.
     pub(super) fn page_entries(&self) -> usize {
-        page_room(self.settings.state_limits.value_bytes) / 21
+        page_capacity(self.settings.state_limits.value_bytes) / 21
     }
 
-    pub(super) fn on_ends(&mut self, partition: PartitionId, term: u64, reply: StateReply) {
+    pub(super) fn handle_terminal_jobs_written(
+        &mut self,
+        partition: PartitionId,
+        term: u64,
+        reply: StateReply,
+    ) {
         let now = self.now;
-        let Some(holding) = self.current(partition, term) else { return };
-        let Some((_, ending)) = holding.share_and_ending() else { return };
+        let Some(leadership) = self.current(partition, term) else { return };
+        let Some((_, archiver)) = leadership.partition_state_and_archiver() else { return };
         // Whatever came of it, the mirror shows: what is not over by then is written anew.
-        if let Outcome::Again(txn) = ending.pipe.answered(reply, now) {
+        if let Outcome::Again(txn) = archiver.pipe.answered(reply, now) {
             let purpose = CallKind::Ends { partition, term };
-            self.again(
+            self.retry_later(
                 Duration::from_millis(200),
                 CallPriority::Accept,
                 StateRequest::Transaction(txn),
@@ -89,16 +98,16 @@
     /// A job is over, and that is durable.
     pub(super) fn job_ended(&mut self, id: JobId, state: JobState) {
         let now = self.now;
-        self.keep_final(id, state);
-        for holding in self.holdings.values_mut() {
-            holding.forget_job(id, now);
+        self.cache_final_state(id, state);
+        for leadership in self.leaderships.values_mut() {
+            leadership.forget_job(id, now);
         }
     }
 }
 
 /// The ends of these jobs, as many as their page takes.
 fn write_ends(
-    mirror: &StateCache,
+    cache: &StateCache,
     nodes: &[(ControllerName, ZoneName)],
     partition: PartitionId,
     jobs: &BTreeSet<JobId>,
@@ -106,11 +115,11 @@
 ) -> Transaction {
     let mut number = 0;
     let (page_version, mut page) = loop {
-        let Some(old) = mirror.ends.get(&(partition, number)) else {
+        let Some(old) = cache.ends.get(&(partition, number)) else {
             break (0, TerminalJobsPage::default());
         };
         let mut page = old.record.clone();
-        page.drop_unlisted(|id| mirror.is_listed(id));
+        page.drop_unregistered(|id| cache.is_registered(id));
         if page.len() < room {
             break (old.version.0, page);
         }
@@ -118,30 +127,30 @@
     };
     let free = room.saturating_sub(page.len());
     for id in jobs.iter().take(free) {
-        let cancelled = mirror.is_cancelled(*id);
+        let cancelled = cache.is_cancelled(*id);
         page.push(*id, if cancelled { JobState::Cancelled } else { JobState::Done });
     }
-    let key = ends_key(partition, number);
+    let key = terminal_jobs_key(partition, number);
     let mut txn = Transaction::default().when(&key, page_version);
     for (node, _) in nodes {
-        txn = txn.when(cancels_key(node), mirror.cancels.get(node).map_or(0, |c| c.version.0));
+        txn = txn.when(cancellations_key(node), cache.cancels.get(node).map_or(0, |c| c.version.0));
     }
     txn.write(Write::put(&key, serde_json::to_value(page).unwrap_or_default()))
 }
 
 /// Files as many final states as a transaction takes.
-fn file_ends(mirror: &StateCache, partition: PartitionId, most: usize) -> Option<Transaction> {
-    let pages = mirror.ends.range((partition, 0)..=(partition, u32::MAX));
+fn file_ends(cache: &StateCache, partition: PartitionId, most: usize) -> Option<Transaction> {
+    let pages = cache.ends.range((partition, 0)..=(partition, u32::MAX));
     let ((_, number), old) =
         pages.max_by_key(|(_, page)| page.record.done.len() + page.record.cancelled.len())?;
     let mut page = old.record.clone();
-    page.drop_unlisted(|id| mirror.is_listed(id));
+    page.drop_unregistered(|id| cache.is_registered(id));
     let filed = page.file(most);
     // A few are not worth a put of the page.
     if filed.len() < most {
         return None;
     }
-    let key = ends_key(partition, *number);
+    let key = terminal_jobs_key(partition, *number);
     let mut txn = Transaction::default().when(&key, old.version.0);
     for (id, state) in filed {
         let value = serde_json::to_value(FinalRecord { state }).unwrap_or_default();
--- a/crates/controller/src/controller/linearizable_reads.rs
+++ b/crates/controller/src/controller/linearizable_reads.rs
@@ -51,7 +51,7 @@
         Duration::from_millis((1_000.0 * f64::from(self.partition_count()) / all.max(1.0)) as u64)
     }
 
-    pub(super) fn step_reads(&mut self) {
+    pub(super) fn advance_reads(&mut self) {
         let now = self.now;
         let pace = self.read_pace();
         let reads = &mut self.reads;
@@ -93,7 +93,7 @@
         [read, check].into_iter().flatten().min()
     }
 
-    pub(super) fn on_changes_read(
+    pub(super) fn handle_changes_read(
         &mut self,
         requests: Vec<PendingRequest>,
         reply: StateReply,
@@ -137,12 +137,16 @@
     }
 
     /// Which of the jobs have no final state, by a comparison.
-    pub(super) fn on_finals_compared(&mut self, requests: Vec<PendingRequest>, reply: StateReply) {
+    pub(super) fn handle_final_states_compared(
+        &mut self,
+        requests: Vec<PendingRequest>,
+        reply: StateReply,
+    ) {
         self.reads.comparing = false;
         match reply {
             StateReply::Committed { .. } => {
                 for request in requests {
-                    self.on_final_read(request, StateReply::Missing);
+                    self.handle_final_state_read(request, StateReply::Missing);
                 }
             }
             StateReply::Conflict { failed, .. } => {
@@ -152,7 +156,7 @@
                         let read = StateRequest::Get { key };
                         self.state(CallPriority::Accept, read, CallKind::FinalRead { request });
                     } else {
-                        self.on_final_read(request, StateReply::Missing);
+                        self.handle_final_state_read(request, StateReply::Missing);
                     }
                 }
             }
@@ -173,11 +177,11 @@
             self.reply_user(request.ticket, UserReply::Status(answer));
             return;
         }
-        if !self.mirror.jobs.contains_key(&id) {
+        if !self.cache.jobs.contains_key(&id) {
             self.reads.not_open.push(request);
             return;
         }
-        if self.mirror.is_cancelled(id) {
+        if self.cache.is_cancelled(id) {
             let answer = status(id, JobState::Cancelled);
             self.reply_user(request.ticket, UserReply::Status(answer));
             return;
@@ -195,8 +199,8 @@
         self.reply_user(request.ticket, reply);
     }
 
-    pub(super) fn on_final_read(&mut self, request: PendingRequest, reply: StateReply) {
-        if self.finals.contains_key(&request.id) || self.mirror.jobs.contains_key(&request.id) {
+    pub(super) fn handle_final_state_read(&mut self, request: PendingRequest, reply: StateReply) {
+        if self.finals.contains_key(&request.id) || self.cache.jobs.contains_key(&request.id) {
             // Accepted or ended while we read: the mirror knows more than that read.
             self.answer(request);
             return;
@@ -204,7 +208,7 @@
         match reply {
             StateReply::Item(item) => match FinalRecord::deserialize(&item.value) {
                 Ok(record) => {
-                    self.keep_final(request.id, record.state);
+                    self.cache_final_state(request.id, record.state);
                     let answer = status(request.id, record.state);
                     self.reply_user(request.ticket, UserReply::Status(answer));
                 }
--- a/crates/controller/src/controller/machine_records.rs
+++ b/crates/controller/src/controller/machine_records.rs
@@ -3,7 +3,7 @@
 
 use super::{CallKind, Controller, FLEET_PLANNER_PARTITION};
 use crate::records::{
-    machines_key, page_room, partition_key, MachineRecord, MachinesPage, PackedMachine, COUNTER,
+    machines_key, page_capacity, partition_key, MachineRecord, MachinesPage, PackedMachine, COUNTER,
 };
 use crate::request_budget::CallPriority;
 use crate::serial_writer::{Outcome, SerialWriter};
@@ -13,9 +13,9 @@
 use wire::state::{StateReply, StateRequest, Transaction, Write};
 
 /// How long a write waits behind rounds.
-const PATIENCE: Duration = Duration::from_secs(1);
+const MAX_WRITE_DELAY: Duration = Duration::from_secs(1);
 /// Least time between two writes, so that several changes go together.
-const GAP: Duration = Duration::from_millis(100);
+const WRITE_INTERVAL: Duration = Duration::from_millis(100);
 
 /// A change that is wanted of a machine's record.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -61,7 +61,7 @@
     /// whenever a put is free, then let it pass: a node that had taken over a second partition did not
     /// get to give up its dead machines for 10 s, and their tasks waited for that.
     pub fn held_up(&self, now: Timestamp) -> bool {
-        self.held_up_since.is_some_and(|at| now.duration_since(at) >= PATIENCE)
+        self.held_up_since.is_some_and(|at| now.duration_since(at) >= MAX_WRITE_DELAY)
     }
 
     /// Whether the machine is about to leave its share.
@@ -74,15 +74,16 @@
     /// Whether the change still makes sense as the mirror and our shares stand. What does not is
     /// dropped; whoever wanted it looks again.
     fn still_wanted(&self, name: &MachineName, change: &MachineChange) -> bool {
-        let known = self.mirror.machines.get(name).map(|m| &m.record);
-        let share = known
-            .and_then(|record| self.holdings.get(&record.partition))
-            .filter(|holding| !holding.is_yielding())
-            .and_then(|holding| holding.share());
-        let machine = share.and_then(|share| share.machines.get(name));
+        let known = self.cache.machines.get(name).map(|m| &m.record);
+        let partition_state = known
+            .and_then(|record| self.leaderships.get(&record.partition))
+            .filter(|leadership| !leadership.is_transferring())
+            .and_then(|leadership| leadership.partition_state());
+        let machine =
+            partition_state.and_then(|partition_state| partition_state.machines.get(name));
         match change {
             MachineChange::Create(_) => {
-                known.is_none() && self.holdings.contains_key(&FLEET_PLANNER_PARTITION)
+                known.is_none() && self.leaderships.contains_key(&FLEET_PLANNER_PARTITION)
             }
             MachineChange::Delete => known.is_some(),
             MachineChange::Leave => machine.is_some() && known.is_some_and(|r| !r.leaving),
@@ -91,12 +92,12 @@
                 machine.is_some_and(|m| m.tasks.is_empty() && m.leaving)
                     && known.is_some_and(|r| r.partition != *to && !r.leaving)
             }
-            MachineChange::Raise => machine.is_some_and(|m| m.wants_token()),
+            MachineChange::Raise => machine.is_some_and(|m| m.needs_higher_token()),
         }
     }
 
-    pub(super) fn step_machines(&mut self) {
-        let (now, revision) = (self.now, self.mirror.revision);
+    pub(super) fn write_machine_changes(&mut self) {
+        let (now, revision) = (self.now, self.cache.revision);
         if self.machine_changes.wanted.is_empty()
             || !self.synced
             || !self.machine_changes.pipe.ready(now, revision)
@@ -118,26 +119,26 @@
         if txn.writes.is_empty() {
             return;
         }
-        self.machine_changes.pipe.send((), txn.clone(), now, GAP);
+        self.machine_changes.pipe.send((), txn.clone(), now, WRITE_INTERVAL);
         self.state(CallPriority::Placement, StateRequest::Transaction(txn), CallKind::Machines);
     }
 
     /// Writes as many of the changes as a transaction takes.
     fn machines_txn(&self, wanted: &BTreeMap<MachineName, MachineChange>) -> Transaction {
         let most_pages = (self.settings.state_limits.txn_ops - 1).clamp(1, 4);
-        let room = page_room(self.settings.state_limits.value_bytes);
-        let token = self.mirror.next_token();
+        let room = page_capacity(self.settings.state_limits.value_bytes);
+        let token = self.cache.next_token();
         let mut pages: BTreeMap<u32, BTreeMap<&MachineName, MachineRecord>> = BTreeMap::new();
         let mut rights: BTreeSet<PartitionId> = BTreeSet::new();
         let grows = wanted.values().any(|change| matches!(change, MachineChange::Create(_)));
         let mut filled = if grows { self.filled_pages() } else { BTreeMap::new() };
         let mut new_token = false;
         for (name, change) in wanted {
-            let known = self.mirror.machines.get(name);
+            let known = self.cache.machines.get(name);
             let (page, mut record) = match (known, change) {
                 (Some(known), _) => (known.page, known.record.clone()),
                 (None, MachineChange::Create(record)) => {
-                    let size = PackedMachine::most_bytes(name, record);
+                    let size = PackedMachine::max_packed_size(name, record);
                     let fits = |filled: &usize| filled + size <= room;
                     let found = filled.iter().find(|(_, filled)| fits(filled)).map(|(p, _)| *p);
                     let fresh = || filled.keys().next_back().map_or(0, |last| last + 1);
@@ -179,45 +180,44 @@
         }
         let mut txn = Transaction::default();
         for partition in rights {
-            let version = self.holdings.get(&partition).map_or(0, |h| h.version().0);
+            let version = self.leaderships.get(&partition).map_or(0, |h| h.version().0);
             txn = txn.when(partition_key(partition), version);
         }
         for (page, records) in pages {
             let machines =
                 records.iter().map(|(name, record)| PackedMachine::new(name, record)).collect();
-            let version = self.mirror.machine_pages.get(&page).map_or(0, |p| p.version.0);
+            let version = self.cache.machine_pages.get(&page).map_or(0, |p| p.version.0);
             let value = serde_json::to_value(MachinesPage { machines }).unwrap_or_default();
             let key = machines_key(page);
             txn = txn.when(&key, version).write(Write::put(&key, value));
         }
         if new_token {
             let mut counter =
-                self.mirror.counter.as_ref().map(|c| c.record.clone()).unwrap_or_default();
+                self.cache.counter.as_ref().map(|c| c.record.clone()).unwrap_or_default();
             counter.next = token + 1;
             let value = serde_json::to_value(counter).unwrap_or_default();
-            txn =
-                txn.when(COUNTER, self.mirror.counter_version()).write(Write::put(COUNTER, value));
+            txn = txn.when(COUNTER, self.cache.counter_version()).write(Write::put(COUNTER, value));
         }
         txn
     }
 
     fn page_records(&self, page: u32) -> BTreeMap<&MachineName, MachineRecord> {
-        let names = self.mirror.machine_pages.get(&page).into_iter().flat_map(|p| &p.record.names);
+        let names = self.cache.machine_pages.get(&page).into_iter().flat_map(|p| &p.record.names);
         names
-            .filter_map(|name| Some((name, self.mirror.machines.get(name)?.record.clone())))
+            .filter_map(|name| Some((name, self.cache.machines.get(name)?.record.clone())))
             .collect()
     }
 
     /// How full each page is.
     fn filled_pages(&self) -> BTreeMap<u32, usize> {
-        self.mirror.machine_pages.iter().map(|(page, of)| (*page, of.record.filled)).collect()
+        self.cache.machine_pages.iter().map(|(page, of)| (*page, of.record.filled)).collect()
     }
 
-    pub(super) fn on_machines(&mut self, reply: StateReply) {
+    pub(super) fn handle_machine_records_written(&mut self, reply: StateReply) {
         // What is still wanted is made up anew when the mirror has caught up.
         if let Outcome::Again(txn) = self.machine_changes.pipe.answered(reply, self.now) {
             let request = StateRequest::Transaction(txn);
-            self.again(
+            self.retry_later(
                 Duration::from_millis(200),
                 CallPriority::Placement,
                 request,
--- a/crates/controller/src/controller/mod.rs
+++ b/crates/controller/src/controller/mod.rs
@@ -236,8 +236,8 @@
 /// What a peer said last.
 #[derive(Debug, Clone)]
 pub(crate) struct PeerStatus {
-    heard_at: Timestamp,
-    boot: u64,
+    last_seen_at: Timestamp,
+    incarnation: u64,
     state_contact: bool,
     ready: bool,
     /// How long before that it had heard others.
@@ -275,22 +275,22 @@
     tuning: Tuning,
     rng: SmallRng,
     now: Timestamp,
-    boot: u64,
+    incarnation: u64,
     booted: bool,
     nodes: Vec<(ControllerName, ZoneName)>,
-    mirror: StateCache,
+    cache: StateCache,
     synced: bool,
     listing: Option<state_sync::FullRead>,
     watching: bool,
     /// Since when we have been running without a stop: what we have not heard before that, we may
     /// have been unable to hear.
-    awake_since: Timestamp,
+    running_since: Timestamp,
     /// How far the nodes' common clock is ahead of ours.
-    clock_ahead: Duration,
+    logical_clock_offset: Duration,
     /// Sending time of the last confirmed read of changes.
-    contact_at: Option<Timestamp>,
+    last_state_read_at: Option<Timestamp>,
     /// The one before: what has changed since may have been so from then on.
-    contact_before: Option<Timestamp>,
+    previous_state_read_at: Option<Timestamp>,
     sent_at: HashMap<CallId, Timestamp>,
     lease: Option<LeaseId>,
     lease_pending: bool,
@@ -302,23 +302,23 @@
     retries: Vec<(Timestamp, CallId, CallPriority, StateRequest)>,
     requests: TokenBucket,
     writes: TokenBucket,
-    holdings: BTreeMap<PartitionId, PartitionLeadership>,
+    leaderships: BTreeMap<PartitionId, PartitionLeadership>,
     /// Terms under which partitions were handed over: they are not taken up again.
-    given_away: HashMap<PartitionId, FencingToken>,
+    relinquished_terms: HashMap<PartitionId, FencingToken>,
     /// Partitions of ours that are to be taken anew, under a term of their own: our idea of them was wrong.
     /// The term that was wrong, and when a new one was tried for.
     renewed: HashMap<PartitionId, (FencingToken, Timestamp)>,
     acquiring: HashSet<PartitionId>,
     vacant_since: HashMap<PartitionId, Timestamp>,
     peers: BTreeMap<ControllerName, PeerStatus>,
-    home_asked_at: Option<Timestamp>,
+    reclaim_requested_at: Option<Timestamp>,
     /// Since when another node holds our home partition while we could.
-    homeless_since: Option<Timestamp>,
-    wishing: bool,
+    displaced_since: Option<Timestamp>,
+    reclaim_pending: bool,
     /// When others told us that they gave a partition up.
-    given_up_at: HashMap<PartitionId, HashMap<ControllerName, Timestamp>>,
+    resigned_at: HashMap<PartitionId, HashMap<ControllerName, Timestamp>>,
     /// Partitions given up since their workers do not reach us.
-    shunned: BTreeMap<PartitionId, membership::ReacquisitionBackoff>,
+    reacquisition_backoffs: BTreeMap<PartitionId, membership::ReacquisitionBackoff>,
     alive_at: Timestamp,
     load_at: Timestamp,
     /// When we wrote what our partitions lack, and whether that was anything.
@@ -329,28 +329,28 @@
     admission: Admission,
     cancellations: Cancellations,
     machine_changes: MachineChanges,
-    leader: FleetPlanner,
+    fleet_planner: FleetPlanner,
     standby: standby::Standby,
     effects: Vec<Effect>,
     pub counters: Counters,
 }
 
 /// The loop turns ten times a second; after a longer pause we must have stood still.
-const STOOD_STILL: Duration = Duration::from_secs(1);
+const PAUSE_THRESHOLD: Duration = Duration::from_secs(1);
 /// Life of a node's lease in the state service.
-const LEASE: Duration = Duration::from_millis(3_500);
+const LEASE_DURATION: Duration = Duration::from_millis(3_500);
 /// Time between renewals.
-const RENEW: Duration = Duration::from_millis(900);
+const LEASE_RENEWAL_INTERVAL: Duration = Duration::from_millis(900);
 /// Longest wait of the watch.
-const WATCH_WAIT: Duration = Duration::from_millis(1_500);
+const MAX_WATCH_WAIT: Duration = Duration::from_millis(1_500);
 /// Patience with a call to the state service.
 const CALL_TIMEOUT: Duration = Duration::from_millis(1_500);
 /// Launches need changes read not longer ago than this.
-const LAUNCH_CONTACT: Duration = Duration::from_millis(4_500);
+const MAX_LAUNCH_READ_AGE: Duration = Duration::from_millis(4_500);
 /// The partition whose holder is the leader.
 pub(crate) const FLEET_PLANNER_PARTITION: PartitionId = PartitionId(0);
 /// Final states that are kept in memory.
-const FINALS: usize = 200_000;
+const MAX_CACHED_FINAL_STATES: usize = 200_000;
 
 impl Controller {
     /// A node that has just started. `seed` must be random, it names the incarnation.
@@ -364,17 +364,17 @@
             tuning: Tuning::default(),
             rng: SmallRng::seed_from_u64(seed),
             now: Timestamp::default(),
-            boot: seed >> 12,
+            incarnation: seed >> 12,
             booted: false,
             nodes,
-            mirror: StateCache::default(),
+            cache: StateCache::default(),
             synced: false,
             listing: None,
             watching: false,
-            awake_since: Timestamp::default(),
-            clock_ahead: Duration::ZERO,
-            contact_at: None,
-            contact_before: None,
+            running_since: Timestamp::default(),
+            logical_clock_offset: Duration::ZERO,
+            last_state_read_at: None,
+            previous_state_read_at: None,
             sent_at: HashMap::new(),
             lease: None,
             lease_pending: false,
@@ -388,17 +388,17 @@
                 limits.requests_per_s / count,
             ),
             writes: TokenBucket::shared(limits.writes_per_s / count, limits.writes_per_s * 0.6),
-            holdings: BTreeMap::new(),
-            given_away: HashMap::new(),
+            leaderships: BTreeMap::new(),
+            relinquished_terms: HashMap::new(),
             renewed: HashMap::new(),
             acquiring: HashSet::new(),
             vacant_since: HashMap::new(),
             peers: BTreeMap::new(),
-            home_asked_at: None,
-            homeless_since: None,
-            wishing: false,
-            given_up_at: HashMap::new(),
-            shunned: BTreeMap::new(),
+            reclaim_requested_at: None,
+            displaced_since: None,
+            reclaim_pending: false,
+            resigned_at: HashMap::new(),
+            reacquisition_backoffs: BTreeMap::new(),
             alive_at: Timestamp::default(),
             load_at: Timestamp::default(),
             demand_at: HashMap::new(),
@@ -408,7 +408,7 @@
             admission: Admission::default(),
             cancellations: Cancellations::default(),
             machine_changes: MachineChanges::default(),
-            leader: FleetPlanner::new(settings.cloud_rps),
+            fleet_planner: FleetPlanner::new(settings.cloud_rps),
             standby: standby::Standby::default(),
             effects: Vec::new(),
             counters: Counters::default(),
@@ -418,19 +418,19 @@
 
     /// Takes in an event at a steady time and returns what is to be done.
     pub fn handle(&mut self, now: Timestamp, event: Event) -> Vec<Effect> {
-        if now.duration_since(self.now) >= STOOD_STILL {
-            self.wake(now);
+        if now.duration_since(self.now) >= PAUSE_THRESHOLD {
+            self.handle_pause(now);
         }
         self.now = self.now.max(now);
         match event {
             Event::Tick => {}
-            Event::State { call, reply } => self.on_state(call, reply),
-            Event::Cloud { call, reply } => self.on_cloud(call, reply),
-            Event::Worker { call, reply } => self.on_direct(call, reply),
-            Event::Mesh { from, message } => self.on_mesh(from, message),
-            Event::User { ticket, request } => self.on_user(ticket, request),
-            Event::Heartbeat { ticket, report } => self.on_report(ticket, *report),
-            Event::Admin { ticket, request } => self.on_admin(ticket, request),
+            Event::State { call, reply } => self.handle_state_reply(call, reply),
+            Event::Cloud { call, reply } => self.handle_cloud_reply(call, reply),
+            Event::Worker { call, reply } => self.handle_worker_reply(call, reply),
+            Event::Mesh { from, message } => self.handle_mesh_message(from, message),
+            Event::User { ticket, request } => self.handle_user_request(ticket, request),
+            Event::Heartbeat { ticket, report } => self.handle_heartbeat(ticket, *report),
+            Event::Admin { ticket, request } => self.handle_admin_request(ticket, request),
         }
         self.step();
         std::mem::take(&mut self.effects)
@@ -438,45 +438,45 @@
 
     /// We stood still while clocks ran on. Rights are judged by when their evidence was sent, so
     /// nothing changes for them; but the silence of others was our own.
-    fn wake(&mut self, now: Timestamp) {
+    fn handle_pause(&mut self, now: Timestamp) {
         let stood = now.duration_since(self.now);
         tracing::warn!(stood_ms = stood.whole_millis(), "stood still");
         self.counters.stood_still += 1;
-        self.awake_since = now;
+        self.running_since = now;
         for peer in self.peers.values_mut() {
-            peer.heard_at += stood;
+            peer.last_seen_at += stood;
         }
         for since in self.vacant_since.values_mut() {
             *since = now;
         }
-        for holding in self.holdings.values_mut() {
-            if let Some(share) = holding.share_mut() {
-                share.awake_since = now;
+        for leadership in self.leaderships.values_mut() {
+            if let Some(partition_state) = leadership.partition_state_mut() {
+                partition_state.running_since = now;
             }
         }
     }
 
     /// The loops that work out the difference between what is wanted and what is.
     fn step(&mut self) {
-        self.step_sync();
-        self.step_lease();
-        self.step_partitions();
-        self.step_holdings();
-        self.step_leader();
-        self.step_mesh();
-        self.step_standby();
-        self.step_machines();
-        self.step_admission();
-        self.step_cancellations();
-        self.step_reads();
-        self.pump();
+        self.drive_state_sync();
+        self.maintain_lease();
+        self.maintain_leadership();
+        self.advance_partitions();
+        self.run_fleet_planner();
+        self.send_peer_heartbeats();
+        self.maintain_standby();
+        self.write_machine_changes();
+        self.advance_admission();
+        self.advance_cancellations();
+        self.advance_reads();
+        self.dispatch_state_calls();
     }
 
     /// When the next `Tick` is due at the latest.
     pub fn next_tick(&self) -> Timestamp {
         let mut next = self.now + Duration::from_millis(100);
-        for holding in self.holdings.values() {
-            if let Some(at) = holding.wants_tick(self.now) {
+        for leadership in self.leaderships.values() {
+            if let Some(at) = leadership.next_wakeup(self.now) {
                 next = next.min(at);
             }
         }
@@ -495,29 +495,30 @@
     /// Whether users may be sent here.
     pub fn healthy(&self) -> bool {
         let contact = |at: Timestamp| self.now.duration_since(at) <= Duration::from_secs(4);
-        if self.synced && self.contact_at.is_some_and(contact) {
+        if self.synced && self.last_state_read_at.is_some_and(contact) {
             return true;
         }
         // When nobody has contact, going unhealthy helps nobody and costs time afterwards. Who hears none
         // of the others either is cut off itself: they may serve.
-        let heard = |p: &&PeerStatus| self.now.duration_since(p.heard_at) <= Duration::from_secs(2);
+        let heard =
+            |p: &&PeerStatus| self.now.duration_since(p.last_seen_at) <= Duration::from_secs(2);
         let peer_serves = self.peers.values().filter(heard).any(|p| p.state_contact);
         let alone = !self.peers.is_empty() && !self.peers.values().any(|p| heard(&p));
         self.synced && !peer_serves && !alone
     }
 
-    fn in_contact(&self, within: Duration) -> bool {
-        self.contact_at.is_some_and(|at| self.now.duration_since(at) <= within)
+    fn has_recent_state_read(&self, within: Duration) -> bool {
+        self.last_state_read_at.is_some_and(|at| self.now.duration_since(at) <= within)
     }
 
     /// Now on a clock that all nodes share: each reads its steady clock and goes ahead as far as
     /// the records that it sees (a Lamport clock in ms). It orders submissions across restarts and
     /// takeovers; no right or proof hangs on it.
-    fn common_time(&self) -> u64 {
-        self.now.as_millis().saturating_add(self.clock_ahead.whole_millis())
+    fn logical_time(&self) -> u64 {
+        self.now.as_millis().saturating_add(self.logical_clock_offset.whole_millis())
     }
 
-    fn me(&self) -> &ControllerName {
+    fn own_name(&self) -> &ControllerName {
         &self.settings.name
     }
 
@@ -551,7 +552,7 @@
     }
 
     /// Makes the same call again after a pause: its outcome is still open, or it was refused.
-    fn again(
+    fn retry_later(
         &mut self,
         after: Duration,
         importance: CallPriority,
@@ -573,7 +574,7 @@
     }
 
     /// Sends what the budgets allow, the most important first. Reads do not wait behind writes.
-    fn pump(&mut self) {
+    fn dispatch_state_calls(&mut self) {
         let now = self.now;
         for (_, call, importance, request) in self.retries.extract_if(.., |r| r.0 <= now) {
             self.outbox.entry(importance).or_default().push_front((call, request));
@@ -621,10 +622,11 @@
         self.effects.push(Effect::User { ticket, reply });
     }
 
-    fn keep_final(&mut self, id: JobId, state: JobState) {
-        if self.finals.len() >= FINALS {
+    fn cache_final_state(&mut self, id: JobId, state: JobState) {
+        if self.finals.len() >= MAX_CACHED_FINAL_STATES {
             // Any answer can be read again, so which ones go does not matter.
-            let some: Vec<JobId> = self.finals.keys().take(FINALS / 10).copied().collect();
+            let some: Vec<JobId> =
+                self.finals.keys().take(MAX_CACHED_FINAL_STATES / 10).copied().collect();
             for id in some {
                 self.finals.remove(&id);
             }
--- a/crates/controller/src/controller/standby.rs
+++ b/crates/controller/src/controller/standby.rs
@@ -1,7 +1,7 @@
 //! Replicas of partitions that we stand by for, and the streams to our own subscribers.
 
 use super::leadership::PartitionLeadership;
-use super::{Controller, LEASE};
+use super::{Controller, LEASE_DURATION};
 use crate::rejections::{MessageFault, MessageSource};
 use failover::failure_detector::{Evidence, FailoverBlocker, FailureDetector};
 use failover::{assign, PartitionReplica, Replicas, ReplicationSource, ReplicationStream};
@@ -17,9 +17,9 @@
 /// Up to so many nodes follow everybody.
 const FEW: usize = 4;
 /// Time between two looks at what we know and our subscribers do not.
-const LOOK: Duration = Duration::from_millis(500);
+const DETECTOR_INTERVAL: Duration = Duration::from_millis(500);
 /// How long our home partition is left to its holder while we are not in step with it.
-pub(super) const WARMING: Duration = Duration::from_secs(4);
+pub(super) const REPLICA_CATCH_UP_LIMIT: Duration = Duration::from_secs(4);
 
 /// Standing by: the part of a node that is about following and being followed.
 #[derive(Debug, Default)]
@@ -30,7 +30,7 @@
     failure_detector: FailureDetector,
     /// Who stood by for each partition when it had a holder last.
     pub(super) assigned: BTreeMap<PartitionId, ControllerName>,
-    looked_at: Timestamp,
+    scanned_at: Timestamp,
     /// When a partition whose record stood was last tried for.
     pub(super) tried_at: Timestamp,
     /// Partitions taken from holders whose records stood, with the holders' incarnations and when.
@@ -42,13 +42,13 @@
     pub(super) fn standbys(&self) -> BTreeMap<PartitionId, ControllerName> {
         let names: Vec<ControllerName> =
             self.nodes.iter().map(|(name, _): &(_, ZoneName)| name.clone()).collect();
-        let holders =
-            self.mirror.partitions.iter().map(|(id, p)| (*id, p.record.holder.clone())).collect();
+        let leaders =
+            self.cache.partitions.iter().map(|(id, p)| (*id, p.record.leader.clone())).collect();
         let live = |name: &ControllerName| {
-            name == self.me()
-                || (self.peer_lives(name) && self.peers.get(name).is_some_and(|p| p.ready))
+            name == self.own_name()
+                || (self.peer_is_alive(name) && self.peers.get(name).is_some_and(|p| p.ready))
         };
-        assign(&names, live, &holders)
+        assign(&names, live, &leaders)
     }
 
     /// What we follow: partitions that we stand by for, and our own while another holds it. Where
@@ -59,26 +59,33 @@
     ) -> BTreeMap<PartitionId, ReplicationSource> {
         let few = self.nodes.len() <= FEW;
         let mut wanted = BTreeMap::new();
-        for (partition, held) in &self.mirror.partitions {
+        for (partition, held) in &self.cache.partitions {
             let record = &held.record;
             let ours = few
-                || standbys.get(partition) == Some(self.me())
-                || self.home_of(*partition) == Some(self.me());
-            if ours && record.holder != *self.me() {
-                let leader = record.holder.clone();
-                let source = ReplicationSource { leader, boot: record.boot, term: record.term };
+                || standbys.get(partition) == Some(self.own_name())
+                || self.preferred_leader(*partition) == Some(self.own_name());
+            if ours && record.leader != *self.own_name() {
+                let leader = record.leader.clone();
+                let source = ReplicationSource {
+                    leader,
+                    incarnation: record.incarnation,
+                    term: record.term,
+                };
                 wanted.insert(*partition, source);
             }
         }
         wanted
     }
 
-    pub(super) fn step_standby(&mut self) {
-        if !self.synced || !self.booted || self.now.duration_since(self.standby.looked_at) < LOOK {
+    pub(super) fn maintain_standby(&mut self) {
+        if !self.synced
+            || !self.booted
+            || self.now.duration_since(self.standby.scanned_at) < DETECTOR_INTERVAL
+        {
             return;
         }
         let now = self.now;
-        self.standby.looked_at = now;
+        self.standby.scanned_at = now;
         let standbys = self.standbys();
         let wanted = self.followed(&standbys);
         self.standby.assigned.extend(standbys);
@@ -86,17 +93,20 @@
             self.mesh(&to, message);
         }
         let mut parts = Vec::new();
-        self.standby.streams.retain(|partition, _| self.holdings.contains_key(partition));
+        self.standby.streams.retain(|partition, _| self.leaderships.contains_key(partition));
         for (partition, (term, stream)) in &mut self.standby.streams {
-            let holding = self.holdings.get(partition).filter(|h| h.term().0 == *term);
-            let Some(share) = holding.and_then(PartitionLeadership::share) else { continue };
+            let leadership = self.leaderships.get(partition).filter(|h| h.term().0 == *term);
+            let Some(partition_state) = leadership.and_then(PartitionLeadership::partition_state)
+            else {
+                continue;
+            };
             if !stream.has_subscribers(now) {
                 continue;
             }
-            stream.update(share.hints(now));
+            stream.update(partition_state.replication_records(now));
             let header = ReplicationBatch {
                 partition: partition.0,
-                boot: self.boot,
+                incarnation: self.incarnation,
                 term: *term,
                 at_ms: now.as_millis(),
                 ..ReplicationBatch::default()
@@ -104,22 +114,22 @@
             parts.extend(stream.due_parts(&header, now));
         }
         for (to, part) in parts {
-            self.mesh(&to, MeshMessage::Hints(part));
+            self.mesh(&to, MeshMessage::Replication(part));
         }
     }
 
-    pub(super) fn on_follow(
+    pub(super) fn handle_subscription(
         &mut self,
         from: &ControllerName,
         partition: u32,
-        boot: u64,
+        incarnation: u64,
         term: u64,
         have: u64,
     ) {
         let partition = PartitionId(partition);
-        let held = self.holdings.get(&partition).is_some_and(|h| h.term().0 == term);
+        let held = self.leaderships.get(&partition).is_some_and(|h| h.term().0 == term);
         // Whoever follows another incarnation of ours sees the record of this one soon.
-        if !held || boot != self.boot {
+        if !held || incarnation != self.incarnation {
             self.counters.rejections.add(MessageSource::Peer, MessageFault::Stale);
             return;
         }
@@ -130,7 +140,11 @@
         stream.1.subscribe(from, have, self.now);
     }
 
-    pub(super) fn on_hints(&mut self, from: &ControllerName, part: ReplicationBatch) {
+    pub(super) fn handle_replication_batch(
+        &mut self,
+        from: &ControllerName,
+        part: ReplicationBatch,
+    ) {
         let now = self.now;
         if let Some(answer) = self.standby.replicas.apply(from, part, now) {
             self.mesh(from, answer);
@@ -138,8 +152,9 @@
     }
 
     /// Whether our home partition could be taken on without a gap, or has been waited for long enough.
-    pub(super) fn is_warm(&self, partition: PartitionId, homeless: Duration) -> bool {
-        homeless >= WARMING || self.standby.replicas.is_in_sync(partition, self.now)
+    pub(super) fn is_warm(&self, partition: PartitionId, displaced_for: Duration) -> bool {
+        displaced_for >= REPLICA_CATCH_UP_LIMIT
+            || self.standby.replicas.is_in_sync(partition, self.now)
     }
 
     /// A worker that reports to another holder has come to us.
@@ -154,29 +169,30 @@
 
     /// What speaks against taking over a partition whose record stands.
     pub(super) fn failover_blockers(&self, partition: PartitionId) -> Vec<FailoverBlocker> {
-        let Some(held) = self.mirror.partitions.get(&partition) else { return Vec::new() };
-        let (holder, boot) = (&held.record.holder, held.record.boot);
+        let Some(held) = self.cache.partitions.get(&partition) else { return Vec::new() };
+        let (leader, incarnation) = (&held.record.leader, held.record.incarnation);
         let term = held.record.term;
         let is_current = |replica: &&PartitionReplica| {
-            replica.source().boot == boot && replica.source().term == term
+            replica.source().incarnation == incarnation && replica.source().term == term
         };
         let replica = self.standby.replicas.get(partition).filter(is_current);
-        let view = self.peers.get(holder).filter(|peer| peer.boot == boot);
-        let others = self.peers.iter().filter(|(name, _)| *name != holder && self.peer_lives(name));
+        let view = self.peers.get(leader).filter(|peer| peer.incarnation == incarnation);
+        let others =
+            self.peers.iter().filter(|(name, _)| *name != leader && self.peer_is_alive(name));
         let peer_heartbeat_age = others
             .filter_map(|(_, peer)| {
-                let said = peer.heard.iter().find(|(name, _)| name == holder)?;
-                Some(said.1 + self.now.duration_since(peer.heard_at))
+                let said = peer.heard.iter().find(|(name, _)| name == leader)?;
+                Some(said.1 + self.now.duration_since(peer.last_seen_at))
             })
             .min();
         let evidence = Evidence {
             now: self.now,
-            last_heartbeat: view.map(|peer| peer.heard_at),
+            last_heartbeat: view.map(|peer| peer.last_seen_at),
             peer_heartbeat_age,
             reporting_machines: replica.map_or(0, PartitionReplica::reporting_machines),
             replica_complete: replica.is_some_and(PartitionReplica::is_complete),
-            last_state_read: self.contact_at,
-            resumed_at: self.awake_since,
+            last_state_read: self.last_state_read_at,
+            resumed_at: self.running_since,
         };
         self.standby.failure_detector.failover_blockers(partition, &evidence)
     }
@@ -185,19 +201,20 @@
     pub(super) fn record_early_failover(
         &mut self,
         partition: PartitionId,
-        holder: ControllerName,
-        boot: u64,
+        leader: ControllerName,
+        incarnation: u64,
     ) {
         self.counters.early_takeovers += 1;
-        self.standby.taken.insert(partition, (holder, boot, self.now));
+        self.standby.taken.insert(partition, (leader, incarnation, self.now));
     }
 
     /// A node is there: if we took a partition from this very incarnation just now, that was wrong.
     /// One that comes back later than its lease in the state service lasts had lost it anyway.
-    pub(super) fn detect_false_suspicion(&mut self, node: &ControllerName, boot: u64) {
+    pub(super) fn detect_false_suspicion(&mut self, node: &ControllerName, incarnation: u64) {
         let now = self.now;
-        self.standby.taken.retain(|_, by| now.duration_since(by.2) <= LEASE + LEASE_SLACK);
-        let was_leader = |by: &(ControllerName, u64, Timestamp)| (&by.0, by.1) == (node, boot);
+        self.standby.taken.retain(|_, by| now.duration_since(by.2) <= LEASE_DURATION + LEASE_SLACK);
+        let was_leader =
+            |by: &(ControllerName, u64, Timestamp)| (&by.0, by.1) == (node, incarnation);
         let taken: Vec<PartitionId> =
             self.standby.taken.iter().filter(|(_, by)| was_leader(by)).map(|(p, _)| *p).collect();
         for partition in taken {
@@ -209,17 +226,17 @@
     }
 
     /// Gives a share what its last holder told us.
-    pub(super) fn take_hints(
+    pub(super) fn apply_replica(
         &mut self,
         partition: PartitionId,
-        share: &mut PartitionState,
+        partition_state: &mut PartitionState,
     ) -> usize {
         let Some(replica) = self.standby.replicas.remove(partition) else { return 0 };
         for machine in replica.machines.values() {
-            share.follow_machine(&machine.hint, machine.idle_since);
+            partition_state.apply_machine_snapshot(&machine.hint, machine.idle_since);
         }
         for hint in replica.jobs.values() {
-            share.follow_job(hint, self.now);
+            partition_state.apply_job_snapshot(hint, self.now);
         }
         replica.machines.len()
     }
@@ -235,20 +252,20 @@
         let now = self.now;
         let standbys = self.standbys();
         let partitions: Vec<Value> = self
-            .mirror
+            .cache
             .partitions
             .iter()
             .map(|(partition, held)| {
-                let blockers: Vec<String> = if standbys.get(partition) == Some(self.me()) {
+                let blockers: Vec<String> = if standbys.get(partition) == Some(self.own_name()) {
                     self.failover_blockers(*partition).iter().map(|b| format!("{b:?}")).collect()
                 } else {
                     Vec::new()
                 };
-                let holding = self.holdings.get(partition);
-                let failed_checks = holding.map(|h| format!("{:?}", h.failed_checks));
+                let leadership = self.leaderships.get(partition);
+                let failed_checks = leadership.map(|h| format!("{:?}", h.failed_checks));
                 json!({
                     "waits_for": failed_checks,
-                    "partition": partition.0, "holder": held.record.holder, "term": held.record.term,
+                    "partition": partition.0, "holder": held.record.leader, "term": held.record.term,
                     "standby": standbys.get(partition), "failover_blockers": blockers,
                     // The name of an earlier version, kept for one release.
                     "doubts": blockers,
--- a/crates/controller/src/controller/state_sync.rs
+++ b/crates/controller/src/controller/state_sync.rs
@@ -1,6 +1,6 @@
 //! Keeping the mirror: full read, watch, lease, and where answers of the state service go.
 
-use super::{CallKind, Controller, LEASE, RENEW, WATCH_WAIT};
+use super::{CallKind, Controller, LEASE_DURATION, LEASE_RENEWAL_INTERVAL, MAX_WATCH_WAIT};
 use crate::records::WATCHED;
 use crate::rejections::{MessageFault, MessageSource};
 use crate::request_budget::CallPriority;
@@ -23,10 +23,10 @@
 }
 
 impl Controller {
-    pub(super) fn step_sync(&mut self) {
+    pub(super) fn drive_state_sync(&mut self) {
         if !self.synced && self.listing.is_none() {
             self.listing = Some(FullRead::default());
-            self.list_from(String::new());
+            self.request_full_read_page(String::new());
         }
         if self.synced && !self.watching {
             self.watching = true;
@@ -37,23 +37,23 @@
 
     /// How long a watch waits: where little time is left for answers without a read, reads come often.
     fn watch_wait(&self) -> Duration {
-        WATCH_WAIT.min((self.settings.blind_span() / 2).max(Duration::from_millis(100)))
+        MAX_WATCH_WAIT.min((self.settings.lease_validity() / 2).max(Duration::from_millis(100)))
     }
 
     /// A read of what has changed since the mirror's revision.
     pub(super) fn watch_request(&self, wait: Duration) -> StateRequest {
         StateRequest::Watch {
             prefix: WATCHED.into(),
-            after: self.mirror.revision.0,
+            after: self.cache.revision.0,
             wait_ms: wait.whole_millis(),
         }
     }
 
-    fn list_from(&mut self, after: String) {
+    fn request_full_read_page(&mut self, after: String) {
         self.state(CallPriority::Lease, list_request(after), CallKind::List);
     }
 
-    pub(super) fn step_lease(&mut self) {
+    pub(super) fn maintain_lease(&mut self) {
         if !self.synced {
             return;
         }
@@ -72,14 +72,14 @@
                 self.state(CallPriority::Lease, request, CallKind::Renew(lease));
             }
             None => {
-                let request = StateRequest::NewLease { ttl_ms: LEASE.whole_millis() };
+                let request = StateRequest::NewLease { ttl_ms: LEASE_DURATION.whole_millis() };
                 self.state(CallPriority::Lease, request, CallKind::NewLease);
             }
         }
     }
 
     /// An answer of the state service.
-    pub(super) fn on_state(&mut self, call: CallId, reply: StateReply) {
+    pub(super) fn handle_state_reply(&mut self, call: CallId, reply: StateReply) {
         let sent = self.sent_at.remove(&call).unwrap_or(self.now);
         let Some(purpose) = self.calls.remove(&call) else {
             self.counters.rejections.add(MessageSource::State, MessageFault::Stale);
@@ -103,40 +103,48 @@
             }
         }
         match purpose {
-            CallKind::List => self.on_list(reply),
-            CallKind::Watch => self.on_watch(reply, sent),
-            CallKind::ReadChanges(requests) => self.on_changes_read(requests, reply, sent),
+            CallKind::List => self.handle_full_read_page(reply),
+            CallKind::Watch => self.handle_watch_reply(reply, sent),
+            CallKind::ReadChanges(requests) => self.handle_changes_read(requests, reply, sent),
             CallKind::NewLease => {
                 self.lease_pending = false;
                 self.renew_at = self.now + Duration::from_millis(200);
                 if let StateReply::Lease(lease) = reply {
                     self.lease = Some(LeaseId(lease));
-                    self.renew_at = self.now + RENEW;
+                    self.renew_at = self.now + LEASE_RENEWAL_INTERVAL;
                 }
             }
-            CallKind::Renew(lease) => self.on_renewed(lease, reply, sent),
+            CallKind::Renew(lease) => self.handle_lease_renewal(lease, reply, sent),
             CallKind::Boot => {}
-            CallKind::Acquire(partition) => self.on_acquired(partition, &reply),
-            CallKind::HandOver { partition, to } => self.on_handed_over(partition, to, reply),
-            CallKind::Wish => self.wishing = false,
+            CallKind::Acquire(partition) => self.handle_acquisition_reply(partition, &reply),
+            CallKind::HandOver { partition, to } => {
+                self.handle_transfer_reply(partition, to, reply)
+            }
+            CallKind::Wish => self.reclaim_pending = false,
             CallKind::Demand => {}
-            CallKind::GiveUp(partition) => self.on_given_up(partition, reply),
+            CallKind::GiveUp(partition) => self.handle_resignation_reply(partition, reply),
             CallKind::RaiseAll { partition, term, token } => {
-                self.on_raised(partition, term, token, reply);
+                self.handle_token_raised(partition, term, token, reply);
+            }
+            CallKind::LedgerList { partition, term } => {
+                self.handle_log_page(partition, term, reply)
+            }
+            CallKind::LedgerWrite { partition, term } => {
+                self.handle_commit_reply(partition, term, reply)
             }
-            CallKind::LedgerList { partition, term } => self.on_ledger(partition, term, reply),
-            CallKind::LedgerWrite { partition, term } => self.on_round(partition, term, reply),
             CallKind::LedgerProof { partition, term, id } => {
-                self.on_proof(partition, term, id, reply);
-            }
-            CallKind::Accept => self.on_accept_written(reply),
-            CallKind::Cancel => self.on_cancel_written(reply),
-            CallKind::CompareFinals(requests) => self.on_finals_compared(requests, reply),
-            CallKind::FinalRead { request } => self.on_final_read(request, reply),
-            CallKind::Ends { partition, term } => self.on_ends(partition, term, reply),
-            CallKind::Machines => self.on_machines(reply),
-            CallKind::TypesWrite => self.leader.types_pending = false,
-            CallKind::TuningWrite { ticket } => self.on_tuning_written(ticket, reply),
+                self.handle_commit_proof(partition, term, id, reply);
+            }
+            CallKind::Accept => self.handle_acceptance_written(reply),
+            CallKind::Cancel => self.handle_cancellation_written(reply),
+            CallKind::CompareFinals(requests) => self.handle_final_states_compared(requests, reply),
+            CallKind::FinalRead { request } => self.handle_final_state_read(request, reply),
+            CallKind::Ends { partition, term } => {
+                self.handle_terminal_jobs_written(partition, term, reply)
+            }
+            CallKind::Machines => self.handle_machine_records_written(reply),
+            CallKind::TypesWrite => self.fleet_planner.types_pending = false,
+            CallKind::TuningWrite { ticket } => self.handle_settings_written(ticket, reply),
             // These go to the cloud or to workers.
             CallKind::Types
             | CallKind::Rent { .. }
@@ -148,7 +156,7 @@
         }
     }
 
-    fn on_list(&mut self, reply: StateReply) {
+    fn handle_full_read_page(&mut self, reply: StateReply) {
         match reply {
             StateReply::List(page) => {
                 let Some(listing) = self.listing.as_mut() else { return };
@@ -156,7 +164,7 @@
                 if !page.follows(WATCHED, last) {
                     tracing::error!(last, "a page of the full read does not follow the one before");
                     self.counters.rejections.add(MessageSource::State, MessageFault::Malformed);
-                    self.list_anew();
+                    self.restart_full_read();
                     return;
                 }
                 // Later pages may be newer; the watch repeats what lies between.
@@ -164,29 +172,29 @@
                 let after = page.items.last().map(|item| item.key.clone());
                 listing.items.extend(page.items);
                 match (page.more, after) {
-                    (true, Some(after)) => self.list_from(after),
+                    (true, Some(after)) => self.request_full_read_page(after),
                     _ => {
                         let Some(listing) = self.listing.take() else { return };
                         let revision = listing.revision.unwrap_or(0);
-                        let changed = self.mirror.replace(&listing.items, revision);
+                        let changed = self.cache.replace(&listing.items, revision);
                         self.synced = true;
                         self.watching = false;
-                        self.on_changed(changed);
+                        self.handle_cache_events(changed);
                     }
                 }
             }
-            _ => self.list_anew(),
+            _ => self.restart_full_read(),
         }
     }
 
     /// Begins the full read again, after a pause.
-    fn list_anew(&mut self) {
+    fn restart_full_read(&mut self) {
         self.listing = Some(FullRead::default());
         let request = list_request(String::new());
-        self.again(Duration::from_millis(200), CallPriority::Lease, request, CallKind::List);
+        self.retry_later(Duration::from_millis(200), CallPriority::Lease, request, CallKind::List);
     }
 
-    fn on_watch(&mut self, reply: StateReply, sent: Timestamp) {
+    fn handle_watch_reply(&mut self, reply: StateReply, sent: Timestamp) {
         match reply {
             StateReply::Changes(changes) => {
                 self.watching = false;
@@ -198,7 +206,7 @@
             }
             _ => {
                 let request = self.watch_request(self.watch_wait());
-                self.again(
+                self.retry_later(
                     Duration::from_millis(200),
                     CallPriority::Lease,
                     request,
@@ -209,14 +217,14 @@
     }
 
     pub(super) fn take_changes(&mut self, changes: &Changes, sent: Timestamp) {
-        self.contact_before = self.contact_at;
-        self.contact_at = Some(self.contact_at.map_or(sent, |at| at.max(sent)));
-        let changed = self.mirror.apply(changes);
-        self.on_changed(changed);
+        self.previous_state_read_at = self.last_state_read_at;
+        self.last_state_read_at = Some(self.last_state_read_at.map_or(sent, |at| at.max(sent)));
+        let changed = self.cache.apply(changes);
+        self.handle_cache_events(changed);
     }
 
-    fn on_changed(&mut self, changed: Vec<CacheEvent>) {
-        let unreadable = self.mirror.take_rejected();
+    fn handle_cache_events(&mut self, changed: Vec<CacheEvent>) {
+        let unreadable = self.cache.take_rejected();
         self.counters.rejections.add_many(
             MessageSource::State,
             MessageFault::Malformed,
@@ -236,12 +244,12 @@
         }
     }
 
-    fn on_renewed(&mut self, lease: LeaseId, reply: StateReply, sent: Timestamp) {
+    fn handle_lease_renewal(&mut self, lease: LeaseId, reply: StateReply, sent: Timestamp) {
         self.lease_pending = false;
         match reply {
             StateReply::Ok => {
                 self.lease = Some(lease);
-                self.renew_at = sent + RENEW;
+                self.renew_at = sent + LEASE_RENEWAL_INTERVAL;
             }
             StateReply::LeaseGone => {
                 tracing::warn!(%lease, "our lease has ended");
--- a/crates/controller/src/controller/user_requests.rs
+++ b/crates/controller/src/controller/user_requests.rs
@@ -11,9 +11,9 @@
 }
 
 impl Controller {
-    pub(super) fn on_user(&mut self, ticket: Ticket, request: UserRequest) {
+    pub(super) fn handle_user_request(&mut self, ticket: Ticket, request: UserRequest) {
         match request {
-            UserRequest::Submit(job) => self.on_submit(ticket, *job),
+            UserRequest::Submit(job) => self.handle_submission(ticket, *job),
             UserRequest::Get(id) => self.read_for(ticket, id, RequestKind::Get),
             UserRequest::Cancel(id) => {
                 self.read_for(ticket, id, RequestKind::Cancel { conflicts: 0 })
@@ -38,7 +38,7 @@
         self.reads.enqueue(PendingRequest { ticket, kind, id, since: self.now });
     }
 
-    fn on_submit(&mut self, ticket: Ticket, job: JobRequest) {
+    fn handle_submission(&mut self, ticket: Ticket, job: JobRequest) {
         let spec = match JobSpec::try_from(&job) {
             Ok(spec) => spec,
             Err(invalid) => {
@@ -51,11 +51,11 @@
             self.busy(ticket, 1);
             return;
         }
-        if self.finals.contains_key(&id) || self.mirror.jobs.contains_key(&id) {
+        if self.finals.contains_key(&id) || self.cache.jobs.contains_key(&id) {
             self.read_for(ticket, id, RequestKind::Resubmit { reject: None });
             return;
         }
-        let Some(types) = &self.mirror.types else {
+        let Some(types) = &self.cache.types else {
             self.busy(ticket, 1);
             return;
         };
@@ -64,7 +64,7 @@
             self.read_for(ticket, id, RequestKind::Resubmit { reject: Some(reason) });
             return;
         }
-        if !self.in_contact(Duration::from_secs(6)) {
+        if !self.has_recent_state_read(Duration::from_secs(6)) {
             self.busy(ticket, 1);
             return;
         }
@@ -74,18 +74,20 @@
     /// Where a job stands and why it waits, for operators.
     pub fn explain(&self, id: &str) -> String {
         let Some(id) = JobId::parse(id) else { return "no such job".into() };
-        let held =
-            self.holdings.values().find_map(|h| h.share().and_then(|s| s.explain(id, self.now)));
+        let held = self
+            .leaderships
+            .values()
+            .find_map(|h| h.partition_state().and_then(|s| s.explain(id, self.now)));
         match held {
             Some(text) => text,
-            None if self.mirror.jobs.contains_key(&id) => "open, held by another node".into(),
+            None if self.cache.jobs.contains_key(&id) => "open, held by another node".into(),
             None => "not open".into(),
         }
     }
 
     /// Status of a job that is not over.
     pub(super) fn open_status(&self, id: JobId) -> JobStatus {
-        let own = self.holdings.values().find_map(|h| h.progress_of(id));
+        let own = self.leaderships.values().find_map(|h| h.progress_of(id));
         let (done, running) = own.or_else(|| self.progress.get(&id).copied()).unwrap_or((0, 0));
         let state = if running > 0 { JobState::Running } else { JobState::Queued };
         JobStatus { id: id.to_string(), state, done: Some(done), running: Some(running) }
--- a/crates/controller/src/placement_log.rs
+++ b/crates/controller/src/placement_log.rs
@@ -90,7 +90,7 @@
 /// Reads a page, and checks that all of it can be taken over: a part left out would be work done twice.
 fn read_page(value: &serde_json::Value) -> Result<PageBody, PageError> {
     let body = PageBody::deserialize(value)?;
-    if body.round >= ROUND_LIMIT {
+    if body.round >= MAX_COMMIT_NUMBER {
         return Err(PageError::LogCommit(body.round));
     }
     let sound = |Entry(_, chunk, body): &&Entry| *chunk < CHUNKS && body.is_sound();
@@ -101,18 +101,18 @@
 }
 
 /// Highest number of a page: far more than a partition fills.
-const LAST_PAGE: usize = 100_000;
+const MAX_PAGE_NUMBER: usize = 100_000;
 /// Rounds at or above this are not reached in the life of a site, and leave no room to count on.
-const ROUND_LIMIT: u64 = 1 << 62;
+const MAX_COMMIT_NUMBER: u64 = 1 << 62;
 /// Chunks that the largest job has.
 const CHUNKS: u32 = (MAX_TASKS as u32).div_ceil(CHUNK);
 /// Pages that a partition starts with.
-const FIRST_PAGES: usize = 4;
+const INITIAL_PAGES: usize = 4;
 
 impl PlacementLog {
     /// Key of a page.
     fn key(&self, page: usize) -> String {
-        format!("{}{page:04}", crate::records::ledger_prefix(self.partition))
+        format!("{}{page:04}", crate::records::log_prefix(self.partition))
     }
 
     /// Reads a ledger from its pages. `value_bytes` bounds a page, `txn_ops` a round.
@@ -127,7 +127,7 @@
             // Room for the frame of the page.
             limit: value_bytes.saturating_sub(128),
             most_pages: (txn_ops / 2).clamp(1, 4),
-            pages: vec![Page::default(); FIRST_PAGES],
+            pages: vec![Page::default(); INITIAL_PAGES],
             items: BTreeMap::new(),
             cursor: 0,
             round: 0,
@@ -135,7 +135,7 @@
         };
         for item in items {
             let number = item.key.rsplit('/').next().and_then(|text| text.parse::<usize>().ok());
-            let Some(number) = number.filter(|number| *number <= LAST_PAGE) else { continue };
+            let Some(number) = number.filter(|number| *number <= MAX_PAGE_NUMBER) else { continue };
             let body = match read_page(&item.value) {
                 Ok(body) => body,
                 Err(error) => {
--- a/crates/controller/src/records.rs
+++ b/crates/controller/src/records.rs
@@ -27,7 +27,7 @@
 const PAGE_FRAME: usize = 64;
 
 /// Room for entries on a page of packed records.
-pub fn page_room(value_bytes: usize) -> usize {
+pub fn page_capacity(value_bytes: usize) -> usize {
     value_bytes.min(PAGE_BYTES).saturating_sub(PAGE_FRAME)
 }
 
@@ -37,17 +37,17 @@
 }
 
 /// Key of a page of accepted jobs. Only the node named writes it.
-pub fn intake_key(node: &ControllerName, page: u32) -> String {
+pub fn accepted_jobs_key(node: &ControllerName, page: u32) -> String {
     format!("s/j/{node}/{page:04}")
 }
 
 /// Key of a node's cancellations. Only that node writes it.
-pub fn cancels_key(node: &ControllerName) -> String {
+pub fn cancellations_key(node: &ControllerName) -> String {
     format!("s/x/{node}")
 }
 
 /// Key of a page of ended jobs.
-pub fn ends_key(partition: PartitionId, page: u32) -> String {
+pub fn terminal_jobs_key(partition: PartitionId, page: u32) -> String {
     format!("s/e/{partition}/{page:04}")
 }
 
@@ -67,7 +67,7 @@
 }
 
 /// Key of a home node's wish to hold its partition again. Bound to that node's lease.
-pub fn wish_key(id: PartitionId) -> String {
+pub fn reclaim_key(id: PartitionId) -> String {
     format!("s/w/{id}")
 }
 
@@ -77,17 +77,17 @@
 }
 
 /// Key of a node's incarnation.
-pub fn boot_key(name: &ControllerName) -> String {
+pub fn incarnation_key(name: &ControllerName) -> String {
     format!("s/b/{name}")
 }
 
 /// Prefix of a partition's ledger.
-pub fn ledger_prefix(id: PartitionId) -> String {
+pub fn log_prefix(id: PartitionId) -> String {
     format!("l/{id}/")
 }
 
 /// An accepted job on its page, without field names since many share a value. First comes when
-/// it was submitted, in ms on the nodes' common clock (`Controller::common_time`): jobs are counted
+/// it was submitted, in ms on the nodes' common clock (`Controller::logical_time`): jobs are counted
 /// against guarantees and queued in that order, whoever holds their partition.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct PackedJob(
@@ -230,7 +230,7 @@
     }
 
     /// Drops filed jobs that are listed nowhere any more.
-    pub fn drop_unlisted(&mut self, is_listed: impl Fn(JobId) -> bool) {
+    pub fn drop_unregistered(&mut self, is_listed: impl Fn(JobId) -> bool) {
         self.filed_done.retain(|id| is_listed(JobId(*id)));
         self.filed_cancelled.retain(|id| is_listed(JobId(*id)));
     }
@@ -245,12 +245,15 @@
 /// Who holds a partition. Bound to the holder's lease.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PartitionRecord {
-    pub holder: ControllerName,
-    pub boot: u64,
+    #[serde(rename = "holder")]
+    pub leader: ControllerName,
+    #[serde(rename = "boot")]
+    pub incarnation: u64,
     pub term: u64,
     /// Earlier holders that may still answer workers for a while.
+    #[serde(rename = "suspects")]
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
-    pub suspects: Vec<(ControllerName, u64)>,
+    pub unconfirmed_predecessors: Vec<(ControllerName, u64)>,
 }
 
 /// A rented machine and whose share it is in.
@@ -285,7 +288,7 @@
 
     /// Bytes that the machine may come to take on its page: its token and its partition change
     /// while it stays there, and a page that outgrows the limit could not be written any more.
-    pub fn most_bytes(name: &model::MachineName, record: &MachineRecord) -> usize {
+    pub fn max_packed_size(name: &model::MachineName, record: &MachineRecord) -> usize {
         let widest = MachineRecord {
             partition: PartitionId(u32::MAX),
             token: u64::MAX,
@@ -312,7 +315,8 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ReclaimRecord {
     pub node: ControllerName,
-    pub boot: u64,
+    #[serde(rename = "boot")]
+    pub incarnation: u64,
     /// The lease under which it would hold the partition.
     pub lease: u64,
 }
@@ -331,14 +335,16 @@
     #[serde(default)]
     pub takers: BTreeMap<u32, (ControllerName, u64)>,
     /// Holders before the last taker that were not known to be over when it took.
+    #[serde(rename = "suspects")]
     #[serde(default)]
-    pub suspects: BTreeMap<u32, Vec<(ControllerName, u64)>>,
+    pub unconfirmed_predecessors: BTreeMap<u32, Vec<(ControllerName, u64)>>,
 }
 
 /// A node's current incarnation.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct IncarnationRecord {
-    pub boot: u64,
+    #[serde(rename = "boot")]
+    pub incarnation: u64,
     /// Lives in a row, this one among them, that were short, as far as it knows.
     #[serde(default)]
     pub short_lives: u32,
@@ -353,7 +359,7 @@
     /// written any more once the tokens had three digits.
     #[test]
     fn a_full_page_of_machines_stays_within_its_room() {
-        let room = page_room(4096);
+        let room = page_capacity(4096);
         let record = |token, partition| MachineRecord {
             machine_type: "m4".into(),
             zone: "north".into(),
@@ -363,7 +369,7 @@
             leaving: token > 0,
         };
         let name = |n: usize| MachineName::from(format!("host-{n:06}").as_str());
-        let each = PackedMachine::most_bytes(&name(1), &record(0, 0));
+        let each = PackedMachine::max_packed_size(&name(1), &record(0, 0));
         let page = |token, partition| MachinesPage {
             machines: (0..room / each)
                 .map(|n| PackedMachine::new(&name(n), &record(token, partition)))
--- a/crates/controller/src/state_cache.rs
+++ b/crates/controller/src/state_cache.rs
@@ -110,12 +110,12 @@
     /// Jobs on pages of accepted jobs, over or not.
     listed: ReferenceCounts,
     pub partitions: BTreeMap<PartitionId, Versioned<PartitionRecord>>,
-    pub wishes: BTreeMap<PartitionId, Versioned<ReclaimRecord>>,
+    pub reclaim_requests: BTreeMap<PartitionId, Versioned<ReclaimRecord>>,
     /// Versions of what holders have written that their partitions lack.
     pub demands: BTreeMap<PartitionId, Version>,
     pub machines: BTreeMap<MachineName, CachedMachine>,
     pub machine_pages: BTreeMap<u32, Versioned<MachinePage>>,
-    pub boots: BTreeMap<ControllerName, Versioned<IncarnationRecord>>,
+    pub incarnations: BTreeMap<ControllerName, Versioned<IncarnationRecord>>,
     pub counter: Option<Versioned<TokenCounterRecord>>,
     pub types: Option<Versioned<MachineTypes>>,
     pub tuning: Option<Versioned<Value>>,
@@ -126,7 +126,7 @@
 }
 
 /// Highest number of a page of packed records: far more than a site fills.
-const LAST_PAGE: u32 = 99_999;
+const MAX_PAGE_NUMBER: u32 = 99_999;
 /// Tokens at or above this are not given out in the life of a site; attempts are made of them, shifted.
 const TOKEN_LIMIT: u64 = 1 << 39;
 
@@ -142,7 +142,7 @@
 
 /// A page as keys spell it.
 fn page_number(text: &str) -> Option<u32> {
-    number(text).filter(|page| *page <= LAST_PAGE)
+    number(text).filter(|page| *page <= MAX_PAGE_NUMBER)
 }
 
 /// `s/KIND/NAME` as its two parts.
@@ -168,7 +168,7 @@
     }
 
     /// Whether a job is on any page of accepted jobs, over or not.
-    pub fn is_listed(&self, id: JobId) -> bool {
+    pub fn is_registered(&self, id: JobId) -> bool {
         self.listed.has(id)
     }
 
@@ -202,7 +202,7 @@
     }
 
     /// Takes in the counter. Tokens only rise, whatever is written there.
-    fn put_counter(&mut self, key: &str, value: &Value, version: Version) {
+    fn apply_counter(&mut self, key: &str, value: &Value, version: Version) {
         let Some(mut record) = self.decode::<TokenCounterRecord>(key, value) else { return };
         if record.next >= TOKEN_LIMIT {
             self.reject(key, &"no tokens are left");
@@ -223,7 +223,7 @@
             return;
         };
         match kind {
-            "j" => self.put_intake(key, value, version, changed),
+            "j" => self.apply_accepted_jobs_page(key, value, version, changed),
             "x" => {
                 let Some(record) = self.decode::<CancellationsRecord>(key, value) else { return };
                 let record: BTreeSet<JobId> = record.jobs.into_iter().map(JobId).collect();
@@ -233,7 +233,7 @@
                 changed.extend(new.map(|id| CacheEvent::Job(*id)));
                 self.cancels.insert(name, Versioned { record, version });
             }
-            "e" => self.put_ends(key, name, value, version, changed),
+            "e" => self.apply_terminal_jobs_page(key, name, value, version, changed),
             "p" => {
                 let read = self.decode_numbered(key, partition(name), value);
                 let Some((partition, record)) = read else { return };
@@ -243,7 +243,7 @@
             "w" => {
                 let read = self.decode_numbered(key, partition(name), value);
                 if let Some((partition, record)) = read {
-                    self.wishes.insert(partition, Versioned { record, version });
+                    self.reclaim_requests.insert(partition, Versioned { record, version });
                 }
             }
             "d" => {
@@ -256,16 +256,16 @@
             "m" => {
                 let read = self.decode_numbered(key, page_number(name), value);
                 if let Some((page, record)) = read {
-                    self.put_machines(page, record, version, changed);
+                    self.apply_machines_page(page, record, version, changed);
                 }
             }
             "b" => {
                 let Some(record) = self.decode(key, value) else { return };
                 let name = ControllerName::from(name);
-                self.boots.insert(name.clone(), Versioned { record, version });
+                self.incarnations.insert(name.clone(), Versioned { record, version });
                 changed.push(CacheEvent::Boot(name));
             }
-            "t" => self.put_counter(key, value, version),
+            "t" => self.apply_counter(key, value, version),
             "k" => {
                 let Some(record) = self.decode(key, value) else { return };
                 self.types = Some(Versioned { record, version });
@@ -279,7 +279,7 @@
         }
     }
 
-    fn put_intake(
+    fn apply_accepted_jobs_page(
         &mut self,
         key: &str,
         value: &Value,
@@ -323,7 +323,7 @@
         }
     }
 
-    fn put_ends(
+    fn apply_terminal_jobs_page(
         &mut self,
         key: &str,
         name: &str,
@@ -349,7 +349,7 @@
         }
     }
 
-    fn put_machines(
+    fn apply_machines_page(
         &mut self,
         page: u32,
         record: MachinesPage,
@@ -367,7 +367,7 @@
             let size = match self.machines.get(&name) {
                 Some(known) if known.record == record && known.page == page => known.size,
                 _ => {
-                    let size = PackedMachine::most_bytes(&name, &record);
+                    let size = PackedMachine::max_packed_size(&name, &record);
                     self.machines.insert(name.clone(), CachedMachine { record, page, size });
                     changed.push(CacheEvent::Machine(name.clone()));
                     size
@@ -402,7 +402,7 @@
             }
             "w" => {
                 if let Some(partition) = partition(name) {
-                    self.wishes.remove(&partition);
+                    self.reclaim_requests.remove(&partition);
                 }
             }
             "c" => {
--- a/crates/controller/tests/foreign_records.rs
+++ b/crates/controller/tests/foreign_records.rs
@@ -25,20 +25,20 @@
     Change { put: Some(key.into()), delete: None, value, version, lease: None }
 }
 
-fn apply(mirror: &mut StateCache, key: &str, value: Value) {
-    let version = mirror.revision.0 + 1;
-    mirror.apply(&Changes { revision: version, events: vec![put(key, value, version)] });
+fn apply(cache: &mut StateCache, key: &str, value: Value) {
+    let version = cache.revision.0 + 1;
+    cache.apply(&Changes { revision: version, events: vec![put(key, value, version)] });
 }
 
 #[test]
 fn record_that_cannot_be_read_leaves_what_was_known() {
-    let mut mirror = StateCache::default();
-    apply(&mut mirror, "s/t", json!({ "next": 41 }));
-    apply(&mut mirror, "s/k", json!({ "rigs": [] }));
-    apply(&mut mirror, "s/p/0", json!({ "holder": "n0", "boot": 1, "term": 40 }));
-    apply(&mut mirror, "s/x/n0", json!({ "jobs": [412] }));
-    apply(&mut mirror, "s/b/n0", json!({ "boot": 1 }));
-    assert_eq!(mirror.take_rejected(), 0);
+    let mut cache = StateCache::default();
+    apply(&mut cache, "s/t", json!({ "next": 41 }));
+    apply(&mut cache, "s/k", json!({ "rigs": [] }));
+    apply(&mut cache, "s/p/0", json!({ "holder": "n0", "boot": 1, "term": 40 }));
+    apply(&mut cache, "s/x/n0", json!({ "jobs": [412] }));
+    apply(&mut cache, "s/b/n0", json!({ "boot": 1 }));
+    assert_eq!(cache.take_rejected(), 0);
     let foreign = [
         ("s/t", json!({ "next": -1 })),
         ("s/t", json!({ "next": 4.5 })),
@@ -60,35 +60,35 @@
     ];
     let count = foreign.len() as u64;
     for (key, value) in foreign {
-        apply(&mut mirror, key, value);
+        apply(&mut cache, key, value);
     }
-    assert_eq!(mirror.take_rejected(), count);
-    assert_eq!(mirror.next_token(), 41);
-    assert!(mirror.types.is_some());
-    let partitions: Vec<_> = mirror.partitions.keys().copied().collect();
+    assert_eq!(cache.take_rejected(), count);
+    assert_eq!(cache.next_token(), 41);
+    assert!(cache.types.is_some());
+    let partitions: Vec<_> = cache.partitions.keys().copied().collect();
     assert_eq!(partitions, [PartitionId(0)]);
-    assert_eq!(mirror.partitions[&PartitionId(0)].record.holder, ControllerName::from("n0"));
-    assert!(mirror.is_cancelled(JobId(412)));
-    assert_eq!(mirror.boots[&ControllerName::from("n0")].record.boot, 1);
-    assert!(mirror.machine_pages.is_empty() && mirror.intake.is_empty());
+    assert_eq!(cache.partitions[&PartitionId(0)].record.leader, ControllerName::from("n0"));
+    assert!(cache.is_cancelled(JobId(412)));
+    assert_eq!(cache.incarnations[&ControllerName::from("n0")].record.incarnation, 1);
+    assert!(cache.machine_pages.is_empty() && cache.intake.is_empty());
 }
 
 #[test]
 fn tokens_only_rise_whatever_is_written() {
-    let mut mirror = StateCache::default();
-    apply(&mut mirror, "s/t", json!({ "next": 41 }));
-    apply(&mut mirror, "s/t", json!({ "next": 7 }));
-    assert_eq!((mirror.next_token(), mirror.counter_version()), (41, 2));
-    assert_eq!(mirror.take_rejected(), 1);
+    let mut cache = StateCache::default();
+    apply(&mut cache, "s/t", json!({ "next": 41 }));
+    apply(&mut cache, "s/t", json!({ "next": 7 }));
+    assert_eq!((cache.next_token(), cache.counter_version()), (41, 2));
+    assert_eq!(cache.take_rejected(), 1);
     let counter = TokenCounterRecord { next: 9, ..TokenCounterRecord::default() };
     let value = serde_json::to_value(counter).expect("a record");
-    mirror.replace(&[Item { key: "s/t".into(), value, version: 5, lease: None }], 6);
-    assert_eq!((mirror.next_token(), mirror.counter_version()), (41, 5));
+    cache.replace(&[Item { key: "s/t".into(), value, version: 5, lease: None }], 6);
+    assert_eq!((cache.next_token(), cache.counter_version()), (41, 5));
 }
 
 #[test]
 fn machine_on_another_page_meanwhile_is_not_dropped_with_its_old_one() {
-    let mut mirror = StateCache::default();
+    let mut cache = StateCache::default();
     let record = MachineRecord {
         machine_type: "m4".into(),
         zone: "a".into(),
@@ -102,13 +102,13 @@
         let machines = names.iter().map(|name| packed(name)).collect();
         serde_json::to_value(MachinesPage { machines }).expect("a page")
     };
-    apply(&mut mirror, "s/m/0000", page(&["host-000001", "host-000002", ""]));
-    assert_eq!(mirror.take_rejected(), 1, "a machine without a name");
-    apply(&mut mirror, "s/m/0001", page(&["host-000001"]));
-    apply(&mut mirror, "s/m/0000", page(&["host-000002"]));
-    assert!(mirror.machines.contains_key(&MachineName::from("host-000001")));
-    apply(&mut mirror, "s/m/0001", page(&[]));
-    assert!(!mirror.machines.contains_key(&MachineName::from("host-000001")));
+    apply(&mut cache, "s/m/0000", page(&["host-000001", "host-000002", ""]));
+    assert_eq!(cache.take_rejected(), 1, "a machine without a name");
+    apply(&mut cache, "s/m/0001", page(&["host-000001"]));
+    apply(&mut cache, "s/m/0000", page(&["host-000002"]));
+    assert!(cache.machines.contains_key(&MachineName::from("host-000001")));
+    apply(&mut cache, "s/m/0001", page(&[]));
+    assert!(!cache.machines.contains_key(&MachineName::from("host-000001")));
 }
 
 fn ledger_page(key: &str, value: Value) -> Item {
@@ -171,7 +171,7 @@
     fn random_records_are_rejected_or_read(
         events in vec(("s/[jxepwdmbtkcz](/(n0/)?[0-9]{1,4})?", any_json(), any::<bool>()), 1..12),
     ) {
-        let mut mirror = StateCache::default();
+        let mut cache = StateCache::default();
         let mut items = Vec::new();
         for (at, (key, value, deleted)) in events.into_iter().enumerate() {
             let version = at as u64 + 1;
@@ -181,12 +181,12 @@
                 items.push(Item { key: key.clone(), value: value.clone(), version, lease: None });
                 put(&key, value, version)
             };
-            mirror.apply(&Changes { revision: version, events: vec![change] });
+            cache.apply(&Changes { revision: version, events: vec![change] });
         }
-        let tokens = mirror.next_token();
-        let revision = mirror.revision.0;
-        mirror.replace(&items, revision);
-        prop_assert!(mirror.next_token() >= tokens || mirror.counter.is_none());
+        let tokens = cache.next_token();
+        let revision = cache.revision.0;
+        cache.replace(&items, revision);
+        prop_assert!(cache.next_token() >= tokens || cache.counter.is_none());
     }
 
     #[test]
--- a/crates/controller/tests/golden_records.rs
+++ b/crates/controller/tests/golden_records.rs
@@ -6,11 +6,11 @@
 use controller::controller::admin::TuningRecord;
 use controller::placement_log::PlacementLog;
 use controller::records::{
-    boot_key, cancels_key, demand_key, ends_key, final_key, intake_key, ledger_prefix,
-    machines_key, partition_key, wish_key, AcceptedJobsPage, CancellationsRecord, DemandRecord,
-    FinalRecord, IncarnationRecord, MachineRecord, MachinesPage, PackedJob, PackedMachine,
-    PartitionRecord, ReclaimRecord, TerminalJobsPage, TokenCounterRecord, COUNTER, TUNING, TYPES,
-    WATCHED,
+    accepted_jobs_key, cancellations_key, demand_key, final_key, incarnation_key, log_prefix,
+    machines_key, partition_key, reclaim_key, terminal_jobs_key, AcceptedJobsPage,
+    CancellationsRecord, DemandRecord, FinalRecord, IncarnationRecord, MachineRecord, MachinesPage,
+    PackedJob, PackedMachine, PartitionRecord, ReclaimRecord, TerminalJobsPage, TokenCounterRecord,
+    COUNTER, TUNING, TYPES, WATCHED,
 };
 use golden::{record, Entry};
 use model::{ControllerName, JobId, MachineName, PartitionId, Version};
@@ -103,8 +103,8 @@
     }
 }
 
-fn partition(suspects: Vec<(ControllerName, u64)>) -> PartitionRecord {
-    PartitionRecord { holder: node("n0"), boot: 3, term: 41, suspects }
+fn partition(unconfirmed_predecessors: Vec<(ControllerName, u64)>) -> PartitionRecord {
+    PartitionRecord { leader: node("n0"), incarnation: 3, term: 41, unconfirmed_predecessors }
 }
 
 fn machine(spot: bool, leaving: bool) -> PackedMachine {
@@ -146,7 +146,7 @@
     TokenCounterRecord {
         next: 42,
         takers: BTreeMap::from([(0, (node("n0"), 3)), (10, (node("n2"), 4))]),
-        suspects: BTreeMap::from([(2, vec![(node("n1"), 5), (node("n0"), 6)])]),
+        unconfirmed_predecessors: BTreeMap::from([(2, vec![(node("n1"), 5), (node("n0"), 6)])]),
     }
 }
 
@@ -193,7 +193,7 @@
 #[test]
 fn records_keep_their_bytes() {
     let page = MachinesPage { machines: vec![machine(true, false), machine(false, true)] };
-    let suspects = vec![(node("n1"), 5), (node("n2"), 6)];
+    let unconfirmed_predecessors = vec![(node("n1"), 5), (node("n2"), 6)];
     let entries = [
         record("cancellations", CancellationsRecord { jobs: vec![7, 412] }),
         record("cancellations_none", CancellationsRecord::default()),
@@ -202,14 +202,14 @@
         record("final_done", FinalRecord { state: JobState::Done }),
         record("final_cancelled", FinalRecord { state: JobState::Cancelled }),
         record("partition", partition(Vec::new())),
-        record("partition_suspects", partition(suspects)),
+        record("partition_suspects", partition(unconfirmed_predecessors)),
         record("machines", page),
         record("machines_none", MachinesPage::default()),
-        record("wish", ReclaimRecord { node: node("n0"), boot: 3, lease: 500 }),
+        record("wish", ReclaimRecord { node: node("n0"), incarnation: 3, lease: 500 }),
         record("demand", demand()),
         record("counter", counter()),
         record("counter_first", TokenCounterRecord::default()),
-        record("boot", IncarnationRecord { boot: 3, short_lives: 2 }),
+        record("boot", IncarnationRecord { incarnation: 3, short_lives: 2 }),
         record("types", machine_types()),
         record("settings", tuning()),
         record("settings_default", TuningRecord::default()),
@@ -234,7 +234,10 @@
 
 #[test]
 fn records_with_absent_fields_are_read() {
-    assert_eq!(bare::<IncarnationRecord>("boot"), IncarnationRecord { boot: 3, short_lives: 0 });
+    assert_eq!(
+        bare::<IncarnationRecord>("boot"),
+        IncarnationRecord { incarnation: 3, short_lives: 0 }
+    );
     assert_eq!(bare::<TokenCounterRecord>("counter").next, 42);
     assert_eq!(bare::<TerminalJobsPage>("ended_jobs"), TerminalJobsPage::default());
     assert_eq!(bare::<TuningRecord>("settings"), TuningRecord::default());
@@ -250,17 +253,17 @@
         Entry::text("counter", COUNTER),
         Entry::text("types", TYPES),
         Entry::text("settings", TUNING),
-        Entry::text("accepted_jobs", intake_key(&node("n0"), 7)),
-        Entry::text("accepted_jobs_wide", intake_key(&node("n0"), 12_345)),
-        Entry::text("cancellations", cancels_key(&node("n0"))),
-        Entry::text("ended_jobs", ends_key(PartitionId(2), 7)),
+        Entry::text("accepted_jobs", accepted_jobs_key(&node("n0"), 7)),
+        Entry::text("accepted_jobs_wide", accepted_jobs_key(&node("n0"), 12_345)),
+        Entry::text("cancellations", cancellations_key(&node("n0"))),
+        Entry::text("ended_jobs", terminal_jobs_key(PartitionId(2), 7)),
         Entry::text("machines", machines_key(7)),
         Entry::text("final", final_key(JobId(412))),
         Entry::text("partition", partition_key(PartitionId(2))),
-        Entry::text("wish", wish_key(PartitionId(2))),
+        Entry::text("wish", reclaim_key(PartitionId(2))),
         Entry::text("demand", demand_key(PartitionId(2))),
-        Entry::text("boot", boot_key(&node("n0"))),
-        Entry::text("ledger", ledger_prefix(PartitionId(2))),
+        Entry::text("boot", incarnation_key(&node("n0"))),
+        Entry::text("ledger", log_prefix(PartitionId(2))),
     ];
     golden::check("keys.txt", &entries);
 }
--- a/crates/failover/src/replica.rs
+++ b/crates/failover/src/replica.rs
@@ -27,7 +27,7 @@
 pub struct ReplicationSource {
     pub leader: ControllerName,
     /// Incarnation of the leader.
-    pub boot: u64,
+    pub incarnation: u64,
     pub term: u64,
 }
 
@@ -108,8 +108,8 @@
     /// A message that starts or renews the subscription after what has been applied.
     fn subscription(&mut self, partition: PartitionId, now: Timestamp) -> MeshMessage {
         self.renewed_at = Some(now);
-        let ReplicationSource { boot, term, .. } = self.source;
-        MeshMessage::Follow { partition: partition.0, boot, term, have: self.applied }
+        let ReplicationSource { incarnation, term, .. } = self.source;
+        MeshMessage::Subscribe { partition: partition.0, incarnation, term, have: self.applied }
     }
 
     fn apply(&mut self, hint: ReplicatedRecord, sent_at: Timestamp, now: Timestamp) {
@@ -127,10 +127,10 @@
                     self.jobs.insert(hint.job, hint);
                 }
             }
-            ReplicatedRecord::Gone(ReplicationKey::Machine(name)) => {
+            ReplicatedRecord::Removed(ReplicationKey::Machine(name)) => {
                 self.machines.remove(&MachineName::from(name.as_str()));
             }
-            ReplicatedRecord::Gone(ReplicationKey::Job(id)) => {
+            ReplicatedRecord::Removed(ReplicationKey::Job(id)) => {
                 self.jobs.remove(&id);
             }
         }
@@ -195,8 +195,8 @@
     ) -> Option<MeshMessage> {
         let partition = PartitionId(part.partition);
         let replica = self.by_partition.get_mut(&partition)?;
-        let ReplicationSource { leader, boot, term } = &replica.source;
-        if (leader, *boot, *term) != (from, part.boot, part.term) {
+        let ReplicationSource { leader, incarnation, term } = &replica.source;
+        if (leader, *incarnation, *term) != (from, part.incarnation, part.term) {
             return None;
         }
         let has_gap = part.after > replica.applied;
--- a/crates/failover/src/stream.rs
+++ b/crates/failover/src/stream.rs
@@ -185,7 +185,7 @@
                 break;
             }
             let hint = self.entries.get(key).and_then(|entry| entry.hint.clone());
-            let hint = hint.unwrap_or_else(|| ReplicatedRecord::Gone(key.clone()));
+            let hint = hint.unwrap_or_else(|| ReplicatedRecord::Removed(key.clone()));
             bytes += hint.weight();
             hints.push(hint);
         }
--- a/crates/failover/tests/large_partition.rs
+++ b/crates/failover/tests/large_partition.rs
@@ -20,7 +20,7 @@
         address: format!("10.0.{}.{}:9000", number / 256, number % 256),
         session: number as u64,
         reporting: true,
-        faulty: false,
+        quarantined: false,
         idle_at: None,
         images: (0..IMAGES).map(|image| (format!("img-{image:02}"), 1.5)).collect(),
     })
@@ -48,13 +48,13 @@
 
     /// One step of both nodes.
     fn step(&mut self, machines: std::ops::Range<usize>, now: Timestamp) {
-        let source = ReplicationSource { leader: self.leader.clone(), boot: 1, term: 1 };
+        let source = ReplicationSource { leader: self.leader.clone(), incarnation: 1, term: 1 };
         for (_, message) in self.replicas.subscribe(&BTreeMap::from([(PARTITION, source)]), now) {
             self.subscribe(message, now);
         }
         self.stream.update(machines.map(machine));
         let header = ReplicationBatch {
-            boot: 1,
+            incarnation: 1,
             term: 1,
             at_ms: now.as_millis(),
             ..ReplicationBatch::default()
@@ -68,7 +68,7 @@
     }
 
     fn subscribe(&mut self, message: MeshMessage, now: Timestamp) {
-        let MeshMessage::Follow { have, .. } = message else { panic!("{message:?}") };
+        let MeshMessage::Subscribe { have, .. } = message else { panic!("{message:?}") };
         self.stream.subscribe(&self.subscriber, have, now);
     }
 
--- a/crates/failover/tests/stream.rs
+++ b/crates/failover/tests/stream.rs
@@ -18,7 +18,7 @@
         address: format!("10.0.0.{n}:9000"),
         session,
         reporting: !session.is_multiple_of(3),
-        faulty: false,
+        quarantined: false,
         idle_at: None,
         images: vec![(format!("img-{}", session % 4), 1.5)],
     })
@@ -39,16 +39,16 @@
 /// The holder's side, its incarnation and its truth.
 struct Holder {
     stream: ReplicationStream,
-    boot: u64,
+    incarnation: u64,
     truth: BTreeMap<u32, u64>,
     jobs: BTreeMap<u64, u32>,
 }
 
 impl Holder {
-    fn new(boot: u64) -> Self {
+    fn new(incarnation: u64) -> Self {
         Holder {
             stream: ReplicationStream::default(),
-            boot,
+            incarnation,
             truth: BTreeMap::new(),
             jobs: BTreeMap::new(),
         }
@@ -72,8 +72,14 @@
     }
 
     fn part(&self, now: Timestamp) -> ReplicationBatch {
-        let (boot, at_ms) = (self.boot, now.as_millis());
-        ReplicationBatch { partition: P.0, boot, term: 7, at_ms, ..ReplicationBatch::default() }
+        let (incarnation, at_ms) = (self.incarnation, now.as_millis());
+        ReplicationBatch {
+            partition: P.0,
+            incarnation,
+            term: 7,
+            at_ms,
+            ..ReplicationBatch::default()
+        }
     }
 }
 
@@ -83,23 +89,26 @@
     for seed in 0..40 {
         let mut rng = SmallRng::seed_from_u64(seed);
         let mut said = BTreeSet::new();
-        let mut holder = Holder::new(1);
+        let mut leader = Holder::new(1);
         let mut replicas = Replicas::default();
         let mut on_way: Vec<(Timestamp, ReplicationBatch)> = Vec::new();
         let (well_from, ends) = (20_000, 32_000);
         for at in (0..ends).step_by(250) {
             let now = Timestamp::from_millis(at);
             if at < well_from {
-                holder.change(&mut rng, &mut said);
+                leader.change(&mut rng, &mut said);
                 if rng.random_bool(0.03) {
                     // It ends, and its next incarnation knows nothing of what it has said.
-                    holder = Holder::new(holder.boot + 1);
-                    holder.change(&mut rng, &mut said);
+                    leader = Holder::new(leader.incarnation + 1);
+                    leader.change(&mut rng, &mut said);
                 }
             }
             let loss = if at < well_from { 0.2 } else { 0.0 };
-            let source =
-                ReplicationSource { leader: holder_name.clone(), boot: holder.boot, term: 7 };
+            let source = ReplicationSource {
+                leader: holder_name.clone(),
+                incarnation: leader.incarnation,
+                term: 7,
+            };
             let mut words = replicas.subscribe(&BTreeMap::from([(P, source)]), now);
             on_way.sort_by_key(|(at, _)| *at);
             let due: Vec<_> = on_way.extract_if(.., |(at, _)| *at <= now).collect();
@@ -107,13 +116,13 @@
                 words.extend(replicas.apply(&holder_name, part, now).map(|m| (me.clone(), m)));
             }
             for (_, word) in words {
-                if let MeshMessage::Follow { boot, have, .. } = word {
-                    if boot == holder.boot && !rng.random_bool(loss) {
-                        holder.stream.subscribe(&me, have, now);
+                if let MeshMessage::Subscribe { incarnation, have, .. } = word {
+                    if incarnation == leader.incarnation && !rng.random_bool(loss) {
+                        leader.stream.subscribe(&me, have, now);
                     }
                 }
             }
-            for (_, part) in holder.stream.due_parts(&holder.part(now), now) {
+            for (_, part) in leader.stream.due_parts(&leader.part(now), now) {
                 let bytes: usize = part.hints.iter().map(ReplicatedRecord::weight).sum();
                 assert!(bytes < 20 * 1024, "seed {seed}: a part of {bytes} bytes");
                 if rng.random_bool(loss) {
@@ -138,7 +147,7 @@
             .iter()
             .map(|(name, machine)| (name.clone(), machine.hint.session))
             .collect();
-        let truth: BTreeMap<MachineName, u64> = holder
+        let truth: BTreeMap<MachineName, u64> = leader
             .truth
             .iter()
             .map(|(n, session)| (MachineName::from(format!("host-{n:04}").as_str()), *session))
@@ -146,7 +155,7 @@
         assert!(machines == truth, "seed {seed}: {} and {} differ", machines.len(), truth.len());
         let jobs: BTreeMap<u64, u32> =
             copy.jobs.iter().map(|(id, hint)| (*id, hint.failures[0].1)).collect();
-        assert_eq!(jobs, holder.jobs, "seed {seed}");
+        assert_eq!(jobs, leader.jobs, "seed {seed}");
     }
 }
 
@@ -156,14 +165,14 @@
 fn words_of_others_are_not_used() {
     let (old, new) = (ControllerName::from("n0"), ControllerName::from("n1"));
     let mut replicas = Replicas::default();
-    let source = |leader: &ControllerName, boot, term| ReplicationSource {
+    let source = |leader: &ControllerName, incarnation, term| ReplicationSource {
         leader: leader.clone(),
-        boot,
+        incarnation,
         term,
     };
-    let part = |boot, term, session| ReplicationBatch {
+    let part = |incarnation, term, session| ReplicationBatch {
         partition: P.0,
-        boot,
+        incarnation,
         term,
         after: 0,
         upto: 1,
--- a/crates/model/src/job.rs
+++ b/crates/model/src/job.rs
@@ -160,7 +160,7 @@
     /// fleet grows for it only where machines are cheap. What has a deadline is expected at a time,
     /// whatever its priority: GPU arrays of low priority waited for 553 s at the median, for cheap
     /// machines that were not to be had (`docs/incidents/2026-12-02-low-with-a-deadline.md`).
-    pub fn best_effort(&self) -> bool {
+    pub fn is_best_effort(&self) -> bool {
         self.kind == JobKind::Array && self.priority == Priority::Low && self.deadline.is_none()
     }
 
--- a/crates/model/src/resources.rs
+++ b/crates/model/src/resources.rs
@@ -60,7 +60,7 @@
     }
 
     /// What is left of `self` after taking `other`, never below nothing.
-    pub fn less(&self, other: &Resources) -> Self {
+    pub fn saturating_sub(&self, other: &Resources) -> Self {
         Resources {
             milli_cpus: self.milli_cpus.saturating_sub(other.milli_cpus),
             milli_gpus: self.milli_gpus.saturating_sub(other.milli_gpus),
@@ -69,7 +69,7 @@
     }
 
     /// How many times `part` fits in.
-    pub fn holds(&self, part: &Resources) -> u64 {
+    pub fn how_many_fit(&self, part: &Resources) -> u64 {
         let per = |have: u64, need: u64| have.checked_div(need).unwrap_or(u64::MAX);
         per(self.milli_cpus, part.milli_cpus)
             .min(per(self.milli_gpus, part.milli_gpus))
@@ -97,12 +97,12 @@
 impl Sub for Resources {
     type Output = Resources;
     fn sub(self, other: Resources) -> Resources {
-        self.less(&other)
+        self.saturating_sub(&other)
     }
 }
 
 impl SubAssign for Resources {
     fn sub_assign(&mut self, other: Resources) {
-        *self = self.less(&other);
+        *self = self.saturating_sub(&other);
     }
 }
--- a/crates/model/src/settings/file.rs
+++ b/crates/model/src/settings/file.rs
@@ -198,8 +198,10 @@
 }
 
 /// Time within which jobs of each class should be finished.
-fn goals(objectives: &[FileObjective]) -> Result<BTreeMap<String, Duration>, SettingsError> {
-    let mut goals: BTreeMap<String, Duration> = BTreeMap::new();
+fn completion_objectives(
+    objectives: &[FileObjective],
+) -> Result<BTreeMap<String, Duration>, SettingsError> {
+    let mut completion_objectives: BTreeMap<String, Duration> = BTreeMap::new();
     for (index, objective) in objectives.iter().enumerate() {
         let FileObjective { kind: Some(kind), class: Some(class), within_s: Some(within) } =
             objective
@@ -211,10 +213,10 @@
         }
         let field = format!("settings.objectives[{index}].within_s");
         let within = duration_from_secs(positive(&field, *within)?);
-        let goal = goals.entry(class.clone()).or_insert(within);
-        *goal = within.min(*goal);
+        let completion_objective = completion_objectives.entry(class.clone()).or_insert(within);
+        *completion_objective = within.min(*completion_objective);
     }
-    Ok(goals)
+    Ok(completion_objectives)
 }
 
 impl Settings {
@@ -229,7 +231,7 @@
         let teams = teams(&params.teams)?;
         let workers = worker_times(&params.workers)?;
         let value_bytes = value_bytes(&params.state)?;
-        let goals = goals(&params.objectives)?;
+        let completion_objectives = completion_objectives(&params.objectives)?;
         Ok(Settings {
             name: ControllerName::from(file.member.as_str()),
             zone: ZoneName::from(file.zone.as_str()),
@@ -249,7 +251,7 @@
             cloud_rps: positive("settings.cloud.rps", params.cloud.rps)?,
             cloud_list_lag: duration_from_secs(params.cloud.list_lag_s),
             sockets: params.quota.as_ref().map_or(DEFAULT_SOCKETS, |quota| quota.sockets),
-            goals,
+            completion_objectives,
         })
     }
 }
--- a/crates/model/src/settings/mod.rs
+++ b/crates/model/src/settings/mod.rs
@@ -70,7 +70,7 @@
     pub cloud_list_lag: Duration,
     pub sockets: usize,
     /// Time within which jobs of a class should be finished, the shortest where several are named.
-    pub goals: BTreeMap<String, Duration>,
+    pub completion_objectives: BTreeMap<String, Duration>,
 }
 
 impl Settings {
@@ -93,7 +93,7 @@
     /// confirmed read of changes: what a worker's lease leaves of `cancel_s`, less a margin
     /// for drift and for the delivery of the stop itself. Where little is left, half of that: without the
     /// margin the rule holds still, and with no time at all no worker could ever be answered.
-    pub fn blind_span(&self) -> Duration {
+    pub fn lease_validity(&self) -> Duration {
         let left = self.workers.cancel.saturating_sub(self.workers.lease.with_clock_drift());
         let margin = Duration::from_secs(1) + self.workers.report;
         left.saturating_sub(margin.min(left / 2))
--- a/crates/model/tests/golden_settings.rs
+++ b/crates/model/tests/golden_settings.rs
@@ -91,7 +91,7 @@
         cloud_rps: 10.0,
         cloud_list_lag: Duration::from_millis(8_250),
         sockets: 1_000,
-        goals: BTreeMap::new(),
+        completion_objectives: BTreeMap::new(),
     }
 }
 
@@ -100,7 +100,10 @@
         peers: vec![peer("n1", "south", "10.0.0.2:8082"), peer("n2", "north", "[::1]:8083")],
         teams: teams(),
         sockets: 321,
-        goals: BTreeMap::from([("train".to_owned(), Duration::from_millis(600_500))]),
+        completion_objectives: BTreeMap::from([(
+            "train".to_owned(),
+            Duration::from_millis(600_500),
+        )]),
         ..plain()
     }
 }
--- a/crates/model/tests/settings.rs
+++ b/crates/model/tests/settings.rs
@@ -32,7 +32,7 @@
 #[test]
 fn settings_name_the_field_that_is_wrong() {
     let good = Settings::parse(GOOD).expect("good settings");
-    assert!(good.blind_span() + good.workers.lease < good.workers.cancel);
+    assert!(good.lease_validity() + good.workers.lease < good.workers.cancel);
     for (from, to, field) in [
         ("serve_on = \"10.0.0.1:8080\"", "serve_on = \"x\"", "serve_on"),
         ("member = \"n0\"", "", "member"),
--- a/crates/scheduler/src/best_effort.rs
+++ b/crates/scheduler/src/best_effort.rs
@@ -13,41 +13,41 @@
 use std::time::Duration;
 
 /// Tasks that end within this time are not stopped to make room: waiting costs less.
-const SOON: Duration = Duration::from_secs(8);
+const NEAR_END: Duration = Duration::from_secs(8);
 /// How long a machine is left to the best-effort tasks that remain on it.
-const LINGER: Duration = Duration::from_secs(10);
+const EVICTION_DELAY: Duration = Duration::from_secs(10);
 /// How long a team's best-effort work may have hardly any place before it may take a few anywhere.
-const STRANDED: Duration = Duration::from_secs(120);
+const STARVATION_TIMEOUT: Duration = Duration::from_secs(120);
 /// So many.
-const FOOTHOLD: usize = 8;
+const MIN_TEAM_PLACES: usize = 8;
 
 impl PartitionState {
     /// Whether a machine is a place for the job as far as this goes: best-effort work does not
     /// keep ordinary machines alive that it could do without.
     pub(crate) fn may_linger(&self, job: &Job, machine: &Machine) -> bool {
-        !job.best_effort()
+        !job.is_best_effort()
             || !job.spec.spot
             || machine.spot
             || machine.pinned > 0
             || (machine.regular() > 0 && leaves_soon(job))
-            || job.stranded && job.placed.len() < FOOTHOLD
+            || job.stranded && job.placed.len() < MIN_TEAM_PLACES
     }
 
     /// A job found no room just now.
-    pub(crate) fn note_roomless(&mut self, id: JobId, now: Timestamp) {
-        if self.jobs.get(&id).is_some_and(|job| !job.best_effort()) {
-            self.roomless.insert(id, now);
+    pub(crate) fn record_unplaced(&mut self, id: JobId, now: Timestamp) {
+        if self.jobs.get(&id).is_some_and(|job| !job.is_best_effort()) {
+            self.unplaced_since.insert(id, now);
         }
     }
 
     /// Whether a machine's room is left to other jobs, which found none lately and back off: if
     /// best-effort tasks took it meanwhile they would only be stopped again.
     pub(crate) fn left_to_others(&self, job: &Job, machine: &Machine, now: Timestamp) -> bool {
-        if !job.best_effort() {
+        if !job.is_best_effort() {
             return false;
         }
         let free = machine.free();
-        self.roomless
+        self.unplaced_since
             .keys()
             .filter_map(|id| self.jobs.get(id))
             .any(|other| other.spec.needs.fits(&free) && self.admits(other, machine, now))
@@ -64,8 +64,8 @@
         let left = Duration::from_millis(
             victim.spec.estimate.whole_millis().saturating_sub(ran.whole_millis()),
         );
-        victim.spec.best_effort()
-            && left > SOON
+        victim.spec.is_best_effort()
+            && left > NEAR_END
             && (victim.spec.checkpoint > Duration::ZERO
                 || ran.whole_millis() * 4 < victim.spec.estimate.whole_millis())
     }
@@ -82,7 +82,7 @@
         let ran = now.duration_since(placement.placed_at).whole_millis();
         if victim.spec.checkpoint == Duration::ZERO {
             ran
-        } else if at_once && victim.spec.best_effort() {
+        } else if at_once && victim.spec.is_best_effort() {
             ran % victim.spec.checkpoint.whole_millis()
         } else {
             ran.min(victim.spec.save.whole_millis() + 1_000)
@@ -94,7 +94,7 @@
         let ran = now.duration_since(placement.placed_at);
         !job.guaranteed
             && (job.spec.checkpoint > Duration::ZERO
-                || job.spec.estimate.whole_millis() < ran.whole_millis() + SOON.whole_millis())
+                || job.spec.estimate.whole_millis() < ran.whole_millis() + NEAR_END.whole_millis())
     }
 
     /// What best-effort tasks would leave to other work within seconds.
@@ -104,7 +104,7 @@
             return sum;
         }
         for task in &machine.tasks {
-            let Some(job) = self.jobs.get(&task.job).filter(|j| j.spec.best_effort()) else {
+            let Some(job) = self.jobs.get(&task.job).filter(|j| j.spec.is_best_effort()) else {
                 continue;
             };
             if job.placed.get(&task.index).is_some_and(|p| self.gives_way(job, p, now)) {
@@ -129,12 +129,12 @@
     pub(crate) fn clear_best_effort(&mut self, tasks: Vec<TaskId>, now: Timestamp) {
         for task in tasks {
             let saves = self.jobs.get(&task.job).is_some_and(|job| {
-                job.spec.best_effort()
+                job.spec.is_best_effort()
                     && job.spec.checkpoint > Duration::ZERO
                     && job.placed.get(&task.index).is_some_and(|p| p.stop.is_none())
             });
             if saves {
-                let grace = self.grace_of(task);
+                let grace = self.grace_period(task);
                 self.stop_task(task, grace, now);
             }
         }
@@ -142,10 +142,10 @@
 
     /// Sends best-effort work away from ordinary machines on which nothing else is left, and
     /// notes which jobs have found no place for long.
-    pub fn tidy_best_effort(&mut self, now: Timestamp) {
+    pub fn evict_best_effort(&mut self, now: Timestamp) {
         // By team: places taken, and the job that waits longest.
         let mut teams: HashMap<TeamName, (usize, Option<(u64, JobId)>)> = HashMap::new();
-        for job in self.jobs.values_mut().filter(|job| job.spec.best_effort()) {
+        for job in self.jobs.values_mut().filter(|job| job.spec.is_best_effort()) {
             job.stranded = false;
             let (placed, first) = teams.entry(job.spec.team.clone()).or_default();
             *placed += job.placed.len();
@@ -156,26 +156,26 @@
         }
         for (name, (placed, first)) in &teams {
             let Some(team) = self.teams.get_mut(name) else { continue };
-            let (false, Some((_, id))) = (*placed >= FOOTHOLD, first) else {
+            let (false, Some((_, id))) = (*placed >= MIN_TEAM_PLACES, first) else {
                 team.thin_since = None;
                 continue;
             };
             let since = *team.thin_since.get_or_insert(now);
             if let Some(job) = self.jobs.get_mut(id) {
-                job.stranded = now.duration_since(since) > STRANDED;
+                job.stranded = now.duration_since(since) > STARVATION_TIMEOUT;
             }
         }
         let leaves = |task: &&TaskId| {
             self.jobs.get(&task.job).is_some_and(|job| {
                 let placed = teams.get(&job.spec.team).map_or(0, |(placed, _)| *placed);
-                job.spec.spot && !job.guaranteed && placed > FOOTHOLD
+                job.spec.spot && !job.guaranteed && placed > MIN_TEAM_PLACES
             })
         };
         let tasks: Vec<TaskId> = self
             .machines
             .values()
             .filter(|m| !m.spot && m.best_effort > 0 && m.regular() == 0)
-            .filter(|m| now.duration_since(m.regular_left_at) > LINGER)
+            .filter(|m| now.duration_since(m.regular_left_at) > EVICTION_DELAY)
             .flat_map(|m| m.tasks.iter().filter(leaves).copied())
             .collect();
         self.clear_best_effort(tasks, now);
@@ -186,12 +186,12 @@
         if job.spec.priority >= model::Priority::High || job.guaranteed {
             return Some(false);
         }
-        (job.spec.kind == JobKind::Array && !job.spec.best_effort()).then_some(true)
+        (job.spec.kind == JobKind::Array && !job.spec.is_best_effort()).then_some(true)
     }
 }
 
 /// Whether tasks of the job are gone within seconds when a machine is wanted: beside arrays, which
 /// end sooner than they do, others would remain alone.
 fn leaves_soon(job: &Job) -> bool {
-    job.spec.checkpoint > Duration::ZERO || job.spec.estimate < SOON
+    job.spec.checkpoint > Duration::ZERO || job.spec.estimate < NEAR_END
 }
--- a/crates/scheduler/src/capacity_index.rs
+++ b/crates/scheduler/src/capacity_index.rs
@@ -17,7 +17,7 @@
 use std::sync::Arc;
 
 /// Replicas on a machine beyond which more make no difference.
-pub(crate) const MOST_PINNED: u64 = 64;
+pub(crate) const MAX_RANKED_REPLICAS: u64 = 64;
 
 /// Machines of one type and kind in one zone.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -41,7 +41,7 @@
     let free = machine.free();
     Place {
         class,
-        pinned: machine.pinned.min(MOST_PINNED),
+        pinned: machine.pinned.min(MAX_RANKED_REPLICAS),
         milli_gpus: free.milli_gpus,
         milli_cpus: free.milli_cpus,
     }
@@ -276,7 +276,7 @@
 
     /// Less is better: the order in which levels, and the machines within them, stand.
     fn score(job: &Job, machine: &Machine) -> (bool, bool, u64, u64, u64) {
-        let pinned = MOST_PINNED - machine.pinned.min(MOST_PINNED);
+        let pinned = MAX_RANKED_REPLICAS - machine.pinned.min(MAX_RANKED_REPLICAS);
         let free = machine.free();
         let cached = machine.has_image(&job.spec.image);
         (!cached, !machine.spot, pinned, free.milli_gpus, free.milli_cpus)
--- a/crates/scheduler/src/commands.rs
+++ b/crates/scheduler/src/commands.rs
@@ -24,23 +24,23 @@
     ) -> Vec<Command> {
         let Some(machine) = self.machines.get(name) else { return Vec::new() };
         let mut commands = Vec::new();
-        for stray in &machine.strays {
-            let task = stray.task.to_string();
-            let attempt = stray.attempt.0;
-            if stray.state != TaskState::Exited {
+        for orphan in &machine.orphaned_tasks {
+            let task = orphan.task.to_string();
+            let attempt = orphan.attempt.0;
+            if orphan.state != TaskState::Exited {
                 commands.push(Command::Stop { task, attempt, grace_s: 0.0 });
-            } else if !self.unsaved.contains(&(stray.task, stray.attempt))
-                && machine.lost_launch.is_none()
-                && machine.may_forget(stray)
+            } else if !self.undurable_outcomes.contains(&(orphan.task, orphan.attempt))
+                && machine.unconfirmed_launch.is_none()
+                && machine.may_forget(orphan)
                 // A worker that has forgotten the attempt would start it when the launch in a
                 // late answer reaches it.
-                && !machine.answer_launches.contains(&(stray.task, stray.attempt))
+                && !machine.answer_launches.contains(&(orphan.task, orphan.attempt))
             {
                 commands.push(Command::Forget { task, attempt });
             }
         }
         let (session, token) = (machine.session, machine.token);
-        let launches_allowed = machine.heard_at.is_some() && !machine.leaving;
+        let launches_allowed = machine.last_seen_at.is_some() && !machine.leaving;
         let noticed = machine.notice.is_some();
         let tasks: Vec<TaskId> = machine.tasks.iter().copied().collect();
         let mut launches = Vec::new();
@@ -56,28 +56,28 @@
             let id = task.to_string();
             let attempt = p.attempt.0;
             if let Some(stop) = p.stop {
-                let saving = p.seen == Some(TaskState::Saving);
+                let saving = p.last_status == Some(TaskState::Saving);
                 // A second halt with no grace would end a task that is saving.
                 if !saving || stop.grace_ms == 0 {
                     let grace_s = stop.grace_ms as f64 / 1000.0;
                     commands.push(Command::Stop { task: id, attempt, grace_s });
                 }
-            } else if p.recorded
+            } else if p.durable
                 && !p.inherited
-                && p.seen.is_none()
+                && p.last_status.is_none()
                 && launches_allowed
                 && !cancelled
                 && !(waits && p.launched.is_none())
                 && !(noticed && p.launched.is_none())
             {
                 // A direct launch that waits for its answer is not doubled by another.
-                if route == CommandRoute::Direct && p.unanswered.is_some() {
+                if route == CommandRoute::Direct && p.unconfirmed_launch_of.is_some() {
                     continue;
                 }
                 p.launched = Some(session);
                 match route {
-                    CommandRoute::Direct => p.unanswered = Some((token, session)),
-                    CommandRoute::Answer => p.in_answer = true,
+                    CommandRoute::Direct => p.unconfirmed_launch_of = Some((token, session)),
+                    CommandRoute::Answer => p.launched_in_response = true,
                 }
                 launches.push(((task, p.attempt), Command::Start { task: id, attempt }));
             }
@@ -86,7 +86,7 @@
             match route {
                 CommandRoute::Direct => {
                     if !launches.is_empty() {
-                        machine.direct_at = now;
+                        machine.last_direct_call_at = now;
                     }
                     let sent = launches.iter().map(|(id, _)| (*id, (token, session)));
                     machine.direct.extend(sent);
@@ -102,21 +102,24 @@
 
     /// A direct call was answered: what it carried has been executed or refused, and will
     /// not be executed later.
-    pub fn direct_answered(&mut self, name: &MachineName, sent: &[(TaskId, Attempt)]) {
+    pub fn record_direct_response(&mut self, name: &MachineName, sent: &[(TaskId, Attempt)]) {
         for (task, attempt) in sent {
             let Some(job) = self.jobs.get_mut(&task.job) else { continue };
             if let Some(p) = job.placed.get_mut(&task.index) {
                 if p.attempt == *attempt && p.machine == *name {
-                    p.unanswered = None;
+                    p.unconfirmed_launch_of = None;
                 }
             }
         }
     }
 
     /// Session and token under which a direct call to the machine would be accepted.
-    pub fn direct_terms(&self, name: &MachineName) -> Option<(String, FencingToken, WorkerEpoch)> {
+    pub fn direct_call_target(
+        &self,
+        name: &MachineName,
+    ) -> Option<(String, FencingToken, WorkerEpoch)> {
         let machine = self.machines.get(name)?;
-        machine.heard_at?;
+        machine.last_seen_at?;
         Some((machine.address.clone()?, machine.token, machine.session))
     }
 }
--- a/crates/scheduler/src/consolidation.rs
+++ b/crates/scheduler/src/consolidation.rs
@@ -11,9 +11,9 @@
 use wire::workers::TaskState;
 
 /// A replica stays where it is for so long at least: a start that is undone sooner was none.
-const SETTLED: Duration = Duration::from_secs(45);
+const MIN_REPLICA_AGE: Duration = Duration::from_secs(45);
 /// Time between two machines that are emptied, so that few replicas are down at a time.
-const PACE: Duration = Duration::from_millis(1_500);
+const MOVE_INTERVAL: Duration = Duration::from_millis(1_500);
 /// How long a machine is kept free for being emptied, and room for those that move.
 const PATIENCE: Duration = Duration::from_secs(10);
 /// Emptiest machines that are looked at.
@@ -23,8 +23,8 @@
     /// Starts to empty one machine if its replicas have better places.
     pub fn consolidate(&mut self, now: Timestamp) {
         if !self.policy.move_replicas
-            || !self.picture_stands(now)
-            || now.duration_since(self.consolidated_at) < PACE
+            || !self.update_inventory_known(now)
+            || now.duration_since(self.consolidated_at) < MOVE_INTERVAL
             || self.queue.has_active()
         {
             return;
@@ -46,9 +46,10 @@
         self.clear_best_effort(rest.unwrap_or_default(), now);
         for (task, target, needs) in moves {
             let limit_of = self.jobs.get(&task.job).map(|job| job.spec.team.clone());
-            let promise = Reservation { machine: target, needs, until: now + PATIENCE, limit_of };
-            self.promise(EntryKey::Task(task), promise);
-            let grace = self.grace_of(task);
+            let reservation =
+                Reservation { machine: target, needs, until: now + PATIENCE, limit_of };
+            self.reserve(EntryKey::Task(task), reservation);
+            let grace = self.grace_period(task);
             self.stop_task(task, grace, now);
         }
     }
@@ -57,17 +58,17 @@
     fn may_empty(&self, machine: &Machine, now: Timestamp) -> bool {
         machine.pinned > 0
             && machine.pinned == machine.regular()
-            && machine.usable(now, self.silence())
+            && machine.usable(now, self.heartbeat_timeout())
             && machine.tasks.iter().all(|task| {
                 let Some(job) = self.jobs.get(&task.job) else { return false };
-                if job.spec.best_effort() {
+                if job.spec.is_best_effort() {
                     return true;
                 }
                 let free = !job.spec.one_zone && !job.spec.spread && !job.cancelled;
                 free && job.placed.get(&task.index).is_some_and(|p| {
                     p.stop.is_none()
-                        && p.seen == Some(TaskState::Running)
-                        && now.duration_since(p.placed_at) >= SETTLED
+                        && p.last_status == Some(TaskState::Running)
+                        && now.duration_since(p.placed_at) >= MIN_REPLICA_AGE
                 })
             })
     }
@@ -82,12 +83,12 @@
         let mut moves = Vec::new();
         for task in &source.tasks {
             let job = self.jobs.get(&task.job)?;
-            if job.spec.best_effort() {
+            if job.spec.is_best_effort() {
                 continue;
             }
             let entry = EntryKey::Task(*task);
             let room = |m: &Machine| {
-                let mut room = self.room_for(entry, m);
+                let mut room = self.free_capacity_for(entry, m);
                 for (_, needs) in taken.iter().filter(|(name, _)| *name == m.name) {
                     room -= *needs;
                 }
@@ -110,6 +111,6 @@
 /// Machines in the order in which they are emptied; no two are alike, so that no two swap
 /// their replicas.
 fn fullness(machine: &Machine) -> (u64, u64, u64, &MachineName) {
-    let used = machine.used.less(&machine.best_effort_used);
+    let used = machine.used.saturating_sub(&machine.best_effort_used);
     (used.milli_gpus, used.milli_cpus, used.memory_mb, &machine.name)
 }
