--- a/crates/scheduler/src/demand.rs
+++ b/crates/scheduler/src/demand.rs
@@ -1,6 +1,6 @@
 //! What the share lacks and what it could spare.
 
-use crate::colocation::{beside, room_beside};
+use crate::colocation::{beside, colocation_capacity};
 use crate::cycle::zone_allowed;
 use crate::job::Job;
 use crate::machine::{Machine, PendingTransfer};
@@ -17,7 +17,7 @@
 const EXPLAINED_ENTRIES: usize = 3;
 
 /// How long a machine that is to be handed over is kept free for that.
-const CEDE_PATIENCE: Duration = Duration::from_secs(40);
+const TRANSFER_TIMEOUT: Duration = Duration::from_secs(40);
 
 /// Room on a machine while it is dealt out.
 struct FreeCapacity<'a> {
@@ -28,13 +28,13 @@
 }
 
 impl FreeCapacity<'_> {
-    fn holds(&self, job: &Job) -> u64 {
-        let cleared = if job.spec.best_effort() { Resources::default() } else { self.cleared };
-        room_beside(job, self.machine, self.free + cleared)
+    fn how_many_fit(&self, job: &Job) -> u64 {
+        let cleared = if job.spec.is_best_effort() { Resources::default() } else { self.cleared };
+        colocation_capacity(job, self.machine, self.free + cleared)
     }
 
     fn take(&mut self, taken: Resources) {
-        self.cleared -= taken.less(&self.free);
+        self.cleared -= taken.saturating_sub(&self.free);
         self.free -= taken;
     }
 }
@@ -63,7 +63,7 @@
         let mut taken = 0;
         for ((team, priority), amount) in &mut self.0 {
             if **team == job.spec.team && *priority < job.spec.priority {
-                let here = amount.holds(&per).min(tasks - taken);
+                let here = amount.how_many_fit(&per).min(tasks - taken);
                 *amount -= per.times(here);
                 taken += here;
             }
@@ -84,7 +84,7 @@
                 EntryKey::Task(_) => 1,
                 EntryKey::Gang(_) => u64::from(entry.spec.tasks),
             };
-            let last = entry.best_effort();
+            let last = entry.is_best_effort();
             *waiting.entry((last, entry.order, job)).or_default() += tasks;
         }
         let least = waiting.keys().filter_map(|(_, _, id)| self.jobs.get(id));
@@ -93,7 +93,7 @@
         let mut free: Vec<FreeCapacity> = self
             .machines
             .values()
-            .filter(|m| m.usable(now, self.silence()))
+            .filter(|m| m.usable(now, self.heartbeat_timeout()))
             .map(|m| FreeCapacity { machine: m, free: m.free(), cleared: self.clearable(m, now) })
             .filter(|room| (room.free + room.cleared).milli_cpus >= least)
             .collect();
@@ -106,24 +106,24 @@
             let Some(team) = self.teams.get(&job.spec.team) else { continue };
             let left = room
                 .entry(job.spec.team.clone())
-                .or_insert_with(|| team.limit.less(&(team.used + team.held)));
+                .or_insert_with(|| team.limit.saturating_sub(&(team.used + team.held)));
             let per = Resources { memory_mb: 0, ..job.spec.needs };
             let foothold = last && job.stranded && job.placed.is_empty();
             // Those who wait for machines that run already need no others.
-            if job.spec.kind == JobKind::Gang && self.held_soon(id, now) {
+            if job.spec.kind == JobKind::Gang && self.reservation_is_near(id, now) {
                 continue;
             }
             let wanted = tasks.min(if foothold { 1 } else { u64::MAX });
-            let tasks = wanted.min(left.holds(&per));
+            let tasks = wanted.min(left.how_many_fit(&per));
             // What gangs need of the limit is kept with their machines.
             if job.spec.kind != JobKind::Gang {
                 *left -= per.times(tasks);
             }
             let tasks = tasks + beside.take(self, job, wanted - tasks);
-            let (here, zone) = self.room_here(job, tasks, &mut free, now);
+            let (here, zone) = self.place_waiting_tasks(job, tasks, &mut free, now);
             let mut tasks = tasks - here;
             if !job.guaranteed && job.spec.kind == JobKind::Array {
-                let soon = tasks.min(absorbed.holds(&per));
+                let soon = tasks.min(absorbed.how_many_fit(&per));
                 absorbed -= per.times(soon);
                 tasks -= soon;
             }
@@ -175,7 +175,7 @@
     fn turnover(&self) -> Resources {
         let mut freed = Resources::default();
         for job in self.jobs.values() {
-            if job.spec.kind != JobKind::Array || !self.quota_room(job, 1) {
+            if job.spec.kind != JobKind::Array || !self.fits_quota_now(job, 1) {
                 continue;
             }
             let lasts = job.spec.estimate.whole_millis().max(1_000);
@@ -195,7 +195,7 @@
 
     /// How many of a job's waiting tasks fit into what is free, which they then take, and the
     /// zone in which room for the others is to be found if it matters.
-    fn room_here(
+    fn place_waiting_tasks(
         &self,
         job: &Job,
         tasks: u64,
@@ -206,29 +206,30 @@
         let mut zones = self.zones_of(job);
         let mut here = 0;
         let constrained = job.spec.one_zone || job.spec.spread;
-        let held = self.gang_holds.get(&job.spec.id).and_then(|hold| hold.machines.keys().next());
+        let held =
+            self.gang_reservations.get(&job.spec.id).and_then(|hold| hold.machines.keys().next());
         let held = held.and_then(|name| self.machines.get(name)).map(|m| m.zone.clone());
         if job.spec.one_zone && zones.is_empty() {
             // The zone that is nearest to holding it all is where the rest should come from.
             let mut sums: BTreeMap<&ZoneName, u64> = BTreeMap::new();
             for room in free.iter().filter(|room| self.admits(job, room.machine, now)) {
-                *sums.entry(&room.machine.zone).or_default() += room.holds(job);
+                *sums.entry(&room.machine.zone).or_default() += room.how_many_fit(job);
             }
             let best = sums.into_iter().max_by_key(|(_, n)| *n).map(|(z, _)| z.clone());
             if let Some(zone) = held.or(best).or_else(|| self.zones.first().cloned()) {
                 zones.insert(zone, 0);
             }
         }
-        let before = self.gangs_before(job, now);
+        let before = self.gangs_with_precedence(job, now);
         for room in free.iter_mut() {
             let machine = room.machine;
             if here == tasks {
                 break;
             }
-            if room.holds(job) == 0
+            if room.how_many_fit(job) == 0
                 || !self.admits(job, machine, now)
-                || self.held_from(job, machine, now)
-                || self.left_to(&before, machine, now)
+                || self.is_reserved_from(job, machine, now)
+                || self.is_left_to_gangs(&before, machine, now)
                 || !zone_allowed(job, &machine.zone, &zones)
             {
                 continue;
@@ -239,7 +240,7 @@
             } else {
                 u64::MAX
             };
-            let fits = room.holds(job).min(tasks - here).min(cap);
+            let fits = room.how_many_fit(job).min(tasks - here).min(cap);
             room.take(needs.times(fits));
             here += fits;
             if constrained {
@@ -266,11 +267,11 @@
             .into_iter()
             .take(EXPLAINED_ENTRIES)
             .filter_map(|key| {
-                let (which, failures) = self.queue.whereabouts(key)?;
+                let (which, failures) = self.queue.location(key)?;
                 Some(format!("{which:?} after {failures} failures"))
             })
             .collect();
-        let reason = if !self.quota_room(job, 1) { "the team's limit is reached" } else { "" };
+        let reason = if !self.fits_quota_now(job, 1) { "the team's limit is reached" } else { "" };
         let gang = self.explain_gang(job, now);
         let stopping = job.placed.values().filter(|p| p.stop.is_some()).count();
         Some(format!(
@@ -288,10 +289,10 @@
     }
 
     /// A line for the log: how full the share is and what waits.
-    pub fn describe(&self, partition: model::PartitionId, now: Timestamp) {
+    pub fn log_summary(&self, partition: model::PartitionId, now: Timestamp) {
         let (mut up, mut spot, mut capacity, mut used, mut fetching) = (0, 0, 0, 0, 0);
         let (mut gpus, mut gpus_used) = (0, 0);
-        for machine in self.machines.values().filter(|m| m.usable(now, self.silence())) {
+        for machine in self.machines.values().filter(|m| m.usable(now, self.heartbeat_timeout())) {
             up += 1;
             spot += u32::from(machine.spot);
             capacity += machine.capacity.milli_cpus / 1000;
@@ -300,7 +301,8 @@
             gpus_used += machine.used.milli_gpus / 1000;
         }
         for placement in self.jobs.values().flat_map(|job| job.placed.values()) {
-            fetching += u32::from(placement.seen == Some(wire::workers::TaskState::Fetching));
+            fetching +=
+                u32::from(placement.last_status == Some(wire::workers::TaskState::Fetching));
         }
         let wanted: u64 = self.demand(now).iter().map(|shape| shape.tasks).sum();
         tracing::debug!(
@@ -353,14 +355,14 @@
 
     /// Whether nothing on the machine would be missed by a guarantee, or by users who want their
     /// replicas where they are.
-    fn cedable(
+    fn is_transferable(
         &self,
         machine: &Machine,
         spare_gpus: &BTreeSet<&MachineName>,
         now: Timestamp,
     ) -> bool {
         machine.pinned == 0
-            && !self.kept_for_gangs(machine, now)
+            && !self.is_reserved_for_gangs(machine, now)
             && (spare_gpus.contains(&machine.name) || self.runs_no_guarantee(machine))
     }
 
@@ -375,20 +377,26 @@
     /// Marks machines to be handed to another partition as they empty, until there are `count`
     /// of them; first those with best-effort work only, which is sent away, then those that will
     /// be empty soonest.
-    pub fn cede(&mut self, to: PartitionId, count: usize, shape: &DemandShape, now: Timestamp) {
+    pub fn request_transfers(
+        &mut self,
+        to: PartitionId,
+        count: usize,
+        shape: &DemandShape,
+        now: Timestamp,
+    ) {
         let needs = Resources {
             milli_cpus: shape.milli_cpus,
             milli_gpus: shape.milli_gpus,
             memory_mb: shape.memory_mb,
         };
         let spare = self.spare_gpu_machines();
-        let under_way = |m: &&Machine| m.ceding.is_some_and(|c| c.to == to);
+        let under_way = |m: &&Machine| m.pending_transfer.is_some_and(|c| c.to == to);
         let missing = count.saturating_sub(self.machines.values().filter(under_way).count());
         let suits = |m: &&Machine| {
-            m.usable(now, self.silence())
+            m.usable(now, self.heartbeat_timeout())
                 && shape.suits(&m.machine_type, m.zone.as_str(), m.spot)
-                && m.capacity.holds(&needs) > 0
-                && self.cedable(m, &spare, now)
+                && m.capacity.how_many_fit(&needs) > 0
+                && self.is_transferable(m, &spare, now)
         };
         let ends = |m: &Machine| {
             let left = m.tasks.iter().filter_map(|task| {
@@ -405,13 +413,13 @@
             .filter(suits)
             .map(|m| (!self.only_best_effort(m, now), ends(m), m.name.clone()))
             // One that runs for longer would only stand half empty meanwhile.
-            .filter(|(regular, ends, _)| !regular || *ends <= CEDE_PATIENCE)
+            .filter(|(regular, ends, _)| !regular || *ends <= TRANSFER_TIMEOUT)
             .collect();
         machines.sort_unstable();
         for (regular, _, name) in machines.into_iter().take(missing) {
             let Some(machine) = self.machines.get_mut(&name) else { continue };
             tracing::debug!(machine = %name, %to, tasks = machine.tasks.len(), "to be handed over once empty");
-            machine.ceding = Some(PendingTransfer { to, until: now + CEDE_PATIENCE });
+            machine.pending_transfer = Some(PendingTransfer { to, until: now + TRANSFER_TIMEOUT });
             if !regular {
                 let tasks = machine.tasks.iter().copied().collect();
                 self.clear_best_effort(tasks, now);
@@ -420,22 +428,25 @@
     }
 
     /// Machines that are empty and to be handed over.
-    pub fn ceded(&mut self, now: Timestamp) -> Vec<(MachineName, PartitionId)> {
+    pub fn machines_ready_for_transfer(
+        &mut self,
+        now: Timestamp,
+    ) -> Vec<(MachineName, PartitionId)> {
         let mut ready = Vec::new();
         for machine in self.machines.values_mut() {
-            let Some(ceding) = machine.ceding else { continue };
-            if ceding.until <= now {
-                tracing::debug!(machine = %machine.name, to = %ceding.to, tasks = machine.tasks.len(), "not empty in time: kept");
-                machine.ceding = None;
+            let Some(transfer_to) = machine.pending_transfer else { continue };
+            if transfer_to.until <= now {
+                tracing::debug!(machine = %machine.name, to = %transfer_to.to, tasks = machine.tasks.len(), "not empty in time: kept");
+                machine.pending_transfer = None;
             } else if machine.tasks.is_empty() && !machine.leaving {
-                ready.push((machine.name.clone(), ceding.to));
+                ready.push((machine.name.clone(), transfer_to.to));
             }
         }
         ready
     }
 
     /// The share's machines for the leader.
-    pub fn loads(&self, now: Timestamp) -> Vec<MachineStatus> {
+    pub fn machine_statuses(&self, now: Timestamp) -> Vec<MachineStatus> {
         let spare = self.spare_gpu_machines();
         self.machines
             .values()
@@ -443,23 +454,23 @@
                 machine: m.name.to_string(),
                 tasks: m.tasks.len() as u32,
                 // What is kept for a gang is not idle.
-                idle_ms: if m.tasks.is_empty() && !self.kept_for_gangs(m, now) {
+                idle_ms: if m.tasks.is_empty() && !self.is_reserved_for_gangs(m, now) {
                     now.duration_since(m.idle_since).whole_millis()
                 } else {
                     0
                 },
                 up: m.is_up(),
-                faulty: m.faulty,
-                silent_ms: match m.heard_at {
-                    Some(at) => now.duration_since(at.max(self.awake_since)).whole_millis(),
-                    None if m.followed.is_some() => {
-                        now.duration_since(self.held_since.max(self.awake_since)).whole_millis()
-                    }
+                quarantined: m.quarantined,
+                since_heartbeat_ms: match m.last_seen_at {
+                    Some(at) => now.duration_since(at.max(self.running_since)).whole_millis(),
+                    None if m.replicated_endpoint.is_some() => now
+                        .duration_since(self.leading_since.max(self.running_since))
+                        .whole_millis(),
                     None => 0,
                 },
-                cedable: self.cedable(m, &spare, now),
+                transferable: self.is_transferable(m, &spare, now),
                 best_effort: self.only_best_effort(m, now),
-                ceding: m.ceding.map(|c| c.to.0),
+                transfer_to: m.pending_transfer.map(|c| c.to.0),
             })
             .collect()
     }
--- a/crates/scheduler/src/failover.rs
+++ b/crates/scheduler/src/failover.rs
@@ -13,15 +13,15 @@
 use wire::mesh::{JobFailureSnapshot, MachineSnapshot, ReplicatedRecord};
 
 /// Idle time that is worth telling of: shorter times change too often.
-const IDLE: Duration = Duration::from_secs(2);
+const MIN_REPLICATED_IDLE_TIME: Duration = Duration::from_secs(2);
 /// Failures of single tasks that are told of one job.
-const FAILURES: usize = 64;
+const MAX_REPLICATED_FAILURES: usize = 64;
 /// The longest that a task is believed to take to fail by word alone: a service that has run for a
 /// multiple of that is sound again, whatever was said of it.
-const FAILS_WITHIN: Duration = Duration::from_secs(20);
+const MAX_REPLICATED_FAILURE_TIME: Duration = Duration::from_secs(20);
 /// Time beyond their longest report interval that workers may need to find a new holder: a report
 /// that is not answered, and the pause before the next node is tried.
-const FINDING: Duration = Duration::from_secs(6);
+const REDISCOVERY_ALLOWANCE: Duration = Duration::from_secs(6);
 
 /// What a predecessor said of a machine that has not been heard yet.
 #[derive(Debug, Clone)]
@@ -46,17 +46,18 @@
     /// Whether it is known to be up: by its own word, or by that of a predecessor which it has not
     /// had time to belie.
     pub fn is_up(&self) -> bool {
-        self.heard_at.is_some() || self.followed.is_some()
+        self.last_seen_at.is_some() || self.replicated_endpoint.is_some()
     }
 
     /// What is known of it. A machine that we have only been told of ourselves is passed on, so that
     /// it is asked by whoever comes next, too.
-    fn hint(&self, now: Timestamp, silence: Duration) -> Option<ReplicatedRecord> {
-        let (address, session) = match &self.followed {
+    fn hint(&self, now: Timestamp, heartbeat_grace: Duration) -> Option<ReplicatedRecord> {
+        let (address, session) = match &self.replicated_endpoint {
             Some(told) => (&told.address, told.session),
             None => (self.address.as_ref()?, self.session),
         };
-        let idle = self.tasks.is_empty() && now.duration_since(self.idle_since) >= IDLE;
+        let idle = self.tasks.is_empty()
+            && now.duration_since(self.idle_since) >= MIN_REPLICATED_IDLE_TIME;
         let mut images: Vec<(String, f64)> =
             self.images.iter().map(|(name, gb)| (name.to_string(), *gb)).collect();
         // In the order of their names, so that a mere use changes nothing.
@@ -65,8 +66,10 @@
             machine: self.name.to_string(),
             address: address.clone(),
             session: session.0,
-            reporting: self.reported_at.is_some_and(|at| now.duration_since(at) <= silence),
-            faulty: self.faulty,
+            reporting: self
+                .last_heartbeat_at
+                .is_some_and(|at| now.duration_since(at) <= heartbeat_grace),
+            quarantined: self.quarantined,
             idle_at: idle.then_some(self.idle_since.as_millis()),
             images,
         }))
@@ -75,38 +78,47 @@
 
 impl PartitionState {
     /// What a successor could not read from the records.
-    pub fn hints(&self, now: Timestamp) -> Vec<ReplicatedRecord> {
-        let silence = self.silence();
-        let machines = self.machines.values().filter_map(|m| m.hint(now, silence));
+    pub fn replication_records(&self, now: Timestamp) -> Vec<ReplicatedRecord> {
+        let heartbeat_grace = self.heartbeat_timeout();
+        let machines = self.machines.values().filter_map(|m| m.hint(now, heartbeat_grace));
         let failed = self.jobs.values().filter(|j| !j.failed_on.is_empty() && !j.finishing);
         let jobs = failed.map(|job| {
             ReplicatedRecord::Job(JobFailureSnapshot {
                 job: job.spec.id.0,
-                failures: job.failures.iter().take(FAILURES).map(|(i, n)| (*i, *n)).collect(),
+                failures: job
+                    .failures
+                    .iter()
+                    .take(MAX_REPLICATED_FAILURES)
+                    .map(|(i, n)| (*i, *n))
+                    .collect(),
                 failed_on: job.failed_on.iter().map(ToString::to_string).collect(),
                 successes: job.successes,
-                fails_within_ms: job.fails_within.whole_millis(),
+                fails_within_ms: job.longest_failure.whole_millis(),
             })
         });
         machines.chain(jobs).collect()
     }
 
     /// Takes a predecessor's word on a machine that we have not heard ourselves.
-    pub fn follow_machine(&mut self, hint: &MachineSnapshot, idle_since: Option<Timestamp>) {
+    pub fn apply_machine_snapshot(
+        &mut self,
+        hint: &MachineSnapshot,
+        idle_since: Option<Timestamp>,
+    ) {
         let name = MachineName::from(hint.machine.as_str());
         let Some(machine) = self.machines.get_mut(&name) else { return };
         for (image, gb) in &hint.images {
             let image: Arc<str> = image.as_str().into();
             if !machine.has_image(&image) && gb.is_finite() {
-                self.rooms.touch_image(machine, &image, gb.max(0.0));
+                self.capacity_index.touch_image(machine, &image, gb.max(0.0));
             }
         }
-        machine.faulty |= hint.faulty;
+        machine.quarantined |= hint.quarantined;
         if let (true, Some(since)) = (machine.tasks.is_empty(), idle_since) {
             machine.idle_since = machine.idle_since.min(since);
         }
-        if machine.heard_at.is_none() && !hint.address.is_empty() {
-            machine.followed = Some(ReplicatedEndpoint {
+        if machine.last_seen_at.is_none() && !hint.address.is_empty() {
+            machine.replicated_endpoint = Some(ReplicatedEndpoint {
                 address: hint.address.clone(),
                 session: WorkerEpoch(hint.session),
                 reporting: hint.reporting,
@@ -115,7 +127,7 @@
     }
 
     /// Takes a predecessor's word on how a job has failed.
-    pub fn follow_job(&mut self, hint: &JobFailureSnapshot, now: Timestamp) {
+    pub fn apply_job_snapshot(&mut self, hint: &JobFailureSnapshot, now: Timestamp) {
         let id = JobId(hint.job);
         let Some(job) = self.jobs.get_mut(&id) else { return };
         let tasks = job.spec.tasks;
@@ -125,24 +137,26 @@
             }
         }
         job.failed_on = hint.failed_on.iter().map(|n| MachineName::from(n.as_str())).collect();
-        job.failed_on.truncate(crate::failure_attribution::MOST_FAILED_ON);
+        job.failed_on.truncate(crate::failure_attribution::MAX_FAILED_MACHINES);
         job.successes = job.successes.max(hint.successes);
-        job.fails_within = Duration::from_millis(hint.fails_within_ms).min(FAILS_WITHIN);
-        if job.suspect() && !job.cancelled && !job.finishing {
+        job.longest_failure =
+            Duration::from_millis(hint.fails_within_ms).min(MAX_REPLICATED_FAILURE_TIME);
+        if job.is_suspect() && !job.cancelled && !job.finishing {
             self.begin_probing(id, now);
         }
     }
 
     /// Whether enough of the machines have been heard, or had the time to be, for stopping and moving
     /// work: what looks like want of room before that is want of reports. Once it stands it stays.
-    pub(crate) fn picture_stands(&mut self, now: Timestamp) -> bool {
-        if !self.picture {
-            let heard = self.machines.values().filter(|m| m.reported_at.is_some()).count();
+    pub(crate) fn update_inventory_known(&mut self, now: Timestamp) -> bool {
+        if !self.inventory_known {
+            let heard = self.machines.values().filter(|m| m.last_heartbeat_at.is_some()).count();
             let most = heard * 10 >= self.machines.len() * 9;
-            let had_time = Duration::from_millis(self.report.whole_millis() * 5 / 4) + FINDING;
-            self.picture =
-                most || now.duration_since(self.held_since.max(self.awake_since)) >= had_time;
+            let had_time =
+                Duration::from_millis(self.report.whole_millis() * 5 / 4) + REDISCOVERY_ALLOWANCE;
+            self.inventory_known =
+                most || now.duration_since(self.leading_since.max(self.running_since)) >= had_time;
         }
-        self.picture
+        self.inventory_known
     }
 }
--- a/crates/scheduler/src/failure_attribution.rs
+++ b/crates/scheduler/src/failure_attribution.rs
@@ -14,24 +14,26 @@
 use std::time::Duration;
 
 /// Machines on which a job must have failed to be suspect.
-const DIFFERENT: usize = 3;
+const SUSPECT_AFTER_MACHINES: usize = 3;
 /// Machines that are remembered of one job.
-pub(crate) const MOST_FAILED_ON: usize = 2 * DIFFERENT;
+pub(crate) const MAX_FAILED_MACHINES: usize = 2 * SUSPECT_AFTER_MACHINES;
 /// Time between the first two probes of a suspect job, which doubles up to a limit.
-const FIRST_PROBE: Duration = Duration::from_secs(1);
-const LONGEST_PROBE: Duration = Duration::from_secs(30);
+const INITIAL_PROBE_INTERVAL: Duration = Duration::from_secs(1);
+const MAX_PROBE_INTERVAL: Duration = Duration::from_secs(30);
 /// A task that has run for so much longer than twice the time in which others failed is sound.
-const SOUND: Duration = Duration::from_secs(5);
+const HEALTHY_RUN_MARGIN: Duration = Duration::from_secs(5);
 
 impl Job {
     /// Whether it failed on several machines and never succeeded: then it says nothing about them.
-    pub fn suspect(&self) -> bool {
-        self.successes == 0 && self.failed_on.len() >= DIFFERENT
+    pub fn is_suspect(&self) -> bool {
+        self.successes == 0 && self.failed_on.len() >= SUSPECT_AFTER_MACHINES
     }
 
     /// A task that was placed at `since` runs.
     pub(crate) fn seen_running(&mut self, since: Timestamp, now: Timestamp) {
-        if self.suspect() && now.duration_since(since) > self.fails_within * 2 + SOUND {
+        if self.is_suspect()
+            && now.duration_since(since) > self.longest_failure * 2 + HEALTHY_RUN_MARGIN
+        {
             self.successes += 1;
         }
     }
@@ -43,23 +45,23 @@
         let Some(job) = self.jobs.get_mut(&task.job) else { return };
         *job.failures.entry(task.index).or_default() += 1;
         if let Some(placement) = job.placed.get(&task.index) {
-            job.fails_within = job.fails_within.max(now.duration_since(placement.placed_at));
+            job.longest_failure = job.longest_failure.max(now.duration_since(placement.placed_at));
         }
-        let suspect_before = job.suspect();
+        let suspect_before = job.is_suspect();
         if !job.failed_on.contains(name) {
             job.failed_on.push(name.clone());
         }
-        let suspect = job.suspect();
-        if job.failed_on.len() > MOST_FAILED_ON {
+        let suspect = job.is_suspect();
+        if job.failed_on.len() > MAX_FAILED_MACHINES {
             job.failed_on.remove(0);
         }
         if let Some(machine) = self.machines.get_mut(name) {
-            *machine.blame.entry(task.job).or_default() += 1;
+            *machine.failures_by_job.entry(task.job).or_default() += 1;
         }
         if suspect && !suspect_before {
             self.begin_probing(task.job, now);
             // What it has been blamed on is sound as far as this job goes.
-            let blamed = |m: &&Machine| m.blame.contains_key(&task.job);
+            let blamed = |m: &&Machine| m.failures_by_job.contains_key(&task.job);
             let names: Vec<MachineName> =
                 self.machines.values().filter(blamed).map(|m| m.name.clone()).collect();
             names.iter().for_each(|name| self.judge(name));
@@ -71,13 +73,14 @@
     /// Sets a machine aside, or takes it back.
     fn judge(&mut self, name: &MachineName) {
         let Some(machine) = self.machines.get(name) else { return };
-        let errors: u32 = machine.blame.iter().map(|(id, count)| self.weight(id, *count)).sum();
-        let faulty = errors >= self.policy.faulty_after;
-        if faulty != machine.faulty {
-            tracing::info!(machine = %name, faulty, jobs = machine.blame.len(), "judged by what fails");
+        let errors: u32 =
+            machine.failures_by_job.iter().map(|(id, count)| self.weight(id, *count)).sum();
+        let quarantined = errors >= self.policy.quarantine_threshold;
+        if quarantined != machine.quarantined {
+            tracing::info!(machine = %name, quarantined, jobs = machine.failures_by_job.len(), "judged by what fails");
         }
         if let Some(machine) = self.machines.get_mut(name) {
-            machine.faulty = faulty;
+            machine.quarantined = quarantined;
         }
     }
 
@@ -85,7 +88,7 @@
     /// of one that has yet to succeed, none of a suspect.
     fn weight(&self, id: &JobId, count: u32) -> u32 {
         match self.jobs.get(id) {
-            Some(job) if job.suspect() => 0,
+            Some(job) if job.is_suspect() => 0,
             Some(job) if job.successes > 0 => count,
             _ => count.min(1),
         }
@@ -97,21 +100,24 @@
         tracing::info!(job = %id, "fails on every machine: probed from now on");
         let queued = std::mem::take(&mut job.cursor);
         self.unqueue(id, queued);
-        self.probing.insert(id, JobProbe { next: now + FIRST_PROBE, pause: FIRST_PROBE });
+        self.job_probes.insert(
+            id,
+            JobProbe { next: now + INITIAL_PROBE_INTERVAL, pause: INITIAL_PROBE_INTERVAL },
+        );
     }
 
     /// Queues probes that are due, and all of a job that has succeeded.
     pub(crate) fn queue_probes(&mut self, now: Timestamp) {
-        if self.probing.is_empty() {
+        if self.job_probes.is_empty() {
             return;
         }
-        let mut probing: BTreeMap<JobId, JobProbe> = std::mem::take(&mut self.probing);
+        let mut job_probes: BTreeMap<JobId, JobProbe> = std::mem::take(&mut self.job_probes);
         let mut cleared = Vec::new();
-        probing.retain(|id, probe| {
+        job_probes.retain(|id, probe| {
             let Some(job) = self.jobs.get(id).filter(|j| !j.cancelled && !j.finishing) else {
                 return false;
             };
-            if !job.suspect() {
+            if !job.is_suspect() {
                 cleared.push(*id);
                 return false;
             }
@@ -128,11 +134,12 @@
             if let Some(entry) = entry.filter(|entry| !self.queue.contains(*entry)) {
                 self.queue.add(entry, rank_of(job));
             }
-            probe.pause = Duration::from_millis(probe.pause.whole_millis() * 2).min(LONGEST_PROBE);
+            probe.pause =
+                Duration::from_millis(probe.pause.whole_millis() * 2).min(MAX_PROBE_INTERVAL);
             probe.next = now + probe.pause;
             true
         });
-        self.probing = probing;
+        self.job_probes = job_probes;
         for id in cleared {
             tracing::info!(job = %id, "succeeds after all");
             self.enqueue(id);
--- a/crates/scheduler/src/gangs.rs
+++ b/crates/scheduler/src/gangs.rs
@@ -6,7 +6,7 @@
 //! and would not be gone by then is stopped. No two gangs wait for each other: a gang takes nothing that
 //! is kept for one before it in the order, and keeps nothing that one before it may take.
 
-use crate::colocation::room_beside;
+use crate::colocation::colocation_capacity;
 use crate::cycle::{fetch_time, image_fetch_time, score, PlacementFailure};
 use crate::job::{Job, Placement};
 use crate::machine::Machine;
@@ -18,20 +18,20 @@
 use wire::workers::TaskState;
 
 /// How long machines are kept for a gang that its team's limit keeps back.
-const GANG_HOLD: Duration = Duration::from_secs(60);
+const RESERVATION_DURATION: Duration = Duration::from_secs(60);
 /// Time after which the machines kept for gangs are chosen anew: tasks end sooner or later than expected.
-const HOLD_REVIEW: Duration = Duration::from_secs(2);
+const RESERVATION_REVIEW_INTERVAL: Duration = Duration::from_secs(2);
 /// How long a job leaves machines to gangs for which it has others to run on.
-const LEFT_FOR: Duration = Duration::from_secs(120);
+const GANG_PRECEDENCE_DURATION: Duration = Duration::from_secs(120);
 /// A machine on which tasks have to be stopped counts as free after so long: one that empties by itself
 /// before costs nothing.
-const STOPPING: Duration = Duration::from_secs(20);
+const PREEMPTION_ALLOWANCE: Duration = Duration::from_secs(20);
 /// What is left of a task that has outrun its estimate, at the least.
-const OVERDUE: Duration = Duration::from_secs(5);
+const MIN_REMAINING_TIME: Duration = Duration::from_secs(5);
 /// A task that has outrun its estimate takes this part of the time that it has run, once more.
-const OVERRUN_PART: u64 = 4;
+const OVERRUN_DIVISOR: u64 = 4;
 /// Rentals take longer than this: a gang whose machines are free before is no demand.
-const SOON: Duration = Duration::from_secs(15);
+const NEAR_RESERVATION: Duration = Duration::from_secs(15);
 
 impl PartitionState {
     /// Places a gang as a whole, or not at all.
@@ -41,7 +41,7 @@
         if job.cancelled || job.all_done() || !job.placed.is_empty() {
             return Ok(());
         }
-        if !self.limit_room(EntryKey::Gang(id), job, u64::from(job.spec.tasks)) {
+        if !self.fits_limit(EntryKey::Gang(id), job, u64::from(job.spec.tasks)) {
             return Err(PlacementFailure::Quota);
         }
         let places = self.fit_gang(job, now).ok_or(PlacementFailure::Room)?;
@@ -49,7 +49,7 @@
         if let Some(job) = self.jobs.get_mut(&id) {
             job.gang_began = None;
         }
-        self.release_hold(id);
+        self.release_reservation(id);
         for (index, machine) in places.into_iter().enumerate() {
             self.place(TaskId { job: id, index: index as u32 }, &machine, attempt, now);
         }
@@ -60,9 +60,12 @@
     fn fit_gang(&self, job: &Job, now: Timestamp) -> Option<Vec<MachineName>> {
         let entry = EntryKey::Gang(job.spec.id);
         let mut by_zone: BTreeMap<&ZoneName, Vec<(&Machine, u64)>> = BTreeMap::new();
-        let roomy = self.rooms.with_room(&job.spec).filter_map(|name| self.machines.get(name));
-        for machine in roomy.filter(|m| self.admits(job, m, now) && !self.held_from(job, m, now)) {
-            let count = room_beside(job, machine, self.room_for(entry, machine));
+        let roomy =
+            self.capacity_index.with_room(&job.spec).filter_map(|name| self.machines.get(name));
+        for machine in
+            roomy.filter(|m| self.admits(job, m, now) && !self.is_reserved_from(job, m, now))
+        {
+            let count = colocation_capacity(job, machine, self.free_capacity_for(entry, machine));
             if count > 0 {
                 by_zone.entry(&machine.zone).or_default().push((machine, count));
             }
@@ -95,8 +98,8 @@
 
     /// Whether a machine is kept for a gang that goes before this job, unless the job is over on it
     /// before the gang can start.
-    pub(crate) fn held_from(&self, job: &Job, machine: &Machine, now: Timestamp) -> bool {
-        let Some(hold) = machine.held_for.and_then(|gang| self.gang_holds.get(&gang)) else {
+    pub(crate) fn is_reserved_from(&self, job: &Job, machine: &Machine, now: Timestamp) -> bool {
+        let Some(hold) = machine.held_for.and_then(|gang| self.gang_reservations.get(&gang)) else {
             return false;
         };
         if hold.job == job.spec.id {
@@ -108,7 +111,7 @@
         let kept = hold.machines.get(&machine.name).map(|count| gang.spec.needs.times(*count));
         let free = machine.free();
         let beside = job.spec.needs.fits(&free)
-            && kept.is_some_and(|kept| kept.fits(&free.less(&job.spec.needs)));
+            && kept.is_some_and(|kept| kept.fits(&free.saturating_sub(&job.spec.needs)));
         if beside {
             return false;
         }
@@ -125,12 +128,12 @@
             return String::new();
         }
         if !job.placed.is_empty() {
-            let waits = |p: &&crate::job::Placement| p.seen == Some(TaskState::Waiting);
+            let waits = |p: &&crate::job::Placement| p.last_status == Some(TaskState::Waiting);
             let gathered = job.placed.values().filter(waits).count();
             let state = if job.gang_began.is_some() { "it has begun" } else { "it gathers" };
             return format!("{state}: {gathered} of {} tasks wait for the others", job.spec.tasks);
         }
-        if let Some(hold) = self.gang_holds.get(&job.spec.id) {
+        if let Some(hold) = self.gang_reservations.get(&job.spec.id) {
             let first = hold.machines.keys().next().and_then(|name| self.machines.get(name));
             let zone = first.map(|m| m.zone.to_string()).unwrap_or_default();
             return format!(
@@ -140,7 +143,7 @@
             );
         }
         let hold = self.machines.values().filter(|m| self.admits(job, m, now));
-        let room: u64 = hold.map(|m| room_beside(job, m, m.capacity)).sum();
+        let room: u64 = hold.map(|m| colocation_capacity(job, m, m.capacity)).sum();
         format!(
             "nothing is kept for it: the machines of its partition hold {room} of its {} tasks at most, \
              those kept for gangs before it included",
@@ -157,13 +160,13 @@
         }
         job.placed.values().any(|other| {
             let Some(on) = self.machines.get(&other.machine) else { return false };
-            let fetches = matches!(other.seen, None | Some(TaskState::Fetching));
+            let fetches = matches!(other.last_status, None | Some(TaskState::Fetching));
             fetches && fetch_time(job, on) * 2 > self.gang_wait
         })
     }
 
     /// A task of a gang is seen running, so that the gang has begun.
-    pub(crate) fn gang_runs(&mut self, id: JobId, now: Timestamp) {
+    pub(crate) fn record_gang_start(&mut self, id: JobId, now: Timestamp) {
         let Some(job) = self.jobs.get_mut(&id) else { return };
         if job.spec.kind != JobKind::Gang || job.gang_began.is_some() {
             return;
@@ -174,32 +177,32 @@
     }
 
     /// A task of a gang has its image: those that waited for that are launched.
-    pub(crate) fn gang_fetched(&mut self, id: JobId) {
+    pub(crate) fn record_gang_fetch(&mut self, id: JobId) {
         let Some(job) = self.jobs.get(&id) else { return };
         let waits = job.placed.values().filter(|p| p.launched.is_none() && p.stop.is_none());
         let machines: Vec<MachineName> = waits.map(|p| p.machine.clone()).collect();
-        self.urgent.extend(machines);
+        self.urgent_machines.extend(machines);
     }
 
     /// Notes what is kept of each team's limit for its gangs. As a gang's machines empty, what used the
     /// limit there frees it; without this, arrays took each freed part of it.
-    pub(crate) fn keep_limits(&mut self) {
+    pub(crate) fn update_reserved_limits(&mut self) {
         self.teams.values_mut().for_each(|team| team.held = Resources::default());
-        for hold in self.gang_holds.values() {
+        for hold in self.gang_reservations.values() {
             let Some(job) = self.jobs.get(&hold.job) else { continue };
             let Some(team) = self.teams.get_mut(&job.spec.team) else { continue };
             for (name, count) in &hold.machines {
                 let used = self.machines.get(name).map_or(Resources::default(), |m| m.used);
-                team.held += job.spec.needs.times(*count).less(&used);
+                team.held += job.spec.needs.times(*count).saturating_sub(&used);
             }
         }
     }
 
     /// Notes what kinds of gangs have failed to fit and still wait.
-    pub(crate) fn note_waiting_gangs(&mut self) {
+    pub(crate) fn update_waiting_gangs(&mut self) {
         self.waiting_gangs.clear();
         for (id, job) in self.jobs.iter().filter(|(_, job)| job.spec.kind == JobKind::Gang) {
-            let failed = self.queue.whereabouts(EntryKey::Gang(*id)).is_some_and(|(_, n)| n >= 2);
+            let failed = self.queue.location(EntryKey::Gang(*id)).is_some_and(|(_, n)| n >= 2);
             let alike = |other: &JobId| {
                 self.jobs.get(other).is_some_and(|other| other.spec.is_placed_like(&job.spec))
             };
@@ -211,8 +214,10 @@
 
     /// Gangs that wait for machines of which a job has others to run on: arrays that take each freed one
     /// would be stopped as soon as a gang has enough of them. One of each kind, usually none.
-    pub(crate) fn gangs_before(&self, job: &Job, now: Timestamp) -> Vec<&Job> {
-        if job.spec.kind == JobKind::Gang || now.duration_since(job.seen_at) > LEFT_FOR {
+    pub(crate) fn gangs_with_precedence(&self, job: &Job, now: Timestamp) -> Vec<&Job> {
+        if job.spec.kind == JobKind::Gang
+            || now.duration_since(job.seen_at) > GANG_PRECEDENCE_DURATION
+        {
             return Vec::new();
         }
         let gangs = self.waiting_gangs.iter().filter_map(|id| self.jobs.get(id));
@@ -223,26 +228,32 @@
     }
 
     /// Whether a machine is left to one of these gangs.
-    pub(crate) fn left_to(&self, gangs: &[&Job], machine: &Machine, now: Timestamp) -> bool {
+    pub(crate) fn is_left_to_gangs(
+        &self,
+        gangs: &[&Job],
+        machine: &Machine,
+        now: Timestamp,
+    ) -> bool {
         let of_use = |gang: &&Job| {
-            self.admits(gang, machine, now) && room_beside(gang, machine, machine.capacity) > 0
+            self.admits(gang, machine, now)
+                && colocation_capacity(gang, machine, machine.capacity) > 0
         };
         gangs.iter().any(of_use)
     }
 
     /// Whether a machine is kept for a gang, or is empty and of use to one that waits.
-    pub(crate) fn kept_for_gangs(&self, machine: &Machine, now: Timestamp) -> bool {
+    pub(crate) fn is_reserved_for_gangs(&self, machine: &Machine, now: Timestamp) -> bool {
         let of_use = || {
             let gangs: Vec<&Job> =
                 self.waiting_gangs.iter().filter_map(|id| self.jobs.get(id)).collect();
-            self.left_to(&gangs, machine, now)
+            self.is_left_to_gangs(&gangs, machine, now)
         };
         machine.held_for.is_some() || (machine.tasks.is_empty() && of_use())
     }
 
     /// Gives up what is kept for a gang.
-    pub(crate) fn release_hold(&mut self, id: JobId) {
-        let Some(hold) = self.gang_holds.remove(&id) else { return };
+    pub(crate) fn release_reservation(&mut self, id: JobId) {
+        let Some(hold) = self.gang_reservations.remove(&id) else { return };
         for name in hold.machines.into_keys() {
             if let Some(machine) = self.machines.get_mut(&name) {
                 if machine.held_for == Some(id) {
@@ -255,43 +266,43 @@
     /// Chooses anew what is kept for the gangs that still wait, in their order, once it has been kept for
     /// long enough or on a machine that its gang could not use now. All at one time, since what was given
     /// up before it is chosen again goes to whatever is tried in between.
-    pub(crate) fn renew_holds(&mut self, now: Timestamp) {
+    pub(crate) fn renew_reservations(&mut self, now: Timestamp) {
         let stands = |hold: &GangReservation| {
             let usable = |name: &MachineName| {
                 let Some(machine) = self.machines.get(name) else { return false };
                 let admits = self.jobs.get(&hold.job).is_some_and(|j| self.admits(j, machine, now));
                 machine.held_for == Some(hold.job) && admits
             };
-            now < hold.chosen_at + HOLD_REVIEW
+            now < hold.chosen_at + RESERVATION_REVIEW_INTERVAL
                 && self.waits(hold.job)
                 && hold.machines.keys().all(usable)
         };
-        if self.gang_holds.values().all(stands) {
+        if self.gang_reservations.values().all(stands) {
             return;
         }
         let mut gangs: Vec<(Rank, JobId, Timestamp)> = self
-            .gang_holds
+            .gang_reservations
             .values()
             .filter_map(|hold| Some((rank_of(self.jobs.get(&hold.job)?), hold.job, hold.until)))
             .collect();
         gangs.sort_unstable();
-        let held: Vec<JobId> = self.gang_holds.keys().copied().collect();
-        held.into_iter().for_each(|id| self.release_hold(id));
+        let held: Vec<JobId> = self.gang_reservations.keys().copied().collect();
+        held.into_iter().for_each(|id| self.release_reservation(id));
         for (_, id, until) in gangs {
             if !self.waits(id) {
                 continue;
             }
             if now < until {
-                self.keep_for_gang(id, until, now);
+                self.try_reserve_for_gang(id, until, now);
             } else if self.gang_has_limit(id) {
-                self.keep_for_gang(id, now + GANG_HOLD, now);
+                self.try_reserve_for_gang(id, now + RESERVATION_DURATION, now);
             }
         }
     }
 
     /// Whether its team's limit leaves room for a whole gang.
     fn gang_has_limit(&self, id: JobId) -> bool {
-        let room = |job: &Job| self.limit_room(EntryKey::Gang(id), job, u64::from(job.spec.tasks));
+        let room = |job: &Job| self.fits_limit(EntryKey::Gang(id), job, u64::from(job.spec.tasks));
         self.jobs.get(&id).is_some_and(room)
     }
 
@@ -301,18 +312,20 @@
     }
 
     /// A gang that has failed twice gets machines enough kept for it.
-    pub(crate) fn hold_for_gang(
+    pub(crate) fn reserve_for_gang(
         &mut self,
         id: JobId,
         why: PlacementFailure,
         stops: bool,
         now: Timestamp,
     ) {
-        let failures = self.queue.whereabouts(EntryKey::Gang(id)).map_or(0, |(_, n)| n);
+        let failures = self.queue.location(EntryKey::Gang(id)).map_or(0, |(_, n)| n);
         if failures < 2 || why != PlacementFailure::Room {
             return;
         }
-        if !self.gang_holds.contains_key(&id) && !self.keep_for_gang(id, now + GANG_HOLD, now) {
+        if !self.gang_reservations.contains_key(&id)
+            && !self.try_reserve_for_gang(id, now + RESERVATION_DURATION, now)
+        {
             return;
         }
         if stops {
@@ -322,30 +335,35 @@
 
     /// Keeps machines for a gang, if there are enough for it. Gangs behind it that had some of them choose
     /// anew.
-    fn keep_for_gang(&mut self, id: JobId, until: Timestamp, now: Timestamp) -> bool {
-        let chosen = self.jobs.get(&id).and_then(|job| self.choose_hold(job, until, now));
+    fn try_reserve_for_gang(&mut self, id: JobId, until: Timestamp, now: Timestamp) -> bool {
+        let chosen = self.jobs.get(&id).and_then(|job| self.choose_reservation(job, until, now));
         let Some(hold) = chosen else { return false };
         let taken: BTreeSet<JobId> =
             hold.machines.keys().filter_map(|name| self.machines.get(name)?.held_for).collect();
-        taken.into_iter().for_each(|other| self.release_hold(other));
+        taken.into_iter().for_each(|other| self.release_reservation(other));
         for name in hold.machines.keys() {
             if let Some(machine) = self.machines.get_mut(name) {
                 machine.held_for = Some(id);
             }
         }
         tracing::debug!(job = %id, machines = hold.machines.len(), in_ms = hold.ready_at.duration_since(now).whole_millis(), "machines kept for a gang");
-        self.gang_holds.insert(id, hold);
+        self.gang_reservations.insert(id, hold);
         true
     }
 
     /// The machines on which a gang could start soonest, of those that are kept for none before it.
-    fn choose_hold(&self, job: &Job, until: Timestamp, now: Timestamp) -> Option<GangReservation> {
+    fn choose_reservation(
+        &self,
+        job: &Job,
+        until: Timestamp,
+        now: Timestamp,
+    ) -> Option<GangReservation> {
         let rank = rank_of(job);
         let goes_before = |gang: JobId| self.jobs.get(&gang).is_some_and(|g| rank_of(g) < rank);
         let mut zones: BTreeMap<&ZoneName, Vec<(Timestamp, &Machine, u64)>> = BTreeMap::new();
         let mut all = Vec::new();
         for machine in self.machines.values().filter(|m| self.admits(job, m, now)) {
-            let count = room_beside(job, machine, machine.capacity);
+            let count = colocation_capacity(job, machine, machine.capacity);
             if count == 0 || machine.held_for.is_some_and(goes_before) {
                 continue;
             }
@@ -365,8 +383,8 @@
     /// When a task of a gang has room on a machine at the latest, as far as estimates tell, if what it may
     /// stop is stopped. None if what runs there does not end by itself.
     fn free_at(&self, job: &Job, machine: &Machine, now: Timestamp) -> Option<Timestamp> {
-        let mut room = self.room_for(EntryKey::Gang(job.spec.id), machine);
-        if room_beside(job, machine, room) > 0 {
+        let mut room = self.free_capacity_for(EntryKey::Gang(job.spec.id), machine);
+        if colocation_capacity(job, machine, room) > 0 {
             return Some(now);
         }
         let mut ends: Vec<(Timestamp, Resources)> = machine
@@ -378,7 +396,7 @@
                 let ends = if placement.stop.is_some() {
                     now + other.spec.save
                 } else if self.may_stop(job, other, placement) {
-                    self.ends_at(other, placement, now).min(now + STOPPING)
+                    self.ends_at(other, placement, now).min(now + PREEMPTION_ALLOWANCE)
                 } else if other.spec.kind == JobKind::Service {
                     return None;
                 } else {
@@ -390,7 +408,7 @@
         ends.sort_unstable_by_key(|(at, _)| *at);
         ends.into_iter().find_map(|(at, needs)| {
             room += needs;
-            (room_beside(job, machine, room) > 0).then_some(at)
+            (colocation_capacity(job, machine, room) > 0).then_some(at)
         })
     }
 
@@ -399,8 +417,8 @@
     fn ends_at(&self, job: &Job, placement: &Placement, now: Timestamp) -> Timestamp {
         let began = job.gang_began.unwrap_or_else(|| self.begins_at(job, placement));
         let overrun =
-            Duration::from_millis(now.duration_since(began).whole_millis() / OVERRUN_PART)
-                .max(OVERDUE);
+            Duration::from_millis(now.duration_since(began).whole_millis() / OVERRUN_DIVISOR)
+                .max(MIN_REMAINING_TIME);
         (began + job.spec.estimate).max(now + overrun)
     }
 
@@ -419,12 +437,12 @@
 
     /// Stops what would not be gone from a gang's machines by the time that the last of them is free.
     fn clear_for_gang(&mut self, id: JobId, now: Timestamp) {
-        let Some(hold) = self.gang_holds.get(&id) else { return };
+        let Some(hold) = self.gang_reservations.get(&id) else { return };
         let Some(job) = self.jobs.get(&id) else { return };
         let mut stops = Vec::new();
         for machine in hold.machines.keys().filter_map(|name| self.machines.get(name)) {
-            let mut room = self.room_for(EntryKey::Gang(id), machine);
-            if room_beside(job, machine, room) > 0 {
+            let mut room = self.free_capacity_for(EntryKey::Gang(id), machine);
+            if colocation_capacity(job, machine, room) > 0 {
                 continue;
             }
             let mut lasting: Vec<(u64, TaskId, Resources)> = Vec::new();
@@ -432,7 +450,7 @@
                 let Some(other) = self.jobs.get(&task.job) else { continue };
                 let Some(placement) = other.placed.get(&task.index) else { continue };
                 let ends = self.ends_at(other, placement, now);
-                if placement.stop.is_some() || ends <= hold.ready_at + SOON {
+                if placement.stop.is_some() || ends <= hold.ready_at + NEAR_RESERVATION {
                     room += other.spec.needs;
                 } else if self.may_stop(job, other, placement) {
                     let lost = self.lost_work(other, placement, false, now);
@@ -441,7 +459,7 @@
             }
             lasting.sort_unstable_by_key(|(lost, task, _)| (*lost, *task));
             for (_, task, needs) in lasting {
-                if room_beside(job, machine, room) > 0 {
+                if colocation_capacity(job, machine, room) > 0 {
                     break;
                 }
                 room += needs;
@@ -450,14 +468,14 @@
         }
         for task in stops {
             tracing::debug!(job = %id, victim = %task, "stopping a task for a gang");
-            let grace = self.grace_of(task);
+            let grace = self.grace_period(task);
             self.stop_task(task, grace, now);
         }
     }
 
     /// The zone kept for a gang, if it will be free before machines could be rented.
-    pub(crate) fn held_soon(&self, id: JobId, now: Timestamp) -> bool {
-        self.gang_holds.get(&id).is_some_and(|hold| hold.ready_at <= now + SOON)
+    pub(crate) fn reservation_is_near(&self, id: JobId, now: Timestamp) -> bool {
+        self.gang_reservations.get(&id).is_some_and(|hold| hold.ready_at <= now + NEAR_RESERVATION)
     }
 }
 
--- a/crates/scheduler/src/job.rs
+++ b/crates/scheduler/src/job.rs
@@ -23,19 +23,19 @@
     pub machine: MachineName,
     pub attempt: Attempt,
     /// Durable in the state service; only then may it be launched.
-    pub recorded: bool,
+    pub durable: bool,
     /// Taken over from a predecessor, which may have launched it in ways unknown to us.
     pub inherited: bool,
     /// Session of the worker in which it was launched by us.
     pub launched: Option<WorkerEpoch>,
     /// Launched in the answer to a report. Only the next report settles whether it got there:
     /// the body of a direct answer may be older than the arrival of that answer.
-    pub in_answer: bool,
+    pub launched_in_response: bool,
     /// A direct launch whose answer never came: it may yet be executed until the worker has
     /// seen a higher token or a newer session.
-    pub unanswered: Option<(FencingToken, WorkerEpoch)>,
+    pub unconfirmed_launch_of: Option<(FencingToken, WorkerEpoch)>,
     /// State in the newest report.
-    pub seen: Option<TaskState>,
+    pub last_status: Option<TaskState>,
     pub stop: Option<Stop>,
     pub placed_at: Timestamp,
 }
@@ -48,16 +48,16 @@
     pub order: u64,
     pub seen_at: Timestamp,
     /// How far its size sets it back in the order.
-    pub set_back: Duration,
+    pub size_penalty: Duration,
     /// When it should be over, counted from its submission: its own deadline, or what is expected
     /// of its class.
-    pub goal: Option<Duration>,
+    pub completion_objective: Option<Duration>,
     /// How far what is left of it sets it back further in a shortage.
-    pub put_back: Duration,
+    pub overload_penalty: Duration,
     pub cancelled: bool,
     /// Until when its machines may be answered while a launch of it that could still arrive is not void:
     /// an answer after that could keep it running for longer than a cancellation allows.
-    pub(crate) answer_until: Timestamp,
+    pub(crate) renew_until: Timestamp,
     /// Its end is being written or has been written.
     pub finishing: bool,
     done: Vec<u64>,
@@ -71,7 +71,7 @@
     pub failed_on: Vec<MachineName>,
     pub successes: u32,
     /// The longest that a task took to fail.
-    pub fails_within: Duration,
+    pub longest_failure: Duration,
     /// Best-effort work whose team has had hardly any place for so long that it may take a few
     /// anywhere.
     pub stranded: bool,
@@ -80,7 +80,7 @@
     /// Within it also if the team's work of higher priority is counted first. Only this protects it
     /// from the higher work of other teams, and only what lies beyond it falls to their guaranteed
     /// work of lower priority.
-    pub entitled: bool,
+    pub strictly_guaranteed: bool,
     /// On machines with GPUs it runs beside work that uses them, and takes nothing from it.
     pub only_beside: bool,
     /// When the gang's tasks were first seen running, in this attempt and by this holder.
@@ -121,12 +121,12 @@
         Placement {
             machine,
             attempt,
-            recorded: false,
+            durable: false,
             inherited: false,
             launched: None,
-            in_answer: false,
-            unanswered: None,
-            seen: None,
+            launched_in_response: false,
+            unconfirmed_launch_of: None,
+            last_status: None,
             stop: None,
             placed_at: now,
         }
@@ -134,7 +134,7 @@
 
     /// A placement that a predecessor has recorded and may have launched.
     pub fn inherited(machine: MachineName, attempt: Attempt, now: Timestamp) -> Self {
-        Placement { recorded: true, inherited: true, ..Placement::new(machine, attempt, now) }
+        Placement { durable: true, inherited: true, ..Placement::new(machine, attempt, now) }
     }
 }
 
@@ -147,11 +147,11 @@
             spec,
             order,
             seen_at: now,
-            set_back: Duration::ZERO,
-            goal: None,
-            put_back: Duration::ZERO,
+            size_penalty: Duration::ZERO,
+            completion_objective: None,
+            overload_penalty: Duration::ZERO,
             cancelled: false,
-            answer_until: Timestamp::default(),
+            renew_until: Timestamp::default(),
             finishing: false,
             done: vec![0; words],
             done_count: 0,
@@ -160,18 +160,18 @@
             failures: BTreeMap::new(),
             failed_on: Vec::new(),
             successes: 0,
-            fails_within: Duration::ZERO,
+            longest_failure: Duration::ZERO,
             stranded: false,
             guaranteed: false,
-            entitled: false,
+            strictly_guaranteed: false,
             only_beside: false,
             gang_began: None,
         }
     }
 
     /// Whether it is best-effort work at present: what lies within a guarantee is not.
-    pub fn best_effort(&self) -> bool {
-        self.spec.best_effort() && !self.guaranteed
+    pub fn is_best_effort(&self) -> bool {
+        self.spec.is_best_effort() && !self.guaranteed
     }
 
     /// Whether a task is done.
@@ -209,7 +209,8 @@
 
     /// Tasks that run now, for display.
     pub fn running_count(&self) -> u32 {
-        let runs = |p: &&Placement| matches!(p.seen, Some(TaskState::Running | TaskState::Saving));
+        let runs =
+            |p: &&Placement| matches!(p.last_status, Some(TaskState::Running | TaskState::Saving));
         self.placed.values().filter(runs).count() as u32
     }
 
--- a/crates/scheduler/src/machine.rs
+++ b/crates/scheduler/src/machine.rs
@@ -13,7 +13,7 @@
 use wire::workers::{ExitCause, TaskState};
 
 /// How long exited tasks are kept before tokens are raised for them: those of some time at once.
-const KEPT_EXITED: Duration = Duration::from_secs(45);
+const EXITED_TASK_RETENTION: Duration = Duration::from_secs(45);
 
 /// A task in the newest report that has no placement here.
 #[derive(Debug, Clone, PartialEq)]
@@ -67,7 +67,7 @@
     /// What placements take, proven gone or not.
     pub used: Resources,
     /// Room promised to entries of the queue.
-    pub(crate) promised: Resources,
+    pub(crate) reserved: Resources,
     /// A gang for which it is kept.
     pub(crate) held_for: Option<JobId>,
     /// Since when a machine with GPUs has had other work only.
@@ -89,35 +89,35 @@
     /// Highest token that the worker says it has seen.
     pub seen_token: FencingToken,
     /// When the newest report came in; none: not heard since we hold the share.
-    pub heard_at: Option<Timestamp>,
+    pub last_seen_at: Option<Timestamp>,
     /// What a predecessor said of it, until it is heard.
-    pub(crate) followed: Option<ReplicatedEndpoint>,
+    pub(crate) replicated_endpoint: Option<ReplicatedEndpoint>,
     /// What came of asking it directly whether it is there.
-    pub(crate) asked: ProbeState,
-    /// Since when nothing shows that what we send reaches it, although it may be heard: see `silence.rs`.
-    pub(crate) doubted: Option<Timestamp>,
+    pub(crate) probe_state: ProbeState,
+    /// Since when nothing shows that what we send reaches it, although it may be heard: see `heartbeat_grace.rs`.
+    pub(crate) suspected_since: Option<Timestamp>,
     /// When we answered it last.
-    pub answered_at: Timestamp,
+    pub lease_renewed_at: Timestamp,
     /// When we last sent it a direct launch. A session that nobody answers still lives for one
     /// lease from its begin, and the launch named a session that had begun by then.
-    pub direct_at: Timestamp,
+    pub last_direct_call_at: Timestamp,
     /// When its newest report came in, as opposed to a direct answer: only reports keep its
     /// lease alive, so only they make it fit for new tasks.
-    pub reported_at: Option<Timestamp>,
+    pub last_heartbeat_at: Option<Timestamp>,
     /// When the cloud takes it.
     pub notice: Option<Timestamp>,
     /// On its way to another partition or back to the cloud.
     pub leaving: bool,
     /// Fails what it starts.
-    pub faulty: bool,
+    pub quarantined: bool,
     /// Failures since the last success, by job.
-    pub blame: BTreeMap<JobId, u32>,
-    pub strays: Vec<OrphanedTask>,
+    pub failures_by_job: BTreeMap<JobId, u32>,
+    pub orphaned_tasks: Vec<OrphanedTask>,
     /// Images it holds, least recently used first.
     pub images: Vec<(Arc<str>, f64)>,
     pub idle_since: Timestamp,
     /// Goes to another partition as soon as it is empty, and takes nothing new until then.
-    pub ceding: Option<PendingTransfer>,
+    pub pending_transfer: Option<PendingTransfer>,
     /// Being emptied until then, and takes nothing new.
     pub emptied_until: Option<Timestamp>,
     /// Launches in the newest answer to a report, which may still be under way: only the next
@@ -127,10 +127,10 @@
     /// session. A copy of one may come at any later time, also of one that was answered.
     pub(crate) direct: BTreeMap<(TaskId, Attempt), (FencingToken, WorkerEpoch)>,
     /// Since when it has had exited tasks that must not be forgotten before it has seen a higher token.
-    pub(crate) kept_since: Option<Timestamp>,
+    pub(crate) exited_retained_since: Option<Timestamp>,
     /// Token and session of a lost direct launch. Only a worker that has seen a higher token or
     /// has begun a newer session will not execute it any more.
-    pub lost_launch: Option<(FencingToken, WorkerEpoch)>,
+    pub unconfirmed_launch: Option<(FencingToken, WorkerEpoch)>,
 }
 
 impl Machine {
@@ -139,7 +139,7 @@
         if self.tasks.insert(task) {
             self.used += spec.needs;
             self.pinned += u64::from(spec.kind == JobKind::Service);
-            if spec.best_effort() {
+            if spec.is_best_effort() {
                 self.best_effort += 1;
                 self.best_effort_used += spec.needs;
             }
@@ -156,7 +156,7 @@
         if self.tasks.remove(&task) {
             self.used -= spec.needs;
             self.pinned -= u64::from(spec.kind == JobKind::Service);
-            if spec.best_effort() {
+            if spec.is_best_effort() {
                 self.best_effort -= 1;
                 self.best_effort_used -= spec.needs;
             } else if self.regular() == 0 {
@@ -186,7 +186,7 @@
             cache_gb: kind.cache_gb,
             fetch_gb_per_s: kind.fetch_gb_per_s,
             used: Resources::default(),
-            promised: Resources::default(),
+            reserved: Resources::default(),
             held_for: None,
             no_gpu_work_since: None,
             place: None,
@@ -199,32 +199,32 @@
             session: WorkerEpoch(0),
             seq: SequenceNumber(0),
             seen_token: FencingToken(0),
-            heard_at: None,
-            followed: None,
-            asked: ProbeState::default(),
-            doubted: None,
-            answered_at: Timestamp::default(),
-            direct_at: Timestamp::default(),
-            reported_at: None,
+            last_seen_at: None,
+            replicated_endpoint: None,
+            probe_state: ProbeState::default(),
+            suspected_since: None,
+            lease_renewed_at: Timestamp::default(),
+            last_direct_call_at: Timestamp::default(),
+            last_heartbeat_at: None,
             notice: None,
             leaving: false,
-            faulty: false,
-            blame: BTreeMap::new(),
-            strays: Vec::new(),
+            quarantined: false,
+            failures_by_job: BTreeMap::new(),
+            orphaned_tasks: Vec::new(),
             images: Vec::new(),
             idle_since: Timestamp::default(),
-            ceding: None,
+            pending_transfer: None,
             emptied_until: None,
             answer_launches: Vec::new(),
             direct: BTreeMap::new(),
-            kept_since: None,
-            lost_launch: None,
+            exited_retained_since: None,
+            unconfirmed_launch: None,
         }
     }
 
     /// Room that is neither used nor promised.
     pub fn free(&self) -> Resources {
-        self.capacity.less(&self.used)
+        self.capacity.saturating_sub(&self.used)
     }
 
     /// Whether the image is here already.
@@ -248,76 +248,88 @@
     }
 
     /// Whether new tasks may be placed here.
-    pub fn usable(&self, now: Timestamp, silence: Duration) -> bool {
+    pub fn usable(&self, now: Timestamp, heartbeat_grace: Duration) -> bool {
         !self.leaving
-            && self.ceding.is_none()
+            && self.pending_transfer.is_none()
             && self.emptied_until.is_none_or(|until| now >= until)
-            && !self.faulty
-            && self.lost_launch.is_none()
-            && self.doubted.is_none()
+            && !self.quarantined
+            && self.unconfirmed_launch.is_none()
+            && self.suspected_since.is_none()
             && self.notice.is_none()
             && self.seen_token <= self.token
-            && self.reported_at.is_some_and(|at| now.duration_since(at) <= silence)
+            && self.last_heartbeat_at.is_some_and(|at| now.duration_since(at) <= heartbeat_grace)
     }
 
     /// A direct launch was lost that could start again what is forgotten now.
-    pub fn lose_launch(&mut self, token: FencingToken, session: WorkerEpoch) {
-        let (old, before) = self.lost_launch.unwrap_or_default();
-        self.lost_launch = Some((old.max(token), before.max(session)));
+    pub fn record_lost_launch(&mut self, token: FencingToken, session: WorkerEpoch) {
+        let (old, before) = self.unconfirmed_launch.unwrap_or_default();
+        self.unconfirmed_launch = Some((old.max(token), before.max(session)));
     }
 
     /// Whether no launch of an exited task can arrive any more that the worker would execute. An attempt
     /// that it remembers has no effect, so a copy of a launch does harm only after its forget; even where
     /// the task was completed, since its job may have been cancelled after that.
-    pub(crate) fn may_forget(&self, stray: &OrphanedTask) -> bool {
+    pub(crate) fn may_forget(&self, orphan: &OrphanedTask) -> bool {
         self.direct
-            .get(&(stray.task, stray.attempt))
+            .get(&(orphan.task, orphan.attempt))
             .is_none_or(|(token, session)| self.seen_token > *token || self.session > *session)
     }
 
     /// Notes which exited tasks are kept, and what need not be known of launches any more.
-    pub(crate) fn keep_exited(&mut self, now: Timestamp) {
-        let strays = std::mem::take(&mut self.strays);
-        let kept = strays.iter().any(|s| s.state == TaskState::Exited && !self.may_forget(s));
-        self.kept_since = kept.then(|| self.kept_since.unwrap_or(now));
+    pub(crate) fn update_exited_tasks(&mut self, now: Timestamp) {
+        let orphaned_tasks = std::mem::take(&mut self.orphaned_tasks);
+        let kept =
+            orphaned_tasks.iter().any(|s| s.state == TaskState::Exited && !self.may_forget(s));
+        self.exited_retained_since = kept.then(|| self.exited_retained_since.unwrap_or(now));
         let tasks = &self.tasks;
         self.direct.retain(|(task, attempt), _| {
-            tasks.contains(task) || strays.iter().any(|s| s.task == *task && s.attempt == *attempt)
+            tasks.contains(task)
+                || orphaned_tasks.iter().any(|s| s.task == *task && s.attempt == *attempt)
         });
-        self.strays = strays;
+        self.orphaned_tasks = orphaned_tasks;
     }
 
     /// Whether its record must get a higher token to void a lost launch.
-    pub fn wants_token(&self) -> bool {
-        self.lost_launch.is_some() && self.seen_token >= self.token
+    pub fn needs_higher_token(&self) -> bool {
+        self.unconfirmed_launch.is_some() && self.seen_token >= self.token
     }
 
     /// Whether it has kept exited tasks for so long that all machines of the share should get a higher
     /// token.
-    pub fn keeps_exited(&self, now: Timestamp) -> bool {
-        let kept = self.kept_since.is_some_and(|at| now.duration_since(at) >= KEPT_EXITED);
+    pub fn retains_exited_tasks(&self, now: Timestamp) -> bool {
+        let kept = self
+            .exited_retained_since
+            .is_some_and(|at| now.duration_since(at) >= EXITED_TASK_RETENTION);
         kept && self.seen_token >= self.token
     }
 
     /// Whether we have answered it so lately that its lease should stand.
     pub(crate) fn answered_lately(&self, lease: Duration, now: Timestamp) -> bool {
-        self.answered_at > Timestamp::default() && now.duration_since(self.answered_at) < lease
+        self.lease_renewed_at > Timestamp::default()
+            && now.duration_since(self.lease_renewed_at) < lease
     }
 
     /// Whether it is heard and not reached: it reports, and nothing that we send gets there.
-    pub fn is_unreached(&self) -> bool {
-        self.doubted.is_some_and(|since| self.reported_at.is_some_and(|at| at > since))
+    pub fn is_unreachable(&self) -> bool {
+        self.suspected_since
+            .is_some_and(|since| self.last_heartbeat_at.is_some_and(|at| at > since))
     }
 
     /// We answer a report. One that is older than what is known was sent before that came in, so an answer
     /// to it keeps the lease up for no longer: a copy that comes late does not put the end of a lease off.
     pub fn answer(&mut self, newer: bool, now: Timestamp) {
-        let known = self.heard_at.unwrap_or_default();
-        self.answered_at = self.answered_at.max(if newer { now } else { known });
+        let known = self.last_seen_at.unwrap_or_default();
+        self.lease_renewed_at = self.lease_renewed_at.max(if newer { now } else { known });
     }
 
     /// Whether every task must be gone: nobody entitled has answered for a whole lease.
-    pub fn lapsed(&self, now: Timestamp, entitled_until: Timestamp, lease: Duration) -> bool {
-        now > self.answered_at.max(self.direct_at).max(entitled_until) + lease.with_clock_drift()
+    pub fn lease_expired(
+        &self,
+        now: Timestamp,
+        predecessors_valid_until: Timestamp,
+        lease: Duration,
+    ) -> bool {
+        now > self.lease_renewed_at.max(self.last_direct_call_at).max(predecessors_valid_until)
+            + lease.with_clock_drift()
     }
 }
--- a/crates/scheduler/src/partition_state.rs
+++ b/crates/scheduler/src/partition_state.rs
@@ -43,34 +43,34 @@
 pub struct Policy {
     /// A machine whose report has not come so long after the longest time between two reports
     /// gets no new tasks.
-    pub silence: Duration,
+    pub heartbeat_grace: Duration,
     /// Tasks of one array that wait in the queue at a time.
     pub window: u32,
     /// Failures without a success after which a machine is set aside.
-    pub faulty_after: u32,
+    pub quarantine_threshold: u32,
     /// Whether tasks are stopped to make room.
     pub preempt: bool,
     /// How many times the time it takes alone a job is set back in the order.
-    pub set_back: u64,
+    pub size_penalty_factor: u64,
     /// Whether replicas are moved together.
     pub move_replicas: bool,
     /// Array work that running tasks make room for within this time is no demand for machines.
     pub absorb: Duration,
     /// How many further times what is left of a job sets it back in a shortage; 0: the order stays.
-    pub short_set_back: u64,
+    pub overload_penalty_factor: u64,
 }
 
 impl Default for Policy {
     fn default() -> Self {
         Policy {
-            silence: Duration::from_secs(2),
+            heartbeat_grace: Duration::from_secs(2),
             window: 256,
-            faulty_after: 2,
+            quarantine_threshold: 2,
             preempt: true,
-            set_back: 3,
+            size_penalty_factor: 3,
             move_replicas: true,
             absorb: Duration::from_secs(8),
-            short_set_back: 4,
+            overload_penalty_factor: 4,
         }
     }
 }
@@ -82,7 +82,7 @@
     pub limit: Resources,
     pub used: Resources,
     /// What is kept of the limit for entries for which the team's own tasks are being stopped.
-    pub(crate) promised: Resources,
+    pub(crate) reserved: Resources,
     /// What gangs need of it on machines that are kept for them, beyond what is used there now.
     pub(crate) held: Resources,
     /// Since when its best-effort work has had hardly any place.
@@ -153,25 +153,25 @@
     /// How often workers report as a rule; they may take a quarter longer.
     pub report: Duration,
     /// Since when we have been running without a stop. Silence before that was our own.
-    pub awake_since: Timestamp,
+    pub running_since: Timestamp,
     /// Since when we have held it.
-    pub held_since: Timestamp,
+    pub leading_since: Timestamp,
     /// Most of the machines have been heard since then, or had the time to be.
-    pub(crate) picture: bool,
+    pub(crate) inventory_known: bool,
     /// Until when a predecessor may have answered any machine.
-    pub entitled_until: Timestamp,
+    pub predecessors_valid_until: Timestamp,
     /// Within what time a class's jobs should be over, where they have no deadline of their own.
-    pub goals: BTreeMap<String, Duration>,
+    pub completion_objectives: BTreeMap<String, Duration>,
     /// What waits takes longer than the users' patience lasts.
-    pub(crate) short: bool,
+    pub(crate) overloaded: bool,
     /// Zones in which machines can be had, the nearest first.
     pub zones: Vec<ZoneName>,
     /// Gangs that have failed to fit and wait, one of each kind.
     pub(crate) waiting_gangs: Vec<JobId>,
-    /// Types of machines that can be had, see [`PartitionState::know_types`].
+    /// Types of machines that can be had, see [`PartitionState::set_machine_types`].
     pub(crate) types: Vec<MachineType>,
     /// Machines kept for gangs that have failed to fit.
-    pub(crate) gang_holds: BTreeMap<JobId, GangReservation>,
+    pub(crate) gang_reservations: BTreeMap<JobId, GangReservation>,
     pub jobs: BTreeMap<JobId, Job>,
     pub machines: BTreeMap<MachineName, Machine>,
     pub teams: HashMap<TeamName, TeamUsage>,
@@ -180,26 +180,26 @@
     attempts: u64,
     dirty: BTreeSet<ChunkKey>,
     /// Outcomes that are not durable yet: their tasks must not be forgotten.
-    pub(crate) unsaved: HashSet<(TaskId, Attempt)>,
+    pub(crate) undurable_outcomes: HashSet<(TaskId, Attempt)>,
     /// Jobs that are done, or cancelled with every task gone.
     finished: Vec<JobId>,
     /// Machines to be sent commands at once.
-    pub(crate) urgent: BTreeSet<MachineName>,
+    pub(crate) urgent_machines: BTreeSet<MachineName>,
     /// Room kept for entries for which tasks are being stopped.
-    pub(crate) promises: HashMap<EntryKey, Reservation>,
+    pub(crate) reservations: HashMap<EntryKey, Reservation>,
     /// The machines by room and image, those that take nothing left out.
-    pub(crate) rooms: CapacityIndex,
+    pub(crate) capacity_index: CapacityIndex,
     pub(crate) sorted_at: Timestamp,
     /// Since when machines of a zone have not answered.
-    pub(crate) alarms: BTreeMap<ZoneName, Timestamp>,
+    pub(crate) zone_alarms: BTreeMap<ZoneName, Timestamp>,
     /// What could be stopped to make room.
-    pub(crate) victims: PreemptionCandidates,
+    pub(crate) preemption_candidates: PreemptionCandidates,
     /// Placements that are not durable yet.
     unrecorded: usize,
     /// Jobs that are not best-effort and lately found no room: when.
-    pub(crate) roomless: BTreeMap<JobId, Timestamp>,
+    pub(crate) unplaced_since: BTreeMap<JobId, Timestamp>,
     /// Suspect jobs, which are not queued as others are.
-    pub(crate) probing: BTreeMap<JobId, JobProbe>,
+    pub(crate) job_probes: BTreeMap<JobId, JobProbe>,
     pub(crate) consolidated_at: Timestamp,
     /// Waits from first sight to placement, for the metrics (ms).
     pub waits: Vec<u64>,
@@ -219,16 +219,16 @@
             lease,
             gang_wait: Duration::from_millis(u64::MAX),
             report: Duration::ZERO,
-            awake_since: Timestamp::default(),
-            held_since: Timestamp::default(),
-            picture: false,
-            entitled_until: Timestamp::default(),
-            goals: BTreeMap::new(),
-            short: false,
+            running_since: Timestamp::default(),
+            leading_since: Timestamp::default(),
+            inventory_known: false,
+            predecessors_valid_until: Timestamp::default(),
+            completion_objectives: BTreeMap::new(),
+            overloaded: false,
             zones: Vec::new(),
             waiting_gangs: Vec::new(),
             types: Vec::new(),
-            gang_holds: BTreeMap::new(),
+            gang_reservations: BTreeMap::new(),
             jobs: BTreeMap::new(),
             machines: BTreeMap::new(),
             teams: teams
@@ -241,17 +241,17 @@
             term,
             attempts: 0,
             dirty: BTreeSet::new(),
-            unsaved: HashSet::new(),
+            undurable_outcomes: HashSet::new(),
             finished: Vec::new(),
-            urgent: BTreeSet::new(),
-            promises: HashMap::new(),
-            rooms: CapacityIndex::default(),
+            urgent_machines: BTreeSet::new(),
+            reservations: HashMap::new(),
+            capacity_index: CapacityIndex::default(),
             sorted_at: Timestamp::default(),
-            alarms: BTreeMap::new(),
-            victims: PreemptionCandidates::default(),
+            zone_alarms: BTreeMap::new(),
+            preemption_candidates: PreemptionCandidates::default(),
             unrecorded: 0,
-            roomless: BTreeMap::new(),
-            probing: BTreeMap::new(),
+            unplaced_since: BTreeMap::new(),
+            job_probes: BTreeMap::new(),
             consolidated_at: Timestamp::default(),
             waits: Vec::new(),
         }
@@ -260,13 +260,13 @@
     /// A machine that has been silent for longer gets no new tasks. Workers report every 2 s on
     /// some sites and every 6 s on others: by a fixed 4 s, idle machines of the latter took nothing
     /// for a part of the time.
-    pub(crate) fn silence(&self) -> Duration {
-        Duration::from_millis(self.report.whole_millis() * 5 / 4) + self.policy.silence
+    pub(crate) fn heartbeat_timeout(&self) -> Duration {
+        Duration::from_millis(self.report.whole_millis() * 5 / 4) + self.policy.heartbeat_grace
     }
 
     /// Which types of machines can be had: work without GPUs runs on such with GPUs beside others only,
     /// unless no other type holds it.
-    pub fn know_types(&mut self, types: &[MachineType]) {
+    pub fn set_machine_types(&mut self, types: &[MachineType]) {
         self.types = types.to_vec();
         for job in self.jobs.values_mut() {
             job.only_beside = job.spec.does_without_gpus(types);
@@ -293,9 +293,10 @@
             return;
         }
         let mut job = Job::new(spec, order, now);
-        job.set_back = self.set_back_of(&job.spec);
+        job.size_penalty = self.size_penalty_of(&job.spec);
         job.only_beside = job.spec.does_without_gpus(&self.types);
-        job.goal = job.spec.deadline.or_else(|| self.goals.get(&job.spec.class).copied());
+        job.completion_objective =
+            job.spec.deadline.or_else(|| self.completion_objectives.get(&job.spec.class).copied());
         for (chunk, body) in chunks {
             job.restore(*chunk, body, now);
         }
@@ -337,16 +338,18 @@
 
     /// How far a job's size sets it back: a multiple of the time that it takes alone. A team
     /// without a limit counts as if it had the largest of the others'.
-    fn set_back_of(&self, spec: &JobSpec) -> Duration {
+    fn size_penalty_of(&self, spec: &JobSpec) -> Duration {
         let per = Resources { memory_mb: 0, ..spec.needs };
-        let at_once = |team: &TeamUsage| team.limit.holds(&per);
+        let at_once = |team: &TeamUsage| team.limit.how_many_fit(&per);
         let limited = |count: &u64| *count < u64::MAX / 1_000_000;
         let own = self.teams.get(&spec.team).map(at_once).filter(limited);
         let largest = || self.teams.values().map(at_once).filter(limited).max();
         let at_once = own.or_else(largest).unwrap_or(1).max(1);
         // A gang is one entry, and large ones would wait for ever behind small ones otherwise.
         let tasks = if spec.kind == JobKind::Gang { 1 } else { u64::from(spec.tasks) };
-        Duration::from_millis(spec.estimate.whole_millis() * tasks / at_once * self.policy.set_back)
+        Duration::from_millis(
+            spec.estimate.whole_millis() * tasks / at_once * self.policy.size_penalty_factor,
+        )
     }
 
     /// Adds a machine to the share.
@@ -367,9 +370,9 @@
         for task in tasks {
             self.drop_placement(task, now, true);
         }
-        self.unpromise_machine(name);
+        self.cancel_reservations_on_machine(name);
         if let Some(mut machine) = self.machines.remove(name) {
-            self.rooms.remove(&mut machine);
+            self.capacity_index.remove(&mut machine);
         }
     }
 
@@ -392,9 +395,9 @@
 
     /// A job was cancelled: whoever holds it may answer its machines until then whatever is under way to
     /// them, and no longer.
-    pub fn bound_answers(&mut self, id: JobId, until: Timestamp) {
+    pub fn bound_lease_renewal(&mut self, id: JobId, until: Timestamp) {
         if let Some(job) = self.jobs.get_mut(&id).filter(|job| job.cancelled) {
-            job.answer_until = until;
+            job.renew_until = until;
         }
     }
 
@@ -403,15 +406,15 @@
     /// of a predecessor, or under a lower token, is voided by it. A direct launch of ours without an
     /// answer is not, and where the state service gives no higher token, only the end of the lease is
     /// left.
-    pub fn may_answer(&self, name: &MachineName, now: Timestamp) -> bool {
+    pub fn may_renew_lease(&self, name: &MachineName, now: Timestamp) -> bool {
         let Some(machine) = self.machines.get(name) else { return true };
         let under_way = |p: &Placement| {
             let void = |(token, session)| token < machine.token || session < machine.session;
-            p.seen.is_none() && p.unanswered.is_some_and(|launch| !void(launch))
+            p.last_status.is_none() && p.unconfirmed_launch_of.is_some_and(|launch| !void(launch))
         };
         let late = |task: &TaskId| {
             let Some(job) = self.jobs.get(&task.job) else { return false };
-            let late = job.cancelled && now >= job.answer_until;
+            let late = job.cancelled && now >= job.renew_until;
             late && job.placed.get(&task.index).is_some_and(under_way)
         };
         !machine.tasks.iter().any(late)
@@ -421,24 +424,24 @@
     pub fn stop_task(&mut self, task: TaskId, grace_ms: u64, now: Timestamp) {
         let Some(job) = self.jobs.get_mut(&task.job) else { return };
         let Some(placement) = job.placed.get_mut(&task.index) else { return };
-        if placement.launched.is_none() && !placement.inherited && placement.seen.is_none() {
+        if placement.launched.is_none() && !placement.inherited && placement.last_status.is_none() {
             self.drop_placement(task, now, true);
             return;
         }
         let machine = placement.machine.clone();
-        self.victims.remove(task, job.spec.priority, placement.placed_at);
+        self.preemption_candidates.remove(task, job.spec.priority, placement.placed_at);
         match &mut placement.stop {
             // A second stop may only shorten the grace.
             Some(stop) => stop.grace_ms = stop.grace_ms.min(grace_ms),
             None => placement.stop = Some(Stop { grace_ms }),
         }
-        self.urgent.insert(machine);
+        self.urgent_machines.insert(machine);
     }
 
     /// Puts a job's waiting tasks into the queue, as many as the window allows.
     pub(crate) fn enqueue(&mut self, id: JobId) {
         let Some(job) = self.jobs.get_mut(&id) else { return };
-        if job.cancelled || job.finishing || self.probing.contains_key(&id) {
+        if job.cancelled || job.finishing || self.job_probes.contains_key(&id) {
             return;
         }
         let rank = rank_of(job);
@@ -472,10 +475,10 @@
         }
         if let Some(machine) = self.machines.get_mut(&placement.machine) {
             machine.hold(task, spec);
-            self.rooms.update(machine);
+            self.capacity_index.update(machine);
         }
-        self.victims.add(task, spec, placement);
-        self.unrecorded += usize::from(!placement.recorded);
+        self.preemption_candidates.add(task, spec, placement);
+        self.unrecorded += usize::from(!placement.durable);
     }
 
     /// Takes a placement out of every count.
@@ -485,10 +488,10 @@
         }
         if let Some(machine) = self.machines.get_mut(&placement.machine) {
             machine.let_go(task, spec, now);
-            self.rooms.update(machine);
+            self.capacity_index.update(machine);
         }
-        self.victims.remove(task, spec.priority, placement.placed_at);
-        self.unrecorded -= usize::from(!placement.recorded);
+        self.preemption_candidates.remove(task, spec.priority, placement.placed_at);
+        self.unrecorded -= usize::from(!placement.durable);
     }
 
     /// Removes a placement whose task is proven gone or was never launched, and queues the
@@ -522,7 +525,7 @@
         if job.placed.is_empty() {
             job.gang_began = None;
             let failures = job.failures.values().copied().max().unwrap_or(0);
-            if job.cancelled || job.all_done() || self.probing.contains_key(&id) {
+            if job.cancelled || job.all_done() || self.job_probes.contains_key(&id) {
                 return;
             }
             let rank = rank_of(job);
@@ -587,7 +590,7 @@
         for (index, placement) in &job.placed {
             self.count_out(TaskId { job: id, index: *index }, &job.spec, placement, now);
         }
-        self.unsaved.retain(|(task, _)| task.job != id);
+        self.undurable_outcomes.retain(|(task, _)| task.job != id);
         for chunk in 0..job.spec.tasks.div_ceil(CHUNK) {
             self.dirty.remove(&(id, chunk));
         }
@@ -599,7 +602,7 @@
             self.queue.remove(EntryKey::Task(TaskId { job: id, index }));
         }
         self.queue.remove(EntryKey::Gang(id));
-        self.unpromise_job(id);
+        self.cancel_reservations_of_job(id);
     }
 
     pub(crate) fn touch(&mut self, task: TaskId) {
@@ -607,15 +610,15 @@
     }
 
     /// Machines to which commands should go without waiting for their next report.
-    pub fn take_urgent(&mut self) -> BTreeSet<MachineName> {
-        std::mem::take(&mut self.urgent)
+    pub fn take_urgent_machines(&mut self) -> BTreeSet<MachineName> {
+        std::mem::take(&mut self.urgent_machines)
     }
 
     /// Addresses of some machines, those heard last first.
     pub fn addresses(&self, most: usize) -> Vec<(MachineName, String)> {
         let mut heard: Vec<&Machine> =
             self.machines.values().filter(|m| m.address.is_some() && m.notice.is_none()).collect();
-        heard.sort_by_key(|m| std::cmp::Reverse(m.heard_at));
+        heard.sort_by_key(|m| std::cmp::Reverse(m.last_seen_at));
         let address = |m: &Machine| Some((m.name.clone(), m.address.clone()?));
         heard.into_iter().take(most).filter_map(address).collect()
     }
@@ -639,25 +642,25 @@
     }
 
     /// Gives back chunks that did not fit into the round.
-    pub fn put_back(&mut self, keys: impl IntoIterator<Item = ChunkKey>) {
+    pub fn restore_dirty(&mut self, keys: impl IntoIterator<Item = ChunkKey>) {
         self.dirty.extend(keys);
     }
 
     /// What a round with these chunks would make durable.
-    pub fn written_by(&self, keys: &[ChunkKey]) -> CommittedChanges {
+    pub fn changes_in(&self, keys: &[ChunkKey]) -> CommittedChanges {
         let mut written = CommittedChanges::default();
         for (id, chunk) in keys {
             let Some(job) = self.jobs.get(id) else { continue };
             let from = chunk * CHUNK;
             for (index, p) in job.placed.range(from..from + CHUNK) {
-                if !p.recorded {
+                if !p.durable {
                     written.placements.push((TaskId { job: *id, index: *index }, p.attempt));
                 }
             }
         }
         let included: BTreeSet<&ChunkKey> = keys.iter().collect();
         written.outcomes = self
-            .unsaved
+            .undurable_outcomes
             .iter()
             .filter(|(task, _)| included.contains(&(task.job, task.index / CHUNK)))
             .copied()
@@ -671,15 +674,15 @@
             let Some(job) = self.jobs.get_mut(&task.job) else { continue };
             if let Some(p) = job.placed.get_mut(&task.index) {
                 if p.attempt == *attempt {
-                    self.unrecorded -= usize::from(!p.recorded);
-                    p.recorded = true;
+                    self.unrecorded -= usize::from(!p.durable);
+                    p.durable = true;
                     let machine = p.machine.clone();
-                    self.urgent.insert(machine);
+                    self.urgent_machines.insert(machine);
                 }
             }
         }
         for outcome in &written.outcomes {
-            self.unsaved.remove(outcome);
+            self.undurable_outcomes.remove(outcome);
         }
     }
 
@@ -700,16 +703,16 @@
                 order.iter().take_while(fits).copied().collect::<BTreeSet<JobId>>()
             };
             let mut order: Vec<JobId> = team.open.iter().map(|(_, id)| *id).collect();
-            if self.short {
+            if self.overloaded {
                 // Its guarantee goes to what it can get done with it, not to its oldest jobs.
                 order.sort_by_key(|id| self.jobs.get(id).map(due));
             }
             let within = fitting(&order);
             order.sort_by_key(|id| std::cmp::Reverse(self.jobs.get(id).map(|j| j.spec.priority)));
-            let entitled = fitting(&order);
+            let strictly_guaranteed = fitting(&order);
             for id in &order {
                 if let Some(job) = self.jobs.get_mut(id) {
-                    job.entitled = entitled.contains(id);
+                    job.strictly_guaranteed = strictly_guaranteed.contains(id);
                 }
             }
             for id in team.within.symmetric_difference(&within) {
@@ -748,7 +751,7 @@
 
 /// A job's place among its equals.
 fn due(job: &Job) -> u64 {
-    job.order.saturating_add(job.set_back.whole_millis() + job.put_back.whole_millis())
+    job.order.saturating_add(job.size_penalty.whole_millis() + job.overload_penalty.whole_millis())
 }
 
 impl PartitionState {
--- a/crates/scheduler/src/preempt.rs
+++ b/crates/scheduler/src/preempt.rs
@@ -14,9 +14,9 @@
 use std::time::Duration;
 
 /// How long freed room is kept for the entry that asked for it.
-const NOMINATION: Duration = Duration::from_secs(15);
+const RESERVATION_TIMEOUT: Duration = Duration::from_secs(15);
 /// Entries for which room may be under way at a time before work that is not urgent has to wait.
-const MOST_NOMINATED: usize = 24;
+const MAX_RESERVATIONS: usize = 24;
 
 /// Tasks on one machine that could be stopped, and what that costs in milliseconds.
 #[derive(Debug)]
@@ -56,7 +56,7 @@
 
     /// After a failed cycle: stops the cheapest set of tasks on one machine that lets the
     /// entry in, and keeps the room for it. False if that would not help entries like it.
-    pub(crate) fn make_room(
+    pub(crate) fn preempt_for(
         &mut self,
         entry: EntryKey,
         why: PlacementFailure,
@@ -64,30 +64,30 @@
     ) -> bool {
         let EntryKey::Task(task) = entry else { return false };
         let Some(job) = self.jobs.get(&task.job) else { return false };
-        if self.promises.contains_key(&entry) {
+        if self.reservations.contains_key(&entry) {
             return true;
         }
         let stops = match why {
-            PlacementFailure::Quota => self.stops_for_limit(entry, job, now),
+            PlacementFailure::Quota => self.cheapest_preemption_for_limit(entry, job, now),
             PlacementFailure::Room | PlacementFailure::Image => None,
         };
-        let stops = stops.or_else(|| self.cheapest_stops(entry, job, why, None, now));
+        let stops = stops.or_else(|| self.cheapest_preemption(entry, job, why, None, now));
         let Some(stops) = stops else { return false };
-        self.carry_out(entry, stops, why, now);
+        self.execute_preemption(entry, stops, why, now);
         true
     }
 
     /// Whether anything that runs could be stopped for the sake of a job at all.
     fn may_stop_any(&self, job: &Job) -> bool {
         let over = |team: &TeamUsage| !team.used.fits_quota(&team.guarantee);
-        self.victims.any_below(job.spec.priority)
+        self.preemption_candidates.any_below(job.spec.priority)
             || (job.guaranteed && self.teams.values().any(over))
     }
 
     /// The set of tasks on one machine that costs least to stop for the sake of an entry: the
     /// work that is lost, and the fetch of its image where that is missing. None if that costs
     /// `below` or more.
-    pub(crate) fn cheapest_stops(
+    pub(crate) fn cheapest_preemption(
         &self,
         entry: EntryKey,
         job: &Job,
@@ -96,7 +96,7 @@
         now: Timestamp,
     ) -> Option<PreemptionPlan> {
         let only_cheap = self.stops_for(job)?;
-        if only_cheap && self.promises.len() >= MOST_NOMINATED || !self.may_stop_any(job) {
+        if only_cheap && self.reservations.len() >= MAX_RESERVATIONS || !self.may_stop_any(job) {
             return None;
         }
         let search = Search { entry, job, why, only_cheap, zones: self.zones_of(job), now };
@@ -108,7 +108,7 @@
             if !self.may_go(&search, victim, placement) || !seen.insert(&placement.machine) {
                 return None;
             }
-            let stops = self.stops_on(&search, self.machines.get(&placement.machine)?)?;
+            let stops = self.preemption_on(&search, self.machines.get(&placement.machine)?)?;
             let cheap = below.is_none_or(|below| stops.cost < below);
             let better = best
                 .as_ref()
@@ -118,7 +118,7 @@
             }
             Some(())
         };
-        for (placed_at, task) in self.victims.newest() {
+        for (placed_at, task) in self.preemption_candidates.newest() {
             // A machine on which this is the newest costs more than this.
             let ran = now.duration_since(placed_at).whole_millis();
             let most = best.as_ref().map(|least| least.cost).into_iter().chain(below).min();
@@ -127,7 +127,7 @@
             }
             look(task, &mut best);
         }
-        for task in self.victims.saving() {
+        for task in self.preemption_candidates.saving() {
             look(task, &mut best);
         }
         best
@@ -135,7 +135,7 @@
 
     /// Where a machine has room and only the team's limit is in the way: the team's own tasks of lower
     /// priority that cost least to stop, wherever they run.
-    fn stops_for_limit(
+    fn cheapest_preemption_for_limit(
         &self,
         entry: EntryKey,
         job: &Job,
@@ -146,11 +146,15 @@
         }
         let machine = self.place_for(entry, job, now)?.name.clone();
         let team = self.teams.get(&job.spec.team)?;
-        let wanted = team.used + team.promised + job.spec.needs;
+        let wanted = team.used + team.reserved + job.spec.needs;
         let mut stops = PreemptionPlan { cost: 0, victims: Vec::new(), machine };
         // What is being stopped for others is counted with what is kept for them.
         let mut freed = self.being_stopped(&job.spec.team);
-        let tasks = self.victims.newest().map(|(_, task)| task).chain(self.victims.saving());
+        let tasks = self
+            .preemption_candidates
+            .newest()
+            .map(|(_, task)| task)
+            .chain(self.preemption_candidates.saving());
         for task in tasks {
             let Some(victim) = self.jobs.get(&task.job) else { continue };
             let Some(placement) = victim.placed.get(&task.index) else { continue };
@@ -160,7 +164,7 @@
             stops.cost += self.lost_work(victim, placement, true, now) + 1;
             stops.victims.push(task);
             freed += victim.spec.needs;
-            if wanted.less(&freed).fits_quota(&team.limit) {
+            if wanted.saturating_sub(&freed).fits_quota(&team.limit) {
                 return Some(stops);
             }
         }
@@ -187,11 +191,11 @@
     }
 
     /// The cheapest stops on a machine that let the entry in, if there are any.
-    fn stops_on(&self, search: &Search<'_>, machine: &Machine) -> Option<PreemptionPlan> {
+    fn preemption_on(&self, search: &Search<'_>, machine: &Machine) -> Option<PreemptionPlan> {
         let Search { entry, job, why, now, .. } = *search;
         if !self.admits(job, machine, now)
             || !zone_allowed(job, &machine.zone, &search.zones)
-            || self.held_from(job, machine, now)
+            || self.is_reserved_from(job, machine, now)
             || beside(machine, job)
         {
             return None;
@@ -209,14 +213,14 @@
             .collect();
         // The work that is lost is what they have run so far.
         victims.sort_unstable_by_key(|(lost, id, _)| (*lost, *id));
-        let mut room = self.room_for(entry, machine);
+        let mut room = self.free_capacity_for(entry, machine);
         let mut freed = Resources::default();
         let mut cost = fetch_time(job, machine).whole_millis();
         let mut chosen = Vec::new();
         let quota = |freed: &Resources| {
             why == PlacementFailure::Room
                 || self.teams.get(&job.spec.team).is_some_and(|team| {
-                    (team.used.less(freed) + job.spec.needs).fits_quota(&team.limit)
+                    (team.used.saturating_sub(freed) + job.spec.needs).fits_quota(&team.limit)
                 })
         };
         for (lost, id, needs) in victims {
@@ -233,7 +237,7 @@
     }
 
     /// Stops the tasks and keeps their room for the entry.
-    pub(crate) fn carry_out(
+    pub(crate) fn execute_preemption(
         &mut self,
         entry: EntryKey,
         stops: PreemptionPlan,
@@ -242,22 +246,26 @@
     ) {
         let Some(job) = self.jobs.get(&entry.job()) else { return };
         let needs = job.spec.needs;
-        let urgent = self.stops_for(job) == Some(false);
+        let urgent_machines = self.stops_for(job) == Some(false);
         let limit_of = (why == PlacementFailure::Quota).then(|| job.spec.team.clone());
-        let promise =
-            Reservation { machine: stops.machine, needs, until: now + NOMINATION, limit_of };
-        self.promise(entry, promise);
+        let reservation = Reservation {
+            machine: stops.machine,
+            needs,
+            until: now + RESERVATION_TIMEOUT,
+            limit_of,
+        };
+        self.reserve(entry, reservation);
         for victim in stops.victims {
             tracing::debug!(job = %entry.job(), %victim, "stopping a task to make room");
             // Replicas and guaranteed work do not wait for best-effort work to save.
-            let best_effort = self.jobs.get(&victim.job).is_some_and(|j| j.spec.best_effort());
-            let grace = if urgent && best_effort { 0 } else { self.grace_of(victim) };
+            let best_effort = self.jobs.get(&victim.job).is_some_and(|j| j.spec.is_best_effort());
+            let grace = if urgent_machines && best_effort { 0 } else { self.grace_period(victim) };
             self.stop_task(victim, grace, now);
         }
     }
 
     /// Grace that lets a task save, 0 if it never does.
-    pub(crate) fn grace_of(&self, task: TaskId) -> u64 {
+    pub(crate) fn grace_period(&self, task: TaskId) -> u64 {
         self.jobs.get(&task.job).map_or(0, |job| {
             if job.spec.checkpoint > Duration::ZERO {
                 job.spec.save.whole_millis() + 1_000
@@ -270,5 +278,5 @@
 
 /// What of two teams' work goes before the other's.
 fn standing(job: &Job) -> (bool, Priority, bool) {
-    (job.entitled, job.spec.priority, job.guaranteed)
+    (job.strictly_guaranteed, job.spec.priority, job.guaranteed)
 }
--- a/crates/scheduler/src/reconciliation.rs
+++ b/crates/scheduler/src/reconciliation.rs
@@ -11,7 +11,7 @@
 use wire::workers::{ExitCause, Heartbeat, TaskState, TaskStatus};
 
 /// How long before a machine is taken its tasks are stopped, besides the time to save.
-const LAST_MOMENT: Duration = Duration::from_millis(2_500);
+const RECLAIM_MARGIN: Duration = Duration::from_millis(2_500);
 
 /// How a worker's message reached us.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -25,16 +25,16 @@
 impl PartitionState {
     /// Takes in a report or the body of a worker's answer. False if it is not newer than
     /// what is known: then it proves nothing.
-    pub fn observe(&mut self, report: &Heartbeat, source: StatusSource, now: Timestamp) -> bool {
+    pub fn reconcile(&mut self, report: &Heartbeat, source: StatusSource, now: Timestamp) -> bool {
         let name = MachineName::from(report.machine.as_str());
-        let silence = self.silence();
+        let silence = self.heartbeat_timeout();
         let Some(machine) = self.machines.get_mut(&name) else { return false };
         let (session, seq) = (WorkerEpoch(report.session), SequenceNumber(report.seq));
-        if machine.heard_at.is_some() && (session, seq) <= (machine.session, machine.seq) {
+        if machine.last_seen_at.is_some() && (session, seq) <= (machine.session, machine.seq) {
             return false;
         }
-        let first = machine.heard_at.is_none();
-        let reached = source == StatusSource::Direct && machine.doubted.take().is_some();
+        let first = machine.last_seen_at.is_none();
+        let reached = source == StatusSource::Direct && machine.suspected_since.take().is_some();
         if reached {
             tracing::debug!(machine = %name, "reached again");
         } else if source == StatusSource::Heartbeat
@@ -43,24 +43,24 @@
             && machine.answered_lately(self.lease, now)
         {
             // Its lease has ended although we answered: our answers do not reach it.
-            machine.doubted.get_or_insert(now);
+            machine.suspected_since.get_or_insert(now);
         }
         let returns = !machine.usable(now, silence);
         machine.session = session;
         machine.seq = seq;
         machine.seen_token = machine.seen_token.max(FencingToken(report.token));
-        machine.heard_at = Some(now);
-        machine.asked.missed = 0;
+        machine.last_seen_at = Some(now);
+        machine.probe_state.missed = 0;
         if source == StatusSource::Heartbeat {
-            machine.reported_at = Some(now);
+            machine.last_heartbeat_at = Some(now);
             // One report is in flight at a time, so the answer to the one before is settled.
             machine.answer_launches.clear();
         }
         machine.address = Some(report.address.clone());
-        if let Some(followed) = machine.followed.take() {
+        if let Some(replicated_endpoint) = machine.replicated_endpoint.take() {
             // It reported to our predecessor until just now, and has an interval to come to us.
-            if followed.reporting && followed.session == session {
-                machine.reported_at.get_or_insert(now);
+            if replicated_endpoint.reporting && replicated_endpoint.session == session {
+                machine.last_heartbeat_at.get_or_insert(now);
             }
         }
         machine.notice = report.notice_s.map(|s| now + duration_from_secs(s));
@@ -70,10 +70,10 @@
         let has_token = FencingToken(report.token) >= machine.token;
         // Any report would bear the current token: only a higher one than the launch's counts.
         if machine
-            .lost_launch
+            .unconfirmed_launch
             .is_some_and(|(token, session)| machine.seen_token > token || machine.session > session)
         {
-            machine.lost_launch = None;
+            machine.unconfirmed_launch = None;
         }
         let listed: Vec<(TaskId, &TaskStatus)> = report
             .tasks
@@ -87,7 +87,7 @@
         self.find_strays(&name, &listed, now);
         if let Some(machine) = self.machines.get_mut(&name) {
             if machine.usable(now, silence) {
-                self.rooms.enter(machine);
+                self.capacity_index.enter(machine);
             }
         }
         if first || reached || source == StatusSource::Heartbeat && returns {
@@ -116,21 +116,21 @@
             self.absent(task, has_token, source, now);
             return;
         };
-        placement.seen = Some(entry.state);
+        placement.last_status = Some(entry.state);
         placement.inherited = false;
         placement.launched = Some(machine.session);
-        placement.in_answer = false;
+        placement.launched_in_response = false;
         if entry.state != TaskState::Fetching {
-            self.rooms.touch_image(machine, &job.spec.image, job.spec.image_gb);
+            self.capacity_index.touch_image(machine, &job.spec.image, job.spec.image_gb);
         }
         match entry.state {
             TaskState::Exited => self.exited(task, entry.why.unwrap_or(ExitCause::Error), now),
             TaskState::Running => {
                 let since = placement.placed_at;
                 job.seen_running(since, now);
-                self.gang_runs(task.job, now);
+                self.record_gang_start(task.job, now);
             }
-            TaskState::Waiting => self.gang_fetched(task.job),
+            TaskState::Waiting => self.record_gang_fetch(task.job),
             _ => {}
         }
     }
@@ -140,20 +140,20 @@
         let Some(job) = self.jobs.get_mut(&task.job) else { return };
         let gang = job.spec.kind == JobKind::Gang;
         let Some(placement) = job.placed.get_mut(&task.index) else { return };
-        if let Some((token, session)) = placement.unanswered {
+        if let Some((token, session)) = placement.unconfirmed_launch_of {
             // A direct launch may still be under way: the task stays bound to its machine.
             let machine = placement.machine.clone();
-            if placement.stop.is_some() || placement.seen.is_some() {
+            if placement.stop.is_some() || placement.last_status.is_some() {
                 if let Some(machine) = self.machines.get_mut(&machine) {
-                    machine.lose_launch(token, session);
+                    machine.record_lost_launch(token, session);
                 }
             }
             return;
         }
-        if placement.in_answer && source == StatusSource::Direct {
+        if placement.launched_in_response && source == StatusSource::Direct {
             return;
         }
-        placement.in_answer = false;
+        placement.launched_in_response = false;
         if placement.inherited {
             // Until the worker has seen our token, a predecessor's command may arrive.
             if !has_token {
@@ -162,7 +162,7 @@
             placement.inherited = false;
         }
         let task_machine = placement.machine.clone();
-        let was_seen = placement.seen.take().is_some();
+        let was_seen = placement.last_status.take().is_some();
         let was_launched = placement.launched.take().is_some();
         if placement.stop.is_some()
             || was_seen
@@ -171,7 +171,7 @@
             // It was there and is not any more (a new session), or it never got there and is
             // no longer wanted.
             self.drop_placement(task, now, true);
-        } else if self.machines.get(&task_machine).is_some_and(|m| m.doubted.is_some()) {
+        } else if self.machines.get(&task_machine).is_some_and(|m| m.suspected_since.is_some()) {
             // What could still arrive is settled, and nothing that is sent again would.
             self.drop_placement(task, now, true);
         }
@@ -184,10 +184,10 @@
         let Some(placement) = job.placed.get(&task.index) else { return };
         let attempt = placement.attempt;
         let name = placement.machine.clone();
-        if let Some((token, session)) = placement.unanswered {
+        if let Some((token, session)) = placement.unconfirmed_launch_of {
             // Forgetting it now could let the lost launch start it again.
             if let Some(machine) = self.machines.get_mut(&name) {
-                machine.lose_launch(token, session);
+                machine.record_lost_launch(token, session);
             }
         }
         let stopped = placement.stop.is_some();
@@ -204,7 +204,7 @@
                     job.mark_done(task.index);
                 }
                 if let Some(machine) = self.machines.get_mut(&name) {
-                    machine.blame.clear();
+                    machine.failures_by_job.clear();
                 }
             }
             ExitCause::Error if !stopped => self.task_error(task, &name, now),
@@ -213,7 +213,7 @@
             }
             _ => {}
         }
-        self.unsaved.insert((task, attempt));
+        self.undurable_outcomes.insert((task, attempt));
         self.touch(task);
         self.drop_placement(task, now, true);
         let of_gang = |job: &Job| job.spec.kind == JobKind::Gang && job.all_done();
@@ -229,7 +229,7 @@
         listed: &[(TaskId, &TaskStatus)],
         now: Timestamp,
     ) {
-        let mut strays = Vec::new();
+        let mut orphaned_tasks = Vec::new();
         for (task, entry) in listed.iter().copied() {
             let attempt = Attempt(entry.attempt);
             let ours = self
@@ -238,19 +238,24 @@
                 .and_then(|job| job.placed.get(&task.index))
                 .is_some_and(|p| p.machine == *name && p.attempt == attempt);
             if !ours {
-                strays.push(OrphanedTask { task, attempt, state: entry.state, why: entry.why });
+                orphaned_tasks.push(OrphanedTask {
+                    task,
+                    attempt,
+                    state: entry.state,
+                    why: entry.why,
+                });
             }
         }
         if let Some(machine) = self.machines.get_mut(name) {
-            machine.strays = strays;
-            machine.keep_exited(now);
+            machine.orphaned_tasks = orphaned_tasks;
+            machine.update_exited_tasks(now);
         }
     }
 
     /// Tasks on machines that the cloud is about to take are stopped just before: those that save
     /// get the time to, and for all of them the exit is proof at once, where a machine that is
     /// gone would have to be waited out for a whole lease.
-    pub fn drain_noticed(&mut self, now: Timestamp) {
+    pub fn drain_reclaimed_machines(&mut self, now: Timestamp) {
         let mut stops = Vec::new();
         for machine in self.machines.values() {
             let Some(taken) = machine.notice else { continue };
@@ -258,7 +263,7 @@
             for task in &machine.tasks {
                 let Some(job) = self.jobs.get(&task.job) else { continue };
                 let saves = job.spec.checkpoint > Duration::ZERO;
-                let needed = if saves { job.spec.save + LAST_MOMENT } else { LAST_MOMENT };
+                let needed = if saves { job.spec.save + RECLAIM_MARGIN } else { RECLAIM_MARGIN };
                 let stops_already = job.placed.get(&task.index).is_some_and(|p| p.stop.is_some());
                 if left <= needed && !stops_already {
                     stops.push((*task, job.spec.kind));
@@ -269,7 +274,7 @@
             if kind == JobKind::Gang {
                 self.stop_gang(task.job, now);
             } else {
-                let grace = self.grace_of(task);
+                let grace = self.grace_period(task);
                 self.stop_task(task, grace, now);
             }
         }
@@ -281,7 +286,10 @@
         let lapsed: Vec<MachineName> = self
             .machines
             .values()
-            .filter(|m| !m.tasks.is_empty() && m.lapsed(now, self.entitled_until, self.lease))
+            .filter(|m| {
+                !m.tasks.is_empty()
+                    && m.lease_expired(now, self.predecessors_valid_until, self.lease)
+            })
             .map(|m| m.name.clone())
             .collect();
         for name in lapsed {
@@ -294,7 +302,7 @@
                 let Some(job) = self.jobs.get_mut(&task.job) else { continue };
                 let Some(p) = job.placed.get_mut(&task.index) else { continue };
                 // The lease ends a session, and a launch names the session it was meant for.
-                p.unanswered = None;
+                p.unconfirmed_launch_of = None;
                 self.drop_placement(task, now, true);
             }
         }
@@ -304,9 +312,9 @@
 /// A worker that has seen a higher token, or has begun a newer session, executes no command
 /// that was sent before.
 fn settle_direct(placement: &mut Placement, machine: &Machine) {
-    if let Some((token, session)) = placement.unanswered {
+    if let Some((token, session)) = placement.unconfirmed_launch_of {
         if machine.seen_token > token || machine.session > session {
-            placement.unanswered = None;
+            placement.unconfirmed_launch_of = None;
         }
     }
 }
--- a/crates/scheduler/tests/gangs.rs
+++ b/crates/scheduler/tests/gangs.rs
@@ -32,7 +32,7 @@
     let limit = Resources::offered(cpus, 100.0, 0.0);
     let teams = [(TeamName::from("t"), Resources::default(), limit)];
     // Machines report rarely here.
-    let policy = Policy { silence: Duration::from_secs(60), ..Policy::default() };
+    let policy = Policy { heartbeat_grace: Duration::from_secs(60), ..Policy::default() };
     let mut share = PartitionState::new(
         teams,
         Duration::from_secs(20),
@@ -40,7 +40,7 @@
         QueueConfig::default(),
         FencingToken(5),
     );
-    share.know_types(&types());
+    share.set_machine_types(&types());
     share.gang_wait = Duration::from_secs(30);
     share
 }
@@ -72,7 +72,7 @@
         notice_s: None,
         tasks,
     };
-    share.observe(&report, StatusSource::Heartbeat, now);
+    share.reconcile(&report, StatusSource::Heartbeat, now);
 }
 
 /// All machines report what they have been given as running.
@@ -141,7 +141,7 @@
 
 fn make_durable(share: &mut PartitionState) {
     let keys: Vec<_> = share.take_dirty().into_iter().map(|(key, _)| key).collect();
-    let written = share.written_by(&keys);
+    let written = share.changes_in(&keys);
     share.confirm(&written);
 }
 
@@ -243,7 +243,7 @@
     let (task, attempt) = (format!("{gang}/{index}"), placement.attempt.0);
     let entry = TaskStatus { task, attempt, state: TaskState::Waiting, why: None, saved: None };
     hear(&mut share, 2, 3, vec![entry], Timestamp::from_millis(41_000));
-    assert!(share.take_urgent().contains(&name(1)));
+    assert!(share.take_urgent_machines().contains(&name(1)));
     assert_eq!(launches(&mut share, 1), 1);
 }
 
@@ -273,7 +273,7 @@
     let left = |share: &PartitionState| {
         share.jobs[&plain].placed.values().filter(|p| p.stop.is_none()).count()
     };
-    share.tidy_beside(Timestamp::from_millis(2_300));
+    share.evict_colocated(Timestamp::from_millis(2_300));
     assert_eq!(left(&share), 4);
     let running: Vec<TaskStatus> = share.jobs[&plain]
         .placed
@@ -287,8 +287,8 @@
         })
         .collect();
     hear(&mut share, 1, 3, running, Timestamp::from_millis(2_400));
-    share.tidy_beside(Timestamp::from_millis(2_500));
-    share.tidy_beside(Timestamp::from_millis(6_000));
+    share.evict_colocated(Timestamp::from_millis(2_500));
+    share.evict_colocated(Timestamp::from_millis(6_000));
     assert_eq!(left(&share), 0, "no GPU work is left, so the machine is to be free");
 }
 
@@ -297,7 +297,7 @@
 fn low_arrays_with_a_deadline_are_not_best_effort() {
     let low = JobRequest { priority: Priority::Low, ..job(1, JobKind::Array, 4, 2.0, 1.0) };
     let due = JobRequest { deadline_s: Some(100.0), ..low.clone() };
-    let best_effort = |request| JobSpec::try_from(request).expect("a good job").best_effort();
+    let best_effort = |request| JobSpec::try_from(request).expect("a good job").is_best_effort();
     assert_eq!((best_effort(&low), best_effort(&due)), (true, false));
     let mut share = share(1_000.0);
     add(&mut share, 1, "graphics", "a");
--- a/crates/scheduler/tests/share.rs
+++ b/crates/scheduler/tests/share.rs
@@ -113,14 +113,14 @@
 /// What has changed is written.
 fn make_durable(share: &mut PartitionState) {
     let keys: Vec<_> = share.take_dirty().into_iter().map(|(key, _)| key).collect();
-    let written = share.written_by(&keys);
+    let written = share.changes_in(&keys);
     share.confirm(&written);
 }
 
 #[test]
 fn launches_follow_durability_and_the_limit() {
     let mut share = share();
-    share.observe(
+    share.reconcile(
         &report(1, None, Vec::new()),
         StatusSource::Heartbeat,
         Timestamp::from_millis(100),
@@ -141,7 +141,7 @@
 #[test]
 fn a_lost_launch_is_repeated_but_a_direct_answer_proves_nothing_about_it() {
     let mut share = share();
-    share.observe(
+    share.reconcile(
         &report(1, None, Vec::new()),
         StatusSource::Heartbeat,
         Timestamp::from_millis(100),
@@ -155,9 +155,13 @@
     let first = launch(&mut share, Timestamp::from_millis(100));
     share.cancel_job(model::JobId(1), Timestamp::from_millis(200));
     // The answer with the launch may still be under way when a direct answer comes.
-    share.observe(&report(2, None, Vec::new()), StatusSource::Direct, Timestamp::from_millis(210));
+    share.reconcile(
+        &report(2, None, Vec::new()),
+        StatusSource::Direct,
+        Timestamp::from_millis(210),
+    );
     assert_eq!(share.jobs[&model::JobId(1)].placed.len(), 1);
-    share.observe(
+    share.reconcile(
         &report(3, None, Vec::new()),
         StatusSource::Heartbeat,
         Timestamp::from_millis(900),
@@ -170,7 +174,7 @@
 #[test]
 fn forget_waits_until_the_outcome_is_durable() {
     let mut share = share();
-    share.observe(
+    share.reconcile(
         &report(1, None, Vec::new()),
         StatusSource::Heartbeat,
         Timestamp::from_millis(100),
@@ -189,7 +193,7 @@
             share.commands_for(&name, CommandRoute::Answer, Timestamp::from_millis(1_000));
         commands.iter().filter(|c| matches!(c, Command::Forget { .. })).count()
     };
-    share.observe(
+    share.reconcile(
         &report(2, None, vec![done]),
         StatusSource::Heartbeat,
         Timestamp::from_millis(1_000),
@@ -202,7 +206,7 @@
 #[test]
 fn higher_priority_stops_lower_work_and_equals_do_not() {
     let mut share = share();
-    share.observe(
+    share.reconcile(
         &report(1, None, Vec::new()),
         StatusSource::Heartbeat,
         Timestamp::from_millis(100),
@@ -244,7 +248,7 @@
     let mut arrays = job(1, "t", JobKind::Array, Priority::Normal, 9);
     arrays.spot = true;
     share.machines.get_mut(&name(1)).expect("added").spot = true;
-    share.observe(
+    share.reconcile(
         &report(1, None, Vec::new()),
         StatusSource::Heartbeat,
         Timestamp::from_millis(100),
@@ -290,7 +294,11 @@
         })
         .collect();
     tasks.push(exited);
-    share.observe(&report(2, None, tasks), StatusSource::Heartbeat, Timestamp::from_millis(2_300));
+    share.reconcile(
+        &report(2, None, tasks),
+        StatusSource::Heartbeat,
+        Timestamp::from_millis(2_300),
+    );
     share.run_cycles(Timestamp::from_millis(3_500), 100);
     assert_eq!(share.jobs[&model::JobId(2)].placed.len(), 1, "the replica has the freed slice");
     assert_eq!(share.jobs[&model::JobId(1)].placed.len(), 3);
@@ -312,7 +320,7 @@
         FencingToken(5),
     );
     add_machine(&mut share, 1);
-    share.observe(
+    share.reconcile(
         &report(1, None, Vec::new()),
         StatusSource::Heartbeat,
         Timestamp::from_millis(100),
@@ -344,7 +352,7 @@
             })
             .collect();
         stopped += tasks.iter().filter(|task| task.state == TaskState::Exited).count();
-        share.observe(&report(1 + round, None, tasks), StatusSource::Heartbeat, now);
+        share.reconcile(&report(1 + round, None, tasks), StatusSource::Heartbeat, now);
     }
     assert_eq!(stopped, 2, "two replicas beyond the guarantee make way, once");
     assert_eq!(share.jobs[&model::JobId(9)].placed.len(), 2, "the other team has its guarantee");
@@ -365,7 +373,7 @@
             FencingToken(5),
         );
         add_machine(&mut share, 1);
-        share.observe(
+        share.reconcile(
             &report(1, None, Vec::new()),
             StatusSource::Heartbeat,
             Timestamp::from_millis(100),
@@ -381,7 +389,7 @@
         let short = due(job(2, "t", JobKind::Array, Priority::Normal, 2));
         share.add_job(short, 400_000, &[], Timestamp::from_millis(200));
         share.run_cycles(Timestamp::from_millis(200), 100);
-        share.look_for_shortage();
+        share.update_overload();
         let held = &share.jobs[&model::JobId(1)].placed;
         let mut tasks: Vec<TaskStatus> = held
             .iter()
@@ -391,7 +399,7 @@
             .collect();
         tasks[0].state = TaskState::Exited;
         tasks[0].why = Some(ExitCause::Done);
-        share.observe(
+        share.reconcile(
             &report(2, None, tasks),
             StatusSource::Heartbeat,
             Timestamp::from_millis(2_000),
@@ -406,7 +414,7 @@
 #[test]
 fn tasks_leave_a_machine_just_before_it_is_taken() {
     let mut share = share();
-    share.observe(
+    share.reconcile(
         &report(1, None, Vec::new()),
         StatusSource::Heartbeat,
         Timestamp::from_millis(100),
@@ -419,15 +427,15 @@
     );
     let (task, attempt) = launch(&mut share, Timestamp::from_millis(100)).remove(0);
     let runs = entry(&task, attempt, TaskState::Running, None);
-    share.observe(
+    share.reconcile(
         &report(2, Some(8.0), vec![runs]),
         StatusSource::Heartbeat,
         Timestamp::from_millis(1_000),
     );
     let stops = |share: &PartitionState| share.jobs[&model::JobId(1)].placed[&0].stop.is_some();
-    share.drain_noticed(Timestamp::from_millis(2_000));
+    share.drain_reclaimed_machines(Timestamp::from_millis(2_000));
     assert!(!stops(&share), "it may run on for a while");
-    share.drain_noticed(Timestamp::from_millis(6_600));
+    share.drain_reclaimed_machines(Timestamp::from_millis(6_600));
     assert!(stops(&share));
 }
 
@@ -437,7 +445,7 @@
 #[test]
 fn forget_waits_for_a_launch_in_an_answer_that_may_be_under_way() {
     let mut share = share();
-    share.observe(
+    share.reconcile(
         &report(1, None, Vec::new()),
         StatusSource::Heartbeat,
         Timestamp::from_millis(100),
@@ -450,7 +458,7 @@
     );
     let (task, attempt) = launch(&mut share, Timestamp::from_millis(100)).remove(0);
     let ended = || entry(&task, attempt, TaskState::Exited, Some(ExitCause::Stopped));
-    share.observe(
+    share.reconcile(
         &report(2, None, vec![ended()]),
         StatusSource::Direct,
         Timestamp::from_millis(150),
@@ -462,7 +470,7 @@
         commands.iter().filter(|c| matches!(c, Command::Forget { .. })).count()
     };
     assert_eq!(forgets(&mut share, CommandRoute::Direct), 0);
-    share.observe(
+    share.reconcile(
         &report(3, None, vec![ended()]),
         StatusSource::Heartbeat,
         Timestamp::from_millis(900),
@@ -475,7 +483,7 @@
 #[test]
 fn forget_waits_until_a_lost_direct_launch_is_void() {
     let mut share = share();
-    share.observe(
+    share.reconcile(
         &report(1, None, Vec::new()),
         StatusSource::Heartbeat,
         Timestamp::from_millis(100),
@@ -493,7 +501,7 @@
     let [Command::Start { task, attempt }] = &launches[..] else { panic!("{launches:?}") };
     let mut ended = report(2, None, vec![]);
     ended.tasks.push(entry(task, *attempt, TaskState::Exited, Some(ExitCause::Stopped)));
-    share.observe(&ended, StatusSource::Heartbeat, Timestamp::from_millis(600));
+    share.reconcile(&ended, StatusSource::Heartbeat, Timestamp::from_millis(600));
     make_durable(&mut share);
     let forgets = |share: &mut PartitionState| {
         let commands = share.commands_for(&name, CommandRoute::Answer, Timestamp::from_millis(700));
@@ -501,13 +509,13 @@
     };
     assert_eq!(forgets(&mut share), 0);
     ended.seq = 3;
-    share.observe(&ended, StatusSource::Heartbeat, Timestamp::from_millis(1_200));
+    share.reconcile(&ended, StatusSource::Heartbeat, Timestamp::from_millis(1_200));
     assert_eq!(forgets(&mut share), 0, "the launch bears the token that the worker has");
     (ended.seq, ended.token) = (4, 6);
     if let Some(machine) = share.machines.get_mut(&name) {
         machine.token = FencingToken(6);
     }
-    share.observe(&ended, StatusSource::Heartbeat, Timestamp::from_millis(1_900));
+    share.reconcile(&ended, StatusSource::Heartbeat, Timestamp::from_millis(1_900));
     assert_eq!(forgets(&mut share), 1);
 }
 
@@ -525,7 +533,7 @@
     for team in share.teams.values_mut() {
         team.guarantee = Resources::default();
     }
-    share.observe(
+    share.reconcile(
         &report(1, None, Vec::new()),
         StatusSource::Heartbeat,
         Timestamp::from_millis(100),
@@ -542,7 +550,7 @@
     let launched = launch(&mut share, Timestamp::from_millis(100));
     assert_eq!(launched.len(), 4);
     let runs = launched.iter().map(|(t, a)| entry(t, *a, TaskState::Running, None)).collect();
-    share.observe(&report(2, None, runs), StatusSource::Heartbeat, Timestamp::from_millis(1_000));
+    share.reconcile(&report(2, None, runs), StatusSource::Heartbeat, Timestamp::from_millis(1_000));
     let normal = JobSpec { spot: true, ..job(2, "u", JobKind::Array, Priority::Normal, 2) };
     share.add_job(normal, 2, &[], Timestamp::from_millis(1_200));
     assert_eq!(
@@ -575,7 +583,7 @@
         &[],
         Timestamp::from_millis(200),
     );
-    share.observe(
+    share.reconcile(
         &report(2, None, Vec::new()),
         StatusSource::Heartbeat,
         Timestamp::from_millis(10_500),
@@ -584,9 +592,9 @@
     assert_eq!(beside.len(), 4, "a replica, and three beside it");
     let mut share = guest_share(false);
     share.add_job(best_effort(1), 1, &[], Timestamp::from_millis(100));
-    share.tidy_best_effort(Timestamp::from_millis(1_000));
-    share.tidy_best_effort(Timestamp::from_millis(130_000));
-    share.observe(
+    share.evict_best_effort(Timestamp::from_millis(1_000));
+    share.evict_best_effort(Timestamp::from_millis(130_000));
+    share.reconcile(
         &report(2, None, Vec::new()),
         StatusSource::Heartbeat,
         Timestamp::from_millis(130_000),
@@ -622,7 +630,7 @@
 
 fn hear(share: &mut PartitionState, n: u32, seq: u64, tasks: Vec<TaskStatus>, now: Timestamp) {
     let report = Heartbeat { machine: name(n).to_string(), ..report(seq, None, tasks) };
-    share.observe(&report, StatusSource::Heartbeat, now);
+    share.reconcile(&report, StatusSource::Heartbeat, now);
 }
 
 /// Launches what waits and has each machine report its tasks as `failing` says. The number of
@@ -669,7 +677,7 @@
             })
         })
         .collect();
-    assert!(share.machines.values().all(|m| !m.faulty));
+    assert!(share.machines.values().all(|m| !m.quarantined));
     assert!(tries[1..].iter().all(|n| *n <= 1), "{tries:?}");
     assert!((4..=8).contains(&tries[1..].iter().sum::<usize>()), "{tries:?}");
     // It was the image's server, say: one success, and all of it runs.
@@ -694,8 +702,8 @@
     for s in 1..=12 {
         one_round(&mut share, s, Timestamp::from_millis(s * 1_000), |n, _| n == 2);
     }
-    let faulty = share.machines.values().filter(|m| m.faulty).map(|m| m.name.clone());
-    assert_eq!(faulty.collect::<Vec<_>>(), [name(2)]);
+    let quarantined = share.machines.values().filter(|m| m.quarantined).map(|m| m.name.clone());
+    assert_eq!(quarantined.collect::<Vec<_>>(), [name(2)]);
     assert_eq!(share.take_finished().len(), 6);
 }
 
@@ -716,7 +724,7 @@
     });
     let (late, patience) = (Duration::from_millis(2_700), Duration::from_secs(5));
     let silent = |share: &PartitionState, now| {
-        share.silent_with_replicas(Timestamp::from_millis(0), now, late, patience)
+        share.unresponsive_machines_with_replicas(Timestamp::from_millis(0), now, late, patience)
     };
     // Machines that boot say nothing for us: seen with 21 of 113 up, all of them silent.
     (5..=30).for_each(|n| add_machine(&mut share, n));
@@ -781,7 +789,7 @@
     let mut tasks: Vec<TaskStatus> =
         running[1..].iter().map(|(t, a)| entry(t, *a, TaskState::Running, None)).collect();
     tasks.push(entry(task, *attempt, TaskState::Exited, Some(ExitCause::Done)));
-    share.observe(&report(2, None, tasks), StatusSource::Heartbeat, Timestamp::from_millis(210));
+    share.reconcile(&report(2, None, tasks), StatusSource::Heartbeat, Timestamp::from_millis(210));
     share.add_job(best_effort(3), 3, &[], Timestamp::from_millis(210));
     share.run_cycles(Timestamp::from_millis(211), 100);
     assert_eq!(share.jobs[&model::JobId(3)].placed.len(), 0);
@@ -805,7 +813,7 @@
     share.run_cycles(Timestamp::from_millis(1_100), 100);
     let silent = |share: &PartitionState, n| {
         share
-            .silent_with_replicas(
+            .unresponsive_machines_with_replicas(
                 Timestamp::from_millis(0),
                 Timestamp::from_millis(n),
                 Duration::from_millis(2_700),
@@ -833,7 +841,7 @@
         let hear = |share: &mut PartitionState, n: u32, seq: u64, at: u64| {
             let report =
                 Heartbeat { machine: name(n).to_string(), ..report(seq, None, Vec::new()) };
-            share.observe(&report, StatusSource::Heartbeat, Timestamp::from_millis(at));
+            share.reconcile(&report, StatusSource::Heartbeat, Timestamp::from_millis(at));
         };
         (1..=8).for_each(|n| hear(&mut share, n, 1, 100));
         for id in 1..=8 {
@@ -855,20 +863,21 @@
             .collect();
         assert!(busy.len() >= 2, "{busy:?}");
         assert_eq!(
-            share.to_be_asked(Timestamp::from_millis(0), Timestamp::from_millis(2_000)),
+            share.machines_to_probe(Timestamp::from_millis(0), Timestamp::from_millis(2_000)),
             [],
             "it was heard just now"
         );
         if alarm_before {
             // One is missed for a moment, all are heard, and only then we are cut off.
-            share.was_asked(&busy[1], false, Timestamp::from_millis(2_000));
+            share.record_probe_result(&busy[1], false, Timestamp::from_millis(2_000));
             (1..=8).for_each(|n| hear(&mut share, n, 2, 2_100));
         }
         for at in [3_200, 4_400, 5_700] {
-            let names = share.to_be_asked(Timestamp::from_millis(0), Timestamp::from_millis(at));
+            let names =
+                share.machines_to_probe(Timestamp::from_millis(0), Timestamp::from_millis(at));
             for asked in names.into_iter().map(|question| question.machine) {
                 let answers = !zone_is_quiet && asked != busy[0];
-                share.was_asked(
+                share.record_probe_result(
                     &asked,
                     answers,
                     Timestamp::from_millis(at + if answers { 5 } else { 900 }),
@@ -877,7 +886,7 @@
                 number.iter().for_each(|n| hear(&mut share, *n, at, at + 5));
             }
         }
-        share.lost()
+        share.lost_machines()
     };
     assert_eq!(asked(false, false).len(), 1);
     assert_eq!(asked(true, false), []);
@@ -890,7 +899,7 @@
 fn a_machine_that_is_heard_and_not_reached_takes_nothing_until_it_answers() {
     let mut share = share();
     let name = MachineName::from("host-000001");
-    share.observe(
+    share.reconcile(
         &report(1, None, Vec::new()),
         StatusSource::Heartbeat,
         Timestamp::from_millis(100),
@@ -907,7 +916,7 @@
         share.commands_for(&name, CommandRoute::Direct, Timestamp::from_millis(100)).len(),
         1
     );
-    share.was_unanswered(&name, Timestamp::from_millis(2_600));
+    share.record_unanswered_commands(&name, Timestamp::from_millis(2_600));
     share.add_job(
         job(2, "t", JobKind::Array, Priority::Normal, 1),
         2,
@@ -915,7 +924,7 @@
         Timestamp::from_millis(3_000),
     );
     for (seq, at) in [(2, 3_000), (3, 9_000)] {
-        share.observe(
+        share.reconcile(
             &report(seq, None, Vec::new()),
             StatusSource::Heartbeat,
             Timestamp::from_millis(at),
@@ -923,19 +932,19 @@
         share.run_cycles(Timestamp::from_millis(at), 100);
         assert_eq!(share.jobs[&model::JobId(2)].placed.len(), 0, "nothing new goes there");
         assert_eq!(share.jobs[&model::JobId(1)].placed.len(), 1, "the launch may yet arrive");
-        assert!(share.machines[&name].is_unreached());
+        assert!(share.machines[&name].is_unreachable());
         let asked =
-            share.to_be_asked(Timestamp::from_millis(0), Timestamp::from_millis(at + 1_000));
+            share.machines_to_probe(Timestamp::from_millis(0), Timestamp::from_millis(at + 1_000));
         assert_eq!(asked.len(), 1, "it is asked");
-        share.was_asked(&name, false, Timestamp::from_millis(at + 1_900));
+        share.record_probe_result(&name, false, Timestamp::from_millis(at + 1_900));
     }
-    assert_eq!(share.lost(), [], "it is heard, so it lives");
+    assert_eq!(share.lost_machines(), [], "it is heard, so it lives");
     // Its lease has ended: the launch named the session before.
     let new = Heartbeat { session: 2, ..report(4, None, Vec::new()) };
-    share.observe(&new, StatusSource::Heartbeat, Timestamp::from_millis(13_000));
+    share.reconcile(&new, StatusSource::Heartbeat, Timestamp::from_millis(13_000));
     assert_eq!(share.jobs[&model::JobId(1)].placed.len(), 0, "proven gone");
     let answer = Heartbeat { session: 2, ..report(5, None, Vec::new()) };
-    share.observe(&answer, StatusSource::Direct, Timestamp::from_millis(14_000));
+    share.reconcile(&answer, StatusSource::Direct, Timestamp::from_millis(14_000));
     share.run_cycles(Timestamp::from_millis(14_000), 100);
     assert_eq!(share.jobs[&model::JobId(2)].placed.len(), 1, "used again without ceremony");
 }
@@ -945,7 +954,7 @@
 fn a_stopped_task_is_forgotten_only_when_no_copy_of_its_launch_has_an_effect() {
     let mut share = share();
     let name = MachineName::from("host-000001");
-    share.observe(
+    share.reconcile(
         &report(1, None, Vec::new()),
         StatusSource::Heartbeat,
         Timestamp::from_millis(100),
@@ -964,15 +973,15 @@
     };
     let id = model::TaskId::parse(&task).expect("a task");
     let running = vec![entry(&task, attempt, TaskState::Running, None)];
-    share.direct_answered(&name, &[(id, model::Attempt(attempt))]);
-    share.observe(&report(2, None, running), StatusSource::Direct, Timestamp::from_millis(110));
+    share.record_direct_response(&name, &[(id, model::Attempt(attempt))]);
+    share.reconcile(&report(2, None, running), StatusSource::Direct, Timestamp::from_millis(110));
     share.cancel_job(model::JobId(1), Timestamp::from_millis(200));
     let stopped = || vec![entry(&task, attempt, TaskState::Exited, Some(ExitCause::Stopped))];
     let forgets = |share: &mut PartitionState, at: u64| {
         let commands = share.commands_for(&name, CommandRoute::Answer, Timestamp::from_millis(at));
         commands.iter().filter(|c| matches!(c, Command::Forget { .. })).count()
     };
-    share.observe(
+    share.reconcile(
         &report(3, None, stopped()),
         StatusSource::Heartbeat,
         Timestamp::from_millis(300),
@@ -980,12 +989,12 @@
     make_durable(&mut share);
     assert_eq!(forgets(&mut share, 300), 0);
     assert!(
-        !share.machines[&name].keeps_exited(Timestamp::from_millis(300)),
+        !share.machines[&name].retains_exited_tasks(Timestamp::from_millis(300)),
         "some are voided at once, later"
     );
-    assert!(share.machines[&name].keeps_exited(Timestamp::from_millis(46_000)));
+    assert!(share.machines[&name].retains_exited_tasks(Timestamp::from_millis(46_000)));
     let seen = Heartbeat { token: 6, ..report(4, None, stopped()) };
-    share.observe(&seen, StatusSource::Heartbeat, Timestamp::from_millis(32_000));
+    share.reconcile(&seen, StatusSource::Heartbeat, Timestamp::from_millis(32_000));
     assert_eq!(forgets(&mut share, 32_000), 1);
 }
 
@@ -996,10 +1005,10 @@
     let name = MachineName::from("host-000001");
     let first = report(1, None, Vec::new());
     for at in [100, 9_000] {
-        let newer = share.observe(&first, StatusSource::Heartbeat, Timestamp::from_millis(at));
+        let newer = share.reconcile(&first, StatusSource::Heartbeat, Timestamp::from_millis(at));
         let machine = share.machines.get_mut(&name).expect("it is there");
         machine.answer(newer, Timestamp::from_millis(at));
-        assert_eq!(machine.answered_at, Timestamp::from_millis(100));
+        assert_eq!(machine.lease_renewed_at, Timestamp::from_millis(100));
     }
 }
 
@@ -1009,7 +1018,7 @@
 #[test]
 fn a_machine_is_not_answered_while_a_cancelled_launch_may_come() {
     let mut share = share();
-    share.observe(
+    share.reconcile(
         &report(1, None, Vec::new()),
         StatusSource::Heartbeat,
         Timestamp::from_millis(100),
@@ -1026,14 +1035,14 @@
     assert!(matches!(&sent[..], [Command::Start { .. }]), "{sent:?}");
     let attempt = share.jobs[&model::JobId(1)].placed[&0].attempt.0;
     share.cancel_job(model::JobId(1), Timestamp::from_millis(200));
-    share.bound_answers(model::JobId(1), Timestamp::from_millis(15_000));
+    share.bound_lease_renewal(model::JobId(1), Timestamp::from_millis(15_000));
     let mut heard = |seq, tasks, at| {
-        share.observe(
+        share.reconcile(
             &report(seq, None, tasks),
             StatusSource::Heartbeat,
             Timestamp::from_millis(at),
         );
-        share.may_answer(&name(1), Timestamp::from_millis(at))
+        share.may_renew_lease(&name(1), Timestamp::from_millis(at))
     };
     assert!(heard(2, Vec::new(), 14_000), "there is time for a higher token");
     assert!(!heard(3, Vec::new(), 15_000), "the launch may still come");
--- a/crates/scheduling-queue/src/config.rs
+++ b/crates/scheduling-queue/src/config.rs
@@ -11,7 +11,7 @@
     /// Longest backoff.
     pub max_backoff: Duration,
     /// How long an entry stays unschedulable before it is released without an event.
-    pub leftover: Duration,
+    pub unschedulable_timeout: Duration,
 }
 
 impl Default for QueueConfig {
@@ -19,7 +19,7 @@
         QueueConfig {
             initial_backoff: Duration::from_millis(100),
             max_backoff: Duration::from_secs(1),
-            leftover: Duration::from_secs(10),
+            unschedulable_timeout: Duration::from_secs(10),
         }
     }
 }
--- a/crates/scheduling-queue/src/queue.rs
+++ b/crates/scheduling-queue/src/queue.rs
@@ -180,7 +180,7 @@
             self.enqueue(key, State::Active { rank }, QueueEvent::BackoffComplete);
         }
         while let Some(&(since, key)) = self.unschedulable.first() {
-            if since + self.config.leftover > now {
+            if since + self.config.unschedulable_timeout > now {
                 break;
             }
             self.release(key, now, QueueEvent::Leftover);
@@ -190,8 +190,9 @@
     /// When the next flush has something to do.
     pub fn next_flush(&self) -> Option<Timestamp> {
         let backoff = self.backoff.first().map(|(until, _)| *until);
-        let leftover = self.unschedulable.first().map(|(since, _)| *since + self.config.leftover);
-        [backoff, leftover].into_iter().flatten().min()
+        let unschedulable_timeout =
+            self.unschedulable.first().map(|(since, _)| *since + self.config.unschedulable_timeout);
+        [backoff, unschedulable_timeout].into_iter().flatten().min()
     }
 
     /// Whether a cycle can run.
@@ -205,7 +206,7 @@
     }
 
     /// Where an entry waits and how often it has failed.
-    pub fn whereabouts(&self, key: K) -> Option<(QueueKind, u32)> {
+    pub fn location(&self, key: K) -> Option<(QueueKind, u32)> {
         self.entries.get(&key).map(|entry| (entry.state.kind(), entry.failures))
     }
 
--- a/crates/scheduling-queue/tests/queue.rs
+++ b/crates/scheduling-queue/tests/queue.rs
@@ -9,7 +9,7 @@
     SchedulingQueue::new(QueueConfig {
         initial_backoff: Duration::from_secs(1),
         max_backoff: Duration::from_secs(10),
-        leftover: Duration::from_secs(10),
+        unschedulable_timeout: Duration::from_secs(10),
     })
 }
 
@@ -30,9 +30,9 @@
     queue.add(1, 0);
     queue.pop();
     queue.failed(1, Timestamp::from_millis(0));
-    assert_eq!(queue.whereabouts(1), Some((QueueKind::Unschedulable, 1)));
+    assert_eq!(queue.location(1), Some((QueueKind::Unschedulable, 1)));
     queue.move_all(Timestamp::from_millis(400));
-    assert_eq!(queue.whereabouts(1), Some((QueueKind::Backoff, 1)), "its backoff still runs");
+    assert_eq!(queue.location(1), Some((QueueKind::Backoff, 1)), "its backoff still runs");
     queue.flush(Timestamp::from_millis(999));
     assert!(!queue.has_active());
     queue.flush(Timestamp::from_millis(1000));
@@ -46,12 +46,12 @@
     queue.pop();
     queue.move_all(Timestamp::from_millis(0));
     queue.failed(1, Timestamp::from_millis(0));
-    assert_eq!(queue.whereabouts(1), Some((QueueKind::Backoff, 1)));
+    assert_eq!(queue.location(1), Some((QueueKind::Backoff, 1)));
     // The request of an earlier cycle does not count.
     queue.add(2, 0);
     queue.pop();
     queue.failed(2, Timestamp::from_millis(1));
-    assert_eq!(queue.whereabouts(2), Some((QueueKind::Unschedulable, 1)));
+    assert_eq!(queue.location(2), Some((QueueKind::Unschedulable, 1)));
 }
 
 #[test]
--- a/crates/simulator/benches/scale.rs
+++ b/crates/simulator/benches/scale.rs
@@ -82,7 +82,8 @@
     let amounts = Resources::offered(1e6, 0.0, 0.0);
     let teams = [(TeamName::from("t"), Resources::default(), amounts)];
     // Time goes on by seconds here without another report.
-    let policy = Policy { silence: Duration::from_millis(u64::MAX / 2), ..Policy::default() };
+    let policy =
+        Policy { heartbeat_grace: Duration::from_millis(u64::MAX / 2), ..Policy::default() };
     let mut share = PartitionState::new(
         teams,
         Duration::from_secs(600),
@@ -95,7 +96,7 @@
         let zone = ZoneName::from(worker.zone.as_str());
         let machine = Machine::new(name, &solo::machine_type(), zone, worker.spot, FencingToken(5));
         share.add_machine(machine, Timestamp::from_millis(0));
-        share.observe(&worker.report(), StatusSource::Heartbeat, Timestamp::from_millis(1));
+        share.reconcile(&worker.report(), StatusSource::Heartbeat, Timestamp::from_millis(1));
     }
     share
 }
@@ -106,16 +107,16 @@
     let mut group = c.benchmark_group("standby");
     group.sample_size(10);
     let (holder, follower) = (ControllerName::from("n0"), ControllerName::from("n1"));
-    let source = ReplicationSource { leader: holder.clone(), boot: 1, term: 5 };
-    let part = ReplicationBatch { boot: 1, term: 5, ..ReplicationBatch::default() };
+    let source = ReplicationSource { leader: holder.clone(), incarnation: 1, term: 5 };
+    let part = ReplicationBatch { incarnation: 1, term: 5, ..ReplicationBatch::default() };
     for size in SIZES {
         let mut share = share(size);
         let mut stream = ReplicationStream::default();
-        stream.update(share.hints(Timestamp::from_millis(2)));
+        stream.update(share.replication_records(Timestamp::from_millis(2)));
         stream.subscribe(&follower, 0, Timestamp::from_millis(2));
         group.bench_function(BenchmarkId::new("look", size), |b| {
             b.iter(|| {
-                stream.update(share.hints(Timestamp::from_millis(2)));
+                stream.update(share.replication_records(Timestamp::from_millis(2)));
                 stream.due_parts(&part, Timestamp::from_millis(2)).len()
             });
         });
@@ -152,7 +153,7 @@
         group.bench_function(BenchmarkId::new("used", size), |b| {
             b.iter(|| {
                 for machine in replica.machines.values() {
-                    share.follow_machine(&machine.hint, machine.idle_since);
+                    share.apply_machine_snapshot(&machine.hint, machine.idle_since);
                 }
             });
         });
@@ -209,11 +210,11 @@
                 reporting: nth % 20 != 1,
                 tasks: u32::from(nth % 20 != 0) * 4,
                 idle_for: Duration::from_millis(if nth % 20 == 0 { 5_000 } else { 0 }),
-                faulty: false,
+                quarantined: false,
                 leaving: false,
                 age: Duration::from_secs(100),
                 observable_for: Duration::from_secs(10),
-                silent_for: Duration::ZERO,
+                since_heartbeat: Duration::ZERO,
                 failed: false,
                 view_is_fresh: true,
                 transferable: nth % 4 == 0,
--- a/crates/simulator/src/fingerprint/message.rs
+++ b/crates/simulator/src/fingerprint/message.rs
@@ -41,7 +41,7 @@
             Effect::User { ticket, reply } => user_reply(reply).to(format!("user {ticket:08}")),
             Effect::Heartbeat { reply, .. } => {
                 let machine = reporter.unwrap_or("unknown");
-                report_reply(reply).to(format!("worker {machine}"))
+                heartbeat_reply(reply).to(format!("worker {machine}"))
             }
             Effect::Admin { ticket, reply } => {
                 admin_reply(reply).to(format!("operator {ticket:08}"))
@@ -115,7 +115,7 @@
     }
 }
 
-fn report_reply(reply: &HeartbeatReply) -> Answer {
+fn heartbeat_reply(reply: &HeartbeatReply) -> Answer {
     match reply {
         HeartbeatReply::Answer(answer) => Answer::json(OK, answer),
         HeartbeatReply::Redirect(node) => {
--- a/crates/simulator/src/world/interference.rs
+++ b/crates/simulator/src/world/interference.rs
@@ -181,7 +181,7 @@
         }
         let mut event = event.clone();
         let trusted = self.plan.sabotage == Some(Sabotage::MeshCopiesTrusted);
-        if let (true, Event::Mesh { message: MeshMessage::Alive { revision, .. }, .. }) =
+        if let (true, Event::Mesh { message: MeshMessage::Heartbeat { revision, .. }, .. }) =
             (trusted, &mut event)
         {
             *revision = u64::MAX;
--- a/crates/simulator/src/world/mod.rs
+++ b/crates/simulator/src/world/mod.rs
@@ -484,7 +484,7 @@
             Effect::State { request, .. } => matches!(request, StateRequest::Transaction(_)),
             Effect::Cloud { request, .. } => !matches!(request, CloudRequest::List { .. }),
             Effect::Worker { body, .. } => !body.commands.is_empty(),
-            Effect::Mesh { message, .. } => !matches!(message, MeshMessage::Alive { .. }),
+            Effect::Mesh { message, .. } => !matches!(message, MeshMessage::Heartbeat { .. }),
             Effect::User { .. } => true,
             Effect::Heartbeat { .. } | Effect::Admin { .. } => false,
         };
--- a/crates/simulator/src/world/sabotage.rs
+++ b/crates/simulator/src/world/sabotage.rs
@@ -14,7 +14,7 @@
 
     /// A message as followers get it: with lies, or in part.
     pub(super) fn as_sabotaged(&mut self, message: MeshMessage) -> Option<MeshMessage> {
-        let MeshMessage::Hints(mut part) = message else { return Some(message) };
+        let MeshMessage::Replication(mut part) = message else { return Some(message) };
         match self.plan.sabotage {
             Some(Sabotage::HintsLie) => {
                 let names: Vec<String> = self.cloud.machines.keys().cloned().collect();
@@ -31,7 +31,7 @@
             },
             _ => {}
         }
-        Some(MeshMessage::Hints(part))
+        Some(MeshMessage::Replication(part))
     }
 
     /// A message to a machine without the launches of some jobs.
@@ -65,7 +65,7 @@
                 2 => hint.session = hint.session.saturating_sub(1),
                 3 => hint.machine = other.clone(),
                 4 => hint.reporting = !hint.reporting,
-                5 => hint.faulty = self.rng.random_bool(0.2),
+                5 => hint.quarantined = self.rng.random_bool(0.2),
                 6 => hint.images = vec![(format!("img-{}", self.rng.random_range(0..3)), f64::NAN)],
                 7 => hint.idle_at = Some(u64::MAX),
                 _ => {}
@@ -75,7 +75,7 @@
                 hint.failed_on = names.iter().take(4).cloned().collect();
                 hint.fails_within_ms = u64::MAX;
             }
-            ReplicatedRecord::Gone(_) => {}
+            ReplicatedRecord::Removed(_) => {}
         }
     }
 }
--- a/crates/simulator/tests/golden_admin.rs
+++ b/crates/simulator/tests/golden_admin.rs
@@ -46,11 +46,11 @@
 
 fn sign_of_life() -> MeshMessage {
     let heard = vec![("n0".to_owned(), 20)];
-    MeshMessage::Alive { boot: 9, revision: 1, state_contact: true, ready: true, heard }
+    MeshMessage::Heartbeat { incarnation: 9, revision: 1, state_contact: true, ready: true, heard }
 }
 
 fn follow() -> MeshMessage {
-    MeshMessage::Follow { partition: 0, boot: BOOT, term: 1, have: 0 }
+    MeshMessage::Subscribe { partition: 0, incarnation: BOOT, term: 1, have: 0 }
 }
 
 /// A node on whose machines an array and a service run, with more that waits.
--- a/crates/simulator/tests/rejected_messages.rs
+++ b/crates/simulator/tests/rejected_messages.rs
@@ -113,10 +113,10 @@
     employ(&mut solo);
     let before = view(&mut solo);
     let messages = [
-        MeshMessage::Taken { partition: 0, term: 1 << 30, holder: "n1".into() },
-        MeshMessage::Cancelled { jobs: vec![1] },
-        MeshMessage::Release { machine: "host-000000".into(), to: None },
-        MeshMessage::WantHome { partition: 0, lease: 1, boot: 1 },
+        MeshMessage::LeaderChanged { partition: 0, term: 1 << 30, leader: "n1".into() },
+        MeshMessage::JobsCancelled { jobs: vec![1] },
+        MeshMessage::ReleaseMachine { machine: "host-000000".into(), to: None },
+        MeshMessage::ReclaimRequest { partition: 0, lease: 1, incarnation: 1 },
     ];
     for sender in ["n0", "stranger", "", "n1 "] {
         for message in &messages {
@@ -127,10 +127,10 @@
     assert_eq!(view(&mut solo), before);
     assert_eq!(rejected(&mut solo, MessageSource::Peer, MessageFault::UnknownSender), 16);
     // A peer cannot take a partition over for another, nor have a machine moved to none.
-    let message = MeshMessage::Taken { partition: 0, term: 1 << 30, holder: "n7".into() };
+    let message = MeshMessage::LeaderChanged { partition: 0, term: 1 << 30, leader: "n7".into() };
     solo.inject(Event::Mesh { from: ControllerName::from("n1"), message });
     assert_eq!(rejected(&mut solo, MessageSource::Peer, MessageFault::Misrouted), 1);
-    let message = MeshMessage::Release { machine: "host-000000".into(), to: Some(7) };
+    let message = MeshMessage::ReleaseMachine { machine: "host-000000".into(), to: Some(7) };
     solo.inject(Event::Mesh { from: ControllerName::from("n1"), message });
     assert_eq!(rejected(&mut solo, MessageSource::Peer, MessageFault::Malformed), 1);
     solo.take_report_replies();
@@ -248,8 +248,8 @@
         machines in vec((machine_name(), small_number(), number(), any::<[bool; 4]>()), 0..4),
     ) -> PartitionStatus {
         let machine = |(machine, tasks, ms, flags): (String, u32, u64, [bool; 4])| MachineStatus {
-            machine, tasks, idle_ms: ms, up: flags[0], faulty: flags[1], silent_ms: ms,
-            cedable: flags[2], best_effort: flags[3], ceding: flags[0].then_some(tasks),
+            machine, tasks, idle_ms: ms, up: flags[0], quarantined: flags[1], since_heartbeat_ms: ms,
+            transferable: flags[2], best_effort: flags[3], transfer_to: flags[0].then_some(tasks),
         };
         PartitionStatus {
             partition, term, demand, machines: machines.into_iter().map(machine).collect(),
@@ -265,7 +265,7 @@
                 machine,
                 session,
                 reporting: true,
-                faulty: false,
+                quarantined: false,
                 idle_at,
                 images: vec![("img-1".into(), gb)],
             })
@@ -282,7 +282,7 @@
                 fails_within_ms,
             })
         });
-    let gone = number().prop_map(|id| ReplicatedRecord::Gone(ReplicationKey::Job(id)));
+    let gone = number().prop_map(|id| ReplicatedRecord::Removed(ReplicationKey::Job(id)));
     prop_oneof![machine, job, gone]
 }
 
@@ -290,7 +290,7 @@
     (small_number(), vec(number(), 7), vec(hint(), 0..4)).prop_map(|(partition, n, hints)| {
         ReplicationBatch {
             partition,
-            boot: n[0],
+            incarnation: n[0],
             term: n[1],
             after: n[2],
             upto: n[3],
@@ -306,30 +306,36 @@
     let heard = || vec(("n[0-2]", number()), 0..3);
     prop_oneof![
         (number(), number(), any::<bool>(), any::<bool>(), heard()).prop_map(
-            |(boot, revision, state_contact, ready, heard)| MeshMessage::Alive {
-                boot,
+            |(incarnation, revision, state_contact, ready, heard)| MeshMessage::Heartbeat {
+                incarnation,
                 revision,
                 state_contact,
                 ready,
                 heard
             }
         ),
-        load().prop_map(MeshMessage::Load),
+        load().prop_map(MeshMessage::PartitionStatus),
         (machine_name(), prop::option::of(small_number()))
-            .prop_map(|(machine, to)| MeshMessage::Release { machine, to }),
-        (small_number(), small_number(), small_number(), shape())
-            .prop_map(|(from, to, count, shape)| MeshMessage::Cede { from, to, count, shape }),
-        (small_number(), number(), "n[0-2]")
-            .prop_map(|(partition, term, holder)| MeshMessage::Taken { partition, term, holder }),
-        small_number().prop_map(|partition| MeshMessage::GaveUp { partition }),
-        (small_number(), number(), number())
-            .prop_map(|(partition, lease, boot)| MeshMessage::WantHome { partition, lease, boot }),
-        vec(number(), 0..4).prop_map(|jobs| MeshMessage::Cancelled { jobs }),
-        vec((number(), number(), number()), 0..4).prop_map(|jobs| MeshMessage::Progress { jobs }),
-        (small_number(), number(), number(), number()).prop_map(|(partition, boot, term, have)| {
-            MeshMessage::Follow { partition, boot, term, have }
+            .prop_map(|(machine, to)| MeshMessage::ReleaseMachine { machine, to }),
+        (small_number(), small_number(), small_number(), shape()).prop_map(
+            |(from, to, count, shape)| MeshMessage::TransferMachines { from, to, count, shape }
+        ),
+        (small_number(), number(), "n[0-2]").prop_map(|(partition, term, leader)| {
+            MeshMessage::LeaderChanged { partition, term, leader }
+        }),
+        small_number().prop_map(|partition| MeshMessage::LeadershipResigned { partition }),
+        (small_number(), number(), number()).prop_map(|(partition, lease, incarnation)| {
+            MeshMessage::ReclaimRequest { partition, lease, incarnation }
         }),
-        hints().prop_map(MeshMessage::Hints),
+        vec(number(), 0..4).prop_map(|jobs| MeshMessage::JobsCancelled { jobs }),
+        vec((number(), number(), number()), 0..4)
+            .prop_map(|jobs| MeshMessage::JobProgress { jobs }),
+        (small_number(), number(), number(), number()).prop_map(
+            |(partition, incarnation, term, have)| {
+                MeshMessage::Subscribe { partition, incarnation, term, have }
+            }
+        ),
+        hints().prop_map(MeshMessage::Replication),
     ]
 }
 
--- a/crates/simulator/tests/stale_mirror.rs
+++ b/crates/simulator/tests/stale_mirror.rs
@@ -1,8 +1,8 @@
 //! Answers of a node whose copy of the state service lags behind what another node has written.
 
 use controller::records::{
-    cancels_key, ends_key, final_key, intake_key, AcceptedJobsPage, CancellationsRecord,
-    FinalRecord, PackedJob, TerminalJobsPage,
+    accepted_jobs_key, cancellations_key, final_key, terminal_jobs_key, AcceptedJobsPage,
+    CancellationsRecord, FinalRecord, PackedJob, TerminalJobsPage,
 };
 use controller::{Controller, Effect, Event, UserReply, UserRequest};
 use model::{CallId, ControllerName, JobId, JobState, PartitionId, Settings, Timestamp};
@@ -107,12 +107,12 @@
     fn other_accepts(&mut self, job: &JobRequest) {
         let packed = serde_json::to_value(PackedJob::new(1, job.clone())).expect("a job is JSON");
         let page = AcceptedJobsPage { jobs: vec![packed] };
-        self.other_writes(intake_key(&ControllerName::from("n1"), 0), &page);
+        self.other_writes(accepted_jobs_key(&ControllerName::from("n1"), 0), &page);
     }
 
     fn other_cancels(&mut self, id: JobId) {
         self.other_writes(
-            cancels_key(&ControllerName::from("n1")),
+            cancellations_key(&ControllerName::from("n1")),
             &CancellationsRecord { jobs: vec![id.0] },
         );
     }
@@ -213,7 +213,7 @@
         harness.other_accepts(&job);
         harness.other_cancels(id);
         harness.ask(submit(&job));
-        assert!(harness.state.value(&intake_key(&ControllerName::from("n0"), 0)).is_some());
+        assert!(harness.state.value(&accepted_jobs_key(&ControllerName::from("n0"), 0)).is_some());
         if watch_delivered {
             harness.deliver_watch();
         }
@@ -230,7 +230,7 @@
     let (id, job) = array();
     harness.other_accepts(&job);
     let page = TerminalJobsPage { done: vec![id.0], ..TerminalJobsPage::default() };
-    harness.other_writes(ends_key(PartitionId(1), 0), &page);
+    harness.other_writes(terminal_jobs_key(PartitionId(1), 0), &page);
     harness.ask(submit(&job));
     for _ in 0..10 {
         harness.tick(50);
--- a/crates/trackcrank/src/listen.rs
+++ b/crates/trackcrank/src/listen.rs
@@ -8,21 +8,21 @@
 use tokio::net::{TcpListener, TcpSocket};
 
 /// Pause after the first try; it doubles up to the longest.
-const PAUSE: Duration = Duration::from_millis(20);
-const LONGEST: Duration = Duration::from_secs(1);
+const RETRY_INTERVAL: Duration = Duration::from_millis(20);
+const MAX_WAIT: Duration = Duration::from_secs(1);
 /// Connections that may wait to be accepted: the workers of a large site that turn to one node at once.
 /// The kernel takes no more than `net.core.somaxconn`.
 const ACCEPT_BACKLOG: u32 = 8_192;
 
 /// Binds a listener, trying again for as long as the address is in use.
 pub async fn bind(address: SocketAddr) -> Result<TcpListener, Error> {
-    let mut pause = PAUSE;
+    let mut pause = RETRY_INTERVAL;
     loop {
         match listen(address) {
             Err(error) if error.kind() == ErrorKind::AddrInUse => {
                 tracing::warn!(%address, ?pause, "the address is in use: trying again");
                 tokio::time::sleep(pause).await;
-                pause = LONGEST.min(pause * 2);
+                pause = MAX_WAIT.min(pause * 2);
             }
             done => return done,
         }
@@ -51,7 +51,7 @@
         let before = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
         let address = before.local_addr().expect("bound");
         let waiting = tokio::spawn(bind(address));
-        tokio::time::sleep(PAUSE * 4).await;
+        tokio::time::sleep(RETRY_INTERVAL * 4).await;
         assert!(!waiting.is_finished(), "it is in use");
         drop(before);
         let listener = waiting.await.expect("no panic").expect("bound once it is free");
--- a/crates/trackcrank/src/mesh.rs
+++ b/crates/trackcrank/src/mesh.rs
@@ -17,7 +17,7 @@
 
 /// Frames that may wait for a peer: a leader that returns many machines says so of each at once. When
 /// the peer cannot be reached the newest are dropped, since everything that is said is said again.
-const BACKLOG: usize = 8_192;
+const MAX_QUEUED_FRAMES: usize = 8_192;
 
 fn codec() -> LengthDelimitedCodec {
     LengthDelimitedCodec::builder().max_frame_length(MAX_FRAME).new_codec()
@@ -25,7 +25,7 @@
 
 /// Keeps a connection to a peer and returns where to put messages for it.
 pub fn connect(me: ControllerName, peer: Peer) -> mpsc::Sender<MeshMessage> {
-    let (sender, mut queue) = mpsc::channel::<MeshMessage>(BACKLOG);
+    let (sender, mut queue) = mpsc::channel::<MeshMessage>(MAX_QUEUED_FRAMES);
     tokio::spawn(async move {
         let patience = Duration::from_millis(1_500);
         loop {
@@ -160,7 +160,7 @@
 
     #[test]
     fn frames_of_another_version_are_not_misread() {
-        let message = MeshMessage::Follow { partition: 1, boot: 2, term: 3, have: 4 };
+        let message = MeshMessage::Subscribe { partition: 1, incarnation: 2, term: 3, have: 4 };
         let frame = Frame { version: MESH_VERSION, from: "n1".into(), message };
         let bytes = rmp_serde::to_vec(&frame).expect("a frame");
         assert_eq!(decode(&bytes).expect("ours"), frame);
--- a/crates/trackcrank/tests/large_site.rs
+++ b/crates/trackcrank/tests/large_site.rs
@@ -35,14 +35,15 @@
     let peer = Peer { name, zone: ZoneName::from("a"), mesh: address };
     let sender = mesh::connect(ControllerName::from("n0"), peer);
     for number in 0..MACHINES {
-        let message = MeshMessage::Release { machine: format!("host-{number:06}"), to: None };
+        let message =
+            MeshMessage::ReleaseMachine { machine: format!("host-{number:06}"), to: None };
         assert!(sender.try_send(message).is_ok(), "message {number} is dropped");
     }
     for number in 0..MACHINES {
         let event = tokio::time::timeout(Duration::from_secs(20), received.recv()).await;
         let Ok(Some(Event::Mesh { message, .. })) = event else { panic!("message {number}") };
         let machine = format!("host-{number:06}");
-        assert_eq!(message, MeshMessage::Release { machine, to: None });
+        assert_eq!(message, MeshMessage::ReleaseMachine { machine, to: None });
     }
 }
 
--- a/crates/wire/src/mesh.rs
+++ b/crates/wire/src/mesh.rs
@@ -56,15 +56,15 @@
     pub idle_ms: u64,
     pub up: bool,
     /// Quarantined: to be returned once empty.
-    pub faulty: bool,
+    pub quarantined: bool,
     /// How long it has been silent, once it has reported.
-    pub silent_ms: u64,
+    pub since_heartbeat_ms: u64,
     /// It runs nothing that is guaranteed, and no replicas.
-    pub cedable: bool,
+    pub transferable: bool,
     /// All that runs on it is best-effort work, which leaves within seconds when asked.
     pub best_effort: bool,
     /// It goes to this partition as soon as it is empty.
-    pub ceding: Option<u32>,
+    pub transfer_to: Option<u32>,
 }
 
 /// What a holder tells the leader about its partition.
@@ -80,8 +80,9 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum MeshMessage {
     /// Regular sign of life.
-    Alive {
-        boot: u64,
+    #[serde(rename = "Alive")]
+    Heartbeat {
+        incarnation: u64,
         /// All changes up to here are known to the sender.
         revision: u64,
         state_contact: bool,
@@ -90,27 +91,37 @@
         heard: Vec<(String, u64)>,
     },
     /// Holder to leader.
-    Load(PartitionStatus),
+    #[serde(rename = "Load")]
+    PartitionStatus(PartitionStatus),
     /// Leader to holder: give up an idle machine, to a partition or to the cloud.
-    Release { machine: String, to: Option<u32> },
+    #[serde(rename = "Release")]
+    ReleaseMachine { machine: String, to: Option<u32> },
     /// Leader to holder: hand `count` machines of partition `from` that suit the shape over to
     /// another partition as they empty, those under way included.
-    Cede { from: u32, to: u32, count: u32, shape: DemandShape },
+    #[serde(rename = "Cede")]
+    TransferMachines { from: u32, to: u32, count: u32, shape: DemandShape },
     /// A new holder tells everybody, so that a predecessor stops at once.
-    Taken { partition: u32, term: u64, holder: String },
+    #[serde(rename = "Taken")]
+    LeaderChanged { partition: u32, term: u64, leader: String },
     /// A holder whose workers do not reach it deletes its record: its home need not be waited for.
-    GaveUp { partition: u32 },
+    #[serde(rename = "GaveUp")]
+    LeadershipResigned { partition: u32 },
     /// The home node of a partition offers to hold it again, under this lease.
-    WantHome { partition: u32, lease: u64, boot: u64 },
+    #[serde(rename = "WantHome")]
+    ReclaimRequest { partition: u32, lease: u64, incarnation: u64 },
     /// To everybody: these jobs are recorded as cancelled, as far as they are not over.
-    Cancelled { jobs: Vec<u64> },
+    #[serde(rename = "Cancelled")]
+    JobsCancelled { jobs: Vec<u64> },
     /// Holder to everybody: done and running tasks of jobs, for display.
-    Progress { jobs: Vec<(u64, u64, u64)> },
+    #[serde(rename = "Progress")]
+    JobProgress { jobs: Vec<(u64, u64, u64)> },
     /// To a holder: the sender follows what it knows of a partition under this term, and has what
     /// was numbered up to `have`. Repeated for as long as it follows.
-    Follow { partition: u32, boot: u64, term: u64, have: u64 },
+    #[serde(rename = "Follow")]
+    Subscribe { partition: u32, incarnation: u64, term: u64, have: u64 },
     /// A holder's hints to whoever follows.
-    Hints(ReplicationBatch),
+    #[serde(rename = "Hints")]
+    Replication(ReplicationBatch),
 }
 
 /// What a holder knows of one of its machines beyond the records. Hints prove nothing: whoever takes
@@ -123,7 +134,7 @@
     /// It reports to the holder, and lately did.
     pub reporting: bool,
     /// Quarantined.
-    pub faulty: bool,
+    pub quarantined: bool,
     /// Since when it has been idle, on the sender's steady clock.
     pub idle_at: Option<u64>,
     /// Images it holds, with their sizes in GB, by name.
@@ -154,7 +165,8 @@
     Machine(MachineSnapshot),
     Job(JobFailureSnapshot),
     /// There is nothing to be said of it any more.
-    Gone(ReplicationKey),
+    #[serde(rename = "Gone")]
+    Removed(ReplicationKey),
 }
 
 impl ReplicatedRecord {
@@ -163,7 +175,7 @@
         match self {
             ReplicatedRecord::Machine(hint) => ReplicationKey::Machine(hint.machine.clone()),
             ReplicatedRecord::Job(hint) => ReplicationKey::Job(hint.job),
-            ReplicatedRecord::Gone(key) => key.clone(),
+            ReplicatedRecord::Removed(key) => key.clone(),
         }
     }
 
@@ -178,7 +190,7 @@
                 let machines: usize = hint.failed_on.iter().map(|name| name.len() + 1).sum();
                 24 + hint.failures.len() * 6 + machines
             }
-            ReplicatedRecord::Gone(_) => 24,
+            ReplicatedRecord::Removed(_) => 24,
         }
     }
 }
@@ -187,7 +199,7 @@
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct ReplicationBatch {
     pub partition: u32,
-    pub boot: u64,
+    pub incarnation: u64,
     pub term: u64,
     pub after: u64,
     pub upto: u64,
--- a/crates/wire/tests/decoders.rs
+++ b/crates/wire/tests/decoders.rs
@@ -166,7 +166,7 @@
         address: "10.1.0.232:9000".into(),
         session: 1,
         reporting: true,
-        faulty: false,
+        quarantined: false,
         idle_at: Some(7),
         images: vec![("img-07".into(), 6.2)],
     };
@@ -176,12 +176,18 @@
     };
     let heard = vec![("n2".to_owned(), 7)];
     let messages = [
-        MeshMessage::Alive { boot: 1, revision: 2, state_contact: true, ready: true, heard },
-        MeshMessage::Cede { from: 0, to: 1, count: 3, shape },
-        MeshMessage::Taken { partition: 1, term: 9, holder: "n1".into() },
-        MeshMessage::Cancelled { jobs: vec![412, 413] },
-        MeshMessage::Progress { jobs: vec![(412, 3, 4)] },
-        MeshMessage::Hints(hints),
+        MeshMessage::Heartbeat {
+            incarnation: 1,
+            revision: 2,
+            state_contact: true,
+            ready: true,
+            heard,
+        },
+        MeshMessage::TransferMachines { from: 0, to: 1, count: 3, shape },
+        MeshMessage::LeaderChanged { partition: 1, term: 9, leader: "n1".into() },
+        MeshMessage::JobsCancelled { jobs: vec![412, 413] },
+        MeshMessage::JobProgress { jobs: vec![(412, 3, 4)] },
+        MeshMessage::Replication(hints),
     ];
     let frame = |message| Frame { version: MESH_VERSION, from: "n1".into(), message };
     messages.into_iter().map(frame).collect()
--- a/crates/wire/tests/frame_sizes.rs
+++ b/crates/wire/tests/frame_sizes.rs
@@ -24,11 +24,11 @@
         tasks: 1_000,
         idle_ms: 50 * ONE_DAY_MS,
         up: true,
-        faulty: false,
-        silent_ms: 50 * ONE_DAY_MS,
-        cedable: true,
+        quarantined: false,
+        since_heartbeat_ms: 50 * ONE_DAY_MS,
+        transferable: true,
         best_effort: true,
-        ceding: Some(70_000),
+        transfer_to: Some(70_000),
     }
 }
 
@@ -49,7 +49,7 @@
 }
 
 fn load(machines: usize, name_length: usize) -> MeshMessage {
-    MeshMessage::Load(PartitionStatus {
+    MeshMessage::PartitionStatus(PartitionStatus {
         partition: 70_000,
         term: u64::MAX,
         demand: (0..SHAPES).map(shape).collect(),
@@ -71,7 +71,7 @@
 #[test]
 fn the_progress_of_all_jobs_of_a_large_site_fits_a_frame() {
     let jobs = vec![(u64::MAX, 100_000, 100_000); MACHINES * JOBS_PER_MACHINE];
-    let bytes = frame_bytes(MeshMessage::Progress { jobs });
+    let bytes = frame_bytes(MeshMessage::JobProgress { jobs });
     println!("{} jobs: {bytes} bytes", MACHINES * JOBS_PER_MACHINE);
     assert!(bytes <= MAX_FRAME, "{bytes} bytes, {MAX_FRAME} are read");
 }
--- a/crates/wire/tests/golden_mesh.rs
+++ b/crates/wire/tests/golden_mesh.rs
@@ -46,17 +46,17 @@
     DemandShape { types: None, zone: None, spot: false, gang: 0, ..shape(Priority::Normal) }
 }
 
-fn machine_load(ceding: Option<u32>) -> MachineStatus {
+fn machine_load(transfer_to: Option<u32>) -> MachineStatus {
     MachineStatus {
         machine: "host-000007".into(),
         tasks: 4,
         idle_ms: 5_000,
         up: true,
-        faulty: false,
-        silent_ms: 700,
-        cedable: ceding.is_some(),
-        best_effort: ceding.is_none(),
-        ceding,
+        quarantined: false,
+        since_heartbeat_ms: 700,
+        transferable: transfer_to.is_some(),
+        best_effort: transfer_to.is_none(),
+        transfer_to,
     }
 }
 
@@ -80,7 +80,7 @@
         address: "10.0.1.7:9000".into(),
         session: 77,
         reporting: true,
-        faulty: false,
+        quarantined: false,
         idle_at,
         images: vec![("img-07".into(), 6.25), ("img-08".into(), 1.0)],
     }
@@ -97,9 +97,9 @@
 }
 
 fn hints(hints: Vec<ReplicatedRecord>) -> MeshMessage {
-    MeshMessage::Hints(ReplicationBatch {
+    MeshMessage::Replication(ReplicationBatch {
         partition: 2,
-        boot: 3,
+        incarnation: 3,
         term: 41,
         after: 50,
         upto: 60,
@@ -111,36 +111,48 @@
 }
 
 fn alive(heard: Vec<(String, u64)>) -> MeshMessage {
-    MeshMessage::Alive { boot: 3, revision: 900, state_contact: true, ready: false, heard }
+    MeshMessage::Heartbeat {
+        incarnation: 3,
+        revision: 900,
+        state_contact: true,
+        ready: false,
+        heard,
+    }
 }
 
 #[test]
 fn frames_keep_their_bytes() {
-    let release = |to| MeshMessage::Release { machine: "host-000007".into(), to };
-    let cede = |shape| MeshMessage::Cede { from: 1, to: 2, count: 3, shape };
+    let release = |to| MeshMessage::ReleaseMachine { machine: "host-000007".into(), to };
+    let cede = |shape| MeshMessage::TransferMachines { from: 1, to: 2, count: 3, shape };
     let entries = [
         frame("alive", alive(vec![("n0".into(), 120), ("n2".into(), 70_000)])),
         frame("alive_alone", alive(Vec::new())),
-        frame("load", MeshMessage::Load(load())),
+        frame("load", MeshMessage::PartitionStatus(load())),
         frame("release_to_partition", release(Some(2))),
         frame("release_to_cloud", release(None)),
         frame("cede", cede(shape(Priority::High))),
         frame("cede_plain", cede(plain_shape())),
-        frame("taken", MeshMessage::Taken { partition: 2, term: 41, holder: "n2".into() }),
-        frame("gave_up", MeshMessage::GaveUp { partition: 2 }),
-        frame("want_home", MeshMessage::WantHome { partition: 2, lease: 500, boot: 3 }),
-        frame("cancelled", MeshMessage::Cancelled { jobs: vec![7, 412] }),
-        frame("progress", MeshMessage::Progress { jobs: vec![(412, 3, 2), (7, 0, 1)] }),
-        frame("follow", MeshMessage::Follow { partition: 2, boot: 3, term: 41, have: 60 }),
+        frame("taken", MeshMessage::LeaderChanged { partition: 2, term: 41, leader: "n2".into() }),
+        frame("gave_up", MeshMessage::LeadershipResigned { partition: 2 }),
+        frame(
+            "want_home",
+            MeshMessage::ReclaimRequest { partition: 2, lease: 500, incarnation: 3 },
+        ),
+        frame("cancelled", MeshMessage::JobsCancelled { jobs: vec![7, 412] }),
+        frame("progress", MeshMessage::JobProgress { jobs: vec![(412, 3, 2), (7, 0, 1)] }),
+        frame(
+            "follow",
+            MeshMessage::Subscribe { partition: 2, incarnation: 3, term: 41, have: 60 },
+        ),
         frame("hints_none", hints(Vec::new())),
         frame("hint_machine", hints(vec![ReplicatedRecord::Machine(machine_hint(Some(8_000)))])),
         frame("hint_machine_busy", hints(vec![ReplicatedRecord::Machine(machine_hint(None))])),
         frame("hint_job", hints(vec![ReplicatedRecord::Job(job_hint())])),
         frame(
             "hint_gone_machine",
-            hints(vec![ReplicatedRecord::Gone(ReplicationKey::Machine("host-1".into()))]),
+            hints(vec![ReplicatedRecord::Removed(ReplicationKey::Machine("host-1".into()))]),
         ),
-        frame("hint_gone_job", hints(vec![ReplicatedRecord::Gone(ReplicationKey::Job(412))])),
+        frame("hint_gone_job", hints(vec![ReplicatedRecord::Removed(ReplicationKey::Job(412))])),
     ];
     golden::check("mesh.hex", &entries);
 }
