--- a/crates/autoscaler/src/capacity.rs
+++ b/crates/autoscaler/src/capacity.rs
@@ -61,7 +61,9 @@
         // The scarcest resource limits how many tasks run at the same time.
         let time_per_task =
             (WHOLE_HORIZON * work.task_ms / (slots * horizon.whole_millis()).max(1)).max(1);
-        let assigned = (self.time_left / time_per_task).max(slots).min(work.waiting);
+        let assigned = (self.time_left / time_per_task)
+            .max(slots)
+            .min(work.waiting);
         self.time_left = self.time_left.saturating_sub(assigned * time_per_task);
         assigned
     }
--- a/crates/autoscaler/src/machine.rs
+++ b/crates/autoscaler/src/machine.rs
@@ -60,12 +60,26 @@
 #[derive(Debug, Clone, PartialEq)]
 pub enum FleetAction {
     /// Rent machines from the cloud.
-    Rent { machine_type: String, zone: ZoneName, spot: bool, count: u32, partition: PartitionId },
+    Rent {
+        machine_type: String,
+        zone: ZoneName,
+        spot: bool,
+        count: u32,
+        partition: PartitionId,
+    },
     /// Transfer an idle machine to another partition.
-    TransferIdle { machine: MachineName, to: PartitionId },
+    TransferIdle {
+        machine: MachineName,
+        to: PartitionId,
+    },
     /// Have a partition leader transfer machines that suit the shape as they become empty:
     /// `count` in all, including those it is transferring already.
-    TransferWhenEmpty { from: PartitionId, to: PartitionId, shape: DemandShape, count: u32 },
+    TransferWhenEmpty {
+        from: PartitionId,
+        to: PartitionId,
+        shape: DemandShape,
+        count: u32,
+    },
     /// Return a machine to the cloud.
     Return { machine: MachineName },
 }
--- a/crates/autoscaler/src/offers.rs
+++ b/crates/autoscaler/src/offers.rs
@@ -50,7 +50,11 @@
         let mut cheapest: Option<(f64, RentableMachine<'a>)> = None;
         for machine in self.rentable_machines(work, spot_only) {
             let slots = capacity_of(machine.machine_type).how_many_fit(&work.task_size);
-            let distance = if machine.zone == *home { 1.0 } else { OTHER_ZONE_FACTOR };
+            let distance = if machine.zone == *home {
+                1.0
+            } else {
+                OTHER_ZONE_FACTOR
+            };
             let cost = machine.price() * distance / slots.min(MAX_SLOTS) as f64;
             if cheapest.as_ref().is_none_or(|(lowest, _)| cost < *lowest) {
                 cheapest = Some((cost, machine));
@@ -67,7 +71,11 @@
     ) -> Vec<RentableMachine<'a>> {
         let mut rentable = Vec::new();
         for machine_type in self.machine_types {
-            for (zone, spot) in machine_type.zones.iter().flat_map(|z| [(z, true), (z, false)]) {
+            for (zone, spot) in machine_type
+                .zones
+                .iter()
+                .flat_map(|z| [(z, true), (z, false)])
+            {
                 if !work.suits(&machine_type.name, zone, spot)
                     || (spot_only && !spot)
                     || self.is_left_to_gangs(work, &machine_type.name, spot)
@@ -75,7 +83,11 @@
                     continue;
                 }
                 let zone = ZoneName::from(zone.as_str());
-                let machine = RentableMachine { machine_type, zone, spot };
+                let machine = RentableMachine {
+                    machine_type,
+                    zone,
+                    spot,
+                };
                 if self.may_rent(&machine.offer()) {
                     rentable.push(machine);
                 }
@@ -108,6 +120,10 @@
         let offer = machine.offer();
         *self.rented.entry(offer.clone()).or_default() += 1;
         *self.rentals.entry((work.need, offer)).or_default() += 1;
-        Some(IncomingMachine::new(machine.machine_type, machine.zone, machine.spot))
+        Some(IncomingMachine::new(
+            machine.machine_type,
+            machine.zone,
+            machine.spot,
+        ))
     }
 }
--- a/crates/autoscaler/src/pending.rs
+++ b/crates/autoscaler/src/pending.rs
@@ -80,8 +80,16 @@
 
     /// Its shape, restricted to the machine types and the zone that are planned for it.
     pub(crate) fn planned_shape(&self) -> DemandShape {
-        let types = self.machine_types.iter().map(|name| (*name).to_owned()).collect();
-        DemandShape { types: Some(types), zone: self.zone.clone(), ..self.shape.clone() }
+        let types = self
+            .machine_types
+            .iter()
+            .map(|name| (*name).to_owned())
+            .collect();
+        DemandShape {
+            types: Some(types),
+            zone: self.zone.clone(),
+            ..self.shape.clone()
+        }
     }
 }
 
@@ -134,7 +142,10 @@
                 && replicas.urgent > 0
                 && replicas.priority <= shape.priority
                 && same_zone
-                && self.machine_types_for(replicas).iter().any(|name| types.contains(name))
+                && self
+                    .machine_types_for(replicas)
+                    .iter()
+                    .any(|name| types.contains(name))
         })
     }
 }
--- a/crates/autoscaler/src/planner.rs
+++ b/crates/autoscaler/src/planner.rs
@@ -108,7 +108,10 @@
             actions: Vec::new(),
         };
         planner.gang_types = planner.types_for_gangs();
-        planner.incoming = needs.iter().map(|need| planner.incoming_to(need.partition)).collect();
+        planner.incoming = needs
+            .iter()
+            .map(|need| planner.incoming_to(need.partition))
+            .collect();
         planner
     }
 
@@ -148,7 +151,9 @@
     }
 
     pub(crate) fn machine_type(&self, name: &str) -> Option<&'a MachineType> {
-        self.machine_types.iter().find(|machine_type| machine_type.name == name)
+        self.machine_types
+            .iter()
+            .find(|machine_type| machine_type.name == name)
     }
 
     /// Machine types that are planned for a shape: those that fit a task, and of these only types
@@ -158,7 +163,10 @@
         let size = task_size(shape);
         let zone = shape.zone.as_ref().filter(|_| shape.gang == 0);
         let fits = |candidate: &&MachineType| {
-            let listed = shape.types.as_ref().is_none_or(|names| names.contains(&candidate.name));
+            let listed = shape
+                .types
+                .as_ref()
+                .is_none_or(|names| names.contains(&candidate.name));
             listed
                 && zone.is_none_or(|zone| candidate.zones.contains(zone))
                 && size.fits(&capacity_of(candidate))
@@ -170,7 +178,10 @@
             .map(|candidate| candidate.name.as_str())
             .collect();
         if without_spare_gpus.is_empty() {
-            return fitting.iter().map(|candidate| candidate.name.as_str()).collect();
+            return fitting
+                .iter()
+                .map(|candidate| candidate.name.as_str())
+                .collect();
         }
         without_spare_gpus
     }
@@ -182,7 +193,10 @@
         gangs
             .flat_map(|shape| {
                 let names = self.machine_types_for(shape).into_iter();
-                names.map(|name| GangMachineType { name, spot: shape.spot })
+                names.map(|name| GangMachineType {
+                    name,
+                    spot: shape.spot,
+                })
             })
             .collect()
     }
@@ -190,8 +204,14 @@
     /// Machines that boot in the partition or are being transferred to it.
     fn incoming_to(&self, partition: PartitionId) -> Vec<IncomingMachine> {
         let mut incoming = Vec::new();
-        for machine in self.machines.iter().filter(|m| !m.leaving && !m.quarantined) {
-            let Some(machine_type) = self.machine_type(&machine.machine_type) else { continue };
+        for machine in self
+            .machines
+            .iter()
+            .filter(|m| !m.leaving && !m.quarantined)
+        {
+            let Some(machine_type) = self.machine_type(&machine.machine_type) else {
+                continue;
+            };
             let boots = machine.partition == partition && self.is_booting(machine, machine_type);
             if boots || machine.transfer_to == Some(partition) {
                 incoming.push(IncomingMachine::emptied(machine, machine_type));
@@ -211,10 +231,20 @@
     fn into_actions(self) -> Vec<FleetAction> {
         let mut actions = self.actions;
         for ((need, offer), count) in self.rentals {
-            let Offer { machine_type, zone, spot } = offer;
+            let Offer {
+                machine_type,
+                zone,
+                spot,
+            } = offer;
             let partition = self.needs[need].partition;
             let count = count.min(MAX_MACHINES_PER_REQUEST);
-            actions.push(FleetAction::Rent { machine_type, zone, spot, count, partition });
+            actions.push(FleetAction::Rent {
+                machine_type,
+                zone,
+                spot,
+                count,
+                partition,
+            });
         }
         actions
     }
--- a/crates/autoscaler/src/rebalance.rs
+++ b/crates/autoscaler/src/rebalance.rs
@@ -45,7 +45,10 @@
     /// urgent work they give all they can, otherwise until the partitions are about even.
     pub(crate) fn rebalance(&mut self, pending: &[PendingWork<'_>], urgent: bool) {
         let mut given = Given::new();
-        for work in pending.iter().filter(|work| work.unavailable && work.waiting > 0) {
+        for work in pending
+            .iter()
+            .filter(|work| work.unavailable && work.waiting > 0)
+        {
             let to = self.needs[work.need].partition;
             let donors = self.choose_donors(work, pending, urgent, &mut given);
             for (from, count) in donors {
@@ -66,9 +69,14 @@
         let slots = self.slots_per_machine(work);
         let mut unguaranteed = self.count_unguaranteed(work, given);
         let mut donors: BTreeMap<PartitionId, u32> = BTreeMap::new();
-        let missing = work.waiting.div_ceil(slots).min(u64::from(MAX_MACHINES_PER_REQUEST));
+        let missing = work
+            .waiting
+            .div_ceil(slots)
+            .min(u64::from(MAX_MACHINES_PER_REQUEST));
         for _ in 0..missing {
-            let Some(from) = unguaranteed.largest_donor() else { break };
+            let Some(from) = unguaranteed.largest_donor() else {
+                break;
+            };
             let (donor_count, own_count) = (unguaranteed.count(from), unguaranteed.count(to));
             // Machines are not taken from where as much work waits for each of them.
             let worse_off = self.missing_machines(work, pending, from, slots) as i64 * own_count
@@ -80,7 +88,9 @@
             *unguaranteed.transferable.entry(from).or_default() -= 1;
             let mut record = |partition, count: i64| {
                 *unguaranteed.counts.entry(partition).or_default() -= count;
-                *given.entry((&work.machine_types[..], partition)).or_default() += count;
+                *given
+                    .entry((&work.machine_types[..], partition))
+                    .or_default() += count;
             };
             record(from, 1);
             if !urgent {
@@ -97,7 +107,11 @@
         let mut counts: BTreeMap<PartitionId, i64> =
             self.needs.iter().map(|need| (need.partition, 0)).collect();
         let mut transferable: BTreeMap<PartitionId, u32> = BTreeMap::new();
-        for machine in self.machines.iter().filter(|m| m.is_available() && m.transferable) {
+        for machine in self
+            .machines
+            .iter()
+            .filter(|m| m.is_available() && m.transferable)
+        {
             if work.suits(&machine.machine_type, machine.zone.as_str(), machine.spot) {
                 *counts.entry(machine.partition).or_default() += 1;
                 let may_give = machine.partition != to;
@@ -105,9 +119,15 @@
             }
         }
         for (partition, count) in &mut counts {
-            *count -= given.get(&(&work.machine_types[..], *partition)).copied().unwrap_or(0);
+            *count -= given
+                .get(&(&work.machine_types[..], *partition))
+                .copied()
+                .unwrap_or(0);
+        }
+        Unguaranteed {
+            counts,
+            transferable,
         }
-        Unguaranteed { counts, transferable }
     }
 
     /// Tasks of the work that fit the largest machine type planned for it.
--- a/crates/autoscaler/src/returns.rs
+++ b/crates/autoscaler/src/returns.rs
@@ -18,10 +18,16 @@
     /// Returns machines that are of no further use.
     pub(crate) fn return_machines(&mut self) {
         let idle: HashSet<&MachineName> = self.idle.iter().map(|machine| &machine.name).collect();
-        for machine in self.machines.iter().filter(|m| m.view_is_fresh && !m.leaving) {
+        for machine in self
+            .machines
+            .iter()
+            .filter(|m| m.view_is_fresh && !m.leaving)
+        {
             let surplus = idle.contains(&machine.name) && self.is_surplus(machine);
             if surplus || self.never_reported(machine) || self.is_lost(machine) {
-                self.actions.push(FleetAction::Return { machine: machine.name.clone() });
+                self.actions.push(FleetAction::Return {
+                    machine: machine.name.clone(),
+                });
             }
         }
     }
@@ -35,7 +41,9 @@
     fn never_reported(&self, machine: &FleetMachine) -> bool {
         let boot_time = self
             .machine_type(&machine.machine_type)
-            .map_or(DEFAULT_BOOT_TIME, |machine_type| duration_from_secs(machine_type.boot_s));
+            .map_or(DEFAULT_BOOT_TIME, |machine_type| {
+                duration_from_secs(machine_type.boot_s)
+            });
         let limit =
             boot_time.saturating_times(self.policy.boot_timeout_factor) + FIRST_REPORT_ALLOWANCE;
         !machine.reporting && machine.observable_for > limit
--- a/crates/autoscaler/src/transfers.rs
+++ b/crates/autoscaler/src/transfers.rs
@@ -23,7 +23,9 @@
             (None, Some(index)) => self.transfer_best_effort_machine(index, work),
             (None, None) => self.rent(work, spot_only),
         };
-        let Some(mut machine) = added else { return false };
+        let Some(mut machine) = added else {
+            return false;
+        };
         let assigned = machine.assign(work, self.policy.horizon);
         work.waiting -= assigned;
         self.incoming[work.need].push(machine);
@@ -54,15 +56,22 @@
         if work.no_best_effort_machine {
             return None;
         }
-        self.best_effort.iter().position(|machine| self.is_candidate(machine, work))
+        self.best_effort
+            .iter()
+            .position(|machine| self.is_candidate(machine, work))
     }
 
     /// Whether work waits for such a machine in its own partition.
     fn is_needed_by_own_partition(&self, machine: &FleetMachine) -> bool {
-        let own = self.needs.iter().filter(|need| need.partition == machine.partition);
+        let own = self
+            .needs
+            .iter()
+            .filter(|need| need.partition == machine.partition);
         own.flat_map(|need| &need.demand).any(|shape| {
             shape.suits(&machine.machine_type, machine.zone.as_str(), machine.spot)
-                && self.machine_types_for(shape).contains(&machine.machine_type.as_str())
+                && self
+                    .machine_types_for(shape)
+                    .contains(&machine.machine_type.as_str())
         })
     }
 
@@ -70,7 +79,10 @@
         let machine = self.idle.remove(index);
         let machine_type = self.machine_type(&machine.machine_type)?;
         self.idle_transfers += 1;
-        self.actions.push(FleetAction::TransferIdle { machine: machine.name.clone(), to });
+        self.actions.push(FleetAction::TransferIdle {
+            machine: machine.name.clone(),
+            to,
+        });
         Some(IncomingMachine::emptied(machine, machine_type))
     }
 
@@ -96,9 +108,17 @@
     ) {
         let under_way = |m: &&FleetMachine| m.partition == from && m.transfer_to == Some(to);
         let already_requested = || self.machines.iter().filter(under_way).count() as u32;
-        let total = self.requested_transfers.entry((from, to)).or_insert_with(already_requested);
+        let total = self
+            .requested_transfers
+            .entry((from, to))
+            .or_insert_with(already_requested);
         *total += more;
         let count = *total;
-        self.actions.push(FleetAction::TransferWhenEmpty { from, to, shape, count });
+        self.actions.push(FleetAction::TransferWhenEmpty {
+            from,
+            to,
+            shape,
+            count,
+        });
     }
 }
--- a/crates/autoscaler/src/zones.rs
+++ b/crates/autoscaler/src/zones.rs
@@ -40,9 +40,14 @@
 
     /// All zones but the one that is planned for the work, the partition's home zone first.
     fn other_zones(&self, work: &PendingWork<'_>) -> Vec<String> {
-        let all = self.machine_types.iter().flat_map(|machine_type| &machine_type.zones);
-        let mut others: Vec<String> =
-            all.filter(|zone| Some(*zone) != work.zone.as_ref()).cloned().collect();
+        let all = self
+            .machine_types
+            .iter()
+            .flat_map(|machine_type| &machine_type.zones);
+        let mut others: Vec<String> = all
+            .filter(|zone| Some(*zone) != work.zone.as_ref())
+            .cloned()
+            .collect();
         let home = self.needs[work.need].home_zone.as_str();
         others.sort_by_key(|zone| (zone != home, zone.clone()));
         others.dedup();
--- a/crates/autoscaler/tests/planning.rs
+++ b/crates/autoscaler/tests/planning.rs
@@ -61,16 +61,26 @@
         gang: 0,
     };
     let demand = if tasks > 0 { vec![shape] } else { Vec::new() };
-    PartitionNeed { partition: PartitionId(partition), home_zone: ZoneName::from("a"), demand }
+    PartitionNeed {
+        partition: PartitionId(partition),
+        home_zone: ZoneName::from("a"),
+        demand,
+    }
 }
 
 fn offer(machine_type: &str, zone: &str, spot: bool) -> Offer {
-    Offer { machine_type: machine_type.into(), zone: ZoneName::from(zone), spot }
+    Offer {
+        machine_type: machine_type.into(),
+        zone: ZoneName::from(zone),
+        spot,
+    }
 }
 
 fn ceded(actions: &[FleetAction]) -> Vec<(u32, u32, u32)> {
     let cede = |a: &FleetAction| match a {
-        FleetAction::TransferWhenEmpty { from, to, count, .. } => Some((from.0, to.0, *count)),
+        FleetAction::TransferWhenEmpty {
+            from, to, count, ..
+        } => Some((from.0, to.0, *count)),
         _ => None,
     };
     actions.iter().filter_map(cede).collect()
@@ -83,10 +93,23 @@
     let machines: Vec<FleetMachine> = (0..20).map(|n| machine(n, 0, n >= 4)).collect();
     let refused = HashMap::from([(offer("m4", "a", false), 0)]);
     let plan = |needs: &[PartitionNeed]| {
-        plan(&FleetPolicy::default(), &[kind()], &machines, needs, &refused)
+        plan(
+            &FleetPolicy::default(),
+            &[kind()],
+            &machines,
+            needs,
+            &refused,
+        )
     };
-    assert_eq!(ceded(&plan(&[need(0, 9, 0), need(1, 18, 18)])), [(0, 1, 16)]);
-    assert_eq!(ceded(&plan(&[need(0, 9, 0), need(1, 18, 0)])), [(0, 1, 7)], "about an even part");
+    assert_eq!(
+        ceded(&plan(&[need(0, 9, 0), need(1, 18, 18)])),
+        [(0, 1, 16)]
+    );
+    assert_eq!(
+        ceded(&plan(&[need(0, 9, 0), need(1, 18, 0)])),
+        [(0, 1, 7)],
+        "about an even part"
+    );
     assert_eq!(ceded(&plan(&[need(0, 9, 9), need(1, 0, 0)])), []);
 }
 
@@ -100,16 +123,39 @@
     let mut normal = need(1, 2, 0);
     normal.demand[0].spot = true;
     let machines: Vec<FleetMachine> = (0..3)
-        .map(|n| FleetMachine { spot: true, best_effort: true, ..machine(n, 0, true) })
+        .map(|n| FleetMachine {
+            spot: true,
+            best_effort: true,
+            ..machine(n, 0, true)
+        })
         .collect();
     let refused = HashMap::from([(offer("m4", "a", true), 0)]);
-    let policy = FleetPolicy { horizon: Duration::from_secs(1), ..FleetPolicy::default() };
-    let actions = plan(&policy, &[kind()], &machines, &[low.clone(), normal], &refused);
+    let policy = FleetPolicy {
+        horizon: Duration::from_secs(1),
+        ..FleetPolicy::default()
+    };
+    let actions = plan(
+        &policy,
+        &[kind()],
+        &machines,
+        &[low.clone(), normal],
+        &refused,
+    );
     assert_eq!(ceded(&actions).last(), Some(&(0, 1, 2)), "{actions:?}");
     let rents = |a: &&FleetAction| matches!(a, FleetAction::Rent { .. });
     assert_eq!(actions.iter().filter(rents).count(), 0, "{actions:?}");
     let cheap = plan(&policy, &[kind()], &[], &[low], &HashMap::new());
-    assert!(matches!(cheap[..], [FleetAction::Rent { spot: true, count: 40, .. }]), "{cheap:?}");
+    assert!(
+        matches!(
+            cheap[..],
+            [FleetAction::Rent {
+                spot: true,
+                count: 40,
+                ..
+            }]
+        ),
+        "{cheap:?}"
+    );
 }
 
 /// Found in the log of a grown site: machines were given back to the cloud on arriving in
@@ -122,7 +168,10 @@
         observable_for: Duration::from_millis(500),
         ..machine(1, 0, false)
     };
-    let lost = FleetMachine { observable_for: Duration::from_secs(100), ..moved.clone() };
+    let lost = FleetMachine {
+        observable_for: Duration::from_secs(100),
+        ..moved.clone()
+    };
     let policy = FleetPolicy::default();
     let plan = |m: FleetMachine| plan(&policy, &[kind()], &[m], &[], &HashMap::new());
     assert_eq!(plan(moved), []);
@@ -132,9 +181,13 @@
 /// What each partition rents, by type and zone.
 fn rents(actions: &[FleetAction]) -> Vec<(u32, String, String, u32)> {
     let rent = |a: &FleetAction| match a {
-        FleetAction::Rent { machine_type, zone, count, partition, .. } => {
-            Some((partition.0, machine_type.clone(), zone.to_string(), *count))
-        }
+        FleetAction::Rent {
+            machine_type,
+            zone,
+            count,
+            partition,
+            ..
+        } => Some((partition.0, machine_type.clone(), zone.to_string(), *count)),
         _ => None,
     };
     actions.iter().filter_map(rent).collect()
@@ -152,14 +205,23 @@
         zones: zones(),
         ..kind()
     };
-    vec![of("m4", 4.0, 0.0, 0.24), of("m20", 20.0, 0.0, 1.2), of("g24", 24.0, 4.0, 14.0)]
+    vec![
+        of("m4", 4.0, 0.0, 0.24),
+        of("m20", 20.0, 0.0, 1.2),
+        of("g24", 24.0, 4.0, 14.0),
+    ]
 }
 
 fn gang(tasks: u64) -> PartitionNeed {
     let mut need = need(1, tasks, 0);
     let zone = Some("a".to_owned());
     let shape = need.demand[0].clone();
-    need.demand[0] = DemandShape { milli_cpus: 18_000, zone, gang: tasks, ..shape };
+    need.demand[0] = DemandShape {
+        milli_cpus: 18_000,
+        zone,
+        gang: tasks,
+        ..shape
+    };
     need
 }
 
@@ -172,7 +234,11 @@
     let mut need = gang(4);
     need.demand[0].tasks = 1;
     let actions = plan(&policy, &types, &[], &[need.clone()], &HashMap::new());
-    assert_eq!(rents(&actions), [(1, "m20".into(), "a".into(), 1)], "one is missing there");
+    assert_eq!(
+        rents(&actions),
+        [(1, "m20".into(), "a".into(), 1)],
+        "one is missing there"
+    );
     let actions = plan(&policy, &types, &[], &[need.clone()], &refused);
     assert_eq!(rents(&actions), [(1, "m20".into(), "b".into(), 4)]);
     let boots = |n| FleetMachine {
@@ -184,14 +250,21 @@
         ..machine(n, 1, false)
     };
     let coming: Vec<FleetMachine> = (0..4).map(boots).collect();
-    assert_eq!(rents(&plan(&policy, &types, &coming, &[need], &refused)), [], "they come");
+    assert_eq!(
+        rents(&plan(&policy, &types, &coming, &[need], &refused)),
+        [],
+        "they come"
+    );
 }
 
 /// Machines with GPUs were rented for gangs that need none, at a hundred times the price.
 #[test]
 fn gpu_machines_are_not_rented_for_cpu_work_and_gang_types_are_left_to_gangs() {
     let types = three_types();
-    let policy = FleetPolicy { horizon: Duration::from_secs(1), ..FleetPolicy::default() };
+    let policy = FleetPolicy {
+        horizon: Duration::from_secs(1),
+        ..FleetPolicy::default()
+    };
     let gone = |name: &str| {
         let of = |zone: &str| (offer(name, zone, false), 0);
         [of("a"), of("b")]
@@ -201,7 +274,11 @@
     let small = need(0, 3, 0);
     let refused = HashMap::from_iter(gone("m4"));
     let both = plan(&policy, &types, &[], &[small.clone(), gang(2)], &refused);
-    assert_eq!(rents(&both), [(1, "m20".into(), "a".into(), 2)], "the array waits for small ones");
+    assert_eq!(
+        rents(&both),
+        [(1, "m20".into(), "a".into(), 2)],
+        "the array waits for small ones"
+    );
     let alone = plan(&policy, &types, &[], &[small], &refused);
     assert_eq!(rents(&alone), [(0, "m20".into(), "a".into(), 1)]);
 }
@@ -210,12 +287,17 @@
 fn urgent_work_is_rented_first_and_the_rest_in_turn() {
     let refused = HashMap::new();
     let needs = [need(0, 30, 0), need(1, 30, 3)];
-    let policy = FleetPolicy { horizon: Duration::from_secs(1), ..FleetPolicy::default() };
+    let policy = FleetPolicy {
+        horizon: Duration::from_secs(1),
+        ..FleetPolicy::default()
+    };
     let actions = plan(&policy, &[kind()], &[], &needs, &refused);
     let rented: Vec<(u32, u32)> = actions
         .iter()
         .filter_map(|a| match a {
-            FleetAction::Rent { partition, count, .. } => Some((partition.0, *count)),
+            FleetAction::Rent {
+                partition, count, ..
+            } => Some((partition.0, *count)),
             _ => None,
         })
         .collect();
@@ -236,7 +318,13 @@
     both.demand.extend(services.demand);
     let rented = |need: &PartitionNeed| {
         let needs = [need.clone()];
-        let actions = plan(&FleetPolicy::default(), &[kind()], &[], &needs, &HashMap::new());
+        let actions = plan(
+            &FleetPolicy::default(),
+            &[kind()],
+            &[],
+            &needs,
+            &HashMap::new(),
+        );
         rents(&actions).iter().map(|rent| rent.3).sum::<u32>()
     };
     assert_eq!(rented(&arrays), 1, "worked off within the horizon");
--- a/crates/controller/src/controller/admin.rs
+++ b/crates/controller/src/controller/admin.rs
@@ -37,7 +37,10 @@
         AdminReply { status, body }
     }
     fn error(status: u16, error: impl Into<String>) -> Self {
-        AdminReply { status, body: json!({ "error": error.into() }) }
+        AdminReply {
+            status,
+            body: json!({ "error": error.into() }),
+        }
     }
 }
 
@@ -107,11 +110,18 @@
             if (from..=to).contains(&value) {
                 Ok(())
             } else {
-                Err(format!("field `{field}`: {value} must be from {from} to {to}"))
+                Err(format!(
+                    "field `{field}`: {value} must be from {from} to {to}"
+                ))
             }
         };
         within("initial_backoff_s", self.initial_backoff_s, 0.01, 60.0)?;
-        within("max_backoff_s", self.max_backoff_s, self.initial_backoff_s, 600.0)?;
+        within(
+            "max_backoff_s",
+            self.max_backoff_s,
+            self.initial_backoff_s,
+            600.0,
+        )?;
         within("leftover_s", self.leftover_s, 0.1, 600.0)?;
         within("silence_s", self.silence_s, 0.1, 60.0)?;
         within("window", f64::from(self.window), 1.0, 100_000.0)?;
@@ -200,7 +210,9 @@
         record.check().map_err(|e| AdminReply::error(400, e))?;
         let value =
             serde_json::to_value(record).map_err(|e| AdminReply::error(400, e.to_string()))?;
-        let txn = Transaction::default().when(TUNING, version).write(Write::put(TUNING, value));
+        let txn = Transaction::default()
+            .when(TUNING, version)
+            .write(Write::put(TUNING, value));
         let purpose = CallKind::TuningWrite { ticket };
         self.state(CallPriority::Rest, StateRequest::Transaction(txn), purpose);
         Ok(())
@@ -287,8 +299,14 @@
 
     /// Machines of ours that are heard and not reached.
     fn unreachable_machine_count(&self) -> usize {
-        let shares = self.leaderships.values().filter_map(|h| h.partition_state());
-        shares.flat_map(|s| s.machines.values()).filter(|m| m.is_unreachable()).count()
+        let shares = self
+            .leaderships
+            .values()
+            .filter_map(|h| h.partition_state());
+        shares
+            .flat_map(|s| s.machines.values())
+            .filter(|m| m.is_unreachable())
+            .count()
     }
 
     fn queues_view(&self) -> Value {
@@ -317,18 +335,28 @@
     fn metrics_view(&self) -> Value {
         let mut pending = std::collections::BTreeMap::new();
         let mut incoming = std::collections::BTreeMap::new();
-        for partition_state in self.leaderships.values().filter_map(|h| h.partition_state()) {
+        for partition_state in self
+            .leaderships
+            .values()
+            .filter_map(|h| h.partition_state())
+        {
             for (which, n) in partition_state.queue.pending() {
-                *pending.entry(format!("{which:?}").to_lowercase()).or_insert(0) += n as u64;
+                *pending
+                    .entry(format!("{which:?}").to_lowercase())
+                    .or_insert(0) += n as u64;
             }
             for ((which, cause), n) in partition_state.queue.incoming() {
-                let key =
-                    (format!("{which:?}").to_lowercase(), format!("{cause:?}").to_lowercase());
+                let key = (
+                    format!("{which:?}").to_lowercase(),
+                    format!("{cause:?}").to_lowercase(),
+                );
                 *incoming.entry(key).or_insert(0u64) += n;
             }
         }
-        let incoming: Vec<Value> =
-            incoming.into_iter().map(|((q, e), n)| json!([q, e, n])).collect();
+        let incoming: Vec<Value> = incoming
+            .into_iter()
+            .map(|((q, e), n)| json!([q, e, n]))
+            .collect();
         let c = &self.counters;
         json!({
             "pending": pending,
@@ -368,8 +396,14 @@
     #[test]
     fn settings_are_checked_and_name_the_field() {
         assert_eq!(TuningRecord::default().check(), Ok(Tuning::default()));
-        let bad = TuningRecord { max_backoff_s: 0.0, ..TuningRecord::default() };
-        assert!(bad.check().expect_err("too small").contains("max_backoff_s"));
+        let bad = TuningRecord {
+            max_backoff_s: 0.0,
+            ..TuningRecord::default()
+        };
+        assert!(bad
+            .check()
+            .expect_err("too small")
+            .contains("max_backoff_s"));
         let unknown = json!({ "lease_s": 3.0 });
         assert!(TuningRecord::deserialize(&unknown)
             .expect_err("none")
--- a/crates/controller/src/controller/admission.rs
+++ b/crates/controller/src/controller/admission.rs
@@ -37,7 +37,12 @@
 impl PendingSubmission {
     /// The same request, waiting for a read instead of a write.
     fn into_request(self, kind: RequestKind, since: Timestamp) -> PendingRequest {
-        PendingRequest { ticket: self.ticket, kind, id: self.id, since }
+        PendingRequest {
+            ticket: self.ticket,
+            kind,
+            id: self.id,
+            since,
+        }
     }
 }
 
@@ -86,7 +91,13 @@
             return;
         }
         let order = self.logical_time();
-        let submission = PendingSubmission { ticket, id, job, since: self.now, order };
+        let submission = PendingSubmission {
+            ticket,
+            id,
+            job,
+            since: self.now,
+            order,
+        };
         self.admission.pending.push_back(submission);
     }
 
@@ -117,7 +128,9 @@
     /// was applied. All of that has a lower revision than our write, so a mirror that has reached that
     /// revision is no older than anything that was confirmed before the submission came.
     fn confirm_accepted(&mut self) {
-        let Some(first) = self.admission.unconfirmed.first() else { return };
+        let Some(first) = self.admission.unconfirmed.first() else {
+            return;
+        };
         let lag = self.now.duration_since(first.since);
         if !self.synced {
             let requests = std::mem::take(&mut self.admission.unconfirmed);
@@ -145,15 +158,26 @@
             next = next.max(number + 1);
             let open = page.record.iter().filter_map(|id| self.cache.jobs.get(id));
             let free_bytes = room.saturating_sub(open.map(|job| job.size).sum());
-            let better = best.as_ref().is_none_or(|best| free_bytes > best.free_bytes);
+            let better = best
+                .as_ref()
+                .is_none_or(|best| free_bytes > best.free_bytes);
             if !taken.contains(&number) && better {
-                best = Some(OpenPage { number, version: page.version.0, free_bytes });
+                best = Some(OpenPage {
+                    number,
+                    version: page.version.0,
+                    free_bytes,
+                });
             }
         }
         let number = taken.iter().fold(next, |next, page| next.max(page + 1));
-        let fresh = OpenPage { number, version: 0, free_bytes: room };
+        let fresh = OpenPage {
+            number,
+            version: 0,
+            free_bytes: room,
+        };
         // A page with little room is not worth writing whole for a job or two.
-        best.filter(|page| page.free_bytes >= room / 4).unwrap_or(fresh)
+        best.filter(|page| page.free_bytes >= room / 4)
+            .unwrap_or(fresh)
     }
 
     /// Writes as many pending submissions as a transaction takes.
@@ -162,8 +186,9 @@
         let room = page_capacity(limits.value_bytes);
         let most_pages = MAX_PAGES_PER_WRITE.min(limits.txn_ops);
         // Each job adds a condition.
-        let most_jobs =
-            (limits.txn_ops * CONDITIONS_PER_CHANGE).saturating_sub(MAX_PAGES_PER_WRITE).max(1);
+        let most_jobs = (limits.txn_ops * CONDITIONS_PER_CHANGE)
+            .saturating_sub(MAX_PAGES_PER_WRITE)
+            .max(1);
         let mut batch = AdmissionBatch::default();
         while batch.pages.len() < most_pages && !self.admission.pending.is_empty() {
             let page = self.choose_page(room, &batch.pages);
@@ -192,7 +217,12 @@
     /// Adds pending submissions to a page and the page to the batch; false if the page takes none.
     fn fill_page(&mut self, page: &OpenPage, batch: &mut AdmissionBatch, most_jobs: usize) -> bool {
         let key = accepted_jobs_key(self.own_name(), page.number);
-        let kept = self.cache.intake.get(&key).into_iter().flat_map(|p| &p.record);
+        let kept = self
+            .cache
+            .intake
+            .get(&key)
+            .into_iter()
+            .flat_map(|p| &p.record);
         let mut jobs: Vec<serde_json::Value> = kept
             .filter_map(|id| self.cache.jobs.get(id))
             .filter_map(|job| serde_json::to_value(&*job.packed).ok())
@@ -200,7 +230,9 @@
         let mut free_bytes = page.free_bytes;
         let before = batch.submissions.len();
         while batch.submissions.len() < most_jobs {
-            let Some(next) = self.admission.pending.pop_front() else { break };
+            let Some(next) = self.admission.pending.pop_front() else {
+                break;
+            };
             if self.cache.jobs.contains_key(&next.id) || self.finals.contains_key(&next.id) {
                 let since = next.since;
                 let kind = RequestKind::Resubmit { reject: None };
@@ -237,8 +269,9 @@
         match self.admission.writes.answered(reply, self.now) {
             Outcome::CommittedChanges(batch) => {
                 let since = self.now;
-                let requests =
-                    batch.into_iter().map(|job| job.into_request(RequestKind::Accepted, since));
+                let requests = batch
+                    .into_iter()
+                    .map(|job| job.into_request(RequestKind::Accepted, since));
                 self.admission.written_at = self.admission.writes.settled_at();
                 self.admission.unconfirmed.extend(requests);
                 self.confirm_accepted();
@@ -255,12 +288,18 @@
                     }
                 }
             }
-            Outcome::Refused { what, throttled: true } => {
+            Outcome::Refused {
+                what,
+                throttled: true,
+            } => {
                 for submission in what.into_iter().rev() {
                     self.admission.pending.push_front(submission);
                 }
             }
-            Outcome::Refused { what, throttled: false } => {
+            Outcome::Refused {
+                what,
+                throttled: false,
+            } => {
                 let pending = std::mem::take(&mut self.admission.pending);
                 for submission in what.into_iter().chain(pending) {
                     self.busy(submission.ticket, 1);
--- a/crates/controller/src/controller/cancellations.rs
+++ b/crates/controller/src/controller/cancellations.rs
@@ -25,7 +25,10 @@
     }
 
     pub(super) fn advance_cancellations(&mut self) {
-        let ready = self.cancellations.writes.ready(self.now, self.cache.revision);
+        let ready = self
+            .cancellations
+            .writes
+            .ready(self.now, self.cache.revision);
         let waiting = !self.cancellations.pending.is_empty();
         if waiting && ready && self.synced && self.may_write(CallPriority::Accept, 1.0) {
             self.write_cancellations();
@@ -38,8 +41,10 @@
         let version = old.map_or(0, |c| c.version.0);
         // Those of finished jobs have served.
         let open = old.into_iter().flat_map(|c| &c.record);
-        let mut jobs: Vec<u64> =
-            open.filter(|id| self.cache.jobs.contains_key(id)).map(|id| id.0).collect();
+        let mut jobs: Vec<u64> = open
+            .filter(|id| self.cache.jobs.contains_key(id))
+            .map(|id| id.0)
+            .collect();
         let room = self.page_entries();
         let mut batch = Vec::new();
         for request in std::mem::take(&mut self.cancellations.pending) {
@@ -53,9 +58,17 @@
             batch.push(request);
         }
         let value = serde_json::to_value(CancellationsRecord { jobs }).unwrap_or_default();
-        let txn = Transaction::default().when(&key, version).write(Write::put(&key, value));
-        self.cancellations.writes.send(batch, txn.clone(), self.now, Duration::ZERO);
-        self.state(CallPriority::Accept, StateRequest::Transaction(txn), CallKind::Cancel);
+        let txn = Transaction::default()
+            .when(&key, version)
+            .write(Write::put(&key, value));
+        self.cancellations
+            .writes
+            .send(batch, txn.clone(), self.now, Duration::ZERO);
+        self.state(
+            CallPriority::Accept,
+            StateRequest::Transaction(txn),
+            CallKind::Cancel,
+        );
     }
 
     pub(super) fn handle_cancellation_written(&mut self, reply: StateReply) {
@@ -68,7 +81,10 @@
                 self.reads.enqueue_all(requests);
             }
             Outcome::Conflict(requests, _)
-            | Outcome::Refused { what: requests, throttled: true } => {
+            | Outcome::Refused {
+                what: requests,
+                throttled: true,
+            } => {
                 for mut request in requests {
                     match &mut request.kind {
                         RequestKind::Cancel { conflicts } if *conflicts < MAX_CONFLICTS => {
--- a/crates/controller/src/controller/crash_loop.rs
+++ b/crates/controller/src/controller/crash_loop.rs
@@ -21,8 +21,14 @@
     /// Announces this life before it holds anything, so that others can tell that the one before is
     /// over. True once it is announced.
     pub(super) fn announce(&mut self) -> bool {
-        let before = self.cache.incarnations.get(self.own_name()).map(|b| b.record.clone());
-        let known = before.as_ref().is_some_and(|record| record.incarnation == self.incarnation);
+        let before = self
+            .cache
+            .incarnations
+            .get(self.own_name())
+            .map(|b| b.record.clone());
+        let known = before
+            .as_ref()
+            .is_some_and(|record| record.incarnation == self.incarnation);
         if !known {
             let before = before.map_or(0, |record| record.short_lives);
             self.write_boot(before.saturating_add(1));
@@ -39,11 +45,24 @@
             return;
         }
         let key = incarnation_key(self.own_name());
-        let version = self.cache.incarnations.get(self.own_name()).map_or(0, |b| b.version.0);
-        let record = IncarnationRecord { incarnation: self.incarnation, short_lives };
+        let version = self
+            .cache
+            .incarnations
+            .get(self.own_name())
+            .map_or(0, |b| b.version.0);
+        let record = IncarnationRecord {
+            incarnation: self.incarnation,
+            short_lives,
+        };
         let value = serde_json::to_value(record).unwrap_or_default();
-        let txn = Transaction::default().when(&key, version).write(Write::put(&key, value));
-        self.state(CallPriority::Lease, StateRequest::Transaction(txn), CallKind::Boot);
+        let txn = Transaction::default()
+            .when(&key, version)
+            .write(Write::put(&key, value));
+        self.state(
+            CallPriority::Lease,
+            StateRequest::Transaction(txn),
+            CallKind::Boot,
+        );
     }
 
     /// Whether a node has had several short lives in a row.
--- a/crates/controller/src/controller/fleet_planner.rs
+++ b/crates/controller/src/controller/fleet_planner.rs
@@ -133,15 +133,25 @@
 impl Controller {
     /// The node that leads now, as far as the mirror tells.
     pub(super) fn fleet_planner_controller(&self) -> Option<ControllerName> {
-        self.cache.partitions.get(&FLEET_PLANNER_PARTITION).map(|p| p.record.leader.clone())
+        self.cache
+            .partitions
+            .get(&FLEET_PLANNER_PARTITION)
+            .map(|p| p.record.leader.clone())
     }
 
     pub(super) fn handle_partition_status(&mut self, load: PartitionStatus) {
         let partition = PartitionId(load.partition);
-        let newer =
-            self.fleet_planner.loads.get(&partition).is_none_or(|(old, _)| old.term <= load.term);
+        let newer = self
+            .fleet_planner
+            .loads
+            .get(&partition)
+            .is_none_or(|(old, _)| old.term <= load.term);
         if newer {
-            let held = self.fleet_planner.held.entry(partition).or_insert((load.term, self.now));
+            let held = self
+                .fleet_planner
+                .held
+                .entry(partition)
+                .or_insert((load.term, self.now));
             if held.0 != load.term {
                 *held = (load.term, self.now);
             }
@@ -165,8 +175,10 @@
         let partitions: Vec<PartitionId> = self.leaderships.keys().copied().collect();
         for partition in partitions {
             let zones = self.zones_near(partition);
-            if let Some(partition_state) =
-                self.leaderships.get_mut(&partition).and_then(|h| h.partition_state_mut())
+            if let Some(partition_state) = self
+                .leaderships
+                .get_mut(&partition)
+                .and_then(|h| h.partition_state_mut())
             {
                 partition_state.zones = zones;
                 if let Some(types) = &self.cache.types {
@@ -204,11 +216,23 @@
         {
             self.fleet_planner.list_at = self.now;
             self.fleet_planner.listing = true;
-            let request = CloudRequest::List { after: String::new(), limit: 500 };
-            self.cloud(request, CallKind::CloudList { gathered: Vec::new() });
+            let request = CloudRequest::List {
+                after: String::new(),
+                limit: 500,
+            };
+            self.cloud(
+                request,
+                CallKind::CloudList {
+                    gathered: Vec::new(),
+                },
+            );
         }
         let now = self.now;
-        let due: Vec<_> = self.fleet_planner.retries.extract_if(.., |r| r.0 <= now).collect();
+        let due: Vec<_> = self
+            .fleet_planner
+            .retries
+            .extract_if(.., |r| r.0 <= now)
+            .collect();
         for (_, request, partition) in due {
             self.rent(request, partition);
         }
@@ -224,7 +248,10 @@
         } else {
             Duration::from_secs(60)
         };
-        let due = self.fleet_planner.types_at.is_none_or(|at| self.now.duration_since(at) >= pause);
+        let due = self
+            .fleet_planner
+            .types_at
+            .is_none_or(|at| self.now.duration_since(at) >= pause);
         if due && self.fleet_planner.calls.take(self.now, 1.0, 0.0) {
             self.fleet_planner.types_at = Some(self.now);
             self.cloud(CloudRequest::Types, CallKind::Types);
@@ -234,9 +261,12 @@
     /// Wants records for machines that have none.
     fn record_machines(&mut self) {
         let known = &self.cache.machines;
-        self.fleet_planner.unrecorded.retain(|name, _| !known.contains_key(name));
+        self.fleet_planner
+            .unrecorded
+            .retain(|name, _| !known.contains_key(name));
         for (name, record) in &self.fleet_planner.unrecorded {
-            self.machine_changes.want(name, MachineChange::Create(record.clone()));
+            self.machine_changes
+                .want(name, MachineChange::Create(record.clone()));
         }
     }
 
@@ -275,14 +305,21 @@
     }
 
     fn rent(&mut self, request: RentRequest, partition: PartitionId) {
-        let purpose = CallKind::Rent { request: request.clone(), partition };
+        let purpose = CallKind::Rent {
+            request: request.clone(),
+            partition,
+        };
         let call = self.cloud(CloudRequest::Rent(request.clone()), purpose);
-        self.fleet_planner.renting.insert(call, (request, partition));
+        self.fleet_planner
+            .renting
+            .insert(call, (request, partition));
     }
 
     pub(super) fn handle_cloud_reply(&mut self, call: CallId, reply: CloudReply) {
         let Some(purpose) = self.calls.remove(&call) else {
-            self.counters.rejections.add(MessageSource::Cloud, MessageFault::Stale);
+            self.counters
+                .rejections
+                .add(MessageSource::Cloud, MessageFault::Stale);
             return;
         };
         if reply == CloudReply::Refused {
@@ -330,8 +367,14 @@
             self.fleet_planner.types_pending = true;
             let version = self.cache.types.as_ref().map_or(0, |t| t.version.0);
             let value = serde_json::to_value(types).unwrap_or_default();
-            let txn = Transaction::default().when(TYPES, version).write(Write::put(TYPES, value));
-            self.state(CallPriority::Lease, StateRequest::Transaction(txn), CallKind::TypesWrite);
+            let txn = Transaction::default()
+                .when(TYPES, version)
+                .write(Write::put(TYPES, value));
+            self.state(
+                CallPriority::Lease,
+                StateRequest::Transaction(txn),
+                CallKind::TypesWrite,
+            );
         }
     }
 
@@ -349,7 +392,9 @@
         match reply {
             CloudReply::Rented(names) => {
                 if (names.len() as u32) < request.count {
-                    self.fleet_planner.refused.insert(offer, self.now + REFUSED_OFFER_PAUSE);
+                    self.fleet_planner
+                        .refused
+                        .insert(offer, self.now + REFUSED_OFFER_PAUSE);
                 }
                 tracing::info!(
                     machine_type = request.machine_type,
@@ -362,13 +407,17 @@
                 );
                 for name in names {
                     let name = MachineName::from(name.as_str());
-                    self.fleet_planner.first_seen.insert(name.clone(), (partition, self.now));
+                    self.fleet_planner
+                        .first_seen
+                        .insert(name.clone(), (partition, self.now));
                     let record = record_of(&request, partition);
                     self.fleet_planner.unrecorded.insert(name, record);
                 }
             }
             CloudReply::NoCapacity => {
-                self.fleet_planner.refused.insert(offer, self.now + REFUSED_OFFER_PAUSE);
+                self.fleet_planner
+                    .refused
+                    .insert(offer, self.now + REFUSED_OFFER_PAUSE);
             }
             // Its answer is lost: the same name asks for the same machines.
             CloudReply::Unknown => {
@@ -376,7 +425,9 @@
                 self.fleet_planner.retries.push((at, request, partition));
             }
             _ => {
-                self.fleet_planner.refused.insert(offer, self.now + Duration::from_millis(1_500));
+                self.fleet_planner
+                    .refused
+                    .insert(offer, self.now + Duration::from_millis(1_500));
             }
         }
     }
@@ -390,13 +441,18 @@
         let after = list.machines.last().map(|m| m.id.clone());
         if list.more && (after.is_none() || after.as_deref() == before) {
             // It would be asked for again and again; what it lacks must not count as gone.
-            self.counters.rejections.add(MessageSource::Cloud, MessageFault::Malformed);
+            self.counters
+                .rejections
+                .add(MessageSource::Cloud, MessageFault::Malformed);
             self.fleet_planner.listing = false;
             return;
         }
         gathered.extend(list.machines);
         if let (true, Some(after)) = (list.more, after) {
-            self.cloud(CloudRequest::List { after, limit: 500 }, CallKind::CloudList { gathered });
+            self.cloud(
+                CloudRequest::List { after, limit: 500 },
+                CallKind::CloudList { gathered },
+            );
             return;
         }
         self.fleet_planner.listing = false;
@@ -428,20 +484,31 @@
         let mut machines = Vec::new();
         for (name, record) in &self.cache.machines {
             let r = &record.record;
-            let seen =
-                self.fleet_planner.first_seen.entry(name.clone()).or_insert((r.partition, now));
+            let seen = self
+                .fleet_planner
+                .first_seen
+                .entry(name.clone())
+                .or_insert((r.partition, now));
             if seen.0 != r.partition {
                 *seen = (r.partition, now);
             }
-            let (there, held) =
-                (seen.1, self.fleet_planner.held.get(&r.partition).map(|held| held.1));
+            let (there, held) = (
+                seen.1,
+                self.fleet_planner.held.get(&r.partition).map(|held| held.1),
+            );
             let observable_for = now.duration_since(held.map_or(there, |held| held.max(there)));
-            let load = self.fleet_planner.loads.get(&r.partition).and_then(|(load, at)| {
-                let fresh = now.duration_since(*at) <= Duration::from_millis(2_500);
-                // A holder tells of its machines in the order of their names.
-                let at = load.machines.binary_search_by(|m| m.machine.as_str().cmp(name.as_str()));
-                at.ok().map(|at| (&load.machines[at], fresh))
-            });
+            let load = self
+                .fleet_planner
+                .loads
+                .get(&r.partition)
+                .and_then(|(load, at)| {
+                    let fresh = now.duration_since(*at) <= Duration::from_millis(2_500);
+                    // A holder tells of its machines in the order of their names.
+                    let at = load
+                        .machines
+                        .binary_search_by(|m| m.machine.as_str().cmp(name.as_str()));
+                    at.ok().map(|at| (&load.machines[at], fresh))
+                });
             let listed = self.fleet_planner.listed.get(name).map(|(m, _)| m);
             let age = listed.map_or(Duration::ZERO, |m| duration_from_secs(m.age_s));
             machines.push(FleetMachine {
@@ -457,8 +524,9 @@
                 leaving: r.leaving,
                 age: age.max(now.duration_since(there)),
                 observable_for,
-                since_heartbeat: load
-                    .map_or(Duration::ZERO, |(m, _)| Duration::from_millis(m.since_heartbeat_ms)),
+                since_heartbeat: load.map_or(Duration::ZERO, |(m, _)| {
+                    Duration::from_millis(m.since_heartbeat_ms)
+                }),
                 failed: listed.is_some_and(|m| m.state == MachineState::Failed),
                 view_is_fresh: load.is_some_and(|(_, fresh)| fresh),
                 transferable: load.is_some_and(|(m, _)| m.transferable),
@@ -475,8 +543,12 @@
             .collect();
         // Machines that are being asked for count as coming.
         let retries = self.fleet_planner.retries.iter().map(|r| (&r.1, r.2));
-        let asked =
-            self.fleet_planner.renting.values().map(|(request, p)| (request, *p)).chain(retries);
+        let asked = self
+            .fleet_planner
+            .renting
+            .values()
+            .map(|(request, p)| (request, *p))
+            .chain(retries);
         for (request, partition) in asked {
             for n in 0..request.count {
                 let record = record_of(request, partition);
@@ -522,7 +594,9 @@
         let mut needs = Vec::new();
         for number in 0..self.partition_count() {
             let partition = PartitionId(number);
-            let Some((load, at)) = self.fleet_planner.loads.get(&partition) else { continue };
+            let Some((load, at)) = self.fleet_planner.loads.get(&partition) else {
+                continue;
+            };
             if now.duration_since(*at) > Duration::from_millis(2_500) {
                 continue;
             }
@@ -530,16 +604,35 @@
                 .nodes
                 .get(number as usize)
                 .map_or_else(|| self.settings.zone.clone(), |(_, zone)| zone.clone());
-            needs.push(PartitionNeed { partition, home_zone, demand: load.demand.clone() });
+            needs.push(PartitionNeed {
+                partition,
+                home_zone,
+                demand: load.demand.clone(),
+            });
         }
         self.fleet_planner.refused.retain(|_, until| *until > now);
-        let refused: HashMap<Offer, u32> =
-            self.fleet_planner.refused.keys().map(|offer| (offer.clone(), 0)).collect();
-        let actions =
-            autoscaler::plan(&self.tuning.fleet, &types.types, &machines, &needs, &refused);
+        let refused: HashMap<Offer, u32> = self
+            .fleet_planner
+            .refused
+            .keys()
+            .map(|offer| (offer.clone(), 0))
+            .collect();
+        let actions = autoscaler::plan(
+            &self.tuning.fleet,
+            &types.types,
+            &machines,
+            &needs,
+            &refused,
+        );
         for action in actions {
             match action {
-                FleetAction::Rent { machine_type, zone, spot, count, partition } => {
+                FleetAction::Rent {
+                    machine_type,
+                    zone,
+                    spot,
+                    count,
+                    partition,
+                } => {
                     if !self.fleet_planner.calls.take(now, 1.0, 0.0) {
                         continue;
                     }
@@ -563,7 +656,12 @@
                     self.request_release(&machine, Some(to.0))
                 }
                 FleetAction::Return { machine } => self.request_release(&machine, None),
-                FleetAction::TransferWhenEmpty { from, to, shape, count } => {
+                FleetAction::TransferWhenEmpty {
+                    from,
+                    to,
+                    shape,
+                    count,
+                } => {
                     self.request_transfer(MeshMessage::TransferMachines {
                         from: from.0,
                         to: to.0,
@@ -586,9 +684,14 @@
             return;
         }
         self.fleet_planner.asked.insert(machine.clone(), now);
-        let Some(record) = self.cache.machines.get(machine) else { return };
-        let Some(leader) =
-            self.cache.partitions.get(&record.record.partition).map(|p| p.record.leader.clone())
+        let Some(record) = self.cache.machines.get(machine) else {
+            return;
+        };
+        let Some(leader) = self
+            .cache
+            .partitions
+            .get(&record.record.partition)
+            .map(|p| p.record.leader.clone())
         else {
             return;
         };
@@ -596,15 +699,25 @@
         if leader == *self.own_name() {
             self.handle_release_request(machine.as_str(), to);
         } else {
-            self.mesh(&leader, MeshMessage::ReleaseMachine { machine: machine.to_string(), to });
+            self.mesh(
+                &leader,
+                MeshMessage::ReleaseMachine {
+                    machine: machine.to_string(),
+                    to,
+                },
+            );
         }
     }
 
     /// Asks a holder to hand over machines that are not empty yet.
     fn request_transfer(&mut self, message: MeshMessage) {
-        let MeshMessage::TransferMachines { from, .. } = &message else { return };
+        let MeshMessage::TransferMachines { from, .. } = &message else {
+            return;
+        };
         let record = self.cache.partitions.get(&PartitionId(*from));
-        let Some(leader) = record.map(|p| p.record.leader.clone()) else { return };
+        let Some(leader) = record.map(|p| p.record.leader.clone()) else {
+            return;
+        };
         if leader == *self.own_name() {
             self.handle_transfer_request(&message);
         } else {
--- a/crates/controller/src/controller/heartbeat_checks.rs
+++ b/crates/controller/src/controller/heartbeat_checks.rs
@@ -20,13 +20,20 @@
 /// Checks what a report must hold for its list of tasks to be complete and its address to be used.
 pub(super) fn check_report(report: &Heartbeat) -> Result<(), HeartbeatFault> {
     let names = [&report.machine, &report.machine_type, &report.zone];
-    if names.iter().any(|name| name.is_empty() || name.len() > MAX_NAME_LENGTH) {
+    if names
+        .iter()
+        .any(|name| name.is_empty() || name.len() > MAX_NAME_LENGTH)
+    {
         return Err(HeartbeatFault::Name);
     }
     if !is_address(&report.address) {
         return Err(HeartbeatFault::Name);
     }
-    if report.tasks.iter().any(|entry| TaskId::parse(&entry.task).is_none()) {
+    if report
+        .tasks
+        .iter()
+        .any(|entry| TaskId::parse(&entry.task).is_none())
+    {
         return Err(HeartbeatFault::Task);
     }
     Ok(())
--- a/crates/controller/src/controller/heartbeats.rs
+++ b/crates/controller/src/controller/heartbeats.rs
@@ -21,12 +21,16 @@
             Ok(()) => self.heartbeat_reply(&report),
             Err(fault) => {
                 tracing::warn!(machine = report.machine, ?fault, "a report is rejected");
-                self.counters.rejections.add(MessageSource::Worker, MessageFault::Malformed);
+                self.counters
+                    .rejections
+                    .add(MessageSource::Worker, MessageFault::Malformed);
                 HeartbeatReply::Malformed
             }
         };
         if let HeartbeatReply::Redirect(_) = reply {
-            self.counters.rejections.add(MessageSource::Worker, MessageFault::Misrouted);
+            self.counters
+                .rejections
+                .add(MessageSource::Worker, MessageFault::Misrouted);
         }
         if reply == HeartbeatReply::Unavailable {
             *self.counters.refusals.entry("report").or_default() += 1;
@@ -46,7 +50,11 @@
         let entitled = self.has_recent_state_read(self.settings.lease_validity());
         let launches = self.has_recent_state_read(self.launch_validity());
         let Some(leadership) = self.leaderships.get_mut(&partition) else {
-            let leader = self.cache.partitions.get(&partition).map(|p| p.record.leader.clone());
+            let leader = self
+                .cache
+                .partitions
+                .get(&partition)
+                .map(|p| p.record.leader.clone());
             return match leader {
                 Some(leader) if leader != self.settings.name => {
                     self.record_worker_contact(partition, &name);
@@ -72,7 +80,9 @@
         {
             HeartbeatOutcome::Answered(commands) => commands,
             HeartbeatOutcome::Stale(commands) => {
-                self.counters.rejections.add(MessageSource::Worker, MessageFault::Stale);
+                self.counters
+                    .rejections
+                    .add(MessageSource::Worker, MessageFault::Stale);
                 commands
             }
             HeartbeatOutcome::Withheld => {
@@ -81,12 +91,17 @@
                 return HeartbeatReply::Unavailable;
             }
         };
-        HeartbeatReply::Answer(HeartbeatResponse { token: token.0, commands })
+        HeartbeatReply::Answer(HeartbeatResponse {
+            token: token.0,
+            commands,
+        })
     }
 
     /// For how long workers may be answered if no further read of changes succeeds.
     pub(super) fn remaining_lease_validity(&self) -> Duration {
-        let until = self.last_state_read_at.map(|at| at + self.settings.lease_validity());
+        let until = self
+            .last_state_read_at
+            .map(|at| at + self.settings.lease_validity());
         until.unwrap_or_default().duration_since(self.now)
     }
 
@@ -124,7 +139,9 @@
             return;
         }
         let now = self.now;
-        let Some(leadership) = self.leaderships.get_mut(&partition) else { return };
+        let Some(leadership) = self.leaderships.get_mut(&partition) else {
+            return;
+        };
         if leadership.is_transferring() || leadership.successor().is_some() {
             return;
         }
@@ -151,9 +168,22 @@
                     _ => None,
                 })
                 .collect();
-            let call = self.call(CallKind::Direct { partition, machine, launches });
-            let body = DirectCommands { token: token.0, session: session.0, commands };
-            self.effects.push(Effect::Worker { call, address, body, timeout: WORKER_TIMEOUT });
+            let call = self.call(CallKind::Direct {
+                partition,
+                machine,
+                launches,
+            });
+            let body = DirectCommands {
+                token: token.0,
+                session: session.0,
+                commands,
+            };
+            self.effects.push(Effect::Worker {
+                call,
+                address,
+                body,
+                timeout: WORKER_TIMEOUT,
+            });
         }
     }
 
@@ -168,8 +198,17 @@
         timeout: Duration,
     ) {
         let call = self.call(purpose);
-        let body = DirectCommands { token: token.0, session: session.0, commands: Vec::new() };
-        self.effects.push(Effect::Worker { call, address, body, timeout });
+        let body = DirectCommands {
+            token: token.0,
+            session: session.0,
+            commands: Vec::new(),
+        };
+        self.effects.push(Effect::Worker {
+            call,
+            address,
+            body,
+            timeout,
+        });
     }
 
     /// A machine was asked whether it is there.
@@ -180,9 +219,13 @@
         reply: DirectReply,
     ) {
         let now = self.now;
-        let partition_state =
-            self.leaderships.get_mut(&partition).and_then(|h| h.partition_state_mut());
-        let Some(partition_state) = partition_state else { return };
+        let partition_state = self
+            .leaderships
+            .get_mut(&partition)
+            .and_then(|h| h.partition_state_mut());
+        let Some(partition_state) = partition_state else {
+            return;
+        };
         match reply {
             DirectReply::Answered(report) => {
                 partition_state.record_probe_result(machine, true, now);
@@ -195,8 +238,12 @@
     /// An answer that proves nothing about the machine that was asked counts as none: what was sent
     /// there may yet be executed.
     fn checked_answer(&mut self, asked: &MachineName, reply: DirectReply) -> DirectReply {
-        let DirectReply::Answered(report) = &reply else { return reply };
-        let Err(fault) = check_answer(report, asked) else { return reply };
+        let DirectReply::Answered(report) = &reply else {
+            return reply;
+        };
+        let Err(fault) = check_answer(report, asked) else {
+            return reply;
+        };
         tracing::warn!(%asked, by = report.machine, ?fault, "a worker's answer is rejected");
         let fault = match fault {
             HeartbeatFault::OtherMachine => MessageFault::Misrouted,
@@ -208,7 +255,11 @@
 
     pub(super) fn handle_worker_reply(&mut self, call: CallId, reply: DirectReply) {
         match self.calls.remove(&call) {
-            Some(CallKind::Direct { partition, machine, launches }) => {
+            Some(CallKind::Direct {
+                partition,
+                machine,
+                launches,
+            }) => {
                 let reply = self.checked_answer(&machine, reply);
                 self.handle_command_reply(partition, &machine, &launches, reply);
             }
@@ -223,7 +274,10 @@
                 let reply = self.checked_answer(&machine, reply);
                 self.handle_probe_reply(partition, &machine, reply);
             }
-            _ => self.counters.rejections.add(MessageSource::Worker, MessageFault::Stale),
+            _ => self
+                .counters
+                .rejections
+                .add(MessageSource::Worker, MessageFault::Stale),
         }
     }
 
@@ -236,8 +290,10 @@
         reply: DirectReply,
     ) {
         let now = self.now;
-        let Some(partition_state) =
-            self.leaderships.get_mut(&partition).and_then(|h| h.partition_state_mut())
+        let Some(partition_state) = self
+            .leaderships
+            .get_mut(&partition)
+            .and_then(|h| h.partition_state_mut())
         else {
             return;
         };
@@ -260,7 +316,11 @@
         let task = TaskId::parse(&entry.task)?;
         let there = entry.state != TaskState::Exited && cache.is_cancelled(task.job);
         let (task, attempt) = (entry.task.clone(), entry.attempt);
-        there.then_some(Command::Stop { task, attempt, grace_s: 0.0 })
+        there.then_some(Command::Stop {
+            task,
+            attempt,
+            grace_s: 0.0,
+        })
     };
     report.tasks.iter().filter_map(halt).collect()
 }
--- a/crates/controller/src/controller/job_archiver.rs
+++ b/crates/controller/src/controller/job_archiver.rs
@@ -36,7 +36,9 @@
         let most = self.settings.state_limits.txn_ops - 1;
         let room = self.page_entries();
         let spare = self.may_write(CallPriority::Rest, most as f64 + 1.0);
-        let Some(leadership) = self.leaderships.get_mut(&partition) else { return };
+        let Some(leadership) = self.leaderships.get_mut(&partition) else {
+            return;
+        };
         let (version, term) = (leadership.version(), leadership.term().0);
         let Some((partition_state, archiver)) = leadership.partition_state_and_archiver() else {
             return;
@@ -47,8 +49,12 @@
         }
         archiver.jobs.retain(|id| self.cache.jobs.contains_key(id));
         // One that is over by another node's word that it is cancelled waits for the record of that.
-        let all_done =
-            |id: &JobId| partition_state.jobs.get(id).is_some_and(scheduler::Job::all_done);
+        let all_done = |id: &JobId| {
+            partition_state
+                .jobs
+                .get(id)
+                .is_some_and(scheduler::Job::all_done)
+        };
         let recorded = |id: &&JobId| self.cache.is_cancelled(**id) || all_done(id);
         let over: BTreeSet<JobId> = archiver.jobs.iter().filter(recorded).copied().collect();
         let txn = if !over.is_empty() {
@@ -62,11 +68,19 @@
             return;
         };
         let txn = txn.when(partition_key(partition), version.0);
-        let Some(leadership) = self.leaderships.get_mut(&partition) else { return };
-        let Some((_, archiver)) = leadership.partition_state_and_archiver() else { return };
+        let Some(leadership) = self.leaderships.get_mut(&partition) else {
+            return;
+        };
+        let Some((_, archiver)) = leadership.partition_state_and_archiver() else {
+            return;
+        };
         archiver.pipe.send((), txn.clone(), now, WRITE_INTERVAL);
         let purpose = CallKind::Ends { partition, term };
-        self.state(CallPriority::Accept, StateRequest::Transaction(txn), purpose);
+        self.state(
+            CallPriority::Accept,
+            StateRequest::Transaction(txn),
+            purpose,
+        );
     }
 
     /// How many ids a page takes: each has 20 digits at most.
@@ -81,8 +95,12 @@
         reply: StateReply,
     ) {
         let now = self.now;
-        let Some(leadership) = self.current(partition, term) else { return };
-        let Some((_, archiver)) = leadership.partition_state_and_archiver() else { return };
+        let Some(leadership) = self.current(partition, term) else {
+            return;
+        };
+        let Some((_, archiver)) = leadership.partition_state_and_archiver() else {
+            return;
+        };
         // Whatever came of it, the mirror shows: what is not over by then is written anew.
         if let Outcome::Again(txn) = archiver.pipe.answered(reply, now) {
             let purpose = CallKind::Ends { partition, term };
@@ -128,14 +146,27 @@
     let free = room.saturating_sub(page.len());
     for id in jobs.iter().take(free) {
         let cancelled = cache.is_cancelled(*id);
-        page.push(*id, if cancelled { JobState::Cancelled } else { JobState::Done });
+        page.push(
+            *id,
+            if cancelled {
+                JobState::Cancelled
+            } else {
+                JobState::Done
+            },
+        );
     }
     let key = terminal_jobs_key(partition, number);
     let mut txn = Transaction::default().when(&key, page_version);
     for (node, _) in nodes {
-        txn = txn.when(cancellations_key(node), cache.cancels.get(node).map_or(0, |c| c.version.0));
+        txn = txn.when(
+            cancellations_key(node),
+            cache.cancels.get(node).map_or(0, |c| c.version.0),
+        );
     }
-    txn.write(Write::put(&key, serde_json::to_value(page).unwrap_or_default()))
+    txn.write(Write::put(
+        &key,
+        serde_json::to_value(page).unwrap_or_default(),
+    ))
 }
 
 /// Files as many final states as a transaction takes.
@@ -156,5 +187,8 @@
         let value = serde_json::to_value(FinalRecord { state }).unwrap_or_default();
         txn = txn.write(Write::put(final_key(id), value));
     }
-    Some(txn.write(Write::put(&key, serde_json::to_value(page).unwrap_or_default())))
+    Some(txn.write(Write::put(
+        &key,
+        serde_json::to_value(page).unwrap_or_default(),
+    )))
 }
--- a/crates/controller/src/controller/leadership.rs
+++ b/crates/controller/src/controller/leadership.rs
@@ -89,7 +89,13 @@
         partition_state: PartitionState,
         archiver: JobArchiver,
     ) -> Self {
-        LoadedPartition { ledger, partition_state, writing: None, archiver, more_cycles: true }
+        LoadedPartition {
+            ledger,
+            partition_state,
+            writing: None,
+            archiver,
+            more_cycles: true,
+        }
     }
 }
 
@@ -179,7 +185,9 @@
     pub(super) fn partition_state_and_archiver(
         &mut self,
     ) -> Option<(&mut PartitionState, &mut JobArchiver)> {
-        self.loaded.as_mut().map(|l| (&mut l.partition_state, &mut l.archiver))
+        self.loaded
+            .as_mut()
+            .map(|l| (&mut l.partition_state, &mut l.archiver))
     }
     /// A job is over, and that is durable.
     pub(super) fn forget_job(&mut self, id: JobId, now: Timestamp) {
@@ -294,7 +302,9 @@
         partition: PartitionId,
         term: u64,
     ) -> Option<&mut PartitionLeadership> {
-        self.leaderships.get_mut(&partition).filter(|h| h.term.0 == term)
+        self.leaderships
+            .get_mut(&partition)
+            .filter(|h| h.term.0 == term)
     }
 
     /// A job's record has changed.
@@ -303,16 +313,20 @@
             self.progress.remove(&id);
             return;
         };
-        self.logical_clock_offset = self
-            .logical_clock_offset
-            .max(Duration::from_millis(open.order().saturating_sub(self.now.as_millis())));
-        let Some(partition) = self.partition_of_team(&open.spec.team) else { return };
+        self.logical_clock_offset = self.logical_clock_offset.max(Duration::from_millis(
+            open.order().saturating_sub(self.now.as_millis()),
+        ));
+        let Some(partition) = self.partition_of_team(&open.spec.team) else {
+            return;
+        };
         let cancelled = self.cache.is_cancelled(id);
         let now = self.now;
         let until =
             self.previous_state_read_at.unwrap_or_default() + self.settings.lease_validity();
-        let Some(partition_state) =
-            self.leaderships.get_mut(&partition).and_then(|h| h.partition_state_mut())
+        let Some(partition_state) = self
+            .leaderships
+            .get_mut(&partition)
+            .and_then(|h| h.partition_state_mut())
         else {
             return;
         };
@@ -333,11 +347,15 @@
         let Some(team) = self.cache.jobs.get(&id).map(|open| open.spec.team.clone()) else {
             return;
         };
-        let Some(partition) = self.partition_of_team(&team) else { return };
+        let Some(partition) = self.partition_of_team(&team) else {
+            return;
+        };
         let now = self.now;
         let until = self.last_state_read_at.unwrap_or_default() + self.settings.lease_validity();
-        let partition_state =
-            self.leaderships.get_mut(&partition).and_then(|h| h.partition_state_mut());
+        let partition_state = self
+            .leaderships
+            .get_mut(&partition)
+            .and_then(|h| h.partition_state_mut());
         let Some(partition_state) =
             partition_state.filter(|s| s.jobs.get(&id).is_some_and(|j| !j.cancelled))
         else {
@@ -358,7 +376,9 @@
         let mut add = None;
         for (partition, leadership) in &mut self.leaderships {
             let least = leadership.token();
-            let Some(loaded) = leadership.loaded.as_mut() else { continue };
+            let Some(loaded) = leadership.loaded.as_mut() else {
+                continue;
+            };
             match &record {
                 Some(record) if record.partition == *partition => {
                     match loaded.partition_state.machines.get_mut(name) {
@@ -378,7 +398,9 @@
             let machine = self.machine_from(name, &record, term);
             if let (Some(machine), Some(partition_state)) = (
                 machine,
-                self.leaderships.get_mut(&partition).and_then(|h| h.partition_state_mut()),
+                self.leaderships
+                    .get_mut(&partition)
+                    .and_then(|h| h.partition_state_mut()),
             ) {
                 partition_state.add_machine(machine, now);
             }
@@ -410,12 +432,19 @@
                     .collect()
             })
             .unwrap_or_default();
-        let Some(leadership) = self.leaderships.get_mut(&partition) else { return };
-        if leadership.transferring_until.is_some_and(|until| now >= until) {
+        let Some(leadership) = self.leaderships.get_mut(&partition) else {
+            return;
+        };
+        if leadership
+            .transferring_until
+            .is_some_and(|until| now >= until)
+        {
             leadership.set_transferring(false);
         }
         if !ended.is_empty() {
-            leadership.unconfirmed_predecessors.retain(|s| !ended.contains(s));
+            leadership
+                .unconfirmed_predecessors
+                .retain(|s| !ended.contains(s));
             leadership.clear_predecessors(now);
         }
         if leadership.transferring || leadership.successor.is_some() {
@@ -425,8 +454,12 @@
         if leadership.loaded.is_none() {
             self.try_load_partition(partition);
         }
-        let Some(leadership) = self.leaderships.get_mut(&partition) else { return };
-        let Some(loaded) = leadership.loaded.as_mut() else { return };
+        let Some(leadership) = self.leaderships.get_mut(&partition) else {
+            return;
+        };
+        let Some(loaded) = leadership.loaded.as_mut() else {
+            return;
+        };
         if look {
             leadership.scanned_at = now;
             loaded.partition_state.drain_reclaimed_machines(now);
@@ -439,7 +472,9 @@
             loaded.more_cycles = loaded.partition_state.run_cycles(now, MAX_CYCLES_PER_STEP);
             loaded.partition_state.consolidate(now);
         }
-        self.counters.waits.append(&mut loaded.partition_state.waits);
+        self.counters
+            .waits
+            .append(&mut loaded.partition_state.waits);
         self.archive_terminal_jobs(partition);
         self.write_commit(partition);
         self.send_direct(partition);
@@ -462,10 +497,17 @@
         if self.machine_changes.held_up(now) || !self.may_write(CallPriority::Placement, 1.0) {
             return;
         }
-        let Some(leadership) = self.leaderships.get_mut(&partition) else { return };
-        let (version, term, since) =
-            (leadership.version, leadership.term.0, now.duration_since(leadership.committed_at));
-        let Some(loaded) = leadership.loaded.as_mut() else { return };
+        let Some(leadership) = self.leaderships.get_mut(&partition) else {
+            return;
+        };
+        let (version, term, since) = (
+            leadership.version,
+            leadership.term.0,
+            now.duration_since(leadership.committed_at),
+        );
+        let Some(loaded) = leadership.loaded.as_mut() else {
+            return;
+        };
         if loaded.writing.is_some() || !loaded.partition_state.has_dirty() {
             return;
         }
@@ -488,7 +530,11 @@
         loaded.writing = Some(Writing { round, written });
         leadership.committed_at = now;
         let purpose = CallKind::LedgerWrite { partition, term };
-        self.state(CallPriority::Placement, StateRequest::Transaction(txn), purpose);
+        self.state(
+            CallPriority::Placement,
+            StateRequest::Transaction(txn),
+            purpose,
+        );
     }
 
     pub(super) fn handle_commit_reply(
@@ -498,9 +544,15 @@
         reply: StateReply,
     ) {
         let now = self.now;
-        let Some(leadership) = self.current(partition, term) else { return };
-        let Some(loaded) = leadership.loaded.as_mut() else { return };
-        let Some(writing) = &loaded.writing else { return };
+        let Some(leadership) = self.current(partition, term) else {
+            return;
+        };
+        let Some(loaded) = leadership.loaded.as_mut() else {
+            return;
+        };
+        let Some(writing) = &loaded.writing else {
+            return;
+        };
         match reply {
             StateReply::Committed { revision } => {
                 loaded.ledger.commit(&writing.round, revision);
@@ -511,7 +563,11 @@
             // Either an earlier copy of this very round was applied, or the right is lost.
             StateReply::Conflict { .. } => {
                 if let Some((key, id)) = loaded.ledger.proof(&writing.round) {
-                    let purpose = CallKind::LedgerProof { partition, term, id };
+                    let purpose = CallKind::LedgerProof {
+                        partition,
+                        term,
+                        id,
+                    };
                     self.state(CallPriority::Placement, StateRequest::Get { key }, purpose);
                 }
             }
@@ -539,9 +595,15 @@
         id: CommitId,
         reply: StateReply,
     ) {
-        let Some(leadership) = self.current(partition, term) else { return };
-        let Some(loaded) = leadership.loaded.as_mut() else { return };
-        let Some(writing) = &loaded.writing else { return };
+        let Some(leadership) = self.current(partition, term) else {
+            return;
+        };
+        let Some(loaded) = leadership.loaded.as_mut() else {
+            return;
+        };
+        let Some(writing) = &loaded.writing else {
+            return;
+        };
         match reply {
             StateReply::Item(item) if PlacementLog::proves(&item.value, id) => {
                 loaded.ledger.commit(&writing.round, item.version);
@@ -551,7 +613,11 @@
             StateReply::Item(_) | StateReply::Missing => self.reload_partition(partition),
             _ => {
                 if let Some((key, id)) = loaded.ledger.proof(&writing.round) {
-                    let purpose = CallKind::LedgerProof { partition, term, id };
+                    let purpose = CallKind::LedgerProof {
+                        partition,
+                        term,
+                        id,
+                    };
                     let request = StateRequest::Get { key };
                     self.retry_later(
                         Duration::from_millis(150),
@@ -569,8 +635,12 @@
         let now = self.now;
         // Workers report every 1.25 times the interval at the latest; their leases run meanwhile.
         let silence = Duration::from_millis(self.settings.workers.report.whole_millis() * 2 + 500);
-        let Some(leadership) = self.leaderships.get(&partition) else { return false };
-        let Some(partition_state) = leadership.partition_state() else { return false };
+        let Some(leadership) = self.leaderships.get(&partition) else {
+            return false;
+        };
+        let Some(partition_state) = leadership.partition_state() else {
+            return false;
+        };
         // Machines that boot say nothing about us.
         let known = partition_state
             .machines
@@ -580,7 +650,9 @@
         for machine in known {
             all += 1;
             silent += u32::from(
-                machine.last_heartbeat_at.is_none_or(|at| now.duration_since(at) > silence),
+                machine
+                    .last_heartbeat_at
+                    .is_none_or(|at| now.duration_since(at) > silence),
             );
         }
         // Workers turn elsewhere while we stand still, and need as long to find us again.
@@ -593,11 +665,20 @@
     /// Asks machines that have been quiet whether they are there.
     fn probe_unresponsive_machines(&mut self, partition: PartitionId) {
         let now = self.now;
-        let Some(leadership) = self.leaderships.get_mut(&partition) else { return };
+        let Some(leadership) = self.leaderships.get_mut(&partition) else {
+            return;
+        };
         let since = leadership.since;
-        let Some(partition_state) = leadership.partition_state_mut() else { return };
+        let Some(partition_state) = leadership.partition_state_mut() else {
+            return;
+        };
         for question in partition_state.machines_to_probe(since, now) {
-            let Probe { machine, address, token, session } = question;
+            let Probe {
+                machine,
+                address,
+                token,
+                session,
+            } = question;
             let purpose = CallKind::Ask { partition, machine };
             self.send_probe(address, token, session, purpose, PROBE_TIMEOUT);
         }
@@ -613,13 +694,17 @@
             Duration::from_millis(report.whole_millis() * 9 / 4 + 500),
         );
         let contact = self.has_recent_state_read(super::MAX_LAUNCH_READ_AGE);
-        let Some(leadership) = self.leaderships.get_mut(&partition) else { return };
+        let Some(leadership) = self.leaderships.get_mut(&partition) else {
+            return;
+        };
         // Workers need a moment to find a new holder, or one that stood still.
         let since = leadership.since.max(self.running_since);
         if !contact {
             return;
         }
-        let Some(loaded) = leadership.loaded.as_mut() else { return };
+        let Some(loaded) = leadership.loaded.as_mut() else {
+            return;
+        };
         let mut silent = loaded.partition_state.lost_machines();
         if now.duration_since(since) >= patience + Duration::from_millis(1_500) {
             silent.extend(
@@ -640,14 +725,17 @@
 
     /// Machines whose lost direct launches can only be voided by a higher token.
     fn request_token_raises(&mut self, partition: PartitionId) {
-        let Some(partition_state) =
-            self.leaderships.get(&partition).and_then(|h| h.partition_state())
+        let Some(partition_state) = self
+            .leaderships
+            .get(&partition)
+            .and_then(|h| h.partition_state())
         else {
             return;
         };
         for machine in partition_state.machines.values() {
             if machine.needs_higher_token() {
-                self.machine_changes.want(&machine.name, MachineChange::Raise);
+                self.machine_changes
+                    .want(&machine.name, MachineChange::Raise);
             }
         }
     }
@@ -658,9 +746,14 @@
     /// its term stay as they are.
     fn raise_partition_token(&mut self, partition: PartitionId) {
         let now = self.now;
-        let Some(leadership) = self.leaderships.get_mut(&partition) else { return };
+        let Some(leadership) = self.leaderships.get_mut(&partition) else {
+            return;
+        };
         let keeps = |partition_state: &PartitionState| {
-            partition_state.machines.values().any(|m| m.retains_exited_tasks(now))
+            partition_state
+                .machines
+                .values()
+                .any(|m| m.retains_exited_tasks(now))
         };
         if leadership.raising
             || now < leadership.raise_at
@@ -671,15 +764,28 @@
         (leadership.raising, leadership.raise_at) = (true, now + TOKEN_RAISE_INTERVAL);
         let (version, term) = (leadership.version.0, leadership.term.0);
         let token = self.cache.next_token();
-        let mut counter = self.cache.counter.as_ref().map(|c| c.record.clone()).unwrap_or_default();
+        let mut counter = self
+            .cache
+            .counter
+            .as_ref()
+            .map(|c| c.record.clone())
+            .unwrap_or_default();
         counter.next = token + 1;
         let value = serde_json::to_value(counter).unwrap_or_default();
         let txn = Transaction::default()
             .when(partition_key(partition), version)
             .when(COUNTER, self.cache.counter_version())
             .write(Write::put(COUNTER, value));
-        let purpose = CallKind::RaiseAll { partition, term, token };
-        self.state(CallPriority::Placement, StateRequest::Transaction(txn), purpose);
+        let purpose = CallKind::RaiseAll {
+            partition,
+            term,
+            token,
+        };
+        self.state(
+            CallPriority::Placement,
+            StateRequest::Transaction(txn),
+            purpose,
+        );
     }
 
     pub(super) fn handle_token_raised(
@@ -689,14 +795,19 @@
         token: u64,
         reply: StateReply,
     ) {
-        let Some(leadership) = self.current(partition, term) else { return };
+        let Some(leadership) = self.current(partition, term) else {
+            return;
+        };
         leadership.raising = false;
         // Whatever else came of it: a number that nobody uses, and another is taken.
         if let StateReply::Committed { .. } = reply {
             leadership.raised = leadership.raised.max(FencingToken(token));
             let token = leadership.token();
             if let Some(partition_state) = leadership.partition_state_mut() {
-                partition_state.machines.values_mut().for_each(|m| m.token = m.token.max(token));
+                partition_state
+                    .machines
+                    .values_mut()
+                    .for_each(|m| m.token = m.token.max(token));
             }
         }
     }
@@ -709,14 +820,21 @@
         };
         let partition = record.partition;
         if to.is_some_and(|to| to >= self.partition_count()) {
-            self.counters.rejections.add(MessageSource::Peer, MessageFault::Malformed);
+            self.counters
+                .rejections
+                .add(MessageSource::Peer, MessageFault::Malformed);
             return;
         }
-        let Some(loaded) = self.leaderships.get_mut(&partition).and_then(|h| h.loaded.as_mut())
+        let Some(loaded) = self
+            .leaderships
+            .get_mut(&partition)
+            .and_then(|h| h.loaded.as_mut())
         else {
             return;
         };
-        let Some(machine) = loaded.partition_state.machines.get_mut(&name) else { return };
+        let Some(machine) = loaded.partition_state.machines.get_mut(&name) else {
+            return;
+        };
         if !machine.tasks.is_empty() || machine.leaving || self.machine_changes.concern(&name) {
             return;
         }
@@ -725,21 +843,34 @@
         match to {
             None => self.machine_changes.want(&name, MachineChange::Leave),
             Some(other) => {
-                self.machine_changes.want(&name, MachineChange::Shift(PartitionId(other)));
+                self.machine_changes
+                    .want(&name, MachineChange::Shift(PartitionId(other)));
             }
         }
     }
 
     /// The leader asks for machines as they empty, for a partition that has greater need.
     pub(super) fn handle_transfer_request(&mut self, message: &MeshMessage) {
-        let MeshMessage::TransferMachines { from, to, count, shape } = message else { return };
+        let MeshMessage::TransferMachines {
+            from,
+            to,
+            count,
+            shape,
+        } = message
+        else {
+            return;
+        };
         if *to >= self.partition_count() || from == to {
-            self.counters.rejections.add(MessageSource::Peer, MessageFault::Malformed);
+            self.counters
+                .rejections
+                .add(MessageSource::Peer, MessageFault::Malformed);
             return;
         }
         let now = self.now;
-        let partition_state =
-            self.leaderships.get_mut(&PartitionId(*from)).and_then(|h| h.partition_state_mut());
+        let partition_state = self
+            .leaderships
+            .get_mut(&PartitionId(*from))
+            .and_then(|h| h.partition_state_mut());
         if let Some(partition_state) = partition_state {
             partition_state.request_transfers(PartitionId(*to), *count as usize, shape, now);
         }
@@ -748,8 +879,10 @@
     /// Hands over machines that were asked for and are empty now.
     fn transfer_drained_machines(&mut self, partition: PartitionId) {
         let now = self.now;
-        let Some(partition_state) =
-            self.leaderships.get_mut(&partition).and_then(|h| h.partition_state_mut())
+        let Some(partition_state) = self
+            .leaderships
+            .get_mut(&partition)
+            .and_then(|h| h.partition_state_mut())
         else {
             return;
         };
@@ -779,17 +912,28 @@
         self.demand_at.insert(partition, (self.now, lacks));
         let mut demand = load.demand;
         demand.truncate(MAX_DEMAND_SHAPES);
-        let record = DemandRecord { term: load.term, demand };
+        let record = DemandRecord {
+            term: load.term,
+            demand,
+        };
         let value = serde_json::to_value(record).unwrap_or_default();
         // Late, it would name a want that has been met, or that of an earlier holder.
         let right = self.leaderships.get(&partition).map_or(0, |h| h.version.0);
-        let version = self.cache.demands.get(&partition).map_or(0, |version| version.0);
+        let version = self
+            .cache
+            .demands
+            .get(&partition)
+            .map_or(0, |version| version.0);
         let key = demand_key(partition);
         let txn = Transaction::default()
             .when(partition_key(partition), right)
             .when(&key, version)
             .write(Write::put(&key, value));
-        self.state(CallPriority::Placement, StateRequest::Transaction(txn), CallKind::Demand);
+        self.state(
+            CallPriority::Placement,
+            StateRequest::Transaction(txn),
+            CallKind::Demand,
+        );
     }
 
     /// What each of our partitions lacks and could spare, and how far its jobs are.
@@ -799,12 +943,17 @@
         let mut loads = Vec::new();
         let mut jobs = Vec::new();
         for (partition, leadership) in &mut self.leaderships {
-            let Some(loaded) = leadership.loaded.as_mut() else { continue };
+            let Some(loaded) = leadership.loaded.as_mut() else {
+                continue;
+            };
             // A change of a record that came to nothing leaves the machine as recorded.
             for machine in loaded.partition_state.machines.values_mut() {
                 if machine.leaving && !self.machine_changes.concern(&machine.name) {
-                    machine.leaving =
-                        self.cache.machines.get(&machine.name).is_some_and(|m| m.record.leaving);
+                    machine.leaving = self
+                        .cache
+                        .machines
+                        .get(&machine.name)
+                        .is_some_and(|m| m.record.leaving);
                 }
             }
             if now.as_millis() % 5_000 < 500 {
@@ -820,9 +969,18 @@
                 machines: loaded.partition_state.machine_statuses(now),
             });
             jobs.extend(
-                loaded.partition_state.jobs.iter().filter(|(_, j)| !j.placed.is_empty()).map(
-                    |(id, job)| (id.0, u64::from(job.done_count()), u64::from(job.running_count())),
-                ),
+                loaded
+                    .partition_state
+                    .jobs
+                    .iter()
+                    .filter(|(_, j)| !j.placed.is_empty())
+                    .map(|(id, job)| {
+                        (
+                            id.0,
+                            u64::from(job.done_count()),
+                            u64::from(job.running_count()),
+                        )
+                    }),
             );
         }
         if !jobs.is_empty() {
--- a/crates/controller/src/controller/linearizable_reads.rs
+++ b/crates/controller/src/controller/linearizable_reads.rs
@@ -71,12 +71,19 @@
             reads.compare_next = now + pace;
             // Four conditions are allowed for each change.
             let most = self.settings.state_limits.txn_ops * 4;
-            let ids: BTreeSet<JobId> =
-                reads.not_open.iter().map(|request| request.id).take(most).collect();
-            let requests =
-                reads.not_open.extract_if(.., |request| ids.contains(&request.id)).collect();
-            let txn =
-                ids.iter().fold(Transaction::default(), |txn, id| txn.when(final_key(*id), 0));
+            let ids: BTreeSet<JobId> = reads
+                .not_open
+                .iter()
+                .map(|request| request.id)
+                .take(most)
+                .collect();
+            let requests = reads
+                .not_open
+                .extract_if(.., |request| ids.contains(&request.id))
+                .collect();
+            let txn = ids.iter().fold(Transaction::default(), |txn, id| {
+                txn.when(final_key(*id), 0)
+            });
             self.state(
                 CallPriority::Accept,
                 StateRequest::Transaction(txn),
@@ -215,7 +222,9 @@
                 Err(_) => self.busy(request.ticket, 5),
             },
             StateReply::Missing => match request.kind {
-                RequestKind::Resubmit { reject: Some(reason) } => {
+                RequestKind::Resubmit {
+                    reject: Some(reason),
+                } => {
                     self.reply_user(request.ticket, UserReply::Rejected(reason));
                 }
                 RequestKind::Resubmit { reject: None } | RequestKind::Accepted => {
--- a/crates/controller/src/controller/load_partition.rs
+++ b/crates/controller/src/controller/load_partition.rs
@@ -32,17 +32,25 @@
         after: String,
     ) -> Option<(StateRequest, CallKind)> {
         let term = self.leaderships.get(&partition)?.term().0;
-        let request = StateRequest::List { prefix: log_prefix(partition), after, limit: 100 };
+        let request = StateRequest::List {
+            prefix: log_prefix(partition),
+            after,
+            limit: 100,
+        };
         Some((request, CallKind::LedgerList { partition, term }))
     }
 
     fn list_log_pages(&mut self, partition: PartitionId, after: String) {
-        let Some((request, purpose)) = self.log_page_request(partition, after) else { return };
+        let Some((request, purpose)) = self.log_page_request(partition, after) else {
+            return;
+        };
         self.state(CallPriority::Lease, request, purpose);
     }
 
     fn restart_log_read(&mut self, partition: PartitionId, after: Duration) {
-        let Some(leadership) = self.leaderships.get_mut(&partition) else { return };
+        let Some(leadership) = self.leaderships.get_mut(&partition) else {
+            return;
+        };
         leadership.start_reading();
         let Some((request, purpose)) = self.log_page_request(partition, String::new()) else {
             return;
@@ -51,9 +59,13 @@
     }
 
     pub(super) fn handle_log_page(&mut self, partition: PartitionId, term: u64, reply: StateReply) {
-        let (bytes, ops) =
-            (self.settings.state_limits.value_bytes, self.settings.state_limits.txn_ops);
-        let Some(leadership) = self.current(partition, term) else { return };
+        let (bytes, ops) = (
+            self.settings.state_limits.value_bytes,
+            self.settings.state_limits.txn_ops,
+        );
+        let Some(leadership) = self.current(partition, term) else {
+            return;
+        };
         let StateReply::List(page) = reply else {
             self.restart_log_read(partition, LOG_READ_RETRY_INTERVAL);
             return;
@@ -61,7 +73,9 @@
         let last = leadership.pages.last().map_or("", |item| item.key.as_str());
         if !page.follows(&log_prefix(partition), last) {
             tracing::error!(%partition, last, "a page of the ledger's read does not follow the one before");
-            self.counters.rejections.add(MessageSource::State, MessageFault::Malformed);
+            self.counters
+                .rejections
+                .add(MessageSource::State, MessageFault::Malformed);
             self.restart_log_read(partition, LOG_READ_RETRY_INTERVAL);
             return;
         }
@@ -88,11 +102,18 @@
     /// Builds the share once all checks hold. Until then workers are answered, with no orders but
     /// the halts of what is recorded as cancelled.
     pub(super) fn try_load_partition(&mut self, partition: PartitionId) {
-        let Some(facts) = self.leadership_facts(partition) else { return };
+        let Some(facts) = self.leadership_facts(partition) else {
+            return;
+        };
         let failed = failed_checks(&facts);
-        let Some(leadership) = self.leaderships.get_mut(&partition) else { return };
+        let Some(leadership) = self.leaderships.get_mut(&partition) else {
+            return;
+        };
         if failed != leadership.failed_checks && !failed.is_empty() {
-            let unreadable = leadership.read.as_ref().map(|(_, ledger)| ledger.unreadable());
+            let unreadable = leadership
+                .read
+                .as_ref()
+                .map(|(_, ledger)| ledger.unreadable());
             tracing::warn!(%partition, open = ?failed, ?unreadable, "not ready to decide");
         }
         leadership.failed_checks.clone_from(&failed);
@@ -116,7 +137,12 @@
                 && record.term == leadership.term().0
         };
         Some(LeadershipFacts {
-            mirrored_record: self.cache.partitions.get(&partition).filter(ours).map(|p| p.version),
+            mirrored_record: self
+                .cache
+                .partitions
+                .get(&partition)
+                .filter(ours)
+                .map(|p| p.version),
             own_version: leadership.version(),
             term: leadership.term(),
             next_token: FencingToken(self.cache.next_token()),
@@ -131,8 +157,12 @@
     /// Builds the share from the records, the ledger, the reports that came meanwhile and what the
     /// holder before us has told, all checks passed.
     fn build_partition_state(&mut self, partition: PartitionId) {
-        let Some(mut leadership) = self.leaderships.remove(&partition) else { return };
-        let Some((_, mut ledger)) = leadership.read.take() else { return };
+        let Some(mut leadership) = self.leaderships.remove(&partition) else {
+            return;
+        };
+        let Some((_, mut ledger)) = leadership.read.take() else {
+            return;
+        };
         let teams: Vec<_> = self
             .settings
             .teams
@@ -192,8 +222,11 @@
             followed,
             "partition ready"
         );
-        leadership.loaded =
-            Some(Box::new(LoadedPartition::new(ledger, partition_state, JobArchiver::default())));
+        leadership.loaded = Some(Box::new(LoadedPartition::new(
+            ledger,
+            partition_state,
+            JobArchiver::default(),
+        )));
         self.leaderships.insert(partition, leadership);
     }
 
@@ -204,7 +237,10 @@
             let named = types.record.types.iter().flat_map(|t| &t.zones);
             zones.extend(named.map(|zone| ZoneName::from(zone.as_str())));
         }
-        let home = self.nodes.get(partition.0 as usize).map(|(_, zone)| zone.clone());
+        let home = self
+            .nodes
+            .get(partition.0 as usize)
+            .map(|(_, zone)| zone.clone());
         zones.sort_by_key(|zone| (Some(zone) != home.as_ref(), zone.clone()));
         zones.dedup();
         zones
@@ -235,18 +271,25 @@
     /// Our idea of the partition is wrong: it is taken anew. Under the same term attempts would be
     /// numbered like those already launched, and what we have sent would be executed still.
     pub(super) fn reload_partition(&mut self, partition: PartitionId) {
-        let Some(leadership) = self.leaderships.remove(&partition) else { return };
+        let Some(leadership) = self.leaderships.remove(&partition) else {
+            return;
+        };
         tracing::warn!(%partition, term = %leadership.term(), "taking the partition anew");
         // Not taken up again under this term.
         self.relinquished_terms.insert(partition, leadership.term());
-        self.renewed.insert(partition, (leadership.term(), Timestamp::default()));
+        self.renewed
+            .insert(partition, (leadership.term(), Timestamp::default()));
         self.renew_term(partition);
     }
 
     /// Takes a partition whose record names us under the next term.
     pub(super) fn renew_term(&mut self, partition: PartitionId) {
-        let Some((wrong, tried)) = self.renewed.get(&partition).copied() else { return };
-        let Some(held) = self.cache.partitions.get(&partition) else { return };
+        let Some((wrong, tried)) = self.renewed.get(&partition).copied() else {
+            return;
+        };
+        let Some(held) = self.cache.partitions.get(&partition) else {
+            return;
+        };
         let version = held.version.0;
         if FencingToken(held.record.term) != wrong {
             self.renewed.remove(&partition);
--- a/crates/controller/src/controller/machine_records.rs
+++ b/crates/controller/src/controller/machine_records.rs
@@ -61,12 +61,16 @@
     /// whenever a put is free, then let it pass: a node that had taken over a second partition did not
     /// get to give up its dead machines for 10 s, and their tasks waited for that.
     pub fn held_up(&self, now: Timestamp) -> bool {
-        self.held_up_since.is_some_and(|at| now.duration_since(at) >= MAX_WRITE_DELAY)
+        self.held_up_since
+            .is_some_and(|at| now.duration_since(at) >= MAX_WRITE_DELAY)
     }
 
     /// Whether the machine is about to leave its share.
     pub fn take_away(&self, name: &MachineName) -> bool {
-        matches!(self.wanted.get(name), Some(MachineChange::Leave | MachineChange::Shift(_)))
+        matches!(
+            self.wanted.get(name),
+            Some(MachineChange::Leave | MachineChange::Shift(_))
+        )
     }
 }
 
@@ -111,16 +115,24 @@
         }
         self.machine_changes.held_up_since = None;
         let wanted = std::mem::take(&mut self.machine_changes.wanted);
-        let wanted: BTreeMap<MachineName, MachineChange> =
-            wanted.into_iter().filter(|(name, change)| self.still_wanted(name, change)).collect();
+        let wanted: BTreeMap<MachineName, MachineChange> = wanted
+            .into_iter()
+            .filter(|(name, change)| self.still_wanted(name, change))
+            .collect();
         let txn = self.machines_txn(&wanted);
         // They stay wanted, and so known to be under way, until the mirror shows them done.
         self.machine_changes.wanted = wanted;
         if txn.writes.is_empty() {
             return;
         }
-        self.machine_changes.pipe.send((), txn.clone(), now, WRITE_INTERVAL);
-        self.state(CallPriority::Placement, StateRequest::Transaction(txn), CallKind::Machines);
+        self.machine_changes
+            .pipe
+            .send((), txn.clone(), now, WRITE_INTERVAL);
+        self.state(
+            CallPriority::Placement,
+            StateRequest::Transaction(txn),
+            CallKind::Machines,
+        );
     }
 
     /// Writes as many of the changes as a transaction takes.
@@ -130,8 +142,14 @@
         let token = self.cache.next_token();
         let mut pages: BTreeMap<u32, BTreeMap<&MachineName, MachineRecord>> = BTreeMap::new();
         let mut rights: BTreeSet<PartitionId> = BTreeSet::new();
-        let grows = wanted.values().any(|change| matches!(change, MachineChange::Create(_)));
-        let mut filled = if grows { self.filled_pages() } else { BTreeMap::new() };
+        let grows = wanted
+            .values()
+            .any(|change| matches!(change, MachineChange::Create(_)));
+        let mut filled = if grows {
+            self.filled_pages()
+        } else {
+            BTreeMap::new()
+        };
         let mut new_token = false;
         for (name, change) in wanted {
             let known = self.cache.machines.get(name);
@@ -140,7 +158,10 @@
                 (None, MachineChange::Create(record)) => {
                     let size = PackedMachine::max_packed_size(name, record);
                     let fits = |filled: &usize| filled + size <= room;
-                    let found = filled.iter().find(|(_, filled)| fits(filled)).map(|(p, _)| *p);
+                    let found = filled
+                        .iter()
+                        .find(|(_, filled)| fits(filled))
+                        .map(|(p, _)| *p);
                     let fresh = || filled.keys().next_back().map_or(0, |last| last + 1);
                     let page = found.unwrap_or_else(fresh);
                     if pages.contains_key(&page) || pages.len() < most_pages {
@@ -180,29 +201,49 @@
         }
         let mut txn = Transaction::default();
         for partition in rights {
-            let version = self.leaderships.get(&partition).map_or(0, |h| h.version().0);
+            let version = self
+                .leaderships
+                .get(&partition)
+                .map_or(0, |h| h.version().0);
             txn = txn.when(partition_key(partition), version);
         }
         for (page, records) in pages {
-            let machines =
-                records.iter().map(|(name, record)| PackedMachine::new(name, record)).collect();
-            let version = self.cache.machine_pages.get(&page).map_or(0, |p| p.version.0);
+            let machines = records
+                .iter()
+                .map(|(name, record)| PackedMachine::new(name, record))
+                .collect();
+            let version = self
+                .cache
+                .machine_pages
+                .get(&page)
+                .map_or(0, |p| p.version.0);
             let value = serde_json::to_value(MachinesPage { machines }).unwrap_or_default();
             let key = machines_key(page);
             txn = txn.when(&key, version).write(Write::put(&key, value));
         }
         if new_token {
-            let mut counter =
-                self.cache.counter.as_ref().map(|c| c.record.clone()).unwrap_or_default();
+            let mut counter = self
+                .cache
+                .counter
+                .as_ref()
+                .map(|c| c.record.clone())
+                .unwrap_or_default();
             counter.next = token + 1;
             let value = serde_json::to_value(counter).unwrap_or_default();
-            txn = txn.when(COUNTER, self.cache.counter_version()).write(Write::put(COUNTER, value));
+            txn = txn
+                .when(COUNTER, self.cache.counter_version())
+                .write(Write::put(COUNTER, value));
         }
         txn
     }
 
     fn page_records(&self, page: u32) -> BTreeMap<&MachineName, MachineRecord> {
-        let names = self.cache.machine_pages.get(&page).into_iter().flat_map(|p| &p.record.names);
+        let names = self
+            .cache
+            .machine_pages
+            .get(&page)
+            .into_iter()
+            .flat_map(|p| &p.record.names);
         names
             .filter_map(|name| Some((name, self.cache.machines.get(name)?.record.clone())))
             .collect()
@@ -210,7 +251,11 @@
 
     /// How full each page is.
     fn filled_pages(&self) -> BTreeMap<u32, usize> {
-        self.cache.machine_pages.iter().map(|(page, of)| (*page, of.record.filled)).collect()
+        self.cache
+            .machine_pages
+            .iter()
+            .map(|(page, of)| (*page, of.record.filled))
+            .collect()
     }
 
     pub(super) fn handle_machine_records_written(&mut self, reply: StateReply) {
--- a/crates/controller/src/controller/membership.rs
+++ b/crates/controller/src/controller/membership.rs
@@ -122,9 +122,14 @@
     /// Takes a partition whose record stands, if its holder is known to be over or suspected to
     /// have crashed.
     fn try_early_failover(&mut self, partition: PartitionId) {
-        let Some(held) = self.cache.partitions.get(&partition) else { return };
-        let (leader, incarnation, version) =
-            (held.record.leader.clone(), held.record.incarnation, held.version.0);
+        let Some(held) = self.cache.partitions.get(&partition) else {
+            return;
+        };
+        let (leader, incarnation, version) = (
+            held.record.leader.clone(),
+            held.record.incarnation,
+            held.version.0,
+        );
         let soon = self.now.duration_since(self.standby.tried_at) < FAILOVER_ATTEMPT_INTERVAL;
         if self.acquiring.contains(&partition) || self.is_backing_off_from(partition) || soon {
             return;
@@ -166,10 +171,12 @@
     }
 
     fn is_backing_off_from(&self, partition: PartitionId) -> bool {
-        self.reacquisition_backoffs.get(&partition).is_some_and(|backoff| {
-            let for_good = backoff.until + MAX_REACQUISITION_BACKOFF;
-            self.now < backoff.until || (!backoff.reached && self.now < for_good)
-        })
+        self.reacquisition_backoffs
+            .get(&partition)
+            .is_some_and(|backoff| {
+                let for_good = backoff.until + MAX_REACQUISITION_BACKOFF;
+                self.now < backoff.until || (!backoff.reached && self.now < for_good)
+            })
     }
 
     /// Calls some workers of partitions that we gave up. Taking one back while they still do not
@@ -183,12 +190,23 @@
                 && now < backoff.until + MAX_REACQUISITION_BACKOFF;
             if waits && now.duration_since(backoff.probed_at) >= REACHABILITY_PROBE_INTERVAL {
                 backoff.probed_at = now;
-                due.extend(backoff.workers.iter().map(|worker| (*partition, worker.clone())));
+                due.extend(
+                    backoff
+                        .workers
+                        .iter()
+                        .map(|worker| (*partition, worker.clone())),
+                );
             }
         }
         for (partition, (machine, address)) in due {
             let purpose = CallKind::Probe { partition, machine };
-            self.send_probe(address, FencingToken(0), WorkerEpoch(0), purpose, WORKER_TIMEOUT);
+            self.send_probe(
+                address,
+                FencingToken(0),
+                WorkerEpoch(0),
+                purpose,
+                WORKER_TIMEOUT,
+            );
         }
     }
 
@@ -231,7 +249,9 @@
             let lives = self.now.duration_since(peer.last_seen_at) <= PEER_TIMEOUT;
             peer.ready && peer.state_contact && lives && !gave_up(name)
         });
-        let Some(leadership) = self.leaderships.get_mut(&partition) else { return };
+        let Some(leadership) = self.leaderships.get_mut(&partition) else {
+            return;
+        };
         if !others || !leadership.may_transfer() {
             return;
         }
@@ -240,8 +260,9 @@
         // takes it next counts our answers until we show that we know.
         leadership.set_transferring(true);
         let key = partition_key(partition);
-        let txn =
-            Transaction::default().when(&key, leadership.version().0).write(Write::delete(&key));
+        let txn = Transaction::default()
+            .when(&key, leadership.version().0)
+            .write(Write::delete(&key));
         let workers = leadership
             .partition_state()
             .map(|partition_state| partition_state.addresses(REACHABILITY_PROBE_COUNT))
@@ -257,7 +278,9 @@
             ..ReacquisitionBackoff::default()
         };
         self.reacquisition_backoffs.insert(partition, backoff);
-        self.broadcast(MeshMessage::LeadershipResigned { partition: partition.0 });
+        self.broadcast(MeshMessage::LeadershipResigned {
+            partition: partition.0,
+        });
         self.state(
             CallPriority::Lease,
             StateRequest::Transaction(txn),
@@ -266,7 +289,9 @@
     }
 
     pub(super) fn handle_resignation_reply(&mut self, partition: PartitionId, reply: StateReply) {
-        let Some(leadership) = self.leaderships.get_mut(&partition) else { return };
+        let Some(leadership) = self.leaderships.get_mut(&partition) else {
+            return;
+        };
         match reply {
             // The watch brings the end of it.
             StateReply::Committed { .. } => {
@@ -286,9 +311,15 @@
     /// How long we leave a vacant partition to others: its home node goes first, then who stood by
     /// for it, then the node with the fewest partitions.
     fn acquisition_delay(&self, partition: PartitionId) -> Duration {
-        let Some(home) = self.preferred_leader(partition) else { return Duration::ZERO };
+        let Some(home) = self.preferred_leader(partition) else {
+            return Duration::ZERO;
+        };
         if home == self.own_name() {
-            return if self.defers_to_peers() { CRASH_LOOP_GRACE } else { Duration::ZERO };
+            return if self.defers_to_peers() {
+                CRASH_LOOP_GRACE
+            } else {
+                Duration::ZERO
+            };
         }
         let mut wait = Duration::ZERO;
         if !self.peers.contains_key(home) && self.now.as_millis() < 3_000 {
@@ -298,7 +329,11 @@
             wait = PREFERRED_LEADER_GRACE;
         }
         let burden = |name: &ControllerName| {
-            self.cache.partitions.values().filter(|p| p.record.leader == *name).count()
+            self.cache
+                .partitions
+                .values()
+                .filter(|p| p.record.leader == *name)
+                .count()
         };
         // Who stood by for it last knows most of it.
         let standby = self.standby.assigned.get(&partition);
@@ -319,7 +354,10 @@
 
     fn was_resigned(&self, partition: PartitionId) -> bool {
         let by = self.resigned_at.get(&partition);
-        by.is_some_and(|by| by.values().any(|at| self.now.duration_since(*at) < UNCLAIMED_AFTER))
+        by.is_some_and(|by| {
+            by.values()
+                .any(|at| self.now.duration_since(*at) < UNCLAIMED_AFTER)
+        })
     }
 
     /// Writes a partition's record under the next term and under its new holder's lease,
@@ -331,9 +369,16 @@
         record: &PartitionRecord,
         lease: u64,
     ) -> Transaction {
-        let mut counter = self.cache.counter.as_ref().map(|c| c.record.clone()).unwrap_or_default();
+        let mut counter = self
+            .cache
+            .counter
+            .as_ref()
+            .map(|c| c.record.clone())
+            .unwrap_or_default();
         counter.next = record.term + 1;
-        counter.takers.insert(partition.0, (record.leader.clone(), record.incarnation));
+        counter
+            .takers
+            .insert(partition.0, (record.leader.clone(), record.incarnation));
         counter
             .unconfirmed_predecessors
             .insert(partition.0, record.unconfirmed_predecessors.clone());
@@ -368,9 +413,15 @@
 
     /// Earlier holders of a partition that may not know yet that they have lost it.
     fn unconfirmed_predecessors_of(&self, partition: PartitionId) -> Vec<(ControllerName, u64)> {
-        let Some(counter) = &self.cache.counter else { return Vec::new() };
-        let mut unconfirmed_predecessors: Vec<(ControllerName, u64)> =
-            counter.record.unconfirmed_predecessors.get(&partition.0).cloned().unwrap_or_default();
+        let Some(counter) = &self.cache.counter else {
+            return Vec::new();
+        };
+        let mut unconfirmed_predecessors: Vec<(ControllerName, u64)> = counter
+            .record
+            .unconfirmed_predecessors
+            .get(&partition.0)
+            .cloned()
+            .unwrap_or_default();
         unconfirmed_predecessors.extend(counter.record.takers.get(&partition.0).cloned());
         // What we answered ourselves ended when we lost it.
         unconfirmed_predecessors.retain(|predecessor| {
@@ -382,7 +433,10 @@
 
     /// Whether this incarnation is known to be over: a later one has announced itself.
     pub(super) fn incarnation_is_over(&self, (name, incarnation): &(ControllerName, u64)) -> bool {
-        self.cache.incarnations.get(name).is_some_and(|b| b.record.incarnation != *incarnation)
+        self.cache
+            .incarnations
+            .get(name)
+            .is_some_and(|b| b.record.incarnation != *incarnation)
     }
 
     pub(super) fn handle_acquisition_reply(&mut self, partition: PartitionId, reply: &StateReply) {
@@ -420,7 +474,11 @@
         if self.relinquished_terms.get(&partition) == Some(&term) {
             return;
         }
-        if self.leaderships.get(&partition).is_some_and(|h| h.term() == term) {
+        if self
+            .leaderships
+            .get(&partition)
+            .is_some_and(|h| h.term() == term)
+        {
             if let Some(leadership) = self.leaderships.get_mut(&partition) {
                 leadership.set_version(held.version);
             }
@@ -437,8 +495,13 @@
             self.now + self.settings.lease_validity().with_clock_drift()
         };
         tracing::info!(%partition, %term, unconfirmed_predecessors = unconfirmed_predecessors.len(), "took a partition");
-        let leadership =
-            PartitionLeadership::new(term, held.version, until, unconfirmed_predecessors, self.now);
+        let leadership = PartitionLeadership::new(
+            term,
+            held.version,
+            until,
+            unconfirmed_predecessors,
+            self.now,
+        );
         self.leaderships.insert(partition, leadership);
         self.read_placement_log(partition);
         let message = MeshMessage::LeaderChanged {
@@ -451,12 +514,18 @@
 
     /// Offers to take our own partition back from whoever holds it for us.
     fn reclaim_preferred_partition(&mut self) {
-        let Some(number) = self.nodes.iter().position(|(name, _)| name == self.own_name()) else {
+        let Some(number) = self
+            .nodes
+            .iter()
+            .position(|(name, _)| name == self.own_name())
+        else {
             return;
         };
         let partition = PartitionId(number as u32);
         let Some(lease) = self.lease else { return };
-        let Some(held) = self.cache.partitions.get(&partition) else { return };
+        let Some(held) = self.cache.partitions.get(&partition) else {
+            return;
+        };
         if held.record.leader == *self.own_name() || self.acquiring.contains(&partition) {
             self.displaced_since = None;
             return;
@@ -467,9 +536,14 @@
         {
             return;
         }
-        let displaced_for = self.now.duration_since(*self.displaced_since.get_or_insert(self.now));
-        let known =
-            self.cache.reclaim_requests.get(&partition).is_some_and(|w| w.record.lease == lease.0);
+        let displaced_for = self
+            .now
+            .duration_since(*self.displaced_since.get_or_insert(self.now));
+        let known = self
+            .cache
+            .reclaim_requests
+            .get(&partition)
+            .is_some_and(|w| w.record.lease == lease.0);
         // Whoever hears the holder is handed it once it is warm.
         let unheard = !self.peer_is_alive(&held.record.leader)
             || displaced_for >= RECLAIM_AFTER + REPLICA_CATCH_UP_LIMIT;
@@ -483,14 +557,24 @@
             let value = serde_json::to_value(reclaim_request).unwrap_or_default();
             let write = Write::put_leased(reclaim_key(partition), value, lease.0);
             // Late, it would ask again for what has been granted, and may have moved on since.
-            let version = self.cache.reclaim_requests.get(&partition).map_or(0, |w| w.version.0);
+            let version = self
+                .cache
+                .reclaim_requests
+                .get(&partition)
+                .map_or(0, |w| w.version.0);
             let txn = Transaction::default()
                 .when(reclaim_key(partition), version)
                 .when(partition_key(partition), held.version.0)
                 .write(write);
-            self.state(CallPriority::Lease, StateRequest::Transaction(txn), CallKind::Wish);
+            self.state(
+                CallPriority::Lease,
+                StateRequest::Transaction(txn),
+                CallKind::Wish,
+            );
         }
-        let Some(held) = self.cache.partitions.get(&partition) else { return };
+        let Some(held) = self.cache.partitions.get(&partition) else {
+            return;
+        };
         let leader = held.record.leader.clone();
         let due = self
             .reclaim_requested_at
@@ -518,7 +602,9 @@
         {
             return;
         }
-        let Some(leadership) = self.leaderships.get_mut(&partition) else { return };
+        let Some(leadership) = self.leaderships.get_mut(&partition) else {
+            return;
+        };
         if !leadership.may_transfer() {
             return;
         }
@@ -539,7 +625,10 @@
         if self.cache.reclaim_requests.contains_key(&partition) {
             txn = txn.write(Write::delete(reclaim_key(partition)));
         }
-        let purpose = CallKind::HandOver { partition, to: to.clone() };
+        let purpose = CallKind::HandOver {
+            partition,
+            to: to.clone(),
+        };
         self.state(CallPriority::Lease, StateRequest::Transaction(txn), purpose);
     }
 
@@ -580,12 +669,19 @@
         }
         self.alive_at = self.now;
         let heard = self.peers.iter().map(|(name, peer)| {
-            (name.to_string(), self.now.duration_since(peer.last_seen_at).whole_millis())
+            (
+                name.to_string(),
+                self.now.duration_since(peer.last_seen_at).whole_millis(),
+            )
         });
         let message = MeshMessage::Heartbeat {
             heard: heard.collect(),
             incarnation: self.incarnation,
-            revision: if self.synced { self.cache.revision.0 } else { 0 },
+            revision: if self.synced {
+                self.cache.revision.0
+            } else {
+                0
+            },
             state_contact: self.synced && self.has_recent_state_read(Duration::from_secs(3)),
             ready: self.synced && self.booted,
         };
@@ -594,17 +690,33 @@
 
     pub(super) fn handle_mesh_message(&mut self, from: ControllerName, message: MeshMessage) {
         if !self.settings.peers.iter().any(|p| p.name == from) {
-            self.counters.rejections.add(MessageSource::Peer, MessageFault::UnknownSender);
+            self.counters
+                .rejections
+                .add(MessageSource::Peer, MessageFault::UnknownSender);
             return;
         }
         match message {
-            MeshMessage::Heartbeat { incarnation, revision, state_contact, ready, heard } => {
+            MeshMessage::Heartbeat {
+                incarnation,
+                revision,
+                state_contact,
+                ready,
+                heard,
+            } => {
                 let heard = heard.iter().map(|(name, ago)| {
-                    (ControllerName::from(name.as_str()), Duration::from_millis(*ago))
+                    (
+                        ControllerName::from(name.as_str()),
+                        Duration::from_millis(*ago),
+                    )
                 });
                 let heard = heard.collect();
-                let view =
-                    PeerStatus { last_seen_at: self.now, incarnation, state_contact, ready, heard };
+                let view = PeerStatus {
+                    last_seen_at: self.now,
+                    incarnation,
+                    state_contact,
+                    ready,
+                    heard,
+                };
                 self.detect_false_suspicion(&from, incarnation);
                 self.peers.insert(from.clone(), view);
                 let now = self.now;
@@ -613,7 +725,12 @@
                 }
             }
             MeshMessage::PartitionStatus(load) => self.handle_partition_status(load),
-            MeshMessage::Subscribe { partition, incarnation, term, have } => {
+            MeshMessage::Subscribe {
+                partition,
+                incarnation,
+                term,
+                have,
+            } => {
                 self.handle_subscription(&from, partition, incarnation, term, have);
             }
             MeshMessage::Replication(part) => self.handle_replication_batch(&from, part),
@@ -622,9 +739,15 @@
             }
             MeshMessage::TransferMachines { .. } => self.handle_transfer_request(&message),
             MeshMessage::LeaderChanged { leader, .. } if leader != from.as_str() => {
-                self.counters.rejections.add(MessageSource::Peer, MessageFault::Misrouted);
+                self.counters
+                    .rejections
+                    .add(MessageSource::Peer, MessageFault::Misrouted);
             }
-            MeshMessage::LeaderChanged { partition, term, leader } => {
+            MeshMessage::LeaderChanged {
+                partition,
+                term,
+                leader,
+            } => {
                 if let Some(leadership) = self.leaderships.get_mut(&PartitionId(partition)) {
                     if FencingToken(term) > leadership.term() {
                         tracing::warn!(partition, term, leader, "a successor has taken over");
@@ -636,7 +759,11 @@
                 let by = self.resigned_at.entry(PartitionId(partition)).or_default();
                 by.insert(from, self.now);
             }
-            MeshMessage::ReclaimRequest { partition, lease, incarnation } => {
+            MeshMessage::ReclaimRequest {
+                partition,
+                lease,
+                incarnation,
+            } => {
                 if self.peers.get(&from).is_some_and(|p| p.ready) {
                     self.transfer_leadership(PartitionId(partition), &from, lease, incarnation);
                 }
--- a/crates/controller/src/controller/mod.rs
+++ b/crates/controller/src/controller/mod.rs
@@ -102,25 +102,70 @@
 #[derive(Debug, Clone)]
 pub enum Event {
     Tick,
-    State { call: CallId, reply: StateReply },
-    Cloud { call: CallId, reply: CloudReply },
-    Worker { call: CallId, reply: DirectReply },
-    Mesh { from: ControllerName, message: MeshMessage },
-    User { ticket: Ticket, request: UserRequest },
-    Heartbeat { ticket: Ticket, report: Box<Heartbeat> },
-    Admin { ticket: Ticket, request: AdminRequest },
+    State {
+        call: CallId,
+        reply: StateReply,
+    },
+    Cloud {
+        call: CallId,
+        reply: CloudReply,
+    },
+    Worker {
+        call: CallId,
+        reply: DirectReply,
+    },
+    Mesh {
+        from: ControllerName,
+        message: MeshMessage,
+    },
+    User {
+        ticket: Ticket,
+        request: UserRequest,
+    },
+    Heartbeat {
+        ticket: Ticket,
+        report: Box<Heartbeat>,
+    },
+    Admin {
+        ticket: Ticket,
+        request: AdminRequest,
+    },
 }
 
 /// What the node wants done.
 #[derive(Debug, Clone)]
 pub enum Effect {
-    State { call: CallId, request: StateRequest, timeout: Duration },
-    Cloud { call: CallId, request: CloudRequest },
-    Worker { call: CallId, address: String, body: DirectCommands, timeout: Duration },
-    Mesh { to: ControllerName, message: MeshMessage },
-    User { ticket: Ticket, reply: UserReply },
-    Heartbeat { ticket: Ticket, reply: HeartbeatReply },
-    Admin { ticket: Ticket, reply: AdminReply },
+    State {
+        call: CallId,
+        request: StateRequest,
+        timeout: Duration,
+    },
+    Cloud {
+        call: CallId,
+        request: CloudRequest,
+    },
+    Worker {
+        call: CallId,
+        address: String,
+        body: DirectCommands,
+        timeout: Duration,
+    },
+    Mesh {
+        to: ControllerName,
+        message: MeshMessage,
+    },
+    User {
+        ticket: Ticket,
+        reply: UserReply,
+    },
+    Heartbeat {
+        ticket: Ticket,
+        reply: HeartbeatReply,
+    },
+    Admin {
+        ticket: Ticket,
+        reply: AdminReply,
+    },
 }
 
 /// A user's request that waits for a read of the state service.
@@ -508,14 +553,17 @@
     }
 
     fn has_recent_state_read(&self, within: Duration) -> bool {
-        self.last_state_read_at.is_some_and(|at| self.now.duration_since(at) <= within)
+        self.last_state_read_at
+            .is_some_and(|at| self.now.duration_since(at) <= within)
     }
 
     /// Now on a clock that all nodes share: each reads its steady clock and goes ahead as far as
     /// the records that it sees (a Lamport clock in ms). It orders submissions across restarts and
     /// takeovers; no right or proof hangs on it.
     fn logical_time(&self) -> u64 {
-        self.now.as_millis().saturating_add(self.logical_clock_offset.whole_millis())
+        self.now
+            .as_millis()
+            .saturating_add(self.logical_clock_offset.whole_millis())
     }
 
     fn own_name(&self) -> &ControllerName {
@@ -531,7 +579,10 @@
 
     fn state(&mut self, importance: CallPriority, request: StateRequest, purpose: CallKind) {
         let call = self.call(purpose);
-        self.outbox.entry(importance).or_default().push_back((call, request));
+        self.outbox
+            .entry(importance)
+            .or_default()
+            .push_back((call, request));
     }
 
     fn cloud(&mut self, request: CloudRequest, purpose: CallKind) -> CallId {
@@ -542,11 +593,20 @@
     }
 
     fn mesh(&mut self, to: &ControllerName, message: MeshMessage) {
-        self.effects.push(Effect::Mesh { to: to.clone(), message });
+        self.effects.push(Effect::Mesh {
+            to: to.clone(),
+            message,
+        });
     }
 
     fn broadcast(&mut self, message: MeshMessage) {
-        for peer in self.settings.peers.iter().map(|p| p.name.clone()).collect::<Vec<_>>() {
+        for peer in self
+            .settings
+            .peers
+            .iter()
+            .map(|p| p.name.clone())
+            .collect::<Vec<_>>()
+        {
             self.mesh(&peer, message.clone());
         }
     }
@@ -561,14 +621,17 @@
     ) {
         let call = self.call(purpose);
         let jitter = Duration::from_millis(self.rng.random_range(0..40));
-        self.retries.push((self.now + after + jitter, call, importance, request));
+        self.retries
+            .push((self.now + after + jitter, call, importance, request));
     }
 
     /// Whether a write of so many puts would go out at once. Writes that pack what waits are made
     /// up only then.
     fn may_write(&mut self, importance: CallPriority, puts: f64) -> bool {
         let waits = self.outbox.range(..=importance).any(|(_, queue)| {
-            queue.iter().any(|(_, request)| matches!(request, StateRequest::Transaction(_)))
+            queue
+                .iter()
+                .any(|(_, request)| matches!(request, StateRequest::Transaction(_)))
         });
         !waits && self.writes.level(self.now) >= puts + importance.reserves().1
     }
@@ -577,7 +640,10 @@
     fn dispatch_state_calls(&mut self) {
         let now = self.now;
         for (_, call, importance, request) in self.retries.extract_if(.., |r| r.0 <= now) {
-            self.outbox.entry(importance).or_default().push_front((call, request));
+            self.outbox
+                .entry(importance)
+                .or_default()
+                .push_front((call, request));
         }
         let mut going = Vec::new();
         for (importance, queue) in &mut self.outbox {
@@ -611,7 +677,11 @@
                 _ => CALL_TIMEOUT,
             };
             self.sent_at.insert(call, now);
-            self.effects.push(Effect::State { call, request, timeout });
+            self.effects.push(Effect::State {
+                call,
+                request,
+                timeout,
+            });
         }
     }
 
@@ -625,8 +695,12 @@
     fn cache_final_state(&mut self, id: JobId, state: JobState) {
         if self.finals.len() >= MAX_CACHED_FINAL_STATES {
             // Any answer can be read again, so which ones go does not matter.
-            let some: Vec<JobId> =
-                self.finals.keys().take(MAX_CACHED_FINAL_STATES / 10).copied().collect();
+            let some: Vec<JobId> = self
+                .finals
+                .keys()
+                .take(MAX_CACHED_FINAL_STATES / 10)
+                .copied()
+                .collect();
             for id in some {
                 self.finals.remove(&id);
             }
--- a/crates/controller/src/controller/standby.rs
+++ b/crates/controller/src/controller/standby.rs
@@ -40,10 +40,17 @@
 impl Controller {
     /// Who stands by for each partition, as far as we know who lives.
     pub(super) fn standbys(&self) -> BTreeMap<PartitionId, ControllerName> {
-        let names: Vec<ControllerName> =
-            self.nodes.iter().map(|(name, _): &(_, ZoneName)| name.clone()).collect();
-        let leaders =
-            self.cache.partitions.iter().map(|(id, p)| (*id, p.record.leader.clone())).collect();
+        let names: Vec<ControllerName> = self
+            .nodes
+            .iter()
+            .map(|(name, _): &(_, ZoneName)| name.clone())
+            .collect();
+        let leaders = self
+            .cache
+            .partitions
+            .iter()
+            .map(|(id, p)| (*id, p.record.leader.clone()))
+            .collect();
         let live = |name: &ControllerName| {
             name == self.own_name()
                 || (self.peer_is_alive(name) && self.peers.get(name).is_some_and(|p| p.ready))
@@ -93,9 +100,14 @@
             self.mesh(&to, message);
         }
         let mut parts = Vec::new();
-        self.standby.streams.retain(|partition, _| self.leaderships.contains_key(partition));
+        self.standby
+            .streams
+            .retain(|partition, _| self.leaderships.contains_key(partition));
         for (partition, (term, stream)) in &mut self.standby.streams {
-            let leadership = self.leaderships.get(partition).filter(|h| h.term().0 == *term);
+            let leadership = self
+                .leaderships
+                .get(partition)
+                .filter(|h| h.term().0 == *term);
             let Some(partition_state) = leadership.and_then(PartitionLeadership::partition_state)
             else {
                 continue;
@@ -127,10 +139,15 @@
         have: u64,
     ) {
         let partition = PartitionId(partition);
-        let held = self.leaderships.get(&partition).is_some_and(|h| h.term().0 == term);
+        let held = self
+            .leaderships
+            .get(&partition)
+            .is_some_and(|h| h.term().0 == term);
         // Whoever follows another incarnation of ours sees the record of this one soon.
         if !held || incarnation != self.incarnation {
-            self.counters.rejections.add(MessageSource::Peer, MessageFault::Stale);
+            self.counters
+                .rejections
+                .add(MessageSource::Peer, MessageFault::Stale);
             return;
         }
         let stream = self.standby.streams.entry(partition).or_default();
@@ -160,25 +177,37 @@
     /// A worker that reports to another holder has come to us.
     pub(super) fn record_worker_contact(&mut self, partition: PartitionId, machine: &MachineName) {
         let reports = |replica: &PartitionReplica| {
-            replica.machines.get(machine).is_some_and(|machine| machine.hint.reporting)
+            replica
+                .machines
+                .get(machine)
+                .is_some_and(|machine| machine.hint.reporting)
         };
         if self.standby.replicas.get(partition).is_some_and(reports) {
-            self.standby.failure_detector.record_worker_contact(partition, machine, self.now);
+            self.standby
+                .failure_detector
+                .record_worker_contact(partition, machine, self.now);
         }
     }
 
     /// What speaks against taking over a partition whose record stands.
     pub(super) fn failover_blockers(&self, partition: PartitionId) -> Vec<FailoverBlocker> {
-        let Some(held) = self.cache.partitions.get(&partition) else { return Vec::new() };
+        let Some(held) = self.cache.partitions.get(&partition) else {
+            return Vec::new();
+        };
         let (leader, incarnation) = (&held.record.leader, held.record.incarnation);
         let term = held.record.term;
         let is_current = |replica: &&PartitionReplica| {
             replica.source().incarnation == incarnation && replica.source().term == term
         };
         let replica = self.standby.replicas.get(partition).filter(is_current);
-        let view = self.peers.get(leader).filter(|peer| peer.incarnation == incarnation);
-        let others =
-            self.peers.iter().filter(|(name, _)| *name != leader && self.peer_is_alive(name));
+        let view = self
+            .peers
+            .get(leader)
+            .filter(|peer| peer.incarnation == incarnation);
+        let others = self
+            .peers
+            .iter()
+            .filter(|(name, _)| *name != leader && self.peer_is_alive(name));
         let peer_heartbeat_age = others
             .filter_map(|(_, peer)| {
                 let said = peer.heard.iter().find(|(name, _)| name == leader)?;
@@ -194,7 +223,9 @@
             last_state_read: self.last_state_read_at,
             resumed_at: self.running_since,
         };
-        self.standby.failure_detector.failover_blockers(partition, &evidence)
+        self.standby
+            .failure_detector
+            .failover_blockers(partition, &evidence)
     }
 
     /// A partition was taken from a holder whose record stood.
@@ -205,22 +236,33 @@
         incarnation: u64,
     ) {
         self.counters.early_takeovers += 1;
-        self.standby.taken.insert(partition, (leader, incarnation, self.now));
+        self.standby
+            .taken
+            .insert(partition, (leader, incarnation, self.now));
     }
 
     /// A node is there: if we took a partition from this very incarnation just now, that was wrong.
     /// One that comes back later than its lease in the state service lasts had lost it anyway.
     pub(super) fn detect_false_suspicion(&mut self, node: &ControllerName, incarnation: u64) {
         let now = self.now;
-        self.standby.taken.retain(|_, by| now.duration_since(by.2) <= LEASE_DURATION + LEASE_SLACK);
+        self.standby
+            .taken
+            .retain(|_, by| now.duration_since(by.2) <= LEASE_DURATION + LEASE_SLACK);
         let was_leader =
             |by: &(ControllerName, u64, Timestamp)| (&by.0, by.1) == (node, incarnation);
-        let taken: Vec<PartitionId> =
-            self.standby.taken.iter().filter(|(_, by)| was_leader(by)).map(|(p, _)| *p).collect();
+        let taken: Vec<PartitionId> = self
+            .standby
+            .taken
+            .iter()
+            .filter(|(_, by)| was_leader(by))
+            .map(|(p, _)| *p)
+            .collect();
         for partition in taken {
             tracing::warn!(%partition, %node, "took a partition from a holder that lives");
             self.standby.taken.remove(&partition);
-            self.standby.failure_detector.record_false_suspicion(partition, self.now);
+            self.standby
+                .failure_detector
+                .record_false_suspicion(partition, self.now);
             self.counters.wrong_takeovers += 1;
         }
     }
@@ -231,7 +273,9 @@
         partition: PartitionId,
         partition_state: &mut PartitionState,
     ) -> usize {
-        let Some(replica) = self.standby.replicas.remove(partition) else { return 0 };
+        let Some(replica) = self.standby.replicas.remove(partition) else {
+            return 0;
+        };
         for machine in replica.machines.values() {
             partition_state.apply_machine_snapshot(&machine.hint, machine.idle_since);
         }
@@ -244,7 +288,10 @@
     /// Partitions of others that we could take on with all that their holders know.
     pub(super) fn partitions_in_step(&self) -> usize {
         let replicas = &self.standby.replicas;
-        replicas.iter().filter(|(partition, _)| replicas.is_in_sync(**partition, self.now)).count()
+        replicas
+            .iter()
+            .filter(|(partition, _)| replicas.is_in_sync(**partition, self.now))
+            .count()
     }
 
     /// Who stands by for whom, and how far behind each replica is.
--- a/crates/controller/src/controller/state_sync.rs
+++ b/crates/controller/src/controller/state_sync.rs
@@ -19,7 +19,11 @@
 
 /// One page of the full read.
 fn list_request(after: String) -> StateRequest {
-    StateRequest::List { prefix: WATCHED.into(), after, limit: 500 }
+    StateRequest::List {
+        prefix: WATCHED.into(),
+        after,
+        limit: 500,
+    }
 }
 
 impl Controller {
@@ -72,7 +76,9 @@
                 self.state(CallPriority::Lease, request, CallKind::Renew(lease));
             }
             None => {
-                let request = StateRequest::NewLease { ttl_ms: LEASE_DURATION.whole_millis() };
+                let request = StateRequest::NewLease {
+                    ttl_ms: LEASE_DURATION.whole_millis(),
+                };
                 self.state(CallPriority::Lease, request, CallKind::NewLease);
             }
         }
@@ -82,7 +88,9 @@
     pub(super) fn handle_state_reply(&mut self, call: CallId, reply: StateReply) {
         let sent = self.sent_at.remove(&call).unwrap_or(self.now);
         let Some(purpose) = self.calls.remove(&call) else {
-            self.counters.rejections.add(MessageSource::State, MessageFault::Stale);
+            self.counters
+                .rejections
+                .add(MessageSource::State, MessageFault::Stale);
             return;
         };
         if let StateReply::Refused { throttled } = reply {
@@ -123,7 +131,11 @@
             CallKind::Wish => self.reclaim_pending = false,
             CallKind::Demand => {}
             CallKind::GiveUp(partition) => self.handle_resignation_reply(partition, reply),
-            CallKind::RaiseAll { partition, term, token } => {
+            CallKind::RaiseAll {
+                partition,
+                term,
+                token,
+            } => {
                 self.handle_token_raised(partition, term, token, reply);
             }
             CallKind::LedgerList { partition, term } => {
@@ -132,7 +144,11 @@
             CallKind::LedgerWrite { partition, term } => {
                 self.handle_commit_reply(partition, term, reply)
             }
-            CallKind::LedgerProof { partition, term, id } => {
+            CallKind::LedgerProof {
+                partition,
+                term,
+                id,
+            } => {
                 self.handle_commit_proof(partition, term, id, reply);
             }
             CallKind::Accept => self.handle_acceptance_written(reply),
@@ -159,11 +175,18 @@
     fn handle_full_read_page(&mut self, reply: StateReply) {
         match reply {
             StateReply::List(page) => {
-                let Some(listing) = self.listing.as_mut() else { return };
+                let Some(listing) = self.listing.as_mut() else {
+                    return;
+                };
                 let last = listing.items.last().map_or("", |item| item.key.as_str());
                 if !page.follows(WATCHED, last) {
-                    tracing::error!(last, "a page of the full read does not follow the one before");
-                    self.counters.rejections.add(MessageSource::State, MessageFault::Malformed);
+                    tracing::error!(
+                        last,
+                        "a page of the full read does not follow the one before"
+                    );
+                    self.counters
+                        .rejections
+                        .add(MessageSource::State, MessageFault::Malformed);
                     self.restart_full_read();
                     return;
                 }
@@ -174,7 +197,9 @@
                 match (page.more, after) {
                     (true, Some(after)) => self.request_full_read_page(after),
                     _ => {
-                        let Some(listing) = self.listing.take() else { return };
+                        let Some(listing) = self.listing.take() else {
+                            return;
+                        };
                         let revision = listing.revision.unwrap_or(0);
                         let changed = self.cache.replace(&listing.items, revision);
                         self.synced = true;
@@ -191,7 +216,12 @@
     fn restart_full_read(&mut self) {
         self.listing = Some(FullRead::default());
         let request = list_request(String::new());
-        self.retry_later(Duration::from_millis(200), CallPriority::Lease, request, CallKind::List);
+        self.retry_later(
+            Duration::from_millis(200),
+            CallPriority::Lease,
+            request,
+            CallKind::List,
+        );
     }
 
     fn handle_watch_reply(&mut self, reply: StateReply, sent: Timestamp) {
--- a/crates/controller/src/controller/user_requests.rs
+++ b/crates/controller/src/controller/user_requests.rs
@@ -7,7 +7,12 @@
 use wire::users::{JobRequest, JobStatus};
 
 pub(super) fn status(id: JobId, state: JobState) -> JobStatus {
-    JobStatus { id: id.to_string(), state, done: None, running: None }
+    JobStatus {
+        id: id.to_string(),
+        state,
+        done: None,
+        running: None,
+    }
 }
 
 impl Controller {
@@ -35,7 +40,12 @@
             self.busy(ticket, 1);
             return;
         }
-        self.reads.enqueue(PendingRequest { ticket, kind, id, since: self.now });
+        self.reads.enqueue(PendingRequest {
+            ticket,
+            kind,
+            id,
+            since: self.now,
+        });
     }
 
     fn handle_submission(&mut self, ticket: Ticket, job: JobRequest) {
@@ -61,7 +71,13 @@
         };
         if let Err(reason) = spec.check(&self.settings, &types.record.types) {
             // A job that was accepted once must never be rejected later.
-            self.read_for(ticket, id, RequestKind::Resubmit { reject: Some(reason) });
+            self.read_for(
+                ticket,
+                id,
+                RequestKind::Resubmit {
+                    reject: Some(reason),
+                },
+            );
             return;
         }
         if !self.has_recent_state_read(Duration::from_secs(6)) {
@@ -73,7 +89,9 @@
 
     /// Where a job stands and why it waits, for operators.
     pub fn explain(&self, id: &str) -> String {
-        let Some(id) = JobId::parse(id) else { return "no such job".into() };
+        let Some(id) = JobId::parse(id) else {
+            return "no such job".into();
+        };
         let held = self
             .leaderships
             .values()
@@ -88,8 +106,19 @@
     /// Status of a job that is not over.
     pub(super) fn open_status(&self, id: JobId) -> JobStatus {
         let own = self.leaderships.values().find_map(|h| h.progress_of(id));
-        let (done, running) = own.or_else(|| self.progress.get(&id).copied()).unwrap_or((0, 0));
-        let state = if running > 0 { JobState::Running } else { JobState::Queued };
-        JobStatus { id: id.to_string(), state, done: Some(done), running: Some(running) }
+        let (done, running) = own
+            .or_else(|| self.progress.get(&id).copied())
+            .unwrap_or((0, 0));
+        let state = if running > 0 {
+            JobState::Running
+        } else {
+            JobState::Queued
+        };
+        JobStatus {
+            id: id.to_string(),
+            state,
+            done: Some(done),
+            running: Some(running),
+        }
     }
 }
--- a/crates/controller/src/placement_log.rs
+++ b/crates/controller/src/placement_log.rs
@@ -134,8 +134,14 @@
             unreadable: Vec::new(),
         };
         for item in items {
-            let number = item.key.rsplit('/').next().and_then(|text| text.parse::<usize>().ok());
-            let Some(number) = number.filter(|number| *number <= MAX_PAGE_NUMBER) else { continue };
+            let number = item
+                .key
+                .rsplit('/')
+                .next()
+                .and_then(|text| text.parse::<usize>().ok());
+            let Some(number) = number.filter(|number| *number <= MAX_PAGE_NUMBER) else {
+                continue;
+            };
             let body = match read_page(&item.value) {
                 Ok(body) => body,
                 Err(error) => {
@@ -158,7 +164,14 @@
                 let known = ledger.items.get(&key);
                 if known.is_none_or(|kept| ledger.pages[kept.page].round < body.round) {
                     let size = size_of(&chunk_body);
-                    ledger.keep(key, LogEntry { page: number, body: chunk_body, size });
+                    ledger.keep(
+                        key,
+                        LogEntry {
+                            page: number,
+                            body: chunk_body,
+                            size,
+                        },
+                    );
                 }
             }
         }
@@ -187,8 +200,11 @@
 
     /// The job is over: its items need not be kept.
     pub fn forget_job(&mut self, job: JobId) {
-        let keys: Vec<ChunkKey> =
-            self.items.range((job, 0)..=(job, u32::MAX)).map(|(key, _)| *key).collect();
+        let keys: Vec<ChunkKey> = self
+            .items
+            .range((job, 0)..=(job, u32::MAX))
+            .map(|(key, _)| *key)
+            .collect();
         for key in keys {
             self.drop_item(&key);
         }
@@ -213,8 +229,10 @@
         changes: Vec<(ChunkKey, TaskChunk)>,
     ) -> (LogCommit, Vec<ChunkKey>) {
         let mut round = LogCommit {
-            txn: Transaction::default()
-                .when(crate::records::partition_key(self.partition), partition_version.0),
+            txn: Transaction::default().when(
+                crate::records::partition_key(self.partition),
+                partition_version.0,
+            ),
             right: partition_version,
             keys: Vec::new(),
             pages: Vec::new(),
@@ -272,12 +290,20 @@
                 round.bodies.push((page, key, body, item));
             }
             let version = self.pages.get(page).map_or(0, |p| p.version.0);
-            let items =
-                items.into_iter().map(|(key, (body, _))| Entry(key.0 .0, key.1, body)).collect();
-            let body = PageBody { round: number, right: partition_version.0, items };
+            let items = items
+                .into_iter()
+                .map(|(key, (body, _))| Entry(key.0 .0, key.1, body))
+                .collect();
+            let body = PageBody {
+                round: number,
+                right: partition_version.0,
+                items,
+            };
             let value = serde_json::to_value(body).unwrap_or_default();
-            round.txn =
-                round.txn.when(self.key(page), version).write(Write::put(self.key(page), value));
+            round.txn = round
+                .txn
+                .when(self.key(page), version)
+                .write(Write::put(self.key(page), value));
             round.pages.push((page, number));
         }
         round.dropped.retain(|key| !written.contains(key));
@@ -289,7 +315,11 @@
         page: usize,
         written: &BTreeSet<ChunkKey>,
     ) -> BTreeMap<ChunkKey, (TaskChunk, usize)> {
-        let holds = self.pages.get(page).into_iter().flat_map(|page| &page.holds);
+        let holds = self
+            .pages
+            .get(page)
+            .into_iter()
+            .flat_map(|page| &page.holds);
         holds
             .filter(|key| !written.contains(*key))
             .filter_map(|key| Some((*key, self.items.get(key)?)))
@@ -312,7 +342,14 @@
             self.drop_item(key);
         }
         for (page, key, body, size) in &round.bodies {
-            self.keep(*key, LogEntry { page: *page, body: body.clone(), size: *size });
+            self.keep(
+                *key,
+                LogEntry {
+                    page: *page,
+                    body: body.clone(),
+                    size: *size,
+                },
+            );
         }
         if self.cursor >= self.pages.len() {
             self.cursor = 0;
@@ -321,13 +358,22 @@
 
     /// Key of a page that the round writes, with what proves that it was written.
     pub fn proof(&self, round: &LogCommit) -> Option<(String, CommitId)> {
-        let id = |number| CommitId { number, right: round.right };
-        round.pages.first().map(|(page, number)| (self.key(*page), id(*number)))
+        let id = |number| CommitId {
+            number,
+            right: round.right,
+        };
+        round
+            .pages
+            .first()
+            .map(|(page, number)| (self.key(*page), id(*number)))
     }
 
     /// Whether a page read back was written by this round.
     pub fn proves(value: &serde_json::Value, id: CommitId) -> bool {
-        let written = |body: PageBody| CommitId { number: body.round, right: Version(body.right) };
+        let written = |body: PageBody| CommitId {
+            number: body.round,
+            right: Version(body.right),
+        };
         PageBody::deserialize(value).is_ok_and(|body| written(body) == id)
     }
 }
--- a/crates/controller/src/records.rs
+++ b/crates/controller/src/records.rs
@@ -221,12 +221,24 @@
 
     /// Marks as many as `most` final states as filed and returns them.
     pub fn file(&mut self, most: usize) -> Vec<(JobId, JobState)> {
-        let done = self.done.drain(..self.done.len().min(most)).collect::<Vec<_>>();
+        let done = self
+            .done
+            .drain(..self.done.len().min(most))
+            .collect::<Vec<_>>();
         let rest = most - done.len();
-        let cancelled = self.cancelled.drain(..self.cancelled.len().min(rest)).collect::<Vec<_>>();
+        let cancelled = self
+            .cancelled
+            .drain(..self.cancelled.len().min(rest))
+            .collect::<Vec<_>>();
         self.filed_done.extend(&done);
         self.filed_cancelled.extend(&cancelled);
-        TerminalJobsPage { done, cancelled, ..TerminalJobsPage::default() }.jobs().collect()
+        TerminalJobsPage {
+            done,
+            cancelled,
+            ..TerminalJobsPage::default()
+        }
+        .jobs()
+        .collect()
     }
 
     /// Drops filed jobs that are listed nowhere any more.
@@ -301,7 +313,14 @@
     /// The record.
     pub fn record(self) -> MachineRecord {
         let PackedMachine(_, machine_type, zone, spot, partition, token, leaving) = self;
-        MachineRecord { machine_type, zone, spot, partition, token, leaving }
+        MachineRecord {
+            machine_type,
+            zone,
+            spot,
+            partition,
+            token,
+            leaving,
+        }
     }
 }
 
--- a/crates/controller/src/rejections.rs
+++ b/crates/controller/src/rejections.rs
@@ -84,6 +84,8 @@
     /// Hands the counts out and starts anew.
     pub fn drain(&mut self) -> impl Iterator<Item = (MessageSource, MessageFault, u64)> {
         let counts = std::mem::take(&mut self.0);
-        counts.into_iter().map(|((source, fault), count)| (source, fault, count))
+        counts
+            .into_iter()
+            .map(|((source, fault), count)| (source, fault, count))
     }
 }
--- a/crates/controller/src/serial_writer.rs
+++ b/crates/controller/src/serial_writer.rs
@@ -34,7 +34,11 @@
 
 impl<T> Default for SerialWriter<T> {
     fn default() -> Self {
-        SerialWriter { sent: None, settled_at: Revision(0), not_before: Timestamp::default() }
+        SerialWriter {
+            sent: None,
+            settled_at: Revision(0),
+            not_before: Timestamp::default(),
+        }
     }
 }
 
@@ -62,7 +66,9 @@
 
     /// Takes in the answer to the write.
     pub fn answered(&mut self, reply: StateReply, now: Timestamp) -> Outcome<T> {
-        let Some((what, txn)) = self.sent.take() else { return Outcome::Nothing };
+        let Some((what, txn)) = self.sent.take() else {
+            return Outcome::Nothing;
+        };
         match reply {
             StateReply::Committed { revision } => {
                 self.settled_at = Revision(revision);
@@ -74,15 +80,21 @@
                 Outcome::Conflict(what, failed)
             }
             StateReply::Refused { throttled } => {
-                let pause =
-                    if throttled { Duration::from_millis(80) } else { Duration::from_millis(200) };
+                let pause = if throttled {
+                    Duration::from_millis(80)
+                } else {
+                    Duration::from_millis(200)
+                };
                 self.not_before = now + pause;
                 Outcome::Refused { what, throttled }
             }
             StateReply::Invalid(problem) => {
                 tracing::error!(problem, "the state service calls a write malformed");
                 self.not_before = now + Duration::from_secs(1);
-                Outcome::Refused { what, throttled: false }
+                Outcome::Refused {
+                    what,
+                    throttled: false,
+                }
             }
             _ => {
                 let again = txn.clone();
@@ -108,18 +120,40 @@
         assert!(matches!(outcome, Outcome::Again(_)), "{outcome:?}");
         assert!(!pipe.ready(now, Revision(3)), "the outcome is open");
         let outcome = pipe.answered(StateReply::Committed { revision: 5 }, now);
-        assert!(matches!(outcome, Outcome::CommittedChanges("a")), "{outcome:?}");
-        assert!(!pipe.ready(now, Revision(4)), "the mirror does not show it yet");
+        assert!(
+            matches!(outcome, Outcome::CommittedChanges("a")),
+            "{outcome:?}"
+        );
+        assert!(
+            !pipe.ready(now, Revision(4)),
+            "the mirror does not show it yet"
+        );
         assert!(pipe.ready(now, Revision(5)));
     }
 
     #[test]
     fn a_refused_write_is_given_back_and_the_next_one_pauses() {
         let mut pipe = SerialWriter::default();
-        pipe.send("a", Transaction::default(), Timestamp::from_millis(0), Duration::ZERO);
-        let outcome =
-            pipe.answered(StateReply::Refused { throttled: true }, Timestamp::from_millis(5));
-        assert!(matches!(outcome, Outcome::Refused { what: "a", throttled: true }), "{outcome:?}");
+        pipe.send(
+            "a",
+            Transaction::default(),
+            Timestamp::from_millis(0),
+            Duration::ZERO,
+        );
+        let outcome = pipe.answered(
+            StateReply::Refused { throttled: true },
+            Timestamp::from_millis(5),
+        );
+        assert!(
+            matches!(
+                outcome,
+                Outcome::Refused {
+                    what: "a",
+                    throttled: true
+                }
+            ),
+            "{outcome:?}"
+        );
         assert!(!pipe.ready(Timestamp::from_millis(50), Revision(0)));
         assert!(pipe.ready(Timestamp::from_millis(85), Revision(0)));
     }
--- a/crates/controller/src/state_cache.rs
+++ b/crates/controller/src/state_cache.rs
@@ -132,7 +132,10 @@
 
 /// A number as keys spell it: digits only.
 fn number(text: &str) -> Option<u32> {
-    text.bytes().all(|byte| byte.is_ascii_digit()).then(|| text.parse().ok()).flatten()
+    text.bytes()
+        .all(|byte| byte.is_ascii_digit())
+        .then(|| text.parse().ok())
+        .flatten()
 }
 
 /// A partition as keys spell it.
@@ -184,7 +187,9 @@
     }
 
     fn decode<T: DeserializeOwned>(&mut self, key: &str, value: &Value) -> Option<T> {
-        T::deserialize(value).map_err(|error| self.reject(key, &error)).ok()
+        T::deserialize(value)
+            .map_err(|error| self.reject(key, &error))
+            .ok()
     }
 
     /// Reads the number in a key with its record.
@@ -203,12 +208,17 @@
 
     /// Takes in the counter. Tokens only rise, whatever is written there.
     fn apply_counter(&mut self, key: &str, value: &Value, version: Version) {
-        let Some(mut record) = self.decode::<TokenCounterRecord>(key, value) else { return };
+        let Some(mut record) = self.decode::<TokenCounterRecord>(key, value) else {
+            return;
+        };
         if record.next >= TOKEN_LIMIT {
             self.reject(key, &"no tokens are left");
             return;
         }
-        let known = self.counter.as_ref().map_or(0, |counter| counter.record.next);
+        let known = self
+            .counter
+            .as_ref()
+            .map_or(0, |counter| counter.record.next);
         if record.next < known {
             self.reject(key, &"tokens were given out beyond it");
             record.next = known;
@@ -225,25 +235,33 @@
         match kind {
             "j" => self.apply_accepted_jobs_page(key, value, version, changed),
             "x" => {
-                let Some(record) = self.decode::<CancellationsRecord>(key, value) else { return };
+                let Some(record) = self.decode::<CancellationsRecord>(key, value) else {
+                    return;
+                };
                 let record: BTreeSet<JobId> = record.jobs.into_iter().map(JobId).collect();
                 let name = ControllerName::from(name);
                 let before = self.cancels.get(&name).map(|c| &c.record);
-                let new = record.iter().filter(|id| before.is_none_or(|old| !old.contains(id)));
+                let new = record
+                    .iter()
+                    .filter(|id| before.is_none_or(|old| !old.contains(id)));
                 changed.extend(new.map(|id| CacheEvent::Job(*id)));
                 self.cancels.insert(name, Versioned { record, version });
             }
             "e" => self.apply_terminal_jobs_page(key, name, value, version, changed),
             "p" => {
                 let read = self.decode_numbered(key, partition(name), value);
-                let Some((partition, record)) = read else { return };
-                self.partitions.insert(partition, Versioned { record, version });
+                let Some((partition, record)) = read else {
+                    return;
+                };
+                self.partitions
+                    .insert(partition, Versioned { record, version });
                 changed.push(CacheEvent::Partition(partition));
             }
             "w" => {
                 let read = self.decode_numbered(key, partition(name), value);
                 if let Some((partition, record)) = read {
-                    self.reclaim_requests.insert(partition, Versioned { record, version });
+                    self.reclaim_requests
+                        .insert(partition, Versioned { record, version });
                 }
             }
             "d" => {
@@ -260,19 +278,27 @@
                 }
             }
             "b" => {
-                let Some(record) = self.decode(key, value) else { return };
+                let Some(record) = self.decode(key, value) else {
+                    return;
+                };
                 let name = ControllerName::from(name);
-                self.incarnations.insert(name.clone(), Versioned { record, version });
+                self.incarnations
+                    .insert(name.clone(), Versioned { record, version });
                 changed.push(CacheEvent::Boot(name));
             }
             "t" => self.apply_counter(key, value, version),
             "k" => {
-                let Some(record) = self.decode(key, value) else { return };
+                let Some(record) = self.decode(key, value) else {
+                    return;
+                };
                 self.types = Some(Versioned { record, version });
                 changed.push(CacheEvent::Types);
             }
             "c" => {
-                self.tuning = Some(Versioned { record: value.clone(), version });
+                self.tuning = Some(Versioned {
+                    record: value.clone(),
+                    version,
+                });
                 changed.push(CacheEvent::Tuning);
             }
             _ => self.reject(key, &"nothing of this kind is kept"),
@@ -301,7 +327,9 @@
             if self.jobs.contains_key(&id) || self.ended.has(id) {
                 continue;
             }
-            let Some(packed) = self.decode::<PackedJob>(key, entry) else { continue };
+            let Some(packed) = self.decode::<PackedJob>(key, entry) else {
+                continue;
+            };
             let spec = match JobSpec::try_from(&packed.request()) {
                 Ok(spec) => spec,
                 Err(error) => {
@@ -310,14 +338,24 @@
                 }
             };
             let size = packed_size(&packed);
-            let job = OpenJob { packed: Arc::new(packed), size, spec: Arc::new(spec) };
+            let job = OpenJob {
+                packed: Arc::new(packed),
+                size,
+                spec: Arc::new(spec),
+            };
             self.jobs.insert(id, job);
             changed.push(CacheEvent::Job(id));
         }
         for id in &ids {
             self.listed.add(*id);
         }
-        let old = self.intake.insert(key.to_owned(), Versioned { record: ids, version });
+        let old = self.intake.insert(
+            key.to_owned(),
+            Versioned {
+                record: ids,
+                version,
+            },
+        );
         for id in old.into_iter().flat_map(|page| page.record) {
             self.listed.take(id);
         }
@@ -368,7 +406,8 @@
                 Some(known) if known.record == record && known.page == page => known.size,
                 _ => {
                     let size = PackedMachine::max_packed_size(&name, &record);
-                    self.machines.insert(name.clone(), CachedMachine { record, page, size });
+                    self.machines
+                        .insert(name.clone(), CachedMachine { record, page, size });
                     changed.push(CacheEvent::Machine(name.clone()));
                     size
                 }
@@ -378,11 +417,24 @@
             }
         }
         let old = self.machine_pages.get(&page).map(|old| &old.record.names);
-        let gone: Vec<MachineName> =
-            old.into_iter().flat_map(|old| old.difference(&new.names)).cloned().collect();
-        self.machine_pages.insert(page, Versioned { record: new, version });
+        let gone: Vec<MachineName> = old
+            .into_iter()
+            .flat_map(|old| old.difference(&new.names))
+            .cloned()
+            .collect();
+        self.machine_pages.insert(
+            page,
+            Versioned {
+                record: new,
+                version,
+            },
+        );
         for name in gone {
-            if self.machines.get(&name).is_some_and(|known| known.page != page) {
+            if self
+                .machines
+                .get(&name)
+                .is_some_and(|known| known.page != page)
+            {
                 // It has been put on another page meanwhile.
                 continue;
             }
@@ -392,7 +444,9 @@
     }
 
     fn delete(&mut self, key: &str, changed: &mut Vec<CacheEvent>) {
-        let Some((kind, name)) = parts(key) else { return };
+        let Some((kind, name)) = parts(key) else {
+            return;
+        };
         match kind {
             "p" => {
                 if let Some(partition) = partition(name) {
@@ -418,13 +472,21 @@
     /// overlapping answers cannot bring back what has been deleted since.
     pub fn apply(&mut self, changes: &Changes) -> Vec<CacheEvent> {
         let mut changed = Vec::new();
-        let mut events: Vec<_> =
-            changes.events.iter().filter(|e| e.version > self.revision.0).collect();
+        let mut events: Vec<_> = changes
+            .events
+            .iter()
+            .filter(|e| e.version > self.revision.0)
+            .collect();
         events.sort_by_key(|e| e.version);
         for event in events {
             if let Some(key) = &event.put {
                 let null = Value::Null;
-                self.put(key, event.value.as_ref().unwrap_or(&null), event.version, &mut changed);
+                self.put(
+                    key,
+                    event.value.as_ref().unwrap_or(&null),
+                    event.version,
+                    &mut changed,
+                );
             } else if let Some(key) = &event.delete {
                 self.delete(key, &mut changed);
             } else {
@@ -437,7 +499,9 @@
 
     /// What a full read shows of the counter is no lower than what was known before.
     fn keep_tokens_rising(&mut self, before: Option<Versioned<TokenCounterRecord>>) {
-        let (Some(counter), Some(before)) = (&mut self.counter, before) else { return };
+        let (Some(counter), Some(before)) = (&mut self.counter, before) else {
+            return;
+        };
         counter.record.next = counter.record.next.max(before.record.next);
     }
 
@@ -458,10 +522,15 @@
             }),
         );
         list.extend(old.machines.keys().filter_map(|name| {
-            gone(self.machines.contains_key(name), CacheEvent::Machine(name.clone()))
+            gone(
+                self.machines.contains_key(name),
+                CacheEvent::Machine(name.clone()),
+            )
         }));
         list.extend(
-            old.jobs.keys().filter_map(|id| gone(self.jobs.contains_key(id), CacheEvent::Job(*id))),
+            old.jobs
+                .keys()
+                .filter_map(|id| gone(self.jobs.contains_key(id), CacheEvent::Job(*id))),
         );
         self.revision = Revision(revision);
         list
--- a/crates/controller/tests/budget.rs
+++ b/crates/controller/tests/budget.rs
@@ -6,10 +6,15 @@
 #[test]
 fn bucket_keeps_its_rate_and_its_reserve() {
     let mut bucket = TokenBucket::new(10.0, 5.0);
-    let taken = (0..20).filter(|_| bucket.take(Timestamp::from_millis(0), 1.0, 0.0)).count();
+    let taken = (0..20)
+        .filter(|_| bucket.take(Timestamp::from_millis(0), 1.0, 0.0))
+        .count();
     assert_eq!(taken, 5);
     assert!(!bucket.take(Timestamp::from_millis(50), 1.0, 0.0));
-    assert!(!bucket.take(Timestamp::from_millis(100), 1.0, 2.0), "the reserve stays");
+    assert!(
+        !bucket.take(Timestamp::from_millis(100), 1.0, 2.0),
+        "the reserve stays"
+    );
     assert!(bucket.take(Timestamp::from_millis(100), 1.0, 0.0));
     bucket.drain(Timestamp::from_millis(200));
     assert!(!bucket.take(Timestamp::from_millis(200), 1.0, 0.0));
--- a/crates/controller/tests/foreign_records.rs
+++ b/crates/controller/tests/foreign_records.rs
@@ -22,12 +22,21 @@
 
 fn put(key: &str, value: Value, version: u64) -> Change {
     let value = Some(value);
-    Change { put: Some(key.into()), delete: None, value, version, lease: None }
+    Change {
+        put: Some(key.into()),
+        delete: None,
+        value,
+        version,
+        lease: None,
+    }
 }
 
 fn apply(cache: &mut StateCache, key: &str, value: Value) {
     let version = cache.revision.0 + 1;
-    cache.apply(&Changes { revision: version, events: vec![put(key, value, version)] });
+    cache.apply(&Changes {
+        revision: version,
+        events: vec![put(key, value, version)],
+    });
 }
 
 #[test]
@@ -35,7 +44,11 @@
     let mut cache = StateCache::default();
     apply(&mut cache, "s/t", json!({ "next": 41 }));
     apply(&mut cache, "s/k", json!({ "rigs": [] }));
-    apply(&mut cache, "s/p/0", json!({ "holder": "n0", "boot": 1, "term": 40 }));
+    apply(
+        &mut cache,
+        "s/p/0",
+        json!({ "holder": "n0", "boot": 1, "term": 40 }),
+    );
     apply(&mut cache, "s/x/n0", json!({ "jobs": [412] }));
     apply(&mut cache, "s/b/n0", json!({ "boot": 1 }));
     assert_eq!(cache.take_rejected(), 0);
@@ -48,7 +61,10 @@
         ("s/k", json!("none")),
         ("s/p/0", json!({ "holder": "n1" })),
         ("s/p/+0", json!({ "holder": "n1", "boot": 1, "term": 50 })),
-        ("s/p/4294967296", json!({ "holder": "n1", "boot": 1, "term": 50 })),
+        (
+            "s/p/4294967296",
+            json!({ "holder": "n1", "boot": 1, "term": 50 }),
+        ),
         ("s/p/", json!({ "holder": "n1", "boot": 1, "term": 50 })),
         ("s/x/n0", json!({ "jobs": ["j-000412"] })),
         ("s/b/n0", json!([])),
@@ -67,9 +83,17 @@
     assert!(cache.types.is_some());
     let partitions: Vec<_> = cache.partitions.keys().copied().collect();
     assert_eq!(partitions, [PartitionId(0)]);
-    assert_eq!(cache.partitions[&PartitionId(0)].record.leader, ControllerName::from("n0"));
+    assert_eq!(
+        cache.partitions[&PartitionId(0)].record.leader,
+        ControllerName::from("n0")
+    );
     assert!(cache.is_cancelled(JobId(412)));
-    assert_eq!(cache.incarnations[&ControllerName::from("n0")].record.incarnation, 1);
+    assert_eq!(
+        cache.incarnations[&ControllerName::from("n0")]
+            .record
+            .incarnation,
+        1
+    );
     assert!(cache.machine_pages.is_empty() && cache.intake.is_empty());
 }
 
@@ -80,9 +104,20 @@
     apply(&mut cache, "s/t", json!({ "next": 7 }));
     assert_eq!((cache.next_token(), cache.counter_version()), (41, 2));
     assert_eq!(cache.take_rejected(), 1);
-    let counter = TokenCounterRecord { next: 9, ..TokenCounterRecord::default() };
+    let counter = TokenCounterRecord {
+        next: 9,
+        ..TokenCounterRecord::default()
+    };
     let value = serde_json::to_value(counter).expect("a record");
-    cache.replace(&[Item { key: "s/t".into(), value, version: 5, lease: None }], 6);
+    cache.replace(
+        &[Item {
+            key: "s/t".into(),
+            value,
+            version: 5,
+            lease: None,
+        }],
+        6,
+    );
     assert_eq!((cache.next_token(), cache.counter_version()), (41, 5));
 }
 
@@ -102,17 +137,30 @@
         let machines = names.iter().map(|name| packed(name)).collect();
         serde_json::to_value(MachinesPage { machines }).expect("a page")
     };
-    apply(&mut cache, "s/m/0000", page(&["host-000001", "host-000002", ""]));
+    apply(
+        &mut cache,
+        "s/m/0000",
+        page(&["host-000001", "host-000002", ""]),
+    );
     assert_eq!(cache.take_rejected(), 1, "a machine without a name");
     apply(&mut cache, "s/m/0001", page(&["host-000001"]));
     apply(&mut cache, "s/m/0000", page(&["host-000002"]));
-    assert!(cache.machines.contains_key(&MachineName::from("host-000001")));
+    assert!(cache
+        .machines
+        .contains_key(&MachineName::from("host-000001")));
     apply(&mut cache, "s/m/0001", page(&[]));
-    assert!(!cache.machines.contains_key(&MachineName::from("host-000001")));
+    assert!(!cache
+        .machines
+        .contains_key(&MachineName::from("host-000001")));
 }
 
 fn ledger_page(key: &str, value: Value) -> Item {
-    Item { key: key.into(), value, version: 3, lease: None }
+    Item {
+        key: key.into(),
+        value,
+        version: 3,
+        lease: None,
+    }
 }
 
 /// What a page says that cannot be taken over is not known: the partition decides nothing on it.
--- a/crates/controller/tests/golden_records.rs
+++ b/crates/controller/tests/golden_records.rs
@@ -63,14 +63,20 @@
 }
 
 fn spot_job() -> JobRequest {
-    JobRequest { spot: true, one_zone: false, ..full_job(JobKind::Array, Priority::Normal) }
+    JobRequest {
+        spot: true,
+        one_zone: false,
+        ..full_job(JobKind::Array, Priority::Normal)
+    }
 }
 
 /// A page whose jobs are read one by one, as the mirror does.
 fn intake(name: &'static str, job: JobRequest) -> Entry {
     let encode = |job: &JobRequest| {
         let packed = serde_json::to_value(PackedJob::new(86_400_007, job.clone()));
-        let page = AcceptedJobsPage { jobs: vec![packed.expect("a value")] };
+        let page = AcceptedJobsPage {
+            jobs: vec![packed.expect("a value")],
+        };
         golden::to_json(&serde_json::to_value(page).expect("a value"))
     };
     let decode = |text: &str| -> Result<JobRequest, serde_json::Error> {
@@ -88,7 +94,10 @@
         intake("batch_low_plain", plain_job()),
         intake("batch_standard", spot_job()),
         intake("group_high", full_job(JobKind::Gang, Priority::High)),
-        intake("service_critical", full_job(JobKind::Service, Priority::Production)),
+        intake(
+            "service_critical",
+            full_job(JobKind::Service, Priority::Production),
+        ),
         record("none", AcceptedJobsPage::default()),
     ];
     golden::check("accepted_jobs.txt", &entries);
@@ -104,7 +113,12 @@
 }
 
 fn partition(unconfirmed_predecessors: Vec<(ControllerName, u64)>) -> PartitionRecord {
-    PartitionRecord { leader: node("n0"), incarnation: 3, term: 41, unconfirmed_predecessors }
+    PartitionRecord {
+        leader: node("n0"),
+        incarnation: 3,
+        term: 41,
+        unconfirmed_predecessors,
+    }
 }
 
 fn machine(spot: bool, leaving: bool) -> PackedMachine {
@@ -139,7 +153,10 @@
 
 fn demand() -> DemandRecord {
     let limited = shape(Some(vec!["g8".into()]), Some("a".into()));
-    DemandRecord { term: 41, demand: vec![shape(None, None), limited] }
+    DemandRecord {
+        term: 41,
+        demand: vec![shape(None, None), limited],
+    }
 }
 
 fn counter() -> TokenCounterRecord {
@@ -163,7 +180,9 @@
         boot_s: 90.0,
         zones: vec!["a".into(), "b".into()],
     };
-    MachineTypes { types: vec![machine_type] }
+    MachineTypes {
+        types: vec![machine_type],
+    }
 }
 
 fn tuning() -> TuningRecord {
@@ -192,24 +211,49 @@
 
 #[test]
 fn records_keep_their_bytes() {
-    let page = MachinesPage { machines: vec![machine(true, false), machine(false, true)] };
+    let page = MachinesPage {
+        machines: vec![machine(true, false), machine(false, true)],
+    };
     let unconfirmed_predecessors = vec![(node("n1"), 5), (node("n2"), 6)];
     let entries = [
         record("cancellations", CancellationsRecord { jobs: vec![7, 412] }),
         record("cancellations_none", CancellationsRecord::default()),
         record("ended_jobs", ends()),
         record("ended_jobs_none", TerminalJobsPage::default()),
-        record("final_done", FinalRecord { state: JobState::Done }),
-        record("final_cancelled", FinalRecord { state: JobState::Cancelled }),
+        record(
+            "final_done",
+            FinalRecord {
+                state: JobState::Done,
+            },
+        ),
+        record(
+            "final_cancelled",
+            FinalRecord {
+                state: JobState::Cancelled,
+            },
+        ),
         record("partition", partition(Vec::new())),
         record("partition_suspects", partition(unconfirmed_predecessors)),
         record("machines", page),
         record("machines_none", MachinesPage::default()),
-        record("wish", ReclaimRecord { node: node("n0"), incarnation: 3, lease: 500 }),
+        record(
+            "wish",
+            ReclaimRecord {
+                node: node("n0"),
+                incarnation: 3,
+                lease: 500,
+            },
+        ),
         record("demand", demand()),
         record("counter", counter()),
         record("counter_first", TokenCounterRecord::default()),
-        record("boot", IncarnationRecord { incarnation: 3, short_lives: 2 }),
+        record(
+            "boot",
+            IncarnationRecord {
+                incarnation: 3,
+                short_lives: 2,
+            },
+        ),
         record("types", machine_types()),
         record("settings", tuning()),
         record("settings_default", TuningRecord::default()),
@@ -228,7 +272,10 @@
 /// The stored form of a record in which optional fields are absent.
 fn bare<T: serde::de::DeserializeOwned>(name: &str) -> T {
     let stored = golden::read("absent_fields.txt");
-    let (_, text) = stored.iter().find(|(other, _)| other == name).expect("an entry of this name");
+    let (_, text) = stored
+        .iter()
+        .find(|(other, _)| other == name)
+        .expect("an entry of this name");
     serde_json::from_str(text).unwrap_or_else(|error| panic!("{name}: {error}"))
 }
 
@@ -236,10 +283,16 @@
 fn records_with_absent_fields_are_read() {
     assert_eq!(
         bare::<IncarnationRecord>("boot"),
-        IncarnationRecord { incarnation: 3, short_lives: 0 }
+        IncarnationRecord {
+            incarnation: 3,
+            short_lives: 0
+        }
     );
     assert_eq!(bare::<TokenCounterRecord>("counter").next, 42);
-    assert_eq!(bare::<TerminalJobsPage>("ended_jobs"), TerminalJobsPage::default());
+    assert_eq!(
+        bare::<TerminalJobsPage>("ended_jobs"),
+        TerminalJobsPage::default()
+    );
     assert_eq!(bare::<TuningRecord>("settings"), TuningRecord::default());
     let demand = bare::<DemandRecord>("demand").demand;
     assert_eq!((demand[0].priority, demand[0].gang), (Priority::Normal, 0));
@@ -269,16 +322,37 @@
 }
 
 fn placed() -> Vec<PlacedTask> {
-    vec![PlacedTask(3, 57, "host-000007".into()), PlacedTask(5, 58, "host-000008".into())]
+    vec![
+        PlacedTask(3, 57, "host-000007".into()),
+        PlacedTask(5, 58, "host-000008".into()),
+    ]
 }
 
 /// Items of all forms: done and placed tasks, one of them only, and an empty one.
 fn chunks() -> Vec<(ChunkKey, TaskChunk)> {
     let done = || "8000000000000005".to_owned();
     vec![
-        ((JobId(7), 0), TaskChunk { done: done(), placed: placed() }),
-        ((JobId(7), 2), TaskChunk { done: done(), placed: Vec::new() }),
-        ((JobId(412), 0), TaskChunk { done: String::new(), placed: placed() }),
+        (
+            (JobId(7), 0),
+            TaskChunk {
+                done: done(),
+                placed: placed(),
+            },
+        ),
+        (
+            (JobId(7), 2),
+            TaskChunk {
+                done: done(),
+                placed: Vec::new(),
+            },
+        ),
+        (
+            (JobId(412), 0),
+            TaskChunk {
+                done: String::new(),
+                placed: placed(),
+            },
+        ),
         ((JobId(413), 1), TaskChunk::default()),
     ]
 }
@@ -286,7 +360,11 @@
 /// The pages that a round writes, by key.
 fn written(round: &controller::placement_log::LogCommit) -> Vec<(String, Value)> {
     let page = |write: &Write| match write {
-        Write::Put { put, value, lease: None } => (put.clone(), value.clone()),
+        Write::Put {
+            put,
+            value,
+            lease: None,
+        } => (put.clone(), value.clone()),
         other => panic!("a round puts pages without a lease: {other:?}"),
     };
     round.txn.writes.iter().map(page).collect()
@@ -296,10 +374,16 @@
 fn stored_ledger(value_bytes: usize) -> PlacementLog {
     let item = |(key, text): (String, String)| {
         let value = serde_json::from_str(&text).expect("JSON");
-        Item { key, value, version: 9, lease: None }
+        Item {
+            key,
+            value,
+            version: 9,
+            lease: None,
+        }
     };
-    let pages =
-        golden::read("ledger_pages.txt").into_iter().filter(|(key, _)| key.starts_with('l'));
+    let pages = golden::read("ledger_pages.txt")
+        .into_iter()
+        .filter(|(key, _)| key.starts_with('l'));
     let items: Vec<Item> = pages.map(item).collect();
     PlacementLog::load(PartitionId(2), &items, value_bytes, 6)
 }
@@ -323,7 +407,10 @@
     let mut ledger = stored_ledger(4_096);
     assert!(ledger.unreadable().is_empty());
     for ((job, chunk), body) in chunks() {
-        assert!(ledger.chunks_of(job).contains(&(chunk, body)), "{job:?} {chunk}");
+        assert!(
+            ledger.chunks_of(job).contains(&(chunk, body)),
+            "{job:?} {chunk}"
+        );
     }
     // Rounds without changes go around the other three pages, so that the next writes this one anew.
     for _ in 0..3 {
--- a/crates/controller/tests/ledger.rs
+++ b/crates/controller/tests/ledger.rs
@@ -21,7 +21,11 @@
     let (key, id) = ledger().proof(&ours).expect("it writes a page");
     assert_eq!(written(&ours).0, key);
     assert_eq!(written(&theirs).0, key, "the same page");
-    assert_eq!(written(&ours).1["round"], written(&theirs).1["round"], "the same number");
+    assert_eq!(
+        written(&ours).1["round"],
+        written(&theirs).1["round"],
+        "the same number"
+    );
     assert!(PlacementLog::proves(&written(&ours).1, id));
     assert!(!PlacementLog::proves(&written(&theirs).1, id));
 }
--- a/crates/failover/src/failure_detector.rs
+++ b/crates/failover/src/failure_detector.rs
@@ -101,12 +101,20 @@
         let now = evidence.now;
         let heartbeat = evidence.last_heartbeat;
         let checks = [
-            (LeaderAlive, heartbeat.is_none_or(|at| now.duration_since(at) < HEARTBEAT_TIMEOUT)),
+            (
+                LeaderAlive,
+                heartbeat.is_none_or(|at| now.duration_since(at) < HEARTBEAT_TIMEOUT),
+            ),
             (
                 LeaderAliveForPeers,
-                evidence.peer_heartbeat_age.is_some_and(|age| age < MAX_PEER_HEARTBEAT_AGE),
+                evidence
+                    .peer_heartbeat_age
+                    .is_some_and(|age| age < MAX_PEER_HEARTBEAT_AGE),
+            ),
+            (
+                WorkersStayWithLeader,
+                !self.workers_leave(partition, evidence),
             ),
-            (WorkersStayWithLeader, !self.workers_leave(partition, evidence)),
             (ReplicaBehind, !evidence.replica_complete),
             (
                 StateServiceUnreachable,
@@ -114,10 +122,20 @@
                     .last_state_read
                     .is_none_or(|at| now.duration_since(at) > MAX_STATE_READ_AGE),
             ),
-            (RecentlyPaused, now.duration_since(evidence.resumed_at) < PAUSE_RECOVERY),
-            (RecentFalseSuspicion, self.was_falsely_suspected(partition, now)),
+            (
+                RecentlyPaused,
+                now.duration_since(evidence.resumed_at) < PAUSE_RECOVERY,
+            ),
+            (
+                RecentFalseSuspicion,
+                self.was_falsely_suspected(partition, now),
+            ),
         ];
-        checks.into_iter().filter(|(_, holds)| *holds).map(|(blocker, _)| blocker).collect()
+        checks
+            .into_iter()
+            .filter(|(_, holds)| *holds)
+            .map(|(blocker, _)| blocker)
+            .collect()
     }
 
     /// Whether more workers contact us than do so for reasons of their own.
--- a/crates/failover/src/readiness.rs
+++ b/crates/failover/src/readiness.rs
@@ -56,13 +56,26 @@
 pub fn failed_checks(facts: &LeadershipFacts) -> Vec<ReadinessCheck> {
     let reaches_record = |revision: Revision| revision.0 >= facts.own_version.0;
     let checks = [
-        (ReadinessCheck::OwnRecord, facts.mirrored_record == Some(facts.own_version)),
+        (
+            ReadinessCheck::OwnRecord,
+            facts.mirrored_record == Some(facts.own_version),
+        ),
         (ReadinessCheck::TermGivenOut, facts.term < facts.next_token),
-        (ReadinessCheck::MirrorReached, reaches_record(facts.mirror_revision)),
-        (ReadinessCheck::LedgerRead, facts.ledger_revision.is_some_and(reaches_record)),
+        (
+            ReadinessCheck::MirrorReached,
+            reaches_record(facts.mirror_revision),
+        ),
+        (
+            ReadinessCheck::LedgerRead,
+            facts.ledger_revision.is_some_and(reaches_record),
+        ),
         (ReadinessCheck::PagesSound, facts.unreadable_pages == 0),
         (ReadinessCheck::Unrivalled, !facts.has_rival),
         (ReadinessCheck::Contact, facts.state_is_fresh),
     ];
-    checks.into_iter().filter(|(_, passed)| !passed).map(|(check, _)| check).collect()
+    checks
+        .into_iter()
+        .filter(|(_, passed)| !passed)
+        .map(|(check, _)| check)
+        .collect()
 }
--- a/crates/failover/src/replica.rs
+++ b/crates/failover/src/replica.rs
@@ -102,14 +102,24 @@
 
     /// Number of machines that report to the leader.
     pub fn reporting_machines(&self) -> usize {
-        self.machines.values().filter(|machine| machine.hint.reporting).count()
+        self.machines
+            .values()
+            .filter(|machine| machine.hint.reporting)
+            .count()
     }
 
     /// A message that starts or renews the subscription after what has been applied.
     fn subscription(&mut self, partition: PartitionId, now: Timestamp) -> MeshMessage {
         self.renewed_at = Some(now);
-        let ReplicationSource { incarnation, term, .. } = self.source;
-        MeshMessage::Subscribe { partition: partition.0, incarnation, term, have: self.applied }
+        let ReplicationSource {
+            incarnation, term, ..
+        } = self.source;
+        MeshMessage::Subscribe {
+            partition: partition.0,
+            incarnation,
+            term,
+            have: self.applied,
+        }
     }
 
     fn apply(&mut self, hint: ReplicatedRecord, sent_at: Timestamp, now: Timestamp) {
@@ -119,7 +129,8 @@
                 let name = MachineName::from(hint.machine.as_str());
                 if !full || self.machines.contains_key(&name) {
                     let idle_since = idle_since(&hint, sent_at, now);
-                    self.machines.insert(name, ReplicatedMachine { hint, idle_since });
+                    self.machines
+                        .insert(name, ReplicatedMachine { hint, idle_since });
                 }
             }
             ReplicatedRecord::Job(hint) => {
@@ -149,7 +160,9 @@
 fn idle_since(hint: &MachineSnapshot, sent_at: Timestamp, now: Timestamp) -> Option<Timestamp> {
     let idle_at = hint.idle_at?;
     let idle_for = sent_at.as_millis() - idle_at.min(sent_at.as_millis());
-    Some(Timestamp::from_millis(now.as_millis().saturating_sub(idle_for)))
+    Some(Timestamp::from_millis(
+        now.as_millis().saturating_sub(idle_for),
+    ))
 }
 
 /// All replicas of a node.
@@ -178,11 +191,15 @@
                 replica.jobs = old.jobs;
             }
             replica.wanted_at = now;
-            if replica.renewed_at.is_none_or(|at| now.duration_since(at) >= RENEWAL_INTERVAL) {
+            if replica
+                .renewed_at
+                .is_none_or(|at| now.duration_since(at) >= RENEWAL_INTERVAL)
+            {
                 messages.push((source.leader.clone(), replica.subscription(*partition, now)));
             }
         }
-        self.by_partition.retain(|_, replica| now.duration_since(replica.wanted_at) < RETENTION);
+        self.by_partition
+            .retain(|_, replica| now.duration_since(replica.wanted_at) < RETENTION);
         messages
     }
 
@@ -195,7 +212,11 @@
     ) -> Option<MeshMessage> {
         let partition = PartitionId(part.partition);
         let replica = self.by_partition.get_mut(&partition)?;
-        let ReplicationSource { leader, incarnation, term } = &replica.source;
+        let ReplicationSource {
+            leader,
+            incarnation,
+            term,
+        } = &replica.source;
         if (leader, *incarnation, *term) != (from, part.incarnation, part.term) {
             return None;
         }
@@ -236,7 +257,9 @@
     pub fn is_in_sync(&self, partition: PartitionId, now: Timestamp) -> bool {
         self.by_partition.get(&partition).is_some_and(|replica| {
             replica.complete
-                && replica.updated_at.is_some_and(|at| now.duration_since(at) <= MAX_UPDATE_AGE)
+                && replica
+                    .updated_at
+                    .is_some_and(|at| now.duration_since(at) <= MAX_UPDATE_AGE)
         })
     }
 
