--- a/crates/failover/src/stream.rs
+++ b/crates/failover/src/stream.rs
@@ -61,14 +61,22 @@
     /// Starts or renews the subscription of a node that has applied all changes up to `applied`.
     pub fn subscribe(&mut self, node: &ControllerName, applied: u64, now: Timestamp) {
         // A node that lacks dropped tombstones has to start from 0.
-        let applied = if applied < self.dropped { 0 } else { applied.min(self.last) };
+        let applied = if applied < self.dropped {
+            0
+        } else {
+            applied.min(self.last)
+        };
         match self.subscribers.get_mut(node) {
             Some(subscriber) => {
                 subscriber.renewed_at = now;
                 subscriber.sent = subscriber.sent.min(applied);
             }
             None => {
-                let subscriber = Subscriber { sent: applied, renewed_at: now, sent_at: None };
+                let subscriber = Subscriber {
+                    sent: applied,
+                    renewed_at: now,
+                    sent_at: None,
+                };
                 self.subscribers.insert(node.clone(), subscriber);
             }
         }
@@ -76,13 +84,16 @@
 
     /// Whether there are subscribers: otherwise the hints need not be collected.
     pub fn has_subscribers(&mut self, now: Timestamp) -> bool {
-        self.subscribers.retain(|_, s| now.duration_since(s.renewed_at) < SUBSCRIPTION_TIMEOUT);
+        self.subscribers
+            .retain(|_, s| now.duration_since(s.renewed_at) < SUBSCRIPTION_TIMEOUT);
         !self.subscribers.is_empty()
     }
 
     /// Subscribers, and how many changes each has still to be sent.
     pub fn subscribers(&self) -> impl Iterator<Item = (&ControllerName, u64)> {
-        self.subscribers.iter().map(|(name, subscriber)| (name, self.last - subscriber.sent))
+        self.subscribers
+            .iter()
+            .map(|(name, subscriber)| (name, self.last - subscriber.sent))
     }
 
     /// Compares all current hints with those known: each difference gets a new sequence number.
@@ -112,7 +123,11 @@
     fn record_change(&mut self, key: ReplicationKey, hint: Option<ReplicatedRecord>) {
         self.last += 1;
         self.tombstones += usize::from(hint.is_none());
-        let entry = Entry { sequence: self.last, hint, update: self.updates };
+        let entry = Entry {
+            sequence: self.last,
+            hint,
+            update: self.updates,
+        };
         if let Some(old) = self.entries.insert(key.clone(), entry) {
             self.by_sequence.remove(&old.sequence);
             self.tombstones -= usize::from(old.hint.is_none());
@@ -121,10 +136,15 @@
     }
 
     fn drop_oldest_tombstone(&mut self) {
-        let is_tombstone =
-            |key: &ReplicationKey| self.entries.get(key).is_some_and(|entry| entry.hint.is_none());
+        let is_tombstone = |key: &ReplicationKey| {
+            self.entries
+                .get(key)
+                .is_some_and(|entry| entry.hint.is_none())
+        };
         let oldest = self.by_sequence.iter().find(|(_, key)| is_tombstone(key));
-        let Some((sequence, key)) = oldest else { return };
+        let Some((sequence, key)) = oldest else {
+            return;
+        };
         let (sequence, key) = (*sequence, key.clone());
         self.by_sequence.remove(&sequence);
         self.entries.remove(&key);
@@ -161,7 +181,9 @@
     fn parts_after(&self, after: u64, header: &ReplicationBatch) -> Vec<ReplicationBatch> {
         let mut parts = vec![self.part_after(after, header)];
         while parts.len() < MAX_PARTS_PER_SEND {
-            let Some(sent) = parts.last().map(|part| part.upto) else { break };
+            let Some(sent) = parts.last().map(|part| part.upto) else {
+                break;
+            };
             if sent >= self.last {
                 break;
             }
@@ -172,8 +194,14 @@
 
     fn is_due(&self, subscriber: &Subscriber, now: Timestamp) -> bool {
         let has_changes = subscriber.sent < self.last;
-        let interval = if has_changes { MIN_SEND_INTERVAL } else { KEEPALIVE_INTERVAL };
-        subscriber.sent_at.is_none_or(|at| now.duration_since(at) >= interval)
+        let interval = if has_changes {
+            MIN_SEND_INTERVAL
+        } else {
+            KEEPALIVE_INTERVAL
+        };
+        subscriber
+            .sent_at
+            .is_none_or(|at| now.duration_since(at) >= interval)
     }
 
     /// The changes after a sequence number, as many as fit into one part.
--- a/crates/failover/tests/assign.rs
+++ b/crates/failover/tests/assign.rs
@@ -5,13 +5,18 @@
 use std::collections::BTreeMap;
 
 fn names(count: usize) -> Vec<ControllerName> {
-    (0..count).map(|n| ControllerName::from(format!("n{n}").as_str())).collect()
+    (0..count)
+        .map(|n| ControllerName::from(format!("n{n}").as_str()))
+        .collect()
 }
 
 /// Partitions led by these nodes.
 fn leaders(by: &[usize]) -> BTreeMap<PartitionId, ControllerName> {
     let nodes = names(8);
-    by.iter().enumerate().map(|(p, n)| (PartitionId(p as u32), nodes[*n].clone())).collect()
+    by.iter()
+        .enumerate()
+        .map(|(p, n)| (PartitionId(p as u32), nodes[*n].clone()))
+        .collect()
 }
 
 fn standbys(count: usize, crashed: &[usize], by: &[usize]) -> Vec<String> {
--- a/crates/failover/tests/failure_detector.rs
+++ b/crates/failover/tests/failure_detector.rs
@@ -34,8 +34,15 @@
 fn agreeing_evidence_suffices() {
     let (detector, evidence) = crashed();
     assert_eq!(detector.failover_blockers(P, &evidence), []);
-    let alone = Evidence { peer_heartbeat_age: None, ..evidence };
-    assert_eq!(detector.failover_blockers(P, &alone), [], "no other node is alive");
+    let alone = Evidence {
+        peer_heartbeat_age: None,
+        ..evidence
+    };
+    assert_eq!(
+        detector.failover_blockers(P, &alone),
+        [],
+        "no other node is alive"
+    );
 }
 
 #[test]
@@ -45,24 +52,60 @@
     let just = Some(Timestamp::from_millis(now.as_millis() - 900));
     let old_read = Some(Timestamp::from_millis(now.as_millis() - 2_000));
     let cases = [
-        (Evidence { last_heartbeat: just, ..evidence }, FailoverBlocker::LeaderAlive),
-        (Evidence { last_heartbeat: None, ..evidence }, FailoverBlocker::LeaderAlive),
         (
-            Evidence { peer_heartbeat_age: Some(Duration::from_millis(400)), ..evidence },
+            Evidence {
+                last_heartbeat: just,
+                ..evidence
+            },
+            FailoverBlocker::LeaderAlive,
+        ),
+        (
+            Evidence {
+                last_heartbeat: None,
+                ..evidence
+            },
+            FailoverBlocker::LeaderAlive,
+        ),
+        (
+            Evidence {
+                peer_heartbeat_age: Some(Duration::from_millis(400)),
+                ..evidence
+            },
             FailoverBlocker::LeaderAliveForPeers,
         ),
         (
-            Evidence { reporting_machines: 64 * 8, ..evidence },
+            Evidence {
+                reporting_machines: 64 * 8,
+                ..evidence
+            },
             FailoverBlocker::WorkersStayWithLeader,
         ),
-        (Evidence { replica_complete: false, ..evidence }, FailoverBlocker::ReplicaBehind),
-        (Evidence { last_state_read: None, ..evidence }, FailoverBlocker::StateServiceUnreachable),
         (
-            Evidence { last_state_read: old_read, ..evidence },
+            Evidence {
+                replica_complete: false,
+                ..evidence
+            },
+            FailoverBlocker::ReplicaBehind,
+        ),
+        (
+            Evidence {
+                last_state_read: None,
+                ..evidence
+            },
             FailoverBlocker::StateServiceUnreachable,
         ),
         (
-            Evidence { resumed_at: Timestamp::from_millis(now.as_millis() - 500), ..evidence },
+            Evidence {
+                last_state_read: old_read,
+                ..evidence
+            },
+            FailoverBlocker::StateServiceUnreachable,
+        ),
+        (
+            Evidence {
+                resumed_at: Timestamp::from_millis(now.as_millis() - 500),
+                ..evidence
+            },
             FailoverBlocker::RecentlyPaused,
         ),
     ];
@@ -80,5 +123,8 @@
         "the workers' contacts are too old"
     );
     detector.record_false_suspicion(P, now);
-    assert_eq!(detector.failover_blockers(P, &evidence), [FailoverBlocker::RecentFalseSuspicion]);
+    assert_eq!(
+        detector.failover_blockers(P, &evidence),
+        [FailoverBlocker::RecentFalseSuspicion]
+    );
 }
--- a/crates/failover/tests/large_partition.rs
+++ b/crates/failover/tests/large_partition.rs
@@ -22,7 +22,9 @@
         reporting: true,
         quarantined: false,
         idle_at: None,
-        images: (0..IMAGES).map(|image| (format!("img-{image:02}"), 1.5)).collect(),
+        images: (0..IMAGES)
+            .map(|image| (format!("img-{image:02}"), 1.5))
+            .collect(),
     })
 }
 
@@ -48,8 +50,15 @@
 
     /// One step of both nodes.
     fn step(&mut self, machines: std::ops::Range<usize>, now: Timestamp) {
-        let source = ReplicationSource { leader: self.leader.clone(), incarnation: 1, term: 1 };
-        for (_, message) in self.replicas.subscribe(&BTreeMap::from([(PARTITION, source)]), now) {
+        let source = ReplicationSource {
+            leader: self.leader.clone(),
+            incarnation: 1,
+            term: 1,
+        };
+        for (_, message) in self
+            .replicas
+            .subscribe(&BTreeMap::from([(PARTITION, source)]), now)
+        {
             self.subscribe(message, now);
         }
         self.stream.update(machines.map(machine));
@@ -68,12 +77,16 @@
     }
 
     fn subscribe(&mut self, message: MeshMessage, now: Timestamp) {
-        let MeshMessage::Subscribe { have, .. } = message else { panic!("{message:?}") };
+        let MeshMessage::Subscribe { have, .. } = message else {
+            panic!("{message:?}")
+        };
         self.stream.subscribe(&self.subscriber, have, now);
     }
 
     fn machines(&self) -> usize {
-        self.replicas.get(PARTITION).map_or(0, |replica| replica.machines.len())
+        self.replicas
+            .get(PARTITION)
+            .map_or(0, |replica| replica.machines.len())
     }
 }
 
--- a/crates/failover/tests/readiness.rs
+++ b/crates/failover/tests/readiness.rs
@@ -18,21 +18,69 @@
     };
     assert_eq!(failed_checks(&sound), []);
     let cases = [
-        (LeadershipFacts { mirrored_record: None, ..sound }, ReadinessCheck::OwnRecord),
         (
-            LeadershipFacts { mirrored_record: Some(Version(69)), ..sound },
+            LeadershipFacts {
+                mirrored_record: None,
+                ..sound
+            },
             ReadinessCheck::OwnRecord,
         ),
-        (LeadershipFacts { next_token: FencingToken(8), ..sound }, ReadinessCheck::TermGivenOut),
-        (LeadershipFacts { mirror_revision: Revision(69), ..sound }, ReadinessCheck::MirrorReached),
-        (LeadershipFacts { ledger_revision: None, ..sound }, ReadinessCheck::LedgerRead),
         (
-            LeadershipFacts { ledger_revision: Some(Revision(69)), ..sound },
+            LeadershipFacts {
+                mirrored_record: Some(Version(69)),
+                ..sound
+            },
+            ReadinessCheck::OwnRecord,
+        ),
+        (
+            LeadershipFacts {
+                next_token: FencingToken(8),
+                ..sound
+            },
+            ReadinessCheck::TermGivenOut,
+        ),
+        (
+            LeadershipFacts {
+                mirror_revision: Revision(69),
+                ..sound
+            },
+            ReadinessCheck::MirrorReached,
+        ),
+        (
+            LeadershipFacts {
+                ledger_revision: None,
+                ..sound
+            },
+            ReadinessCheck::LedgerRead,
+        ),
+        (
+            LeadershipFacts {
+                ledger_revision: Some(Revision(69)),
+                ..sound
+            },
             ReadinessCheck::LedgerRead,
         ),
-        (LeadershipFacts { unreadable_pages: 1, ..sound }, ReadinessCheck::PagesSound),
-        (LeadershipFacts { has_rival: true, ..sound }, ReadinessCheck::Unrivalled),
-        (LeadershipFacts { state_is_fresh: false, ..sound }, ReadinessCheck::Contact),
+        (
+            LeadershipFacts {
+                unreadable_pages: 1,
+                ..sound
+            },
+            ReadinessCheck::PagesSound,
+        ),
+        (
+            LeadershipFacts {
+                has_rival: true,
+                ..sound
+            },
+            ReadinessCheck::Unrivalled,
+        ),
+        (
+            LeadershipFacts {
+                state_is_fresh: false,
+                ..sound
+            },
+            ReadinessCheck::Contact,
+        ),
     ];
     for (facts, check) in cases {
         assert_eq!(failed_checks(&facts), [check]);
--- a/crates/failover/tests/stream.rs
+++ b/crates/failover/tests/stream.rs
@@ -65,7 +65,8 @@
                 said.insert((format!("host-{n:04}"), session));
             }
         }
-        self.jobs.insert(rng.random_range(0..40), rng.random_range(1..9));
+        self.jobs
+            .insert(rng.random_range(0..40), rng.random_range(1..9));
         let machines = self.truth.iter().map(|(n, session)| machine(*n, *session));
         let jobs = self.jobs.iter().map(|(n, failures)| job(*n, *failures));
         self.stream.update(machines.chain(jobs));
@@ -113,10 +114,17 @@
             on_way.sort_by_key(|(at, _)| *at);
             let due: Vec<_> = on_way.extract_if(.., |(at, _)| *at <= now).collect();
             for (_, part) in due {
-                words.extend(replicas.apply(&holder_name, part, now).map(|m| (me.clone(), m)));
+                words.extend(
+                    replicas
+                        .apply(&holder_name, part, now)
+                        .map(|m| (me.clone(), m)),
+                );
             }
             for (_, word) in words {
-                if let MeshMessage::Subscribe { incarnation, have, .. } = word {
+                if let MeshMessage::Subscribe {
+                    incarnation, have, ..
+                } = word
+                {
                     if incarnation == leader.incarnation && !rng.random_bool(loss) {
                         leader.stream.subscribe(&me, have, now);
                     }
@@ -128,7 +136,11 @@
                 if rng.random_bool(loss) {
                     continue;
                 }
-                let delay = if at < well_from { rng.random_range(0..3_000) } else { 1 };
+                let delay = if at < well_from {
+                    rng.random_range(0..3_000)
+                } else {
+                    1
+                };
                 on_way.push((Timestamp::from_millis(at + delay), part.clone()));
                 if rng.random_bool(loss) {
                     on_way.push((Timestamp::from_millis(at + delay + 900), part));
@@ -137,11 +149,19 @@
             let replica = replicas.get(P);
             for (name, machine) in replica.into_iter().flat_map(|replica| &replica.machines) {
                 let known = (name.to_string(), machine.hint.session);
-                assert!(said.contains(&known), "seed {seed}: {known:?} was never said");
+                assert!(
+                    said.contains(&known),
+                    "seed {seed}: {known:?} was never said"
+                );
             }
         }
-        assert!(replicas.is_in_sync(P, Timestamp::from_millis(ends)), "seed {seed}");
-        let Some(copy) = replicas.remove(P) else { panic!("seed {seed}: no copy") };
+        assert!(
+            replicas.is_in_sync(P, Timestamp::from_millis(ends)),
+            "seed {seed}"
+        );
+        let Some(copy) = replicas.remove(P) else {
+            panic!("seed {seed}: no copy")
+        };
         let machines: BTreeMap<MachineName, u64> = copy
             .machines
             .iter()
@@ -152,9 +172,17 @@
             .iter()
             .map(|(n, session)| (MachineName::from(format!("host-{n:04}").as_str()), *session))
             .collect();
-        assert!(machines == truth, "seed {seed}: {} and {} differ", machines.len(), truth.len());
-        let jobs: BTreeMap<u64, u32> =
-            copy.jobs.iter().map(|(id, hint)| (*id, hint.failures[0].1)).collect();
+        assert!(
+            machines == truth,
+            "seed {seed}: {} and {} differ",
+            machines.len(),
+            truth.len()
+        );
+        let jobs: BTreeMap<u64, u32> = copy
+            .jobs
+            .iter()
+            .map(|(id, hint)| (*id, hint.failures[0].1))
+            .collect();
         assert_eq!(jobs, leader.jobs, "seed {seed}");
     }
 }
@@ -183,12 +211,24 @@
     };
     let session = |replicas: &Replicas| {
         let copy = replicas.get(P).expect("a copy");
-        copy.machines.values().next().map(|machine| machine.hint.session)
+        copy.machines
+            .values()
+            .next()
+            .map(|machine| machine.hint.session)
     };
-    replicas.subscribe(&BTreeMap::from([(P, source(&old, 5, 3))]), Timestamp::from_millis(10));
-    assert_eq!(replicas.apply(&old, part(5, 3, 11), Timestamp::from_millis(20)), None);
+    replicas.subscribe(
+        &BTreeMap::from([(P, source(&old, 5, 3))]),
+        Timestamp::from_millis(10),
+    );
+    assert_eq!(
+        replicas.apply(&old, part(5, 3, 11), Timestamp::from_millis(20)),
+        None
+    );
     assert_eq!(session(&replicas), Some(11));
-    replicas.subscribe(&BTreeMap::from([(P, source(&new, 6, 4))]), Timestamp::from_millis(30));
+    replicas.subscribe(
+        &BTreeMap::from([(P, source(&new, 6, 4))]),
+        Timestamp::from_millis(30),
+    );
     assert!(
         !replicas.is_in_sync(P, Timestamp::from_millis(30)),
         "the new holder has said nothing yet"
--- a/crates/loadtest/src/capacity.rs
+++ b/crates/loadtest/src/capacity.rs
@@ -126,7 +126,12 @@
     report: &Report,
     value: impl Fn(&crate::processes::ProcessFigures) -> f64,
 ) -> Vec<f64> {
-    report.processes.iter().filter(|p| is_controller(&p.name)).map(value).collect()
+    report
+        .processes
+        .iter()
+        .filter(|p| is_controller(&p.name))
+        .map(value)
+        .collect()
 }
 
 fn most(values: &[f64]) -> f64 {
@@ -135,22 +140,34 @@
 
 fn messages(report: &Report, kinds: &[&str]) -> f64 {
     let all = report.traffic.values().flatten();
-    all.filter(|(kind, _)| kinds.contains(&kind.as_str())).map(|(_, t)| t.messages_per_s).sum()
+    all.filter(|(kind, _)| kinds.contains(&kind.as_str()))
+        .map(|(_, t)| t.messages_per_s)
+        .sum()
 }
 
 fn bytes(report: &Report, kinds: &[&str]) -> f64 {
     let all = report.traffic.values().flatten();
     let ours = all.filter(|(kind, _)| kinds.contains(&kind.as_str()));
-    ours.map(|(_, t)| t.bytes_from_controller_per_s + t.bytes_to_controller_per_s).sum()
+    ours.map(|(_, t)| t.bytes_from_controller_per_s + t.bytes_to_controller_per_s)
+        .sum()
 }
 
 fn stand_in(report: &Report, name: &str, figure: &str) -> f64 {
-    report.stand_ins.get(name).and_then(|f| f.get(figure)).copied().unwrap_or_default()
+    report
+        .stand_ins
+        .get(name)
+        .and_then(|f| f.get(figure))
+        .copied()
+        .unwrap_or_default()
 }
 
 /// Leases of workers that ran out.
 fn lapsed(report: &Report) -> f64 {
-    report.stand_ins.values().filter_map(|f| f.get("leases that lapsed")).sum()
+    report
+        .stand_ins
+        .values()
+        .filter_map(|f| f.get("leases that lapsed"))
+        .sum()
 }
 
 fn rate(report: &Report, name: &str) -> f64 {
@@ -194,7 +211,11 @@
     }
 
     fn text(&self) -> String {
-        let budget = if self.budget.is_finite() { number(self.budget) } else { "none set".into() };
+        let budget = if self.budget.is_finite() {
+            number(self.budget)
+        } else {
+            "none set".into()
+        };
         let (Some(fit), Some(value)) = (self.fit, self.extrapolated) else {
             return format!(
                 "| {}, {} | not measured | | | | {budget} | | | |",
@@ -239,7 +260,11 @@
 }
 
 fn estimate_text(estimate: Estimate, times: f64) -> String {
-    format!("{} ± {}", number(estimate.value * times), number(estimate.error * times))
+    format!(
+        "{} ± {}",
+        number(estimate.value * times),
+        number(estimate.error * times)
+    )
 }
 
 /// Three digits, without an exponent.
@@ -259,7 +284,10 @@
 pub fn command(directory: &Path, page: Option<&Path>, json: bool) -> Result<(), String> {
     let target = read_target(directory)?;
     let reports = read_reports(directory)?;
-    let rows: Vec<Row> = QUANTITIES.iter().map(|q| Row::of(q, &reports, &target)).collect();
+    let rows: Vec<Row> = QUANTITIES
+        .iter()
+        .map(|q| Row::of(q, &reports, &target))
+        .collect();
     if json {
         let text = serde_json::to_string(&rows).map_err(|e| e.to_string())?;
         println!("{text}");
@@ -285,7 +313,10 @@
     let problem = |path: &Path, e: &dyn std::fmt::Display| format!("{}: {e}", path.display());
     let entries = std::fs::read_dir(directory).map_err(|e| problem(directory, &e))?;
     let mut paths: Vec<_> = entries.flatten().map(|entry| entry.path()).collect();
-    paths.retain(|path| path.extension().is_some_and(|extension| extension == "json"));
+    paths.retain(|path| {
+        path.extension()
+            .is_some_and(|extension| extension == "json")
+    });
     paths.sort();
     let read = |path: &std::path::PathBuf| {
         let text = std::fs::read_to_string(path).map_err(|e| problem(path, &e))?;
@@ -296,7 +327,12 @@
 
 fn write_page(page: &Path, tables: &str) -> Result<(), String> {
     let text = std::fs::read_to_string(page).map_err(|e| format!("{}: {e}", page.display()))?;
-    let marks = || format!("{}: the marks {BEGIN_MARK} and {END_MARK} are missing", page.display());
+    let marks = || {
+        format!(
+            "{}: the marks {BEGIN_MARK} and {END_MARK} are missing",
+            page.display()
+        )
+    };
     let (before, rest) = text.split_once(BEGIN_MARK).ok_or_else(marks)?;
     let (_, after) = rest.split_once(END_MARK).ok_or_else(marks)?;
     let text = format!("{before}{BEGIN_MARK}\n\n{tables}\n{END_MARK}{after}");
@@ -346,7 +382,11 @@
         format!("{:.0}", rate(report, "tasks")),
         number(rate(report, "task starts a second")),
         number(cpu.iter().sum()),
-        format!("{} ({})", number(most(&cpu)), number(most(&controllers(report, |p| p.cpu_peak)))),
+        format!(
+            "{} ({})",
+            number(most(&cpu)),
+            number(most(&controllers(report, |p| p.cpu_peak)))
+        ),
         number(most(&controllers(report, |p| p.memory_mb_max))),
         number(most(&controllers(report, |p| p.sockets_max as f64))),
         number(messages(report, &STATE_KINDS)),
--- a/crates/loadtest/src/cloud.rs
+++ b/crates/loadtest/src/cloud.rs
@@ -46,7 +46,12 @@
 
 /// Runs the cloud until it is told to stop.
 pub async fn run(context: Context) -> std::io::Result<RoleReport> {
-    let Context { net, clock, experiment, stop } = context;
+    let Context {
+        net,
+        clock,
+        experiment,
+        stop,
+    } = context;
     let tally = SharedTally::default();
     let count = experiment.controllers.count;
     let warmup = (experiment.warmup_s * 1_000.0) as u64;
@@ -65,7 +70,11 @@
     say(&RoleMessage::Ready);
     let _ = stop.await;
     let traffic = tally.borrow().clone();
-    Ok(RoleReport { traffic, figures: service.figures(), ..RoleReport::default() })
+    Ok(RoleReport {
+        traffic,
+        figures: service.figures(),
+        ..RoleReport::default()
+    })
 }
 
 /// Tells the workers' processes of machines that have come up.
@@ -76,7 +85,16 @@
             let mut link = service.links[process].lock().await;
             let up = service.come_up(process as u32);
             if !up.is_empty() {
-                service.tell(&mut link, process, MachineChanges { up, gone: Vec::new() }).await;
+                service
+                    .tell(
+                        &mut link,
+                        process,
+                        MachineChanges {
+                            up,
+                            gone: Vec::new(),
+                        },
+                    )
+                    .await;
             }
         }
     }
@@ -104,7 +122,12 @@
 
 impl Service {
     fn new(experiment: Experiment, net: Net, clock: Clock) -> Self {
-        let zones: Vec<&str> = experiment.controllers.zones.iter().map(String::as_str).collect();
+        let zones: Vec<&str> = experiment
+            .controllers
+            .zones
+            .iter()
+            .map(String::as_str)
+            .collect();
         let ordinary = experiment.workers.count.div_ceil(zones.len() as u32);
         Service {
             net,
@@ -115,13 +138,19 @@
             throttled: Cell::default(),
             latency: Duration::from_secs_f64(experiment.cloud.latency_ms / 1e3),
             announced: RefCell::default(),
-            links: (0..experiment.worker_processes()).map(|_| Mutex::default()).collect(),
+            links: (0..experiment.worker_processes())
+                .map(|_| Mutex::default())
+                .collect(),
         }
     }
 
     fn figures(&self) -> BTreeMap<String, f64> {
         let cloud = self.cloud.borrow();
-        let gone = cloud.machines.values().filter(|m| m.gone_at.is_some()).count();
+        let gone = cloud
+            .machines
+            .values()
+            .filter(|m| m.gone_at.is_some())
+            .count();
         [
             ("machines rented", cloud.machines.len() as f64),
             ("machines released", gone as f64),
@@ -160,13 +189,19 @@
 
     /// Sends changes to a process and waits until it has carried them out.
     async fn tell(&self, link: &mut Option<Client>, process: usize, changes: MachineChanges) {
-        let Ok(body) = serde_json::to_vec(&changes) else { return };
+        let Ok(body) = serde_json::to_vec(&changes) else {
+            return;
+        };
         if link.as_ref().is_none_or(|client| !client.usable()) {
             let to = self.net.worker_process(process as u32);
             *link = Client::connect(None, to, 0).await.ok();
         }
         if let Some(client) = link {
-            if client.exchange(Method::POST, "/machines", body).await.is_err() {
+            if client
+                .exchange(Method::POST, "/machines", body)
+                .await
+                .is_err()
+            {
                 *link = None;
             }
         }
@@ -175,11 +210,22 @@
     async fn release(&self, names: Vec<String>) {
         let mut by_process: BTreeMap<usize, Vec<String>> = BTreeMap::new();
         for name in names {
-            by_process.entry(self.process_of(&name)).or_default().push(name);
+            by_process
+                .entry(self.process_of(&name))
+                .or_default()
+                .push(name);
         }
         for (process, gone) in by_process {
             let mut link = self.links[process].lock().await;
-            self.tell(&mut link, process, MachineChanges { up: Vec::new(), gone }).await;
+            self.tell(
+                &mut link,
+                process,
+                MachineChanges {
+                    up: Vec::new(),
+                    gone,
+                },
+            )
+            .await;
         }
     }
 
@@ -194,14 +240,20 @@
             return Answer::error(kind, 429, "too many requests");
         }
         let (reply, gone) =
-            self.cloud.borrow_mut().execute(now, &request, &mut self.rng.borrow_mut());
+            self.cloud
+                .borrow_mut()
+                .execute(now, &request, &mut self.rng.borrow_mut());
         if !gone.is_empty() {
             self.release(gone).await;
         }
         match reply {
             CloudReply::Types(types) => Answer::json(kind, 200, &types),
             CloudReply::Rented(machines) => Answer::json(kind, 200, &MachineNames { machines }),
-            CloudReply::Released => Answer { status: 200, body: b"{}".to_vec(), kind },
+            CloudReply::Released => Answer {
+                status: 200,
+                body: b"{}".to_vec(),
+                kind,
+            },
             CloudReply::List(mut list) => {
                 for machine in &mut list.machines {
                     machine.address = self.net.worker(machine_number(&machine.id)).to_string();
@@ -229,7 +281,13 @@
         (Method::GET, "/hosts") => {
             let query: ListQuery = serde_urlencoded::from_str(&call.query).ok()?;
             let limit = query.limit.unwrap_or(MOST_LISTED).min(MOST_LISTED);
-            Some(("list machines", CloudRequest::List { after: query.after, limit }))
+            Some((
+                "list machines",
+                CloudRequest::List {
+                    after: query.after,
+                    limit,
+                },
+            ))
         }
         _ => None,
     }
--- a/crates/loadtest/src/config.rs
+++ b/crates/loadtest/src/config.rs
@@ -139,7 +139,11 @@
 #[serde(tag = "kind", rename_all = "snake_case", deny_unknown_fields)]
 pub enum Fault {
     /// A controller is killed and started again.
-    KillController { at_s: f64, controller: u32, down_s: f64 },
+    KillController {
+        at_s: f64,
+        controller: u32,
+        down_s: f64,
+    },
     /// The state service answers 503.
     StateOutage { at_s: f64, for_s: f64 },
     /// A part of the workers closes its connections and is silent.
@@ -168,7 +172,10 @@
 }
 
 fn bad<T>(field: impl Into<String>, problem: impl Into<String>) -> Result<T, ConfigError> {
-    Err(ConfigError::Field { field: field.into(), problem: problem.into() })
+    Err(ConfigError::Field {
+        field: field.into(),
+        problem: problem.into(),
+    })
 }
 
 /// Sets a field of the file, as `classes.0.run_s=2.0`.
@@ -185,7 +192,9 @@
             }
             _ => None,
         };
-        let Some(next) = next else { return bad(path, "there is no such field") };
+        let Some(next) = next else {
+            return bad(path, "there is no such field");
+        };
         place = next;
     }
     let parsed: Result<toml::Table, _> = toml::from_str(&format!("value = {text}"));
@@ -233,7 +242,12 @@
         self.check_allowances()?;
         self.check_workers()?;
         within("services.fill", self.services.fill, 0.0, 1.0)?;
-        within("services.replicas", self.services.replicas as f64, 1.0, 100_000.0)?;
+        within(
+            "services.replicas",
+            self.services.replicas as f64,
+            1.0,
+            100_000.0,
+        )?;
         within("services.cpus", self.services.cpus, 0.01, MACHINE_CPUS)?;
         within("services.per_s", self.services.per_s, 0.1, 1_000.0)?;
         self.check_classes()?;
@@ -243,7 +257,12 @@
     fn check_controllers(&self) -> Result<(), ConfigError> {
         let controllers = &self.controllers;
         within("controllers.count", f64::from(controllers.count), 1.0, 50.0)?;
-        within("controllers.teams", f64::from(controllers.teams), 1.0, 500.0)?;
+        within(
+            "controllers.teams",
+            f64::from(controllers.teams),
+            1.0,
+            500.0,
+        )?;
         if controllers.zones.is_empty() {
             return bad("controllers.zones", "must name at least one zone");
         }
@@ -269,10 +288,25 @@
 
     fn check_workers(&self) -> Result<(), ConfigError> {
         let workers = &self.workers;
-        within("workers.count", f64::from(workers.count), 1.0, f64::from(MOST_WORKERS))?;
-        within("workers.per_process", f64::from(workers.per_process), 1.0, 10_000.0)?;
+        within(
+            "workers.count",
+            f64::from(workers.count),
+            1.0,
+            f64::from(MOST_WORKERS),
+        )?;
+        within(
+            "workers.per_process",
+            f64::from(workers.per_process),
+            1.0,
+            10_000.0,
+        )?;
         within("workers.report_s", workers.report_s, 0.5, 60.0)?;
-        within("workers.lease_s", workers.lease_s, 2.0 * workers.report_s, 600.0)?;
+        within(
+            "workers.lease_s",
+            workers.lease_s,
+            2.0 * workers.report_s,
+            600.0,
+        )?;
         within("workers.cancel_s", workers.cancel_s, workers.lease_s, 600.0)
     }
 
@@ -287,7 +321,12 @@
             }
             within(&field("jobs_per_s"), class.jobs_per_s, 0.001, 1_000.0)?;
             within(&field("tasks[0]"), class.tasks[0] as f64, 1.0, 100_000.0)?;
-            within(&field("tasks[1]"), class.tasks[1] as f64, class.tasks[0] as f64, 100_000.0)?;
+            within(
+                &field("tasks[1]"),
+                class.tasks[1] as f64,
+                class.tasks[0] as f64,
+                100_000.0,
+            )?;
             within(&field("cpus"), class.cpus, 0.01, MACHINE_CPUS)?;
             within(&field("run_s"), class.run_s, 0.1, 86_400.0)?;
             within(&field("cancelled"), class.cancelled, 0.0, 1.0)?;
--- a/crates/loadtest/src/controllers.rs
+++ b/crates/loadtest/src/controllers.rs
@@ -16,7 +16,12 @@
 
 /// Runs the controllers until it is told to stop.
 pub async fn run(context: Context, program: &str) -> io::Result<RoleReport> {
-    let Context { net, clock, experiment, mut stop } = context;
+    let Context {
+        net,
+        clock,
+        experiment,
+        mut stop,
+    } = context;
     let directory =
         std::env::temp_dir().join(format!("trackcrank-loadtest-{}", std::process::id()));
     std::fs::create_dir_all(&directory)?;
@@ -65,7 +70,12 @@
             std::fs::write(settings_path(&directory, controller), text)?;
         }
         let controllers = (0..count)
-            .map(|_| Controller { child: None, start_at: 0, killed_by: Vec::new(), starts: 0 })
+            .map(|_| Controller {
+                child: None,
+                start_at: 0,
+                killed_by: Vec::new(),
+                starts: 0,
+            })
             .collect();
         Ok(Supervisor {
             program: PathBuf::from(program),
@@ -102,20 +112,28 @@
             .stderr(File::create(self.directory.join(log))?)
             .spawn()
             .map_err(|e| io::Error::new(e.kind(), format!("{}: {e}", self.program.display())))?;
-        say(&RoleMessage::Controller { controller: number, pid: child.id() });
+        say(&RoleMessage::Controller {
+            controller: number,
+            pid: child.id(),
+        });
         controller.child = Some(child);
         Ok(())
     }
 
     fn kill_if_due(&mut self, number: usize, now: u64) {
-        let due = self.experiment.faults.iter().enumerate().find(|(at, fault)| match fault {
-            Fault::KillController { controller, .. } => {
-                *controller as usize == number
-                    && fault.active(now)
-                    && !self.controllers[number].killed_by.contains(at)
-            }
-            _ => false,
-        });
+        let due = self
+            .experiment
+            .faults
+            .iter()
+            .enumerate()
+            .find(|(at, fault)| match fault {
+                Fault::KillController { controller, .. } => {
+                    *controller as usize == number
+                        && fault.active(now)
+                        && !self.controllers[number].killed_by.contains(at)
+                }
+                _ => false,
+            });
         let Some((at, fault)) = due else { return };
         let controller = &mut self.controllers[number];
         controller.killed_by.push(at);
@@ -128,10 +146,15 @@
 
     fn notice_end(&mut self, number: usize, now: u64) -> io::Result<()> {
         let controller = &mut self.controllers[number];
-        let Some(child) = &mut controller.child else { return Ok(()) };
+        let Some(child) = &mut controller.child else {
+            return Ok(());
+        };
         if let Some(status) = child.try_wait()? {
             let status = format!("{status}, logs in {}", self.directory.display());
-            say(&RoleMessage::ControllerEnded { controller: number as u32, status });
+            say(&RoleMessage::ControllerEnded {
+                controller: number as u32,
+                status,
+            });
             controller.child = None;
             controller.start_at = now + RESTART_MS;
             self.unexpected_end = true;
--- a/crates/loadtest/src/experiment.rs
+++ b/crates/loadtest/src/experiment.rs
@@ -37,9 +37,14 @@
     tell: &mut dyn FnMut(&str),
 ) -> Result<Report, String> {
     let machine = Machine::read().map_err(|e| e.to_string())?;
-    machine.check_before(experiment).map_err(|e| e.to_string())?;
+    machine
+        .check_before(experiment)
+        .map_err(|e| e.to_string())?;
     if !programs.controller.is_file() {
-        return Err(format!("{}: there is no such program", programs.controller.display()));
+        return Err(format!(
+            "{}: there is no such program",
+            programs.controller.display()
+        ));
     }
     let (net, _claim) = claim_net()?;
     let started_us = epoch_us();
@@ -115,7 +120,12 @@
     ) -> Result<(), String> {
         let experiment = self.experiment.clone();
         let name = role.name();
-        let settings = RoleSettings { role, net, started_us, experiment };
+        let settings = RoleSettings {
+            role,
+            net,
+            started_us,
+            experiment,
+        };
         let mut process = RoleProcess::start(program, &settings)?;
         process.wait_ready()?;
         self.sampler.add(&name, process.pid());
@@ -150,12 +160,17 @@
             if let Err(limit) = check_processes(self.sampler.processes()) {
                 return limit.to_string();
             }
-            if let Some(failed) =
-                self.roles.iter_mut().find_map(|r| r.failed().then(|| r.role.name()))
+            if let Some(failed) = self
+                .roles
+                .iter_mut()
+                .find_map(|r| r.failed().then(|| r.role.name()))
             {
                 return format!("{failed}: the process ended");
             }
-            let over = self.roles.iter().any(|r| r.role == Role::Users && r.report.is_some());
+            let over = self
+                .roles
+                .iter()
+                .any(|r| r.role == Role::Users && r.report.is_some());
             if over {
                 return "whole".into();
             }
@@ -234,7 +249,13 @@
         let experiment = self.experiment;
         let from_us = (experiment.warmup_s * 1e6) as u64;
         let window_s = experiment.duration_s - experiment.warmup_s;
-        let Collected { tasks, users, traffic, figures, .. } = collected;
+        let Collected {
+            tasks,
+            users,
+            traffic,
+            figures,
+            ..
+        } = collected;
         let mut rates = report::event_rates(tasks, users, from_us, window_s);
         let means = self.sums.iter();
         rates.extend(means.map(|(name, sum)| (name.clone(), sum / self.summed as f64)));
@@ -313,5 +334,8 @@
 
 fn load_average() -> f64 {
     let text = std::fs::read_to_string("/proc/loadavg").unwrap_or_default();
-    text.split_whitespace().next().and_then(|first| first.parse().ok()).unwrap_or_default()
+    text.split_whitespace()
+        .next()
+        .and_then(|first| first.parse().ok())
+        .unwrap_or_default()
 }
--- a/crates/loadtest/src/fit.rs
+++ b/crates/loadtest/src/fit.rs
@@ -56,18 +56,27 @@
         let solved = inverse.map(|row| dot(&row, &right));
         let mean = points.iter().map(|p| p.value).sum::<f64>() / points.len() as f64;
         let predicted = |p: &Point| dot(&solved, &regressors(p.workers, p.starts_per_s));
-        let residuals: f64 = points.iter().map(|p| (p.value - predicted(p)).powi(2)).sum();
+        let residuals: f64 = points
+            .iter()
+            .map(|p| (p.value - predicted(p)).powi(2))
+            .sum();
         let variance: f64 = points.iter().map(|p| (p.value - mean).powi(2)).sum();
         let noise = residuals / (points.len() - COEFFICIENTS) as f64;
         let covariance = inverse.map(|row| row.map(|cell| cell * noise));
-        let estimate =
-            |at: usize| Estimate { value: solved[at], error: covariance[at][at].max(0.0).sqrt() };
+        let estimate = |at: usize| Estimate {
+            value: solved[at],
+            error: covariance[at][at].max(0.0).sqrt(),
+        };
         Some(Fit {
             points: points.len(),
             constant: estimate(0),
             per_worker: estimate(1),
             per_start: estimate(2),
-            r_squared: if variance > 0.0 { 1.0 - residuals / variance } else { 1.0 },
+            r_squared: if variance > 0.0 {
+                1.0 - residuals / variance
+            } else {
+                1.0
+            },
             covariance,
         })
     }
@@ -75,9 +84,16 @@
     /// What it comes to, with the error of the fit alone.
     pub fn at(&self, workers: f64, starts_per_s: f64) -> Estimate {
         let row = regressors(workers, starts_per_s);
-        let coefficients = [self.constant.value, self.per_worker.value, self.per_start.value];
+        let coefficients = [
+            self.constant.value,
+            self.per_worker.value,
+            self.per_start.value,
+        ];
         let spread = self.covariance.map(|cells| dot(&cells, &row));
-        Estimate { value: dot(&coefficients, &row), error: dot(&spread, &row).max(0.0).sqrt() }
+        Estimate {
+            value: dot(&coefficients, &row),
+            error: dot(&spread, &row).max(0.0).sqrt(),
+        }
     }
 }
 
--- a/crates/loadtest/src/http.rs
+++ b/crates/loadtest/src/http.rs
@@ -79,7 +79,9 @@
     ) -> Poll<io::Result<usize>> {
         let done = Pin::new(&mut self.stream).poll_write(context, data);
         if let Poll::Ready(Ok(written)) = done {
-            self.bytes.written.set(self.bytes.written.get() + written as u64);
+            self.bytes
+                .written
+                .set(self.bytes.written.get() + written as u64);
         }
         done
     }
@@ -123,7 +125,13 @@
 
     /// A refusal.
     pub fn error(kind: &'static str, status: u16, error: &str) -> Self {
-        Answer::json(kind, status, &wire::users::ErrorBody { error: error.to_owned() })
+        Answer::json(
+            kind,
+            status,
+            &wire::users::ErrorBody {
+                error: error.to_owned(),
+            },
+        )
     }
 }
 
@@ -139,7 +147,12 @@
             continue;
         };
         let _ = stream.set_nodelay(true);
-        tokio::task::spawn_local(connection(stream, controller, tally.clone(), handler.clone()));
+        tokio::task::spawn_local(connection(
+            stream,
+            controller,
+            tally.clone(),
+            handler.clone(),
+        ));
     }
 }
 
@@ -149,7 +162,12 @@
     F: Future<Output = Answer> + 'static,
 {
     let bytes = Rc::new(PassedBytes::default());
-    let meter = Rc::new(Meter { controller, tally, bytes: bytes.clone(), last: Cell::default() });
+    let meter = Rc::new(Meter {
+        controller,
+        tally,
+        bytes: bytes.clone(),
+        last: Cell::default(),
+    });
     let answering = meter.clone();
     let service = service_fn(move |request: Request<Incoming>| {
         let handler = handler.clone();
@@ -157,7 +175,9 @@
         async move { Ok::<_, Infallible>(respond(request, handler, &meter).await) }
     });
     let io = TokioIo::new(Counted { stream, bytes });
-    let _ = hyper::server::conn::http1::Builder::new().serve_connection(io, service).await;
+    let _ = hyper::server::conn::http1::Builder::new()
+        .serve_connection(io, service)
+        .await;
     meter.settle();
 }
 
@@ -267,13 +287,23 @@
         let stream = socket.connect(to).await?;
         stream.set_nodelay(true)?;
         let bytes = Rc::new(PassedBytes::default());
-        let io = TokioIo::new(Counted { stream, bytes: bytes.clone() });
-        let (sender, connection) =
-            hyper::client::conn::http1::handshake(io).await.map_err(io::Error::other)?;
+        let io = TokioIo::new(Counted {
+            stream,
+            bytes: bytes.clone(),
+        });
+        let (sender, connection) = hyper::client::conn::http1::handshake(io)
+            .await
+            .map_err(io::Error::other)?;
         tokio::task::spawn_local(async move {
             let _ = connection.await;
         });
-        Ok(Client { sender, bytes, counted: (0, 0), to, controller })
+        Ok(Client {
+            sender,
+            bytes,
+            counted: (0, 0),
+            to,
+            controller,
+        })
     }
 
     /// Whether the connection can be used again.
@@ -296,11 +326,17 @@
             .body(Full::new(Bytes::from(body)))
             .map_err(io::Error::other)?;
         self.sender.ready().await.map_err(io::Error::other)?;
-        let response = self.sender.send_request(request).await.map_err(io::Error::other)?;
+        let response = self
+            .sender
+            .send_request(request)
+            .await
+            .map_err(io::Error::other)?;
         let status = response.status().as_u16();
         let retry = response.headers().get("retry-after");
         let retry = retry.and_then(|value| value.to_str().ok()?.parse().ok());
-        let body = Limited::new(response.into_body(), MOST_BODY).collect().await;
+        let body = Limited::new(response.into_body(), MOST_BODY)
+            .collect()
+            .await;
         Ok((status, retry, body.map_err(io::Error::other)?.to_bytes()))
     }
 
@@ -308,7 +344,14 @@
     pub fn count(&mut self, tally: &SharedTally, kind: &str) {
         let (read, written) = (self.bytes.read.get(), self.bytes.written.get());
         let (read_before, written_before) = self.counted;
-        record(tally, self.controller, kind, 1, read - read_before, written - written_before);
+        record(
+            tally,
+            self.controller,
+            kind,
+            1,
+            read - read_before,
+            written - written_before,
+        );
         self.counted = (read, written);
     }
 }
--- a/crates/loadtest/src/limits.rs
+++ b/crates/loadtest/src/limits.rs
@@ -25,9 +25,18 @@
     #[error(
         "field `{field}`: {needed} descriptors needed in one process ({why}), its limit is {limit}"
     )]
-    Descriptors { field: &'static str, needed: u64, limit: u64, why: &'static str },
+    Descriptors {
+        field: &'static str,
+        needed: u64,
+        limit: u64,
+        why: &'static str,
+    },
     #[error("field `workers.count`: about {needed} MiB needed, {allowed} MiB allowed: {why}")]
-    MemoryBefore { needed: u64, allowed: u64, why: &'static str },
+    MemoryBefore {
+        needed: u64,
+        allowed: u64,
+        why: &'static str,
+    },
     #[error("{used} MiB in use by the experiment, {allowed} MiB allowed: stopped")]
     Memory { used: u64, allowed: u64 },
     #[error("field `workers.per_process`: {0} processes, fewer than {MOST_PROCESSES} are allowed")]
@@ -49,7 +58,12 @@
     /// A full bucket that allows bursts of so many seconds' worth.
     pub fn new(per_s: f64, burst_s: f64) -> Self {
         let burst = (per_s * burst_s).max(1.0);
-        RateLimit { per_s, burst, level: burst, at_ms: 0 }
+        RateLimit {
+            per_s,
+            burst,
+            level: burst,
+            at_ms: 0,
+        }
     }
 
     /// Takes one, if there is one.
@@ -108,7 +122,10 @@
             why,
         };
         if needed > self.allowed_memory() {
-            return Err(over(self.allowed_memory(), "half of the machine, 12 GiB at most"));
+            return Err(over(
+                self.allowed_memory(),
+                "half of the machine, 12 GiB at most",
+            ));
         }
         if needed > self.available {
             return Err(over(self.available, "the rest is in use"));
@@ -121,7 +138,11 @@
         // A listener, the connection for reports, and one for direct commands from each controller.
         let workers = u64::from(experiment.workers.per_process.min(experiment.workers.count));
         let needed = workers * (2 + controllers.min(2)) + SPARE_DESCRIPTORS;
-        self.has(needed, "workers.per_process", "listeners and connections of workers")?;
+        self.has(
+            needed,
+            "workers.per_process",
+            "listeners and connections of workers",
+        )?;
         // A controller that leads all partitions has every worker's report, and asks half of them.
         let workers = u64::from(experiment.workers.count);
         let needed = workers + workers / 2 + SPARE_DESCRIPTORS;
@@ -132,7 +153,12 @@
         if needed <= self.descriptors {
             return Ok(());
         }
-        Err(LimitError::Descriptors { field, needed, limit: self.descriptors, why })
+        Err(LimitError::Descriptors {
+            field,
+            needed,
+            limit: self.descriptors,
+            why,
+        })
     }
 
     /// Whether a running experiment is still within its memory.
@@ -141,7 +167,10 @@
         if used <= allowed {
             return Ok(());
         }
-        Err(LimitError::Memory { used: used >> 20, allowed: allowed >> 20 })
+        Err(LimitError::Memory {
+            used: used >> 20,
+            allowed: allowed >> 20,
+        })
     }
 }
 
--- a/crates/loadtest/src/main.rs
+++ b/crates/loadtest/src/main.rs
@@ -53,15 +53,26 @@
 
 fn main() -> ExitCode {
     let outcome = match Arguments::parse().command {
-        Command::Run { file, controller, json, report, set } => load(&file, &set)
+        Command::Run {
+            file,
+            controller,
+            json,
+            report,
+            set,
+        } => load(&file, &set)
             .and_then(|experiment| run(&experiment, controller, json, report.as_deref())),
         Command::Check { file } => load(&file, &[]).map(|experiment| {
-            println!("{}: good, {} workers", experiment.name, experiment.workers.count);
+            println!(
+                "{}: good, {} workers",
+                experiment.name, experiment.workers.count
+            );
             true
         }),
-        Command::Capacity { directory, page, json } => {
-            capacity::command(&directory, page.as_deref(), json).map(|()| true)
-        }
+        Command::Capacity {
+            directory,
+            page,
+            json,
+        } => capacity::command(&directory, page.as_deref(), json).map(|()| true),
         Command::Role => role::run().map(|()| true),
     };
     match outcome {
@@ -88,7 +99,10 @@
 ) -> Result<bool, String> {
     let loadtest = std::env::current_exe().map_err(|e| e.to_string())?;
     let controller = controller.unwrap_or_else(|| loadtest.with_file_name("trackcrank"));
-    let programs = Programs { controller, loadtest };
+    let programs = Programs {
+        controller,
+        loadtest,
+    };
     let report = experiment::run(experiment, &programs, &mut |line| eprintln!("{line}"))?;
     let text = serde_json::to_string(&report).map_err(|e| e.to_string())?;
     if let Some(to) = to {
@@ -107,7 +121,11 @@
     for (name, value) in &report.rates {
         println!("  {name}: {value:.1}");
     }
-    for process in report.processes.iter().filter(|p| report::is_controller(&p.name)) {
+    for process in report
+        .processes
+        .iter()
+        .filter(|p| report::is_controller(&p.name))
+    {
         println!(
             "  {}: {:.3} cores (peak {:.2}), {:.0} MB, {} sockets",
             process.name,
@@ -129,6 +147,9 @@
     }
     println!("  broken rules: {}", report.rules.broken.len());
     for broken in &report.rules.broken {
-        println!("    {} at {} ms: {}", broken.rule, broken.at_ms, broken.what);
+        println!(
+            "    {} at {} ms: {}",
+            broken.rule, broken.at_ms, broken.what
+        );
     }
 }
--- a/crates/loadtest/src/processes.rs
+++ b/crates/loadtest/src/processes.rs
@@ -43,7 +43,9 @@
         let (sender, messages) = mpsc::channel();
         std::thread::spawn(move || {
             for line in BufReader::new(output).lines().map_while(Result::ok) {
-                let Ok(message) = serde_json::from_str(&line) else { continue };
+                let Ok(message) = serde_json::from_str(&line) else {
+                    continue;
+                };
                 if sender.send(message).is_err() {
                     return;
                 }
@@ -125,7 +127,9 @@
         }
         let _ = self.child.wait();
         let report = self.report.take();
-        report.map(|r| *r).ok_or_else(|| format!("{}: it ended without a report", self.role.name()))
+        report
+            .map(|r| *r)
+            .ok_or_else(|| format!("{}: it ended without a report", self.role.name()))
     }
 }
 
@@ -161,13 +165,19 @@
     let fields: Vec<&str> = stat.rsplit_once(')')?.1.split_whitespace().collect();
     let ticks: f64 = fields.get(11)?.parse::<f64>().ok()? + fields.get(12)?.parse::<f64>().ok()?;
     let status = std::fs::read_to_string(format!("/proc/{pid}/status")).ok()?;
-    let memory = status.lines().find_map(|line| line.strip_prefix("VmRSS:"))?;
+    let memory = status
+        .lines()
+        .find_map(|line| line.strip_prefix("VmRSS:"))?;
     let kib: u64 = memory.split_whitespace().next()?.parse().ok()?;
     let sockets = std::fs::read_dir(format!("/proc/{pid}/fd")).ok()?;
     let sockets = sockets.flatten().filter(|entry| {
         std::fs::read_link(entry.path()).is_ok_and(|to| to.to_string_lossy().starts_with("socket:"))
     });
-    Some(Usage { cpu_s: ticks / TICKS_PER_S, memory: kib * 1024, sockets: sockets.count() as u64 })
+    Some(Usage {
+        cpu_s: ticks / TICKS_PER_S,
+        memory: kib * 1024,
+        sockets: sockets.count() as u64,
+    })
 }
 
 /// What a process used in the measured window.
@@ -221,7 +231,9 @@
         for (name, pid) in &self.pids {
             let Some(usage) = usage(*pid) else { continue };
             all += usage.memory;
-            let Some(samples) = self.by_name.get_mut(name) else { continue };
+            let Some(samples) = self.by_name.get_mut(name) else {
+                continue;
+            };
             samples.take(*pid, usage, in_window);
         }
         all
@@ -230,7 +242,9 @@
     /// The figures of all processes.
     pub fn figures(&self) -> Vec<ProcessFigures> {
         let figures = self.by_name.iter();
-        figures.map(|(name, samples)| samples.figures(name)).collect()
+        figures
+            .map(|(name, samples)| samples.figures(name))
+            .collect()
     }
 }
 
--- a/crates/loadtest/src/report.rs
+++ b/crates/loadtest/src/report.rs
@@ -109,7 +109,10 @@
         crate::workers::ANY_CONTROLLER => "all".to_owned(),
         controller => crate::site::controller_name(controller),
     };
-    tally.iter().map(|(controller, by_kind)| (name(*controller), kinds(by_kind))).collect()
+    tally
+        .iter()
+        .map(|(controller, by_kind)| (name(*controller), kinds(by_kind)))
+        .collect()
 }
 
 struct Distribution(Histogram<u64>);
@@ -155,13 +158,18 @@
 ) -> Result<BTreeMap<String, ClassLatencies>, String> {
     let mut by_class: BTreeMap<String, Vec<Life>> = BTreeMap::new();
     for (number, life) in lives(tasks, users) {
-        let Some(job) = experiment.job(number) else { continue };
+        let Some(job) = experiment.job(number) else {
+            continue;
+        };
         let measured = life.submitted.is_some_and(|at| at >= from_us);
         if measured || job.kind == JobKind::Service {
             by_class.entry(job.class).or_default().push(life);
         }
     }
-    by_class.into_iter().map(|(class, lives)| Ok((class, class_latencies(&lives)?))).collect()
+    by_class
+        .into_iter()
+        .map(|(class, lives)| Ok((class, class_latencies(&lives)?)))
+        .collect()
 }
 
 fn lives(tasks: &[TaskEvent], users: &[UserEvent]) -> HashMap<u64, Life> {
@@ -177,7 +185,9 @@
         first.get_or_insert(event.at_us);
     }
     for event in tasks {
-        let Some(life) = lives.get_mut(&event.job) else { continue };
+        let Some(life) = lives.get_mut(&event.job) else {
+            continue;
+        };
         match event.change {
             TaskChange::Started => {
                 let at = life.starts.entry(event.task).or_insert(event.at_us);
@@ -197,7 +207,9 @@
     let mut done_told = Distribution::new()?;
     let mut never_started = 0;
     for life in lives {
-        let (Some(submitted), Some(accepted)) = (life.submitted, life.accepted) else { continue };
+        let (Some(submitted), Some(accepted)) = (life.submitted, life.accepted) else {
+            continue;
+        };
         accept.record(submitted, accepted);
         match life.starts.values().min() {
             Some(first) => first_start.record(submitted, *first),
@@ -227,10 +239,16 @@
     window_s: f64,
 ) -> BTreeMap<String, f64> {
     let tasks_of = |change: TaskChange| {
-        tasks.iter().filter(|e| e.change == change && e.at_us >= from_us).count()
+        tasks
+            .iter()
+            .filter(|e| e.change == change && e.at_us >= from_us)
+            .count()
     };
     let answers_of = |answer: UserAnswer| {
-        users.iter().filter(|e| e.answer == answer && e.at_us >= from_us).count()
+        users
+            .iter()
+            .filter(|e| e.answer == answer && e.at_us >= from_us)
+            .count()
     };
     let counts = [
         ("task starts a second", tasks_of(TaskChange::Started)),
@@ -238,7 +256,9 @@
         ("jobs submitted a second", answers_of(UserAnswer::Submitted)),
         ("jobs accepted a second", answers_of(UserAnswer::Accepted)),
     ];
-    counts.map(|(name, count)| (name.to_owned(), count as f64 / window_s)).into()
+    counts
+        .map(|(name, count)| (name.to_owned(), count as f64 / window_s))
+        .into()
 }
 
 /// Whether a process is a controller, by its name.
--- a/crates/loadtest/src/role.rs
+++ b/crates/loadtest/src/role.rs
@@ -104,22 +104,39 @@
 /// Runs the role that standard input asks for.
 pub fn run() -> Result<(), String> {
     let mut line = String::new();
-    std::io::stdin().lock().read_line(&mut line).map_err(|e| format!("no settings: {e}"))?;
+    std::io::stdin()
+        .lock()
+        .read_line(&mut line)
+        .map_err(|e| format!("no settings: {e}"))?;
     let settings: RoleSettings =
         serde_json::from_str(&line).map_err(|e| format!("unreadable settings: {e}"))?;
     let (stopper, stop) = oneshot::channel();
     std::thread::spawn(move || {
         let mut rest = String::new();
-        while std::io::stdin().lock().read_line(&mut rest).is_ok_and(|read| read > 0) {
+        while std::io::stdin()
+            .lock()
+            .read_line(&mut rest)
+            .is_ok_and(|read| read > 0)
+        {
             rest.clear();
         }
         let _ = stopper.send(());
     });
-    let RoleSettings { role, net, started_us, experiment } = settings;
+    let RoleSettings {
+        role,
+        net,
+        started_us,
+        experiment,
+    } = settings;
     if !matches!(role, Role::Controllers { .. }) {
         end_at_panics();
     }
-    let context = Context { net, clock: Clock::of(started_us), experiment, stop };
+    let context = Context {
+        net,
+        clock: Clock::of(started_us),
+        experiment,
+        stop,
+    };
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
--- a/crates/loadtest/src/rules.rs
+++ b/crates/loadtest/src/rules.rs
@@ -65,7 +65,11 @@
     replay.finish(end_us);
     let broken = replay.rules.broken.iter().take(MOST_LISTED);
     verdict.broken = broken
-        .map(|b| BrokenRule { rule: b.rule.to_owned(), what: b.what.clone(), at_ms: b.at })
+        .map(|b| BrokenRule {
+            rule: b.rule.to_owned(),
+            what: b.what.clone(),
+            at_ms: b.at,
+        })
         .collect();
     verdict
 }
@@ -92,7 +96,9 @@
 impl<'a> Replay<'a> {
     fn new(experiment: &'a Experiment, users: &[UserEvent]) -> Self {
         let submitted: BTreeSet<u64> = users.iter().map(|event| event.job).collect();
-        let described = submitted.iter().filter_map(|n| Some((job_id(*n), experiment.job(*n)?)));
+        let described = submitted
+            .iter()
+            .filter_map(|n| Some((job_id(*n), experiment.job(*n)?)));
         let cancel_ms = (experiment.workers.cancel_s * 1_000.0) as u64;
         Replay {
             experiment,
@@ -125,11 +131,18 @@
         self.rules.started += 1;
         let name = format!("{}/{}", job_id(event.job), event.task);
         if !self.submitted.contains(&event.job) {
-            self.broke("wrong_place", format!("{name} was never submitted"), event.at_us);
+            self.broke(
+                "wrong_place",
+                format!("{name} was never submitted"),
+                event.at_us,
+            );
             return;
         }
         let machines = self.present.entry((event.job, event.task)).or_default();
-        let elsewhere = machines.iter().find(|machine| **machine != event.machine).copied();
+        let elsewhere = machines
+            .iter()
+            .find(|machine| **machine != event.machine)
+            .copied();
         machines.insert(event.machine);
         if let Some(other) = elsewhere {
             let what = format!("{name} on machines {other} and {}", event.machine);
@@ -159,7 +172,11 @@
     }
 
     fn check_cancelled(&mut self, job: u64, name: &str, at_us: u64) {
-        if self.cancelled_us.get(&job).is_some_and(|told| at_us > told + self.cancel_us) {
+        if self
+            .cancelled_us
+            .get(&job)
+            .is_some_and(|told| at_us > told + self.cancel_us)
+        {
             self.broke("ran_cancelled", name.to_owned(), at_us);
         }
     }
--- a/crates/loadtest/src/site.rs
+++ b/crates/loadtest/src/site.rs
@@ -102,7 +102,9 @@
 
 /// Microseconds since 1970, from which the processes of a run count.
 pub fn epoch_us() -> u64 {
-    let since = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default();
+    let since = SystemTime::now()
+        .duration_since(SystemTime::UNIX_EPOCH)
+        .unwrap_or_default();
     since.as_micros() as u64
 }
 
@@ -110,7 +112,10 @@
     /// The clock of a run that began at `started_us` since 1970.
     pub fn of(started_us: u64) -> Self {
         let offset = Duration::from_micros(epoch_us().saturating_sub(started_us));
-        Clock { begin: Instant::now(), offset }
+        Clock {
+            begin: Instant::now(),
+            offset,
+        }
     }
 
     /// Microseconds since the begin of the run.
@@ -231,9 +236,17 @@
                 ("cpus_max", self.limit().into()),
             ])
         };
-        let Experiment { workers, state, cloud, .. } = self;
+        let Experiment {
+            workers,
+            state,
+            cloud,
+            ..
+        } = self;
         table([
-            ("teams", toml::Value::Array((0..self.controllers.teams).map(team).collect())),
+            (
+                "teams",
+                toml::Value::Array((0..self.controllers.teams).map(team).collect()),
+            ),
             (
                 "workers",
                 table([
@@ -253,13 +266,23 @@
                     ("txn_ops", (state.txn_ops as i64).into()),
                 ]),
             ),
-            ("cloud", table([("rps", cloud.requests_per_s.into()), ("list_lag_s", 6.0.into())])),
+            (
+                "cloud",
+                table([
+                    ("rps", cloud.requests_per_s.into()),
+                    ("list_lag_s", 6.0.into()),
+                ]),
+            ),
         ])
     }
 }
 
 fn table<const N: usize>(entries: [(&str, toml::Value); N]) -> toml::Value {
-    entries.into_iter().map(|(key, value)| (key.to_owned(), value)).collect::<toml::Table>().into()
+    entries
+        .into_iter()
+        .map(|(key, value)| (key.to_owned(), value))
+        .collect::<toml::Table>()
+        .into()
 }
 
 /// An array of one task; the caller changes what differs.
--- a/crates/loadtest/src/state_service.rs
+++ b/crates/loadtest/src/state_service.rs
@@ -29,7 +29,12 @@
 
 /// Runs the state service until it is told to stop.
 pub async fn run(context: Context) -> std::io::Result<RoleReport> {
-    let Context { net, clock, experiment, mut stop } = context;
+    let Context {
+        net,
+        clock,
+        experiment,
+        mut stop,
+    } = context;
     let tally = SharedTally::default();
     let count = experiment.controllers.count;
     let warmup = (experiment.warmup_s * 1_000.0) as u64;
@@ -59,7 +64,11 @@
         *value -= before.get(name).copied().unwrap_or_default();
     }
     let traffic = tally.borrow().clone();
-    Ok(RoleReport { traffic, figures, ..RoleReport::default() })
+    Ok(RoleReport {
+        traffic,
+        figures,
+        ..RoleReport::default()
+    })
 }
 
 /// Ends leases in time, and gives them their full time after an outage.
@@ -144,7 +153,10 @@
     }
 
     async fn handle(&self, call: Call) -> Answer {
-        tokio::time::sleep(Duration::from_secs_f64(self.experiment.state.latency_ms / 1e3)).await;
+        tokio::time::sleep(Duration::from_secs_f64(
+            self.experiment.state.latency_ms / 1e3,
+        ))
+        .await;
         let Some((kind, request)) = read_request(&call) else {
             return Answer::error("malformed", 400, "malformed");
         };
@@ -157,7 +169,12 @@
             self.throttled.set(self.throttled.get() + 1);
             return Answer::error(kind, 429, "too many requests");
         }
-        if let StateRequest::Watch { prefix, after, wait_ms } = &request {
+        if let StateRequest::Watch {
+            prefix,
+            after,
+            wait_ms,
+        } = &request
+        {
             return answer(kind, self.watch(prefix, *after, *wait_ms).await);
         }
         if let StateRequest::Transaction(txn) = &request {
@@ -198,7 +215,9 @@
         }
         let most = (state.value_kb * 1024.0) as usize;
         txn.writes.iter().find_map(|write| {
-            let Write::Put { put, value, .. } = write else { return None };
+            let Write::Put { put, value, .. } = write else {
+                return None;
+            };
             let length = serde_json::to_vec(value).map_or(usize::MAX, |bytes| bytes.len());
             (length > most).then(|| format!("value of {put} has {length} bytes"))
         })
@@ -211,26 +230,56 @@
         (Method::GET, ["store"]) => {
             let query: ListQuery = serde_urlencoded::from_str(&call.query).ok()?;
             let limit = query.limit.unwrap_or(PAGE_ITEMS).min(PAGE_ITEMS);
-            ("list", StateRequest::List { prefix: query.prefix, after: query.after, limit })
+            (
+                "list",
+                StateRequest::List {
+                    prefix: query.prefix,
+                    after: query.after,
+                    limit,
+                },
+            )
         }
         (Method::GET, ["store", key @ ..]) => ("get", StateRequest::Get { key: key.join("/") }),
-        (Method::POST, ["txn"]) => {
-            ("txn", StateRequest::Transaction(serde_json::from_slice(&call.body).ok()?))
-        }
+        (Method::POST, ["txn"]) => (
+            "txn",
+            StateRequest::Transaction(serde_json::from_slice(&call.body).ok()?),
+        ),
         (Method::POST, ["holds"]) => {
             let lease: LeaseRequest = serde_json::from_slice(&call.body).ok()?;
-            ("lease", StateRequest::NewLease { ttl_ms: lease.ttl_ms })
-        }
-        (Method::POST, ["holds", id, "renew"]) => {
-            ("renew", StateRequest::Renew { lease: id.parse().ok()? })
-        }
-        (Method::DELETE, ["holds", id]) => {
-            ("end lease", StateRequest::EndLease { lease: id.parse().ok()? })
+            (
+                "lease",
+                StateRequest::NewLease {
+                    ttl_ms: lease.ttl_ms,
+                },
+            )
         }
+        (Method::POST, ["holds", id, "renew"]) => (
+            "renew",
+            StateRequest::Renew {
+                lease: id.parse().ok()?,
+            },
+        ),
+        (Method::DELETE, ["holds", id]) => (
+            "end lease",
+            StateRequest::EndLease {
+                lease: id.parse().ok()?,
+            },
+        ),
         (Method::GET, ["changes"]) => {
             let query: WatchQuery = serde_urlencoded::from_str(&call.query).ok()?;
-            let WatchQuery { prefix, after, wait_ms } = query;
-            ("watch", StateRequest::Watch { prefix, after, wait_ms })
+            let WatchQuery {
+                prefix,
+                after,
+                wait_ms,
+            } = query;
+            (
+                "watch",
+                StateRequest::Watch {
+                    prefix,
+                    after,
+                    wait_ms,
+                },
+            )
         }
         _ => return None,
     };
@@ -245,14 +294,23 @@
             shorten(&mut page);
             Answer::json(kind, 200, &page)
         }
-        StateReply::Committed { revision } => {
-            Answer::json(kind, 200, &TransactionResponse { revision, failed: Vec::new() })
-        }
+        StateReply::Committed { revision } => Answer::json(
+            kind,
+            200,
+            &TransactionResponse {
+                revision,
+                failed: Vec::new(),
+            },
+        ),
         StateReply::Conflict { failed, revision } => {
             Answer::json(kind, 409, &TransactionResponse { revision, failed })
         }
         StateReply::Lease(lease) => Answer::json(kind, 200, &LeaseResponse { lease }),
-        StateReply::Ok => Answer { status: 200, body: b"{}".to_vec(), kind },
+        StateReply::Ok => Answer {
+            status: 200,
+            body: b"{}".to_vec(),
+            kind,
+        },
         StateReply::LeaseGone if kind == "txn" => Answer::error(kind, 400, "no such lease"),
         StateReply::LeaseGone => Answer::error(kind, 404, "no such lease"),
         StateReply::Changes(changes) => Answer::json(kind, 200, &changes),
--- a/crates/loadtest/src/users.rs
+++ b/crates/loadtest/src/users.rs
@@ -35,7 +35,12 @@
 
 /// Runs the users to the end of the experiment, or until they are told to stop.
 pub async fn run(context: Context) -> std::io::Result<RoleReport> {
-    let Context { net, clock, experiment, mut stop } = context;
+    let Context {
+        net,
+        clock,
+        experiment,
+        mut stop,
+    } = context;
     let end_ms = (experiment.duration_s * 1_000.0) as u64;
     let warmup = (experiment.warmup_s * 1_000.0) as u64;
     let users = Rc::new(Users::new(experiment, net, clock));
@@ -54,12 +59,22 @@
     };
     users.ending.set(true);
     let traffic = users.tally.borrow().clone();
-    let unanswered = if whole { users.clone().ask_about_all().await } else { 0 };
+    let unanswered = if whole {
+        users.clone().ask_about_all().await
+    } else {
+        0
+    };
     let figures = [
         ("jobs accepted", users.accepted.borrow().len() as f64),
         ("submissions given up", users.given_up.get() as f64),
-        ("requests without a usable answer", users.failures.get() as f64),
-        ("accepted jobs without an answer at the end", unanswered as f64),
+        (
+            "requests without a usable answer",
+            users.failures.get() as f64,
+        ),
+        (
+            "accepted jobs without an answer at the end",
+            unanswered as f64,
+        ),
     ];
     let events = std::mem::take(&mut *users.events.borrow_mut());
     Ok(RoleReport {
@@ -108,8 +123,15 @@
         let mut failures = 0;
         loop {
             let exchange = self.exchange(controller, Method::GET, "/healthz", Vec::new(), "health");
-            let answer = tokio::time::timeout(PROBE_TIMEOUT, exchange).await.ok().flatten();
-            failures = if answer.is_some_and(|a| a.0 == 200) { 0 } else { failures + 1 };
+            let answer = tokio::time::timeout(PROBE_TIMEOUT, exchange)
+                .await
+                .ok()
+                .flatten();
+            failures = if answer.is_some_and(|a| a.0 == 200) {
+                0
+            } else {
+                failures + 1
+            };
             {
                 let healthy = &mut self.healthy.borrow_mut()[controller as usize];
                 *healthy = failures == 0 || (*healthy && failures < PROBE_FAILURES);
@@ -120,8 +142,9 @@
 
     fn healthy_controller(&self) -> Option<u32> {
         let healthy = self.healthy.borrow();
-        let healthy: Vec<u32> =
-            (0..healthy.len() as u32).filter(|n| healthy[*n as usize]).collect();
+        let healthy: Vec<u32> = (0..healthy.len() as u32)
+            .filter(|n| healthy[*n as usize])
+            .collect();
         if healthy.is_empty() {
             return None;
         }
@@ -139,9 +162,9 @@
         let idle = self.idle.borrow_mut()[controller as usize].pop();
         let mut client = match idle.filter(Client::usable) {
             Some(client) => client,
-            None => {
-                Client::connect(None, self.net.controller(controller), controller).await.ok()?
-            }
+            None => Client::connect(None, self.net.controller(controller), controller)
+                .await
+                .ok()?,
         };
         let answer = client.exchange(method, path, body).await.ok()?;
         client.count(&self.tally, kind);
@@ -161,7 +184,9 @@
         let controller = self.healthy_controller()?;
         let exchange = self.exchange(controller, method, path, body, kind);
         let answer = tokio::time::timeout(timeout, exchange).await.ok().flatten();
-        let usable = answer.as_ref().is_some_and(|a| matches!(a.0, 200 | 201 | 400 | 404 | 422));
+        let usable = answer
+            .as_ref()
+            .is_some_and(|a| matches!(a.0, 200 | 201 | 400 | 404 | 422));
         if !usable {
             self.failures.set(self.failures.get() + 1);
         }
@@ -170,7 +195,12 @@
 
     fn record(&self, job: u64, asked_us: u64, answer: UserAnswer) {
         let at_us = self.clock.now_us();
-        self.events.borrow_mut().push(UserEvent { at_us, asked_us, job, answer });
+        self.events.borrow_mut().push(UserEvent {
+            at_us,
+            asked_us,
+            job,
+            answer,
+        });
     }
 
     /// Waits until some controller is healthy.
@@ -242,14 +272,23 @@
 
     /// Submits a job until it is accepted; false if it is not.
     async fn submit(&self, number: u64) -> bool {
-        let Some(job) = self.experiment.job(number) else { return false };
+        let Some(job) = self.experiment.job(number) else {
+            return false;
+        };
         let body = serde_json::to_vec(&job).unwrap_or_default();
         let begun = self.clock.now_ms();
         self.record(number, self.clock.now_us(), UserAnswer::Submitted);
         loop {
             let asked = self.clock.now_us();
-            let answer =
-                self.ask(Method::POST, "/v1/jobs", body.clone(), "submit", SUBMIT_TIMEOUT).await;
+            let answer = self
+                .ask(
+                    Method::POST,
+                    "/v1/jobs",
+                    body.clone(),
+                    "submit",
+                    SUBMIT_TIMEOUT,
+                )
+                .await;
             match answer {
                 Some((200 | 201, _, body)) => {
                     self.record(number, asked, UserAnswer::Accepted);
@@ -276,7 +315,10 @@
     async fn poll(&self, number: u64) -> Option<JobState> {
         let path = format!("/v1/jobs/{}", job_id(number));
         let asked = self.clock.now_us();
-        match self.ask(Method::GET, &path, Vec::new(), "poll", POLL_TIMEOUT).await? {
+        match self
+            .ask(Method::GET, &path, Vec::new(), "poll", POLL_TIMEOUT)
+            .await?
+        {
             (200, _, body) => self.note_state(number, asked, &body),
             (404, ..) => {
                 self.record(number, asked, UserAnswer::Missing);
@@ -292,7 +334,9 @@
         self.record(number, self.clock.now_us(), UserAnswer::CancelAsked);
         while !self.ending.get() {
             let asked = self.clock.now_us();
-            let answer = self.ask(Method::POST, &path, Vec::new(), "cancel", SUBMIT_TIMEOUT).await;
+            let answer = self
+                .ask(Method::POST, &path, Vec::new(), "cancel", SUBMIT_TIMEOUT)
+                .await;
             match answer {
                 Some((200, _, body)) => {
                     self.note_state(number, asked, &body);
@@ -346,6 +390,8 @@
 }
 
 async fn pause(retry_after_s: Option<u64>) {
-    let wait = retry_after_s.unwrap_or(RETRY_S).clamp(RETRY_S, LONGEST_RETRY_S);
+    let wait = retry_after_s
+        .unwrap_or(RETRY_S)
+        .clamp(RETRY_S, LONGEST_RETRY_S);
     tokio::time::sleep(Duration::from_secs(wait)).await;
 }
--- a/crates/loadtest/src/workers.rs
+++ b/crates/loadtest/src/workers.rs
@@ -35,7 +35,12 @@
 
 /// Runs the workers of a process until it is told to stop.
 pub async fn run(context: Context, process: u32) -> std::io::Result<RoleReport> {
-    let Context { net, clock, experiment, stop } = context;
+    let Context {
+        net,
+        clock,
+        experiment,
+        stop,
+    } = context;
     let warmup = (experiment.warmup_s * 1_000.0) as u64;
     let listener = TcpListener::bind(net.worker_process(process)).await?;
     let site = Rc::new(Site::new(experiment, net, clock));
@@ -55,7 +60,12 @@
     let tasks = std::mem::take(&mut *site.events.borrow_mut());
     let lapsed = site.lapsed.get() as f64;
     let figures = [("leases that lapsed".to_owned(), lapsed)].into();
-    Ok(RoleReport { traffic, tasks, figures, ..RoleReport::default() })
+    Ok(RoleReport {
+        traffic,
+        tasks,
+        figures,
+        ..RoleReport::default()
+    })
 }
 
 async fn tell_progress(site: Rc<Site>) {
@@ -64,8 +74,15 @@
         let workers = site.workers.borrow();
         let now = site.clock.now_ms();
         let heard = workers.values().filter(|w| w.answered_lately(now)).count();
-        let tasks: usize = workers.values().map(|w| w.state.borrow().present.len()).sum();
-        let figures = [("workers", workers.len()), ("in contact", heard), ("tasks", tasks)];
+        let tasks: usize = workers
+            .values()
+            .map(|w| w.state.borrow().present.len())
+            .sum();
+        let figures = [
+            ("workers", workers.len()),
+            ("in contact", heard),
+            ("tasks", tasks),
+        ];
         let figures = figures.map(|(name, value)| (name.to_owned(), value as f64));
         say(&RoleMessage::Progress(figures.into()));
     }
@@ -86,7 +103,11 @@
             eprintln!("trackcrank-loadtest: a worker cannot listen: {error}");
         }
     }
-    Answer { status: 200, body: b"{}".to_vec(), kind: "" }
+    Answer {
+        status: 200,
+        body: b"{}".to_vec(),
+        kind: "",
+    }
 }
 
 async fn start_worker(site: &Rc<Site>, machine: UpMachine) -> std::io::Result<()> {
@@ -101,8 +122,10 @@
         }
     };
     let serving = serve(listener, ANY_CONTROLLER, site.tally.clone(), handler);
-    let tasks =
-        vec![tokio::task::spawn_local(serving), tokio::task::spawn_local(worker.clone().live())];
+    let tasks = vec![
+        tokio::task::spawn_local(serving),
+        tokio::task::spawn_local(worker.clone().live()),
+    ];
     *worker.running.borrow_mut() = tasks;
     site.workers.borrow_mut().insert(machine.name, worker);
     Ok(())
@@ -143,7 +166,9 @@
     fn fetch_jobs(&self, commands: &[Command]) {
         let mut jobs = self.jobs.borrow_mut();
         for command in commands {
-            let Command::Start { task, .. } = command else { continue };
+            let Command::Start { task, .. } = command else {
+                continue;
+            };
             let id = task.split('/').next().unwrap_or_default();
             if jobs.contains_key(id) {
                 continue;
@@ -235,9 +260,19 @@
     }
 
     fn record(&self, task: &str, change: TaskChange, at_us: u64) {
-        let index = task.split_once('/').and_then(|(_, index)| index.parse().ok());
-        let (Some(job), Some(task)) = (job_number(task), index) else { return };
-        let event = TaskEvent { at_us, machine: self.machine, job, task, change };
+        let index = task
+            .split_once('/')
+            .and_then(|(_, index)| index.parse().ok());
+        let (Some(job), Some(task)) = (job_number(task), index) else {
+            return;
+        };
+        let event = TaskEvent {
+            at_us,
+            machine: self.machine,
+            job,
+            task,
+            change,
+        };
         self.site.events.borrow_mut().push(event);
     }
 
@@ -267,7 +302,10 @@
         let now = self.site.clock.now_ms();
         let state = self.state.borrow();
         let worker = &state.worker;
-        let mut due = vec![state.lease_from + self.site.lease_ms + 1, now + LONGEST_SLEEP_MS];
+        let mut due = vec![
+            state.lease_from + self.site.lease_ms + 1,
+            now + LONGEST_SLEEP_MS,
+        ];
         if worker.in_flight.is_none() && !silent {
             due.push(worker.next_report.max(state.not_before));
             if worker.changed {
@@ -281,7 +319,11 @@
             due.extend(held.done_at.filter(|_| held.present()));
             due.extend(held.saved_at.filter(|_| held.present()));
         }
-        due.into_iter().min().unwrap_or(now).saturating_sub(now).max(1)
+        due.into_iter()
+            .min()
+            .unwrap_or(now)
+            .saturating_sub(now)
+            .max(1)
     }
 
     /// Ends the session if its lease has run out, and lets tasks go on.
@@ -302,7 +344,8 @@
         let jobs = self.site.jobs.borrow();
         let run_ms = |task: &str| {
             let id = task.split('/').next().unwrap_or_default();
-            jobs.get(id).map_or(0, |job| (job.estimate_s * 1_000.0) as u64)
+            jobs.get(id)
+                .map_or(0, |job| (job.estimate_s * 1_000.0) as u64)
         };
         let happened = state.worker.advance(now, &jobs, run_ms);
         let now_us = self.site.clock.now_us();
@@ -358,7 +401,10 @@
             (state.reports, node, body, connection)
         };
         let exchange = self.exchange(node, body, connection);
-        let answer = tokio::time::timeout(ANSWER_TIMEOUT, exchange).await.ok().flatten();
+        let answer = tokio::time::timeout(ANSWER_TIMEOUT, exchange)
+            .await
+            .ok()
+            .flatten();
         if !self.gone.get() {
             self.take_answer(number, now, node, answer);
         }
@@ -470,7 +516,11 @@
         let executed = {
             let mut state = self.state.borrow_mut();
             let jobs = self.site.jobs.borrow();
-            let DirectCommands { token, session, commands } = &direct;
+            let DirectCommands {
+                token,
+                session,
+                commands,
+            } = &direct;
             state.worker.direct(*token, *session, commands, now, &jobs)
         };
         self.step();
--- a/crates/loadtest/tests/config.rs
+++ b/crates/loadtest/tests/config.rs
@@ -6,7 +6,9 @@
 const SMALL: &str = include_str!("../experiments/small.toml");
 
 fn problem(change: &str) -> String {
-    Experiment::parse_with(SMALL, &[change.to_owned()]).expect_err(change).to_string()
+    Experiment::parse_with(SMALL, &[change.to_owned()])
+        .expect_err(change)
+        .to_string()
 }
 
 #[test]
@@ -42,16 +44,25 @@
         ("workers.count=many", "count = \"many\""),
     ] {
         let problem = problem(change);
-        assert!(problem.contains(field) && !problem.contains('\n'), "{change}: {problem}");
+        assert!(
+            problem.contains(field) && !problem.contains('\n'),
+            "{change}: {problem}"
+        );
     }
     let unknown = SMALL.replace("report_s = 2.0", "report_s = 2.0\nreport_m = 2.0");
-    let problem = Experiment::parse(&unknown).expect_err("an unknown field").to_string();
+    let problem = Experiment::parse(&unknown)
+        .expect_err("an unknown field")
+        .to_string();
     assert!(problem.contains("report_m"), "{problem}");
 }
 
 #[test]
 fn experiments_beyond_the_machine_are_refused_with_the_limit() {
-    let machine = Machine { memory: 24 << 30, available: 20 << 30, descriptors: 20_000 };
+    let machine = Machine {
+        memory: 24 << 30,
+        available: 20 << 30,
+        descriptors: 20_000,
+    };
     let checked = |changes: &[&str], machine: Machine| {
         let changes: Vec<String> = changes.iter().map(|c| (*c).to_owned()).collect();
         let experiment = Experiment::parse_with(SMALL, &changes).expect("a good file");
@@ -59,13 +70,19 @@
     };
     assert_eq!(checked(&[], machine), Ok(()));
     let all = checked(&["workers.count=21000"], machine).expect_err("all at one controller");
-    assert!(all.contains("workers.count") && all.contains("20000"), "{all}");
+    assert!(
+        all.contains("workers.count") && all.contains("20000"),
+        "{all}"
+    );
     let process = checked(&["workers.count=9000", "workers.per_process=9000"], machine);
     let process = process.expect_err("too many in one process");
     assert!(process.contains("workers.per_process"), "{process}");
     let many = checked(&["workers.count=3000", "workers.per_process=10"], machine);
     assert!(many.expect_err("too many processes").contains("processes"));
-    let small = Machine { memory: 1 << 29, ..machine };
+    let small = Machine {
+        memory: 1 << 29,
+        ..machine
+    };
     let memory = checked(&["workers.count=5000"], small).expect_err("too little memory");
     assert!(memory.contains("MiB"), "{memory}");
     assert!(small.check_memory((1 << 28) + (1 << 20)).is_err());
--- a/crates/loadtest/tests/rules.rs
+++ b/crates/loadtest/tests/rules.rs
@@ -15,11 +15,22 @@
 }
 
 fn task(at_s: u64, machine: u32, job: u64, change: TaskChange) -> TaskEvent {
-    TaskEvent { at_us: at_s * SECOND, machine, job, task: 0, change }
+    TaskEvent {
+        at_us: at_s * SECOND,
+        machine,
+        job,
+        task: 0,
+        change,
+    }
 }
 
 fn user(at_s: u64, job: u64, answer: UserAnswer) -> UserEvent {
-    UserEvent { at_us: at_s * SECOND, asked_us: at_s * SECOND - 1_000, job, answer }
+    UserEvent {
+        at_us: at_s * SECOND,
+        asked_us: at_s * SECOND - 1_000,
+        job,
+        answer,
+    }
 }
 
 /// A job that is accepted at second 1, runs on machine 5 and is done at second 9.
@@ -110,11 +121,20 @@
 fn team_over_its_limit_is_found() {
     let experiment = experiment();
     let team_0 = |job: &u64| experiment.job(*job).is_some_and(|j| j.team == "t0");
-    let jobs: Vec<u64> = (0..6_000).map(|nth| class_job(0, nth)).filter(team_0).collect();
+    let jobs: Vec<u64> = (0..6_000)
+        .map(|nth| class_job(0, nth))
+        .filter(team_0)
+        .collect();
     let fit = (experiment.limit() / 0.5) as usize;
     assert!(jobs.len() > fit, "enough jobs of one team");
-    let tasks: Vec<_> = jobs.iter().map(|job| task(3, 5, *job, TaskChange::Started)).collect();
-    let users: Vec<_> = jobs.iter().map(|job| user(1, *job, UserAnswer::Submitted)).collect();
+    let tasks: Vec<_> = jobs
+        .iter()
+        .map(|job| task(3, 5, *job, TaskChange::Started))
+        .collect();
+    let users: Vec<_> = jobs
+        .iter()
+        .map(|job| user(1, *job, UserAnswer::Submitted))
+        .collect();
     assert_eq!(rules_broken(&tasks[..fit], &users), Vec::<String>::new());
     assert_eq!(rules_broken(&tasks[..=fit], &users), ["quota"]);
 }
--- a/crates/model/src/job.rs
+++ b/crates/model/src/job.rs
@@ -56,13 +56,19 @@
     if value.is_finite() && (0.0..=1e9).contains(&value) {
         Ok(value)
     } else {
-        Err(InvalidJob { field, problem: "must be a number from 0" })
+        Err(InvalidJob {
+            field,
+            problem: "must be a number from 0",
+        })
     }
 }
 
 fn named(field: &'static str, value: &str) -> Result<(), InvalidJob> {
     if value.is_empty() || value.len() > 200 {
-        Err(InvalidJob { field, problem: "must have 1 to 200 characters" })
+        Err(InvalidJob {
+            field,
+            problem: "must have 1 to 200 characters",
+        })
     } else {
         Ok(())
     }
@@ -72,10 +78,15 @@
     type Error = InvalidJob;
 
     fn try_from(request: &JobRequest) -> Result<Self, InvalidJob> {
-        let id = JobId::parse(&request.id)
-            .ok_or(InvalidJob { field: "id", problem: "must look like j-000412" })?;
+        let id = JobId::parse(&request.id).ok_or(InvalidJob {
+            field: "id",
+            problem: "must look like j-000412",
+        })?;
         if request.tasks == 0 || request.tasks > MAX_TASKS {
-            return Err(InvalidJob { field: "pieces", problem: "must be from 1 to 100000" });
+            return Err(InvalidJob {
+                field: "pieces",
+                problem: "must be from 1 to 100000",
+            });
         }
         named("lane", &request.class)?;
         named("crew", &request.team)?;
@@ -90,7 +101,10 @@
         let gpus = amount("gpus", request.gpus)?;
         let memory = amount("ram_gb", request.memory_gb)?;
         if cpus == 0.0 && gpus == 0.0 && memory == 0.0 {
-            return Err(InvalidJob { field: "vcpus", problem: "a task must take something" });
+            return Err(InvalidJob {
+                field: "vcpus",
+                problem: "a task must take something",
+            });
         }
         let deadline = match request.deadline_s {
             Some(seconds) => Some(duration_from_secs(amount("due_s", seconds)?)),
@@ -124,14 +138,19 @@
     pub fn allows(&self, machine_type: &str, zone: &ZoneName, spot: bool) -> bool {
         (self.spot || !spot)
             && self.zone.as_ref().is_none_or(|z| z == zone)
-            && self.types.as_ref().is_none_or(|t| t.iter().any(|name| name == machine_type))
+            && self
+                .types
+                .as_ref()
+                .is_none_or(|t| t.iter().any(|name| name == machine_type))
     }
 
     /// Whether a task fits a machine of this type where the job allows one.
     fn fits_type(&self, kind: &MachineType) -> bool {
         let mut zones = kind.zones.iter().map(|zone| ZoneName::from(zone.as_str()));
         zones.any(|zone| self.allows(&kind.name, &zone, false))
-            && self.needs.fits(&Resources::offered(kind.cpus, kind.gpus, kind.memory_gb))
+            && self
+                .needs
+                .fits(&Resources::offered(kind.cpus, kind.gpus, kind.memory_gb))
     }
 
     /// Whether another job's tasks ask the same of their machines.
@@ -142,7 +161,9 @@
 
     /// Whether there is a type that holds its tasks and none of the other job's.
     pub fn fits_other_type(&self, other: &JobSpec, types: &[MachineType]) -> bool {
-        types.iter().any(|kind| self.fits_type(kind) && !other.fits_type(kind))
+        types
+            .iter()
+            .any(|kind| self.fits_type(kind) && !other.fits_type(kind))
     }
 
     /// Whether it takes no GPUs and has machines without any to run on.
@@ -179,7 +200,11 @@
         if !types.iter().any(|kind| self.fits_type(kind)) {
             return Err(RejectReason::FitsNoMachine);
         }
-        let at_once = if self.all_at_once() { u64::from(self.tasks) } else { 1 };
+        let at_once = if self.all_at_once() {
+            u64::from(self.tasks)
+        } else {
+            1
+        };
         if !self.needs.times(at_once).fits_quota(&team.limit) {
             return Err(RejectReason::BeyondLimit);
         }
--- a/crates/model/src/resources.rs
+++ b/crates/model/src/resources.rs
@@ -23,19 +23,37 @@
 impl Resources {
     /// What a task takes.
     pub fn needed(cpus: f64, gpus: f64, memory_gb: f64) -> Self {
-        Resources { milli_cpus: up(cpus), milli_gpus: up(gpus), memory_mb: up(memory_gb) }
+        Resources {
+            milli_cpus: up(cpus),
+            milli_gpus: up(gpus),
+            memory_mb: up(memory_gb),
+        }
     }
 
     /// What a machine or a team has.
     pub fn offered(cpus: f64, gpus: f64, memory_gb: f64) -> Self {
-        Resources { milli_cpus: down(cpus), milli_gpus: down(gpus), memory_mb: down(memory_gb) }
+        Resources {
+            milli_cpus: down(cpus),
+            milli_gpus: down(gpus),
+            memory_mb: down(memory_gb),
+        }
     }
 
     /// What a team may use at most. An amount of 0 stands for no limit: a guest team without
     /// one must not be refused everything.
     pub fn limit(cpus: f64, gpus: f64) -> Self {
-        let most = |amount: f64| if amount == 0.0 { u64::MAX } else { down(amount) };
-        Resources { milli_cpus: most(cpus), milli_gpus: most(gpus), memory_mb: 0 }
+        let most = |amount: f64| {
+            if amount == 0.0 {
+                u64::MAX
+            } else {
+                down(amount)
+            }
+        };
+        Resources {
+            milli_cpus: most(cpus),
+            milli_gpus: most(gpus),
+            memory_mb: 0,
+        }
     }
 
     /// Whether this fits into `room` in every respect.
--- a/crates/model/src/settings/file.rs
+++ b/crates/model/src/settings/file.rs
@@ -103,13 +103,19 @@
 }
 
 fn invalid<T>(field: impl Into<String>, problem: impl Into<String>) -> Result<T, SettingsError> {
-    Err(SettingsError::Field { field: field.into(), problem: problem.into() })
+    Err(SettingsError::Field {
+        field: field.into(),
+        problem: problem.into(),
+    })
 }
 
 fn address(field: &str, text: &str) -> Result<SocketAddr, SettingsError> {
     match text.parse() {
         Ok(address) => Ok(address),
-        Err(_) => invalid(field, format!("`{text}` is no address of the form 10.0.0.1:8080")),
+        Err(_) => invalid(
+            field,
+            format!("`{text}` is no address of the form 10.0.0.1:8080"),
+        ),
     }
 }
 
@@ -146,7 +152,10 @@
         let prefix = format!("settings.teams[{index}]");
         let team = team(&prefix, entry)?;
         if teams.iter().any(|other| other.name == team.name) {
-            return invalid(format!("{prefix}.name"), format!("`{}` is named twice", team.name));
+            return invalid(
+                format!("{prefix}.name"),
+                format!("`{}` is named twice", team.name),
+            );
         }
         teams.push(team);
     }
@@ -188,11 +197,17 @@
 /// Checks the sizes that the state service accepts; returns the limit of a value in bytes.
 fn value_bytes(state: &FileState) -> Result<usize, SettingsError> {
     if state.txn_ops < MIN_TXN_OPS {
-        return invalid("settings.state.txn_ops", format!("must be at least {MIN_TXN_OPS}"));
+        return invalid(
+            "settings.state.txn_ops",
+            format!("must be at least {MIN_TXN_OPS}"),
+        );
     }
     let value_kb = positive("settings.state.value_kb", state.value_kb)?;
     if value_kb < MIN_VALUE_KB {
-        return invalid("settings.state.value_kb", format!("must be at least {MIN_VALUE_KB}"));
+        return invalid(
+            "settings.state.value_kb",
+            format!("must be at least {MIN_VALUE_KB}"),
+        );
     }
     Ok((value_kb * BYTES_PER_KB) as usize)
 }
@@ -203,8 +218,11 @@
 ) -> Result<BTreeMap<String, Duration>, SettingsError> {
     let mut completion_objectives: BTreeMap<String, Duration> = BTreeMap::new();
     for (index, objective) in objectives.iter().enumerate() {
-        let FileObjective { kind: Some(kind), class: Some(class), within_s: Some(within) } =
-            objective
+        let FileObjective {
+            kind: Some(kind),
+            class: Some(class),
+            within_s: Some(within),
+        } = objective
         else {
             continue;
         };
@@ -250,7 +268,10 @@
             },
             cloud_rps: positive("settings.cloud.rps", params.cloud.rps)?,
             cloud_list_lag: duration_from_secs(params.cloud.list_lag_s),
-            sockets: params.quota.as_ref().map_or(DEFAULT_SOCKETS, |quota| quota.sockets),
+            sockets: params
+                .quota
+                .as_ref()
+                .map_or(DEFAULT_SOCKETS, |quota| quota.sockets),
             completion_objectives,
         })
     }
--- a/crates/model/src/settings/mod.rs
+++ b/crates/model/src/settings/mod.rs
@@ -81,8 +81,11 @@
 
     /// All nodes with their zones, in the order that every node agrees on.
     pub fn nodes(&self) -> Vec<(ControllerName, ZoneName)> {
-        let mut nodes: Vec<_> =
-            self.peers.iter().map(|p| (p.name.clone(), p.zone.clone())).collect();
+        let mut nodes: Vec<_> = self
+            .peers
+            .iter()
+            .map(|p| (p.name.clone(), p.zone.clone()))
+            .collect();
         nodes.push((self.name.clone(), self.zone.clone()));
         nodes.sort();
         nodes.dedup();
@@ -94,7 +97,10 @@
     /// for drift and for the delivery of the stop itself. Where little is left, half of that: without the
     /// margin the rule holds still, and with no time at all no worker could ever be answered.
     pub fn lease_validity(&self) -> Duration {
-        let left = self.workers.cancel.saturating_sub(self.workers.lease.with_clock_drift());
+        let left = self
+            .workers
+            .cancel
+            .saturating_sub(self.workers.lease.with_clock_drift());
         let margin = Duration::from_secs(1) + self.workers.report;
         left.saturating_sub(margin.min(left / 2))
     }
--- a/crates/model/tests/golden_settings.rs
+++ b/crates/model/tests/golden_settings.rs
@@ -18,7 +18,11 @@
 const WRONG: &[(&str, &str, &str)] = &[
     ("member_missing", "member = \"n0\"\n", ""),
     ("member_empty", "member = \"n0\"", "member = \"\""),
-    ("zone_empty", "zone = \"north\"\nserve_on", "zone = \"\"\nserve_on"),
+    (
+        "zone_empty",
+        "zone = \"north\"\nserve_on",
+        "zone = \"\"\nserve_on",
+    ),
     ("serve_on", "10.0.0.1:8080", "10.0.0.1"),
     ("mesh_addr", "10.0.0.1:8081", "here"),
     ("endpoints_cloud", "10.1.0.1:9001", "cloud:9001"),
@@ -48,19 +52,35 @@
 }
 
 fn peer(name: &str, zone: &str, mesh: &str) -> Peer {
-    Peer { name: ControllerName::from(name), zone: ZoneName::from(zone), mesh: address(mesh) }
+    Peer {
+        name: ControllerName::from(name),
+        zone: ZoneName::from(zone),
+        mesh: address(mesh),
+    }
 }
 
 fn teams() -> Vec<Team> {
     let vision = Team {
         name: TeamName::from("vision"),
-        guarantee: Resources { milli_cpus: 64_500, milli_gpus: 8_000, memory_mb: 0 },
-        limit: Resources { milli_cpus: 128_000, milli_gpus: 16_000, memory_mb: 0 },
+        guarantee: Resources {
+            milli_cpus: 64_500,
+            milli_gpus: 8_000,
+            memory_mb: 0,
+        },
+        limit: Resources {
+            milli_cpus: 128_000,
+            milli_gpus: 16_000,
+            memory_mb: 0,
+        },
     };
     let guests = Team {
         name: TeamName::from("guests"),
         guarantee: Resources::default(),
-        limit: Resources { milli_cpus: u64::MAX, milli_gpus: u64::MAX, memory_mb: 0 },
+        limit: Resources {
+            milli_cpus: u64::MAX,
+            milli_gpus: u64::MAX,
+            memory_mb: 0,
+        },
     };
     vec![vision, guests]
 }
@@ -97,7 +117,10 @@
 
 fn full() -> Settings {
     Settings {
-        peers: vec![peer("n1", "south", "10.0.0.2:8082"), peer("n2", "north", "[::1]:8083")],
+        peers: vec![
+            peer("n1", "south", "10.0.0.2:8082"),
+            peer("n2", "north", "[::1]:8083"),
+        ],
         teams: teams(),
         sockets: 321,
         completion_objectives: BTreeMap::from([(
@@ -123,7 +146,9 @@
 
 #[test]
 fn errors_name_the_field() {
-    let entries: Vec<Entry> =
-        WRONG.iter().map(|(name, found, replacement)| error(name, found, replacement)).collect();
+    let entries: Vec<Entry> = WRONG
+        .iter()
+        .map(|(name, found, replacement)| error(name, found, replacement))
+        .collect();
     golden::check("settings_errors.txt", &entries);
 }
--- a/crates/model/tests/settings.rs
+++ b/crates/model/tests/settings.rs
@@ -34,13 +34,19 @@
     let good = Settings::parse(GOOD).expect("good settings");
     assert!(good.lease_validity() + good.workers.lease < good.workers.cancel);
     for (from, to, field) in [
-        ("serve_on = \"10.0.0.1:8080\"", "serve_on = \"x\"", "serve_on"),
+        (
+            "serve_on = \"10.0.0.1:8080\"",
+            "serve_on = \"x\"",
+            "serve_on",
+        ),
         ("member = \"n0\"", "", "member"),
         ("lease_s = 10.0", "lease_s = 0.0", "lease_s"),
         ("cpus_max = 8.0", "cpus_max = -1.0", "cpus_max"),
         ("rps = 5.0", "rps = \"many\"", "rps"),
     ] {
-        let error = Settings::parse(&GOOD.replace(from, to)).expect_err(field).to_string();
+        let error = Settings::parse(&GOOD.replace(from, to))
+            .expect_err(field)
+            .to_string();
         assert!(error.contains(field) && !error.contains('\n'), "{error}");
     }
 }
--- a/crates/scheduler/src/best_effort.rs
+++ b/crates/scheduler/src/best_effort.rs
@@ -62,7 +62,11 @@
     ) -> bool {
         let ran = now.duration_since(placement.placed_at);
         let left = Duration::from_millis(
-            victim.spec.estimate.whole_millis().saturating_sub(ran.whole_millis()),
+            victim
+                .spec
+                .estimate
+                .whole_millis()
+                .saturating_sub(ran.whole_millis()),
         );
         victim.spec.is_best_effort()
             && left > NEAR_END
@@ -107,7 +111,11 @@
             let Some(job) = self.jobs.get(&task.job).filter(|j| j.spec.is_best_effort()) else {
                 continue;
             };
-            if job.placed.get(&task.index).is_some_and(|p| self.gives_way(job, p, now)) {
+            if job
+                .placed
+                .get(&task.index)
+                .is_some_and(|p| self.gives_way(job, p, now))
+            {
                 sum += job.spec.needs;
             }
         }
@@ -119,8 +127,12 @@
         !machine.tasks.is_empty()
             && machine.regular() == 0
             && machine.tasks.iter().all(|task| {
-                let Some(job) = self.jobs.get(&task.job) else { return false };
-                let Some(placement) = job.placed.get(&task.index) else { return false };
+                let Some(job) = self.jobs.get(&task.job) else {
+                    return false;
+                };
+                let Some(placement) = job.placed.get(&task.index) else {
+                    return false;
+                };
                 self.gives_way(job, placement, now)
             })
     }
@@ -131,7 +143,10 @@
             let saves = self.jobs.get(&task.job).is_some_and(|job| {
                 job.spec.is_best_effort()
                     && job.spec.checkpoint > Duration::ZERO
-                    && job.placed.get(&task.index).is_some_and(|p| p.stop.is_none())
+                    && job
+                        .placed
+                        .get(&task.index)
+                        .is_some_and(|p| p.stop.is_none())
             });
             if saves {
                 let grace = self.grace_period(task);
@@ -145,7 +160,11 @@
     pub fn evict_best_effort(&mut self, now: Timestamp) {
         // By team: places taken, and the job that waits longest.
         let mut teams: HashMap<TeamName, (usize, Option<(u64, JobId)>)> = HashMap::new();
-        for job in self.jobs.values_mut().filter(|job| job.spec.is_best_effort()) {
+        for job in self
+            .jobs
+            .values_mut()
+            .filter(|job| job.spec.is_best_effort())
+        {
             job.stranded = false;
             let (placed, first) = teams.entry(job.spec.team.clone()).or_default();
             *placed += job.placed.len();
@@ -155,7 +174,9 @@
             }
         }
         for (name, (placed, first)) in &teams {
-            let Some(team) = self.teams.get_mut(name) else { continue };
+            let Some(team) = self.teams.get_mut(name) else {
+                continue;
+            };
             let (false, Some((_, id))) = (*placed >= MIN_TEAM_PLACES, first) else {
                 team.thin_since = None;
                 continue;
--- a/crates/scheduler/src/capacity_index.rs
+++ b/crates/scheduler/src/capacity_index.rs
@@ -87,7 +87,11 @@
         machine.place = Some(place);
         put(&mut self.all, place, &machine.name);
         for (image, _) in &machine.images {
-            put(self.by_image.entry(image.clone()).or_default(), place, &machine.name);
+            put(
+                self.by_image.entry(image.clone()).or_default(),
+                place,
+                &machine.name,
+            );
         }
     }
 
@@ -111,7 +115,11 @@
 
     /// A task with this image got past its fetch: the machine has it, and may have lost others.
     pub(crate) fn touch_image(&mut self, machine: &mut Machine, image: &Arc<str>, gb: f64) {
-        if machine.images.last().is_some_and(|(newest, _)| newest == image) {
+        if machine
+            .images
+            .last()
+            .is_some_and(|(newest, _)| newest == image)
+        {
             return;
         }
         let Some(place) = machine.place else {
@@ -123,13 +131,19 @@
             self.lose_image(&lost, place, &machine.name);
         }
         if new {
-            put(self.by_image.entry(image.clone()).or_default(), place, &machine.name);
+            put(
+                self.by_image.entry(image.clone()).or_default(),
+                place,
+                &machine.name,
+            );
         }
     }
 
     /// The machine leaves the share, or takes nothing for a while.
     pub(crate) fn remove(&mut self, machine: &mut Machine) {
-        let Some(place) = machine.place.take() else { return };
+        let Some(place) = machine.place.take() else {
+            return;
+        };
         take(&mut self.all, place, &machine.name);
         for (image, _) in &machine.images {
             self.lose_image(image, place, &machine.name);
@@ -147,7 +161,10 @@
 
     /// Machines that have the image.
     pub(crate) fn holders(&self, image: &str) -> impl Iterator<Item = &MachineName> {
-        self.by_image.get(image).into_iter().flat_map(|rooms| rooms.values().flatten())
+        self.by_image
+            .get(image)
+            .into_iter()
+            .flat_map(|rooms| rooms.values().flatten())
     }
 
     /// Machines with so many CPUs and GPUs free that a job of these needs may run on.
@@ -191,8 +208,15 @@
 
 impl<'a> Levels<'a> {
     fn new(rooms: &'a FreeCapacityMap, classes: &[Class], spec: &JobSpec) -> Self {
-        let allowed = classes.iter().map(|c| spec.allows(&c.machine_type, &c.zone, c.spot));
-        Levels { rooms, allowed: allowed.collect(), needs: spec.needs, after: None }
+        let allowed = classes
+            .iter()
+            .map(|c| spec.allows(&c.machine_type, &c.zone, c.spot));
+        Levels {
+            rooms,
+            allowed: allowed.collect(),
+            needs: spec.needs,
+            after: None,
+        }
     }
 }
 
@@ -203,18 +227,32 @@
         loop {
             let from = self.after.map_or(Bound::Unbounded, Bound::Excluded);
             let (first, _) = self.rooms.range((from, Bound::Unbounded)).next()?;
-            let last = Place { milli_cpus: u64::MAX, ..*first };
-            let allowed = self.allowed.get(first.class as usize).copied().unwrap_or(false);
+            let last = Place {
+                milli_cpus: u64::MAX,
+                ..*first
+            };
+            let allowed = self
+                .allowed
+                .get(first.class as usize)
+                .copied()
+                .unwrap_or(false);
             if !allowed {
                 // The next class.
-                self.after = Some(Place { pinned: u64::MAX, milli_gpus: u64::MAX, ..last });
+                self.after = Some(Place {
+                    pinned: u64::MAX,
+                    milli_gpus: u64::MAX,
+                    ..last
+                });
                 continue;
             }
             self.after = Some(last);
             if first.milli_gpus < self.needs.milli_gpus {
                 continue;
             }
-            let least = Place { milli_cpus: self.needs.milli_cpus, ..*first };
+            let least = Place {
+                milli_cpus: self.needs.milli_cpus,
+                ..*first
+            };
             return Some(self.rooms.range(least..=last));
         }
     }
@@ -235,7 +273,11 @@
             id: format!("j-{:06}", rng.random_range(1..999_999)),
             class: "c".into(),
             team: "t".into(),
-            kind: if rng.random_bool(0.5) { JobKind::Service } else { JobKind::Array },
+            kind: if rng.random_bool(0.5) {
+                JobKind::Service
+            } else {
+                JobKind::Array
+            },
             priority: Priority::Normal,
             tasks: 1,
             cpus: f64::from(rng.random_range(1..5)) / 2.0,
@@ -253,7 +295,11 @@
             save_s: 0.0,
             deadline_s: None,
         };
-        Job::new(JobSpec::try_from(&request).expect("a good job"), 0, Timestamp::from_millis(0))
+        Job::new(
+            JobSpec::try_from(&request).expect("a good job"),
+            0,
+            Timestamp::from_millis(0),
+        )
     }
 
     fn machine(n: u64, rng: &mut SmallRng) -> Machine {
@@ -279,7 +325,13 @@
         let pinned = MAX_RANKED_REPLICAS - machine.pinned.min(MAX_RANKED_REPLICAS);
         let free = machine.free();
         let cached = machine.has_image(&job.spec.image);
-        (!cached, !machine.spot, pinned, free.milli_gpus, free.milli_cpus)
+        (
+            !cached,
+            !machine.spot,
+            pinned,
+            free.milli_gpus,
+            free.milli_cpus,
+        )
     }
 
     /// Whatever has come and gone, the index names the machine that a look at all would.
@@ -322,7 +374,10 @@
                     }
                     (4 | 5, Some(name)) => {
                         let on = machines.get_mut(&name).expect("it is there");
-                        let task = TaskId { job: JobId(step), index: 0 };
+                        let task = TaskId {
+                            job: JobId(step),
+                            index: 0,
+                        };
                         if job.spec.needs.fits(&on.free()) {
                             on.hold(task, &job.spec);
                             index.update(on);
@@ -338,9 +393,18 @@
                     .filter(|m| m.place.is_some() && fit(m))
                     .filter(|m| job.spec.allows(&m.machine_type, &m.zone, m.spot))
                     .min_by_key(|m| score(&job, m));
-                let best =
-                    index.best(&job.spec, false, |n| machines.get(n), fit, |m| score(&job, m));
-                assert_eq!(best.map(|m| &m.name), scan.map(|m| &m.name), "seed {seed}, {step}");
+                let best = index.best(
+                    &job.spec,
+                    false,
+                    |n| machines.get(n),
+                    fit,
+                    |m| score(&job, m),
+                );
+                assert_eq!(
+                    best.map(|m| &m.name),
+                    scan.map(|m| &m.name),
+                    "seed {seed}, {step}"
+                );
                 found += u32::from(best.is_some());
             }
         }
--- a/crates/scheduler/src/colocation.rs
+++ b/crates/scheduler/src/colocation.rs
@@ -48,7 +48,11 @@
     /// Stops what runs on machines with GPUs on which no GPU work is left.
     pub fn evict_colocated(&mut self, now: Timestamp) {
         let mut stops: Vec<TaskId> = Vec::new();
-        for machine in self.machines.values_mut().filter(|m| m.capacity.milli_gpus > 0) {
+        for machine in self
+            .machines
+            .values_mut()
+            .filter(|m| m.capacity.milli_gpus > 0)
+        {
             if machine.used.milli_gpus > 0 || machine.tasks.is_empty() {
                 machine.no_gpu_work_since = None;
                 continue;
@@ -57,8 +61,12 @@
                 continue;
             }
             for task in &machine.tasks {
-                let Some(job) = self.jobs.get(&task.job) else { continue };
-                let Some(placement) = job.placed.get(&task.index) else { continue };
+                let Some(job) = self.jobs.get(&task.job) else {
+                    continue;
+                };
+                let Some(placement) = job.placed.get(&task.index) else {
+                    continue;
+                };
                 let ran = now.duration_since(placement.placed_at).whole_millis();
                 let left =
                     Duration::from_millis(job.spec.estimate.whole_millis().saturating_sub(ran));
--- a/crates/scheduler/src/commands.rs
+++ b/crates/scheduler/src/commands.rs
@@ -22,13 +22,19 @@
         route: CommandRoute,
         now: Timestamp,
     ) -> Vec<Command> {
-        let Some(machine) = self.machines.get(name) else { return Vec::new() };
+        let Some(machine) = self.machines.get(name) else {
+            return Vec::new();
+        };
         let mut commands = Vec::new();
         for orphan in &machine.orphaned_tasks {
             let task = orphan.task.to_string();
             let attempt = orphan.attempt.0;
             if orphan.state != TaskState::Exited {
-                commands.push(Command::Stop { task, attempt, grace_s: 0.0 });
+                commands.push(Command::Stop {
+                    task,
+                    attempt,
+                    grace_s: 0.0,
+                });
             } else if !self.undurable_outcomes.contains(&(orphan.task, orphan.attempt))
                 && machine.unconfirmed_launch.is_none()
                 && machine.may_forget(orphan)
@@ -50,9 +56,13 @@
                 Some(share.waits_for_fetches(job, share.machines.get(name)?))
             };
             let waits = waits(self) == Some(true);
-            let Some(job) = self.jobs.get_mut(&task.job) else { continue };
+            let Some(job) = self.jobs.get_mut(&task.job) else {
+                continue;
+            };
             let cancelled = job.cancelled;
-            let Some(p) = job.placed.get_mut(&task.index) else { continue };
+            let Some(p) = job.placed.get_mut(&task.index) else {
+                continue;
+            };
             let id = task.to_string();
             let attempt = p.attempt.0;
             if let Some(stop) = p.stop {
@@ -60,7 +70,11 @@
                 // A second halt with no grace would end a task that is saving.
                 if !saving || stop.grace_ms == 0 {
                     let grace_s = stop.grace_ms as f64 / 1000.0;
-                    commands.push(Command::Stop { task: id, attempt, grace_s });
+                    commands.push(Command::Stop {
+                        task: id,
+                        attempt,
+                        grace_s,
+                    });
                 }
             } else if p.durable
                 && !p.inherited
@@ -104,7 +118,9 @@
     /// not be executed later.
     pub fn record_direct_response(&mut self, name: &MachineName, sent: &[(TaskId, Attempt)]) {
         for (task, attempt) in sent {
-            let Some(job) = self.jobs.get_mut(&task.job) else { continue };
+            let Some(job) = self.jobs.get_mut(&task.job) else {
+                continue;
+            };
             if let Some(p) = job.placed.get_mut(&task.index) {
                 if p.attempt == *attempt && p.machine == *name {
                     p.unconfirmed_launch_of = None;
--- a/crates/scheduler/src/consolidation.rs
+++ b/crates/scheduler/src/consolidation.rs
@@ -30,8 +30,11 @@
             return;
         }
         self.consolidated_at = now;
-        let mut sources: Vec<&Machine> =
-            self.machines.values().filter(|m| self.may_empty(m, now)).collect();
+        let mut sources: Vec<&Machine> = self
+            .machines
+            .values()
+            .filter(|m| self.may_empty(m, now))
+            .collect();
         sources.sort_unstable_by_key(|m| fullness(m));
         let found = sources
             .into_iter()
@@ -42,12 +45,19 @@
         if let Some(machine) = self.machines.get_mut(&source) {
             machine.emptied_until = Some(now + PATIENCE);
         }
-        let rest = self.machines.get(&source).map(|m| m.tasks.iter().copied().collect());
+        let rest = self
+            .machines
+            .get(&source)
+            .map(|m| m.tasks.iter().copied().collect());
         self.clear_best_effort(rest.unwrap_or_default(), now);
         for (task, target, needs) in moves {
             let limit_of = self.jobs.get(&task.job).map(|job| job.spec.team.clone());
-            let reservation =
-                Reservation { machine: target, needs, until: now + PATIENCE, limit_of };
+            let reservation = Reservation {
+                machine: target,
+                needs,
+                until: now + PATIENCE,
+                limit_of,
+            };
             self.reserve(EntryKey::Task(task), reservation);
             let grace = self.grace_period(task);
             self.stop_task(task, grace, now);
@@ -60,7 +70,9 @@
             && machine.pinned == machine.regular()
             && machine.usable(now, self.heartbeat_timeout())
             && machine.tasks.iter().all(|task| {
-                let Some(job) = self.jobs.get(&task.job) else { return false };
+                let Some(job) = self.jobs.get(&task.job) else {
+                    return false;
+                };
                 if job.spec.is_best_effort() {
                     return true;
                 }
@@ -112,5 +124,10 @@
 /// their replicas.
 fn fullness(machine: &Machine) -> (u64, u64, u64, &MachineName) {
     let used = machine.used.saturating_sub(&machine.best_effort_used);
-    (used.milli_gpus, used.milli_cpus, used.memory_mb, &machine.name)
+    (
+        used.milli_gpus,
+        used.milli_cpus,
+        used.memory_mb,
+        &machine.name,
+    )
 }
--- a/crates/scheduler/src/cycle.rs
+++ b/crates/scheduler/src/cycle.rs
@@ -39,7 +39,8 @@
         self.refresh_guarantees();
         self.queue.flush(now);
         self.queue_probes(now);
-        self.unplaced_since.retain(|_, at| now.duration_since(*at) <= UNPLACED_PRECEDENCE);
+        self.unplaced_since
+            .retain(|_, at| now.duration_since(*at) <= UNPLACED_PRECEDENCE);
         self.expire_reservations(now);
         self.renew_reservations(now);
         self.update_waiting_gangs();
@@ -48,7 +49,9 @@
         let mut placeless: HashMap<JobId, PlacementFailure> = HashMap::new();
         let mut helpless: HashSet<JobId> = HashSet::new();
         for _ in 0..most {
-            let Some(entry) = self.queue.pop() else { return false };
+            let Some(entry) = self.queue.pop() else {
+                return false;
+            };
             let placed = match (entry, placeless.get(&entry.job())) {
                 (EntryKey::Task(_), Some(why)) if !self.reservations.contains_key(&entry) => {
                     Err(*why)
@@ -100,7 +103,9 @@
     }
 
     fn try_task(&mut self, task: TaskId, now: Timestamp) -> Result<(), PlacementFailure> {
-        let Some(job) = self.jobs.get(&task.job) else { return Ok(()) };
+        let Some(job) = self.jobs.get(&task.job) else {
+            return Ok(());
+        };
         if job.cancelled || job.is_done(task.index) || job.placed.contains_key(&task.index) {
             return Ok(());
         }
@@ -109,7 +114,9 @@
             return Err(PlacementFailure::Quota);
         }
         let reserved = self.reserved_machine(entry, job, now).is_some();
-        let machine = self.place_for(entry, job, now).ok_or(PlacementFailure::Room)?;
+        let machine = self
+            .place_for(entry, job, now)
+            .ok_or(PlacementFailure::Room)?;
         let fetch = fetch_time(job, machine);
         let name = machine.name.clone();
         if fetch > Duration::ZERO
@@ -158,8 +165,9 @@
                 && !self.left_to_others(job, m, now)
         };
         let find = |name: &MachineName| self.machines.get(name);
-        let best =
-            self.capacity_index.best(&job.spec, reserved.is_some(), find, fit, |m| score(job, m));
+        let best = self
+            .capacity_index
+            .best(&job.spec, reserved.is_some(), find, fit, |m| score(job, m));
         best.or(reserved.filter(|m| fit(m)))
     }
 
@@ -189,7 +197,9 @@
     /// Filters that do not depend on the room left.
     pub(crate) fn admits(&self, job: &Job, machine: &Machine, now: Timestamp) -> bool {
         machine.usable(now, self.heartbeat_timeout())
-            && job.spec.allows(&machine.machine_type, &machine.zone, machine.spot)
+            && job
+                .spec
+                .allows(&machine.machine_type, &machine.zone, machine.spot)
             && !(job.failed_on.contains(&machine.name)
                 && job.failed_on.len() < self.machines.len().min(4))
             && self.may_linger(job, machine)
@@ -236,7 +246,9 @@
 pub(crate) fn score(job: &Job, machine: &Machine) -> (u64, bool, u64, u64, u64) {
     let left = machine.free().saturating_sub(&job.spec.needs);
     let service = job.spec.kind == JobKind::Service;
-    let replicas = machine.pinned.min(if service { MAX_RANKED_REPLICAS } else { 1 });
+    let replicas = machine
+        .pinned
+        .min(if service { MAX_RANKED_REPLICAS } else { 1 });
     (
         fetch_time(job, machine).whole_millis(),
         !machine.spot,
--- a/crates/scheduler/src/demand.rs
+++ b/crates/scheduler/src/demand.rs
@@ -29,7 +29,11 @@
 
 impl FreeCapacity<'_> {
     fn how_many_fit(&self, job: &Job) -> u64 {
-        let cleared = if job.spec.is_best_effort() { Resources::default() } else { self.cleared };
+        let cleared = if job.spec.is_best_effort() {
+            Resources::default()
+        } else {
+            self.cleared
+        };
         colocation_capacity(job, self.machine, self.free + cleared)
     }
 
@@ -59,7 +63,10 @@
         if tasks == 0 || share.stops_for(job) != Some(false) {
             return 0;
         }
-        let per = Resources { memory_mb: 0, ..job.spec.needs };
+        let per = Resources {
+            memory_mb: 0,
+            ..job.spec.needs
+        };
         let mut taken = 0;
         for ((team, priority), amount) in &mut self.0 {
             if **team == job.spec.team && *priority < job.spec.priority {
@@ -79,7 +86,9 @@
         let mut waiting: BTreeMap<(bool, u64, JobId), u64> = BTreeMap::new();
         for key in self.queue.keys() {
             let job = key.job();
-            let Some(entry) = self.jobs.get(&job) else { continue };
+            let Some(entry) = self.jobs.get(&job) else {
+                continue;
+            };
             let tasks = match key {
                 EntryKey::Task(_) => 1,
                 EntryKey::Gang(_) => u64::from(entry.spec.tasks),
@@ -88,13 +97,20 @@
             *waiting.entry((last, entry.order, job)).or_default() += tasks;
         }
         let least = waiting.keys().filter_map(|(_, _, id)| self.jobs.get(id));
-        let least = least.map(|job| job.spec.needs.milli_cpus).min().unwrap_or(0);
+        let least = least
+            .map(|job| job.spec.needs.milli_cpus)
+            .min()
+            .unwrap_or(0);
         // Machines that are full for all that waits are not looked at job by job.
         let mut free: Vec<FreeCapacity> = self
             .machines
             .values()
             .filter(|m| m.usable(now, self.heartbeat_timeout()))
-            .map(|m| FreeCapacity { machine: m, free: m.free(), cleared: self.clearable(m, now) })
+            .map(|m| FreeCapacity {
+                machine: m,
+                free: m.free(),
+                cleared: self.clearable(m, now),
+            })
             .filter(|room| (room.free + room.cleared).milli_cpus >= least)
             .collect();
         let mut absorbed = self.turnover();
@@ -102,12 +118,19 @@
         let mut room: HashMap<TeamName, Resources> = HashMap::new();
         let mut shapes: Vec<DemandShape> = Vec::new();
         for ((last, _, id), tasks) in waiting {
-            let Some(job) = self.jobs.get(&id) else { continue };
-            let Some(team) = self.teams.get(&job.spec.team) else { continue };
+            let Some(job) = self.jobs.get(&id) else {
+                continue;
+            };
+            let Some(team) = self.teams.get(&job.spec.team) else {
+                continue;
+            };
             let left = room
                 .entry(job.spec.team.clone())
                 .or_insert_with(|| team.limit.saturating_sub(&(team.used + team.held)));
-            let per = Resources { memory_mb: 0, ..job.spec.needs };
+            let per = Resources {
+                memory_mb: 0,
+                ..job.spec.needs
+            };
             let foothold = last && job.stranded && job.placed.is_empty();
             // Those who wait for machines that run already need no others.
             if job.spec.kind == JobKind::Gang && self.reservation_is_near(id, now) {
@@ -130,9 +153,16 @@
             if tasks == 0 {
                 continue;
             }
-            let priority = if foothold { Priority::Normal } else { job.spec.priority };
-            let urgent =
-                if job.guaranteed || job.spec.estimate.whole_millis() == 0 { tasks } else { 0 };
+            let priority = if foothold {
+                Priority::Normal
+            } else {
+                job.spec.priority
+            };
+            let urgent = if job.guaranteed || job.spec.estimate.whole_millis() == 0 {
+                tasks
+            } else {
+                0
+            };
             let whole = job.spec.one_zone && job.placed.is_empty();
             let gang = if whole { u64::from(job.spec.tasks) } else { 0 };
             let same = shapes.iter_mut().find(|s| {
@@ -206,16 +236,26 @@
         let mut zones = self.zones_of(job);
         let mut here = 0;
         let constrained = job.spec.one_zone || job.spec.spread;
-        let held =
-            self.gang_reservations.get(&job.spec.id).and_then(|hold| hold.machines.keys().next());
-        let held = held.and_then(|name| self.machines.get(name)).map(|m| m.zone.clone());
+        let held = self
+            .gang_reservations
+            .get(&job.spec.id)
+            .and_then(|hold| hold.machines.keys().next());
+        let held = held
+            .and_then(|name| self.machines.get(name))
+            .map(|m| m.zone.clone());
         if job.spec.one_zone && zones.is_empty() {
             // The zone that is nearest to holding it all is where the rest should come from.
             let mut sums: BTreeMap<&ZoneName, u64> = BTreeMap::new();
-            for room in free.iter().filter(|room| self.admits(job, room.machine, now)) {
+            for room in free
+                .iter()
+                .filter(|room| self.admits(job, room.machine, now))
+            {
                 *sums.entry(&room.machine.zone).or_default() += room.how_many_fit(job);
             }
-            let best = sums.into_iter().max_by_key(|(_, n)| *n).map(|(z, _)| z.clone());
+            let best = sums
+                .into_iter()
+                .max_by_key(|(_, n)| *n)
+                .map(|(z, _)| z.clone());
             if let Some(zone) = held.or(best).or_else(|| self.zones.first().cloned()) {
                 zones.insert(zone, 0);
             }
@@ -250,9 +290,11 @@
         let zone = match (&job.spec.zone, constrained) {
             (Some(zone), _) => Some(zone.clone()),
             (None, true) if job.spec.one_zone => zones.keys().next().cloned(),
-            (None, true) => {
-                self.zones.iter().min_by_key(|zone| zones.get(*zone).copied().unwrap_or(0)).cloned()
-            }
+            (None, true) => self
+                .zones
+                .iter()
+                .min_by_key(|zone| zones.get(*zone).copied().unwrap_or(0))
+                .cloned(),
             (None, false) => None,
         };
         (here, zone.map(|z| z.to_string()))
@@ -271,7 +313,11 @@
                 Some(format!("{which:?} after {failures} failures"))
             })
             .collect();
-        let reason = if !self.fits_quota_now(job, 1) { "the team's limit is reached" } else { "" };
+        let reason = if !self.fits_quota_now(job, 1) {
+            "the team's limit is reached"
+        } else {
+            ""
+        };
         let gang = self.explain_gang(job, now);
         let stopping = job.placed.values().filter(|p| p.stop.is_some()).count();
         Some(format!(
@@ -292,7 +338,11 @@
     pub fn log_summary(&self, partition: model::PartitionId, now: Timestamp) {
         let (mut up, mut spot, mut capacity, mut used, mut fetching) = (0, 0, 0, 0, 0);
         let (mut gpus, mut gpus_used) = (0, 0);
-        for machine in self.machines.values().filter(|m| m.usable(now, self.heartbeat_timeout())) {
+        for machine in self
+            .machines
+            .values()
+            .filter(|m| m.usable(now, self.heartbeat_timeout()))
+        {
             up += 1;
             spot += u32::from(machine.spot);
             capacity += machine.capacity.milli_cpus / 1000;
@@ -333,8 +383,13 @@
             .map(|job| gpus(job, job.placed.len() as u64 + job.waiting()))
             .sum();
         let guaranteed = |machine: &Machine| -> u64 {
-            let jobs = machine.tasks.iter().filter_map(|task| self.jobs.get(&task.job));
-            jobs.filter(|job| job.guaranteed).map(|job| gpus(job, 1)).sum()
+            let jobs = machine
+                .tasks
+                .iter()
+                .filter_map(|task| self.jobs.get(&task.job));
+            jobs.filter(|job| job.guaranteed)
+                .map(|job| gpus(job, 1))
+                .sum()
         };
         let mut machines: Vec<(u64, &Machine)> = self
             .machines
@@ -350,7 +405,11 @@
             spare -= if fits { m.capacity.milli_gpus } else { 0 };
             fits
         };
-        machines.into_iter().take_while(least).map(|(_, m)| &m.name).collect()
+        machines
+            .into_iter()
+            .take_while(least)
+            .map(|(_, m)| &m.name)
+            .collect()
     }
 
     /// Whether nothing on the machine would be missed by a guarantee, or by users who want their
@@ -417,9 +476,14 @@
             .collect();
         machines.sort_unstable();
         for (regular, _, name) in machines.into_iter().take(missing) {
-            let Some(machine) = self.machines.get_mut(&name) else { continue };
+            let Some(machine) = self.machines.get_mut(&name) else {
+                continue;
+            };
             tracing::debug!(machine = %name, %to, tasks = machine.tasks.len(), "to be handed over once empty");
-            machine.pending_transfer = Some(PendingTransfer { to, until: now + TRANSFER_TIMEOUT });
+            machine.pending_transfer = Some(PendingTransfer {
+                to,
+                until: now + TRANSFER_TIMEOUT,
+            });
             if !regular {
                 let tasks = machine.tasks.iter().copied().collect();
                 self.clear_best_effort(tasks, now);
@@ -434,7 +498,9 @@
     ) -> Vec<(MachineName, PartitionId)> {
         let mut ready = Vec::new();
         for machine in self.machines.values_mut() {
-            let Some(transfer_to) = machine.pending_transfer else { continue };
+            let Some(transfer_to) = machine.pending_transfer else {
+                continue;
+            };
             if transfer_to.until <= now {
                 tracing::debug!(machine = %machine.name, to = %transfer_to.to, tasks = machine.tasks.len(), "not empty in time: kept");
                 machine.pending_transfer = None;
@@ -462,7 +528,9 @@
                 up: m.is_up(),
                 quarantined: m.quarantined,
                 since_heartbeat_ms: match m.last_seen_at {
-                    Some(at) => now.duration_since(at.max(self.running_since)).whole_millis(),
+                    Some(at) => now
+                        .duration_since(at.max(self.running_since))
+                        .whole_millis(),
                     None if m.replicated_endpoint.is_some() => now
                         .duration_since(self.leading_since.max(self.running_since))
                         .whole_millis(),
--- a/crates/scheduler/src/failover.rs
+++ b/crates/scheduler/src/failover.rs
@@ -58,8 +58,11 @@
         };
         let idle = self.tasks.is_empty()
             && now.duration_since(self.idle_since) >= MIN_REPLICATED_IDLE_TIME;
-        let mut images: Vec<(String, f64)> =
-            self.images.iter().map(|(name, gb)| (name.to_string(), *gb)).collect();
+        let mut images: Vec<(String, f64)> = self
+            .images
+            .iter()
+            .map(|(name, gb)| (name.to_string(), *gb))
+            .collect();
         // In the order of their names, so that a mere use changes nothing.
         images.sort_by(|a, b| a.0.cmp(&b.0));
         Some(ReplicatedRecord::Machine(MachineSnapshot {
@@ -80,8 +83,14 @@
     /// What a successor could not read from the records.
     pub fn replication_records(&self, now: Timestamp) -> Vec<ReplicatedRecord> {
         let heartbeat_grace = self.heartbeat_timeout();
-        let machines = self.machines.values().filter_map(|m| m.hint(now, heartbeat_grace));
-        let failed = self.jobs.values().filter(|j| !j.failed_on.is_empty() && !j.finishing);
+        let machines = self
+            .machines
+            .values()
+            .filter_map(|m| m.hint(now, heartbeat_grace));
+        let failed = self
+            .jobs
+            .values()
+            .filter(|j| !j.failed_on.is_empty() && !j.finishing);
         let jobs = failed.map(|job| {
             ReplicatedRecord::Job(JobFailureSnapshot {
                 job: job.spec.id.0,
@@ -106,11 +115,14 @@
         idle_since: Option<Timestamp>,
     ) {
         let name = MachineName::from(hint.machine.as_str());
-        let Some(machine) = self.machines.get_mut(&name) else { return };
+        let Some(machine) = self.machines.get_mut(&name) else {
+            return;
+        };
         for (image, gb) in &hint.images {
             let image: Arc<str> = image.as_str().into();
             if !machine.has_image(&image) && gb.is_finite() {
-                self.capacity_index.touch_image(machine, &image, gb.max(0.0));
+                self.capacity_index
+                    .touch_image(machine, &image, gb.max(0.0));
             }
         }
         machine.quarantined |= hint.quarantined;
@@ -129,15 +141,22 @@
     /// Takes a predecessor's word on how a job has failed.
     pub fn apply_job_snapshot(&mut self, hint: &JobFailureSnapshot, now: Timestamp) {
         let id = JobId(hint.job);
-        let Some(job) = self.jobs.get_mut(&id) else { return };
+        let Some(job) = self.jobs.get_mut(&id) else {
+            return;
+        };
         let tasks = job.spec.tasks;
         for (index, failures) in hint.failures.iter().filter(|(index, _)| *index < tasks) {
             if !job.is_done(*index) {
                 job.failures.insert(*index, (*failures).min(64));
             }
         }
-        job.failed_on = hint.failed_on.iter().map(|n| MachineName::from(n.as_str())).collect();
-        job.failed_on.truncate(crate::failure_attribution::MAX_FAILED_MACHINES);
+        job.failed_on = hint
+            .failed_on
+            .iter()
+            .map(|n| MachineName::from(n.as_str()))
+            .collect();
+        job.failed_on
+            .truncate(crate::failure_attribution::MAX_FAILED_MACHINES);
         job.successes = job.successes.max(hint.successes);
         job.longest_failure =
             Duration::from_millis(hint.fails_within_ms).min(MAX_REPLICATED_FAILURE_TIME);
@@ -150,7 +169,11 @@
     /// work: what looks like want of room before that is want of reports. Once it stands it stays.
     pub(crate) fn update_inventory_known(&mut self, now: Timestamp) -> bool {
         if !self.inventory_known {
-            let heard = self.machines.values().filter(|m| m.last_heartbeat_at.is_some()).count();
+            let heard = self
+                .machines
+                .values()
+                .filter(|m| m.last_heartbeat_at.is_some())
+                .count();
             let most = heard * 10 >= self.machines.len() * 9;
             let had_time =
                 Duration::from_millis(self.report.whole_millis() * 5 / 4) + REDISCOVERY_ALLOWANCE;
--- a/crates/scheduler/src/failure_attribution.rs
+++ b/crates/scheduler/src/failure_attribution.rs
@@ -42,10 +42,14 @@
 impl PartitionState {
     /// A task failed.
     pub(crate) fn task_error(&mut self, task: TaskId, name: &MachineName, now: Timestamp) {
-        let Some(job) = self.jobs.get_mut(&task.job) else { return };
+        let Some(job) = self.jobs.get_mut(&task.job) else {
+            return;
+        };
         *job.failures.entry(task.index).or_default() += 1;
         if let Some(placement) = job.placed.get(&task.index) {
-            job.longest_failure = job.longest_failure.max(now.duration_since(placement.placed_at));
+            job.longest_failure = job
+                .longest_failure
+                .max(now.duration_since(placement.placed_at));
         }
         let suspect_before = job.is_suspect();
         if !job.failed_on.contains(name) {
@@ -62,8 +66,12 @@
             self.begin_probing(task.job, now);
             // What it has been blamed on is sound as far as this job goes.
             let blamed = |m: &&Machine| m.failures_by_job.contains_key(&task.job);
-            let names: Vec<MachineName> =
-                self.machines.values().filter(blamed).map(|m| m.name.clone()).collect();
+            let names: Vec<MachineName> = self
+                .machines
+                .values()
+                .filter(blamed)
+                .map(|m| m.name.clone())
+                .collect();
             names.iter().for_each(|name| self.judge(name));
         } else {
             self.judge(name);
@@ -72,9 +80,14 @@
 
     /// Sets a machine aside, or takes it back.
     fn judge(&mut self, name: &MachineName) {
-        let Some(machine) = self.machines.get(name) else { return };
-        let errors: u32 =
-            machine.failures_by_job.iter().map(|(id, count)| self.weight(id, *count)).sum();
+        let Some(machine) = self.machines.get(name) else {
+            return;
+        };
+        let errors: u32 = machine
+            .failures_by_job
+            .iter()
+            .map(|(id, count)| self.weight(id, *count))
+            .sum();
         let quarantined = errors >= self.policy.quarantine_threshold;
         if quarantined != machine.quarantined {
             tracing::info!(machine = %name, quarantined, jobs = machine.failures_by_job.len(), "judged by what fails");
@@ -96,13 +109,18 @@
 
     /// Takes a suspect job out of the queue, so that it takes no room from sound work.
     pub(crate) fn begin_probing(&mut self, id: JobId, now: Timestamp) {
-        let Some(job) = self.jobs.get_mut(&id) else { return };
+        let Some(job) = self.jobs.get_mut(&id) else {
+            return;
+        };
         tracing::info!(job = %id, "fails on every machine: probed from now on");
         let queued = std::mem::take(&mut job.cursor);
         self.unqueue(id, queued);
         self.job_probes.insert(
             id,
-            JobProbe { next: now + INITIAL_PROBE_INTERVAL, pause: INITIAL_PROBE_INTERVAL },
+            JobProbe {
+                next: now + INITIAL_PROBE_INTERVAL,
+                pause: INITIAL_PROBE_INTERVAL,
+            },
         );
     }
 
--- a/crates/scheduler/src/gangs.rs
+++ b/crates/scheduler/src/gangs.rs
@@ -36,7 +36,9 @@
 impl PartitionState {
     /// Places a gang as a whole, or not at all.
     pub(crate) fn try_gang(&mut self, id: JobId, now: Timestamp) -> Result<(), PlacementFailure> {
-        let Some(job) = self.jobs.get(&id) else { return Ok(()) };
+        let Some(job) = self.jobs.get(&id) else {
+            return Ok(());
+        };
         // The old attempt's tasks keep their machines and zones until they are gone.
         if job.cancelled || job.all_done() || !job.placed.is_empty() {
             return Ok(());
@@ -51,7 +53,15 @@
         }
         self.release_reservation(id);
         for (index, machine) in places.into_iter().enumerate() {
-            self.place(TaskId { job: id, index: index as u32 }, &machine, attempt, now);
+            self.place(
+                TaskId {
+                    job: id,
+                    index: index as u32,
+                },
+                &machine,
+                attempt,
+                now,
+            );
         }
         Ok(())
     }
@@ -60,14 +70,19 @@
     fn fit_gang(&self, job: &Job, now: Timestamp) -> Option<Vec<MachineName>> {
         let entry = EntryKey::Gang(job.spec.id);
         let mut by_zone: BTreeMap<&ZoneName, Vec<(&Machine, u64)>> = BTreeMap::new();
-        let roomy =
-            self.capacity_index.with_room(&job.spec).filter_map(|name| self.machines.get(name));
+        let roomy = self
+            .capacity_index
+            .with_room(&job.spec)
+            .filter_map(|name| self.machines.get(name));
         for machine in
             roomy.filter(|m| self.admits(job, m, now) && !self.is_reserved_from(job, m, now))
         {
             let count = colocation_capacity(job, machine, self.free_capacity_for(entry, machine));
             if count > 0 {
-                by_zone.entry(&machine.zone).or_default().push((machine, count));
+                by_zone
+                    .entry(&machine.zone)
+                    .or_default()
+                    .push((machine, count));
             }
         }
         let wanted = u64::from(job.spec.tasks);
@@ -99,16 +114,24 @@
     /// Whether a machine is kept for a gang that goes before this job, unless the job is over on it
     /// before the gang can start.
     pub(crate) fn is_reserved_from(&self, job: &Job, machine: &Machine, now: Timestamp) -> bool {
-        let Some(hold) = machine.held_for.and_then(|gang| self.gang_reservations.get(&gang)) else {
+        let Some(hold) = machine
+            .held_for
+            .and_then(|gang| self.gang_reservations.get(&gang))
+        else {
             return false;
         };
         if hold.job == job.spec.id {
             return false;
         }
-        let Some(gang) = self.jobs.get(&hold.job) else { return false };
+        let Some(gang) = self.jobs.get(&hold.job) else {
+            return false;
+        };
         let goes_before = rank_of(gang) < rank_of(job);
         // What leaves the gang its room beside it is not in its way.
-        let kept = hold.machines.get(&machine.name).map(|count| gang.spec.needs.times(*count));
+        let kept = hold
+            .machines
+            .get(&machine.name)
+            .map(|count| gang.spec.needs.times(*count));
         let free = machine.free();
         let beside = job.spec.needs.fits(&free)
             && kept.is_some_and(|kept| kept.fits(&free.saturating_sub(&job.spec.needs)));
@@ -130,11 +153,22 @@
         if !job.placed.is_empty() {
             let waits = |p: &&crate::job::Placement| p.last_status == Some(TaskState::Waiting);
             let gathered = job.placed.values().filter(waits).count();
-            let state = if job.gang_began.is_some() { "it has begun" } else { "it gathers" };
-            return format!("{state}: {gathered} of {} tasks wait for the others", job.spec.tasks);
+            let state = if job.gang_began.is_some() {
+                "it has begun"
+            } else {
+                "it gathers"
+            };
+            return format!(
+                "{state}: {gathered} of {} tasks wait for the others",
+                job.spec.tasks
+            );
         }
         if let Some(hold) = self.gang_reservations.get(&job.spec.id) {
-            let first = hold.machines.keys().next().and_then(|name| self.machines.get(name));
+            let first = hold
+                .machines
+                .keys()
+                .next()
+                .and_then(|name| self.machines.get(name));
             let zone = first.map(|m| m.zone.to_string()).unwrap_or_default();
             return format!(
                 "{} machines are kept for it (the first in {zone}), free in {} s",
@@ -159,7 +193,9 @@
             return false;
         }
         job.placed.values().any(|other| {
-            let Some(on) = self.machines.get(&other.machine) else { return false };
+            let Some(on) = self.machines.get(&other.machine) else {
+                return false;
+            };
             let fetches = matches!(other.last_status, None | Some(TaskState::Fetching));
             fetches && fetch_time(job, on) * 2 > self.gang_wait
         })
@@ -167,7 +203,9 @@
 
     /// A task of a gang is seen running, so that the gang has begun.
     pub(crate) fn record_gang_start(&mut self, id: JobId, now: Timestamp) {
-        let Some(job) = self.jobs.get_mut(&id) else { return };
+        let Some(job) = self.jobs.get_mut(&id) else {
+            return;
+        };
         if job.spec.kind != JobKind::Gang || job.gang_began.is_some() {
             return;
         }
@@ -178,8 +216,13 @@
 
     /// A task of a gang has its image: those that waited for that are launched.
     pub(crate) fn record_gang_fetch(&mut self, id: JobId) {
-        let Some(job) = self.jobs.get(&id) else { return };
-        let waits = job.placed.values().filter(|p| p.launched.is_none() && p.stop.is_none());
+        let Some(job) = self.jobs.get(&id) else {
+            return;
+        };
+        let waits = job
+            .placed
+            .values()
+            .filter(|p| p.launched.is_none() && p.stop.is_none());
         let machines: Vec<MachineName> = waits.map(|p| p.machine.clone()).collect();
         self.urgent_machines.extend(machines);
     }
@@ -187,12 +230,21 @@
     /// Notes what is kept of each team's limit for its gangs. As a gang's machines empty, what used the
     /// limit there frees it; without this, arrays took each freed part of it.
     pub(crate) fn update_reserved_limits(&mut self) {
-        self.teams.values_mut().for_each(|team| team.held = Resources::default());
+        self.teams
+            .values_mut()
+            .for_each(|team| team.held = Resources::default());
         for hold in self.gang_reservations.values() {
-            let Some(job) = self.jobs.get(&hold.job) else { continue };
-            let Some(team) = self.teams.get_mut(&job.spec.team) else { continue };
+            let Some(job) = self.jobs.get(&hold.job) else {
+                continue;
+            };
+            let Some(team) = self.teams.get_mut(&job.spec.team) else {
+                continue;
+            };
             for (name, count) in &hold.machines {
-                let used = self.machines.get(name).map_or(Resources::default(), |m| m.used);
+                let used = self
+                    .machines
+                    .get(name)
+                    .map_or(Resources::default(), |m| m.used);
                 team.held += job.spec.needs.times(*count).saturating_sub(&used);
             }
         }
@@ -201,10 +253,19 @@
     /// Notes what kinds of gangs have failed to fit and still wait.
     pub(crate) fn update_waiting_gangs(&mut self) {
         self.waiting_gangs.clear();
-        for (id, job) in self.jobs.iter().filter(|(_, job)| job.spec.kind == JobKind::Gang) {
-            let failed = self.queue.location(EntryKey::Gang(*id)).is_some_and(|(_, n)| n >= 2);
+        for (id, job) in self
+            .jobs
+            .iter()
+            .filter(|(_, job)| job.spec.kind == JobKind::Gang)
+        {
+            let failed = self
+                .queue
+                .location(EntryKey::Gang(*id))
+                .is_some_and(|(_, n)| n >= 2);
             let alike = |other: &JobId| {
-                self.jobs.get(other).is_some_and(|other| other.spec.is_placed_like(&job.spec))
+                self.jobs
+                    .get(other)
+                    .is_some_and(|other| other.spec.is_placed_like(&job.spec))
             };
             if failed && !self.waiting_gangs.iter().any(alike) {
                 self.waiting_gangs.push(*id);
@@ -244,8 +305,11 @@
     /// Whether a machine is kept for a gang, or is empty and of use to one that waits.
     pub(crate) fn is_reserved_for_gangs(&self, machine: &Machine, now: Timestamp) -> bool {
         let of_use = || {
-            let gangs: Vec<&Job> =
-                self.waiting_gangs.iter().filter_map(|id| self.jobs.get(id)).collect();
+            let gangs: Vec<&Job> = self
+                .waiting_gangs
+                .iter()
+                .filter_map(|id| self.jobs.get(id))
+                .collect();
             self.is_left_to_gangs(&gangs, machine, now)
         };
         machine.held_for.is_some() || (machine.tasks.is_empty() && of_use())
@@ -253,7 +317,9 @@
 
     /// Gives up what is kept for a gang.
     pub(crate) fn release_reservation(&mut self, id: JobId) {
-        let Some(hold) = self.gang_reservations.remove(&id) else { return };
+        let Some(hold) = self.gang_reservations.remove(&id) else {
+            return;
+        };
         for name in hold.machines.into_keys() {
             if let Some(machine) = self.machines.get_mut(&name) {
                 if machine.held_for == Some(id) {
@@ -269,8 +335,13 @@
     pub(crate) fn renew_reservations(&mut self, now: Timestamp) {
         let stands = |hold: &GangReservation| {
             let usable = |name: &MachineName| {
-                let Some(machine) = self.machines.get(name) else { return false };
-                let admits = self.jobs.get(&hold.job).is_some_and(|j| self.admits(j, machine, now));
+                let Some(machine) = self.machines.get(name) else {
+                    return false;
+                };
+                let admits = self
+                    .jobs
+                    .get(&hold.job)
+                    .is_some_and(|j| self.admits(j, machine, now));
                 machine.held_for == Some(hold.job) && admits
             };
             now < hold.chosen_at + RESERVATION_REVIEW_INTERVAL
@@ -319,7 +390,10 @@
         stops: bool,
         now: Timestamp,
     ) {
-        let failures = self.queue.location(EntryKey::Gang(id)).map_or(0, |(_, n)| n);
+        let failures = self
+            .queue
+            .location(EntryKey::Gang(id))
+            .map_or(0, |(_, n)| n);
         if failures < 2 || why != PlacementFailure::Room {
             return;
         }
@@ -336,11 +410,19 @@
     /// Keeps machines for a gang, if there are enough for it. Gangs behind it that had some of them choose
     /// anew.
     fn try_reserve_for_gang(&mut self, id: JobId, until: Timestamp, now: Timestamp) -> bool {
-        let chosen = self.jobs.get(&id).and_then(|job| self.choose_reservation(job, until, now));
+        let chosen = self
+            .jobs
+            .get(&id)
+            .and_then(|job| self.choose_reservation(job, until, now));
         let Some(hold) = chosen else { return false };
-        let taken: BTreeSet<JobId> =
-            hold.machines.keys().filter_map(|name| self.machines.get(name)?.held_for).collect();
-        taken.into_iter().for_each(|other| self.release_reservation(other));
+        let taken: BTreeSet<JobId> = hold
+            .machines
+            .keys()
+            .filter_map(|name| self.machines.get(name)?.held_for)
+            .collect();
+        taken
+            .into_iter()
+            .for_each(|other| self.release_reservation(other));
         for name in hold.machines.keys() {
             if let Some(machine) = self.machines.get_mut(name) {
                 machine.held_for = Some(id);
@@ -367,17 +449,29 @@
             if count == 0 || machine.held_for.is_some_and(goes_before) {
                 continue;
             }
-            let Some(ready) = self.free_at(job, machine, now) else { continue };
+            let Some(ready) = self.free_at(job, machine, now) else {
+                continue;
+            };
             if job.spec.one_zone {
-                zones.entry(&machine.zone).or_default().push((ready, machine, count));
+                zones
+                    .entry(&machine.zone)
+                    .or_default()
+                    .push((ready, machine, count));
             } else {
                 all.push((ready, machine, count));
             }
         }
         let lists = zones.into_values().chain([all]);
-        let (ready_at, machines) =
-            lists.filter_map(|list| soonest(job, list)).min_by_key(|(ready, _)| *ready)?;
-        Some(GangReservation { job: job.spec.id, machines, ready_at, chosen_at: now, until })
+        let (ready_at, machines) = lists
+            .filter_map(|list| soonest(job, list))
+            .min_by_key(|(ready, _)| *ready)?;
+        Some(GangReservation {
+            job: job.spec.id,
+            machines,
+            ready_at,
+            chosen_at: now,
+            until,
+        })
     }
 
     /// When a task of a gang has room on a machine at the latest, as far as estimates tell, if what it may
@@ -396,7 +490,8 @@
                 let ends = if placement.stop.is_some() {
                     now + other.spec.save
                 } else if self.may_stop(job, other, placement) {
-                    self.ends_at(other, placement, now).min(now + PREEMPTION_ALLOWANCE)
+                    self.ends_at(other, placement, now)
+                        .min(now + PREEMPTION_ALLOWANCE)
                 } else if other.spec.kind == JobKind::Service {
                     return None;
                 } else {
@@ -415,7 +510,9 @@
     /// When a task ends, as far as its estimate tells. Estimates are often wrong by half: what has run for
     /// long is not taken to end at once.
     fn ends_at(&self, job: &Job, placement: &Placement, now: Timestamp) -> Timestamp {
-        let began = job.gang_began.unwrap_or_else(|| self.begins_at(job, placement));
+        let began = job
+            .gang_began
+            .unwrap_or_else(|| self.begins_at(job, placement));
         let overrun =
             Duration::from_millis(now.duration_since(began).whole_millis() / OVERRUN_DIVISOR)
                 .max(MIN_REMAINING_TIME);
@@ -432,23 +529,39 @@
         if job.spec.kind != JobKind::Gang {
             return fetched(placement);
         }
-        job.placed.values().map(fetched).max().unwrap_or(placement.placed_at)
+        job.placed
+            .values()
+            .map(fetched)
+            .max()
+            .unwrap_or(placement.placed_at)
     }
 
     /// Stops what would not be gone from a gang's machines by the time that the last of them is free.
     fn clear_for_gang(&mut self, id: JobId, now: Timestamp) {
-        let Some(hold) = self.gang_reservations.get(&id) else { return };
-        let Some(job) = self.jobs.get(&id) else { return };
+        let Some(hold) = self.gang_reservations.get(&id) else {
+            return;
+        };
+        let Some(job) = self.jobs.get(&id) else {
+            return;
+        };
         let mut stops = Vec::new();
-        for machine in hold.machines.keys().filter_map(|name| self.machines.get(name)) {
+        for machine in hold
+            .machines
+            .keys()
+            .filter_map(|name| self.machines.get(name))
+        {
             let mut room = self.free_capacity_for(EntryKey::Gang(id), machine);
             if colocation_capacity(job, machine, room) > 0 {
                 continue;
             }
             let mut lasting: Vec<(u64, TaskId, Resources)> = Vec::new();
             for task in &machine.tasks {
-                let Some(other) = self.jobs.get(&task.job) else { continue };
-                let Some(placement) = other.placed.get(&task.index) else { continue };
+                let Some(other) = self.jobs.get(&task.job) else {
+                    continue;
+                };
+                let Some(placement) = other.placed.get(&task.index) else {
+                    continue;
+                };
                 let ends = self.ends_at(other, placement, now);
                 if placement.stop.is_some() || ends <= hold.ready_at + NEAR_RESERVATION {
                     room += other.spec.needs;
@@ -475,7 +588,9 @@
 
     /// The zone kept for a gang, if it will be free before machines could be rented.
     pub(crate) fn reservation_is_near(&self, id: JobId, now: Timestamp) -> bool {
-        self.gang_reservations.get(&id).is_some_and(|hold| hold.ready_at <= now + NEAR_RESERVATION)
+        self.gang_reservations
+            .get(&id)
+            .is_some_and(|hold| hold.ready_at <= now + NEAR_RESERVATION)
     }
 }
 
--- a/crates/scheduler/src/job.rs
+++ b/crates/scheduler/src/job.rs
@@ -134,7 +134,11 @@
 
     /// A placement that a predecessor has recorded and may have launched.
     pub fn inherited(machine: MachineName, attempt: Attempt, now: Timestamp) -> Self {
-        Placement { durable: true, inherited: true, ..Placement::new(machine, attempt, now) }
+        Placement {
+            durable: true,
+            inherited: true,
+            ..Placement::new(machine, attempt, now)
+        }
     }
 }
 
@@ -223,7 +227,14 @@
             .range(from..from + CHUNK)
             .map(|(index, p)| PlacedTask(index - from, p.attempt.0, p.machine.to_string()))
             .collect();
-        TaskChunk { done: if word == 0 { String::new() } else { format!("{word:x}") }, placed }
+        TaskChunk {
+            done: if word == 0 {
+                String::new()
+            } else {
+                format!("{word:x}")
+            },
+            placed,
+        }
     }
 
     /// Takes over a chunk from the ledger. Placements come back as inherited.
@@ -242,7 +253,8 @@
                 continue;
             }
             let machine = MachineName::from(machine.as_str());
-            self.placed.insert(index, Placement::inherited(machine, Attempt(*attempt), now));
+            self.placed
+                .insert(index, Placement::inherited(machine, Attempt(*attempt), now));
         }
     }
 }
--- a/crates/scheduler/src/liveness.rs
+++ b/crates/scheduler/src/liveness.rs
@@ -101,7 +101,9 @@
 
     /// What came of a question.
     pub fn record_probe_result(&mut self, name: &MachineName, answered: bool, now: Timestamp) {
-        let Some(machine) = self.machines.get_mut(name) else { return };
+        let Some(machine) = self.machines.get_mut(name) else {
+            return;
+        };
         machine.probe_state.pending = false;
         if answered {
             machine.probe_state.missed = 0;
@@ -133,7 +135,11 @@
     /// their own first question was in vain. What was heard before that proves nothing: we may
     /// have been cut off meanwhile.
     pub fn lost_machines(&self) -> Vec<MachineName> {
-        if !self.machines.values().any(|m| m.probe_state.missed >= MAX_MISSED_PROBES) {
+        if !self
+            .machines
+            .values()
+            .any(|m| m.probe_state.missed >= MAX_MISSED_PROBES)
+        {
             return Vec::new();
         }
         // Nobody asks those that run nothing; one whose lease has lapsed meanwhile was asked.
--- a/crates/scheduler/src/machine.rs
+++ b/crates/scheduler/src/machine.rs
@@ -257,7 +257,9 @@
             && self.suspected_since.is_none()
             && self.notice.is_none()
             && self.seen_token <= self.token
-            && self.last_heartbeat_at.is_some_and(|at| now.duration_since(at) <= heartbeat_grace)
+            && self
+                .last_heartbeat_at
+                .is_some_and(|at| now.duration_since(at) <= heartbeat_grace)
     }
 
     /// A direct launch was lost that could start again what is forgotten now.
@@ -278,13 +280,16 @@
     /// Notes which exited tasks are kept, and what need not be known of launches any more.
     pub(crate) fn update_exited_tasks(&mut self, now: Timestamp) {
         let orphaned_tasks = std::mem::take(&mut self.orphaned_tasks);
-        let kept =
-            orphaned_tasks.iter().any(|s| s.state == TaskState::Exited && !self.may_forget(s));
+        let kept = orphaned_tasks
+            .iter()
+            .any(|s| s.state == TaskState::Exited && !self.may_forget(s));
         self.exited_retained_since = kept.then(|| self.exited_retained_since.unwrap_or(now));
         let tasks = &self.tasks;
         self.direct.retain(|(task, attempt), _| {
             tasks.contains(task)
-                || orphaned_tasks.iter().any(|s| s.task == *task && s.attempt == *attempt)
+                || orphaned_tasks
+                    .iter()
+                    .any(|s| s.task == *task && s.attempt == *attempt)
         });
         self.orphaned_tasks = orphaned_tasks;
     }
@@ -329,7 +334,10 @@
         predecessors_valid_until: Timestamp,
         lease: Duration,
     ) -> bool {
-        now > self.lease_renewed_at.max(self.last_direct_call_at).max(predecessors_valid_until)
+        now > self
+            .lease_renewed_at
+            .max(self.last_direct_call_at)
+            .max(predecessors_valid_until)
             + lease.with_clock_drift()
     }
 }
--- a/crates/scheduler/src/overload.rs
+++ b/crates/scheduler/src/overload.rs
@@ -45,17 +45,34 @@
         for machine in self.machines.values().filter(|m| m.is_up()) {
             cpus += machine.capacity.milli_cpus;
         }
-        for job in self.jobs.values().filter(|job| job.spec.kind == JobKind::Service) {
+        for job in self
+            .jobs
+            .values()
+            .filter(|job| job.spec.kind == JobKind::Service)
+        {
             cpus = cpus.saturating_sub(job.placed.len() as u64 * job.spec.needs.milli_cpus);
         }
         let drain = waiting / cpus.max(1);
-        let part = if self.overloaded { OVERLOAD_END_PERCENT } else { OVERLOAD_START_PERCENT };
+        let part = if self.overloaded {
+            OVERLOAD_END_PERCENT
+        } else {
+            OVERLOAD_START_PERCENT
+        };
         let overloaded = waiting > 0 && drain > patience / 100 * part;
         if overloaded != self.overloaded {
             self.overloaded = overloaded;
-            tracing::info!(overloaded, drain_ms = drain, patience_ms = patience, "shortage");
+            tracing::info!(
+                overloaded,
+                drain_ms = drain,
+                patience_ms = patience,
+                "shortage"
+            );
         }
-        let times = if overloaded { self.policy.overload_penalty_factor } else { 0 };
+        let times = if overloaded {
+            self.policy.overload_penalty_factor
+        } else {
+            0
+        };
         let change = |job: &Job| {
             let left =
                 job.size_penalty.whole_millis() * job.waiting() / u64::from(job.spec.tasks.max(1));
@@ -63,17 +80,24 @@
                 Duration::from_millis(if job.is_awaited() { left * times } else { 0 });
             // What is left shrinks with each task; a new place in the order is worth its cost only now
             // and then.
-            let far = overload_penalty.whole_millis().abs_diff(job.overload_penalty.whole_millis())
+            let far = overload_penalty
+                .whole_millis()
+                .abs_diff(job.overload_penalty.whole_millis())
                 * 4
                 > job.overload_penalty.whole_millis();
             (overload_penalty != job.overload_penalty
                 && (far || overload_penalty == Duration::ZERO))
                 .then_some(overload_penalty)
         };
-        let changed: Vec<(JobId, Duration)> =
-            self.jobs.iter().filter_map(|(id, job)| Some((*id, change(job)?))).collect();
+        let changed: Vec<(JobId, Duration)> = self
+            .jobs
+            .iter()
+            .filter_map(|(id, job)| Some((*id, change(job)?)))
+            .collect();
         for (id, overload_penalty) in changed {
-            let Some(job) = self.jobs.get_mut(&id) else { continue };
+            let Some(job) = self.jobs.get_mut(&id) else {
+                continue;
+            };
             job.overload_penalty = overload_penalty;
             if let Some(team) = self.teams.get_mut(&job.spec.team) {
                 team.stale = true;
--- a/crates/scheduler/src/partition_state.rs
+++ b/crates/scheduler/src/partition_state.rs
@@ -234,7 +234,14 @@
             teams: teams
                 .into_iter()
                 .map(|(name, guarantee, limit)| {
-                    (name, TeamUsage { guarantee, limit, ..TeamUsage::default() })
+                    (
+                        name,
+                        TeamUsage {
+                            guarantee,
+                            limit,
+                            ..TeamUsage::default()
+                        },
+                    )
                 })
                 .collect(),
             queue: SchedulingQueue::new(queue),
@@ -295,13 +302,22 @@
         let mut job = Job::new(spec, order, now);
         job.size_penalty = self.size_penalty_of(&job.spec);
         job.only_beside = job.spec.does_without_gpus(&self.types);
-        job.completion_objective =
-            job.spec.deadline.or_else(|| self.completion_objectives.get(&job.spec.class).copied());
+        job.completion_objective = job
+            .spec
+            .deadline
+            .or_else(|| self.completion_objectives.get(&job.spec.class).copied());
         for (chunk, body) in chunks {
             job.restore(*chunk, body, now);
         }
         for (index, placement) in &job.placed {
-            self.count_in(TaskId { job: id, index: *index }, &job.spec, placement);
+            self.count_in(
+                TaskId {
+                    job: id,
+                    index: *index,
+                },
+                &job.spec,
+                placement,
+            );
         }
         if let Some(team) = self.teams.get_mut(&job.spec.team) {
             team.opened(&job);
@@ -310,7 +326,10 @@
             .placed
             .iter()
             .filter(|(_, p)| !self.machines.contains_key(&p.machine))
-            .map(|(index, _)| TaskId { job: id, index: *index })
+            .map(|(index, _)| TaskId {
+                job: id,
+                index: *index,
+            })
             .collect();
         tracing::debug!(
             job = %id,
@@ -339,14 +358,21 @@
     /// How far a job's size sets it back: a multiple of the time that it takes alone. A team
     /// without a limit counts as if it had the largest of the others'.
     fn size_penalty_of(&self, spec: &JobSpec) -> Duration {
-        let per = Resources { memory_mb: 0, ..spec.needs };
+        let per = Resources {
+            memory_mb: 0,
+            ..spec.needs
+        };
         let at_once = |team: &TeamUsage| team.limit.how_many_fit(&per);
         let limited = |count: &u64| *count < u64::MAX / 1_000_000;
         let own = self.teams.get(&spec.team).map(at_once).filter(limited);
         let largest = || self.teams.values().map(at_once).filter(limited).max();
         let at_once = own.or_else(largest).unwrap_or(1).max(1);
         // A gang is one entry, and large ones would wait for ever behind small ones otherwise.
-        let tasks = if spec.kind == JobKind::Gang { 1 } else { u64::from(spec.tasks) };
+        let tasks = if spec.kind == JobKind::Gang {
+            1
+        } else {
+            u64::from(spec.tasks)
+        };
         Duration::from_millis(
             spec.estimate.whole_millis() * tasks / at_once * self.policy.size_penalty_factor,
         )
@@ -365,7 +391,9 @@
     /// The cloud has confirmed that a machine and everything on it are gone, or it has left
     /// the share while empty.
     pub fn remove_machine(&mut self, name: &MachineName, now: Timestamp) {
-        let Some(machine) = self.machines.get(name) else { return };
+        let Some(machine) = self.machines.get(name) else {
+            return;
+        };
         let tasks: Vec<TaskId> = machine.tasks.iter().copied().collect();
         for task in tasks {
             self.drop_placement(task, now, true);
@@ -378,7 +406,9 @@
 
     /// The user has cancelled: nothing is started any more, everything is stopped.
     pub fn cancel_job(&mut self, id: JobId, now: Timestamp) {
-        let Some(job) = self.jobs.get_mut(&id) else { return };
+        let Some(job) = self.jobs.get_mut(&id) else {
+            return;
+        };
         if job.cancelled {
             return;
         }
@@ -407,13 +437,17 @@
     /// answer is not, and where the state service gives no higher token, only the end of the lease is
     /// left.
     pub fn may_renew_lease(&self, name: &MachineName, now: Timestamp) -> bool {
-        let Some(machine) = self.machines.get(name) else { return true };
+        let Some(machine) = self.machines.get(name) else {
+            return true;
+        };
         let under_way = |p: &Placement| {
             let void = |(token, session)| token < machine.token || session < machine.session;
             p.last_status.is_none() && p.unconfirmed_launch_of.is_some_and(|launch| !void(launch))
         };
         let late = |task: &TaskId| {
-            let Some(job) = self.jobs.get(&task.job) else { return false };
+            let Some(job) = self.jobs.get(&task.job) else {
+                return false;
+            };
             let late = job.cancelled && now >= job.renew_until;
             late && job.placed.get(&task.index).is_some_and(under_way)
         };
@@ -422,14 +456,19 @@
 
     /// Stops a task. One that was certainly never launched is gone at once.
     pub fn stop_task(&mut self, task: TaskId, grace_ms: u64, now: Timestamp) {
-        let Some(job) = self.jobs.get_mut(&task.job) else { return };
-        let Some(placement) = job.placed.get_mut(&task.index) else { return };
+        let Some(job) = self.jobs.get_mut(&task.job) else {
+            return;
+        };
+        let Some(placement) = job.placed.get_mut(&task.index) else {
+            return;
+        };
         if placement.launched.is_none() && !placement.inherited && placement.last_status.is_none() {
             self.drop_placement(task, now, true);
             return;
         }
         let machine = placement.machine.clone();
-        self.preemption_candidates.remove(task, job.spec.priority, placement.placed_at);
+        self.preemption_candidates
+            .remove(task, job.spec.priority, placement.placed_at);
         match &mut placement.stop {
             // A second stop may only shorten the grace.
             Some(stop) => stop.grace_ms = stop.grace_ms.min(grace_ms),
@@ -440,7 +479,9 @@
 
     /// Puts a job's waiting tasks into the queue, as many as the window allows.
     pub(crate) fn enqueue(&mut self, id: JobId) {
-        let Some(job) = self.jobs.get_mut(&id) else { return };
+        let Some(job) = self.jobs.get_mut(&id) else {
+            return;
+        };
         if job.cancelled || job.finishing || self.job_probes.contains_key(&id) {
             return;
         }
@@ -454,7 +495,9 @@
         // All tasks placed and queued lie below the cursor, so this is a bound on how many
         // wait: an array of 100,000 does not fill the heap.
         let limit = self.policy.window.max(1);
-        let mut waiting = job.cursor.saturating_sub(job.done_count() + job.placed.len() as u32);
+        let mut waiting = job
+            .cursor
+            .saturating_sub(job.done_count() + job.placed.len() as u32);
         while job.cursor < job.spec.tasks && waiting < limit {
             let index = job.cursor;
             job.cursor += 1;
@@ -490,19 +533,26 @@
             machine.let_go(task, spec, now);
             self.capacity_index.update(machine);
         }
-        self.preemption_candidates.remove(task, spec.priority, placement.placed_at);
+        self.preemption_candidates
+            .remove(task, spec.priority, placement.placed_at);
         self.unrecorded -= usize::from(!placement.durable);
     }
 
     /// Removes a placement whose task is proven gone or was never launched, and queues the
     /// task again unless the job is over.
     pub(crate) fn drop_placement(&mut self, task: TaskId, now: Timestamp, requeue: bool) {
-        let Some(job) = self.jobs.get_mut(&task.job) else { return };
-        let Some(placement) = job.placed.remove(&task.index) else { return };
+        let Some(job) = self.jobs.get_mut(&task.job) else {
+            return;
+        };
+        let Some(placement) = job.placed.remove(&task.index) else {
+            return;
+        };
         let spec = job.spec.clone();
         self.count_out(task, &spec, &placement, now);
         self.touch(task);
-        let Some(job) = self.jobs.get(&task.job) else { return };
+        let Some(job) = self.jobs.get(&task.job) else {
+            return;
+        };
         if job.spec.kind == JobKind::Gang {
             self.gang_lost_member(task.job, now);
         } else if requeue && !job.cancelled && !job.is_done(task.index) && task.index < job.cursor {
@@ -512,7 +562,8 @@
             if failures == 0 {
                 self.queue.add(EntryKey::Task(task), rank);
             } else {
-                self.queue.add_failed(EntryKey::Task(task), rank, failures, now);
+                self.queue
+                    .add_failed(EntryKey::Task(task), rank, failures, now);
             }
         }
         self.queue.move_all(now);
@@ -521,7 +572,9 @@
 
     /// The rest of a gang that lost a member stops; when all are gone it starts anew.
     fn gang_lost_member(&mut self, id: JobId, now: Timestamp) {
-        let Some(job) = self.jobs.get_mut(&id) else { return };
+        let Some(job) = self.jobs.get_mut(&id) else {
+            return;
+        };
         if job.placed.is_empty() {
             job.gang_began = None;
             let failures = job.failures.values().copied().max().unwrap_or(0);
@@ -532,7 +585,8 @@
             if failures == 0 {
                 self.queue.add(EntryKey::Gang(id), rank);
             } else {
-                self.queue.add_failed(EntryKey::Gang(id), rank, failures, now);
+                self.queue
+                    .add_failed(EntryKey::Gang(id), rank, failures, now);
             }
         } else if !job.all_done() {
             self.stop_gang(id, now);
@@ -542,22 +596,30 @@
     /// Orderly stop of a gang: every member gets its halt in the same round, with grace to
     /// save if the gang has started.
     pub fn stop_gang(&mut self, id: JobId, now: Timestamp) {
-        let Some(job) = self.jobs.get(&id) else { return };
+        let Some(job) = self.jobs.get(&id) else {
+            return;
+        };
         let progress = job.gang_began.is_some() && !job.cancelled && !job.all_done();
         let grace = if job.spec.checkpoint > Duration::ZERO && progress {
             job.spec.save.whole_millis() + 1_000
         } else {
             0
         };
-        let members: Vec<u32> =
-            job.placed.iter().filter(|(_, p)| p.stop.is_none()).map(|(i, _)| *i).collect();
+        let members: Vec<u32> = job
+            .placed
+            .iter()
+            .filter(|(_, p)| p.stop.is_none())
+            .map(|(i, _)| *i)
+            .collect();
         for index in members {
             self.stop_task(TaskId { job: id, index }, grace, now);
         }
     }
 
     pub(crate) fn check_finished(&mut self, id: JobId) {
-        let Some(job) = self.jobs.get_mut(&id) else { return };
+        let Some(job) = self.jobs.get_mut(&id) else {
+            return;
+        };
         // A gang is done with its first task, but a member that was started anew meanwhile still
         // takes its place and counts against the limit until it is gone.
         let over = job.all_done() && (job.spec.kind != JobKind::Gang || job.placed.is_empty());
@@ -570,7 +632,9 @@
 
     /// A job counts towards its team's guarantee no longer.
     fn close(&mut self, id: JobId) {
-        let Some(job) = self.jobs.get(&id) else { return };
+        let Some(job) = self.jobs.get(&id) else {
+            return;
+        };
         if let Some(team) = self.teams.get_mut(&job.spec.team) {
             team.closed(job);
         }
@@ -584,11 +648,21 @@
     /// The job's end is durable, which settles the outcomes of all its tasks.
     pub fn remove_job(&mut self, id: JobId, now: Timestamp) {
         self.close(id);
-        let Some(job) = self.jobs.remove(&id) else { return };
+        let Some(job) = self.jobs.remove(&id) else {
+            return;
+        };
         tracing::debug!(job = %id, took_ms = now.duration_since(job.seen_at).whole_millis(), "job over");
         self.unqueue(id, job.cursor);
         for (index, placement) in &job.placed {
-            self.count_out(TaskId { job: id, index: *index }, &job.spec, placement, now);
+            self.count_out(
+                TaskId {
+                    job: id,
+                    index: *index,
+                },
+                &job.spec,
+                placement,
+                now,
+            );
         }
         self.undurable_outcomes.retain(|(task, _)| task.job != id);
         for chunk in 0..job.spec.tasks.div_ceil(CHUNK) {
@@ -616,8 +690,11 @@
 
     /// Addresses of some machines, those heard last first.
     pub fn addresses(&self, most: usize) -> Vec<(MachineName, String)> {
-        let mut heard: Vec<&Machine> =
-            self.machines.values().filter(|m| m.address.is_some() && m.notice.is_none()).collect();
+        let mut heard: Vec<&Machine> = self
+            .machines
+            .values()
+            .filter(|m| m.address.is_some() && m.notice.is_none())
+            .collect();
         heard.sort_by_key(|m| std::cmp::Reverse(m.last_seen_at));
         let address = |m: &Machine| Some((m.name.clone(), m.address.clone()?));
         heard.into_iter().take(most).filter_map(address).collect()
@@ -650,11 +727,19 @@
     pub fn changes_in(&self, keys: &[ChunkKey]) -> CommittedChanges {
         let mut written = CommittedChanges::default();
         for (id, chunk) in keys {
-            let Some(job) = self.jobs.get(id) else { continue };
+            let Some(job) = self.jobs.get(id) else {
+                continue;
+            };
             let from = chunk * CHUNK;
             for (index, p) in job.placed.range(from..from + CHUNK) {
                 if !p.durable {
-                    written.placements.push((TaskId { job: *id, index: *index }, p.attempt));
+                    written.placements.push((
+                        TaskId {
+                            job: *id,
+                            index: *index,
+                        },
+                        p.attempt,
+                    ));
                 }
             }
         }
@@ -671,7 +756,9 @@
     /// The round is durable: its placements may be launched, its outcomes forgotten.
     pub fn confirm(&mut self, written: &CommittedChanges) {
         for (task, attempt) in &written.placements {
-            let Some(job) = self.jobs.get_mut(&task.job) else { continue };
+            let Some(job) = self.jobs.get_mut(&task.job) else {
+                continue;
+            };
             if let Some(p) = job.placed.get_mut(&task.index) {
                 if p.attempt == *attempt {
                     self.unrecorded -= usize::from(!p.durable);
@@ -696,11 +783,17 @@
             let fitting = |order: &[JobId]| {
                 let mut sum = Resources::default();
                 let fits = |id: &&JobId| {
-                    let Some(job) = self.jobs.get(*id) else { return true };
+                    let Some(job) = self.jobs.get(*id) else {
+                        return true;
+                    };
                     sum += job.spec.needs.times(u64::from(job.spec.tasks));
                     sum.fits_quota(&team.guarantee)
                 };
-                order.iter().take_while(fits).copied().collect::<BTreeSet<JobId>>()
+                order
+                    .iter()
+                    .take_while(fits)
+                    .copied()
+                    .collect::<BTreeSet<JobId>>()
             };
             let mut order: Vec<JobId> = team.open.iter().map(|(_, id)| *id).collect();
             if self.overloaded {
@@ -716,7 +809,9 @@
                 }
             }
             for id in team.within.symmetric_difference(&within) {
-                let Some(job) = self.jobs.get_mut(id) else { continue };
+                let Some(job) = self.jobs.get_mut(id) else {
+                    continue;
+                };
                 // What ends or is cancelled stays what it was.
                 if team.open.contains(&(job.order, *id)) {
                     job.guaranteed = within.contains(id);
@@ -732,7 +827,9 @@
 
     /// A job's place in the order has changed.
     pub(crate) fn rerank(&mut self, id: JobId) {
-        let Some(job) = self.jobs.get(&id) else { return };
+        let Some(job) = self.jobs.get(&id) else {
+            return;
+        };
         let rank = rank_of(job);
         for index in 0..job.cursor {
             let key = EntryKey::Task(TaskId { job: id, index });
@@ -746,12 +843,18 @@
 /// multiple of the time that the job takes with its team's whole limit: what is short is not
 /// kept waiting behind what will be late anyway, and what is long is not put off for ever.
 pub(crate) fn rank_of(job: &Job) -> Rank {
-    (u8::from(!job.guaranteed), std::cmp::Reverse(job.spec.priority), due(job), 0)
+    (
+        u8::from(!job.guaranteed),
+        std::cmp::Reverse(job.spec.priority),
+        due(job),
+        0,
+    )
 }
 
 /// A job's place among its equals.
 fn due(job: &Job) -> u64 {
-    job.order.saturating_add(job.size_penalty.whole_millis() + job.overload_penalty.whole_millis())
+    job.order
+        .saturating_add(job.size_penalty.whole_millis() + job.overload_penalty.whole_millis())
 }
 
 impl PartitionState {
@@ -763,10 +866,15 @@
         attempt: Attempt,
         now: Timestamp,
     ) {
-        let Some(job) = self.jobs.get_mut(&task.job) else { return };
+        let Some(job) = self.jobs.get_mut(&task.job) else {
+            return;
+        };
         let placement = Placement::new(machine.clone(), attempt, now);
         let waited = now.duration_since(job.seen_at).whole_millis();
-        let cached = self.machines.get(machine).is_some_and(|m| m.has_image(&job.spec.image));
+        let cached = self
+            .machines
+            .get(machine)
+            .is_some_and(|m| m.has_image(&job.spec.image));
         tracing::debug!(%task, %machine, class = job.spec.class, waited, cached, guaranteed = job.guaranteed, "placed");
         self.waits.push(waited);
         job.placed.insert(task.index, placement.clone());
--- a/crates/scheduler/src/preempt.rs
+++ b/crates/scheduler/src/preempt.rs
@@ -62,8 +62,12 @@
         why: PlacementFailure,
         now: Timestamp,
     ) -> bool {
-        let EntryKey::Task(task) = entry else { return false };
-        let Some(job) = self.jobs.get(&task.job) else { return false };
+        let EntryKey::Task(task) = entry else {
+            return false;
+        };
+        let Some(job) = self.jobs.get(&task.job) else {
+            return false;
+        };
         if self.reservations.contains_key(&entry) {
             return true;
         }
@@ -99,7 +103,14 @@
         if only_cheap && self.reservations.len() >= MAX_RESERVATIONS || !self.may_stop_any(job) {
             return None;
         }
-        let search = Search { entry, job, why, only_cheap, zones: self.zones_of(job), now };
+        let search = Search {
+            entry,
+            job,
+            why,
+            only_cheap,
+            zones: self.zones_of(job),
+            now,
+        };
         let mut best: Option<PreemptionPlan> = None;
         let mut seen: HashSet<&MachineName> = HashSet::new();
         let mut look = |task: TaskId, best: &mut Option<PreemptionPlan>| {
@@ -121,7 +132,12 @@
         for (placed_at, task) in self.preemption_candidates.newest() {
             // A machine on which this is the newest costs more than this.
             let ran = now.duration_since(placed_at).whole_millis();
-            let most = best.as_ref().map(|least| least.cost).into_iter().chain(below).min();
+            let most = best
+                .as_ref()
+                .map(|least| least.cost)
+                .into_iter()
+                .chain(below)
+                .min();
             if most.is_some_and(|most| ran >= most) {
                 break;
             }
@@ -147,7 +163,11 @@
         let machine = self.place_for(entry, job, now)?.name.clone();
         let team = self.teams.get(&job.spec.team)?;
         let wanted = team.used + team.reserved + job.spec.needs;
-        let mut stops = PreemptionPlan { cost: 0, victims: Vec::new(), machine };
+        let mut stops = PreemptionPlan {
+            cost: 0,
+            victims: Vec::new(),
+            machine,
+        };
         // What is being stopped for others is counted with what is kept for them.
         let mut freed = self.being_stopped(&job.spec.team);
         let tasks = self
@@ -156,8 +176,12 @@
             .map(|(_, task)| task)
             .chain(self.preemption_candidates.saving());
         for task in tasks {
-            let Some(victim) = self.jobs.get(&task.job) else { continue };
-            let Some(placement) = victim.placed.get(&task.index) else { continue };
+            let Some(victim) = self.jobs.get(&task.job) else {
+                continue;
+            };
+            let Some(placement) = victim.placed.get(&task.index) else {
+                continue;
+            };
             if victim.spec.team != job.spec.team || !self.may_stop(job, victim, placement) {
                 continue;
             }
@@ -175,7 +199,10 @@
     fn being_stopped(&self, team: &TeamName) -> Resources {
         let mut sum = Resources::default();
         for job in self.jobs.values().filter(|job| job.spec.team == *team) {
-            let stopping = job.placed.values().filter(|placement| placement.stop.is_some());
+            let stopping = job
+                .placed
+                .values()
+                .filter(|placement| placement.stop.is_some());
             sum += job.spec.needs.times(stopping.count() as u64);
         }
         sum
@@ -192,7 +219,13 @@
 
     /// The cheapest stops on a machine that let the entry in, if there are any.
     fn preemption_on(&self, search: &Search<'_>, machine: &Machine) -> Option<PreemptionPlan> {
-        let Search { entry, job, why, now, .. } = *search;
+        let Search {
+            entry,
+            job,
+            why,
+            now,
+            ..
+        } = *search;
         if !self.admits(job, machine, now)
             || !zone_allowed(job, &machine.zone, &search.zones)
             || self.is_reserved_from(job, machine, now)
@@ -233,7 +266,11 @@
             chosen.push(id);
         }
         let enough = !chosen.is_empty() && job.spec.needs.fits(&room) && quota(&freed);
-        enough.then(|| PreemptionPlan { cost, victims: chosen, machine: machine.name.clone() })
+        enough.then(|| PreemptionPlan {
+            cost,
+            victims: chosen,
+            machine: machine.name.clone(),
+        })
     }
 
     /// Stops the tasks and keeps their room for the entry.
@@ -244,7 +281,9 @@
         why: PlacementFailure,
         now: Timestamp,
     ) {
-        let Some(job) = self.jobs.get(&entry.job()) else { return };
+        let Some(job) = self.jobs.get(&entry.job()) else {
+            return;
+        };
         let needs = job.spec.needs;
         let urgent_machines = self.stops_for(job) == Some(false);
         let limit_of = (why == PlacementFailure::Quota).then(|| job.spec.team.clone());
@@ -258,8 +297,15 @@
         for victim in stops.victims {
             tracing::debug!(job = %entry.job(), %victim, "stopping a task to make room");
             // Replicas and guaranteed work do not wait for best-effort work to save.
-            let best_effort = self.jobs.get(&victim.job).is_some_and(|j| j.spec.is_best_effort());
-            let grace = if urgent_machines && best_effort { 0 } else { self.grace_period(victim) };
+            let best_effort = self
+                .jobs
+                .get(&victim.job)
+                .is_some_and(|j| j.spec.is_best_effort());
+            let grace = if urgent_machines && best_effort {
+                0
+            } else {
+                self.grace_period(victim)
+            };
             self.stop_task(victim, grace, now);
         }
     }
--- a/crates/scheduler/src/preemption_candidates.rs
+++ b/crates/scheduler/src/preemption_candidates.rs
@@ -47,7 +47,9 @@
 
     /// Whether any is of lower priority.
     pub(crate) fn any_below(&self, priority: Priority) -> bool {
-        self.by_priority.range(..priority).any(|(_, count)| *count > 0)
+        self.by_priority
+            .range(..priority)
+            .any(|(_, count)| *count > 0)
     }
 
     /// Those that do not save, with the time of their placement, newest first.
--- a/crates/scheduler/src/reconciliation.rs
+++ b/crates/scheduler/src/reconciliation.rs
@@ -28,7 +28,9 @@
     pub fn reconcile(&mut self, report: &Heartbeat, source: StatusSource, now: Timestamp) -> bool {
         let name = MachineName::from(report.machine.as_str());
         let silence = self.heartbeat_timeout();
-        let Some(machine) = self.machines.get_mut(&name) else { return false };
+        let Some(machine) = self.machines.get_mut(&name) else {
+            return false;
+        };
         let (session, seq) = (WorkerEpoch(report.session), SequenceNumber(report.seq));
         if machine.last_seen_at.is_some() && (session, seq) <= (machine.session, machine.seq) {
             return false;
@@ -105,9 +107,15 @@
         source: StatusSource,
         now: Timestamp,
     ) {
-        let Some(machine) = self.machines.get_mut(name) else { return };
-        let Some(job) = self.jobs.get_mut(&task.job) else { return };
-        let Some(placement) = job.placed.get_mut(&task.index) else { return };
+        let Some(machine) = self.machines.get_mut(name) else {
+            return;
+        };
+        let Some(job) = self.jobs.get_mut(&task.job) else {
+            return;
+        };
+        let Some(placement) = job.placed.get_mut(&task.index) else {
+            return;
+        };
         settle_direct(placement, machine);
         let this = |(id, entry): &&(TaskId, &TaskStatus)| {
             *id == task && Attempt(entry.attempt) == placement.attempt
@@ -121,7 +129,8 @@
         placement.launched = Some(machine.session);
         placement.launched_in_response = false;
         if entry.state != TaskState::Fetching {
-            self.capacity_index.touch_image(machine, &job.spec.image, job.spec.image_gb);
+            self.capacity_index
+                .touch_image(machine, &job.spec.image, job.spec.image_gb);
         }
         match entry.state {
             TaskState::Exited => self.exited(task, entry.why.unwrap_or(ExitCause::Error), now),
@@ -137,9 +146,13 @@
 
     /// A newer report does not show the task.
     fn absent(&mut self, task: TaskId, has_token: bool, source: StatusSource, now: Timestamp) {
-        let Some(job) = self.jobs.get_mut(&task.job) else { return };
+        let Some(job) = self.jobs.get_mut(&task.job) else {
+            return;
+        };
         let gang = job.spec.kind == JobKind::Gang;
-        let Some(placement) = job.placed.get_mut(&task.index) else { return };
+        let Some(placement) = job.placed.get_mut(&task.index) else {
+            return;
+        };
         if let Some((token, session)) = placement.unconfirmed_launch_of {
             // A direct launch may still be under way: the task stays bound to its machine.
             let machine = placement.machine.clone();
@@ -171,7 +184,11 @@
             // It was there and is not any more (a new session), or it never got there and is
             // no longer wanted.
             self.drop_placement(task, now, true);
-        } else if self.machines.get(&task_machine).is_some_and(|m| m.suspected_since.is_some()) {
+        } else if self
+            .machines
+            .get(&task_machine)
+            .is_some_and(|m| m.suspected_since.is_some())
+        {
             // What could still arrive is settled, and nothing that is sent again would.
             self.drop_placement(task, now, true);
         }
@@ -180,8 +197,12 @@
 
     /// An exited task: its outcome is kept, and the task forgotten once that is durable.
     fn exited(&mut self, task: TaskId, why: ExitCause, now: Timestamp) {
-        let Some(job) = self.jobs.get_mut(&task.job) else { return };
-        let Some(placement) = job.placed.get(&task.index) else { return };
+        let Some(job) = self.jobs.get_mut(&task.job) else {
+            return;
+        };
+        let Some(placement) = job.placed.get(&task.index) else {
+            return;
+        };
         let attempt = placement.attempt;
         let name = placement.machine.clone();
         if let Some((token, session)) = placement.unconfirmed_launch_of {
@@ -258,13 +279,24 @@
     pub fn drain_reclaimed_machines(&mut self, now: Timestamp) {
         let mut stops = Vec::new();
         for machine in self.machines.values() {
-            let Some(taken) = machine.notice else { continue };
+            let Some(taken) = machine.notice else {
+                continue;
+            };
             let left = Duration::from_millis(taken.as_millis().saturating_sub(now.as_millis()));
             for task in &machine.tasks {
-                let Some(job) = self.jobs.get(&task.job) else { continue };
+                let Some(job) = self.jobs.get(&task.job) else {
+                    continue;
+                };
                 let saves = job.spec.checkpoint > Duration::ZERO;
-                let needed = if saves { job.spec.save + RECLAIM_MARGIN } else { RECLAIM_MARGIN };
-                let stops_already = job.placed.get(&task.index).is_some_and(|p| p.stop.is_some());
+                let needed = if saves {
+                    job.spec.save + RECLAIM_MARGIN
+                } else {
+                    RECLAIM_MARGIN
+                };
+                let stops_already = job
+                    .placed
+                    .get(&task.index)
+                    .is_some_and(|p| p.stop.is_some());
                 if left <= needed && !stops_already {
                     stops.push((*task, job.spec.kind));
                 }
@@ -299,8 +331,12 @@
             };
             tracing::info!(machine = %name, tasks = tasks.len(), "a machine's lease has lapsed");
             for task in tasks {
-                let Some(job) = self.jobs.get_mut(&task.job) else { continue };
-                let Some(p) = job.placed.get_mut(&task.index) else { continue };
+                let Some(job) = self.jobs.get_mut(&task.job) else {
+                    continue;
+                };
+                let Some(p) = job.placed.get_mut(&task.index) else {
+                    continue;
+                };
                 // The lease ends a session, and a launch names the session it was meant for.
                 p.unconfirmed_launch_of = None;
                 self.drop_placement(task, now, true);
