--- a/crates/scheduler/src/reservations.rs
+++ b/crates/scheduler/src/reservations.rs
@@ -14,7 +14,10 @@
         self.cancel_reservation(&entry);
         if let Some(machine) = self.machines.get_mut(&reservation.machine) {
             machine.reserved += reservation.needs;
-            let team = reservation.limit_of.as_ref().and_then(|team| self.teams.get_mut(team));
+            let team = reservation
+                .limit_of
+                .as_ref()
+                .and_then(|team| self.teams.get_mut(team));
             if let Some(team) = team {
                 team.reserved += reservation.needs;
             }
@@ -28,7 +31,10 @@
             if let Some(machine) = self.machines.get_mut(&old.machine) {
                 machine.reserved -= old.needs;
             }
-            let team = old.limit_of.as_ref().and_then(|team| self.teams.get_mut(team));
+            let team = old
+                .limit_of
+                .as_ref()
+                .and_then(|team| self.teams.get_mut(team));
             if let Some(team) = team {
                 team.reserved -= old.needs;
             }
@@ -36,8 +42,12 @@
     }
 
     fn cancel_reservations_where(&mut self, ended: impl Fn(&EntryKey, &Reservation) -> bool) {
-        let entries: Vec<EntryKey> =
-            self.reservations.iter().filter(|(e, p)| ended(e, p)).map(|(e, _)| *e).collect();
+        let entries: Vec<EntryKey> = self
+            .reservations
+            .iter()
+            .filter(|(e, p)| ended(e, p))
+            .map(|(e, _)| *e)
+            .collect();
         for entry in entries {
             self.cancel_reservation(&entry);
         }
@@ -62,8 +72,10 @@
     /// for other entries. Without that, tasks of the team's own that go first in the order take each
     /// freed slice of the limit, and a replica for which they were stopped never starts.
     pub(crate) fn fits_limit(&self, entry: EntryKey, job: &Job, tasks: u64) -> bool {
-        let own =
-            self.reservations.get(&entry).filter(|reservation| reservation.limit_of.is_some());
+        let own = self
+            .reservations
+            .get(&entry)
+            .filter(|reservation| reservation.limit_of.is_some());
         let own = own.map_or(Resources::default(), |reservation| reservation.needs);
         self.teams.get(&job.spec.team).is_some_and(|team| {
             let held = match entry {
@@ -81,8 +93,10 @@
         if machine.reserved == Resources::default() {
             return free;
         }
-        let own =
-            self.reservations.get(&entry).filter(|reservation| reservation.machine == machine.name);
+        let own = self
+            .reservations
+            .get(&entry)
+            .filter(|reservation| reservation.machine == machine.name);
         let own = own.map_or(Resources::default(), |reservation| reservation.needs);
         free.saturating_sub(&machine.reserved.saturating_sub(&own))
     }
--- a/crates/scheduler/tests/share.rs
+++ b/crates/scheduler/tests/share.rs
@@ -15,8 +15,13 @@
     let teams = ["t", "u"].map(|t| (TeamName::from(t), amounts, amounts));
     let policy = Policy::default();
     let queue = QueueConfig::default();
-    let mut share =
-        PartitionState::new(teams, Duration::from_secs(10), policy, queue, FencingToken(5));
+    let mut share = PartitionState::new(
+        teams,
+        Duration::from_secs(10),
+        policy,
+        queue,
+        FencingToken(5),
+    );
     add_machine(&mut share, 1);
     share
 }
@@ -87,7 +92,13 @@
 }
 
 fn entry(task: &str, attempt: u64, state: TaskState, why: Option<ExitCause>) -> TaskStatus {
-    TaskStatus { task: task.into(), attempt, state, why, saved: None }
+    TaskStatus {
+        task: task.into(),
+        attempt,
+        state,
+        why,
+        saved: None,
+    }
 }
 
 /// Places what waits, makes it durable and returns the launches of the next answer.
@@ -191,7 +202,10 @@
     let forgets = |share: &mut PartitionState| {
         let commands =
             share.commands_for(&name, CommandRoute::Answer, Timestamp::from_millis(1_000));
-        commands.iter().filter(|c| matches!(c, Command::Forget { .. })).count()
+        commands
+            .iter()
+            .filter(|c| matches!(c, Command::Forget { .. }))
+            .count()
     };
     share.reconcile(
         &report(2, None, vec![done]),
@@ -219,7 +233,11 @@
     );
     assert_eq!(launch(&mut share, Timestamp::from_millis(100)).len(), 4);
     let stopping = |share: &PartitionState| {
-        share.jobs[&model::JobId(1)].placed.values().filter(|p| p.stop.is_some()).count()
+        share.jobs[&model::JobId(1)]
+            .placed
+            .values()
+            .filter(|p| p.stop.is_some())
+            .count()
     };
     share.add_job(
         job(2, "u", JobKind::Array, Priority::Normal, 9),
@@ -261,20 +279,32 @@
     );
     let replica = job(2, "t", JobKind::Service, Priority::High, 1);
     share.add_job(
-        JobSpec { estimate: Duration::ZERO, ..replica },
+        JobSpec {
+            estimate: Duration::ZERO,
+            ..replica
+        },
         2,
         &[],
         Timestamp::from_millis(200),
     );
     share.run_cycles(Timestamp::from_millis(200), 100);
-    let urgent: u64 =
-        share.demand(Timestamp::from_millis(200)).iter().map(|shape| shape.urgent).sum();
+    let urgent: u64 = share
+        .demand(Timestamp::from_millis(200))
+        .iter()
+        .map(|shape| shape.urgent)
+        .sum();
     assert_eq!(urgent, 1, "a machine for the replica");
     let stopping = |share: &PartitionState| -> Vec<u32> {
         let placed = share.jobs[&model::JobId(1)].placed.iter();
-        placed.filter(|(_, p)| p.stop.is_some()).map(|(index, _)| *index).collect()
+        placed
+            .filter(|(_, p)| p.stop.is_some())
+            .map(|(index, _)| *index)
+            .collect()
     };
-    assert!(stopping(&share).is_empty(), "nothing is stopped while there is no room for it");
+    assert!(
+        stopping(&share).is_empty(),
+        "nothing is stopped while there is no room for it"
+    );
 
     add_machine(&mut share, 2);
     hear(&mut share, 2, 1, Vec::new(), Timestamp::from_millis(2_000));
@@ -284,13 +314,29 @@
     share.run_cycles(Timestamp::from_millis(2_100), 100);
     assert_eq!(stopping(&share), victims, "one is enough");
     // The victim is gone. The array's other tasks wait and go first in the order.
-    let task = model::TaskId { job: model::JobId(1), index: victims[0] };
+    let task = model::TaskId {
+        job: model::JobId(1),
+        index: victims[0],
+    };
     let attempt = share.jobs[&task.job].placed[&task.index].attempt.0;
-    let exited = entry(&task.to_string(), attempt, TaskState::Exited, Some(ExitCause::Stopped));
-    let others = share.jobs[&task.job].placed.iter().filter(|(index, _)| **index != task.index);
+    let exited = entry(
+        &task.to_string(),
+        attempt,
+        TaskState::Exited,
+        Some(ExitCause::Stopped),
+    );
+    let others = share.jobs[&task.job]
+        .placed
+        .iter()
+        .filter(|(index, _)| **index != task.index);
     let mut tasks: Vec<TaskStatus> = others
         .map(|(index, p)| {
-            entry(&format!("j-000001/{index}"), p.attempt.0, TaskState::Running, None)
+            entry(
+                &format!("j-000001/{index}"),
+                p.attempt.0,
+                TaskState::Running,
+                None,
+            )
         })
         .collect();
     tasks.push(exited);
@@ -300,7 +346,11 @@
         Timestamp::from_millis(2_300),
     );
     share.run_cycles(Timestamp::from_millis(3_500), 100);
-    assert_eq!(share.jobs[&model::JobId(2)].placed.len(), 1, "the replica has the freed slice");
+    assert_eq!(
+        share.jobs[&model::JobId(2)].placed.len(),
+        1,
+        "the replica has the freed slice"
+    );
     assert_eq!(share.jobs[&model::JobId(1)].placed.len(), 3);
 }
 
@@ -343,7 +393,9 @@
         make_durable(&mut share);
         let _ = share.commands_for(&name(1), CommandRoute::Answer, now);
         let held = share.jobs.iter().flat_map(|(id, job)| {
-            job.placed.iter().map(move |(index, p)| (format!("{id}/{index}"), p.attempt.0, p.stop))
+            job.placed
+                .iter()
+                .map(move |(index, p)| (format!("{id}/{index}"), p.attempt.0, p.stop))
         });
         let tasks: Vec<TaskStatus> = held
             .map(|(task, attempt, stop)| match stop {
@@ -351,11 +403,25 @@
                 None => entry(&task, attempt, TaskState::Running, None),
             })
             .collect();
-        stopped += tasks.iter().filter(|task| task.state == TaskState::Exited).count();
-        share.reconcile(&report(1 + round, None, tasks), StatusSource::Heartbeat, now);
+        stopped += tasks
+            .iter()
+            .filter(|task| task.state == TaskState::Exited)
+            .count();
+        share.reconcile(
+            &report(1 + round, None, tasks),
+            StatusSource::Heartbeat,
+            now,
+        );
     }
-    assert_eq!(stopped, 2, "two replicas beyond the guarantee make way, once");
-    assert_eq!(share.jobs[&model::JobId(9)].placed.len(), 2, "the other team has its guarantee");
+    assert_eq!(
+        stopped, 2,
+        "two replicas beyond the guarantee make way, once"
+    );
+    assert_eq!(
+        share.jobs[&model::JobId(9)].placed.len(),
+        2,
+        "the other team has its guarantee"
+    );
 }
 
 /// In a shortage the order of submissions makes everybody late, since those who are late go first.
@@ -394,7 +460,12 @@
         let mut tasks: Vec<TaskStatus> = held
             .iter()
             .map(|(index, p)| {
-                entry(&format!("j-000001/{index}"), p.attempt.0, TaskState::Running, None)
+                entry(
+                    &format!("j-000001/{index}"),
+                    p.attempt.0,
+                    TaskState::Running,
+                    None,
+                )
             })
             .collect();
         tasks[0].state = TaskState::Exited;
@@ -467,7 +538,10 @@
     let name = MachineName::from("host-000001");
     let forgets = |share: &mut PartitionState, route| {
         let commands = share.commands_for(&name, route, Timestamp::from_millis(200));
-        commands.iter().filter(|c| matches!(c, Command::Forget { .. })).count()
+        commands
+            .iter()
+            .filter(|c| matches!(c, Command::Forget { .. }))
+            .count()
     };
     assert_eq!(forgets(&mut share, CommandRoute::Direct), 0);
     share.reconcile(
@@ -498,32 +572,64 @@
     let name = MachineName::from("host-000001");
     make_durable(&mut share);
     let launches = share.commands_for(&name, CommandRoute::Direct, Timestamp::from_millis(110));
-    let [Command::Start { task, attempt }] = &launches[..] else { panic!("{launches:?}") };
+    let [Command::Start { task, attempt }] = &launches[..] else {
+        panic!("{launches:?}")
+    };
     let mut ended = report(2, None, vec![]);
-    ended.tasks.push(entry(task, *attempt, TaskState::Exited, Some(ExitCause::Stopped)));
+    ended.tasks.push(entry(
+        task,
+        *attempt,
+        TaskState::Exited,
+        Some(ExitCause::Stopped),
+    ));
     share.reconcile(&ended, StatusSource::Heartbeat, Timestamp::from_millis(600));
     make_durable(&mut share);
     let forgets = |share: &mut PartitionState| {
         let commands = share.commands_for(&name, CommandRoute::Answer, Timestamp::from_millis(700));
-        commands.iter().filter(|c| matches!(c, Command::Forget { .. })).count()
+        commands
+            .iter()
+            .filter(|c| matches!(c, Command::Forget { .. }))
+            .count()
     };
     assert_eq!(forgets(&mut share), 0);
     ended.seq = 3;
-    share.reconcile(&ended, StatusSource::Heartbeat, Timestamp::from_millis(1_200));
-    assert_eq!(forgets(&mut share), 0, "the launch bears the token that the worker has");
+    share.reconcile(
+        &ended,
+        StatusSource::Heartbeat,
+        Timestamp::from_millis(1_200),
+    );
+    assert_eq!(
+        forgets(&mut share),
+        0,
+        "the launch bears the token that the worker has"
+    );
     (ended.seq, ended.token) = (4, 6);
     if let Some(machine) = share.machines.get_mut(&name) {
         machine.token = FencingToken(6);
     }
-    share.reconcile(&ended, StatusSource::Heartbeat, Timestamp::from_millis(1_900));
+    share.reconcile(
+        &ended,
+        StatusSource::Heartbeat,
+        Timestamp::from_millis(1_900),
+    );
     assert_eq!(forgets(&mut share), 1);
 }
 
 /// A best-effort job: one that may use cheap machines and saves, four tasks of a CPU.
 fn best_effort(id: u64) -> JobSpec {
     let spec = job(id, "t", JobKind::Array, Priority::Low, 4);
-    let times = (Duration::from_secs(300), Duration::from_secs(30), Duration::from_secs(3));
-    JobSpec { spot: true, estimate: times.0, checkpoint: times.1, save: times.2, ..spec }
+    let times = (
+        Duration::from_secs(300),
+        Duration::from_secs(30),
+        Duration::from_secs(3),
+    );
+    JobSpec {
+        spot: true,
+        estimate: times.0,
+        checkpoint: times.1,
+        save: times.2,
+        ..spec
+    }
 }
 
 /// Teams without a guarantee, the second without a limit, as guests have it.
@@ -549,9 +655,19 @@
     share.add_job(best_effort(1), 1, &[], Timestamp::from_millis(100));
     let launched = launch(&mut share, Timestamp::from_millis(100));
     assert_eq!(launched.len(), 4);
-    let runs = launched.iter().map(|(t, a)| entry(t, *a, TaskState::Running, None)).collect();
-    share.reconcile(&report(2, None, runs), StatusSource::Heartbeat, Timestamp::from_millis(1_000));
-    let normal = JobSpec { spot: true, ..job(2, "u", JobKind::Array, Priority::Normal, 2) };
+    let runs = launched
+        .iter()
+        .map(|(t, a)| entry(t, *a, TaskState::Running, None))
+        .collect();
+    share.reconcile(
+        &report(2, None, runs),
+        StatusSource::Heartbeat,
+        Timestamp::from_millis(1_000),
+    );
+    let normal = JobSpec {
+        spot: true,
+        ..job(2, "u", JobKind::Array, Priority::Normal, 2)
+    };
     share.add_job(normal, 2, &[], Timestamp::from_millis(1_200));
     assert_eq!(
         share.demand(Timestamp::from_millis(1_500)),
@@ -568,7 +684,11 @@
             _ => None,
         })
         .collect();
-    assert_eq!(stops, [4.0, 4.0], "as many as are needed, with time to save");
+    assert_eq!(
+        stops,
+        [4.0, 4.0],
+        "as many as are needed, with time to save"
+    );
 }
 
 /// Guests would otherwise keep every ordinary machine from falling idle, at three times the price.
@@ -611,25 +731,37 @@
         estimate: Duration::from_secs(1),
         ..job(id, "t", JobKind::Array, Priority::Normal, 4)
     };
-    let long = JobSpec { estimate: Duration::from_secs(20), ..short(1) };
+    let long = JobSpec {
+        estimate: Duration::from_secs(20),
+        ..short(1)
+    };
     // Read at the same moment; the long one was submitted 80 s earlier.
     share.add_job(short(2), 90_000, &[], Timestamp::from_millis(100));
     share.add_job(long, 10_000, &[], Timestamp::from_millis(100));
     let first = launch(&mut share, Timestamp::from_millis(200));
-    assert!(first.iter().all(|(task, _)| task.starts_with("j-000001/")), "{first:?}");
+    assert!(
+        first.iter().all(|(task, _)| task.starts_with("j-000001/")),
+        "{first:?}"
+    );
 }
 
 /// Four machines for sixteen tasks of a CPU.
 fn four_machines() -> PartitionState {
     let mut share = share();
     (2..=4).for_each(|n| add_machine(&mut share, n));
-    share.teams.values_mut().for_each(|t| t.limit = Resources::offered(16.0, 0.0, 0.0));
+    share
+        .teams
+        .values_mut()
+        .for_each(|t| t.limit = Resources::offered(16.0, 0.0, 0.0));
     (1..=4).for_each(|n| hear(&mut share, n, 1, Vec::new(), Timestamp::from_millis(100)));
     share
 }
 
 fn hear(share: &mut PartitionState, n: u32, seq: u64, tasks: Vec<TaskStatus>, now: Timestamp) {
-    let report = Heartbeat { machine: name(n).to_string(), ..report(seq, None, tasks) };
+    let report = Heartbeat {
+        machine: name(n).to_string(),
+        ..report(seq, None, tasks)
+    };
     share.reconcile(&report, StatusSource::Heartbeat, now);
 }
 
@@ -648,12 +780,24 @@
     for n in 1..=4 {
         let mut tasks = Vec::new();
         for command in share.commands_for(&name(n), CommandRoute::Answer, now) {
-            let Command::Start { task, attempt } = command else { continue };
-            let why = if failing(n, &task) { ExitCause::Error } else { ExitCause::Done };
+            let Command::Start { task, attempt } = command else {
+                continue;
+            };
+            let why = if failing(n, &task) {
+                ExitCause::Error
+            } else {
+                ExitCause::Done
+            };
             tasks.push(entry(&task, attempt, TaskState::Exited, Some(why)));
         }
         count += tasks.len();
-        hear(share, n, seq * 2 + 1, tasks, now + Duration::from_millis(200));
+        hear(
+            share,
+            n,
+            seq * 2 + 1,
+            tasks,
+            now + Duration::from_millis(200),
+        );
     }
     make_durable(share);
     count
@@ -672,17 +816,27 @@
     );
     let tries: Vec<usize> = (1..=60)
         .map(|s| {
-            one_round(&mut share, s, Timestamp::from_millis(s * 1_000), |_, task| {
-                task.starts_with("j-000001")
-            })
+            one_round(
+                &mut share,
+                s,
+                Timestamp::from_millis(s * 1_000),
+                |_, task| task.starts_with("j-000001"),
+            )
         })
         .collect();
     assert!(share.machines.values().all(|m| !m.quarantined));
     assert!(tries[1..].iter().all(|n| *n <= 1), "{tries:?}");
-    assert!((4..=8).contains(&tries[1..].iter().sum::<usize>()), "{tries:?}");
+    assert!(
+        (4..=8).contains(&tries[1..].iter().sum::<usize>()),
+        "{tries:?}"
+    );
     // It was the image's server, say: one success, and all of it runs.
     let last: usize = (61..=100)
-        .map(|s| one_round(&mut share, s, Timestamp::from_millis(s * 1_000), |_, _| false))
+        .map(|s| {
+            one_round(&mut share, s, Timestamp::from_millis(s * 1_000), |_, _| {
+                false
+            })
+        })
         .sum();
     assert_eq!(last, 16);
     assert_eq!(share.take_finished(), [model::JobId(1)]);
@@ -700,9 +854,15 @@
         );
     }
     for s in 1..=12 {
-        one_round(&mut share, s, Timestamp::from_millis(s * 1_000), |n, _| n == 2);
+        one_round(&mut share, s, Timestamp::from_millis(s * 1_000), |n, _| {
+            n == 2
+        });
     }
-    let quarantined = share.machines.values().filter(|m| m.quarantined).map(|m| m.name.clone());
+    let quarantined = share
+        .machines
+        .values()
+        .filter(|m| m.quarantined)
+        .map(|m| m.name.clone());
     assert_eq!(quarantined.collect::<Vec<_>>(), [name(2)]);
     assert_eq!(share.take_finished().len(), 6);
 }
@@ -720,7 +880,13 @@
     );
     share.run_cycles(Timestamp::from_millis(200), 100);
     (1..=4).for_each(|n| {
-        hear(&mut share, n, 2, Vec::new(), Timestamp::from_millis(1_000 + u64::from(n) * 300))
+        hear(
+            &mut share,
+            n,
+            2,
+            Vec::new(),
+            Timestamp::from_millis(1_000 + u64::from(n) * 300),
+        )
     });
     let (late, patience) = (Duration::from_millis(2_700), Duration::from_secs(5));
     let silent = |share: &PartitionState, now| {
@@ -730,7 +896,11 @@
     (5..=30).for_each(|n| add_machine(&mut share, n));
     assert_eq!(silent(&share, Timestamp::from_millis(6_400)), []);
     (2..=4).for_each(|n| hear(&mut share, n, 3, Vec::new(), Timestamp::from_millis(6_500)));
-    assert_eq!(silent(&share, Timestamp::from_millis(6_600)), [name(1)], "one alone is");
+    assert_eq!(
+        silent(&share, Timestamp::from_millis(6_600)),
+        [name(1)],
+        "one alone is"
+    );
 }
 
 /// Found by a sweep of the simulation: a gang's outcome could not be written, one worker lost its
@@ -739,30 +909,66 @@
 #[test]
 fn a_gang_that_is_done_counts_until_its_last_member_is_gone() {
     let mut share = four_machines();
-    share.teams.values_mut().for_each(|t| t.limit = Resources::offered(8.0, 0.0, 0.0));
+    share
+        .teams
+        .values_mut()
+        .for_each(|t| t.limit = Resources::offered(8.0, 0.0, 0.0));
     let machines = ["host-000001", "host-000001", "host-000002", "host-000002"];
     let placed = |list: &[&str]| {
-        let all = list.iter().zip(0..).map(|(m, n)| PlacedTask(n, 7, (*m).to_owned()));
-        TaskChunk { done: String::new(), placed: all.collect() }
+        let all = list
+            .iter()
+            .zip(0..)
+            .map(|(m, n)| PlacedTask(n, 7, (*m).to_owned()));
+        TaskChunk {
+            done: String::new(),
+            placed: all.collect(),
+        }
     };
     let gang = job(1, "t", JobKind::Gang, Priority::High, 4);
-    share.add_job(gang.clone(), 1, &[(0, placed(&machines))], Timestamp::from_millis(100));
+    share.add_job(
+        gang.clone(),
+        1,
+        &[(0, placed(&machines))],
+        Timestamp::from_millis(100),
+    );
     hear(&mut share, 2, 2, Vec::new(), Timestamp::from_millis(200));
     let (route, two) = (CommandRoute::Answer, name(2));
     assert_eq!(
-        share.commands_for(&two, route, Timestamp::from_millis(200)).len(),
+        share
+            .commands_for(&two, route, Timestamp::from_millis(200))
+            .len(),
         2,
         "started anew"
     );
-    let done = |n| entry(&format!("j-000001/{n}"), 7, TaskState::Exited, Some(ExitCause::Done));
-    hear(&mut share, 1, 2, vec![done(0), done(1)], Timestamp::from_millis(300));
-    assert_eq!(share.take_finished(), [], "two of them are still on their machine");
+    let done = |n| {
+        entry(
+            &format!("j-000001/{n}"),
+            7,
+            TaskState::Exited,
+            Some(ExitCause::Done),
+        )
+    };
+    hear(
+        &mut share,
+        1,
+        2,
+        vec![done(0), done(1)],
+        Timestamp::from_millis(300),
+    );
+    assert_eq!(
+        share.take_finished(),
+        [],
+        "two of them are still on their machine"
+    );
     let stops = share.commands_for(&two, route, Timestamp::from_millis(300));
     assert!(stops.iter().all(|c| matches!(c, Command::Stop { .. })) && stops.len() == 2);
     // The same after a takeover.
     let keys = share.take_dirty();
     let mut successor = four_machines();
-    let chunks: Vec<_> = keys.into_iter().map(|((_, chunk), body)| (chunk, body)).collect();
+    let chunks: Vec<_> = keys
+        .into_iter()
+        .map(|((_, chunk), body)| (chunk, body))
+        .collect();
     successor.add_job(gang, 1, &chunks, Timestamp::from_millis(400));
     assert_eq!(successor.teams[&TeamName::from("t")].used.milli_cpus, 2_000);
     assert_eq!(successor.take_finished(), []);
@@ -777,19 +983,35 @@
 #[test]
 fn best_effort_work_does_not_take_room_from_arrays_that_back_off() {
     let mut share = guest_share(true);
-    let spot =
-        |id, tasks| JobSpec { spot: true, ..job(id, "u", JobKind::Array, Priority::Normal, tasks) };
+    let spot = |id, tasks| JobSpec {
+        spot: true,
+        ..job(id, "u", JobKind::Array, Priority::Normal, tasks)
+    };
     share.add_job(spot(1, 4), 1, &[], Timestamp::from_millis(100));
     let running = launch(&mut share, Timestamp::from_millis(100));
-    share.teams.values_mut().for_each(|t| t.limit = Resources::offered(16.0, 0.0, 0.0));
+    share
+        .teams
+        .values_mut()
+        .for_each(|t| t.limit = Resources::offered(16.0, 0.0, 0.0));
     share.add_job(spot(2, 4), 2, &[], Timestamp::from_millis(150));
     share.run_cycles(Timestamp::from_millis(200), 100);
     // A place comes free, and the array's backoff is not over.
     let (task, attempt) = &running[0];
-    let mut tasks: Vec<TaskStatus> =
-        running[1..].iter().map(|(t, a)| entry(t, *a, TaskState::Running, None)).collect();
-    tasks.push(entry(task, *attempt, TaskState::Exited, Some(ExitCause::Done)));
-    share.reconcile(&report(2, None, tasks), StatusSource::Heartbeat, Timestamp::from_millis(210));
+    let mut tasks: Vec<TaskStatus> = running[1..]
+        .iter()
+        .map(|(t, a)| entry(t, *a, TaskState::Running, None))
+        .collect();
+    tasks.push(entry(
+        task,
+        *attempt,
+        TaskState::Exited,
+        Some(ExitCause::Done),
+    ));
+    share.reconcile(
+        &report(2, None, tasks),
+        StatusSource::Heartbeat,
+        Timestamp::from_millis(210),
+    );
     share.add_job(best_effort(3), 3, &[], Timestamp::from_millis(210));
     share.run_cycles(Timestamp::from_millis(211), 100);
     assert_eq!(share.jobs[&model::JobId(3)].placed.len(), 0);
@@ -803,7 +1025,10 @@
     let mut share = four_machines();
     (5..=10).for_each(|n| add_machine(&mut share, n));
     (1..=10).for_each(|n| hear(&mut share, n, 2, Vec::new(), Timestamp::from_millis(1_000)));
-    share.teams.values_mut().for_each(|t| t.limit = Resources::offered(40.0, 0.0, 0.0));
+    share
+        .teams
+        .values_mut()
+        .for_each(|t| t.limit = Resources::offered(40.0, 0.0, 0.0));
     share.add_job(
         job(1, "t", JobKind::Service, Priority::High, 40),
         1,
@@ -839,8 +1064,10 @@
             add_machine(&mut share, n);
         }
         let hear = |share: &mut PartitionState, n: u32, seq: u64, at: u64| {
-            let report =
-                Heartbeat { machine: name(n).to_string(), ..report(seq, None, Vec::new()) };
+            let report = Heartbeat {
+                machine: name(n).to_string(),
+                ..report(seq, None, Vec::new())
+            };
             share.reconcile(&report, StatusSource::Heartbeat, Timestamp::from_millis(at));
         };
         (1..=8).for_each(|n| hear(&mut share, n, 1, 100));
@@ -890,7 +1117,11 @@
     };
     assert_eq!(asked(false, false).len(), 1);
     assert_eq!(asked(true, false), []);
-    assert_eq!(asked(true, true), [], "they were heard before we were cut off");
+    assert_eq!(
+        asked(true, true),
+        [],
+        "they were heard before we were cut off"
+    );
 }
 
 /// Its reports arrive; nothing that is sent to it does. It was given task after task, each of which waited
@@ -913,7 +1144,9 @@
     share.run_cycles(Timestamp::from_millis(100), 100);
     make_durable(&mut share);
     assert_eq!(
-        share.commands_for(&name, CommandRoute::Direct, Timestamp::from_millis(100)).len(),
+        share
+            .commands_for(&name, CommandRoute::Direct, Timestamp::from_millis(100))
+            .len(),
         1
     );
     share.record_unanswered_commands(&name, Timestamp::from_millis(2_600));
@@ -930,23 +1163,51 @@
             Timestamp::from_millis(at),
         );
         share.run_cycles(Timestamp::from_millis(at), 100);
-        assert_eq!(share.jobs[&model::JobId(2)].placed.len(), 0, "nothing new goes there");
-        assert_eq!(share.jobs[&model::JobId(1)].placed.len(), 1, "the launch may yet arrive");
+        assert_eq!(
+            share.jobs[&model::JobId(2)].placed.len(),
+            0,
+            "nothing new goes there"
+        );
+        assert_eq!(
+            share.jobs[&model::JobId(1)].placed.len(),
+            1,
+            "the launch may yet arrive"
+        );
         assert!(share.machines[&name].is_unreachable());
-        let asked =
-            share.machines_to_probe(Timestamp::from_millis(0), Timestamp::from_millis(at + 1_000));
+        let asked = share.machines_to_probe(
+            Timestamp::from_millis(0),
+            Timestamp::from_millis(at + 1_000),
+        );
         assert_eq!(asked.len(), 1, "it is asked");
         share.record_probe_result(&name, false, Timestamp::from_millis(at + 1_900));
     }
     assert_eq!(share.lost_machines(), [], "it is heard, so it lives");
     // Its lease has ended: the launch named the session before.
-    let new = Heartbeat { session: 2, ..report(4, None, Vec::new()) };
-    share.reconcile(&new, StatusSource::Heartbeat, Timestamp::from_millis(13_000));
+    let new = Heartbeat {
+        session: 2,
+        ..report(4, None, Vec::new())
+    };
+    share.reconcile(
+        &new,
+        StatusSource::Heartbeat,
+        Timestamp::from_millis(13_000),
+    );
     assert_eq!(share.jobs[&model::JobId(1)].placed.len(), 0, "proven gone");
-    let answer = Heartbeat { session: 2, ..report(5, None, Vec::new()) };
-    share.reconcile(&answer, StatusSource::Direct, Timestamp::from_millis(14_000));
+    let answer = Heartbeat {
+        session: 2,
+        ..report(5, None, Vec::new())
+    };
+    share.reconcile(
+        &answer,
+        StatusSource::Direct,
+        Timestamp::from_millis(14_000),
+    );
     share.run_cycles(Timestamp::from_millis(14_000), 100);
-    assert_eq!(share.jobs[&model::JobId(2)].placed.len(), 1, "used again without ceremony");
+    assert_eq!(
+        share.jobs[&model::JobId(2)].placed.len(),
+        1,
+        "used again without ceremony"
+    );
 }
 
 /// A worker that has forgotten an attempt would start it again on a copy of its launch.
@@ -974,12 +1235,26 @@
     let id = model::TaskId::parse(&task).expect("a task");
     let running = vec![entry(&task, attempt, TaskState::Running, None)];
     share.record_direct_response(&name, &[(id, model::Attempt(attempt))]);
-    share.reconcile(&report(2, None, running), StatusSource::Direct, Timestamp::from_millis(110));
+    share.reconcile(
+        &report(2, None, running),
+        StatusSource::Direct,
+        Timestamp::from_millis(110),
+    );
     share.cancel_job(model::JobId(1), Timestamp::from_millis(200));
-    let stopped = || vec![entry(&task, attempt, TaskState::Exited, Some(ExitCause::Stopped))];
+    let stopped = || {
+        vec![entry(
+            &task,
+            attempt,
+            TaskState::Exited,
+            Some(ExitCause::Stopped),
+        )]
+    };
     let forgets = |share: &mut PartitionState, at: u64| {
         let commands = share.commands_for(&name, CommandRoute::Answer, Timestamp::from_millis(at));
-        commands.iter().filter(|c| matches!(c, Command::Forget { .. })).count()
+        commands
+            .iter()
+            .filter(|c| matches!(c, Command::Forget { .. }))
+            .count()
     };
     share.reconcile(
         &report(3, None, stopped()),
@@ -993,8 +1268,15 @@
         "some are voided at once, later"
     );
     assert!(share.machines[&name].retains_exited_tasks(Timestamp::from_millis(46_000)));
-    let seen = Heartbeat { token: 6, ..report(4, None, stopped()) };
-    share.reconcile(&seen, StatusSource::Heartbeat, Timestamp::from_millis(32_000));
+    let seen = Heartbeat {
+        token: 6,
+        ..report(4, None, stopped())
+    };
+    share.reconcile(
+        &seen,
+        StatusSource::Heartbeat,
+        Timestamp::from_millis(32_000),
+    );
     assert_eq!(forgets(&mut share, 32_000), 1);
 }
 
@@ -1044,9 +1326,23 @@
         );
         share.may_renew_lease(&name(1), Timestamp::from_millis(at))
     };
-    assert!(heard(2, Vec::new(), 14_000), "there is time for a higher token");
+    assert!(
+        heard(2, Vec::new(), 14_000),
+        "there is time for a higher token"
+    );
     assert!(!heard(3, Vec::new(), 15_000), "the launch may still come");
-    assert!(heard(4, vec![entry("j-000001/0", attempt, TaskState::Running, None)], 16_000));
-    let halts = share.commands_for(&name(1), CommandRoute::Answer, Timestamp::from_millis(16_000));
-    assert!(matches!(&halts[..], [Command::Stop { grace_s: 0.0, .. }]), "{halts:?}");
+    assert!(heard(
+        4,
+        vec![entry("j-000001/0", attempt, TaskState::Running, None)],
+        16_000
+    ));
+    let halts = share.commands_for(
+        &name(1),
+        CommandRoute::Answer,
+        Timestamp::from_millis(16_000),
+    );
+    assert!(
+        matches!(&halts[..], [Command::Stop { grace_s: 0.0, .. }]),
+        "{halts:?}"
+    );
 }
--- a/crates/scheduling-queue/src/queue.rs
+++ b/crates/scheduling-queue/src/queue.rs
@@ -91,7 +91,14 @@
             return;
         }
         let state = State::Active { rank };
-        self.entries.insert(key, Entry { state, failures: 0, failed_at: Timestamp::default() });
+        self.entries.insert(
+            key,
+            Entry {
+                state,
+                failures: 0,
+                failed_at: Timestamp::default(),
+            },
+        );
         self.enqueue(key, state, QueueEvent::Add);
     }
 
@@ -100,8 +107,18 @@
         if self.entries.contains_key(&key) {
             return;
         }
-        let state = State::Backoff { rank, until: now + self.backoff_after(failures) };
-        self.entries.insert(key, Entry { state, failures, failed_at: now });
+        let state = State::Backoff {
+            rank,
+            until: now + self.backoff_after(failures),
+        };
+        self.entries.insert(
+            key,
+            Entry {
+                state,
+                failures,
+                failed_at: now,
+            },
+        );
         self.enqueue(key, state, QueueEvent::Failure);
     }
 
@@ -114,7 +131,9 @@
 
     /// Changes the rank of an entry.
     pub fn rerank(&mut self, key: K, new_rank: R) {
-        let Some(entry) = self.entries.get_mut(&key) else { return };
+        let Some(entry) = self.entries.get_mut(&key) else {
+            return;
+        };
         match &mut entry.state {
             State::Active { rank } => {
                 self.active.remove(&(*rank, key));
@@ -133,7 +152,10 @@
         let (rank, key) = self.active.pop_first()?;
         self.cycle += 1;
         if let Some(entry) = self.entries.get_mut(&key) {
-            entry.state = State::InCycle { rank, cycle: self.cycle };
+            entry.state = State::InCycle {
+                rank,
+                cycle: self.cycle,
+            };
         }
         Some(key)
     }
@@ -145,13 +167,20 @@
 
     /// Ends the entry's cycle: it found no place.
     pub fn failed(&mut self, key: K, now: Timestamp) {
-        let Some(entry) = self.entries.get_mut(&key) else { return };
-        let State::InCycle { rank, cycle } = entry.state else { return };
+        let Some(entry) = self.entries.get_mut(&key) else {
+            return;
+        };
+        let State::InCycle { rank, cycle } = entry.state else {
+            return;
+        };
         entry.failures = entry.failures.saturating_add(1);
         entry.failed_at = now;
         // A change that came while the entry was tried may be the one that it needs.
         let state = if self.move_cycle.is_some_and(|moved| moved >= cycle) {
-            State::Backoff { rank, until: now + self.config.backoff_after(entry.failures) }
+            State::Backoff {
+                rank,
+                until: now + self.config.backoff_after(entry.failures),
+            }
         } else {
             State::Unschedulable { rank, since: now }
         };
@@ -175,8 +204,12 @@
                 break;
             }
             self.backoff.pop_first();
-            let Some(entry) = self.entries.get(&key) else { continue };
-            let State::Backoff { rank, .. } = entry.state else { continue };
+            let Some(entry) = self.entries.get(&key) else {
+                continue;
+            };
+            let State::Backoff { rank, .. } = entry.state else {
+                continue;
+            };
             self.enqueue(key, State::Active { rank }, QueueEvent::BackoffComplete);
         }
         while let Some(&(since, key)) = self.unschedulable.first() {
@@ -190,8 +223,10 @@
     /// When the next flush has something to do.
     pub fn next_flush(&self) -> Option<Timestamp> {
         let backoff = self.backoff.first().map(|(until, _)| *until);
-        let unschedulable_timeout =
-            self.unschedulable.first().map(|(since, _)| *since + self.config.unschedulable_timeout);
+        let unschedulable_timeout = self
+            .unschedulable
+            .first()
+            .map(|(since, _)| *since + self.config.unschedulable_timeout);
         [backoff, unschedulable_timeout].into_iter().flatten().min()
     }
 
@@ -207,7 +242,9 @@
 
     /// Where an entry waits and how often it has failed.
     pub fn location(&self, key: K) -> Option<(QueueKind, u32)> {
-        self.entries.get(&key).map(|entry| (entry.state.kind(), entry.failures))
+        self.entries
+            .get(&key)
+            .map(|entry| (entry.state.kind(), entry.failures))
     }
 
     /// Entries in each queue (metric `pending`).
@@ -231,11 +268,18 @@
 
     /// Makes an unschedulable entry active, or has it back off for the rest of its backoff.
     fn release(&mut self, key: K, now: Timestamp, event: QueueEvent) {
-        let Some(entry) = self.entries.get(&key) else { return };
-        let State::Unschedulable { rank, .. } = entry.state else { return };
+        let Some(entry) = self.entries.get(&key) else {
+            return;
+        };
+        let State::Unschedulable { rank, .. } = entry.state else {
+            return;
+        };
         let until = entry.failed_at + self.backoff_after(entry.failures);
-        let state =
-            if until > now { State::Backoff { rank, until } } else { State::Active { rank } };
+        let state = if until > now {
+            State::Backoff { rank, until }
+        } else {
+            State::Active { rank }
+        };
         self.dequeue(key, entry.state);
         self.enqueue(key, state, event);
     }
--- a/crates/scheduling-queue/tests/queue.rs
+++ b/crates/scheduling-queue/tests/queue.rs
@@ -32,7 +32,11 @@
     queue.failed(1, Timestamp::from_millis(0));
     assert_eq!(queue.location(1), Some((QueueKind::Unschedulable, 1)));
     queue.move_all(Timestamp::from_millis(400));
-    assert_eq!(queue.location(1), Some((QueueKind::Backoff, 1)), "its backoff still runs");
+    assert_eq!(
+        queue.location(1),
+        Some((QueueKind::Backoff, 1)),
+        "its backoff still runs"
+    );
     queue.flush(Timestamp::from_millis(999));
     assert!(!queue.has_active());
     queue.flush(Timestamp::from_millis(1000));
@@ -57,7 +61,9 @@
 #[test]
 fn backoff_doubles_up_to_the_limit_and_leftovers_are_flushed() {
     let mut queue = queue();
-    let spans: Vec<u64> = (1..=6).map(|n| queue.backoff_after(n).whole_millis()).collect();
+    let spans: Vec<u64> = (1..=6)
+        .map(|n| queue.backoff_after(n).whole_millis())
+        .collect();
     assert_eq!(spans, [1000, 2000, 4000, 8000, 10_000, 10_000]);
     queue.add(1, 0);
     queue.pop();
@@ -67,7 +73,10 @@
     assert!(!queue.has_active());
     queue.flush(Timestamp::from_millis(10_000));
     assert!(queue.has_active());
-    assert_eq!(queue.incoming()[&(QueueKind::Active, QueueEvent::Leftover)], 1);
+    assert_eq!(
+        queue.incoming()[&(QueueKind::Active, QueueEvent::Leftover)],
+        1
+    );
 }
 
 #[test]
--- a/crates/simulator/benches/scale.rs
+++ b/crates/simulator/benches/scale.rs
@@ -45,7 +45,10 @@
         });
         group.bench_function(BenchmarkId::new("report", size), |b| {
             b.iter_custom(|iters| {
-                solo(iters, Box::new(move |solo, n| solo.report(n as usize * 7 % size)))
+                solo(
+                    iters,
+                    Box::new(move |solo, n| solo.report(n as usize * 7 % size)),
+                )
             });
         });
         group.bench_function(BenchmarkId::new("report_done", size), |b| {
@@ -70,7 +73,11 @@
 }
 
 fn spec(id: u64, tasks: u64, cpus: f64) -> JobSpec {
-    let request = JobRequest { team: "t".into(), cpus, ..solo::job(id, JobKind::Array, tasks) };
+    let request = JobRequest {
+        team: "t".into(),
+        cpus,
+        ..solo::job(id, JobKind::Array, tasks)
+    };
     match JobSpec::try_from(&request) {
         Ok(spec) => spec,
         Err(error) => panic!("a job of the bench: {error}"),
@@ -82,8 +89,10 @@
     let amounts = Resources::offered(1e6, 0.0, 0.0);
     let teams = [(TeamName::from("t"), Resources::default(), amounts)];
     // Time goes on by seconds here without another report.
-    let policy =
-        Policy { heartbeat_grace: Duration::from_millis(u64::MAX / 2), ..Policy::default() };
+    let policy = Policy {
+        heartbeat_grace: Duration::from_millis(u64::MAX / 2),
+        ..Policy::default()
+    };
     let mut share = PartitionState::new(
         teams,
         Duration::from_secs(600),
@@ -94,9 +103,19 @@
     for mut worker in (0..size).map(solo::worker) {
         let name = MachineName::from(worker.name.as_str());
         let zone = ZoneName::from(worker.zone.as_str());
-        let machine = Machine::new(name, &solo::machine_type(), zone, worker.spot, FencingToken(5));
+        let machine = Machine::new(
+            name,
+            &solo::machine_type(),
+            zone,
+            worker.spot,
+            FencingToken(5),
+        );
         share.add_machine(machine, Timestamp::from_millis(0));
-        share.reconcile(&worker.report(), StatusSource::Heartbeat, Timestamp::from_millis(1));
+        share.reconcile(
+            &worker.report(),
+            StatusSource::Heartbeat,
+            Timestamp::from_millis(1),
+        );
     }
     share
 }
@@ -107,8 +126,16 @@
     let mut group = c.benchmark_group("standby");
     group.sample_size(10);
     let (holder, follower) = (ControllerName::from("n0"), ControllerName::from("n1"));
-    let source = ReplicationSource { leader: holder.clone(), incarnation: 1, term: 5 };
-    let part = ReplicationBatch { incarnation: 1, term: 5, ..ReplicationBatch::default() };
+    let source = ReplicationSource {
+        leader: holder.clone(),
+        incarnation: 1,
+        term: 5,
+    };
+    let part = ReplicationBatch {
+        incarnation: 1,
+        term: 5,
+        ..ReplicationBatch::default()
+    };
     for size in SIZES {
         let mut share = share(size);
         let mut stream = ReplicationStream::default();
@@ -149,7 +176,9 @@
             replicas
         };
         group.bench_function(BenchmarkId::new("whole_taken", size), |b| b.iter(follow));
-        let Some(replica) = follow().remove(PartitionId(0)) else { continue };
+        let Some(replica) = follow().remove(PartitionId(0)) else {
+            continue;
+        };
         group.bench_function(BenchmarkId::new("used", size), |b| {
             b.iter(|| {
                 for machine in replica.machines.values() {
--- a/crates/simulator/examples/fingerprint.rs
+++ b/crates/simulator/examples/fingerprint.rs
@@ -31,7 +31,11 @@
 
 fn main() -> Result<ExitCode, Box<dyn Error>> {
     let arguments = Arguments::parse();
-    let mut runs = if arguments.short { short_runs() } else { all_runs() };
+    let mut runs = if arguments.short {
+        short_runs()
+    } else {
+        all_runs()
+    };
     if let Some(name) = &arguments.run {
         runs.retain(|run| run.name == *name);
     }
@@ -59,7 +63,10 @@
                 // The longest runs come last in the list and are begun first.
                 while let Some(run) = runs.iter().rev().nth(next.fetch_add(1, Ordering::Relaxed)) {
                     let digest = play(run);
-                    digests.lock().expect("no thread fails").insert(&run.name, digest);
+                    digests
+                        .lock()
+                        .expect("no thread fails")
+                        .insert(&run.name, digest);
                 }
             });
         }
@@ -74,7 +81,10 @@
     let messages = outcome.recorder.messages();
     eprintln!("{}: {messages} messages, {seconds:.1} s", run.name);
     if outcome.broken > 0 {
-        eprintln!("{}: ends early, since {} rules are broken", run.name, outcome.broken);
+        eprintln!(
+            "{}: ends early, since {} rules are broken",
+            run.name, outcome.broken
+        );
     }
     outcome.recorder.digest()
 }
--- a/crates/simulator/examples/takeovers.rs
+++ b/crates/simulator/examples/takeovers.rs
@@ -47,26 +47,60 @@
 fn takeovers(seed: u64, size: u64, case: Case) -> (usize, Vec<Takeover>, (u64, u64)) {
     let back = 8_000;
     // Work waits when the holder ends, so that the first launch shows when it decides.
-    let burst = |at, jobs| (at, Fault::Burst { jobs: jobs * size as usize });
+    let burst = |at, jobs| {
+        (
+            at,
+            Fault::Burst {
+                jobs: jobs * size as usize,
+            },
+        )
+    };
     let mut faults = vec![burst(1_000, 8), burst(AT - 6_000, 4)];
     faults.extend(match case {
         Case::Ends => vec![(AT, Fault::Crash { node: 1, back })],
-        Case::StandsStill => vec![(AT, Fault::Freeze { node: 1, ms: 15_000 })],
+        Case::StandsStill => vec![(
+            AT,
+            Fault::Freeze {
+                node: 1,
+                ms: 15_000,
+            },
+        )],
         Case::TwoEnd => {
-            vec![(AT, Fault::Crash { node: 1, back }), (AT, Fault::Crash { node: 2, back })]
+            vec![
+                (AT, Fault::Crash { node: 1, back }),
+                (AT, Fault::Crash { node: 2, back }),
+            ]
         }
         Case::WithMachines => vec![
             (AT, Fault::Crash { node: 1, back }),
-            (AT + 1, Fault::KillMany { count: size as usize }),
+            (
+                AT + 1,
+                Fault::KillMany {
+                    count: size as usize,
+                },
+            ),
         ],
     });
-    let plan = Plan { seed, ms: 85_000, faults, sabotage: None, submit_ms: 85_000, size };
+    let plan = Plan {
+        seed,
+        ms: 85_000,
+        faults,
+        sabotage: None,
+        submit_ms: 85_000,
+        size,
+    };
     let mut world = World::new(plan);
     world.run_to(AT - 1);
     let machines = world.machines_up();
     world.run();
     assert_eq!(world.rules.broken, [], "seed {seed}");
-    let list = world.takeovers.list.iter().filter(|t| t.ended_at >= AT).cloned().collect();
+    let list = world
+        .takeovers
+        .list
+        .iter()
+        .filter(|t| t.ended_at >= AT)
+        .cloned()
+        .collect();
     (machines, list, world.early_takeovers())
 }
 
@@ -74,7 +108,9 @@
 fn spread(mut values: Vec<u64>) -> [u64; 3] {
     values.sort_unstable();
     let at = |share: f64| {
-        values.get(((values.len() as f64 * share) as usize).min(values.len().max(1) - 1)).copied()
+        values
+            .get(((values.len() as f64 * share) as usize).min(values.len().max(1) - 1))
+            .copied()
     };
     [at(0.5), at(0.99), values.last().copied()].map(Option::unwrap_or_default)
 }
@@ -101,8 +137,11 @@
     let wrong: u64 = runs.iter().map(|r| r.2 .1).sum();
     let mut rows = Vec::new();
     for handed in [false, true] {
-        let list: Vec<&Takeover> =
-            runs.iter().flat_map(|r| &r.1).filter(|t| t.handed == handed).collect();
+        let list: Vec<&Takeover> = runs
+            .iter()
+            .flat_map(|r| &r.1)
+            .filter(|t| t.handed == handed)
+            .collect();
         let steps: [(&str, Step); 4] = [
             ("taken", |t| t.taken_at),
             ("first machine told", |t| t.first_told),
@@ -110,7 +149,10 @@
             ("first launch", |t| t.first_launch),
         ];
         for (step, at) in steps {
-            let after = list.iter().filter_map(|t| Some(at(t)? - t.ended_at)).collect();
+            let after = list
+                .iter()
+                .filter_map(|t| Some(at(t)? - t.ended_at))
+                .collect();
             rows.push((
                 if handed { "handed home" } else { "taken over" },
                 step,
--- a/crates/simulator/src/cloud.rs
+++ b/crates/simulator/src/cloud.rs
@@ -89,15 +89,21 @@
         rng: &mut SmallRng,
     ) -> (CloudReply, Vec<String>) {
         match request {
-            CloudRequest::Types => {
-                (CloudReply::Types(MachineTypes { types: self.types.clone() }), Vec::new())
-            }
+            CloudRequest::Types => (
+                CloudReply::Types(MachineTypes {
+                    types: self.types.clone(),
+                }),
+                Vec::new(),
+            ),
             CloudRequest::Rent(rent) => {
                 if let Some(names) = self.requests.get(&rent.request) {
                     return (CloudReply::Rented(names.clone()), Vec::new());
                 }
-                let limit =
-                    self.capacity.get(&(rent.zone.clone(), rent.spot)).copied().unwrap_or(0);
+                let limit = self
+                    .capacity
+                    .get(&(rent.zone.clone(), rent.spot))
+                    .copied()
+                    .unwrap_or(0);
                 let free = limit.saturating_sub(self.used(&rent.zone, rent.spot));
                 let count = free.min(rent.count);
                 if count == 0 {
--- a/crates/simulator/src/fingerprint/message.rs
+++ b/crates/simulator/src/fingerprint/message.rs
@@ -52,12 +52,19 @@
     fn call(recipient: String, call: &HttpCall) -> Self {
         let mut bytes = format!("{} {}\n", call.method.as_str(), call.path).into_bytes();
         bytes.extend(call.body.iter().flatten());
-        Outgoing { recipient, bytes, readable: None }
+        Outgoing {
+            recipient,
+            bytes,
+            readable: None,
+        }
     }
 
     fn frame(sender: usize, to: &ControllerName, message: &MeshMessage) -> Self {
-        let frame =
-            Frame { version: MESH_VERSION, from: format!("n{sender}"), message: message.clone() };
+        let frame = Frame {
+            version: MESH_VERSION,
+            from: format!("n{sender}"),
+            message: message.clone(),
+        };
         Outgoing {
             recipient: format!("peer {to}"),
             bytes: rmp_serde::to_vec(&frame).expect("a frame can be encoded"),
@@ -81,16 +88,27 @@
 impl Answer {
     /// An error: its text is for people and isn't part of the fingerprint.
     fn error(status: u16) -> Self {
-        Answer { status, retry_after_s: None, body: None }
+        Answer {
+            status,
+            retry_after_s: None,
+            body: None,
+        }
     }
 
     fn json(status: u16, body: &impl Serialize) -> Self {
         let body = serde_json::to_string(body).expect("an answer can be encoded");
-        Answer { status, retry_after_s: None, body: Some(body) }
+        Answer {
+            status,
+            retry_after_s: None,
+            body: Some(body),
+        }
     }
 
     fn busy(retry_after_s: u64) -> Self {
-        Answer { retry_after_s: Some(retry_after_s), ..Answer::error(UNAVAILABLE) }
+        Answer {
+            retry_after_s: Some(retry_after_s),
+            ..Answer::error(UNAVAILABLE)
+        }
     }
 
     fn to(self, recipient: String) -> Outgoing {
@@ -100,7 +118,11 @@
         }
         text.push('\n');
         text.push_str(self.body.as_deref().unwrap_or_default());
-        Outgoing { recipient, bytes: text.into_bytes(), readable: None }
+        Outgoing {
+            recipient,
+            bytes: text.into_bytes(),
+            readable: None,
+        }
     }
 }
 
@@ -119,7 +141,9 @@
     match reply {
         HeartbeatReply::Answer(answer) => Answer::json(OK, answer),
         HeartbeatReply::Redirect(node) => {
-            let redirect = Redirect { report_to: node.as_ref().map(ControllerName::to_string) };
+            let redirect = Redirect {
+                report_to: node.as_ref().map(ControllerName::to_string),
+            };
             Answer::json(MISDIRECTED, &redirect)
         }
         HeartbeatReply::Malformed => Answer::error(BAD_REQUEST),
--- a/crates/simulator/src/fingerprint/recorder.rs
+++ b/crates/simulator/src/fingerprint/recorder.rs
@@ -22,7 +22,10 @@
 impl Recorder {
     /// A recorder that keeps a line for each message as well.
     pub fn with_trace() -> Self {
-        Recorder { trace: Some(String::new()), ..Recorder::default() }
+        Recorder {
+            trace: Some(String::new()),
+            ..Recorder::default()
+        }
     }
 
     /// Adds a message that a node sends at a simulated time.
@@ -31,7 +34,9 @@
         received.messages += 1;
         received.hash.update(&at_ms.to_le_bytes());
         received.hash.update(&(sender as u64).to_le_bytes());
-        received.hash.update(&(message.bytes.len() as u64).to_le_bytes());
+        received
+            .hash
+            .update(&(message.bytes.len() as u64).to_le_bytes());
         received.hash.update(&message.bytes);
         if let Some(trace) = &mut self.trace {
             trace_line(trace, at_ms, sender, message);
@@ -40,7 +45,10 @@
 
     /// Messages that have been added.
     pub fn messages(&self) -> u64 {
-        self.received.values().map(|received| received.messages).sum()
+        self.received
+            .values()
+            .map(|received| received.messages)
+            .sum()
     }
 
     /// One line for each message: time, sender, recipient, digest, content.
@@ -67,6 +75,10 @@
         Some(readable) => readable.clone(),
         None => String::from_utf8_lossy(&message.bytes).replace('\n', " "),
     };
-    writeln!(trace, "{at_ms} n{sender} -> {} {digest:032x} {text}", message.recipient)
-        .expect("a string takes any text");
+    writeln!(
+        trace,
+        "{at_ms} n{sender} -> {} {digest:032x} {text}",
+        message.recipient
+    )
+    .expect("a string takes any text");
 }
--- a/crates/simulator/src/fingerprint/stored.rs
+++ b/crates/simulator/src/fingerprint/stored.rs
@@ -33,11 +33,18 @@
     /// Names of the runs of `self` whose digest is another one, or none, in `other`.
     pub fn differing<'a>(&'a self, other: &Self) -> Vec<&'a str> {
         let differs = |(name, digest): &(&String, &u128)| other.0.get(*name) != Some(*digest);
-        self.0.iter().filter(differs).map(|(name, _)| name.as_str()).collect()
+        self.0
+            .iter()
+            .filter(differs)
+            .map(|(name, _)| name.as_str())
+            .collect()
     }
 
     fn lines(&self) -> String {
-        self.0.iter().map(|(name, digest)| format!("{name} {digest:032x}\n")).collect()
+        self.0
+            .iter()
+            .map(|(name, digest)| format!("{name} {digest:032x}\n"))
+            .collect()
     }
 }
 
--- a/crates/simulator/src/history.rs
+++ b/crates/simulator/src/history.rs
@@ -17,7 +17,10 @@
 impl Instant {
     /// A point by a clock in microseconds, for histories whose order is that of a clock.
     pub fn at_us(us: u64) -> Self {
-        Instant { order: us, ms: us / 1_000 }
+        Instant {
+            order: us,
+            ms: us / 1_000,
+        }
     }
 }
 
@@ -74,7 +77,10 @@
     /// A question is sent, or an answer comes.
     pub fn next_instant(&mut self, ms: u64) -> Instant {
         self.last_order += 1;
-        Instant { order: self.last_order, ms }
+        Instant {
+            order: self.last_order,
+            ms,
+        }
     }
 
     /// All that comes from now on is later than this point by a clock in microseconds.
@@ -85,13 +91,21 @@
     /// A user asks for the cancellation of a job.
     pub fn cancel_requested(&mut self, id: &str, ms: u64) {
         let now = self.next_instant(ms);
-        self.jobs.entry(id.to_owned()).or_default().cancel_requested.get_or_insert(now);
+        self.jobs
+            .entry(id.to_owned())
+            .or_default()
+            .cancel_requested
+            .get_or_insert(now);
     }
 
     /// A submission was answered, whatever the answer says of the job's state: it is known from now on.
     pub fn accepted(&mut self, id: &str, ms: u64) {
         let now = self.next_instant(ms);
-        self.jobs.entry(id.to_owned()).or_default().known.get_or_insert(now);
+        self.jobs
+            .entry(id.to_owned())
+            .or_default()
+            .known
+            .get_or_insert(now);
     }
 
     /// When the cancellation of a job was first asked for, in ms.
@@ -142,7 +156,9 @@
                 return Err(Contradiction::new("went_back", what));
             }
             Answer::Known(state) => {
-                let Some((finished, at)) = self.finished else { return Ok(()) };
+                let Some((finished, at)) = self.finished else {
+                    return Ok(());
+                };
                 // Two final states contradict each other whenever they are told.
                 let is_final = matches!(state, JobState::Done | JobState::Cancelled);
                 if state != finished && (is_final || at < sent) {
--- a/crates/simulator/src/known.rs
+++ b/crates/simulator/src/known.rs
@@ -28,7 +28,10 @@
         if !self.unanswered.values().any(over) {
             return Vec::new();
         }
-        self.unanswered.extract_if(.., |_, at| over(at)).map(|(id, _)| id).collect()
+        self.unanswered
+            .extract_if(.., |_, at| over(at))
+            .map(|(id, _)| id)
+            .collect()
     }
 }
 
--- a/crates/simulator/src/rules.rs
+++ b/crates/simulator/src/rules.rs
@@ -35,12 +35,19 @@
 impl Rules {
     /// Nothing has happened yet; a cancelled job's tasks must be gone after so many ms.
     pub fn new(cancel: u64) -> Self {
-        Rules { cancel, ..Rules::default() }
+        Rules {
+            cancel,
+            ..Rules::default()
+        }
     }
 
     /// Notes a broken rule.
     pub fn broke(&mut self, rule: &'static str, what: impl Into<String>, at: u64) {
-        self.broken.push(Broken { rule, what: what.into(), at });
+        self.broken.push(Broken {
+            rule,
+            what: what.into(),
+            at,
+        });
     }
 
     /// A task got its image on a machine.
@@ -59,7 +66,10 @@
             return;
         };
         let present = |w: &Worker, name: &str| {
-            !w.dead && w.tasks.iter().any(|((t, _), held)| t == name && held.present())
+            !w.dead
+                && w.tasks
+                    .iter()
+                    .any(|((t, _), held)| t == name && held.present())
         };
         for other in workers.values().filter(|w| w.name != on.name) {
             if present(other, task) {
@@ -68,7 +78,10 @@
             }
         }
         let zone_ok = job.zone.as_ref().is_none_or(|z| *z == on.zone);
-        let type_ok = job.types.as_ref().is_none_or(|t| t.contains(&on.machine_type));
+        let type_ok = job
+            .types
+            .as_ref()
+            .is_none_or(|t| t.contains(&on.machine_type));
         if !zone_ok || !type_ok || (on.spot && !job.spot) {
             self.broke("wrong_place", format!("{task} on {}", on.name), now);
         }
--- a/crates/simulator/src/served.rs
+++ b/crates/simulator/src/served.rs
@@ -72,7 +72,9 @@
     ) -> Vec<Share> {
         let mut kinds: BTreeMap<String, Vec<(u64, &String, u64)>> = BTreeMap::new();
         for id in accepted.keys() {
-            let (Some(job), Some(at)) = (jobs.get(id), submitted.get(id)) else { continue };
+            let (Some(job), Some(at)) = (jobs.get(id), submitted.get(id)) else {
+                continue;
+            };
             let kind = format!("{:?}", job.kind).to_lowercase();
             kinds.entry(kind).or_default().push((job.tasks, id, *at));
         }
@@ -83,9 +85,16 @@
             let tenth = list.len().div_ceil(ONE_IN);
             let largest = list.iter().enumerate();
             let largest = largest.filter(|(nth, (tasks, ..))| *nth < tenth || *tasks == most);
-            let mut share = Share { of: format!("largest {kind}s"), due: 0, served: 0 };
+            let mut share = Share {
+                of: format!("largest {kind}s"),
+                due: 0,
+                served: 0,
+            };
             for (_, (_, id, at)) in largest {
-                let begun = self.begun.get(*id).is_some_and(|begun| *begun <= at + BEGIN);
+                let begun = self
+                    .begun
+                    .get(*id)
+                    .is_some_and(|begun| *begun <= at + BEGIN);
                 let open = now < at + BEGIN || cancelled.contains(*id);
                 share.due += u64::from(begun || !open);
                 share.served += u64::from(begun);
@@ -114,7 +123,8 @@
         for worker in workers.values().filter(|w| !w.dead && w.hangs_until <= now) {
             for ((task, _), held) in &worker.tasks {
                 if held.state == TaskState::Running {
-                    *up.entry(task.split('/').next().unwrap_or_default()).or_default() += 1;
+                    *up.entry(task.split('/').next().unwrap_or_default())
+                        .or_default() += 1;
                 }
             }
         }
@@ -157,7 +167,10 @@
             add(format!("{kind} of {}", job.team), due, served);
             add(kind, due, served);
         }
-        found.into_iter().map(|(of, (due, served))| Share { of, due, served }).collect()
+        found
+            .into_iter()
+            .map(|(of, (due, served))| Share { of, due, served })
+            .collect()
     }
 }
 
@@ -171,7 +184,9 @@
         }
     }
     let mean = |parts: Vec<f64>| parts.iter().sum::<f64>() / parts.len() as f64;
-    let teams = teams.into_iter().map(|(team, parts)| (format!("team {team}"), mean(parts)));
+    let teams = teams
+        .into_iter()
+        .map(|(team, parts)| (format!("team {team}"), mean(parts)));
     let classes = shares.iter().filter(|share| !share.of.contains(" of "));
     let classes = classes.map(|share| (share.of.clone(), share.part()));
     classes.chain(teams).min_by(|a, b| a.1.total_cmp(&b.1))
@@ -199,8 +214,16 @@
         let largest = |served: &Served, now| {
             served.largest(&jobs, &accepted, &submitted, &BTreeSet::new(), now)
         };
-        let part = |due, served| Share { of: "largest gangs".into(), due, served };
-        assert_eq!(largest(&served, 239_000), [part(1, 1)], "its time is not over");
+        let part = |due, served| Share {
+            of: "largest gangs".into(),
+            due,
+            served,
+        };
+        assert_eq!(
+            largest(&served, 239_000),
+            [part(1, 1)],
+            "its time is not over"
+        );
         assert_eq!(largest(&served, 240_000), [part(2, 1)]);
         served.started("j-000000/7", &jobs["j-000000"], 100.0, 250_000);
         assert_eq!(largest(&served, 260_000), [part(2, 1)], "too late");
--- a/crates/simulator/src/solo.rs
+++ b/crates/simulator/src/solo.rs
@@ -96,7 +96,11 @@
         class: "c".into(),
         team: format!("t{}", number % 12),
         kind,
-        priority: if service { Priority::High } else { Priority::Normal },
+        priority: if service {
+            Priority::High
+        } else {
+            Priority::Normal
+        },
         tasks,
         cpus: 1.0,
         gpus: 0.0,
@@ -142,9 +146,14 @@
                 };
                 PackedMachine::new(&MachineName::from(worker.name.as_str()), &record)
             });
-            let value = serde_json::to_value(MachinesPage { machines: records.collect() });
+            let value = serde_json::to_value(MachinesPage {
+                machines: records.collect(),
+            });
             let write = Write::put(machines_key(page as u32), value.unwrap_or_default());
-            state.execute(1, &StateRequest::Transaction(Transaction::default().write(write)));
+            state.execute(
+                1,
+                &StateRequest::Transaction(Transaction::default().write(write)),
+            );
         }
         let mut solo = Solo {
             node: Controller::new(settings.clone(), 1 << 20),
@@ -175,7 +184,12 @@
         for nth in 0..self.machines {
             self.report(nth);
         }
-        assert!(self.answered >= self.machines, "{} of {}", self.answered, self.machines);
+        assert!(
+            self.answered >= self.machines,
+            "{} of {}",
+            self.answered,
+            self.machines
+        );
     }
 
     /// Fills all machines but for some slots: a quarter with replicas, the rest with arrays, a
@@ -219,7 +233,10 @@
         self.jobs.insert(job.id.clone(), job.clone());
         self.tickets += 1;
         let request = UserRequest::Submit(Box::new(job));
-        self.feed(Event::User { ticket: self.tickets, request });
+        self.feed(Event::User {
+            ticket: self.tickets,
+            request,
+        });
         // A few at a time, as users come.
         if self.next_job.is_multiple_of(50) {
             self.tick(70);
@@ -243,7 +260,10 @@
         let report = self.workers[nth].report();
         self.now += 1;
         self.tickets += 1;
-        self.feed(Event::Heartbeat { ticket: self.tickets, report: Box::new(report) })
+        self.feed(Event::Heartbeat {
+            ticket: self.tickets,
+            report: Box::new(report),
+        })
     }
 
     /// A report of a machine on which one array task has just completed; what it cost.
@@ -323,25 +343,39 @@
             Effect::State { call, request, .. } => self.state_call(call, request),
             Effect::Cloud { call, request } => {
                 let reply = match request {
-                    CloudRequest::Types => {
-                        CloudReply::Types(MachineTypes { types: vec![machine_type()] })
-                    }
+                    CloudRequest::Types => CloudReply::Types(MachineTypes {
+                        types: vec![machine_type()],
+                    }),
                     CloudRequest::Rent(_) => CloudReply::NoCapacity,
                     _ => CloudReply::Refused,
                 };
                 self.events.push_back(Event::Cloud { call, reply });
             }
-            Effect::Worker { call, address, body, .. } => {
+            Effect::Worker {
+                call,
+                address,
+                body,
+                ..
+            } => {
                 if let Some(report) = self.impostor.clone() {
                     let reply = DirectReply::Answered(Box::new(report));
                     self.events.push_back(Event::Worker { call, reply });
                     return;
                 }
                 let machine = address.trim_end_matches(":9000");
-                let nth = machine.trim_start_matches("host-").parse::<usize>().unwrap_or(0);
+                let nth = machine
+                    .trim_start_matches("host-")
+                    .parse::<usize>()
+                    .unwrap_or(0);
                 let worker = &mut self.workers[nth];
                 worker.check_lease(self.now, LEASE);
-                worker.direct(body.token, body.session, &body.commands, self.now, &self.jobs);
+                worker.direct(
+                    body.token,
+                    body.session,
+                    &body.commands,
+                    self.now,
+                    &self.jobs,
+                );
                 let report: Box<Heartbeat> = Box::new(worker.report());
                 let reply = DirectReply::Answered(report);
                 self.events.push_back(Event::Worker { call, reply });
@@ -356,7 +390,12 @@
     }
 
     fn state_call(&mut self, call: CallId, request: StateRequest) {
-        if let StateRequest::Watch { prefix, after, wait_ms } = &request {
+        if let StateRequest::Watch {
+            prefix,
+            after,
+            wait_ms,
+        } = &request
+        {
             match self.state.changes(prefix, *after) {
                 Some(reply) => self.events.push_back(Event::State { call, reply }),
                 None if *wait_ms == 0 => {
@@ -386,19 +425,26 @@
     /// A user's request.
     pub fn request(&mut self, request: UserRequest) {
         self.tickets += 1;
-        self.feed(Event::User { ticket: self.tickets, request });
+        self.feed(Event::User {
+            ticket: self.tickets,
+            request,
+        });
     }
 
     /// Hands a report to the node as it is.
     pub fn send_report(&mut self, report: Heartbeat) {
         self.tickets += 1;
-        self.feed(Event::Heartbeat { ticket: self.tickets, report: Box::new(report) });
+        self.feed(Event::Heartbeat {
+            ticket: self.tickets,
+            report: Box::new(report),
+        });
     }
 
     /// Puts a value into the state service, as some other program might.
     pub fn write(&mut self, key: &str, value: serde_json::Value) {
         let txn = Transaction::default().write(Write::put(key, value));
-        self.state.execute(self.now, &StateRequest::Transaction(txn));
+        self.state
+            .execute(self.now, &StateRequest::Transaction(txn));
     }
 
     /// From now on another machine stands at all addresses: it executes no direct call and answers with
--- a/crates/simulator/src/starved.rs
+++ b/crates/simulator/src/starved.rs
@@ -33,8 +33,11 @@
         jobs: &'a HashMap<String, JobRequest>,
         now: u64,
     ) -> Self {
-        let mut picture =
-            Picture { free: Vec::new(), used: HashMap::new(), present: BTreeSet::new() };
+        let mut picture = Picture {
+            free: Vec::new(),
+            used: HashMap::new(),
+            present: BTreeSet::new(),
+        };
         for worker in workers.values().filter(|w| !w.dead) {
             let mut free = CPUS;
             for ((task, _), held) in &worker.tasks {
@@ -56,14 +59,21 @@
 
     /// Whether the first of a job's tasks could start now: all of a gang's, one of the others'.
     fn has_room(&self, job: &JobRequest, limit: f64) -> bool {
-        let tasks = if job.kind == JobKind::Gang { job.tasks } else { 1 };
+        let tasks = if job.kind == JobKind::Gang {
+            job.tasks
+        } else {
+            1
+        };
         let used = self.used.get(job.team.as_str()).copied().unwrap_or(0.0);
         if used + tasks as f64 * job.cpus > limit + 1e-6 {
             return false;
         }
         let fits = |worker: &Worker| {
             job.zone.as_ref().is_none_or(|zone| *zone == worker.zone)
-                && job.types.as_ref().is_none_or(|types| types.contains(&worker.machine_type))
+                && job
+                    .types
+                    .as_ref()
+                    .is_none_or(|types| types.contains(&worker.machine_type))
                 && (job.spot || !worker.spot)
         };
         let mut zones: HashMap<&str, u64> = HashMap::new();
@@ -95,7 +105,9 @@
         self.looked_at = now;
         let picture = Picture::of(workers, jobs, now);
         let waits = |id: &&String| {
-            let Some(job) = jobs.get(*id).filter(|job| job.class != MISTAKEN) else { return false };
+            let Some(job) = jobs.get(*id).filter(|job| job.class != MISTAKEN) else {
+                return false;
+            };
             let limit = limits.get(&job.team).copied().unwrap_or(f64::MAX);
             !picture.present.contains(id.as_str()) && picture.has_room(job, limit)
         };
@@ -124,7 +136,9 @@
         let limits = BTreeMap::from([(job.team.clone(), limit)]);
         let mut checker = Starved::default();
         let looks = (1..=120).map(|second| second * 1_000);
-        looks.flat_map(|now| checker.look(&workers, &jobs, jobs.keys(), &limits, now)).collect()
+        looks
+            .flat_map(|now| checker.look(&workers, &jobs, jobs.keys(), &limits, now))
+            .collect()
     }
 
     #[test]
@@ -137,8 +151,15 @@
     fn what_has_no_room_or_no_right_to_any_waits_in_order() {
         let job = crate::solo::job(1, JobKind::Array, 3);
         assert_eq!(starved(&job, 0.5), [""; 0], "over its limit");
-        let elsewhere = JobRequest { zone: Some("b".into()), ..job.clone() };
-        assert_eq!(starved(&elsewhere, 100.0), [""; 0], "no machine in its zone");
+        let elsewhere = JobRequest {
+            zone: Some("b".into()),
+            ..job.clone()
+        };
+        assert_eq!(
+            starved(&elsewhere, 100.0),
+            [""; 0],
+            "no machine in its zone"
+        );
         let gang = crate::solo::job(2, JobKind::Gang, 5);
         assert_eq!(starved(&gang, 100.0), [""; 0], "four of five tasks fit");
         let gang = crate::solo::job(2, JobKind::Gang, 4);
--- a/crates/simulator/src/state.rs
+++ b/crates/simulator/src/state.rs
@@ -32,7 +32,12 @@
 impl StateService {
     /// An empty store with a budget of puts and deletes a second.
     pub fn new(write_rps: f64) -> Self {
-        StateService { write_rps, keep: 10_000, next_lease: 1, ..Default::default() }
+        StateService {
+            write_rps,
+            keep: 10_000,
+            next_lease: 1,
+            ..Default::default()
+        }
     }
 
     fn record(&mut self, change: Change) {
@@ -46,8 +51,12 @@
 
     /// Ends leases that were not renewed.
     pub fn expire(&mut self, now: u64) {
-        let ended: Vec<u64> =
-            self.leases.iter().filter(|(_, (until, _))| *until <= now).map(|(id, _)| *id).collect();
+        let ended: Vec<u64> = self
+            .leases
+            .iter()
+            .filter(|(_, (until, _))| *until <= now)
+            .map(|(id, _)| *id)
+            .collect();
         for lease in ended {
             self.end_lease(lease);
         }
@@ -68,7 +77,13 @@
         for key in gone {
             self.keys.remove(&key);
             let version = self.revision;
-            self.record(Change { put: None, delete: Some(key), value: None, version, lease: None });
+            self.record(Change {
+                put: None,
+                delete: Some(key),
+                value: None,
+                version,
+                lease: None,
+            });
         }
     }
 
@@ -79,7 +94,11 @@
 
     /// Loses what is stored under a prefix without anybody noticing: a broken store.
     pub fn lose(&mut self, prefix: &str) {
-        for (_, stored) in self.keys.iter_mut().filter(|(key, _)| key.starts_with(prefix)) {
+        for (_, stored) in self
+            .keys
+            .iter_mut()
+            .filter(|(key, _)| key.starts_with(prefix))
+        {
             stored.value = serde_json::json!({});
         }
     }
@@ -110,7 +129,10 @@
             return StateReply::Refused { throttled: true };
         }
         for write in &txn.writes {
-            if let Write::Put { lease: Some(lease), .. } = write {
+            if let Write::Put {
+                lease: Some(lease), ..
+            } = write
+            {
                 if !self.leases.contains_key(lease) {
                     return StateReply::LeaseGone;
                 }
@@ -123,7 +145,10 @@
             .map(|c| c.key.clone())
             .collect();
         if !failed.is_empty() {
-            return StateReply::Conflict { failed, revision: self.revision };
+            return StateReply::Conflict {
+                failed,
+                revision: self.revision,
+            };
         }
         if !txn.writes.is_empty() {
             self.revision += 1;
@@ -132,7 +157,11 @@
         for write in &txn.writes {
             match write {
                 Write::Put { put, value, lease } => {
-                    let stored = Stored { value: value.clone(), version, lease: *lease };
+                    let stored = Stored {
+                        value: value.clone(),
+                        version,
+                        lease: *lease,
+                    };
                     self.keys.insert(put.clone(), stored);
                     self.record(Change {
                         put: Some(put.clone()),
@@ -168,19 +197,28 @@
             .iter()
             .filter(|c| c.version > after)
             .filter(|c| {
-                c.put.as_ref().or(c.delete.as_ref()).is_some_and(|key| key.starts_with(prefix))
+                c.put
+                    .as_ref()
+                    .or(c.delete.as_ref())
+                    .is_some_and(|key| key.starts_with(prefix))
             })
             .cloned()
             .collect();
         if events.is_empty() {
             return None;
         }
-        Some(StateReply::Changes(Changes { revision: self.revision, events }))
+        Some(StateReply::Changes(Changes {
+            revision: self.revision,
+            events,
+        }))
     }
 
     /// The answer of a watch whose time has run out.
     pub fn no_changes(&self) -> StateReply {
-        StateReply::Changes(Changes { revision: self.revision, events: Vec::new() })
+        StateReply::Changes(Changes {
+            revision: self.revision,
+            events: Vec::new(),
+        })
     }
 
     /// Executes a request other than a watch.
@@ -196,7 +234,11 @@
                 }),
                 None => StateReply::Missing,
             },
-            StateRequest::List { prefix, after, limit } => {
+            StateRequest::List {
+                prefix,
+                after,
+                limit,
+            } => {
                 let mut items = self
                     .keys
                     .range(prefix.clone()..)
@@ -210,7 +252,11 @@
                     });
                 let page: Vec<Item> = items.by_ref().take(*limit as usize).collect();
                 let more = items.next().is_some();
-                StateReply::List(ListPage { items: page, more, revision: self.revision })
+                StateReply::List(ListPage {
+                    items: page,
+                    more,
+                    revision: self.revision,
+                })
             }
             StateRequest::Transaction(txn) => self.txn(now, txn),
             StateRequest::NewLease { ttl_ms } => {
--- a/crates/simulator/src/worker.rs
+++ b/crates/simulator/src/worker.rs
@@ -153,7 +153,9 @@
         now: u64,
         jobs: &HashMap<String, JobRequest>,
     ) -> bool {
-        let Some((current, sent, session)) = self.in_flight else { return false };
+        let Some((current, sent, session)) = self.in_flight else {
+            return false;
+        };
         if current != number {
             return false;
         }
@@ -228,7 +230,10 @@
                     self.tasks.insert(key, exited(ExitCause::Busy));
                     return;
                 }
-                let live = self.tasks.iter().filter(|(_, h)| h.state != TaskState::Exited);
+                let live = self
+                    .tasks
+                    .iter()
+                    .filter(|(_, h)| h.state != TaskState::Exited);
                 let used: f64 = live
                     .filter_map(|((other, _), _)| jobs.get(other.split('/').next()?))
                     .map(|j| j.cpus)
@@ -254,7 +259,11 @@
                 );
             }
             Command::Stop { .. } if self.ignores_stops => {}
-            Command::Stop { task, attempt, grace_s } => {
+            Command::Stop {
+                task,
+                attempt,
+                grace_s,
+            } => {
                 let job = jobs.get(task.split('/').next().unwrap_or_default());
                 let save_s = job.filter(|j| j.checkpoint_s > 0.0).map(|j| j.save_s);
                 if let Some(held) = self.tasks.get_mut(&(task.clone(), *attempt)) {
@@ -278,7 +287,11 @@
             }
             Command::Forget { task, attempt } => {
                 let key = (task.clone(), *attempt);
-                if self.tasks.get(&key).is_some_and(|h| h.state == TaskState::Exited) {
+                if self
+                    .tasks
+                    .get(&key)
+                    .is_some_and(|h| h.state == TaskState::Exited)
+                {
                     self.tasks.remove(&key);
                 }
             }
@@ -294,7 +307,9 @@
     ) -> Vec<Happened> {
         let mut happened = Vec::new();
         for ((task, attempt), held) in &mut self.tasks {
-            let Some(job) = jobs.get(task.split('/').next().unwrap_or_default()) else { continue };
+            let Some(job) = jobs.get(task.split('/').next().unwrap_or_default()) else {
+                continue;
+            };
             if held.state == TaskState::Fetching && now >= held.image_at {
                 self.images.insert(job.image.clone());
                 happened.push(Happened::Started(task.clone()));
@@ -325,7 +340,11 @@
                 self.changed = true;
             }
             if held.state == TaskState::Waiting {
-                let since = self.gangs.get(&(task.clone(), *attempt)).copied().unwrap_or(now);
+                let since = self
+                    .gangs
+                    .get(&(task.clone(), *attempt))
+                    .copied()
+                    .unwrap_or(now);
                 if now > since + self.gang_wait {
                     held.state = TaskState::Exited;
                     held.why = Some(ExitCause::Alone);
--- a/crates/simulator/src/world/cancellations.rs
+++ b/crates/simulator/src/world/cancellations.rs
@@ -22,11 +22,21 @@
 
     /// Users cancel every job that is accepted and not over, all through one node.
     pub(super) fn cancel_all(&mut self, through: usize) {
-        let Rules { accepted, done_told, cancel_asked, .. } = &self.rules;
+        let Rules {
+            accepted,
+            done_told,
+            cancel_asked,
+            ..
+        } = &self.rules;
         let open = accepted.keys().filter(|id| !done_told.contains_key(*id));
-        let ids: Vec<String> = open.filter(|id| !cancel_asked.contains(*id)).cloned().collect();
+        let ids: Vec<String> = open
+            .filter(|id| !cancel_asked.contains(*id))
+            .cloned()
+            .collect();
         for id in ids {
-            let Some(job) = JobId::parse(&id) else { continue };
+            let Some(job) = JobId::parse(&id) else {
+                continue;
+            };
             self.note_cancel_requested(&id);
             self.ask_node(through, UserRequest::Cancel(job), id, 0);
         }
@@ -62,7 +72,10 @@
                 let open =
                     self.rules.accepted.contains_key(id) && !self.rules.cancel_asked.contains(id);
                 if runs && long && open {
-                    found.entry(id.to_owned()).or_default().insert(worker.name.clone());
+                    found
+                        .entry(id.to_owned())
+                        .or_default()
+                        .insert(worker.name.clone());
                 }
             }
         }
@@ -78,7 +91,9 @@
             Cut::CancelAtEnd(percent) => Some(*percent),
             _ => None,
         });
-        let Some(percent) = percent.filter(|_| fresh) else { return };
+        let Some(percent) = percent.filter(|_| fresh) else {
+            return;
+        };
         if self.rules.cancel_asked.contains(&id) || !self.all_tasks_done(&id) {
             return;
         }
@@ -86,7 +101,11 @@
             return;
         }
         let at_once = self.rng.random_bool(0.5);
-        let after = if at_once { 0 } else { self.rng.random_range(0..AROUND_THE_END) };
+        let after = if at_once {
+            0
+        } else {
+            self.rng.random_range(0..AROUND_THE_END)
+        };
         self.met.cancelled_at_end.insert(id.clone());
         self.look_everywhere(&id, after);
         self.at(self.now + after, Happening::Cancel { id });
@@ -94,6 +113,8 @@
 
     fn all_tasks_done(&self, id: &str) -> bool {
         let done = |task| self.rules.done_tasks.contains(&format!("{id}/{task}"));
-        self.jobs.get(id).is_some_and(|job| (0..job.tasks).all(done))
+        self.jobs
+            .get(id)
+            .is_some_and(|job| (0..job.tasks).all(done))
     }
 }
--- a/crates/simulator/src/world/close_looks.rs
+++ b/crates/simulator/src/world/close_looks.rs
@@ -70,8 +70,12 @@
         style: Style,
         pause: u64,
     ) {
-        let Some(number) = JobId::parse(id) else { return };
-        let Some(job) = self.jobs.get(id).cloned() else { return };
+        let Some(number) = JobId::parse(id) else {
+            return;
+        };
+        let Some(job) = self.jobs.get(id).cloned() else {
+            return;
+        };
         let repeats = match style {
             Style::Questions => false,
             Style::Repeats => true,
@@ -84,7 +88,14 @@
             (true, false) => UserRequest::Submit(Box::new(job)),
         };
         let at = self.now + pause + self.rng.random_range(0..3);
-        self.at(at, Happening::Look { node, request, id: id.to_owned() });
+        self.at(
+            at,
+            Happening::Look {
+                node,
+                request,
+                id: id.to_owned(),
+            },
+        );
     }
 
     /// A look at one node, over a connection of its own; it isn't repeated.
--- a/crates/simulator/src/world/faults.rs
+++ b/crates/simulator/src/world/faults.rs
@@ -4,8 +4,12 @@
 
 impl World {
     pub(super) fn fault(&mut self, fault: Fault) {
-        let names: Vec<String> =
-            self.workers.values().filter(|w| !w.dead).map(|w| w.name.clone()).collect();
+        let names: Vec<String> = self
+            .workers
+            .values()
+            .filter(|w| !w.dead)
+            .map(|w| w.name.clone())
+            .collect();
         let pick = |nth: usize| names.get(nth % names.len().max(1)).cloned();
         let (cut, ms) = match fault {
             Fault::Crash { node, back } => {
@@ -17,12 +21,24 @@
                 self.watches.retain(|w| w.0 != node);
                 // Users repeat what has not been answered.
                 let lost: Vec<_> = self.tickets.extract_if(|key, _| key.0 == node).collect();
-                let mut lost: Vec<_> =
-                    lost.into_iter().map(|(key, asked)| (key.2, asked)).collect();
+                let mut lost: Vec<_> = lost
+                    .into_iter()
+                    .map(|(key, asked)| (key.2, asked))
+                    .collect();
                 lost.sort_by_key(|(ticket, _)| *ticket);
-                for (_, Asked { request, id, tries, .. }) in lost {
+                for (
+                    _,
+                    Asked {
+                        request, id, tries, ..
+                    },
+                ) in lost
+                {
                     if !matches!(request, UserRequest::Get(_)) {
-                        let what = Happening::Ask { request, id, tries: tries + 1 };
+                        let what = Happening::Ask {
+                            request,
+                            id,
+                            tries: tries + 1,
+                        };
                         self.at(self.now + 1_000, what);
                     }
                 }
@@ -52,11 +68,15 @@
                 return;
             }
             Fault::KillMany { count } => {
-                self.some(&names, count).iter().for_each(|name| self.end_machine(name));
+                self.some(&names, count)
+                    .iter()
+                    .for_each(|name| self.end_machine(name));
                 return;
             }
             Fault::SickMany { count } => {
-                self.some(&names, count).iter().for_each(|name| self.sicken(name));
+                self.some(&names, count)
+                    .iter()
+                    .for_each(|name| self.sicken(name));
                 return;
             }
             Fault::HangMany { count, ms } => {
@@ -79,7 +99,14 @@
             Fault::Copies { ms } => (Cut::Copies, ms),
             Fault::Blind { node, ms, refused } => {
                 self.cut(Cut::Mesh(node), ms);
-                (if refused { Cut::Refuse(Some(node)) } else { Cut::State(node) }, ms)
+                (
+                    if refused {
+                        Cut::Refuse(Some(node))
+                    } else {
+                        Cut::State(node)
+                    },
+                    ms,
+                )
             }
             Fault::SlowState { times, ms } => (Cut::Slow(times), ms),
             Fault::CrashAt { node, nth } => {
@@ -172,7 +199,8 @@
     /// Writes a value past everybody.
     pub(super) fn write_past(&mut self, key: &str, value: serde_json::Value) {
         let txn = Transaction::default().write(Write::put(key, value));
-        self.state.execute(self.now, &StateRequest::Transaction(txn));
+        self.state
+            .execute(self.now, &StateRequest::Transaction(txn));
         self.answer_watches();
     }
 
@@ -220,7 +248,9 @@
     }
 
     pub(super) fn refuses(&self, node: usize) -> bool {
-        self.cuts.iter().any(|c| matches!(c, Cut::Refuse(n) if n.is_none_or(|n| n == node)))
+        self.cuts
+            .iter()
+            .any(|c| matches!(c, Cut::Refuse(n) if n.is_none_or(|n| n == node)))
     }
 
     pub(super) fn outage(&self) -> bool {
--- a/crates/simulator/src/world/interference.rs
+++ b/crates/simulator/src/world/interference.rs
@@ -68,10 +68,19 @@
     /// A partition has a new holder by its record. What was kept for it comes: copies while it begins, to
     /// every node; held reports once it has acted, there.
     pub(super) fn next_holder_begins(&mut self, machines: &BTreeSet<String>, partition: u32) {
-        let holder = self.holder(partition).and_then(|name| name.strip_prefix('n')?.parse().ok());
+        let holder = self
+            .holder(partition)
+            .and_then(|name| name.strip_prefix('n')?.parse().ok());
         let Some(holder) = holder else { return };
         for copy in std::mem::take(&mut self.interference.copies) {
-            let Message::Heartbeat { machine, mut report, .. } = copy else { continue };
+            let Message::Heartbeat {
+                machine,
+                mut report,
+                ..
+            } = copy
+            else {
+                continue;
+            };
             if self.plan.sabotage == Some(Sabotage::CopiesTrusted) {
                 report.seq += 1_000_000;
             }
@@ -79,17 +88,35 @@
             for node in 0..NODES {
                 let (machine, report) = (machine.clone(), report.clone());
                 // Its answer goes to nobody.
-                let message = Message::Heartbeat { node, machine, number: 0, report };
+                let message = Message::Heartbeat {
+                    node,
+                    machine,
+                    number: 0,
+                    report,
+                };
                 let after = self.rng.random_range(1..BEGIN);
                 self.at(self.now + after, Happening::Copy(Box::new(message)));
             }
         }
         for held in std::mem::take(&mut self.interference.reports) {
-            let Message::Heartbeat { machine, number, mut report, .. } = held else { continue };
+            let Message::Heartbeat {
+                machine,
+                number,
+                mut report,
+                ..
+            } = held
+            else {
+                continue;
+            };
             if self.plan.sabotage == Some(Sabotage::CopiesTrusted) {
                 report.seq += 1_000_000;
             }
-            let message = Message::Heartbeat { node: holder, machine, number, report };
+            let message = Message::Heartbeat {
+                node: holder,
+                machine,
+                number,
+                report,
+            };
             let after = self.rng.random_range(1_000..6_000);
             self.at(self.now + after, Happening::HeldReport(Box::new(message)));
         }
@@ -97,7 +124,9 @@
 
     /// Whether a kept copy is an old one of a machine whose holder begins.
     fn note_kept(&mut self, machines: &BTreeSet<String>, machine: &str, report: &Heartbeat) {
-        let Some(worker) = self.workers.get(machine).filter(|w| !w.dead) else { return };
+        let Some(worker) = self.workers.get(machine).filter(|w| !w.dead) else {
+            return;
+        };
         if machines.contains(machine) && worker.has_said_more(report) {
             self.met.old_at_begin += 1;
             self.met.old_sessions_at_begin += u64::from(report.session < worker.session);
@@ -111,14 +140,25 @@
 
     /// A direct command comes late, and nobody hears of it.
     pub(super) fn late_command(&mut self, message: Message) {
-        let Message::Direct { node, life, machine, body, .. } = &message else { return };
+        let Message::Direct {
+            node,
+            life,
+            machine,
+            body,
+            ..
+        } = &message
+        else {
+            return;
+        };
         let (now, lease) = (self.now, self.terms.lease);
         if self.is_cut(Place::Controller(*node), self.machine(machine)) {
             self.at(now + 1_000, Happening::LateCommand(Box::new(message)));
             return;
         }
         let ended = !self.live(*node, *life);
-        let Some(worker) = self.workers.get_mut(machine).filter(|w| !w.dead) else { return };
+        let Some(worker) = self.workers.get_mut(machine).filter(|w| !w.dead) else {
+            return;
+        };
         worker.check_lease(now, lease);
         let deposed = worker.token > body.token;
         let (token, session) = match self.plan.sabotage {
@@ -127,7 +167,8 @@
         };
         let executed = worker.direct(token, session, &body.commands, now, &self.jobs);
         if executed {
-            self.takeovers.told(machine, token, starts(&body.commands), now);
+            self.takeovers
+                .told(machine, token, starts(&body.commands), now);
             self.note_launch(machine, &body.commands);
         }
         if body.commands.is_empty() {
@@ -141,22 +182,33 @@
 
     /// Whether a machine's connections to controllers fail.
     pub(super) fn is_mute(&mut self, machine: &str) -> bool {
-        let mute = self.cuts.iter().any(|cut| matches!(cut, Cut::Mute(name) if name == machine));
+        let mute = self
+            .cuts
+            .iter()
+            .any(|cut| matches!(cut, Cut::Mute(name) if name == machine));
         self.met.mute += u64::from(mute);
         mute
     }
 
     /// Something comes straight to a machine.
     pub(super) fn note_told(&mut self, machine: &str) {
-        let mute = self.cuts.iter().any(|cut| matches!(cut, Cut::Mute(name) if name == machine));
+        let mute = self
+            .cuts
+            .iter()
+            .any(|cut| matches!(cut, Cut::Mute(name) if name == machine));
         self.met.mute_and_told += u64::from(mute);
     }
 
     /// A machine was given something to start, perhaps one that has come up quickly a moment ago, while
     /// writes come late.
     pub(super) fn note_launch(&mut self, machine: &str, commands: &[Command]) {
-        let lag = self.cuts.iter().any(|cut| matches!(cut, Cut::LateWrites(_)));
-        let Some(rented) = self.cloud.machines.get(machine).filter(|_| lag) else { return };
+        let lag = self
+            .cuts
+            .iter()
+            .any(|cut| matches!(cut, Cut::LateWrites(_)));
+        let Some(rented) = self.cloud.machines.get(machine).filter(|_| lag) else {
+            return;
+        };
         let quick = |up: u64| up < rented.rented_at + QUICK && self.now < up + YOUNG;
         let young = starts(commands) && rented.up_at.is_some_and(quick);
         self.met.young_launches += u64::from(young);
@@ -164,7 +216,9 @@
 
     /// Whether what one node tells another is lost.
     pub(super) fn is_lost_between_nodes(&mut self, from: Place, to: Place) -> bool {
-        let (Place::Controller(from), Place::Controller(to)) = (from, to) else { return false };
+        let (Place::Controller(from), Place::Controller(to)) = (from, to) else {
+            return false;
+        };
         let lost = self.cuts.contains(&Cut::OneWay(from, to));
         self.met.lost_on_one_way += u64::from(lost);
         lost
@@ -181,8 +235,13 @@
         }
         let mut event = event.clone();
         let trusted = self.plan.sabotage == Some(Sabotage::MeshCopiesTrusted);
-        if let (true, Event::Mesh { message: MeshMessage::Heartbeat { revision, .. }, .. }) =
-            (trusted, &mut event)
+        if let (
+            true,
+            Event::Mesh {
+                message: MeshMessage::Heartbeat { revision, .. },
+                ..
+            },
+        ) = (trusted, &mut event)
         {
             *revision = u64::MAX;
         }
@@ -219,7 +278,9 @@
 
     /// A node reads changes, perhaps those of a transaction whose own node knows nothing of it.
     pub(super) fn note_read(&mut self, reader: usize, reply: &StateReply) {
-        let StateReply::Changes(changes) = reply else { return };
+        let StateReply::Changes(changes) = reply else {
+            return;
+        };
         let met = &mut self.met;
         self.interference.unread.retain(|(writer, revision)| {
             let read = *writer != reader && changes.events.iter().any(|c| c.version == *revision);
--- a/crates/simulator/src/world/kinds.rs
+++ b/crates/simulator/src/world/kinds.rs
@@ -10,12 +10,42 @@
 
 #[derive(Debug, Clone)]
 pub(super) enum Message {
-    State { node: usize, life: u64, call: CallId, request: StateRequest },
-    Cloud { node: usize, life: u64, call: CallId, request: CloudRequest },
-    Controller { node: usize, life: u64, event: Event },
-    Heartbeat { node: usize, machine: String, number: u64, report: Box<Heartbeat> },
-    HeartbeatResponse { machine: String, number: u64, node: usize, reply: HeartbeatReply },
-    Direct { node: usize, life: u64, call: CallId, machine: String, body: DirectCommands },
+    State {
+        node: usize,
+        life: u64,
+        call: CallId,
+        request: StateRequest,
+    },
+    Cloud {
+        node: usize,
+        life: u64,
+        call: CallId,
+        request: CloudRequest,
+    },
+    Controller {
+        node: usize,
+        life: u64,
+        event: Event,
+    },
+    Heartbeat {
+        node: usize,
+        machine: String,
+        number: u64,
+        report: Box<Heartbeat>,
+    },
+    HeartbeatResponse {
+        machine: String,
+        number: u64,
+        node: usize,
+        reply: HeartbeatReply,
+    },
+    Direct {
+        node: usize,
+        life: u64,
+        call: CallId,
+        machine: String,
+        body: DirectCommands,
+    },
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
@@ -192,5 +222,7 @@
 
 /// Whether any of the commands starts a task.
 pub(super) fn starts(commands: &[Command]) -> bool {
-    commands.iter().any(|command| matches!(command, Command::Start { .. }))
+    commands
+        .iter()
+        .any(|command| matches!(command, Command::Start { .. }))
 }
--- a/crates/simulator/src/world/machines.rs
+++ b/crates/simulator/src/world/machines.rs
@@ -23,7 +23,9 @@
     ) {
         let now = self.now;
         let ignore_tokens = self.plan.sabotage == Some(Sabotage::TokensIgnored);
-        let Some(worker) = self.workers.get_mut(machine) else { return };
+        let Some(worker) = self.workers.get_mut(machine) else {
+            return;
+        };
         if worker.dead || worker.in_flight.map(|f| f.0) != Some(number) {
             return;
         }
@@ -35,7 +37,9 @@
                     answer.token = answer.token.max(worker.token);
                 }
                 if self.plan.sabotage == Some(Sabotage::AnswersWithoutHalts) {
-                    answer.commands.retain(|c| !matches!(c, Command::Stop { .. }));
+                    answer
+                        .commands
+                        .retain(|c| !matches!(c, Command::Stop { .. }));
                 }
                 if worker.answered(number, &answer, now, &self.jobs) {
                     let launches = starts(&answer.commands);
@@ -88,7 +92,9 @@
         }
         let names: Vec<String> = self.workers.keys().cloned().collect();
         for name in names {
-            let Some(worker) = self.workers.get_mut(&name) else { continue };
+            let Some(worker) = self.workers.get_mut(&name) else {
+                continue;
+            };
             if worker.dead {
                 continue;
             }
@@ -103,12 +109,14 @@
                 match event {
                     Happened::Started(task) => {
                         if let Some(on) = self.workers.get(&name) {
-                            self.rules.started(&task, on, &self.workers, &self.jobs, now);
+                            self.rules
+                                .started(&task, on, &self.workers, &self.jobs, now);
                         }
                         let id = task.split('/').next().unwrap_or_default();
                         if let Some(job) = self.jobs.get(id) {
                             let limit = self.limits.get(&job.team).copied();
-                            self.served.started(&task, job, limit.unwrap_or(f64::MAX), now);
+                            self.served
+                                .started(&task, job, limit.unwrap_or(f64::MAX), now);
                         }
                     }
                     Happened::Done(task) => self.task_done(task),
@@ -124,7 +132,9 @@
         let from = self.machine(name);
         let report = self.terms.report;
         let wait = self.rng.random_range(report * 3 / 4..report * 5 / 4);
-        let Some(worker) = self.workers.get_mut(name) else { return };
+        let Some(worker) = self.workers.get_mut(name) else {
+            return;
+        };
         if let Some((_, sent, _)) = worker.in_flight {
             if now >= sent + 4_000 {
                 worker.in_flight = None;
@@ -145,7 +155,9 @@
         let node = worker.node;
         let report = Box::new(worker.report());
         let mute = self.is_mute(name);
-        let Some(worker) = self.workers.get_mut(name) else { return };
+        let Some(worker) = self.workers.get_mut(name) else {
+            return;
+        };
         if self.nodes[node].is_none() || mute {
             // Refused at once.
             worker.in_flight = None;
@@ -153,7 +165,12 @@
             worker.next_report = now + 1_000;
             return;
         }
-        let message = Message::Heartbeat { node, machine: name.to_owned(), number, report };
+        let message = Message::Heartbeat {
+            node,
+            machine: name.to_owned(),
+            number,
+            report,
+        };
         self.send(from, Place::Controller(node), message);
     }
 
@@ -163,15 +180,22 @@
         let mut gangs: BTreeMap<(String, u64), Vec<Member>> = BTreeMap::new();
         for worker in self.workers.values().filter(|w| !w.dead) {
             for ((task, attempt), held) in &worker.tasks {
-                let Some((id, _)) = task.split_once('/') else { continue };
+                let Some((id, _)) = task.split_once('/') else {
+                    continue;
+                };
                 if self.jobs.get(id).is_some_and(|j| j.kind == JobKind::Gang) && held.present() {
                     let entry = (worker.name.clone(), task.clone(), held.state, held.done_at);
-                    gangs.entry((id.to_owned(), *attempt)).or_default().push(entry);
+                    gangs
+                        .entry((id.to_owned(), *attempt))
+                        .or_default()
+                        .push(entry);
                 }
             }
         }
         for ((id, attempt), members) in gangs {
-            let Some(tasks) = self.jobs.get(&id).map(|j| j.tasks) else { continue };
+            let Some(tasks) = self.jobs.get(&id).map(|j| j.tasks) else {
+                continue;
+            };
             let all = members.len() as u64 == tasks;
             let waiting = members.iter().all(|m| m.2 == TaskState::Waiting);
             let running = members.iter().any(|m| m.2 == TaskState::Running);
@@ -187,7 +211,9 @@
                     continue;
                 }
                 let key = (task.clone(), attempt);
-                let Some(worker) = self.workers.get_mut(&machine) else { continue };
+                let Some(worker) = self.workers.get_mut(&machine) else {
+                    continue;
+                };
                 if whole && waiting {
                     worker.set_gang(&key, TaskState::Running, None);
                     if let Some(held) = worker.tasks.get_mut(&key) {
--- a/crates/simulator/src/world/mod.rs
+++ b/crates/simulator/src/world/mod.rs
@@ -199,7 +199,9 @@
             next_job: 0,
             looks: Looks::default(),
             odd_jobs: HashMap::new(),
-            limits: (0..6).map(|t| (format!("t{t}"), 6.0 * plan.size as f64)).collect(),
+            limits: (0..6)
+                .map(|t| (format!("t{t}"), 6.0 * plan.size as f64))
+                .collect(),
             settled: BTreeSet::new(),
             submitted: HashMap::new(),
             requests: 0,
@@ -228,7 +230,12 @@
         }
         world.at(0, Happening::Workers);
         world.at(1_500, Happening::Submit);
-        let over = world.plan.faults.iter().map(|(at, fault)| at + fault.lasts()).max();
+        let over = world
+            .plan
+            .faults
+            .iter()
+            .map(|(at, fault)| at + fault.lasts())
+            .max();
         world.troubles_over = over.unwrap_or(0).max(60_000);
         world.at(world.troubles_over, Happening::AskAll);
         for (at, fault) in world.plan.faults.clone() {
@@ -250,13 +257,19 @@
 
     /// Machines recorded for a partition.
     pub fn machines_of(&self, partition: u32) -> usize {
-        self.records().filter(|m| m.get(4).is_some_and(|p| *p == partition)).count()
+        self.records()
+            .filter(|m| m.get(4).is_some_and(|p| *p == partition))
+            .count()
     }
 
     /// Takeovers of partitions whose records stood, and those of them whose holders lived.
     pub fn early_takeovers(&self) -> (u64, u64) {
-        let counts =
-            |r: &Running| (r.node.counters.early_takeovers, r.node.counters.wrong_takeovers);
+        let counts = |r: &Running| {
+            (
+                r.node.counters.early_takeovers,
+                r.node.counters.wrong_takeovers,
+            )
+        };
         let living = self.nodes.iter().flatten().map(counts);
         living.fold(self.early, |sum, n| (sum.0 + n.0, sum.1 + n.1))
     }
@@ -264,22 +277,36 @@
     /// All records of machines.
     fn records(&self) -> impl Iterator<Item = &serde_json::Value> {
         let page = |n: u32| self.state.value(&format!("s/m/{n:04}"));
-        (0..).map_while(page).filter_map(|p| p.get("machines")?.as_array()).flatten()
+        (0..)
+            .map_while(page)
+            .filter_map(|p| p.get("machines")?.as_array())
+            .flatten()
     }
 
     /// Machines that ended with tasks on them, and are recorded and not given up yet.
     pub fn recorded_dead(&self) -> usize {
-        let kept = self.records().filter(|m| m.get(6).is_some_and(|leaving| *leaving == false));
+        let kept = self
+            .records()
+            .filter(|m| m.get(6).is_some_and(|leaving| *leaving == false));
         let names = kept.filter_map(|m| m.get(0)?.as_str());
-        names.filter(|name| self.workers.get(*name).is_some_and(|w| w.ended_busy)).count()
+        names
+            .filter(|name| self.workers.get(*name).is_some_and(|w| w.ended_busy))
+            .count()
     }
 
     /// How much of what is due has been served, by kind of work and by team. What came within the last
     /// `patience` ms need not be done.
     pub fn served(&self, patience: u64) -> Vec<Share> {
-        let Rules { accepted, cancel_asked, done_told, .. } = &self.rules;
+        let Rules {
+            accepted,
+            cancel_asked,
+            done_told,
+            ..
+        } = &self.rules;
         let until = self.now.saturating_sub(patience);
-        let mut shares = self.served.shares(&self.jobs, accepted, cancel_asked, done_told, until);
+        let mut shares = self
+            .served
+            .shares(&self.jobs, accepted, cancel_asked, done_told, until);
         shares.extend(self.served.largest(
             &self.jobs,
             accepted,
@@ -297,7 +324,9 @@
 
     /// Names of the machines recorded for a partition that live.
     fn living_of(&self, partition: u32) -> BTreeSet<String> {
-        let ours = self.records().filter(|m| m.get(4).is_some_and(|p| *p == partition));
+        let ours = self
+            .records()
+            .filter(|m| m.get(4).is_some_and(|p| *p == partition));
         let names = ours.filter_map(|m| m.get(0)?.as_str());
         let lives = |name: &&str| self.workers.get(*name).is_some_and(|w| !w.dead);
         names.filter(lives).map(str::to_owned).collect()
@@ -332,12 +361,18 @@
 
     /// The node that holds a partition by its record.
     pub fn holder(&self, partition: u32) -> Option<&str> {
-        self.state.value(&format!("s/p/{partition}"))?.get("holder")?.as_str()
+        self.state
+            .value(&format!("s/p/{partition}"))?
+            .get("holder")?
+            .as_str()
     }
 
     /// The term of a partition by its record.
     pub fn term(&self, partition: u32) -> Option<u64> {
-        self.state.value(&format!("s/p/{partition}"))?.get("term")?.as_u64()
+        self.state
+            .value(&format!("s/p/{partition}"))?
+            .get("term")?
+            .as_u64()
     }
 
     /// Runs to a time, or to the first broken rule.
@@ -355,9 +390,11 @@
             if !look {
                 continue;
             }
-            self.rules.check(&self.workers, &self.jobs, &self.limits, self.now);
+            self.rules
+                .check(&self.workers, &self.jobs, &self.limits, self.now);
             for id in self.known.forgotten(self.now) {
-                self.rules.broke("forgotten", format!("{id}: no answer for 75 s"), self.now);
+                self.rules
+                    .broke("forgotten", format!("{id}: no answer for 75 s"), self.now);
             }
         }
     }
@@ -372,7 +409,10 @@
         for worker in self.workers.values() {
             for ((task, attempt), held) in &worker.tasks {
                 if task.starts_with(id) {
-                    println!("{} dead={} {task} try {attempt} {held:?}", worker.name, worker.dead);
+                    println!(
+                        "{} dead={} {task} try {attempt} {held:?}",
+                        worker.name, worker.dead
+                    );
                 }
             }
         }
@@ -400,8 +440,13 @@
             .flat_map(|worker| worker.tasks.keys())
             .filter_map(|(task, _)| task.split('/').next())
             .collect();
-        let unplaced = self.unfinished().into_iter().filter(|id| !placed.contains(id.as_str()));
-        unplaced.filter_map(|id| Some(self.jobs.get(&id)?.tasks)).sum()
+        let unplaced = self
+            .unfinished()
+            .into_iter()
+            .filter(|id| !placed.contains(id.as_str()));
+        unplaced
+            .filter_map(|id| Some(self.jobs.get(&id)?.tasks))
+            .sum()
     }
 
     /// Notes jobs that have been waiting for too long beside room for them.
@@ -409,18 +454,29 @@
         if self.now < self.troubles_over {
             return;
         }
-        let Rules { accepted, done_told, cancel_asked, .. } = &self.rules;
+        let Rules {
+            accepted,
+            done_told,
+            cancel_asked,
+            ..
+        } = &self.rules;
         let open = accepted
             .keys()
             .filter(|id| !done_told.contains_key(*id) && !cancel_asked.contains(*id));
-        let starved = self.starved.look(&self.workers, &self.jobs, open, &self.limits, self.now);
+        let starved = self
+            .starved
+            .look(&self.workers, &self.jobs, open, &self.limits, self.now);
         for id in starved {
             let low =
                 |job: &JobRequest| job.kind == JobKind::Array && job.priority == Priority::Low;
             if self.jobs.get(&id).is_some_and(low) {
                 self.starved_low.push(id);
             } else {
-                self.rules.broke("starved", format!("{id} waits beside room for it"), self.now);
+                self.rules.broke(
+                    "starved",
+                    format!("{id} waits beside room for it"),
+                    self.now,
+                );
             }
         }
     }
@@ -440,7 +496,11 @@
 
     fn at(&mut self, at: u64, what: Happening) {
         self.order += 1;
-        self.queue.push(Reverse(Queued { at: at.max(self.now), order: self.order, what }));
+        self.queue.push(Reverse(Queued {
+            at: at.max(self.now),
+            order: self.order,
+            what,
+        }));
     }
 
     fn live(&self, node: usize, life: u64) -> bool {
@@ -449,7 +509,9 @@
 
     fn feed(&mut self, node: usize, event: Event) {
         let now = self.now;
-        let Some(running) = self.nodes[node].as_mut() else { return };
+        let Some(running) = self.nodes[node].as_mut() else {
+            return;
+        };
         if let Some(frozen) = running.frozen.as_mut().filter(|frozen| frozen.handled) {
             frozen.waiting.push(event);
             return;
@@ -479,7 +541,9 @@
 
     /// Ends a node that has come to the deed at which it is to end.
     fn ends_here(&mut self, node: usize, effect: &Effect) -> bool {
-        let Some((done, last)) = self.ends_at.get_mut(&node) else { return false };
+        let Some((done, last)) = self.ends_at.get_mut(&node) else {
+            return false;
+        };
         let changes = match effect {
             Effect::State { request, .. } => matches!(request, StateRequest::Transaction(_)),
             Effect::Cloud { request, .. } => !matches!(request, CloudRequest::List { .. }),
@@ -500,27 +564,61 @@
     fn carry_out(&mut self, node: usize, life: u64, effect: Effect) {
         self.record(node, life, &effect);
         match effect {
-            Effect::State { call, request, timeout } => {
+            Effect::State {
+                call,
+                request,
+                timeout,
+            } => {
                 self.pending.insert((node, life, call));
-                let event = Event::State { call, reply: StateReply::Unknown };
+                let event = Event::State {
+                    call,
+                    reply: StateReply::Unknown,
+                };
                 self.time_out(timeout.whole_millis(), node, life, call, event);
-                let message = Message::State { node, life, call, request };
+                let message = Message::State {
+                    node,
+                    life,
+                    call,
+                    request,
+                };
                 self.send(Place::Controller(node), Place::State, message);
             }
             Effect::Cloud { call, request } => {
                 self.pending.insert((node, life, call));
-                let event = Event::Cloud { call, reply: CloudReply::Unknown };
+                let event = Event::Cloud {
+                    call,
+                    reply: CloudReply::Unknown,
+                };
                 self.time_out(4_000, node, life, call, event);
-                let message = Message::Cloud { node, life, call, request };
+                let message = Message::Cloud {
+                    node,
+                    life,
+                    call,
+                    request,
+                };
                 self.send(Place::Controller(node), Place::Cloud, message);
             }
-            Effect::Worker { call, address, body, timeout } => {
+            Effect::Worker {
+                call,
+                address,
+                body,
+                timeout,
+            } => {
                 self.pending.insert((node, life, call));
-                let event = Event::Worker { call, reply: DirectReply::Unknown };
+                let event = Event::Worker {
+                    call,
+                    reply: DirectReply::Unknown,
+                };
                 self.time_out(timeout.whole_millis(), node, life, call, event);
                 let machine = address.trim_end_matches(":9000").to_owned();
                 let to = self.machine(&machine);
-                let message = Message::Direct { node, life, call, machine, body };
+                let message = Message::Direct {
+                    node,
+                    life,
+                    call,
+                    machine,
+                    body,
+                };
                 self.send(Place::Controller(node), to, message);
             }
             Effect::Mesh { to, message } => {
@@ -538,7 +636,12 @@
             Effect::Heartbeat { ticket, reply } => {
                 if let Some((machine, number)) = self.report_tickets.remove(&(node, life, ticket)) {
                     let to = self.machine(&machine);
-                    let message = Message::HeartbeatResponse { machine, number, node, reply };
+                    let message = Message::HeartbeatResponse {
+                        machine,
+                        number,
+                        node,
+                        reply,
+                    };
                     self.send(Place::Controller(node), to, message);
                 }
             }
@@ -559,7 +662,12 @@
                 self.note_copy(&message);
                 self.deliver(*message);
             }
-            Happening::LateWrite { node, life, newer_than, txn } => {
+            Happening::LateWrite {
+                node,
+                life,
+                newer_than,
+                txn,
+            } => {
                 self.late_write(node, life, newer_than, txn);
             }
             Happening::LateCommand(message) => self.late_command(*message),
@@ -569,14 +677,21 @@
                 self.feed(to, event);
             }
             Happening::AskAll => self.ask_all(),
-            Happening::Timeout { node, life, call, event } => {
+            Happening::Timeout {
+                node,
+                life,
+                call,
+                event,
+            } => {
                 if self.live(node, life) && self.pending.remove(&(node, life, call)) {
                     self.feed(node, *event);
                 }
             }
             Happening::WatchEnds { node, life, call } => {
-                let waiting =
-                    self.watches.iter().position(|w| (w.0, w.1, w.2) == (node, life, call));
+                let waiting = self
+                    .watches
+                    .iter()
+                    .position(|w| (w.0, w.1, w.2) == (node, life, call));
                 if let Some(at) = waiting {
                     if self.refuses(node) {
                         return;
@@ -598,7 +713,8 @@
                     self.healthy_since[node] = since.or(healthy.then_some(self.now));
                 }
                 let (accepted, asked) = (&self.rules.accepted, &self.rules.cancel_asked);
-                self.served.look(&self.workers, &self.jobs, accepted, asked, self.now);
+                self.served
+                    .look(&self.workers, &self.jobs, accepted, asked, self.now);
                 self.look_for_starved();
                 self.at(self.now + self.terms.step, Happening::Workers);
             }
@@ -609,7 +725,10 @@
                         self.ask(UserRequest::Get(job), id.clone(), 0);
                     }
                     let often = self.cuts.contains(&Cut::Questions);
-                    self.at(self.now + if often { 300 } else { 5_000 }, Happening::Poll { id });
+                    self.at(
+                        self.now + if often { 300 } else { 5_000 },
+                        Happening::Poll { id },
+                    );
                 }
             }
             Happening::Cancel { id } => {
@@ -648,7 +767,9 @@
     fn boot(&mut self, node: usize) {
         self.lives += 1;
         let text = settings(node, self.plan.sabotage, self.plan.size);
-        let Ok(settings) = Settings::parse(&text) else { panic!("settings of the world") };
+        let Ok(settings) = Settings::parse(&text) else {
+            panic!("settings of the world")
+        };
         let rate = 1.0 + self.rng.random_range(-0.0005..0.0005);
         let seed = self.rng.random();
         self.nodes[node] = Some(Running {
@@ -668,7 +789,9 @@
         if !self.live(node, life) {
             return;
         }
-        let Some(frozen) = self.nodes[node].as_mut().and_then(|r| r.frozen.take()) else { return };
+        let Some(frozen) = self.nodes[node].as_mut().and_then(|r| r.frozen.take()) else {
+            return;
+        };
         for effect in frozen.decided {
             self.carry_out(node, life, effect);
         }
--- a/crates/simulator/src/world/network.rs
+++ b/crates/simulator/src/world/network.rs
@@ -4,16 +4,23 @@
 
 impl World {
     pub(super) fn machine(&self, name: &str) -> Place {
-        Place::Machine(name.rsplit('-').next().and_then(|n| n.parse().ok()).unwrap_or(0))
+        Place::Machine(
+            name.rsplit('-')
+                .next()
+                .and_then(|n| n.parse().ok())
+                .unwrap_or(0),
+        )
     }
 
     pub(super) fn zone_of(&self, place: Place) -> Option<String> {
         match place {
             Place::Controller(1) => Some("b".into()),
             Place::Controller(_) => Some("a".into()),
-            Place::Machine(n) => {
-                self.cloud.machines.get(&format!("host-{n:06}")).map(|m| m.zone.clone())
-            }
+            Place::Machine(n) => self
+                .cloud
+                .machines
+                .get(&format!("host-{n:06}"))
+                .map(|m| m.zone.clone()),
             _ => None,
         }
     }
@@ -56,7 +63,9 @@
 
     /// Whether a message is lost on its way to a machine.
     fn is_lost(&self, from: Place, to: Place) -> bool {
-        let (Place::Controller(_), Place::Machine(_)) = (from, to) else { return false };
+        let (Place::Controller(_), Place::Machine(_)) = (from, to) else {
+            return false;
+        };
         self.cuts.iter().any(|cut| match cut {
             Cut::Unreached(name) => self.machine(name) == to,
             Cut::UnreachedZone => self.zone_of(to).is_some_and(|zone| zone == "b"),
@@ -77,7 +86,13 @@
         }
         for _ in 0..self.rng.random_range(1..4) {
             let mut copy = message.clone();
-            if let Message::Heartbeat { node, number, report, .. } = &mut copy {
+            if let Message::Heartbeat {
+                node,
+                number,
+                report,
+                ..
+            } = &mut copy
+            {
                 // Its answer goes to nobody.
                 (*node, *number) = (self.rng.random_range(0..NODES), 0);
                 if self.plan.sabotage == Some(Sabotage::CopiesTrusted) {
@@ -91,8 +106,15 @@
 
     /// Whether a copy of a report is older than what its machine has said since.
     pub(super) fn note_copy(&mut self, message: &Message) {
-        let Message::Heartbeat { machine, report, .. } = message else { return };
-        let Some(worker) = self.workers.get(machine).filter(|w| !w.dead) else { return };
+        let Message::Heartbeat {
+            machine, report, ..
+        } = message
+        else {
+            return;
+        };
+        let Some(worker) = self.workers.get(machine).filter(|w| !w.dead) else {
+            return;
+        };
         self.met.old_reports += u64::from(worker.has_said_more(report));
         self.met.old_sessions += u64::from(report.session < worker.session);
     }
@@ -103,7 +125,9 @@
         if self.is_lost_between_nodes(from, to) {
             return;
         }
-        let Some(message) = self.as_intercepted(message) else { return };
+        let Some(message) = self.as_intercepted(message) else {
+            return;
+        };
         if self.is_lost(from, to) {
             self.met.unheard += 1;
             return;
@@ -127,12 +151,22 @@
     }
 
     pub(super) fn send_mesh(&mut self, node: usize, other: usize, message: MeshMessage) {
-        let Some(life) = self.nodes[other].as_ref().map(|r| r.life) else { return };
-        let Some(message) = self.as_sabotaged(message) else { return };
-        let event =
-            Event::Mesh { from: ControllerName::from(format!("n{node}").as_str()), message };
+        let Some(life) = self.nodes[other].as_ref().map(|r| r.life) else {
+            return;
+        };
+        let Some(message) = self.as_sabotaged(message) else {
+            return;
+        };
+        let event = Event::Mesh {
+            from: ControllerName::from(format!("n{node}").as_str()),
+            message,
+        };
         self.copy_mesh(other, &event);
-        let message = Message::Controller { node: other, life, event };
+        let message = Message::Controller {
+            node: other,
+            life,
+            event,
+        };
         self.send(Place::Controller(node), Place::Controller(other), message);
     }
 
@@ -144,16 +178,31 @@
         call: CallId,
         event: Event,
     ) {
-        let what = Happening::Timeout { node, life, call, event: Box::new(event) };
+        let what = Happening::Timeout {
+            node,
+            life,
+            call,
+            event: Box::new(event),
+        };
         self.at(self.now + after, what);
     }
 
     pub(super) fn deliver(&mut self, message: Message) {
         match message {
-            Message::State { node, life, call, request } => {
+            Message::State {
+                node,
+                life,
+                call,
+                request,
+            } => {
                 self.state_request(node, life, call, request);
             }
-            Message::Cloud { node, life, call, request } => {
+            Message::Cloud {
+                node,
+                life,
+                call,
+                request,
+            } => {
                 let reply = if self.cuts.contains(&Cut::Cloud) {
                     CloudReply::Refused
                 } else {
@@ -173,21 +222,42 @@
                 }
             }
             Message::Controller { node, life, event } => self.node_event(node, life, event),
-            Message::Heartbeat { node, machine, number, report } => {
-                let Some(life) = self.nodes[node].as_ref().map(|r| r.life) else { return };
+            Message::Heartbeat {
+                node,
+                machine,
+                number,
+                report,
+            } => {
+                let Some(life) = self.nodes[node].as_ref().map(|r| r.life) else {
+                    return;
+                };
                 self.next_ticket += 1;
                 let ticket = self.next_ticket;
-                self.report_tickets.insert((node, life, ticket), (machine, number));
+                self.report_tickets
+                    .insert((node, life, ticket), (machine, number));
                 self.feed(node, Event::Heartbeat { ticket, report });
             }
-            Message::HeartbeatResponse { machine, number, node, reply } => {
+            Message::HeartbeatResponse {
+                machine,
+                number,
+                node,
+                reply,
+            } => {
                 self.report_answer(&machine, number, node, reply);
             }
-            Message::Direct { node, life, call, machine, body } => {
+            Message::Direct {
+                node,
+                life,
+                call,
+                machine,
+                body,
+            } => {
                 let now = self.now;
                 let from = self.machine(&machine);
                 self.note_told(&machine);
-                let Some(worker) = self.workers.get_mut(&machine) else { return };
+                let Some(worker) = self.workers.get_mut(&machine) else {
+                    return;
+                };
                 if worker.dead {
                     return;
                 }
@@ -199,11 +269,19 @@
                     worker.direct(body.token, body.session, &body.commands, now, &self.jobs);
                 let report = Box::new(worker.report());
                 if executed {
-                    self.takeovers.told(&machine, body.token, starts(&body.commands), now);
+                    self.takeovers
+                        .told(&machine, body.token, starts(&body.commands), now);
                     self.note_launch(&machine, &body.commands);
                 }
-                let event = Event::Worker { call, reply: DirectReply::Answered(report) };
-                self.send(from, Place::Controller(node), Message::Controller { node, life, event });
+                let event = Event::Worker {
+                    call,
+                    reply: DirectReply::Answered(report),
+                };
+                self.send(
+                    from,
+                    Place::Controller(node),
+                    Message::Controller { node, life, event },
+                );
             }
         }
     }
--- a/crates/simulator/src/world/odd_requests.rs
+++ b/crates/simulator/src/world/odd_requests.rs
@@ -43,8 +43,12 @@
 
     fn repeat_unfinished(&mut self) {
         let unfinished = self.unfinished();
-        let Some(id) = self.any_of(unfinished) else { return };
-        let Some(job) = self.jobs.get(&id).cloned() else { return };
+        let Some(id) = self.any_of(unfinished) else {
+            return;
+        };
+        let Some(job) = self.jobs.get(&id).cloned() else {
+            return;
+        };
         self.met.repeated_unfinished += 1;
         self.ask(UserRequest::Submit(Box::new(job)), id, LAST_TRY);
     }
@@ -78,9 +82,13 @@
     fn submit_incomplete(&mut self) {
         let job = self.one_task();
         let id = job.id.clone();
-        let Ok(serde_json::Value::Object(mut body)) = serde_json::to_value(&job) else { return };
+        let Ok(serde_json::Value::Object(mut body)) = serde_json::to_value(&job) else {
+            return;
+        };
         let nth = self.rng.random_range(0..body.len());
-        let Some(field) = body.keys().nth(nth).cloned() else { return };
+        let Some(field) = body.keys().nth(nth).cloned() else {
+            return;
+        };
         let removed = body.remove(&field);
         if self.plan.sabotage == Some(Sabotage::MissingFieldsFilled) {
             body.extend(removed.map(|value| (field, value)));
@@ -95,7 +103,9 @@
 
     /// An answer about an odd job: it has to be refused in the right way, and is unknown for ever.
     pub(super) fn odd_answer(&mut self, asked: Asked, expected: Refusal, reply: UserReply) {
-        let Asked { request, id, tries, .. } = asked;
+        let Asked {
+            request, id, tries, ..
+        } = asked;
         match reply {
             UserReply::Created(_) | UserReply::Status(_) => {
                 let what = format!("{id}, {expected:?}: {reply:?}");
@@ -125,7 +135,11 @@
         }
         let Some(job) = JobId::parse(&id) else { return };
         for node in 0..NODES {
-            let what = Happening::Look { node, request: UserRequest::Get(job), id: id.clone() };
+            let what = Happening::Look {
+                node,
+                request: UserRequest::Get(job),
+                id: id.clone(),
+            };
             self.at(self.now + 3, what);
         }
     }
--- a/crates/simulator/src/world/outgoing.rs
+++ b/crates/simulator/src/world/outgoing.rs
@@ -23,7 +23,9 @@
     }
 
     pub(super) fn record(&mut self, node: usize, life: u64, effect: &Effect) {
-        let Some(recorder) = &mut self.recorder else { return };
+        let Some(recorder) = &mut self.recorder else {
+            return;
+        };
         let reporter = match effect {
             Effect::Heartbeat { ticket, .. } => self.report_tickets.get(&(node, life, *ticket)),
             _ => None,
--- a/crates/simulator/src/world/plan.rs
+++ b/crates/simulator/src/world/plan.rs
@@ -183,7 +183,14 @@
     pub fn of_long_tasks(seed: u64, ms: u64, mut faults: Vec<(u64, Fault)>) -> Self {
         faults.insert(0, (0, Fault::Long { times: 30, ms }));
         faults.insert(1, (2_000, Fault::Burst { jobs: 24 }));
-        Plan { seed, ms, faults, sabotage: None, submit_ms: 40_000, size: 1 + seed % 2 }
+        Plan {
+            seed,
+            ms,
+            faults,
+            sabotage: None,
+            submit_ms: 40_000,
+            size: 1 + seed % 2,
+        }
     }
 }
 
--- a/crates/simulator/src/world/sabotage.rs
+++ b/crates/simulator/src/world/sabotage.rs
@@ -14,7 +14,9 @@
 
     /// A message as followers get it: with lies, or in part.
     pub(super) fn as_sabotaged(&mut self, message: MeshMessage) -> Option<MeshMessage> {
-        let MeshMessage::Replication(mut part) = message else { return Some(message) };
+        let MeshMessage::Replication(mut part) = message else {
+            return Some(message);
+        };
         match self.plan.sabotage {
             Some(Sabotage::HintsLie) => {
                 let names: Vec<String> = self.cloud.machines.keys().cloned().collect();
@@ -38,9 +40,10 @@
     pub(super) fn without_some_launches(&self, mut message: Message) -> Message {
         let sabotaged = self.plan.sabotage == Some(Sabotage::SomeNeverStarted);
         let commands = match &mut message {
-            Message::HeartbeatResponse { reply: HeartbeatReply::Answer(answer), .. } => {
-                &mut answer.commands
-            }
+            Message::HeartbeatResponse {
+                reply: HeartbeatReply::Answer(answer),
+                ..
+            } => &mut answer.commands,
             Message::Direct { body, .. } => &mut body.commands,
             _ => return message,
         };
@@ -57,7 +60,9 @@
     }
 
     pub(super) fn lie(&mut self, hint: &mut ReplicatedRecord, names: &[String]) {
-        let Some(other) = names.get(self.rng.random_range(0..names.len().max(1))) else { return };
+        let Some(other) = names.get(self.rng.random_range(0..names.len().max(1))) else {
+            return;
+        };
         match hint {
             ReplicatedRecord::Machine(hint) => match self.rng.random_range(0..9) {
                 0 => hint.address = format!("{other}:9000"),
--- a/crates/simulator/src/world/site.rs
+++ b/crates/simulator/src/world/site.rs
@@ -47,7 +47,10 @@
         match size {
             0..=1 => small,
             // A grown site is allowed no more than a small one.
-            2..FLEET => Terms { write_rps: GROWN_WRITES, ..small },
+            2..FLEET => Terms {
+                write_rps: GROWN_WRITES,
+                ..small
+            },
             _ => Terms {
                 report: 5_000,
                 lease: 26_500,
@@ -81,12 +84,27 @@
         })
         .chain(["[[settings.teams]]\nname = \"guest\"\ncpus = 0.0\ncpus_max = 0.0\n".to_owned()])
         .collect();
-    let Terms { report, lease, cancel, rps, write_rps, .. } = Terms::of(size);
+    let Terms {
+        report,
+        lease,
+        cancel,
+        rps,
+        write_rps,
+        ..
+    } = Terms::of(size);
     let value_kb = if size > 1 { 4 } else { 1 };
     let seconds = |ms: u64| ms as f64 / 1_000.0;
     let report = seconds(report);
-    let lease = if sabotage == Some(Sabotage::ShortLease) { 1.0 } else { seconds(lease) };
-    let cancel = if sabotage == Some(Sabotage::LongCancel) { 300.0 } else { seconds(cancel) };
+    let lease = if sabotage == Some(Sabotage::ShortLease) {
+        1.0
+    } else {
+        seconds(lease)
+    };
+    let cancel = if sabotage == Some(Sabotage::LongCancel) {
+        300.0
+    } else {
+        seconds(cancel)
+    };
     format!(
         "member = \"n{node}\"\nzone = \"{}\"\nserve_on = \"10.0.0.{node}:80\"\n\
          mesh_addr = \"10.0.0.{node}:81\"\n{peers}\n\
--- a/crates/simulator/src/world/state.rs
+++ b/crates/simulator/src/world/state.rs
@@ -5,7 +5,9 @@
 
 /// Partitions whose records a request writes, with the new terms.
 fn holders_written(request: &StateRequest) -> Vec<(u32, u64)> {
-    let StateRequest::Transaction(txn) = request else { return Vec::new() };
+    let StateRequest::Transaction(txn) = request else {
+        return Vec::new();
+    };
     let record = |write: &Write| match write {
         Write::Put { put, value, .. } => {
             let partition = put.strip_prefix("s/p/")?.parse().ok()?;
@@ -19,7 +21,9 @@
 /// Strikes out who may still answer the workers of a partition.
 fn forget_predecessors(writes: &mut [Write]) {
     for write in writes {
-        let Write::Put { put, value, .. } = write else { continue };
+        let Write::Put { put, value, .. } = write else {
+            continue;
+        };
         if put == "s/t" || put.starts_with("s/p/") {
             for field in ["takers", "suspects"] {
                 match value.get_mut(field) {
@@ -34,7 +38,9 @@
 
 /// Whether final states of jobs are written.
 fn writes_end(writes: &[Write]) -> bool {
-    writes.iter().any(|write| matches!(write, Write::Put { put, .. } if put.starts_with("s/e/")))
+    writes
+        .iter()
+        .any(|write| matches!(write, Write::Put { put, .. } if put.starts_with("s/e/")))
 }
 
 impl World {
@@ -57,16 +63,25 @@
             self.state_answer(node, life, call, StateReply::Refused { throttled: false });
             return;
         }
-        if let StateRequest::Watch { prefix, after, wait_ms } = &request {
+        if let StateRequest::Watch {
+            prefix,
+            after,
+            wait_ms,
+        } = &request
+        {
             if *wait_ms == 0 && self.plan.sabotage == Some(Sabotage::FreshReadsOld) {
-                let nothing = Changes { revision: *after, events: Vec::new() };
+                let nothing = Changes {
+                    revision: *after,
+                    events: Vec::new(),
+                };
                 self.state_answer(node, life, call, StateReply::Changes(nothing));
                 return;
             }
             match self.state.changes(prefix, *after) {
                 Some(reply) => self.state_answer(node, life, call, reply),
                 None => {
-                    self.watches.push((node, life, call, prefix.clone(), *after));
+                    self.watches
+                        .push((node, life, call, prefix.clone(), *after));
                     let what = Happening::WatchEnds { node, life, call };
                     self.at(self.now + wait_ms, what);
                 }
@@ -117,8 +132,10 @@
         pretend: bool,
     ) -> StateReply {
         let records = holders_written(request);
-        let before: Vec<Option<String>> =
-            records.iter().map(|(p, _)| self.holder(*p).map(str::to_owned)).collect();
+        let before: Vec<Option<String>> = records
+            .iter()
+            .map(|(p, _)| self.holder(*p).map(str::to_owned))
+            .collect();
         let reply = if pretend {
             StateReply::Committed { revision: 0 }
         } else if self.is_read_late(request) {
@@ -130,7 +147,8 @@
             for ((partition, term), before) in records.into_iter().zip(before) {
                 let living = self.living_of(partition);
                 self.next_holder_begins(&living, partition);
-                self.takeovers.taken(partition, before.as_deref(), term, living, self.now);
+                self.takeovers
+                    .taken(partition, before.as_deref(), term, living, self.now);
             }
             if matches!(request, StateRequest::Transaction(_)) {
                 self.carried_out[node] += 1;
@@ -141,7 +159,9 @@
 
     /// Whether a transaction gets no answer and is carried out later, if there are such at present.
     fn is_late(&mut self, node: usize, life: u64, request: &StateRequest) -> bool {
-        let StateRequest::Transaction(txn) = request else { return false };
+        let StateRequest::Transaction(txn) = request else {
+            return false;
+        };
         let percent = self.cuts.iter().find_map(|cut| match cut {
             Cut::LateWrites(percent) => Some(*percent),
             _ => None,
@@ -149,7 +169,12 @@
         let late = percent.is_some_and(|p| self.rng.random_range(0..100) < p);
         if late {
             let newer_than = self.carried_out[node];
-            let what = Happening::LateWrite { node, life, newer_than, txn: txn.clone() };
+            let what = Happening::LateWrite {
+                node,
+                life,
+                newer_than,
+                txn: txn.clone(),
+            };
             let after = self.rng.random_range(2_000..12_000);
             self.at(self.now + after, what);
         }
--- a/crates/simulator/src/world/users.rs
+++ b/crates/simulator/src/world/users.rs
@@ -36,7 +36,11 @@
         let mistaken = self.cuts.contains(&Cut::Mistakes) && self.rng.random_bool(0.4);
         // One of six teams, or two thirds of all for one of them: ten times what each other has.
         let heavy = self.cuts.contains(&Cut::Heavy) && self.rng.random_range(0..15) < 9;
-        let team = if heavy { 0 } else { self.rng.random_range(0..6) };
+        let team = if heavy {
+            0
+        } else {
+            self.rng.random_range(0..6)
+        };
         let job = JobRequest {
             id: id.clone(),
             class: if mistaken { MISTAKEN } else { "c" }.into(),
@@ -90,7 +94,14 @@
             // A retry may arrive at any later time.
             let after = self.rng.random_range(500..40_000);
             let request = UserRequest::Submit(Box::new(job));
-            self.at(self.now + after, Happening::Ask { request, id: id.clone(), tries: 50 });
+            self.at(
+                self.now + after,
+                Happening::Ask {
+                    request,
+                    id: id.clone(),
+                    tries: 50,
+                },
+            );
         }
         if self.rng.random_bool(0.05) {
             self.ask(UserRequest::Get(JobId(900_001)), "j-900001".into(), 0);
@@ -118,7 +129,11 @@
         let alive: Vec<usize> = (0..NODES).filter(reached).collect();
         if alive.is_empty() {
             if tries < LAST_TRY {
-                let what = Happening::Ask { request, id, tries: tries + 1 };
+                let what = Happening::Ask {
+                    request,
+                    id,
+                    tries: tries + 1,
+                };
                 self.at(self.now + 1_000, what);
             }
             return;
@@ -128,11 +143,18 @@
     }
 
     pub(super) fn ask_node(&mut self, node: usize, request: UserRequest, id: String, tries: u32) {
-        let Some(life) = self.nodes[node].as_ref().map(|r| r.life) else { return };
+        let Some(life) = self.nodes[node].as_ref().map(|r| r.life) else {
+            return;
+        };
         self.next_ticket += 1;
         let ticket = self.next_ticket;
         let sent = self.rules.history.next_instant(self.now);
-        let asked = Asked { request: request.clone(), id, tries, sent };
+        let asked = Asked {
+            request: request.clone(),
+            id,
+            tries,
+            sent,
+        };
         self.tickets.insert((node, life, ticket), asked);
         self.feed(node, Event::User { ticket, request });
     }
@@ -172,7 +194,12 @@
             self.odd_answer(asked, expected, reply);
             return;
         }
-        let Asked { request, id, tries, sent } = asked;
+        let Asked {
+            request,
+            id,
+            tries,
+            sent,
+        } = asked;
         let now = self.now;
         let unanswered = self.plan.sabotage == Some(Sabotage::SomeUnanswered)
             && JobId::parse(&id).is_some_and(|job| job.0 % 49 == 0);
@@ -184,7 +211,8 @@
                 let first = self.submitted.get(&id).copied().unwrap_or(now);
                 self.accept_ms.push(now - first);
                 self.rules.accepted.entry(id.clone()).or_insert(now);
-                self.rules.told(&id, JobState::Queued, &self.jobs, sent, now);
+                self.rules
+                    .told(&id, JobState::Queued, &self.jobs, sent, now);
                 self.look_closely(&id, Confirmation::Accepted);
             }
             UserReply::Status(status) => {
@@ -206,7 +234,11 @@
                 self.rules.told_missing(&id, Answer::Missing, sent, now);
                 if let UserRequest::Cancel(_) = request {
                     // Its submission may still be under way.
-                    let what = Happening::Ask { request, id, tries: tries + 1 };
+                    let what = Happening::Ask {
+                        request,
+                        id,
+                        tries: tries + 1,
+                    };
                     if tries < 30 {
                         self.at(now + 2_000, what);
                     }
@@ -231,7 +263,11 @@
         retry_after_s: u64,
     ) {
         if !matches!(request, UserRequest::Get(_)) && tries < LAST_TRY {
-            let what = Happening::Ask { request, id, tries: tries + 1 };
+            let what = Happening::Ask {
+                request,
+                id,
+                tries: tries + 1,
+            };
             self.at(self.now + retry_after_s.max(1) * 1_000, what);
         }
     }
--- a/crates/simulator/tests/days.rs
+++ b/crates/simulator/tests/days.rs
@@ -14,12 +14,22 @@
     let said = format!("{what}, seed {seed}, size {size}");
     // A large site is asked for what it has, not more: 1,300 machines are up after 45 s.
     let submit_ms = if size == LARGE { 60_000 } else { ms * 3 / 5 };
-    let plan = Plan { seed, ms, faults, sabotage: None, submit_ms, size };
+    let plan = Plan {
+        seed,
+        ms,
+        faults,
+        sabotage: None,
+        submit_ms,
+        size,
+    };
     let mut world = World::new(plan);
     world.run();
     assert_eq!(world.rules.broken, [], "{said}");
     let (of, part) = world.least_served(ms / 4).expect("something was asked for");
-    println!("{said}: least served {of}, {part:.2}; {} starts", world.rules.started);
+    println!(
+        "{said}: least served {of}, {part:.2}; {} starts",
+        world.rules.started
+    );
     assert!(part >= 0.5, "{said}: {part:.2} of {of}");
     world
 }
@@ -75,13 +85,21 @@
 /// may ask for its home, and is gone before it has heard its machines.
 #[test]
 fn one_node_ends_again_and_again_for_a_minute() {
-    for (seed, every) in [(1, 300..900), (2, 900..2_000), (3, 2_000..5_000), (4, 300..5_000)] {
+    for (seed, every) in [
+        (1, 300..900),
+        (2, 900..2_000),
+        (3, 2_000..5_000),
+        (4, 300..5_000),
+    ] {
         let mut rng = SmallRng::seed_from_u64(seed);
         let node = rng.random_range(0..3);
         let faults = ends_in_a_row(&mut rng, node, 50_000, 110_000, every);
         let ends = faults.len();
         let world = day("one loops", seed, 20, 230_000, faults);
-        println!("{ends} ends, {} tasks killed by their lease", world.killed_by_lease());
+        println!(
+            "{ends} ends, {} tasks killed by their lease",
+            world.killed_by_lease()
+        );
         assert_eq!(world.killed_by_lease(), 0, "seed {seed}");
     }
 }
@@ -118,7 +136,13 @@
     let mut faults = vec![
         (1_000, Fault::Burst { jobs: 150 }),
         (46_000, Fault::KillMany { count: 220 }),
-        (70_000, Fault::Refuse { node: None, ms: 12_000 }),
+        (
+            70_000,
+            Fault::Refuse {
+                node: None,
+                ms: 12_000,
+            },
+        ),
     ];
     faults.extend(all(46_200));
     faults.extend(all(76_000));
@@ -131,7 +155,10 @@
 #[test]
 #[ignore = "hundreds of seeds at the operators' size"]
 fn many_seeds_at_half_as_many_machines_again() {
-    let seeds = std::env::var("SEEDS").ok().and_then(|n| n.parse().ok()).unwrap_or(500);
+    let seeds = std::env::var("SEEDS")
+        .ok()
+        .and_then(|n| n.parse().ok())
+        .unwrap_or(500);
     for_seeds(seeds, |seed| {
         day("drawn", seed, LARGE, 190_000, drawn(seed));
     });
@@ -147,7 +174,10 @@
         let node = rng.random_range(0..3);
         let count = rng.random_range(50..250);
         let fault = match rng.random_range(0..12) {
-            0..=3 => Fault::Crash { node, back: rng.random_range(50..500) },
+            0..=3 => Fault::Crash {
+                node,
+                back: rng.random_range(50..500),
+            },
             4 => Fault::KillMany { count },
             5 => Fault::HangMany { count, ms },
             6 => Fault::Refuse { node: None, ms },
@@ -155,7 +185,10 @@
             8 => Fault::CutWorkers { node, ms },
             9 => Fault::SlowState { times: 20, ms },
             10 => Fault::Burst { jobs: 60 },
-            _ => Fault::Freeze { node, ms: ms.min(9_000) },
+            _ => Fault::Freeze {
+                node,
+                ms: ms.min(9_000),
+            },
         };
         faults.push((at, fault));
     }
--- a/crates/simulator/tests/end_of_day.rs
+++ b/crates/simulator/tests/end_of_day.rs
@@ -19,9 +19,19 @@
             0 | 1 => Fault::Unreached { count, ms },
             2 => Fault::UnreachedZone { ms },
             3 | 4 => Fault::Copies { ms },
-            5..=7 => Fault::Blind { node, ms, refused: rng.random_bool(0.5) },
-            8 | 9 => Fault::Crash { node, back: rng.random_range(50..1_000) },
-            10 => Fault::Refuse { node: None, ms: ms.min(20_000) },
+            5..=7 => Fault::Blind {
+                node,
+                ms,
+                refused: rng.random_bool(0.5),
+            },
+            8 | 9 => Fault::Crash {
+                node,
+                back: rng.random_range(50..1_000),
+            },
+            10 => Fault::Refuse {
+                node: None,
+                ms: ms.min(20_000),
+            },
             _ => Fault::KillMany { count },
         };
         (at, fault)
@@ -30,7 +40,14 @@
 }
 
 fn plan(seed: u64, size: u64, faults: Vec<(u64, Fault)>) -> Plan {
-    Plan { seed, ms: 300_000, faults, sabotage: None, submit_ms: 150_000, size }
+    Plan {
+        seed,
+        ms: 300_000,
+        faults,
+        sabotage: None,
+        submit_ms: 150_000,
+        size,
+    }
 }
 
 /// Runs a day and checks its end.
@@ -40,7 +57,10 @@
     world.run();
     assert_eq!(world.rules.broken, [], "{said}");
     let (of, part) = world.least_served(75_000).expect("something was asked for");
-    println!("{what}: least served {of}, {part:.2}; {} starts", world.rules.started);
+    println!(
+        "{what}: least served {of}, {part:.2}; {} starts",
+        world.rules.started
+    );
     assert!(part >= 0.5, "{said}: {part:.2} of {of}");
     world
 }
@@ -80,9 +100,29 @@
     for seed in 1..=8 {
         let node = (seed % 3) as usize;
         let faults = vec![
-            (50_000, Fault::Blind { node, ms: 3_000 + seed * 4_000, refused: seed % 2 == 0 }),
-            (110_000, Fault::Blind { node: (node + 1) % 3, ms: 30_000, refused: seed % 2 == 1 }),
-            (112_000, Fault::Crash { node: (node + 2) % 3, back: 100 }),
+            (
+                50_000,
+                Fault::Blind {
+                    node,
+                    ms: 3_000 + seed * 4_000,
+                    refused: seed % 2 == 0,
+                },
+            ),
+            (
+                110_000,
+                Fault::Blind {
+                    node: (node + 1) % 3,
+                    ms: 30_000,
+                    refused: seed % 2 == 1,
+                },
+            ),
+            (
+                112_000,
+                Fault::Crash {
+                    node: (node + 2) % 3,
+                    back: 100,
+                },
+            ),
         ];
         let world = day("blind", plan(seed, 1 + seed % 2, faults));
         assert_eq!(world.killed_by_lease(), 0, "seed {seed}");
@@ -114,7 +154,10 @@
 #[ignore = "hundreds of seeds"]
 fn many_seeds() {
     let number = |name: &str, usual: u64| {
-        std::env::var(name).ok().and_then(|n| n.parse().ok()).unwrap_or(usual)
+        std::env::var(name)
+            .ok()
+            .and_then(|n| n.parse().ok())
+            .unwrap_or(usual)
     };
     let (seeds, size) = (number("SEEDS", 500), number("SIZE", 160));
     for_seeds(seeds, |seed| {
@@ -122,7 +165,13 @@
         // A large site is asked for what it has.
         let submit_ms = if size > 100 { 60_000 } else { 150_000 };
         let drawn = troubles(seed, 8, size.min(40));
-        day("many", Plan { submit_ms, ..plan(seed, size, drawn) });
+        day(
+            "many",
+            Plan {
+                submit_ms,
+                ..plan(seed, size, drawn)
+            },
+        );
     });
 }
 
@@ -132,13 +181,40 @@
 fn low_arrays_do_not_wait_beside_room_for_them() {
     let faults = vec![
         (1_000, Fault::Burst { jobs: 400 }),
-        (40_000, Fault::Crash { node: 1, back: 6_000 }),
+        (
+            40_000,
+            Fault::Crash {
+                node: 1,
+                back: 6_000,
+            },
+        ),
         (55_000, Fault::CutMachine { nth: 7, ms: 20_000 }),
-        (60_000, Fault::Refuse { node: None, ms: 12_000 }),
-        (80_000, Fault::Crash { node: 0, back: 6_000 }),
-        (80_000, Fault::Crash { node: 2, back: 6_000 }),
+        (
+            60_000,
+            Fault::Refuse {
+                node: None,
+                ms: 12_000,
+            },
+        ),
+        (
+            80_000,
+            Fault::Crash {
+                node: 0,
+                back: 6_000,
+            },
+        ),
+        (
+            80_000,
+            Fault::Crash {
+                node: 2,
+                back: 6_000,
+            },
+        ),
     ];
-    let mut world = World::new(Plan { submit_ms: 100_000, ..plan(1, 30, faults) });
+    let mut world = World::new(Plan {
+        submit_ms: 100_000,
+        ..plan(1, 30, faults)
+    });
     world.run();
     assert_eq!(world.starved_low, [""; 0]);
 }
@@ -147,17 +223,30 @@
 fn is_caught(sabotage: Sabotage, rules: &[&str]) {
     let caught = (1..=12).any(|seed| {
         let faults = troubles(seed, 7, 1);
-        let faults = faults.into_iter().chain([(30_000, Fault::Copies { ms: 100_000 })]).collect();
-        let mut world = World::new(Plan { sabotage: Some(sabotage), ..plan(seed, 1, faults) });
+        let faults = faults
+            .into_iter()
+            .chain([(30_000, Fault::Copies { ms: 100_000 })])
+            .collect();
+        let mut world = World::new(Plan {
+            sabotage: Some(sabotage),
+            ..plan(seed, 1, faults)
+        });
         world.run();
-        world.rules.broken.iter().any(|broken| rules.contains(&broken.rule))
+        world
+            .rules
+            .broken
+            .iter()
+            .any(|broken| rules.contains(&broken.rule))
     });
     assert!(caught, "{sabotage:?}");
 }
 
 #[test]
 fn copies_that_pass_for_new_reports_are_caught() {
-    is_caught(Sabotage::CopiesTrusted, &["ran_twice", "quota", "wrong_place", "ran_cancelled"]);
+    is_caught(
+        Sabotage::CopiesTrusted,
+        &["ran_twice", "quota", "wrong_place", "ran_cancelled"],
+    );
 }
 
 #[test]
--- a/crates/simulator/tests/fingerprint.rs
+++ b/crates/simulator/tests/fingerprint.rs
@@ -10,12 +10,19 @@
 
 fn digest(run: &Run) -> u128 {
     let outcome = run.play(Recorder::default());
-    assert_eq!(outcome.broken, 0, "{}: broken rules end a run early", run.name);
+    assert_eq!(
+        outcome.broken, 0,
+        "{}: broken rules end a run early",
+        run.name
+    );
     outcome.recorder.digest()
 }
 
 fn run_named(name: &str) -> Run {
-    all_runs().into_iter().find(|run| run.name == name).expect("a run of this name")
+    all_runs()
+        .into_iter()
+        .find(|run| run.name == name)
+        .expect("a run of this name")
 }
 
 #[test]
@@ -49,7 +56,11 @@
     for run in short_runs() {
         now.insert(&run.name, digest(&run));
     }
-    assert_eq!(now.differing(&stored), Vec::<&str>::new(), "what leaves the controllers differs");
+    assert_eq!(
+        now.differing(&stored),
+        Vec::<&str>::new(),
+        "what leaves the controllers differs"
+    );
     assert_eq!(now, stored, "the stored list has other runs");
 }
 
--- a/crates/simulator/tests/fleet.rs
+++ b/crates/simulator/tests/fleet.rs
@@ -8,10 +8,21 @@
 fn fleet(seed: u64, ms: u64, mut faults: Vec<(u64, Fault)>) -> World {
     faults.insert(0, (1_000, Fault::Burst { jobs: 900 }));
     faults.push((25_000, Fault::Burst { jobs: 400 }));
-    let plan = Plan { seed, ms, faults, sabotage: None, submit_ms: 60_000, size: 107 };
+    let plan = Plan {
+        seed,
+        ms,
+        faults,
+        sabotage: None,
+        submit_ms: 60_000,
+        size: 107,
+    };
     let mut world = World::new(plan);
     world.run_to(45_000);
-    assert!(world.machines_up() > 700, "seed {seed}: {} machines", world.machines_up());
+    assert!(
+        world.machines_up() > 700,
+        "seed {seed}: {} machines",
+        world.machines_up()
+    );
     world
 }
 
@@ -24,7 +35,10 @@
             return at - from;
         }
     }
-    panic!("{} tasks have started within 60 s", world.rules.started - before);
+    panic!(
+        "{} tasks have started within 60 s",
+        world.rules.started - before
+    );
 }
 
 #[test]
@@ -33,25 +47,50 @@
     let mut world = fleet(1, 80_000, (0..3).map(crash).collect());
     world.run_to(54_000);
     let took = until_started(&mut world, 54_000, 50);
-    assert!(took <= 8_000, "the first starts came {took} ms after the controllers");
+    assert!(
+        took <= 8_000,
+        "the first starts came {took} ms after the controllers"
+    );
     world.run();
     assert_eq!(world.rules.broken, []);
-    assert_eq!(world.killed_by_lease(), 0, "tasks killed for want of an answer");
+    assert_eq!(
+        world.killed_by_lease(),
+        0,
+        "tasks killed for want of an answer"
+    );
 }
 
 #[test]
 fn controllers_are_rolled_while_a_burst_comes_and_the_state_service_is_out() {
     let mut faults: Vec<(u64, Fault)> = (0..3)
-        .map(|n| (46_000 + n * 20_000, Fault::Crash { node: n as usize, back: 6_000 }))
+        .map(|n| {
+            (
+                46_000 + n * 20_000,
+                Fault::Crash {
+                    node: n as usize,
+                    back: 6_000,
+                },
+            )
+        })
         .collect();
     faults.push((50_000, Fault::Burst { jobs: 250 }));
-    faults.push((58_000, Fault::Refuse { node: None, ms: 25_000 }));
+    faults.push((
+        58_000,
+        Fault::Refuse {
+            node: None,
+            ms: 25_000,
+        },
+    ));
     let mut world = fleet(2, 120_000, faults);
     world.run();
     assert_eq!(world.rules.broken, []);
     // A controller that ends within the outage has no successor before its end, 17 s later: that and
     // the time since their last report leave some workers less than a second of their lease.
-    assert!(world.killed_by_lease() <= 10, "{} tasks killed", world.killed_by_lease());
+    assert!(
+        world.killed_by_lease() <= 10,
+        "{} tasks killed",
+        world.killed_by_lease()
+    );
 }
 
 /// Half of the machines and a controller are away for longer than every lease, the state service is
@@ -60,7 +99,13 @@
 fn a_zone_is_away_while_the_state_service_is_slow_and_a_controller_stands_still() {
     let faults = vec![
         (46_000, Fault::CutZone { ms: 45_000 }),
-        (55_000, Fault::SlowState { times: 30, ms: 30_000 }),
+        (
+            55_000,
+            Fault::SlowState {
+                times: 30,
+                ms: 30_000,
+            },
+        ),
         (60_000, Fault::Freeze { node: 2, ms: 9_000 }),
     ];
     let mut world = fleet(3, 115_000, faults);
@@ -73,7 +118,13 @@
 #[test]
 fn machines_hang_end_and_fail_by_the_hundred() {
     let faults = vec![
-        (46_000, Fault::HangMany { count: 150, ms: 35_000 }),
+        (
+            46_000,
+            Fault::HangMany {
+                count: 150,
+                ms: 35_000,
+            },
+        ),
         (55_000, Fault::KillMany { count: 150 }),
         (62_000, Fault::SickMany { count: 100 }),
     ];
--- a/crates/simulator/tests/golden_admin.rs
+++ b/crates/simulator/tests/golden_admin.rs
@@ -22,35 +22,59 @@
 const BOOT: u64 = 256;
 
 fn ask(node: &mut Controller, request: AdminRequest) -> Vec<Effect> {
-    node.handle(ASKED_AT, Event::Admin { ticket: TICKET, request })
+    node.handle(
+        ASKED_AT,
+        Event::Admin {
+            ticket: TICKET,
+            request,
+        },
+    )
 }
 
 /// The answer among a node's effects, as its status and its body.
 fn answer(effects: &[Effect]) -> Option<String> {
     effects.iter().find_map(|effect| match effect {
-        Effect::Admin { ticket: TICKET, reply } => {
-            Some(format!("{} {}", reply.status, golden::to_json(&reply.body)))
-        }
+        Effect::Admin {
+            ticket: TICKET,
+            reply,
+        } => Some(format!("{} {}", reply.status, golden::to_json(&reply.body))),
         _ => None,
     })
 }
 
 fn view(node: &mut Controller, name: &'static str, request: AdminRequest) -> Entry {
     let effects = ask(node, request);
-    Entry::text(name, answer(&effects).unwrap_or_else(|| panic!("{name} is answered at once")))
+    Entry::text(
+        name,
+        answer(&effects).unwrap_or_else(|| panic!("{name} is answered at once")),
+    )
 }
 
 fn from_peer(message: MeshMessage) -> Event {
-    Event::Mesh { from: ControllerName::from("n1"), message }
+    Event::Mesh {
+        from: ControllerName::from("n1"),
+        message,
+    }
 }
 
 fn sign_of_life() -> MeshMessage {
     let heard = vec![("n0".to_owned(), 20)];
-    MeshMessage::Heartbeat { incarnation: 9, revision: 1, state_contact: true, ready: true, heard }
+    MeshMessage::Heartbeat {
+        incarnation: 9,
+        revision: 1,
+        state_contact: true,
+        ready: true,
+        heard,
+    }
 }
 
 fn follow() -> MeshMessage {
-    MeshMessage::Subscribe { partition: 0, incarnation: BOOT, term: 1, have: 0 }
+    MeshMessage::Subscribe {
+        partition: 0,
+        incarnation: BOOT,
+        term: 1,
+        have: 0,
+    }
 }
 
 /// A node on whose machines an array and a service run, with more that waits.
@@ -103,7 +127,10 @@
     }
     let effects = solo.node().handle(
         Timestamp::from_millis(30_000),
-        Event::Admin { ticket: TICKET, request: AdminRequest::Metrics },
+        Event::Admin {
+            ticket: TICKET,
+            request: AdminRequest::Metrics,
+        },
     );
     let answer = answer(&effects).expect("an answer");
     let body: Value = serde_json::from_str(answer.trim_start_matches("200 ")).expect("JSON");
@@ -112,7 +139,10 @@
 }
 
 fn change(settings: Value) -> AdminRequest {
-    AdminRequest::ChangeSettings { version: 7, settings }
+    AdminRequest::ChangeSettings {
+        version: 7,
+        settings,
+    }
 }
 
 #[test]
@@ -123,14 +153,26 @@
         view(node, "unknown_field", change(json!({ "lease_s": 3.0 }))),
         view(node, "wrong_type", change(json!({ "window": "many" }))),
         view(node, "out_of_bounds", change(json!({ "window": 0 }))),
-        view(node, "below_another", change(json!({ "max_backoff_s": 0.01 }))),
-        view(node, "initial_backoff", change(json!({ "initial_backoff_s": 0.0 }))),
+        view(
+            node,
+            "below_another",
+            change(json!({ "max_backoff_s": 0.01 })),
+        ),
+        view(
+            node,
+            "initial_backoff",
+            change(json!({ "initial_backoff_s": 0.0 })),
+        ),
         view(node, "leftover", change(json!({ "leftover_s": 0.0 }))),
         view(node, "silence", change(json!({ "silence_s": 0.0 }))),
         view(node, "faulty_after", change(json!({ "faulty_after": 0 }))),
         view(node, "set_back", change(json!({ "set_back": 1001 }))),
         view(node, "absorb", change(json!({ "absorb_s": -1.0 }))),
-        view(node, "short_set_back", change(json!({ "short_set_back": 1001 }))),
+        view(
+            node,
+            "short_set_back",
+            change(json!({ "short_set_back": 1001 })),
+        ),
         view(node, "horizon", change(json!({ "horizon_s": 0.0 }))),
         view(node, "keep_idle", change(json!({ "keep_idle_s": -1.0 }))),
         view(node, "paid", change(json!({ "paid_s": -1.0 }))),
@@ -145,12 +187,20 @@
 
 /// Asks for a change; returns the transaction that this leads to, with its call.
 fn write_settings(node: &mut Controller, settings: Value) -> (CallId, Transaction) {
-    let calls = ask(node, change(settings)).into_iter().find_map(|effect| match effect {
-        Effect::State { call, request: StateRequest::Transaction(txn), .. } => {
-            txn.writes.iter().any(|write| write.key() == TUNING).then_some((call, txn))
-        }
-        _ => None,
-    });
+    let calls = ask(node, change(settings))
+        .into_iter()
+        .find_map(|effect| match effect {
+            Effect::State {
+                call,
+                request: StateRequest::Transaction(txn),
+                ..
+            } => txn
+                .writes
+                .iter()
+                .any(|write| write.key() == TUNING)
+                .then_some((call, txn)),
+            _ => None,
+        });
     calls.expect("a write of the settings")
 }
 
@@ -160,7 +210,10 @@
     let node = solo.node();
     let (call, _) = write_settings(node, json!({ "window": 32 }));
     let effects = node.handle(ASKED_AT, Event::State { call, reply });
-    Entry::text(name, answer(&effects).unwrap_or_else(|| panic!("{name} is answered")))
+    Entry::text(
+        name,
+        answer(&effects).unwrap_or_else(|| panic!("{name} is answered")),
+    )
 }
 
 fn written(name: &'static str, settings: Value) -> Entry {
@@ -171,7 +224,10 @@
 
 #[test]
 fn changes_of_settings_keep_their_bytes() {
-    let conflict = StateReply::Conflict { failed: vec!["s/c".into()], revision: 90 };
+    let conflict = StateReply::Conflict {
+        failed: vec!["s/c".into()],
+        revision: 90,
+    };
     let entries = [
         written("write", json!({ "window": 32, "preempt": false })),
         written("write_defaults", json!({})),
--- a/crates/simulator/tests/machine_meetings.rs
+++ b/crates/simulator/tests/machine_meetings.rs
@@ -38,15 +38,44 @@
 fn answers_lost(seed: u64) -> Vec<(u64, Fault)> {
     let node = seed as usize % 3;
     vec![
-        (5_000, Fault::LostAnswers { percent: 20 + 10 * (seed % 4), ms: 130_000 }),
+        (
+            5_000,
+            Fault::LostAnswers {
+                percent: 20 + 10 * (seed % 4),
+                ms: 130_000,
+            },
+        ),
         (40_000, Fault::Crash { node, back: 100 }),
-        (55_000 + seed * 130, Fault::CancelAll { through: (node + 1) % 3 }),
-        (55_300 + seed * 130, Fault::Refuse { node: Some(node), ms: 6_000 }),
+        (
+            55_000 + seed * 130,
+            Fault::CancelAll {
+                through: (node + 1) % 3,
+            },
+        ),
+        (
+            55_300 + seed * 130,
+            Fault::Refuse {
+                node: Some(node),
+                ms: 6_000,
+            },
+        ),
         (62_000, Fault::Burst { jobs: 10 }),
-        (66_000, Fault::Crash { node: (node + 1) % 3, back: 3_000 }),
+        (
+            66_000,
+            Fault::Crash {
+                node: (node + 1) % 3,
+                back: 3_000,
+            },
+        ),
         (80_000, Fault::KillMany { count: 2 }),
         (100_000, Fault::CancelAll { through: node }),
-        (100_200, Fault::Crash { node: (node + 2) % 3, back: 700 }),
+        (
+            100_200,
+            Fault::Crash {
+                node: (node + 2) % 3,
+                back: 700,
+            },
+        ),
     ]
 }
 
@@ -65,15 +94,38 @@
 /// Machines end, new ones are up within two seconds and get work at once, and a leader ends.
 fn quick_boots(seed: u64) -> Vec<(u64, Fault)> {
     let mut faults = vec![
-        (0, Fault::Boots { how: Boots::Quick, ms: 200_000 }),
-        (30_000, Fault::LateWrites { percent: 25, ms: 100_000 }),
+        (
+            0,
+            Fault::Boots {
+                how: Boots::Quick,
+                ms: 200_000,
+            },
+        ),
+        (
+            30_000,
+            Fault::LateWrites {
+                percent: 25,
+                ms: 100_000,
+            },
+        ),
     ];
     for (nth, at) in QUICK_ENDS.into_iter().enumerate() {
         let node = (nth + seed as usize) % 3;
         faults.push((at - 4_000, Fault::KillMany { count: 5 }));
         faults.push((at - 3_900, Fault::Burst { jobs: 16 }));
-        faults.push((at + seed * 170, Fault::Crash { node, back: 100 + seed * 400 }));
-        faults.push((at + seed * 170 + 1_500, Fault::CancelAll { through: (node + 1) % 3 }));
+        faults.push((
+            at + seed * 170,
+            Fault::Crash {
+                node,
+                back: 100 + seed * 400,
+            },
+        ));
+        faults.push((
+            at + seed * 170 + 1_500,
+            Fault::CancelAll {
+                through: (node + 1) % 3,
+            },
+        ));
     }
     faults
 }
@@ -83,24 +135,67 @@
     let met = whole_runs("quick boots", 10, quick_boots, |met, world| {
         met.young_launches += world.met.young_launches;
         met.late_after_newer += world.met.late_after_newer;
-        let taken = world.takeovers.list.iter().filter(|t| t.taken_at.is_some()).count();
+        let taken = world
+            .takeovers
+            .list
+            .iter()
+            .filter(|t| t.taken_at.is_some())
+            .count();
         assert!(taken > 0, "a leader ended");
     });
-    assert!(met.young_launches > 40 && met.late_after_newer > 5, "{met:?}");
+    assert!(
+        met.young_launches > 40 && met.late_after_newer > 5,
+        "{met:?}"
+    );
 }
 
 /// Leases lapse and leaders end while copies of reports are kept for the next leader.
 fn kept_copies(seed: u64) -> Vec<(u64, Fault)> {
     let node = seed as usize % 3;
     vec![
-        (20_000, Fault::KeptCopies { percent: 25, ms: 140_000 }),
-        (40_000, Fault::Unreached { count: 5, ms: 15_000 }),
+        (
+            20_000,
+            Fault::KeptCopies {
+                percent: 25,
+                ms: 140_000,
+            },
+        ),
+        (
+            40_000,
+            Fault::Unreached {
+                count: 5,
+                ms: 15_000,
+            },
+        ),
         (58_000 + seed * 110, Fault::Crash { node, back: 300 }),
-        (60_000, Fault::Refuse { node: None, ms: 32_000 }),
-        (96_000, Fault::Crash { node: (node + 1) % 3, back: 200 }),
-        (97_000, Fault::CancelAll { through: (node + 2) % 3 }),
+        (
+            60_000,
+            Fault::Refuse {
+                node: None,
+                ms: 32_000,
+            },
+        ),
+        (
+            96_000,
+            Fault::Crash {
+                node: (node + 1) % 3,
+                back: 200,
+            },
+        ),
+        (
+            97_000,
+            Fault::CancelAll {
+                through: (node + 2) % 3,
+            },
+        ),
         (110_000, Fault::Burst { jobs: 10 }),
-        (118_000 + seed * 70, Fault::Crash { node: (node + 2) % 3, back: 100 }),
+        (
+            118_000 + seed * 70,
+            Fault::Crash {
+                node: (node + 2) % 3,
+                back: 100,
+            },
+        ),
     ]
 }
 
@@ -110,7 +205,10 @@
         met.old_at_begin += world.met.old_at_begin;
         met.old_sessions_at_begin += world.met.old_sessions_at_begin;
     });
-    assert!(met.old_at_begin > 500 && met.old_sessions_at_begin > 50, "{met:?}");
+    assert!(
+        met.old_at_begin > 500 && met.old_sessions_at_begin > 50,
+        "{met:?}"
+    );
 }
 
 /// Reports are held back as a leader ends, and come when its successor has acted.
@@ -118,13 +216,30 @@
     let mut faults = Vec::new();
     for (nth, at) in [45_000, 70_000, 95_000].into_iter().enumerate() {
         let node = (nth + seed as usize) % 3;
-        faults.push((at, Fault::HeldReports { percent: 75, ms: 8_000 }));
+        faults.push((
+            at,
+            Fault::HeldReports {
+                percent: 75,
+                ms: 8_000,
+            },
+        ));
         faults.push((at + 200, Fault::Burst { jobs: 16 }));
         let crash = at + 1_000 + seed * 140;
-        faults.push((crash, Fault::Crash { node, back: 200 + seed * 600 }));
+        faults.push((
+            crash,
+            Fault::Crash {
+                node,
+                back: 200 + seed * 600,
+            },
+        ));
         // Work for the successor to start before the reports come.
         faults.push((crash + 2_000, Fault::Burst { jobs: 12 }));
-        faults.push((crash + 3_000, Fault::CancelAll { through: (node + 1) % 3 }));
+        faults.push((
+            crash + 3_000,
+            Fault::CancelAll {
+                through: (node + 1) % 3,
+            },
+        ));
         faults.push((crash + 3_500, Fault::Burst { jobs: 12 }));
     }
     faults
@@ -144,14 +259,43 @@
     // In every fifth run it is all of them.
     let count = if seed.is_multiple_of(5) { 1_000 } else { 6 };
     vec![
-        (45_000, Fault::Mute { count, ms: 5_000 + seed * 2_500 }),
+        (
+            45_000,
+            Fault::Mute {
+                count,
+                ms: 5_000 + seed * 2_500,
+            },
+        ),
         (45_500, Fault::Burst { jobs: 8 }),
-        (47_000 + seed * 250, Fault::Crash { node, back: 100 + seed * 700 }),
-        (52_000, Fault::CancelAll { through: (node + 1) % 3 }),
+        (
+            47_000 + seed * 250,
+            Fault::Crash {
+                node,
+                back: 100 + seed * 700,
+            },
+        ),
+        (
+            52_000,
+            Fault::CancelAll {
+                through: (node + 1) % 3,
+            },
+        ),
         (85_000, Fault::Burst { jobs: 10 }),
-        (90_000, Fault::Mute { count: 8, ms: 30_000 }),
+        (
+            90_000,
+            Fault::Mute {
+                count: 8,
+                ms: 30_000,
+            },
+        ),
         (91_000 + seed * 300, Fault::CancelAll { through: node }),
-        (93_000, Fault::Refuse { node: None, ms: 20_000 }),
+        (
+            93_000,
+            Fault::Refuse {
+                node: None,
+                ms: 20_000,
+            },
+        ),
     ]
 }
 
@@ -166,18 +310,36 @@
 
 /// Direct commands are held up as their leaders end, are deposed, or lose sight of what is cancelled.
 fn late_commands(seed: u64) -> Vec<(u64, Fault)> {
-    let mut faults = vec![(30_000, Fault::LateCommands { percent: 80, ms: 110_000 })];
+    let mut faults = vec![(
+        30_000,
+        Fault::LateCommands {
+            percent: 80,
+            ms: 110_000,
+        },
+    )];
     for (nth, at) in [40_000, 70_000, 100_000].into_iter().enumerate() {
         let node = (nth + seed as usize) % 3;
         faults.push((at, Fault::KillMany { count: 2 }));
         faults.push((at, Fault::Burst { jobs: 8 }));
         let ends = if (seed + nth as u64).is_multiple_of(2) {
-            Fault::Crash { node, back: 200 + seed * 300 }
+            Fault::Crash {
+                node,
+                back: 200 + seed * 300,
+            }
         } else {
-            Fault::Blind { node, ms: 25_000, refused: seed.is_multiple_of(3) }
+            Fault::Blind {
+                node,
+                ms: 25_000,
+                refused: seed.is_multiple_of(3),
+            }
         };
         faults.push((at + 800 + seed * 210, ends));
-        faults.push((at + 5_000, Fault::CancelAll { through: (node + 1) % 3 }));
+        faults.push((
+            at + 5_000,
+            Fault::CancelAll {
+                through: (node + 1) % 3,
+            },
+        ));
         faults.push((at + 9_000, Fault::Burst { jobs: 6 }));
     }
     faults
@@ -191,9 +353,19 @@
         met.late_commands_of_the_dead += world.met.late_commands_of_the_dead;
         met.late_commands_of_the_deposed += world.met.late_commands_of_the_deposed;
     });
-    assert!(met.late_commands > 50 && met.late_commands_void > 50, "{met:?}");
-    let Met { late_commands_of_the_dead, late_commands_of_the_deposed, .. } = met;
-    assert!(late_commands_of_the_dead > 20 && late_commands_of_the_deposed > 20, "{met:?}");
+    assert!(
+        met.late_commands > 50 && met.late_commands_void > 50,
+        "{met:?}"
+    );
+    let Met {
+        late_commands_of_the_dead,
+        late_commands_of_the_deposed,
+        ..
+    } = met;
+    assert!(
+        late_commands_of_the_dead > 20 && late_commands_of_the_deposed > 20,
+        "{met:?}"
+    );
 }
 
 /// Begin of the two minutes in which leaders change, and of the outage in their midst.
@@ -204,15 +376,32 @@
 /// second, or after others have taken their partitions.
 fn ten_changes(seed: u64) -> Vec<(u64, Fault)> {
     let (out, out_ms) = OUTAGE;
-    let mut faults = vec![(out, Fault::Refuse { node: None, ms: out_ms })];
-    let (pause, back) =
-        if seed.is_multiple_of(2) { (3_500, 200) } else { (6_000, 2_600 + 300 * seed) };
+    let mut faults = vec![(
+        out,
+        Fault::Refuse {
+            node: None,
+            ms: out_ms,
+        },
+    )];
+    let (pause, back) = if seed.is_multiple_of(2) {
+        (3_500, 200)
+    } else {
+        (6_000, 2_600 + 300 * seed)
+    };
     for nth in 0..120_000 / pause {
         let node = (nth + seed) as usize % 3;
-        faults.push((CHANGES_FROM + nth * pause + seed * 53, Fault::Crash { node, back }));
+        faults.push((
+            CHANGES_FROM + nth * pause + seed * 53,
+            Fault::Crash { node, back },
+        ));
     }
     for at in [60_000, 90_000, 94_500, 125_000] {
-        faults.push((at + seed * 91, Fault::CancelAll { through: (seed as usize + 1) % 3 }));
+        faults.push((
+            at + seed * 91,
+            Fault::CancelAll {
+                through: (seed as usize + 1) % 3,
+            },
+        ));
         faults.push((at + 3_000, Fault::Burst { jobs: 6 }));
     }
     faults
@@ -244,7 +433,10 @@
         world.run();
         assert_eq!(world.rules.broken, [], "ten changes, seed {seed}");
         println!("ten changes, seed {seed}: {changes:?}");
-        assert!(changes.iter().any(|count| *count >= 10), "seed {seed}: {changes:?}");
+        assert!(
+            changes.iter().any(|count| *count >= 10),
+            "seed {seed}: {changes:?}"
+        );
     });
 }
 
@@ -252,14 +444,31 @@
 fn overload(seed: u64) -> Vec<(u64, Fault)> {
     let node = seed as usize % 3;
     vec![
-        (15_000, Fault::SlowLinks { times: 40 + 20 * (seed % 3), ms: 120_000 }),
+        (
+            15_000,
+            Fault::SlowLinks {
+                times: 40 + 20 * (seed % 3),
+                ms: 120_000,
+            },
+        ),
         (16_000, Fault::Guests { jobs: 4 }),
         (20_000, Fault::Heavy { ms: 60_000 }),
         (22_000, Fault::Burst { jobs: 60 }),
         (40_000, Fault::KillMany { count: 3 }),
-        (50_000 + seed * 120, Fault::Crash { node, back: 150 + seed * 500 }),
+        (
+            50_000 + seed * 120,
+            Fault::Crash {
+                node,
+                back: 150 + seed * 500,
+            },
+        ),
         (52_000, Fault::Burst { jobs: 20 }),
-        (80_000, Fault::CancelAll { through: (node + 1) % 3 }),
+        (
+            80_000,
+            Fault::CancelAll {
+                through: (node + 1) % 3,
+            },
+        ),
         (81_000, Fault::Burst { jobs: 30 }),
     ]
 }
@@ -284,19 +493,47 @@
     let ms = 60_000;
     let mut faults = Vec::new();
     for other in (0..3).filter(|other| *other != node) {
-        let (from, to) = if seed.is_multiple_of(2) { (node, other) } else { (other, node) };
+        let (from, to) = if seed.is_multiple_of(2) {
+            (node, other)
+        } else {
+            (other, node)
+        };
         faults.push((48_000, Fault::OneWay { from, to, ms }));
     }
     let state = match seed % 3 {
         0 => Fault::CutState { node, ms: 40_000 },
-        1 => Fault::Refuse { node: Some(node), ms: 40_000 },
+        1 => Fault::Refuse {
+            node: Some(node),
+            ms: 40_000,
+        },
         // Only its link is lost: it keeps its partition.
-        _ => Fault::Crash { node: (node + 1) % 3, back: 400 },
+        _ => Fault::Crash {
+            node: (node + 1) % 3,
+            back: 400,
+        },
     };
     faults.push((50_000, state));
-    faults.push((50_100 + seed * 400, Fault::CancelAll { through: (node + 1) % 3 }));
-    faults.push((51_000 + seed * 400, Fault::Refuse { node: None, ms: 35_000 * (seed / 2 % 2) }));
-    faults.push((115_000, Fault::OneWay { from: node, to: (node + 1) % 3, ms: 20_000 }));
+    faults.push((
+        50_100 + seed * 400,
+        Fault::CancelAll {
+            through: (node + 1) % 3,
+        },
+    ));
+    faults.push((
+        51_000 + seed * 400,
+        Fault::Refuse {
+            node: None,
+            ms: 35_000 * (seed / 2 % 2),
+        },
+    ));
+    faults.push((
+        115_000,
+        Fault::OneWay {
+            from: node,
+            to: (node + 1) % 3,
+            ms: 20_000,
+        },
+    ));
     faults.push((117_000, Fault::Crash { node, back: 100 }));
     faults
 }
@@ -313,7 +550,16 @@
 /// machine for them.
 #[test]
 fn machines_are_rented_for_holders_that_the_leader_does_not_hear() {
-    let faults = [1, 2].map(|from| (0, Fault::OneWay { from, to: 0, ms: 60_000 }));
+    let faults = [1, 2].map(|from| {
+        (
+            0,
+            Fault::OneWay {
+                from,
+                to: 0,
+                ms: 60_000,
+            },
+        )
+    });
     let plan = Plan::of_long_tasks(5, MS, faults.into());
     let mut world = World::new(plan);
     world.run_to(40_000);
@@ -334,21 +580,74 @@
         // all that its successor hears of it.
         return vec![
             (1_000, Fault::CutMesh { node, ms: 120_000 }),
-            (20_000, Fault::MeshCopies { percent: 50, ms: 140_000 }),
+            (
+                20_000,
+                Fault::MeshCopies {
+                    percent: 50,
+                    ms: 140_000,
+                },
+            ),
             (40_000, Fault::CutState { node, ms: 60_000 }),
             (42_000, Fault::Burst { jobs: 10 }),
-            (85_000, Fault::CancelAll { through: (node + 1) % 3 }),
+            (
+                85_000,
+                Fault::CancelAll {
+                    through: (node + 1) % 3,
+                },
+            ),
         ];
     }
     vec![
-        (20_000, Fault::MeshCopies { percent: 30, ms: 140_000 }),
-        (45_000, Fault::Crash { node, back: 100 + seed * 300 }),
-        (58_000, Fault::Blind { node: (node + 1) % 3, ms: 25_000, refused: seed % 4 == 1 }),
-        (60_000 + seed * 500, Fault::CancelAll { through: (node + 2) % 3 }),
-        (61_000, Fault::CutWorkers { node: (node + 2) % 3, ms: 15_000 }),
+        (
+            20_000,
+            Fault::MeshCopies {
+                percent: 30,
+                ms: 140_000,
+            },
+        ),
+        (
+            45_000,
+            Fault::Crash {
+                node,
+                back: 100 + seed * 300,
+            },
+        ),
+        (
+            58_000,
+            Fault::Blind {
+                node: (node + 1) % 3,
+                ms: 25_000,
+                refused: seed % 4 == 1,
+            },
+        ),
+        (
+            60_000 + seed * 500,
+            Fault::CancelAll {
+                through: (node + 2) % 3,
+            },
+        ),
+        (
+            61_000,
+            Fault::CutWorkers {
+                node: (node + 2) % 3,
+                ms: 15_000,
+            },
+        ),
         (90_000, Fault::Burst { jobs: 10 }),
-        (95_000, Fault::Crash { node: (node + 2) % 3, back: 5_000 }),
-        (97_500, Fault::Crash { node: (node + 2) % 3, back: 100 }),
+        (
+            95_000,
+            Fault::Crash {
+                node: (node + 2) % 3,
+                back: 5_000,
+            },
+        ),
+        (
+            97_500,
+            Fault::Crash {
+                node: (node + 2) % 3,
+                back: 100,
+            },
+        ),
         (110_000, Fault::CancelAll { through: node }),
     ]
 }
@@ -370,7 +669,11 @@
     ("kept copies", kept_copies, Sabotage::CopiesTrusted),
     ("held reports", held_reports, Sabotage::CopiesTrusted),
     ("mute", mute, Sabotage::DirectKeepsLease),
-    ("late commands", late_commands, Sabotage::LateCommandsTrusted),
+    (
+        "late commands",
+        late_commands,
+        Sabotage::LateCommandsTrusted,
+    ),
     ("ten changes", ten_changes, Sabotage::RoundsNotWritten),
     ("overload", overload, Sabotage::RoundsNotWritten),
     ("one way", one_way, Sabotage::LongCancel),
@@ -385,16 +688,26 @@
         let (name, faults, sabotage) = MEETINGS[nth as usize - 1];
         let told = (1..=20).find_map(|seed| {
             let plan = Plan::of_long_tasks(seed, MS, faults(seed));
-            let mut world = World::new(Plan { sabotage: Some(sabotage), ..plan });
+            let mut world = World::new(Plan {
+                sabotage: Some(sabotage),
+                ..plan
+            });
             world.run();
-            world.rules.broken.first().map(|broken| (seed, broken.clone()))
+            world
+                .rules
+                .broken
+                .first()
+                .map(|broken| (seed, broken.clone()))
         });
         println!("{name}, {sabotage:?}: {told:?}");
         if told.is_none() {
             untold.lock().expect("no run has panicked").push(name);
         }
     });
-    assert_eq!(untold.into_inner().expect("no run has panicked"), Vec::<&str>::new());
+    assert_eq!(
+        untold.into_inner().expect("no run has panicked"),
+        Vec::<&str>::new()
+    );
 }
 
 /// By hand: `FROM=100 SEEDS=300 cargo test -p testkit --test machine_meetings -- --ignored`: every meeting with
@@ -403,7 +716,10 @@
 #[ignore = "thousands of runs"]
 fn many_seeds() {
     let number = |name: &str, usual: u64| {
-        std::env::var(name).ok().and_then(|n| n.parse().ok()).unwrap_or(usual)
+        std::env::var(name)
+            .ok()
+            .and_then(|n| n.parse().ok())
+            .unwrap_or(usual)
     };
     let (from, seeds) = (number("FROM", 100), number("SEEDS", 300));
     let meetings = MEETINGS.len() as u64;
