--- a/crates/loadtest/src/lib.rs
+++ b/crates/loadtest/src/lib.rs
@@ -2,7 +2,7 @@
 //!
 //! An experiment is a checked TOML file. The state service, the cloud, the workers and the users are
 //! stand-ins written from the protocols; each runs in a process of its own. What they decide is in
-//! `testkit`; here are their sockets, clocks and measurements. No tasks are run.
+//! `simulator`; here are their sockets, clocks and measurements. No tasks are run.
 
 pub mod capacity;
 pub mod cloud;
--- a/crates/simulator/benches/scale.rs
+++ b/crates/simulator/benches/scale.rs
@@ -1,7 +1,7 @@
 //! What each kind of event costs the deciding code as the fleet grows: a share of so many
 //! machines, full of tasks, with a tenth as much work waiting.
 //!
-//! `cargo bench -p testkit` (`-- tick` for one kind). Only the time inside `Controller::handle` and its
+//! `cargo bench -p simulator` (`-- tick` for one kind). Only the time inside `Controller::handle` and its
 //! like is measured, not that of the stand-ins.
 
 use autoscaler::{FleetMachine, FleetPolicy, PartitionNeed};
--- a/crates/simulator/examples/fingerprint.rs
+++ b/crates/simulator/examples/fingerprint.rs
@@ -1,6 +1,6 @@
 //! Fingerprints of behaviour: a digest for each of a fixed list of simulated runs.
 //!
-//! `cargo run --release -p testkit --example fingerprint -- --compare crates/testkit/tests/data/fingerprint-full.txt`
+//! `cargo run --release -p simulator --example fingerprint -- --compare crates/simulator/tests/data/fingerprint-full.txt`
 
 use clap::Parser;
 use simulator::fingerprint::{all_runs, short_runs, Recorder, Run, StoredDigests};
--- a/crates/simulator/examples/takeovers.rs
+++ b/crates/simulator/examples/takeovers.rs
@@ -1,6 +1,6 @@
 //! How long takeovers take, over many seeds in simulated time.
 //!
-//! `cargo run --release -p testkit --example takeovers -- --size 107 --seeds 50`
+//! `cargo run --release -p simulator --example takeovers -- --size 107 --seeds 50`
 
 use clap::Parser;
 use serde_json::json;
--- a/crates/simulator/tests/days.rs
+++ b/crates/simulator/tests/days.rs
@@ -151,7 +151,7 @@
     assert_eq!(world.killed_by_lease(), 0);
 }
 
-/// By hand: `cargo test --release -p testkit --test days -- --ignored`, minutes on all cores.
+/// By hand: `cargo test --release -p simulator --test days -- --ignored`, minutes on all cores.
 #[test]
 #[ignore = "hundreds of seeds at the operators' size"]
 fn many_seeds_at_half_as_many_machines_again() {
--- a/crates/simulator/tests/end_of_day.rs
+++ b/crates/simulator/tests/end_of_day.rs
@@ -148,7 +148,7 @@
     }
 }
 
-/// By hand: `SEEDS=500 SIZE=160 cargo test --release -p testkit --test end_of_day -- --ignored`, minutes on
+/// By hand: `SEEDS=500 SIZE=160 cargo test --release -p simulator --test end_of_day -- --ignored`, minutes on
 /// all cores. Size 160 has half as many machines again as a fleet.
 #[test]
 #[ignore = "hundreds of seeds"]
--- a/crates/simulator/tests/fingerprint.rs
+++ b/crates/simulator/tests/fingerprint.rs
@@ -2,7 +2,7 @@
 
 use simulator::fingerprint::{all_runs, short_runs, Recorder, Run, StoredDigests};
 
-/// Digests of the short list, as `cargo run --release -p testkit --example fingerprint -- --short`
+/// Digests of the short list, as `cargo run --release -p simulator --example fingerprint -- --short`
 /// prints them.
 const STORED: &str = include_str!("data/fingerprint.txt");
 /// Digests of all runs. They are compared by hand, see the example of the same name.
--- a/crates/simulator/tests/machine_meetings.rs
+++ b/crates/simulator/tests/machine_meetings.rs
@@ -710,7 +710,7 @@
     );
 }
 
-/// By hand: `FROM=100 SEEDS=300 cargo test -p testkit --test machine_meetings -- --ignored`: every meeting with
+/// By hand: `FROM=100 SEEDS=300 cargo test -p simulator --test machine_meetings -- --ignored`: every meeting with
 /// so many other seeds. All that break a rule are named.
 #[test]
 #[ignore = "thousands of runs"]
--- a/crates/simulator/tests/meetings.rs
+++ b/crates/simulator/tests/meetings.rs
@@ -902,7 +902,7 @@
     for_seeds(pairs, |nth| pair(nth - 1, 1));
 }
 
-/// By hand: `ROUNDS=10 SIZE=1 cargo test --release -p testkit --test meetings -- --ignored`: every pair so
+/// By hand: `ROUNDS=10 SIZE=1 cargo test --release -p simulator --test meetings -- --ignored`: every pair so
 /// many times, with other moments, nodes and seeds.
 #[test]
 #[ignore = "thousands of runs"]
--- a/crates/simulator/tests/standby.rs
+++ b/crates/simulator/tests/standby.rs
@@ -329,7 +329,7 @@
     assert_eq!(early, 0, "partitions taken from holders that live");
 }
 
-/// The same for a thousand simulated hours: `cargo test --release -p testkit --test standby -- \
+/// The same for a thousand simulated hours: `cargo test --release -p simulator --test standby -- \
 /// --ignored`.
 #[test]
 #[ignore = "takes minutes"]
