--- a/crates/failover/src/lib.rs
+++ b/crates/failover/src/lib.rs
@@ -8,7 +8,7 @@
 //!
 //! [`failure_detector`] suspects a leader whose record still stands, [`readiness`] is what a new
 //! leader checks before its first decision, [`assign`] chooses the standby of each partition.
-//! `docs/standby.md` compares the alternatives and argues why no rule depends on any of it.
+//! `docs/failover.md` compares the alternatives and argues why no rule depends on any of it.
 
 mod assign;
 pub mod failure_detector;
--- a/crates/loadtest/src/main.rs
+++ b/crates/loadtest/src/main.rs
@@ -36,7 +36,7 @@
     },
     /// Checks an experiment file without running it.
     Check { file: PathBuf },
-    /// Fits lines through the reports in a directory and prints the tables of docs/CAPACITY.md.
+    /// Fits lines through the reports in a directory and prints the tables of docs/capacity.md.
     Capacity {
         directory: PathBuf,
         /// Writes the tables into this page, between its marks.
