--- a/crates/loadtest/src/capacity.rs
+++ b/crates/loadtest/src/capacity.rs
@@ -53,14 +53,14 @@
     Quantity {
         name: "processor time, all controllers",
         unit: "cores",
-        module: "`scheduler`, `queue`, `controller::controller`",
+        module: "`scheduler`, `scheduling-queue`, `controller::controller`",
         value: |report| controllers(report, |p| p.cpu_mean).iter().sum(),
         budget: |target| target.controllers * target.controller_cores,
     },
     Quantity {
         name: "processor time, busiest controller",
         unit: "cores",
-        module: "`controller::controller::leader` (planner), `fleet`",
+        module: "`controller::controller::fleet_planner`, `autoscaler`",
         value: |report| most(&controllers(report, |p| p.cpu_mean)),
         budget: |target| target.controller_cores,
     },
@@ -88,7 +88,7 @@
     Quantity {
         name: "reports, all workers",
         unit: "messages/s",
-        module: "`controller::controller::workers`",
+        module: "`controller::controller::heartbeats`",
         value: |report| messages(report, &["report"]),
         budget: |_| f64::INFINITY,
     },
@@ -116,7 +116,7 @@
     Quantity {
         name: "cloud, requests",
         unit: "requests/s",
-        module: "`controller::controller::machines`",
+        module: "`controller::controller::fleet_planner`",
         value: |report| messages(report, &CLOUD_KINDS),
         budget: |target| target.cloud_requests_per_s,
     },
