--- a/crates/controller/src/controller/membership.rs
+++ b/crates/controller/src/controller/membership.rs
@@ -74,11 +74,14 @@
     /// Whether a peer, by its own last word, has heard us lately. Each direction is a connection of its own, and
     /// one may be cut without the other.
     pub(super) fn is_reached_by(&self, peer: &ControllerName) -> bool {
-        let heard = |view: &PeerStatus| {
-            let us = view.heard.iter().find(|(name, _)| name == self.own_name());
+        let receives_own_heartbeats = |view: &PeerStatus| {
+            let us = view
+                .peer_heartbeat_ages
+                .iter()
+                .find(|(name, _)| name == self.own_name());
             us.is_some_and(|(_, ago)| *ago <= PEER_TIMEOUT)
         };
-        self.peers.get(peer).is_some_and(heard)
+        self.peers.get(peer).is_some_and(receives_own_heartbeats)
     }
 
     pub(super) fn maintain_leadership(&mut self) {
@@ -668,14 +671,14 @@
             return;
         }
         self.alive_at = self.now;
-        let heard = self.peers.iter().map(|(name, peer)| {
+        let peer_heartbeat_ages = self.peers.iter().map(|(name, peer)| {
             (
                 name.to_string(),
                 self.now.duration_since(peer.last_seen_at).whole_millis(),
             )
         });
         let message = MeshMessage::Heartbeat {
-            heard: heard.collect(),
+            peer_heartbeat_ages: peer_heartbeat_ages.collect(),
             incarnation: self.incarnation,
             revision: if self.synced {
                 self.cache.revision.0
@@ -701,21 +704,21 @@
                 revision,
                 state_contact,
                 ready,
-                heard,
+                peer_heartbeat_ages,
             } => {
-                let heard = heard.iter().map(|(name, ago)| {
+                let peer_heartbeat_ages = peer_heartbeat_ages.iter().map(|(name, ago)| {
                     (
                         ControllerName::from(name.as_str()),
                         Duration::from_millis(*ago),
                     )
                 });
-                let heard = heard.collect();
+                let peer_heartbeat_ages = peer_heartbeat_ages.collect();
                 let view = PeerStatus {
                     last_seen_at: self.now,
                     incarnation,
                     state_contact,
                     ready,
-                    heard,
+                    peer_heartbeat_ages,
                 };
                 self.detect_false_suspicion(&from, incarnation);
                 self.peers.insert(from.clone(), view);
@@ -729,9 +732,9 @@
                 partition,
                 incarnation,
                 term,
-                have,
+                applied,
             } => {
-                self.handle_subscription(&from, partition, incarnation, term, have);
+                self.handle_subscription(&from, partition, incarnation, term, applied);
             }
             MeshMessage::Replication(part) => self.handle_replication_batch(&from, part),
             MeshMessage::ReleaseMachine { machine, to } => {
--- a/crates/controller/src/controller/mod.rs
+++ b/crates/controller/src/controller/mod.rs
@@ -286,7 +286,7 @@
     state_contact: bool,
     ready: bool,
     /// How long before that it had heard others.
-    heard: Vec<(ControllerName, Duration)>,
+    peer_heartbeat_ages: Vec<(ControllerName, Duration)>,
 }
 
 /// Counts for the metrics.
@@ -545,10 +545,14 @@
         }
         // When nobody has contact, going unhealthy helps nobody and costs time afterwards. Who hears none
         // of the others either is cut off itself: they may serve.
-        let heard =
+        let sends_heartbeats =
             |p: &&PeerStatus| self.now.duration_since(p.last_seen_at) <= Duration::from_secs(2);
-        let peer_serves = self.peers.values().filter(heard).any(|p| p.state_contact);
-        let alone = !self.peers.is_empty() && !self.peers.values().any(|p| heard(&p));
+        let peer_serves = self
+            .peers
+            .values()
+            .filter(sends_heartbeats)
+            .any(|p| p.state_contact);
+        let alone = !self.peers.is_empty() && !self.peers.values().any(|p| sends_heartbeats(&p));
         self.synced && !peer_serves && !alone
     }
 
--- a/crates/controller/src/controller/standby.rs
+++ b/crates/controller/src/controller/standby.rs
@@ -136,7 +136,7 @@
         partition: u32,
         incarnation: u64,
         term: u64,
-        have: u64,
+        applied: u64,
     ) {
         let partition = PartitionId(partition);
         let held = self
@@ -154,7 +154,7 @@
         if stream.0 != term {
             *stream = (term, ReplicationStream::default());
         }
-        stream.1.subscribe(from, have, self.now);
+        stream.1.subscribe(from, applied, self.now);
     }
 
     pub(super) fn handle_replication_batch(
@@ -210,7 +210,10 @@
             .filter(|(name, _)| *name != leader && self.peer_is_alive(name));
         let peer_heartbeat_age = others
             .filter_map(|(_, peer)| {
-                let said = peer.heard.iter().find(|(name, _)| name == leader)?;
+                let said = peer
+                    .peer_heartbeat_ages
+                    .iter()
+                    .find(|(name, _)| name == leader)?;
                 Some(said.1 + self.now.duration_since(peer.last_seen_at))
             })
             .min();
--- a/crates/failover/src/replica.rs
+++ b/crates/failover/src/replica.rs
@@ -118,7 +118,7 @@
             partition: partition.0,
             incarnation,
             term,
-            have: self.applied,
+            applied: self.applied,
         }
     }
 
@@ -221,24 +221,24 @@
             return None;
         }
         let has_gap = part.after > replica.applied;
-        if has_gap || part.upto < part.after || part.newest < part.upto {
+        if has_gap || part.up_to < part.after || part.newest < part.up_to {
             return Some(replica.subscription(partition, now));
         }
-        if replica.applied == 0 || replica.applied < part.floor {
+        if replica.applied == 0 || replica.applied < part.tombstones_dropped_up_to {
             // A former leader's hints are no longer valid; neither are our own if tombstones that
             // we lack have been dropped.
             if part.after != 0 {
                 return Some(replica.subscription(partition, now));
             }
             replica.reset();
-        } else if part.upto < replica.applied {
+        } else if part.up_to < replica.applied {
             // It was sent before a part that we have applied and may be outdated.
             return None;
         }
-        for hint in part.hints {
+        for hint in part.records {
             replica.apply(hint, Timestamp::from_millis(part.at_ms), now);
         }
-        replica.applied = part.upto;
+        replica.applied = part.up_to;
         replica.announced = part.newest;
         replica.complete = replica.applied == replica.announced;
         replica.updated_at = Some(now);
--- a/crates/failover/src/stream.rs
+++ b/crates/failover/src/stream.rs
@@ -97,9 +97,9 @@
     }
 
     /// Compares all current hints with those known: each difference gets a new sequence number.
-    pub fn update(&mut self, hints: impl IntoIterator<Item = ReplicatedRecord>) {
+    pub fn update(&mut self, records: impl IntoIterator<Item = ReplicatedRecord>) {
         self.updates += 1;
-        for hint in hints {
+        for hint in records {
             let key = hint.key();
             match self.entries.get_mut(&key) {
                 Some(entry) if entry.hint.as_ref() == Some(&hint) => entry.update = self.updates,
@@ -170,7 +170,7 @@
             let batch = self.parts_after(after, header);
             if let Some(subscriber) = self.subscribers.get_mut(&name) {
                 subscriber.sent_at = Some(now);
-                subscriber.sent = batch.last().map_or(after, |part| part.upto);
+                subscriber.sent = batch.last().map_or(after, |part| part.up_to);
             }
             parts.extend(batch.into_iter().map(|part| (name.clone(), part)));
         }
@@ -181,7 +181,7 @@
     fn parts_after(&self, after: u64, header: &ReplicationBatch) -> Vec<ReplicationBatch> {
         let mut parts = vec![self.part_after(after, header)];
         while parts.len() < MAX_PARTS_PER_SEND {
-            let Some(sent) = parts.last().map(|part| part.upto) else {
+            let Some(sent) = parts.last().map(|part| part.up_to) else {
                 break;
             };
             if sent >= self.last {
@@ -206,23 +206,23 @@
 
     /// The changes after a sequence number, as many as fit into one part.
     fn part_after(&self, after: u64, header: &ReplicationBatch) -> ReplicationBatch {
-        let (mut upto, mut bytes, mut hints) = (self.last, 0, Vec::new());
+        let (mut up_to, mut bytes, mut records) = (self.last, 0, Vec::new());
         for (sequence, key) in self.by_sequence.range(after + 1..) {
             if bytes >= MAX_PART_BYTES {
-                upto = sequence - 1;
+                up_to = sequence - 1;
                 break;
             }
             let hint = self.entries.get(key).and_then(|entry| entry.hint.clone());
             let hint = hint.unwrap_or_else(|| ReplicatedRecord::Removed(key.clone()));
             bytes += hint.weight();
-            hints.push(hint);
+            records.push(hint);
         }
         ReplicationBatch {
             after,
-            upto,
+            up_to,
             newest: self.last,
-            floor: self.dropped,
-            hints,
+            tombstones_dropped_up_to: self.dropped,
+            records,
             ..header.clone()
         }
     }
--- a/crates/failover/tests/large_partition.rs
+++ b/crates/failover/tests/large_partition.rs
@@ -77,10 +77,10 @@
     }
 
     fn subscribe(&mut self, message: MeshMessage, now: Timestamp) {
-        let MeshMessage::Subscribe { have, .. } = message else {
+        let MeshMessage::Subscribe { applied, .. } = message else {
             panic!("{message:?}")
         };
-        self.stream.subscribe(&self.subscriber, have, now);
+        self.stream.subscribe(&self.subscriber, applied, now);
     }
 
     fn machines(&self) -> usize {
--- a/crates/failover/tests/stream.rs
+++ b/crates/failover/tests/stream.rs
@@ -122,16 +122,18 @@
             }
             for (_, word) in words {
                 if let MeshMessage::Subscribe {
-                    incarnation, have, ..
+                    incarnation,
+                    applied,
+                    ..
                 } = word
                 {
                     if incarnation == leader.incarnation && !rng.random_bool(loss) {
-                        leader.stream.subscribe(&me, have, now);
+                        leader.stream.subscribe(&me, applied, now);
                     }
                 }
             }
             for (_, part) in leader.stream.due_parts(&leader.part(now), now) {
-                let bytes: usize = part.hints.iter().map(ReplicatedRecord::weight).sum();
+                let bytes: usize = part.records.iter().map(ReplicatedRecord::weight).sum();
                 assert!(bytes < 20 * 1024, "seed {seed}: a part of {bytes} bytes");
                 if rng.random_bool(loss) {
                     continue;
@@ -203,11 +205,11 @@
         incarnation,
         term,
         after: 0,
-        upto: 1,
+        up_to: 1,
         newest: 1,
-        floor: 0,
+        tombstones_dropped_up_to: 0,
         at_ms: 10,
-        hints: vec![machine(1, session)],
+        records: vec![machine(1, session)],
     };
     let session = |replicas: &Replicas| {
         let copy = replicas.get(P).expect("a copy");
--- a/crates/simulator/benches/scale.rs
+++ b/crates/simulator/benches/scale.rs
@@ -151,7 +151,7 @@
         let mut whole = |stream: &mut ReplicationStream| {
             stream.subscribe(&follower, 0, Timestamp::from_millis(clock));
             let mut parts: Vec<ReplicationBatch> = Vec::new();
-            while parts.last().is_none_or(|part| part.upto < part.newest) {
+            while parts.last().is_none_or(|part| part.up_to < part.newest) {
                 clock += 1_000;
                 parts.extend(
                     stream
--- a/crates/simulator/src/world/sabotage.rs
+++ b/crates/simulator/src/world/sabotage.rs
@@ -20,15 +20,15 @@
         match self.plan.sabotage {
             Some(Sabotage::HintsLie) => {
                 let names: Vec<String> = self.cloud.machines.keys().cloned().collect();
-                for hint in &mut part.hints {
+                for hint in &mut part.records {
                     self.lie(hint, &names);
                 }
             }
             Some(Sabotage::HintsLost) => match self.rng.random_range(0..6) {
                 0 => return None,
-                1 => part.hints.truncate(part.hints.len() / 2),
+                1 => part.records.truncate(part.records.len() / 2),
                 2 => part.term = part.term.saturating_sub(1),
-                3 => (part.after, part.upto) = (part.after + 1, part.upto + 1),
+                3 => (part.after, part.up_to) = (part.after + 1, part.up_to + 1),
                 _ => {}
             },
             _ => {}
--- a/crates/simulator/tests/golden_admin.rs
+++ b/crates/simulator/tests/golden_admin.rs
@@ -58,13 +58,13 @@
 }
 
 fn sign_of_life() -> MeshMessage {
-    let heard = vec![("n0".to_owned(), 20)];
+    let peer_heartbeat_ages = vec![("n0".to_owned(), 20)];
     MeshMessage::Heartbeat {
         incarnation: 9,
         revision: 1,
         state_contact: true,
         ready: true,
-        heard,
+        peer_heartbeat_ages,
     }
 }
 
@@ -73,7 +73,7 @@
         partition: 0,
         incarnation: BOOT,
         term: 1,
-        have: 0,
+        applied: 0,
     }
 }
 
--- a/crates/simulator/tests/rejected_messages.rs
+++ b/crates/simulator/tests/rejected_messages.rs
@@ -362,34 +362,43 @@
     prop_oneof![machine, job, gone]
 }
 
-fn hints() -> impl Strategy<Value = ReplicationBatch> {
-    (small_number(), vec(number(), 7), vec(hint(), 0..4)).prop_map(|(partition, n, hints)| {
+fn records() -> impl Strategy<Value = ReplicationBatch> {
+    (small_number(), vec(number(), 7), vec(hint(), 0..4)).prop_map(|(partition, n, records)| {
         ReplicationBatch {
             partition,
             incarnation: n[0],
             term: n[1],
             after: n[2],
-            upto: n[3],
+            up_to: n[3],
             newest: n[4],
-            floor: n[5],
+            tombstones_dropped_up_to: n[5],
             at_ms: n[6],
-            hints,
+            records,
         }
     })
 }
 
 fn mesh_message() -> impl Strategy<Value = MeshMessage> {
-    let heard = || vec(("n[0-2]", number()), 0..3);
+    let peer_heartbeat_ages = || vec(("n[0-2]", number()), 0..3);
     prop_oneof![
-        (number(), number(), any::<bool>(), any::<bool>(), heard()).prop_map(
-            |(incarnation, revision, state_contact, ready, heard)| MeshMessage::Heartbeat {
-                incarnation,
-                revision,
-                state_contact,
-                ready,
-                heard
-            }
-        ),
+        (
+            number(),
+            number(),
+            any::<bool>(),
+            any::<bool>(),
+            peer_heartbeat_ages()
+        )
+            .prop_map(
+                |(incarnation, revision, state_contact, ready, peer_heartbeat_ages)| {
+                    MeshMessage::Heartbeat {
+                        incarnation,
+                        revision,
+                        state_contact,
+                        ready,
+                        peer_heartbeat_ages,
+                    }
+                }
+            ),
         load().prop_map(MeshMessage::PartitionStatus),
         (machine_name(), prop::option::of(small_number()))
             .prop_map(|(machine, to)| MeshMessage::ReleaseMachine { machine, to }),
@@ -420,16 +429,16 @@
         vec((number(), number(), number()), 0..4)
             .prop_map(|jobs| MeshMessage::JobProgress { jobs }),
         (small_number(), number(), number(), number()).prop_map(
-            |(partition, incarnation, term, have)| {
+            |(partition, incarnation, term, applied)| {
                 MeshMessage::Subscribe {
                     partition,
                     incarnation,
                     term,
-                    have,
+                    applied,
                 }
             }
         ),
-        hints().prop_map(MeshMessage::Replication),
+        records().prop_map(MeshMessage::Replication),
     ]
 }
 
--- a/crates/trackcrank/src/mesh.rs
+++ b/crates/trackcrank/src/mesh.rs
@@ -179,7 +179,7 @@
             partition: 1,
             incarnation: 2,
             term: 3,
-            have: 4,
+            applied: 4,
         };
         let frame = Frame {
             version: MESH_VERSION,
--- a/crates/wire/src/http.rs
+++ b/crates/wire/src/http.rs
@@ -1,15 +1,18 @@
-//! How calls to the state service, the cloud and the workers look in HTTP.
+//! HTTP requests to the state service, the cloud and the workers.
 
 use crate::cloud::{CloudRequest, MachineNames};
 use crate::state::{LeaseRequest, StateRequest};
 use crate::workers::DirectCommands;
 use serde::Serialize;
 
-/// Method of a call.
+/// Method of an HTTP request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum HttpMethod {
+    /// `GET`: reads.
     Get,
+    /// `POST`: creates or changes.
     Post,
+    /// `DELETE`: removes.
     Delete,
 }
 
@@ -24,13 +27,14 @@
     }
 }
 
-/// A call as it is sent.
+/// An HTTP request as it is sent.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct HttpCall {
+    /// Method.
     pub method: HttpMethod,
     /// Path with the query.
     pub path: String,
-    /// JSON, if there is a body.
+    /// JSON body, if there is one.
     pub body: Option<Vec<u8>>,
 }
 
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -1,7 +1,7 @@
-//! Wire formats of every interface trackcrank speaks.
+//! Wire formats of every interface of trackcrank.
 //!
-//! Rust names are the field's standard terms; the names a site uses on the
-//! wire appear only as serde renames. Clients may depend on this crate alone.
+//! Rust names are the standard terms of cluster scheduling; the names used on the wire appear only as
+//! serde renames. Clients may depend on this crate alone.
 
 pub mod cloud;
 pub mod http;
--- a/crates/wire/src/mesh.rs
+++ b/crates/wire/src/mesh.rs
@@ -1,242 +1,319 @@
-//! Messages between controller nodes (MessagePack frames).
+//! Messages between controllers over the mesh.
+//!
+//! Frames are MessagePack with structs as arrays: the order of fields and the serialised names of
+//! enum variants are the protocol, the names of fields in Rust are not.
 
 use crate::users::Priority;
 use serde::{Deserialize, Serialize};
 
 /// Version of the mesh protocol; frames of another version are refused.
 pub const MESH_VERSION: u16 = 5;
-/// Largest frame that is read and sent: the load of a partition of 8,000 machines with the longest
-/// names fits. Versions before this bound read 256 KiB only and close the connection on more.
+/// Largest frame in bytes that is read and sent: the status of a partition of 8,000 machines with the
+/// longest names fits. Versions before this bound read 256 KiB only and close the connection on more.
 pub const MAX_FRAME: usize = 4 * 1024 * 1024;
 
-/// Waiting work of one shape.
+/// Queued work of one shape: tasks with the same requirements.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct DemandShape {
+    /// CPUs of one task, in thousandths.
     pub milli_cpus: u64,
+    /// GPUs of one task, in thousandths.
     pub milli_gpus: u64,
+    /// Memory of one task in MB.
     pub memory_mb: u64,
+    /// Machine types that are allowed; all if absent.
     pub types: Option<Vec<String>>,
+    /// Zone that is required; any if absent.
     pub zone: Option<String>,
+    /// Whether spot machines are allowed.
     pub spot: bool,
-    /// Tasks that wait for room.
+    /// Number of queued tasks.
     pub tasks: u64,
-    /// Of these, tasks that must start without delay (services, work inside a guarantee).
+    /// How many of these must start without delay: services, and work within a guarantee.
     pub urgent: u64,
-    /// Owner's estimate of a task's run time in ms; 0 for services.
+    /// Owner's estimate of a task's run time in milliseconds; 0 for services.
     pub estimate_ms: u64,
-    /// Priority of the work. What is low is done with what others leave.
-    #[serde(default = "normal")]
+    /// Priority class. Low priority without a deadline is best-effort work.
+    #[serde(default = "default_priority")]
     pub priority: Priority,
-    /// All tasks of the gang, if it has to be in one zone: `zone` is then where it lacks the least,
-    /// and where that has no more machines all of it may go to another. 0: no such gang.
+    /// Number of all tasks of a gang that must run in one zone, otherwise 0. `zone` is then the
+    /// zone where the fewest machines are missing; if the cloud has none left there, the whole gang
+    /// may be placed in another.
     #[serde(default)]
     pub gang: u64,
 }
 
-/// Priority of work described by an earlier version.
-fn normal() -> Priority {
+/// Priority of work whose sender does not state one.
+fn default_priority() -> Priority {
     Priority::Normal
 }
 
 impl DemandShape {
-    /// Whether the work may run on a machine of this type, in this zone, of this kind.
+    /// Whether the work may run on a machine of this type and zone, which is a spot machine or not.
     pub fn suits(&self, machine_type: &str, zone: &str, spot: bool) -> bool {
         (self.spot || !spot)
-            && self.zone.as_deref().is_none_or(|z| z == zone)
+            && self.zone.as_deref().is_none_or(|required| required == zone)
             && self
                 .types
                 .as_ref()
-                .is_none_or(|t| t.iter().any(|name| name == machine_type))
+                .is_none_or(|types| types.iter().any(|name| name == machine_type))
     }
 }
 
-/// A holder's view of one of its machines.
+/// Status of a machine in its partition leader's report to the fleet planner.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MachineStatus {
+    /// Name of the machine.
     pub machine: String,
+    /// Number of tasks on it.
     pub tasks: u32,
-    /// How long it has been without tasks.
+    /// Time since it became idle, in milliseconds.
     pub idle_ms: u64,
+    /// Whether its worker sends heartbeats.
     pub up: bool,
-    /// Quarantined: to be returned once empty.
+    /// Whether it is quarantined: it is to be returned once it is empty.
     pub quarantined: bool,
-    /// How long it has been silent, once it has reported.
+    /// Time since its last heartbeat in milliseconds; 0 before the first.
     pub since_heartbeat_ms: u64,
-    /// It runs nothing that is guaranteed, and no replicas.
+    /// Whether it runs neither work within a guarantee nor replicas of services.
     pub transferable: bool,
-    /// All that runs on it is best-effort work, which leaves within seconds when asked.
+    /// Whether all its tasks are best-effort work, which can be preempted within seconds.
     pub best_effort: bool,
-    /// It goes to this partition as soon as it is empty.
+    /// Partition to which it is transferred once it is empty.
     pub transfer_to: Option<u32>,
 }
 
-/// What a holder tells the leader about its partition.
+/// Regular report of a partition leader to the fleet planner.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct PartitionStatus {
+    /// Number of the partition.
     pub partition: u32,
+    /// Term of the leadership.
     pub term: u64,
+    /// Queued work.
     pub demand: Vec<DemandShape>,
+    /// Machines of the partition.
     pub machines: Vec<MachineStatus>,
 }
 
-/// One mesh message.
+/// A message between two controllers. The serde names are those of the protocol.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum MeshMessage {
-    /// Regular sign of life.
+    /// Regular heartbeat of a controller.
     #[serde(rename = "Alive")]
     Heartbeat {
+        /// Incarnation of the sender.
         incarnation: u64,
-        /// All changes up to here are known to the sender.
+        /// Revision up to which the sender's state cache is complete.
         revision: u64,
+        /// Whether the sender has recently received a response of the state service.
         state_contact: bool,
+        /// Whether the sender is ready to lead partitions.
         ready: bool,
-        /// How long ago the sender heard each other node, in ms.
-        heard: Vec<(String, u64)>,
+        /// Age of the last heartbeat that the sender received from each other controller, in
+        /// milliseconds.
+        peer_heartbeat_ages: Vec<(String, u64)>,
     },
-    /// Holder to leader.
+    /// Partition leader to fleet planner: the status of the partition.
     #[serde(rename = "Load")]
     PartitionStatus(PartitionStatus),
-    /// Leader to holder: give up an idle machine, to a partition or to the cloud.
+    /// Fleet planner to partition leader: release an idle machine.
     #[serde(rename = "Release")]
-    ReleaseMachine { machine: String, to: Option<u32> },
-    /// Leader to holder: hand `count` machines of partition `from` that suit the shape over to
-    /// another partition as they empty, those under way included.
+    ReleaseMachine {
+        /// Name of the machine.
+        machine: String,
+        /// Partition that receives the machine; absent if it is returned to the cloud.
+        to: Option<u32>,
+    },
+    /// Fleet planner to partition leader: transfer machines that fit a shape to another partition
+    /// as they become empty, including machines that still boot.
     #[serde(rename = "Cede")]
     TransferMachines {
+        /// Partition that gives the machines.
         from: u32,
+        /// Partition that receives them.
         to: u32,
+        /// Number of machines.
         count: u32,
+        /// Work that the machines must be able to run.
         shape: DemandShape,
     },
-    /// A new holder tells everybody, so that a predecessor stops at once.
+    /// New partition leader to all: a predecessor must stop at once.
     #[serde(rename = "Taken")]
     LeaderChanged {
+        /// Number of the partition.
         partition: u32,
+        /// Term of the new leadership.
         term: u64,
+        /// Name of the new leader.
         leader: String,
     },
-    /// A holder whose workers do not reach it deletes its record: its home need not be waited for.
+    /// Partition leader to all: it deletes its record because its workers do not reach it. The
+    /// preferred leader need not be waited for.
     #[serde(rename = "GaveUp")]
-    LeadershipResigned { partition: u32 },
-    /// The home node of a partition offers to hold it again, under this lease.
+    LeadershipResigned {
+        /// Number of the partition.
+        partition: u32,
+    },
+    /// Preferred leader to partition leader: it can lead the partition again.
     #[serde(rename = "WantHome")]
     ReclaimRequest {
+        /// Number of the partition.
         partition: u32,
+        /// Lease of the preferred leader in the state service, which the record is to be bound to.
         lease: u64,
+        /// Incarnation of the preferred leader.
         incarnation: u64,
     },
-    /// To everybody: these jobs are recorded as cancelled, as far as they are not over.
+    /// To all: these jobs are recorded as cancelled, unless they were terminal before.
     #[serde(rename = "Cancelled")]
-    JobsCancelled { jobs: Vec<u64> },
-    /// Holder to everybody: done and running tasks of jobs, for display.
+    JobsCancelled {
+        /// Numbers of the jobs.
+        jobs: Vec<u64>,
+    },
+    /// Partition leader to all: progress of jobs, for display only.
     #[serde(rename = "Progress")]
-    JobProgress { jobs: Vec<(u64, u64, u64)> },
-    /// To a holder: the sender follows what it knows of a partition under this term, and has what
-    /// was numbered up to `have`. Repeated for as long as it follows.
+    JobProgress {
+        /// Number of each job, its tasks that are done, and its tasks that run.
+        jobs: Vec<(u64, u64, u64)>,
+    },
+    /// Standby to partition leader: starts or renews the subscription to its replication stream.
     #[serde(rename = "Follow")]
     Subscribe {
+        /// Number of the partition.
         partition: u32,
+        /// Incarnation of the leader that is subscribed to.
         incarnation: u64,
+        /// Term of the leadership that is subscribed to.
         term: u64,
-        have: u64,
+        /// Number up to which the subscriber has applied all changes.
+        applied: u64,
     },
-    /// A holder's hints to whoever follows.
+    /// Partition leader to standby: one batch of the replication stream.
     #[serde(rename = "Hints")]
     Replication(ReplicationBatch),
 }
 
-/// What a holder knows of one of its machines beyond the records. Hints prove nothing: whoever takes
-/// the partition on asks the machine before it relies on any.
+/// Soft state of a machine that its partition leader keeps beyond the stored records. It proves
+/// nothing: a new leader contacts the machine before it relies on any of it.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct MachineSnapshot {
+    /// Name of the machine.
     pub machine: String,
+    /// Address of its worker, `host:port`.
     pub address: String,
+    /// Worker epoch of its last heartbeat.
     pub session: u64,
-    /// It reports to the holder, and lately did.
+    /// Whether the leader has recently received its heartbeats.
     pub reporting: bool,
-    /// Quarantined.
+    /// Whether it is quarantined.
     pub quarantined: bool,
-    /// Since when it has been idle, on the sender's steady clock.
+    /// Since when it has been idle, in milliseconds on the sender's steady clock.
     pub idle_at: Option<u64>,
-    /// Images it holds, with their sizes in GB, by name.
+    /// Images in its cache by name, with their sizes in GB.
     pub images: Vec<(String, f64)>,
 }
 
-/// What a holder has learned of a job by its failures.
+/// Soft state of a job's failures that its partition leader keeps.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct JobFailureSnapshot {
+    /// Number of the job.
     pub job: u64,
-    /// Failures in a row of single tasks, of a few at most.
+    /// Consecutive failures by index of the task, for a bounded number of tasks.
     pub failures: Vec<(u32, u32)>,
+    /// Names of machines on which its tasks failed.
     pub failed_on: Vec<String>,
+    /// Number of tasks that completed.
     pub successes: u32,
+    /// Longest run time after which a task failed, in milliseconds.
     pub fails_within_ms: u64,
 }
 
-/// What a hint is about.
+/// What a replicated record describes.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum ReplicationKey {
+    /// The machine of this name.
     Machine(String),
+    /// The job of this number.
     Job(u64),
 }
 
-/// One hint.
+/// One record of the replication stream.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum ReplicatedRecord {
+    /// State of a machine.
     Machine(MachineSnapshot),
+    /// Failures of a job.
     Job(JobFailureSnapshot),
-    /// There is nothing to be said of it any more.
+    /// Tombstone: the leader keeps nothing about the key any more.
     #[serde(rename = "Gone")]
     Removed(ReplicationKey),
 }
 
 impl ReplicatedRecord {
-    /// What it is about.
+    /// Key of the object that the record describes.
     pub fn key(&self) -> ReplicationKey {
         match self {
-            ReplicatedRecord::Machine(hint) => ReplicationKey::Machine(hint.machine.clone()),
-            ReplicatedRecord::Job(hint) => ReplicationKey::Job(hint.job),
+            ReplicatedRecord::Machine(snapshot) => {
+                ReplicationKey::Machine(snapshot.machine.clone())
+            }
+            ReplicatedRecord::Job(snapshot) => ReplicationKey::Job(snapshot.job),
             ReplicatedRecord::Removed(key) => key.clone(),
         }
     }
 
-    /// Bytes that it takes in a frame, roughly.
+    /// Approximate size in a frame, in bytes.
     pub fn weight(&self) -> usize {
         match self {
-            ReplicatedRecord::Machine(hint) => {
-                let images: usize = hint.images.iter().map(|(name, _)| name.len() + 10).sum();
-                hint.machine.len() + hint.address.len() + 24 + images
+            ReplicatedRecord::Machine(snapshot) => {
+                let images: usize = snapshot
+                    .images
+                    .iter()
+                    .map(|(name, _)| name.len() + 10)
+                    .sum();
+                snapshot.machine.len() + snapshot.address.len() + 24 + images
             }
-            ReplicatedRecord::Job(hint) => {
-                let machines: usize = hint.failed_on.iter().map(|name| name.len() + 1).sum();
-                24 + hint.failures.len() * 6 + machines
+            ReplicatedRecord::Job(snapshot) => {
+                let machines: usize = snapshot.failed_on.iter().map(|name| name.len() + 1).sum();
+                24 + snapshot.failures.len() * 6 + machines
             }
             ReplicatedRecord::Removed(_) => 24,
         }
     }
 }
 
-/// Hints that changed after one number up to another.
+/// Consecutive changes of the replication stream: those after one number up to another.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct ReplicationBatch {
+    /// Number of the partition.
     pub partition: u32,
+    /// Incarnation of the leader.
     pub incarnation: u64,
+    /// Term of its leadership.
     pub term: u64,
+    /// Number of the change before the first one of the batch.
     pub after: u64,
-    pub upto: u64,
-    /// The number of the newest change.
+    /// Number of the last change of the batch.
+    pub up_to: u64,
+    /// Number of the newest change of the stream.
     pub newest: u64,
-    /// Ends of hints up to this number are forgotten: whoever has less starts anew.
-    pub floor: u64,
-    /// The sender's steady clock.
+    /// Number up to which tombstones have been dropped: a subscriber that has applied less starts
+    /// from 0.
+    pub tombstones_dropped_up_to: u64,
+    /// Time of sending in milliseconds on the sender's steady clock.
     pub at_ms: u64,
-    pub hints: Vec<ReplicatedRecord>,
+    /// Changed records.
+    pub records: Vec<ReplicatedRecord>,
 }
 
-/// A frame.
+/// A message with its envelope. A frame is length-delimited MessagePack, in which structs are
+/// arrays: the order of fields is part of the protocol, their names are not.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Frame {
+    /// Version of the protocol, see [`MESH_VERSION`].
     pub version: u16,
+    /// Name of the sending controller.
     pub from: String,
+    /// Message.
     pub message: MeshMessage,
 }
--- a/crates/wire/src/state.rs
+++ b/crates/wire/src/state.rs
@@ -1,35 +1,42 @@
-//! State service bodies.
+//! Requests to the state service, a consensus-backed key-value store, and its responses.
 
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 
-/// A key with its value.
+/// A key of the state service with its value.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Item {
+    /// Key.
     #[serde(rename = "path")]
     pub key: String,
+    /// Value.
     #[serde(rename = "v")]
     pub value: Value,
+    /// Version of the key: the revision of its last write.
     #[serde(rename = "stamp")]
     pub version: u64,
+    /// Lease with which the key is removed when it expires.
     #[serde(rename = "hold", default, skip_serializing_if = "Option::is_none")]
     pub lease: Option<u64>,
 }
 
-/// One page of a prefix read.
+/// One page of a read by prefix.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ListPage {
+    /// Items in the order of their keys.
     #[serde(rename = "pairs")]
     pub items: Vec<Item>,
+    /// Whether another page follows.
     #[serde(rename = "has_next", default)]
     pub more: bool,
+    /// Revision of the state service at which the page was read.
     #[serde(rename = "epoch")]
     pub revision: u64,
 }
 
 impl ListPage {
-    /// Whether it may be the page that follows the key `after` in a read of this prefix: keys in order,
-    /// none from elsewhere, and something to go on from if there is more.
+    /// Whether this is a valid page after the key `after` of a read by `prefix`: the keys ascend, all
+    /// have the prefix, and a page that announces another one is not empty.
     pub fn follows(&self, prefix: &str, after: &str) -> bool {
         let mut last = after;
         for item in &self.items {
@@ -43,27 +50,35 @@
     }
 }
 
-/// A condition of a transaction.
+/// A condition of a transaction: the key has this version.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Condition {
+    /// Key.
     #[serde(rename = "path")]
     pub key: String,
+    /// Expected version; 0 if the key must not exist.
     #[serde(rename = "stamp")]
     pub version: u64,
 }
 
-/// One change of a transaction.
+/// One write of a transaction.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(untagged)]
 pub enum Write {
+    /// Sets the value of a key.
     Put {
+        /// Key.
         put: String,
+        /// New value.
         #[serde(rename = "v")]
         value: Value,
+        /// Lease that the key is bound to.
         #[serde(rename = "hold", default, skip_serializing_if = "Option::is_none")]
         lease: Option<u64>,
     },
+    /// Removes a key.
     Delete {
+        /// Key.
         delete: String,
     },
 }
@@ -85,11 +100,11 @@
             lease: Some(lease),
         }
     }
-    /// A delete.
+    /// A removal of a key.
     pub fn delete(key: impl Into<String>) -> Self {
         Write::Delete { delete: key.into() }
     }
-    /// The key changed.
+    /// The key that is written.
     pub fn key(&self) -> &str {
         match self {
             Write::Put { put, .. } => put,
@@ -98,11 +113,13 @@
     }
 }
 
-/// `POST /txn`.
+/// Body of `POST /txn`: writes that are applied together if all conditions hold (compare-and-swap).
 #[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize)]
 pub struct Transaction {
+    /// Conditions, of which all must hold.
     #[serde(rename = "if", default)]
     pub conditions: Vec<Condition>,
+    /// Writes, applied at one revision.
     #[serde(rename = "writes", default)]
     pub writes: Vec<Write>,
 }
@@ -116,117 +133,154 @@
         });
         self
     }
-    /// Adds a change.
+    /// Adds a write.
     pub fn write(mut self, write: Write) -> Self {
         self.writes.push(write);
         self
     }
 }
 
-/// Answer to a transaction, 200 or 409.
+/// Response to a transaction, with status 200 or 409.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TransactionResponse {
+    /// Revision of the commit, or the one at which the conditions failed.
     #[serde(rename = "epoch")]
     pub revision: u64,
+    /// Keys whose conditions did not hold; empty after a commit.
     #[serde(default)]
     pub failed: Vec<String>,
 }
 
-/// `POST /holds`.
+/// Body of `POST /holds`: a request for a lease.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeaseRequest {
+    /// Time to live without a renewal, in milliseconds.
     #[serde(rename = "life_ms")]
     pub ttl_ms: u64,
 }
 
-/// Answer to a lease request.
+/// Response to a lease request.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeaseResponse {
+    /// Id of the lease.
     #[serde(rename = "hold")]
     pub lease: u64,
 }
 
-/// One change as a watch reports it.
+/// One change as a watch reports it: exactly one of `put` and `delete` is set.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Change {
+    /// Key that was written.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub put: Option<String>,
+    /// Key that was removed.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub delete: Option<String>,
+    /// New value after a put.
     #[serde(rename = "v", default, skip_serializing_if = "Option::is_none")]
     pub value: Option<Value>,
+    /// Version of the key after the change.
     #[serde(rename = "stamp")]
     pub version: u64,
+    /// Lease that the key is bound to.
     #[serde(rename = "hold", default, skip_serializing_if = "Option::is_none")]
     pub lease: Option<u64>,
 }
 
-/// `GET /changes`.
+/// Response to `GET /changes`.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Changes {
+    /// Revision up to which the changes are complete.
     #[serde(rename = "epoch")]
     pub revision: u64,
+    /// Changes in the order of their revisions.
     #[serde(rename = "log", default)]
     pub events: Vec<Change>,
 }
 
-/// A call to the state service.
+/// A request to the state service.
 #[derive(Debug, Clone, PartialEq)]
 pub enum StateRequest {
+    /// Read one key.
     Get {
+        /// Key.
         key: String,
     },
+    /// Read one page of the keys with a prefix.
     List {
+        /// Prefix of the keys.
         prefix: String,
+        /// Key after which the page starts; empty for the first page.
         after: String,
+        /// Maximum number of keys on the page.
         limit: u32,
     },
+    /// Commit a transaction.
     Transaction(Transaction),
+    /// Request a lease.
     NewLease {
+        /// Time to live without a renewal, in milliseconds.
         ttl_ms: u64,
     },
+    /// Renew a lease.
     Renew {
+        /// Id of the lease.
         lease: u64,
     },
+    /// Revoke a lease, which removes the keys bound to it.
     EndLease {
+        /// Id of the lease.
         lease: u64,
     },
+    /// Wait for changes of the keys with a prefix.
     Watch {
+        /// Prefix of the keys.
         prefix: String,
+        /// Revision after which changes are reported.
         after: u64,
+        /// Time after which the response is sent even without a change, in milliseconds.
         wait_ms: u64,
     },
 }
 
-/// What came back from the state service.
+/// Outcome of a request to the state service.
 #[derive(Debug, Clone, PartialEq)]
 pub enum StateReply {
+    /// The key that was read.
     Item(Item),
-    /// 404 of a key.
+    /// Status 404: the key that was read does not exist.
     Missing,
+    /// One page of keys.
     List(ListPage),
+    /// The transaction was applied.
     Committed {
+        /// Revision of the commit.
         revision: u64,
     },
-    /// 409: the conditions named did not hold at this revision.
+    /// Status 409: the transaction was not applied, because conditions did not hold.
     Conflict {
+        /// Keys whose conditions did not hold.
         failed: Vec<String>,
+        /// Revision at which the conditions were checked.
         revision: u64,
     },
+    /// Id of a new lease.
     Lease(u64),
-    /// A lease call succeeded.
+    /// A renewal or revocation of a lease succeeded.
     Ok,
-    /// The lease has ended.
+    /// The lease has expired or was revoked.
     LeaseGone,
+    /// Changes that a watch reports.
     Changes(Changes),
-    /// 410: the changes asked for are no longer kept.
+    /// Status 410: the requested changes are no longer kept.
     Compacted,
-    /// 429 (throttled) or 503: certainly not executed.
+    /// Status 429 or 503: the request was certainly not executed.
     Refused {
+        /// Whether the rate limit was exceeded (429).
         throttled: bool,
     },
-    /// 400: malformed.
+    /// Status 400: the request is malformed, with the service's explanation.
     Invalid(String),
-    /// No usable answer: may have been, or may yet be, executed.
+    /// No usable response: the request may have been executed, or may be later.
     Unknown,
 }
--- a/crates/wire/src/workers.rs
+++ b/crates/wire/src/workers.rs
@@ -1,4 +1,4 @@
-//! Worker reports and commands.
+//! Heartbeats of workers and commands to them.
 
 use serde::{Deserialize, Serialize};
 
@@ -6,68 +6,97 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum TaskState {
+    /// Its image is being fetched.
     Fetching,
+    /// A gang's task waits for the other tasks of the gang.
     #[serde(rename = "gathering")]
     Waiting,
+    /// It runs.
     Running,
+    /// It saves a checkpoint before it stops.
     Saving,
+    /// It has exited.
     Exited,
 }
 
-/// Why a task ended.
+/// Why a task exited.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum ExitCause {
+    /// It has completed.
     Done,
+    /// A command stopped it.
     #[serde(rename = "halted")]
     Stopped,
+    /// A gang's task lost contact with the other tasks of the gang.
     #[serde(rename = "mates_gone")]
     PeersGone,
+    /// The other tasks of the gang did not start in time.
     #[serde(rename = "incomplete")]
     Alone,
+    /// The machine has not enough free resources.
     #[serde(rename = "full")]
     NoRoom,
+    /// Another attempt of the same task still runs on the machine.
     Busy,
+    /// The worker does not know the task, as after a restart.
     Unknown,
+    /// The task failed, or the worker reports a cause that this version does not know.
     #[serde(other)]
     Error,
 }
 
-/// One task in a report.
+/// One task in a heartbeat.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TaskStatus {
+    /// Id of the task, such as `j-000412/3`.
     #[serde(rename = "piece")]
     pub task: String,
+    /// Number of the attempt.
     #[serde(rename = "try")]
     pub attempt: u64,
+    /// State of the task.
     #[serde(rename = "status")]
     pub state: TaskState,
+    /// Why it exited; only in the state [`TaskState::Exited`].
     #[serde(rename = "cause", default, skip_serializing_if = "Option::is_none")]
     pub why: Option<ExitCause>,
+    /// Whether the stopped task has saved a checkpoint.
     #[serde(rename = "stored", default, skip_serializing_if = "Option::is_none")]
     pub saved: Option<bool>,
 }
 
-/// `POST /hello`, and the body of a worker's answers.
+/// Body of `POST /hello` and of a worker's responses to direct commands: the status of a machine
+/// and of all its tasks.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Heartbeat {
+    /// Name of the machine.
     #[serde(rename = "host")]
     pub machine: String,
+    /// Address of the worker, `host:port`.
     pub address: String,
+    /// Name of the machine type.
     #[serde(rename = "rig")]
     pub machine_type: String,
+    /// Zone of the machine.
     #[serde(rename = "yard")]
     pub zone: String,
+    /// Whether it is a spot machine.
     #[serde(rename = "loaners")]
     pub spot: bool,
+    /// Worker epoch: it rises whenever the worker's lease expires.
     #[serde(rename = "shift")]
     pub session: u64,
+    /// Sequence number of the message within the worker's life.
     #[serde(rename = "tick")]
     pub seq: u64,
+    /// Highest fencing token that the worker has received.
     #[serde(rename = "baton")]
     pub token: u64,
+    /// Seconds until the cloud takes a spot machine back, once that is announced.
     #[serde(rename = "warning_s", default)]
     pub notice_s: Option<f64>,
+    /// All tasks on the machine, including those that exited and were not forgotten yet.
     #[serde(rename = "pieces", default)]
     pub tasks: Vec<TaskStatus>,
 }
@@ -76,54 +105,71 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "verb")]
 pub enum Command {
+    /// Start a task.
     #[serde(rename = "launch")]
     Start {
+        /// Id of the task.
         #[serde(rename = "piece")]
         task: String,
+        /// Number of the attempt.
         #[serde(rename = "try")]
         attempt: u64,
     },
+    /// Stop a task.
     #[serde(rename = "halt")]
     Stop {
+        /// Id of the task.
         #[serde(rename = "piece")]
         task: String,
+        /// Number of the attempt.
         #[serde(rename = "try")]
         attempt: u64,
+        /// Time in which it may save a checkpoint, in seconds; 0 kills it at once.
         #[serde(rename = "mercy_s")]
         grace_s: f64,
     },
+    /// Drop the record of a task that has exited.
     #[serde(rename = "forget")]
     Forget {
+        /// Id of the task.
         #[serde(rename = "piece")]
         task: String,
+        /// Number of the attempt.
         #[serde(rename = "try")]
         attempt: u64,
     },
 }
 
-/// 200 answer to a report.
+/// Response to a heartbeat with status 200. It renews the worker's lease.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct HeartbeatResponse {
+    /// Fencing token of the leader that responds.
     #[serde(rename = "baton")]
     pub token: u64,
+    /// Commands in the order in which they are to be executed.
     #[serde(rename = "orders")]
     pub commands: Vec<Command>,
 }
 
-/// 421 answer to a report.
+/// Response to a heartbeat with status 421: another controller is responsible.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Redirect {
+    /// Name of the controller to report to, if it is known.
     #[serde(rename = "foreman", default, skip_serializing_if = "Option::is_none")]
     pub report_to: Option<String>,
 }
 
-/// `POST /commands`.
+/// Body of `POST /commands`. Without commands it is a liveness probe.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct DirectCommands {
+    /// Fencing token of the sender; the worker rejects one that is lower than the highest it has
+    /// received.
     #[serde(rename = "baton")]
     pub token: u64,
+    /// Worker epoch for which the commands are meant.
     #[serde(rename = "shift")]
     pub session: u64,
+    /// Commands in the order in which they are to be executed.
     #[serde(rename = "orders")]
     pub commands: Vec<Command>,
 }
--- a/crates/wire/tests/decoders.rs
+++ b/crates/wire/tests/decoders.rs
@@ -171,17 +171,17 @@
         images: vec![("img-07".into(), 6.2)],
     };
     let hints = ReplicationBatch {
-        hints: vec![wire::mesh::ReplicatedRecord::Machine(hint)],
+        records: vec![wire::mesh::ReplicatedRecord::Machine(hint)],
         ..ReplicationBatch::default()
     };
-    let heard = vec![("n2".to_owned(), 7)];
+    let peer_heartbeat_ages = vec![("n2".to_owned(), 7)];
     let messages = [
         MeshMessage::Heartbeat {
             incarnation: 1,
             revision: 2,
             state_contact: true,
             ready: true,
-            heard,
+            peer_heartbeat_ages,
         },
         MeshMessage::TransferMachines {
             from: 0,
--- a/crates/wire/tests/golden_mesh.rs
+++ b/crates/wire/tests/golden_mesh.rs
@@ -84,7 +84,7 @@
     }
 }
 
-fn machine_hint(idle_at: Option<u64>) -> MachineSnapshot {
+fn machine_snapshot(idle_at: Option<u64>) -> MachineSnapshot {
     MachineSnapshot {
         machine: "host-000007".into(),
         address: "10.0.1.7:9000".into(),
@@ -96,7 +96,7 @@
     }
 }
 
-fn job_hint() -> JobFailureSnapshot {
+fn job_failures() -> JobFailureSnapshot {
     JobFailureSnapshot {
         job: 412,
         failures: vec![(0, 2), (7, 1)],
@@ -106,27 +106,27 @@
     }
 }
 
-fn hints(hints: Vec<ReplicatedRecord>) -> MeshMessage {
+fn replication(records: Vec<ReplicatedRecord>) -> MeshMessage {
     MeshMessage::Replication(ReplicationBatch {
         partition: 2,
         incarnation: 3,
         term: 41,
         after: 50,
-        upto: 60,
+        up_to: 60,
         newest: 70,
-        floor: 40,
+        tombstones_dropped_up_to: 40,
         at_ms: 123_456,
-        hints,
+        records,
     })
 }
 
-fn alive(heard: Vec<(String, u64)>) -> MeshMessage {
+fn alive(peer_heartbeat_ages: Vec<(String, u64)>) -> MeshMessage {
     MeshMessage::Heartbeat {
         incarnation: 3,
         revision: 900,
         state_contact: true,
         ready: false,
-        heard,
+        peer_heartbeat_ages,
     }
 }
 
@@ -186,28 +186,33 @@
                 partition: 2,
                 incarnation: 3,
                 term: 41,
-                have: 60,
+                applied: 60,
             },
         ),
-        frame("hints_none", hints(Vec::new())),
+        frame("hints_none", replication(Vec::new())),
         frame(
             "hint_machine",
-            hints(vec![ReplicatedRecord::Machine(machine_hint(Some(8_000)))]),
+            replication(vec![ReplicatedRecord::Machine(machine_snapshot(Some(
+                8_000,
+            )))]),
         ),
         frame(
             "hint_machine_busy",
-            hints(vec![ReplicatedRecord::Machine(machine_hint(None))]),
+            replication(vec![ReplicatedRecord::Machine(machine_snapshot(None))]),
+        ),
+        frame(
+            "hint_job",
+            replication(vec![ReplicatedRecord::Job(job_failures())]),
         ),
-        frame("hint_job", hints(vec![ReplicatedRecord::Job(job_hint())])),
         frame(
             "hint_gone_machine",
-            hints(vec![ReplicatedRecord::Removed(ReplicationKey::Machine(
+            replication(vec![ReplicatedRecord::Removed(ReplicationKey::Machine(
                 "host-1".into(),
             ))]),
         ),
         frame(
             "hint_gone_job",
-            hints(vec![ReplicatedRecord::Removed(ReplicationKey::Job(412))]),
+            replication(vec![ReplicatedRecord::Removed(ReplicationKey::Job(412))]),
         ),
     ];
     golden::check("mesh.hex", &entries);
