--- a/crates/simulator/src/known.rs
+++ b/crates/simulator/src/known.rs
@@ -41,7 +41,7 @@
 
     /// However many others are answered.
     #[test]
-    fn one_job_without_an_answer_for_75_s_is_forgotten() {
+    fn job_without_answer_for_75_s_is_reported_lost() {
         let mut known = Known::default();
         for now in (0..80_000).step_by(5_000) {
             for id in ["a", "b"] {
--- a/crates/simulator/src/served.rs
+++ b/crates/simulator/src/served.rs
@@ -198,7 +198,7 @@
 
     /// Ten small gangs begin at once, one of eight tasks never does.
     #[test]
-    fn a_largest_job_that_does_not_begin_is_told_however_many_small_ones_do() {
+    fn largest_job_without_start_is_reported_despite_started_small_jobs() {
         let mut served = Served::default();
         let (mut jobs, mut accepted) = (HashMap::new(), BTreeMap::new());
         let mut submitted = HashMap::new();
--- a/crates/simulator/src/starved.rs
+++ b/crates/simulator/src/starved.rs
@@ -142,13 +142,13 @@
     }
 
     #[test]
-    fn a_job_that_waits_beside_an_empty_machine_is_told_once() {
+    fn job_waiting_beside_empty_machine_is_reported_once() {
         let job = crate::solo::job(1, JobKind::Array, 3);
         assert_eq!(starved(&job, 100.0), [job.id]);
     }
 
     #[test]
-    fn what_has_no_room_or_no_right_to_any_waits_in_order() {
+    fn job_without_capacity_or_quota_is_not_reported() {
         let job = crate::solo::job(1, JobKind::Array, 3);
         assert_eq!(starved(&job, 0.5), [""; 0], "over its limit");
         let elsewhere = JobRequest {
--- a/crates/simulator/tests/meetings.rs
+++ b/crates/simulator/tests/combined_faults.rs
@@ -85,7 +85,7 @@
 /// confirms cancellations, and before the holder's successor has the partition in hand the service is out
 /// for everybody, for longer than `cancel_s`.
 #[test]
-fn a_holder_is_refused_cancellations_are_confirmed_elsewhere_and_the_state_service_goes_out() {
+fn state_outage_after_refused_leader_and_cancellation_elsewhere_keeps_cancel_deadline() {
     let (mut met, mut moved) = (0, 0);
     for holder in 0..3 {
         for (nth, (cancelled, out)) in TIMES.into_iter().enumerate() {
@@ -160,7 +160,7 @@
 /// ledger, so that it knows what is cancelled and not what it has to stop. It answered the workers of
 /// tasks that it did not know for as long as a holder may that knows all.
 #[test]
-fn the_state_service_goes_out_between_a_successors_record_and_its_ledger() {
+fn state_outage_between_failover_record_and_placement_log_keeps_cancel_deadline() {
     let mut met = 0;
     for (nth, after) in [0, 2, 4, 6, 10, 15, 20, 40, 80, 150]
         .into_iter()
@@ -197,7 +197,7 @@
 
 /// The checker tells where a successor answers without the halts.
 #[test]
-fn a_successor_that_answers_without_halts_is_caught() {
+fn checker_detects_successor_that_renews_without_kills() {
     let caught = (0..12).any(|nth| {
         let holder = nth % 3;
         let mut faults = gap(holder);
@@ -286,7 +286,7 @@
 
 /// A leader ends while machines with long tasks can't be reached, or don't hear the new leader's answer.
 #[test]
-fn a_leader_ends_while_its_machines_do_not_hear_its_successor() {
+fn leader_crash_with_machines_unreachable_for_successor_keeps_rules() {
     let mut met = Met::default();
     for seed in 1..=8 {
         let faults = unheard(seed);
@@ -340,7 +340,7 @@
 /// Commands or their answers are held up while a machine hangs or is cut off for most of its lease, users
 /// cancel what they were to start, and the machine goes on.
 #[test]
-fn commands_are_held_up_while_their_jobs_are_cancelled() {
+fn delayed_commands_of_cancelled_jobs_keep_cancel_deadline() {
     let mut met = 0;
     for seed in 1..=10 {
         let faults = held_up(seed);
@@ -397,7 +397,7 @@
 /// A leader is cut from the state service and the other controllers while workers and users still reach it,
 /// and jobs are cancelled through the new one.
 #[test]
-fn a_leader_without_state_and_peers_and_jobs_cancelled_through_the_new_one() {
+fn cancel_through_successor_of_isolated_leader_keeps_rules() {
     let mut met = 0;
     for seed in 0..12 {
         let (faults, node) = (blind(seed), seed as usize % 3);
@@ -466,7 +466,7 @@
 /// The state service answers slowly, refuses the leader alone and then everybody for longer than
 /// `cancel_s`, while users cancel and ask.
 #[test]
-fn a_slow_state_service_that_refuses_the_leader_and_then_everybody() {
+fn slow_state_service_refusing_leader_then_all_keeps_rules() {
     let mut met = 0;
     for seed in 1..=9 {
         let faults = slow_and_out(seed);
@@ -516,7 +516,7 @@
 
 /// Jobs of two or three tasks end far apart across changes of leader: done neither too early nor never.
 #[test]
-fn small_jobs_end_across_changes_of_leader() {
+fn small_jobs_complete_exactly_once_across_leader_changes() {
     let mut met = 0;
     for seed in 1..=6 {
         let faults = ends_and_late_writes(seed);
@@ -567,7 +567,7 @@
 /// An old report arrives after newer ones, also from an earlier session, also as the first thing that a new
 /// holder hears.
 #[test]
-fn old_reports_arrive_after_newer_ones() {
+fn reordered_heartbeats_change_no_outcome() {
     let mut met = Met::default();
     for seed in 1..=8 {
         let faults = old_reports(seed);
@@ -622,7 +622,7 @@
 /// A transaction without an answer is carried out late, after newer ones of the same controller, and after
 /// that controller's end.
 #[test]
-fn transactions_are_carried_out_late() {
+fn delayed_transactions_keep_rules() {
     let mut met = Met::default();
     for seed in 1..=12 {
         let faults = late_writes(seed);
@@ -686,7 +686,7 @@
 
 /// Controllers hand over and back, all end, and one returns, also within a second.
 #[test]
-fn over_and_back_all_end_and_one_returns() {
+fn failover_failback_and_crash_of_all_with_one_restart_keeps_rules() {
     let mut met = 0;
     for seed in 1..=10 {
         let faults = over_and_back(seed);
@@ -701,7 +701,7 @@
 /// Somebody else writes to a ledger page, so that a holder's round fails and can't be proved. It read its pages
 /// anew under the same term, with attempts numbered from the start and its own launches still under way.
 #[test]
-fn a_holder_whose_round_is_lost_goes_on_under_the_next_term() {
+fn leader_with_lost_log_commit_continues_under_next_term() {
     for seed in 1..=6 {
         let partition = seed as u32 % 3;
         let name = format!("n{partition}");
@@ -895,18 +895,18 @@
 }
 
 #[test]
-fn every_trouble_meets_every_other() {
+fn each_pair_of_faults_keeps_rules() {
     let kinds: Vec<&str> = kinds(0, 0).iter().map(|kind| kind.0).collect();
     let pairs = (kinds.len() * kinds.len()) as u64;
     println!("{} troubles, {pairs} pairs: {kinds:?}", kinds.len());
     for_seeds(pairs, |nth| pair(nth - 1, 1));
 }
 
-/// By hand: `ROUNDS=10 SIZE=1 cargo test --release -p simulator --test meetings -- --ignored`: every pair so
+/// By hand: `ROUNDS=10 SIZE=1 cargo test --release -p simulator --test combined_faults -- --ignored`: every pair so
 /// many times, with other moments, nodes and seeds.
 #[test]
 #[ignore = "thousands of runs"]
-fn every_trouble_meets_every_other_many_times() {
+fn each_pair_of_faults_keeps_rules_over_many_rounds() {
     let number = |name: &str, usual: u64| {
         std::env::var(name)
             .ok()
@@ -920,7 +920,7 @@
 
 /// Each meeting again with a safety step broken on purpose: what it asserts can fail.
 #[test]
-fn each_meeting_tells_when_a_safety_step_is_broken() {
+fn each_scenario_detects_its_injected_defect() {
     let first = |seed: u64| refused_then_out(seed as usize % 3, seed as usize % TIMES.len()).1;
     let long = ["ran_cancelled"];
     let doubled = ["ran_twice", "quota", "wrong_place", "ran_cancelled"];
--- a/crates/simulator/tests/machine_meetings.rs
+++ b/crates/simulator/tests/combined_machine_faults.rs
@@ -80,7 +80,7 @@
 }
 
 #[test]
-fn a_transaction_is_carried_out_and_only_its_answer_is_lost_while_others_read_it() {
+fn applied_transaction_with_lost_reply_keeps_rules() {
     let met = whole_runs("answers lost", 10, answers_lost, |met, world| {
         met.lost_answers += world.met.lost_answers;
         met.lost_and_read += world.met.lost_and_read;
@@ -131,7 +131,7 @@
 }
 
 #[test]
-fn new_machines_are_up_within_two_seconds_and_get_work_while_writes_lag_and_the_leader_ends() {
+fn fast_machine_boot_during_slow_writes_and_leader_crash_keeps_rules() {
     let met = whole_runs("quick boots", 10, quick_boots, |met, world| {
         met.young_launches += world.met.young_launches;
         met.late_after_newer += world.met.late_after_newer;
@@ -200,7 +200,7 @@
 }
 
 #[test]
-fn an_old_report_reaches_every_controller_just_as_a_new_leader_begins() {
+fn stale_heartbeat_at_start_of_new_leader_changes_nothing() {
     let met = whole_runs("kept copies", 10, kept_copies, |met, world| {
         met.old_at_begin += world.met.old_at_begin;
         met.old_sessions_at_begin += world.met.old_sessions_at_begin;
@@ -246,7 +246,7 @@
 }
 
 #[test]
-fn a_report_is_held_back_until_a_new_leader_has_acted_and_arrives_there() {
+fn delayed_heartbeat_after_first_actions_of_new_leader_keeps_rules() {
     let met = whole_runs("held reports", 10, held_reports, |met, world| {
         met.held_reports += world.met.held_reports;
     });
@@ -300,7 +300,7 @@
 }
 
 #[test]
-fn machines_reach_no_controller_while_direct_commands_reach_them() {
+fn direct_commands_to_machines_without_outgoing_connections_keep_rules() {
     let met = whole_runs("mute", 10, mute, |met, world| {
         met.mute += world.met.mute;
         met.mute_and_told += world.met.mute_and_told;
@@ -346,7 +346,7 @@
 }
 
 #[test]
-fn a_command_of_a_leader_that_has_ended_or_been_deposed_arrives_after_its_successors() {
+fn delayed_command_of_former_leader_is_fenced_after_failover() {
     let met = whole_runs("late commands", 12, late_commands, |met, world| {
         met.late_commands += world.met.late_commands;
         met.late_commands_void += world.met.late_commands_void;
@@ -426,7 +426,7 @@
 }
 
 #[test]
-fn leaders_change_ten_times_in_two_minutes_also_inside_an_outage() {
+fn ten_leader_changes_in_two_minutes_keep_rules_also_during_outage() {
     for_seeds(8, |seed| {
         let mut world = World::new(Plan::of_long_tasks(seed, MS, ten_changes(seed)));
         let changes = changes_in_two_minutes(&mut world);
@@ -474,7 +474,7 @@
 }
 
 #[test]
-fn there_is_more_work_than_room_urgent_and_not_over_slow_links() {
+fn overload_over_slow_links_keeps_rules() {
     for_seeds(8, |seed| {
         let mut world = World::new(Plan::of_long_tasks(seed, MS, overload(seed)));
         world.run_to(49_000);
@@ -539,7 +539,7 @@
 }
 
 #[test]
-fn one_controller_hears_another_that_does_not_hear_it() {
+fn one_way_mesh_partition_keeps_rules() {
     let met = whole_runs("one way", 12, one_way, |met, world| {
         met.lost_on_one_way += world.met.lost_on_one_way;
     });
@@ -549,7 +549,7 @@
 /// Holders that hear the leader and are not heard by it: it knew nothing of what they lacked, and rented no
 /// machine for them.
 #[test]
-fn machines_are_rented_for_holders_that_the_leader_does_not_hear() {
+fn fleet_planner_scales_out_for_leaders_with_lost_messages() {
     let faults = [1, 2].map(|from| {
         (
             0,
@@ -653,7 +653,7 @@
 }
 
 #[test]
-fn what_controllers_told_each_other_comes_again_late() {
+fn delayed_duplicates_on_mesh_keep_rules() {
     let met = whole_runs("mesh copies", 12, mesh_copies, |met, world| {
         met.mesh_copies += world.met.mesh_copies;
     });
@@ -682,7 +682,7 @@
 
 /// Each meeting again with a safety step broken on purpose: what it asserts can fail.
 #[test]
-fn each_meeting_tells_when_a_safety_step_is_broken() {
+fn each_scenario_detects_its_injected_defect() {
     let untold = std::sync::Mutex::new(Vec::new());
     for_seeds(MEETINGS.len() as u64, |nth| {
         let (name, faults, sabotage) = MEETINGS[nth as usize - 1];
@@ -710,11 +710,11 @@
     );
 }
 
-/// By hand: `FROM=100 SEEDS=300 cargo test -p simulator --test machine_meetings -- --ignored`: every meeting with
+/// By hand: `FROM=100 SEEDS=300 cargo test -p simulator --test combined_machine_faults -- --ignored`: every meeting with
 /// so many other seeds. All that break a rule are named.
 #[test]
 #[ignore = "thousands of runs"]
-fn many_seeds() {
+fn combined_machine_faults_keep_rules_over_many_seeds() {
     let number = |name: &str, usual: u64| {
         std::env::var(name)
             .ok()
--- a/crates/simulator/tests/end_of_day.rs
+++ b/crates/simulator/tests/end_of_run.rs
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn machines_that_are_heard_and_not_reached() {
+fn unreachable_machines_with_working_heartbeats_keep_service_levels() {
     for seed in 1..=6 {
         let ms = 4_000 + seed * 9_000;
         let faults = vec![
@@ -79,7 +79,7 @@
 }
 
 #[test]
-fn late_copies_prove_nothing() {
+fn delayed_duplicates_change_no_outcome() {
     for seed in 1..=8 {
         let back = 50 + seed * 100;
         let faults = vec![
@@ -96,7 +96,7 @@
 
 /// It leaves its workers to others in time: no task dies of its lease.
 #[test]
-fn a_controller_without_state_and_peers() {
+fn controller_without_state_service_and_peers_loses_no_task_lease() {
     for seed in 1..=8 {
         let node = (seed % 3) as usize;
         let faults = vec![
@@ -132,7 +132,7 @@
 
 /// Its holders gave each partition up to each other for ever, since none of its machines reached them.
 #[test]
-fn all_machines_die_at_once() {
+fn simultaneous_loss_of_all_machines_is_recovered() {
     for seed in 1..=4 {
         let faults = vec![(60_000 + seed * 777, Fault::KillMany { count: 1_000 })];
         let world = day("all die", plan(seed, 1 + seed % 2, faults));
@@ -141,18 +141,18 @@
 }
 
 #[test]
-fn the_last_troubles_together() {
+fn combined_recent_faults_keep_service_levels() {
     for seed in 1..=30 {
         let size = 1 + seed % 2;
         day("together", plan(seed, size, troubles(seed, 7, size)));
     }
 }
 
-/// By hand: `SEEDS=500 SIZE=160 cargo test --release -p simulator --test end_of_day -- --ignored`, minutes on
+/// By hand: `SEEDS=500 SIZE=160 cargo test --release -p simulator --test end_of_run -- --ignored`, minutes on
 /// all cores. Size 160 has half as many machines again as a fleet.
 #[test]
 #[ignore = "hundreds of seeds"]
-fn many_seeds() {
+fn end_of_run_checks_hold_over_many_seeds() {
     let number = |name: &str, usual: u64| {
         std::env::var(name)
             .ok()
@@ -178,7 +178,7 @@
 /// Arrays of low priority, too, wait no longer than 90 s beside room for them. They are left to cheap machines
 /// and to the gaps beside other work: 34 tasks of one array waited beside dozens of empty ordinary machines.
 #[test]
-fn low_arrays_do_not_wait_beside_room_for_them() {
+fn low_priority_arrays_are_not_starved_beside_free_capacity() {
     let faults = vec![
         (1_000, Fault::Burst { jobs: 400 }),
         (
@@ -242,7 +242,7 @@
 }
 
 #[test]
-fn copies_that_pass_for_new_reports_are_caught() {
+fn checker_detects_duplicates_accepted_as_new_heartbeats() {
     is_caught(
         Sabotage::CopiesTrusted,
         &["ran_twice", "quota", "wrong_place", "ran_cancelled"],
@@ -250,11 +250,11 @@
 }
 
 #[test]
-fn jobs_that_wait_beside_room_for_them_are_caught() {
+fn checker_detects_jobs_starved_beside_free_capacity() {
     is_caught(Sabotage::SomeNeverStarted, &["starved"]);
 }
 
 #[test]
-fn jobs_about_which_no_question_is_answered_are_caught() {
+fn checker_detects_jobs_without_status_answers() {
     is_caught(Sabotage::SomeUnanswered, &["forgotten"]);
 }
--- a/crates/simulator/tests/standby.rs
+++ b/crates/simulator/tests/failover.rs
@@ -99,7 +99,7 @@
 /// machines found the new holder when their reports were due. Living machines were given back, since
 /// the leader took those that the new holder had not heard for ones that never came.
 #[test]
-fn a_standby_goes_on_within_a_second_or_two_and_gives_no_living_machine_back() {
+fn standby_fails_over_within_two_seconds_and_returns_no_living_machine() {
     // Work waits, so that the first launch shows when the standby decides.
     let burst = (59_500, Fault::Burst { jobs: 150 });
     let mut world = site(
@@ -160,7 +160,7 @@
 /// Machines that end with their holder are nobody's: the standby asks those that its holder had
 /// heard, and misses them as soon as it would its own.
 #[test]
-fn machines_that_end_with_their_holder_are_missed() {
+fn machines_crashed_with_their_leader_are_detected() {
     // Now and then a dozen machines of one share are noticed only by their silence: 10 and 11 left of 91
     // in two of twelve seeds, none to six in the others. All seeds together show what is usual.
     let seen = of_seeds(22..27, |seed| {
@@ -196,7 +196,7 @@
 /// The last of some three hundred machines is told within seconds as a rule; in two of twelve seeds one
 /// machine's word is lost and it comes by itself, a report interval later.
 #[test]
-fn the_last_machine_is_told_within_seconds_of_the_end_of_its_holder() {
+fn last_machine_hears_successor_within_seconds_of_leader_crash() {
     let told = of_seeds(21..26, |seed| {
         let faults = vec![
             (59_500, Fault::Burst { jobs: 150 }),
@@ -231,7 +231,7 @@
 }
 
 #[test]
-fn a_holder_ends_with_its_standby_and_the_last_node_takes_everything() {
+fn last_controller_acquires_all_partitions_after_crash_of_leader_and_standby() {
     let faults = vec![
         (
             60_000,
@@ -267,7 +267,7 @@
 }
 
 #[test]
-fn a_standby_ends_in_the_first_second_of_its_takeover() {
+fn standby_crash_in_first_second_of_failover_is_survived() {
     for (seed, later) in [(24, 1_100), (25, 1_500), (26, 1_900)] {
         let faults = vec![
             (
@@ -294,7 +294,7 @@
 
 /// Rolls every 20 s while three times the work comes.
 #[test]
-fn rolls_in_a_burst_cost_no_lease() {
+fn rolling_restarts_in_burst_expire_no_lease() {
     let mut faults: Vec<(u64, Fault)> = (0..6)
         .map(|n| {
             (
@@ -321,7 +321,7 @@
 /// A holder that lives keeps its partition: short pauses, a mesh that is cut or refused, workers that
 /// come for reasons of their own and a slow state service are no signs of an end, singly or together.
 #[test]
-fn a_holder_that_lives_is_not_robbed() {
+fn healthy_leader_keeps_partition() {
     let mut early = 0;
     for seed in 1..=24 {
         early += unharmed(seed);
@@ -329,11 +329,11 @@
     assert_eq!(early, 0, "partitions taken from holders that live");
 }
 
-/// The same for a thousand simulated hours: `cargo test --release -p simulator --test standby -- \
+/// The same for a thousand simulated hours: `cargo test --release -p simulator --test failover -- \
 /// --ignored`.
 #[test]
 #[ignore = "takes minutes"]
-fn a_holder_that_lives_is_not_robbed_in_a_thousand_hours() {
+fn healthy_leader_keeps_partition_for_thousand_hours() {
     let each = 14_000 / 8;
     let early: u64 = std::thread::scope(|scope| {
         let run = |part: u64| move || (part * each..(part + 1) * each).map(unharmed).sum::<u64>();
@@ -375,7 +375,7 @@
 /// Whatever a holder says, or whatever of it is lost: it proves nothing, so no rule breaks, and work
 /// gets done.
 #[test]
-fn falsehoods_in_the_stream_break_no_rule() {
+fn false_replication_records_keep_rules() {
     for seed in 5..=14 {
         for sabotage in [Sabotage::HintsLie, Sabotage::HintsLost] {
             let world = small(seed, ends(seed), Some(sabotage));
@@ -390,7 +390,7 @@
 }
 
 #[test]
-fn rules_hold_through_ends_and_pauses_of_all_nodes() {
+fn crashes_and_pauses_of_all_controllers_keep_rules() {
     let mut early = 0;
     for seed in 1..=24 {
         let world = small(seed, ends(seed), None);
@@ -407,7 +407,7 @@
 /// A successor must count whoever held the partition before as answering its workers: with that left
 /// out a task is started elsewhere while its machine is kept alive by the predecessor.
 #[test]
-fn a_predecessor_that_is_forgotten_is_caught() {
+fn checker_detects_ignored_predecessor() {
     let caught = (1..=12).find_map(|seed| {
         let node = (seed % 3) as usize;
         // Nobody has followed it: a successor that has asks its workers, who know its token then.
@@ -434,7 +434,7 @@
 /// that it was read at our record's revision or later is all that stands between that and a task that
 /// runs twice: with it left out, 17 of 20 such runs broke a rule.
 #[test]
-fn a_ledger_read_too_early_is_read_again() {
+fn placement_log_read_below_record_revision_is_read_again() {
     for seed in 1..=8 {
         let world = small(seed, ends(seed), Some(Sabotage::OldLedger));
         assert_eq!(world.rules.broken, [], "seed {seed}");
@@ -446,7 +446,7 @@
 /// and work goes on when the page is mended. With the check left out, seed 42 ran a task twice: it was
 /// on the page.
 #[test]
-fn a_partition_with_an_unreadable_page_waits_and_keeps_its_workers() {
+fn partition_with_unreadable_log_page_waits_and_keeps_worker_leases() {
     for seed in 41..=44 {
         let faults = vec![
             (
@@ -507,19 +507,19 @@
 }
 
 #[test]
-fn a_node_ends_before_each_of_its_deeds() {
+fn controller_crash_before_each_effect_keeps_rules() {
     ends_before_each_deed(0..60, false);
 }
 
 #[test]
-fn all_nodes_end_before_each_of_their_deeds() {
+fn crash_of_all_controllers_before_each_effect_keeps_rules() {
     ends_before_each_deed((0..180).step_by(3), true);
 }
 
 /// The same for a thousand points each: by hand, with `--ignored`.
 #[test]
 #[ignore = "takes minutes"]
-fn nodes_end_before_a_thousand_of_their_deeds() {
+fn controller_crash_before_each_of_thousand_effects_keeps_rules() {
     std::thread::scope(|scope| {
         for part in 0..4 {
             scope.spawn(move || ends_before_each_deed(part * 250..(part + 1) * 250, false));
@@ -534,7 +534,7 @@
 /// rest does. Work that fits into the teams' limits is served through ends of controllers one after the
 /// other and a loss of machines: of the worst, about three in four.
 #[test]
-fn no_kind_of_work_and_no_team_is_left_behind() {
+fn each_job_kind_and_team_is_served_through_crashes() {
     for seed in 52..=54 {
         let worst = left_behind_most(seed);
         assert!(worst.part() >= 0.6, "seed {seed}: {worst:?}");
@@ -579,7 +579,7 @@
 /// One seed's worst of two dozen shares is some minutes of a few replicas, and where the site fills up
 /// under a shortage that is luck: over many seeds it shows whether anybody is left behind more than before.
 #[test]
-fn no_kind_of_work_is_left_behind_over_many_seeds() {
+fn each_job_kind_and_team_is_served_over_many_seeds() {
     let worst = std::sync::Mutex::new(Vec::new());
     for_seeds(24, |nth| {
         let part = left_behind_most(200 + nth).part();
--- a/crates/simulator/tests/fingerprint.rs
+++ b/crates/simulator/tests/fingerprint.rs
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn a_run_has_the_same_digest_again() {
+fn repeated_run_has_equal_digest() {
     for name in ["administration", "histories"] {
         let run = run_named(name);
         assert_eq!(digest(&run), digest(&run), "{name}");
@@ -34,14 +34,14 @@
 }
 
 #[test]
-fn another_seed_has_another_digest() {
+fn different_seed_has_different_digest() {
     let run = run_named("quiet_1");
     let other = run.clone().with_seed(1_001);
     assert_ne!(digest(&run), digest(&other));
 }
 
 #[test]
-fn a_trace_has_a_line_for_each_message_and_leaves_the_digest_as_it_is() {
+fn trace_has_one_line_per_message_and_keeps_digest() {
     let run = run_named("administration");
     let traced = run.play(Recorder::with_trace()).recorder;
     let lines = traced.trace().expect("a trace").lines().count();
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn the_short_list_is_as_stored() {
+fn short_list_matches_stored_digests() {
     let stored: StoredDigests = STORED.parse().expect("digests");
     let mut now = StoredDigests::default();
     for run in short_runs() {
@@ -65,7 +65,7 @@
 }
 
 #[test]
-fn the_stored_lists_agree() {
+fn stored_lists_agree() {
     let short: StoredDigests = STORED.parse().expect("digests");
     let full: StoredDigests = STORED_FULL.parse().expect("digests");
     assert_eq!(short.differing(&full), Vec::<&str>::new());
@@ -77,7 +77,7 @@
 }
 
 #[test]
-fn a_stored_list_is_read_as_it_is_written() {
+fn stored_list_survives_write_and_read() {
     let mut digests = StoredDigests::default();
     digests.insert("one", 1);
     digests.insert("two", u128::MAX);
--- a/crates/simulator/tests/fleet.rs
+++ b/crates/simulator/tests/fleet.rs
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn all_controllers_crash_at_once_and_come_back_into_a_full_fleet() {
+fn simultaneous_controller_crash_in_full_fleet_is_recovered() {
     let crash = |node| (46_000, Fault::Crash { node, back: 8_000 });
     let mut world = fleet(1, 80_000, (0..3).map(crash).collect());
     world.run_to(54_000);
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn controllers_are_rolled_while_a_burst_comes_and_the_state_service_is_out() {
+fn rolling_restart_during_burst_and_state_outage_is_survived() {
     let mut faults: Vec<(u64, Fault)> = (0..3)
         .map(|n| {
             (
@@ -96,7 +96,7 @@
 /// Half of the machines and a controller are away for longer than every lease, the state service is
 /// slow and another controller stands still. Tasks in the zone lose their leases; nothing else may.
 #[test]
-fn a_zone_is_away_while_the_state_service_is_slow_and_a_controller_stands_still() {
+fn zone_partition_with_slow_state_and_paused_controller_keeps_rules() {
     let faults = vec![
         (46_000, Fault::CutZone { ms: 45_000 }),
         (
@@ -116,7 +116,7 @@
 }
 
 #[test]
-fn machines_hang_end_and_fail_by_the_hundred() {
+fn hundreds_of_failing_machines_in_fleet_keep_rules() {
     let faults = vec![
         (
             46_000,
@@ -134,7 +134,7 @@
 }
 
 #[test]
-fn a_leader_without_its_peers_rents_for_all_of_them() {
+fn fleet_planner_without_peers_scales_out_for_all_partitions() {
     let cut = |node| (0, Fault::CutMesh { node, ms: 60_000 });
     let mut world = fleet(5, 80_000, (0..3).map(cut).collect());
     for partition in 0..3 {
--- a/crates/simulator/tests/golden_admin.rs
+++ b/crates/simulator/tests/golden_admin.rs
@@ -94,7 +94,7 @@
 }
 
 #[test]
-fn views_keep_their_bytes() {
+fn admin_views_match_golden_bytes() {
     let mut solo = busy_site();
     let node = solo.node();
     node.handle(ASKED_AT, from_peer(follow()));
@@ -117,7 +117,7 @@
 
 /// A node that was asked for more than it could answer before it had taken its partition over.
 #[test]
-fn refusals_keep_their_names() {
+fn admin_refusals_match_golden_names() {
     let mut solo = Solo::new(MACHINES);
     solo.restart();
     solo.submit(JobKind::Array, 1);
@@ -146,7 +146,7 @@
 }
 
 #[test]
-fn wrong_settings_are_answered_with_the_field() {
+fn invalid_settings_are_rejected_with_field_name() {
     let mut solo = Solo::new(MACHINES);
     let node = solo.node();
     let entries = [
@@ -223,7 +223,7 @@
 }
 
 #[test]
-fn changes_of_settings_keep_their_bytes() {
+fn settings_changes_match_golden_bytes() {
     let conflict = StateReply::Conflict {
         failed: vec!["s/c".into()],
         revision: 90,
--- a/crates/simulator/tests/rejected_messages.rs
+++ b/crates/simulator/tests/rejected_messages.rs
@@ -68,7 +68,7 @@
 /// Addresses are used again: what another machine answers says nothing of a launch that was sent to the
 /// one before. Taken for settled, the cancelled task would count as gone while its launch may still come.
 #[test]
-fn answer_of_another_machine_settles_no_direct_launch() {
+fn reply_of_other_machine_settles_no_direct_launch() {
     let mut solo = Solo::new(MACHINES);
     let mut other = solo.workers()[0].report();
     other.machine = "host-999999".into();
@@ -104,7 +104,7 @@
 }
 
 #[test]
-fn stale_report_is_answered_and_changes_nothing() {
+fn stale_heartbeat_is_answered_and_changes_nothing() {
     let mut solo = Solo::new(MACHINES);
     let old = solo.workers()[0].report();
     employ(&mut solo);
@@ -123,7 +123,7 @@
 }
 
 #[test]
-fn mesh_messages_of_no_peer_change_nothing() {
+fn mesh_messages_of_unknown_peer_change_nothing() {
     let mut solo = Solo::with_silent_peer(MACHINES);
     employ(&mut solo);
     let before = view(&mut solo);
@@ -203,7 +203,7 @@
 }
 
 #[test]
-fn submissions_that_can_never_run_are_refused_with_their_reason() {
+fn unschedulable_submissions_are_rejected_with_reason() {
     let mut solo = Solo::new(MACHINES);
     let refused = |solo: &mut Solo, change: &dyn Fn(&mut wire::users::JobRequest)| {
         let mut request = job(77, JobKind::Array, 1);
@@ -672,7 +672,7 @@
     #![proptest_config(config(48, 7))]
 
     #[test]
-    fn no_message_makes_a_node_panic(steps in vec(step(), 1..40)) {
+    fn arbitrary_messages_cause_no_panic(steps in vec(step(), 1..40)) {
         let mut solo = Solo::with_silent_peer(MACHINES);
         employ(&mut solo);
         for step in steps {
@@ -682,7 +682,7 @@
     }
 
     #[test]
-    fn odd_messages_start_no_task_twice(steps in vec(step().prop_filter("said", proves_nothing), 1..40)) {
+    fn malformed_messages_start_no_task_twice(steps in vec(step().prop_filter("said", proves_nothing), 1..40)) {
         let mut solo = Solo::with_silent_peer(MACHINES);
         employ(&mut solo);
         for step in steps {
@@ -696,7 +696,7 @@
     #![proptest_config(config(24, 8))]
 
     #[test]
-    fn malformed_reports_change_nothing(faults in vec((0..MACHINES, 0..6usize), 1..20)) {
+    fn malformed_heartbeats_change_nothing(faults in vec((0..MACHINES, 0..6usize), 1..20)) {
         let mut solo = Solo::new(MACHINES);
         employ(&mut solo);
         let before = view(&mut solo);
--- a/crates/simulator/tests/rules.rs
+++ b/crates/simulator/tests/rules.rs
@@ -87,7 +87,7 @@
 }
 
 #[test]
-fn quiet_days_finish_their_work() {
+fn runs_without_faults_complete_all_work() {
     for seed in 1..=4 {
         let world = run(plan(seed, Vec::new()));
         assert_eq!(world.rules.broken, [], "seed {seed}");
@@ -101,7 +101,7 @@
 }
 
 #[test]
-fn rules_hold_under_drawn_troubles() {
+fn rules_hold_under_random_faults() {
     for seed in 1..=40 {
         let faults = troubles(seed, 6, 20_000, 150_000);
         let world = run(plan(seed, faults.clone()));
@@ -111,7 +111,7 @@
 }
 
 #[test]
-fn rules_hold_under_the_troubles_met_later() {
+fn rules_hold_under_random_late_faults() {
     for seed in 1..=30 {
         let faults = later_troubles(seed, 6);
         let world = run(Plan {
@@ -140,7 +140,7 @@
 }
 
 #[test]
-fn controllers_that_stand_still_break_no_rule_and_work_goes_on() {
+fn paused_controllers_keep_rules_and_complete_work() {
     for seed in 1..=8 {
         let world = run(Plan {
             size: 2,
@@ -153,7 +153,7 @@
 
 /// The rules alone, while the test above is known red; with the end of all work for the seeds that it has not.
 #[test]
-fn frozen_controllers_break_no_rule() {
+fn paused_controllers_keep_rules() {
     for seed in 1..=16 {
         let world = run(Plan {
             size: 2,
@@ -168,7 +168,7 @@
 
 /// A fault of each kind, close together, with every node hit.
 #[test]
-fn all_controllers_at_once_and_one_after_the_other() {
+fn faults_on_all_controllers_together_and_in_turn_keep_rules() {
     for seed in 1..=6 {
         let mut faults = Vec::new();
         for node in 0..3 {
@@ -213,7 +213,7 @@
 }
 
 #[test]
-fn a_placement_that_is_not_durable_is_caught() {
+fn checker_detects_launch_before_durable_placement() {
     is_caught(
         Sabotage::RoundsNotWritten,
         &[
@@ -228,7 +228,7 @@
 }
 
 #[test]
-fn a_lease_believed_too_short_is_caught() {
+fn checker_detects_underestimated_lease() {
     is_caught(
         Sabotage::ShortLease,
         &["ran_twice", "quota", "wrong_place"],
@@ -249,7 +249,7 @@
 }
 
 #[test]
-fn answering_workers_too_long_without_the_state_service_is_caught() {
+fn checker_detects_heartbeats_answered_beyond_lease_validity() {
     is_caught(Sabotage::LongCancel, &["ran_cancelled"], |seed| {
         let node = (seed % 3) as usize;
         let cut = |node| (40_000, Fault::CutWorkers { node, ms: 100_000 });
@@ -262,7 +262,7 @@
 }
 
 #[test]
-fn an_end_that_is_not_written_is_caught() {
+fn checker_detects_unwritten_completion() {
     is_caught(
         Sabotage::EndsNotWritten,
         &["went_back", "forgotten", "not_done", "ran_cancelled"],
@@ -274,7 +274,7 @@
 /// were placed on a machine whose lease counted as lapsed, and dropped again at once although
 /// their launch had been sent.
 #[test]
-fn direct_launches_outlive_a_lapsed_lease() {
+fn direct_launch_after_expired_lease_keeps_rules() {
     let faults = vec![
         (
             40_061,
@@ -307,7 +307,7 @@
 /// Found by a hunted day: a node came back while the zones were apart, and its partition stayed
 /// with a node that neither it nor the partition's workers reached.
 #[test]
-fn a_node_gets_its_partition_back_although_the_mesh_is_cut() {
+fn failback_with_mesh_partition_succeeds() {
     let faults = vec![
         (50_000, Fault::CutZones { ms: 60_000 }),
         (
@@ -329,7 +329,7 @@
 }
 
 #[test]
-fn a_holder_that_its_workers_do_not_reach_gives_its_partition_up() {
+fn leader_unreachable_for_workers_resigns() {
     let faults = vec![(
         50_000,
         Fault::CutWorkers {
@@ -369,7 +369,7 @@
 /// the rules hold, and neither filling the fleet nor a takeover nor the burst asks for more puts
 /// than the state service takes. With a put for each job, end and machine it took minutes.
 #[test]
-fn a_grown_site_keeps_the_rules_and_its_write_allowance() {
+fn large_site_keeps_rules_and_write_budget() {
     for seed in 1..=2 {
         let faults = vec![
             (1_000, Fault::Burst { jobs: 400 }),
@@ -437,7 +437,7 @@
 /// Seen on days on which connections between nodes are refused: the leader did not know what
 /// other partitions lacked and rented nothing for them.
 #[test]
-fn machines_are_rented_for_partitions_whose_holders_do_not_reach_the_leader() {
+fn fleet_planner_scales_out_for_unreachable_leaders() {
     let faults = (0..3)
         .map(|node| (0, Fault::CutMesh { node, ms: 60_000 }))
         .collect();
@@ -456,7 +456,7 @@
 /// Found by a day of our own: users who asked fifteen times as often took the state service's whole
 /// allowance of requests, and submissions waited for seconds.
 #[test]
-fn a_storm_of_questions_leaves_the_state_service_room() {
+fn status_request_storm_keeps_submissions_fast() {
     let faults = vec![(60_000, Fault::Questions { ms: 40_000 })];
     let mut world = World::new(Plan {
         size: 4,
@@ -479,7 +479,7 @@
 
 /// Found by a sweep: see `a_gang_that_is_done_counts_until_its_last_member_is_gone`.
 #[test]
-fn a_gang_whose_outcome_could_not_be_written_keeps_the_limit() {
+fn gang_with_unwritten_outcome_counts_against_quota() {
     let faults = vec![
         (
             42_577,
@@ -526,7 +526,7 @@
 
 /// Guests fill what others leave, through crashes and a freeze, and everybody's work is done.
 #[test]
-fn guests_are_served_and_others_too() {
+fn guest_team_and_other_teams_are_served() {
     for seed in 1..=4 {
         let faults = vec![
             (20_000, Fault::Guests { jobs: 4 }),
--- a/crates/simulator/tests/days.rs
+++ b/crates/simulator/tests/service_levels.rs
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn ended_processes_are_back_after_50_ms_to_10_s() {
+fn controllers_restarted_after_50_ms_to_10_s_keep_service_levels() {
     for seed in 1..=16 {
         let mut rng = SmallRng::seed_from_u64(seed);
         let faults = (0..14).map(|_| {
@@ -84,7 +84,7 @@
 /// A node that ends again and again takes nothing from the others: each of its lives counts itself up,
 /// may ask for its home, and is gone before it has heard its machines.
 #[test]
-fn one_node_ends_again_and_again_for_a_minute() {
+fn crash_loop_of_one_controller_keeps_service_levels() {
     for (seed, every) in [
         (1, 300..900),
         (2, 900..2_000),
@@ -105,7 +105,7 @@
 }
 
 #[test]
-fn all_nodes_end_again_and_again_for_a_while() {
+fn crash_loops_of_all_controllers_keep_service_levels() {
     for seed in 1..=4 {
         let mut rng = SmallRng::seed_from_u64(seed);
         let faults = (0..3)
@@ -116,7 +116,7 @@
 }
 
 #[test]
-fn one_team_asks_for_ten_times_as_much_as_the_others() {
+fn tenfold_demand_of_one_team_keeps_service_levels_of_all_teams() {
     for seed in 1..=3 {
         let faults = vec![
             (0, Fault::Heavy { ms: 240_000 }),
@@ -130,7 +130,7 @@
 
 /// All at once at the operators' size: the mass loss, the ends, the loop and the outage.
 #[test]
-fn half_as_many_machines_again_with_everybody_back_at_once() {
+fn oversized_fleet_recovers_from_simultaneous_restart() {
     let all = |at: u64| (0..3).map(move |node| (at, Fault::Crash { node, back: 100 }));
     let mut rng = SmallRng::seed_from_u64(7);
     let mut faults = vec![
@@ -151,10 +151,10 @@
     assert_eq!(world.killed_by_lease(), 0);
 }
 
-/// By hand: `cargo test --release -p simulator --test days -- --ignored`, minutes on all cores.
+/// By hand: `cargo test --release -p simulator --test service_levels -- --ignored`, minutes on all cores.
 #[test]
 #[ignore = "hundreds of seeds at the operators' size"]
-fn many_seeds_at_half_as_many_machines_again() {
+fn oversized_fleet_keeps_service_levels_over_many_seeds() {
     let seeds = std::env::var("SEEDS")
         .ok()
         .and_then(|n| n.parse().ok())
--- a/crates/simulator/tests/stale_mirror.rs
+++ b/crates/simulator/tests/stale_cache.rs
@@ -193,7 +193,7 @@
 }
 
 #[test]
-fn accepted_job_is_created_as_soon_as_the_mirror_shows_the_write() {
+fn accepted_job_is_created_as_soon_as_cache_shows_write() {
     let mut harness = Harness::new();
     let (_, job) = array();
     harness.ask(submit(&job));
@@ -203,7 +203,7 @@
 }
 
 #[test]
-fn accepted_job_is_created_by_a_read_when_the_watch_lags() {
+fn accepted_job_is_created_by_read_when_watch_lags() {
     let mut harness = Harness::new();
     let (_, job) = array();
     harness.ask(submit(&job));
@@ -214,7 +214,7 @@
 }
 
 #[test]
-fn resubmission_after_cancellation_through_another_node_is_answered_cancelled() {
+fn resubmission_after_cancellation_elsewhere_is_answered_cancelled() {
     for watch_delivered in [true, false] {
         let mut harness = Harness::new();
         let (id, job) = array();
@@ -253,7 +253,7 @@
 }
 
 #[test]
-fn resubmission_of_an_archived_job_is_answered_with_its_final_state() {
+fn resubmission_of_archived_job_is_answered_with_terminal_state() {
     let mut harness = Harness::new();
     let (id, job) = array();
     harness.other_writes(
@@ -272,7 +272,7 @@
 /// A job that is accepted between the read of open jobs and the comparison of final states is no
 /// unknown job, and a submission that this node would reject is no rejected one.
 #[test]
-fn job_accepted_while_its_final_state_is_looked_up_is_neither_missing_nor_rejected() {
+fn job_accepted_during_archive_lookup_is_neither_missing_nor_rejected() {
     let (id, job) = array();
     let mut unfit = job.clone();
     unfit.cpus = 1_000.0;
--- a/crates/simulator/tests/user_histories.rs
+++ b/crates/simulator/tests/user_histories.rs
@@ -75,7 +75,7 @@
 }
 
 #[test]
-fn no_answer_is_stale_under_a_slow_state_service_with_repeats_through_other_nodes() {
+fn answers_are_current_with_slow_state_service_and_retries_elsewhere() {
     for_seeds(24, |seed| {
         let world = run(plan(seed, 130_000, slow_state(seed)), "slow state service");
         assert_closely_watched(&world, &format!("seed {seed}"));
@@ -124,7 +124,7 @@
 /// A transaction is carried out at once and only its answer is lost, while other nodes read what it wrote
 /// and their users look closely.
 #[test]
-fn no_answer_is_stale_where_answers_of_the_state_service_are_lost() {
+fn answers_are_current_with_lost_state_service_replies() {
     for_seeds(12, |seed| {
         let world = run(plan(seed, 130_000, lost_answers(seed)), "lost answers");
         assert_closely_watched(&world, &format!("seed {seed}"));
@@ -164,7 +164,7 @@
 }
 
 #[test]
-fn a_cancellation_meets_the_end_of_the_last_task() {
+fn cancel_around_completion_of_last_task_keeps_history_consistent() {
     for_seeds(12, |seed| {
         let world = run(plan(seed, 130_000, ends(seed)), "ends");
         let told = |told: &std::collections::BTreeMap<String, u64>| {
@@ -223,7 +223,7 @@
 }
 
 #[test]
-fn odd_requests_are_refused_or_change_nothing() {
+fn unusual_requests_are_rejected_or_change_nothing() {
     for_seeds(12, |seed| {
         let world = run(plan(seed, 150_000, odd_requests(seed)), "odd requests");
         let Met {
@@ -278,7 +278,7 @@
 }
 
 #[test]
-fn one_task_jobs_come_four_a_second_and_a_quarter_is_cancelled() {
+fn four_one_task_jobs_per_second_with_cancellations_keep_history_consistent() {
     for_seeds(8, |seed| {
         let plan = Plan {
             submit_ms: 0,
@@ -338,7 +338,7 @@
 }
 
 #[test]
-fn jobs_are_cancelled_in_the_seconds_of_a_hand_over() {
+fn cancel_during_leadership_change_keeps_rules() {
     let met = std::sync::Mutex::new((0, 0));
     for_seeds(12, |seed| {
         let world = run(long_plan(seed, 170_000, hand_overs(seed)), "hand-overs");
@@ -396,7 +396,7 @@
 }
 
 #[test]
-fn every_team_is_at_its_limit_while_jobs_are_cancelled_and_the_leader_changes() {
+fn cancel_with_all_teams_at_quota_during_failover_keeps_rules() {
     let met = std::sync::Mutex::new((0, 0));
     for_seeds(12, |seed| {
         let mut world = World::new(long_plan(seed, 180_000, teams_at_their_limits(seed)));
@@ -431,7 +431,7 @@
 }
 
 #[test]
-fn cancelled_tasks_do_not_go_on_after_their_machines_hung() {
+fn cancelled_tasks_on_hung_machines_stop_within_deadline() {
     for_seeds(9, |seed| {
         let world = run(long_plan(seed, 160_000, hanging(seed)), "hanging");
         assert!(
@@ -444,7 +444,7 @@
 
 /// Each meeting again with a safety step broken on purpose: what it asserts can fail.
 #[test]
-fn each_meeting_tells_when_a_safety_step_is_broken() {
+fn each_scenario_detects_its_injected_defect() {
     struct Meeting {
         name: &'static str,
         plan: fn(u64, u64, Faults) -> Plan,
@@ -561,7 +561,7 @@
     use wire::users::JobState;
 
     #[test]
-    fn an_answer_is_judged_by_when_its_question_was_sent() {
+    fn answer_is_judged_by_send_time_of_request() {
         let mut history = History::default();
         let early = history.next_instant(10);
         history.cancel_requested("j-000001", 11);
@@ -582,7 +582,7 @@
     }
 
     #[test]
-    fn what_is_known_is_neither_missing_nor_refused_later() {
+    fn known_job_is_never_missing_or_rejected_later() {
         let mut history = History::default();
         let (early, first) = (history.next_instant(1), history.next_instant(1));
         let queued = Answer::Known(JobState::Queued);
@@ -602,7 +602,7 @@
     }
 
     #[test]
-    fn two_final_states_contradict_each_other_and_nobody_is_cancelled_unasked() {
+    fn two_terminal_states_and_unrequested_cancellation_contradict_history() {
         let mut history = History::default();
         let first = history.next_instant(1);
         let [done, cancelled] = [JobState::Done, JobState::Cancelled].map(Answer::Known);
