--- a/crates/controller/src/controller/admin.rs
+++ b/crates/controller/src/controller/admin.rs
@@ -176,7 +176,9 @@
                     Err(reply) => reply,
                 }
             }
-            _ if !self.synced => AdminReply::error(503, "not in step with the state service yet"),
+            _ if !self.state_sync.is_synced() => {
+                AdminReply::error(503, "not in step with the state service yet")
+            }
             AdminRequest::Settings => AdminReply::new(200, self.settings_view()),
             AdminRequest::Partitions => AdminReply::new(200, self.partitions_view()),
             AdminRequest::Standby => AdminReply::new(200, self.standby_view()),
--- a/crates/controller/src/controller/admission.rs
+++ b/crates/controller/src/controller/admission.rs
@@ -106,7 +106,11 @@
         self.confirm_accepted();
         let ready = self.admission.writes.ready(self.now, self.cache.revision);
         let waiting = !self.admission.pending.is_empty();
-        if waiting && ready && self.synced && self.may_write(CallPriority::Accept, 1.0) {
+        if waiting
+            && ready
+            && self.state_sync.is_synced()
+            && self.may_write(CallPriority::Accept, 1.0)
+        {
             self.write_accepted();
         }
     }
@@ -132,7 +136,7 @@
             return;
         };
         let lag = self.now.duration_since(first.since);
-        if !self.synced {
+        if !self.state_sync.is_synced() {
             let requests = std::mem::take(&mut self.admission.unconfirmed);
             self.refuse_all(requests);
         } else if self.cache.revision >= self.admission.written_at {
@@ -233,7 +237,7 @@
             let Some(next) = self.admission.pending.pop_front() else {
                 break;
             };
-            if self.cache.jobs.contains_key(&next.id) || self.finals.contains_key(&next.id) {
+            if self.cache.jobs.contains_key(&next.id) || self.job_status.is_terminal(next.id) {
                 let since = next.since;
                 let kind = RequestKind::Resubmit { reject: None };
                 self.reads.enqueue(next.into_request(kind, since));
--- a/crates/controller/src/controller/cancellations.rs
+++ b/crates/controller/src/controller/cancellations.rs
@@ -30,7 +30,11 @@
             .writes
             .ready(self.now, self.cache.revision);
         let waiting = !self.cancellations.pending.is_empty();
-        if waiting && ready && self.synced && self.may_write(CallPriority::Accept, 1.0) {
+        if waiting
+            && ready
+            && self.state_sync.is_synced()
+            && self.may_write(CallPriority::Accept, 1.0)
+        {
             self.write_cancellations();
         }
     }
--- a/crates/controller/src/controller/crash_loop.rs
+++ b/crates/controller/src/controller/crash_loop.rs
@@ -1,80 +1,45 @@
-//! Whether a node lives for long enough to hold a partition. An ended process may be back within a
-//! fraction of a second, and end again: each of its lives would take its home, be gone before it has heard
-//! its machines, and leave their leases to run out. So lives count themselves, and after some short
-//! ones in a row a home is left to others until its node has lived for a while. No clock is shared for that:
-//! the count is a part of what a life announces itself with, and goes to zero once it has been long. It
-//! decides only who takes what when, so no right hangs on it.
+//! Writing the registration of this incarnation, and crash-loop backoff.
+//!
+//! See [`registration`](crate::registration) for the rule.
 
 use super::{CallKind, Controller};
-use crate::records::{incarnation_key, IncarnationRecord};
+use crate::records::incarnation_key;
+use crate::registration::is_crash_loop;
 use crate::request_budget::CallPriority;
-use model::{ControllerName, Timestamp};
-use std::time::Duration;
+use model::ControllerName;
 use wire::state::{StateRequest, Transaction, Write};
 
-/// A life that lasted for so long was no short one.
-const STABLE_AFTER: Duration = Duration::from_secs(10);
-/// So many short lives in a row, the present one among them, make a node restless.
-const CRASH_LOOP_THRESHOLD: u32 = 3;
-
 impl Controller {
-    /// Announces this life before it holds anything, so that others can tell that the one before is
-    /// over. True once it is announced.
-    pub(super) fn announce(&mut self) -> bool {
-        let before = self
-            .cache
-            .incarnations
-            .get(self.own_name())
-            .map(|b| b.record.clone());
-        let known = before
-            .as_ref()
-            .is_some_and(|record| record.incarnation == self.incarnation);
-        if !known {
-            let before = before.map_or(0, |record| record.short_lives);
-            self.write_boot(before.saturating_add(1));
-        } else if self.now >= Timestamp::default() + STABLE_AFTER
-            && before.is_some_and(|b| b.short_lives > 0)
-        {
-            self.write_boot(0);
-        }
-        known
-    }
-
-    fn write_boot(&mut self, short_lives: u32) {
-        if self.calls.values().any(|p| matches!(p, CallKind::Boot)) {
+    /// Writes this incarnation's record if it is not durable yet, or if its count has to be reset.
+    pub(super) fn update_registration(&mut self) {
+        let recorded = self.cache.incarnations.get(&self.settings.name);
+        let version = recorded.map_or(0, |recorded| recorded.version.0);
+        let record = recorded.map(|recorded| &recorded.record);
+        let Some(record) = self.registration.update(record, self.now) else {
             return;
-        }
-        let key = incarnation_key(self.own_name());
-        let version = self
-            .cache
-            .incarnations
-            .get(self.own_name())
-            .map_or(0, |b| b.version.0);
-        let record = IncarnationRecord {
-            incarnation: self.incarnation,
-            short_lives,
         };
+        let key = incarnation_key(self.own_name());
         let value = serde_json::to_value(record).unwrap_or_default();
-        let txn = Transaction::default()
+        let transaction = Transaction::default()
             .when(&key, version)
             .write(Write::put(&key, value));
         self.state(
             CallPriority::Lease,
-            StateRequest::Transaction(txn),
+            StateRequest::Transaction(transaction),
             CallKind::Boot,
         );
     }
 
-    /// Whether a node has had several short lives in a row.
-    pub(super) fn is_crash_looping(&self, node: &ControllerName) -> bool {
+    /// Whether a controller has had several short-lived incarnations in a row.
+    pub(super) fn is_crash_looping(&self, controller: &ControllerName) -> bool {
         self.cache
             .incarnations
-            .get(node)
-            .is_some_and(|b| b.record.short_lives >= CRASH_LOOP_THRESHOLD)
+            .get(controller)
+            .is_some_and(|recorded| is_crash_loop(&recorded.record))
     }
 
-    /// Whether we leave even our home to others for now. Where all are restless everybody takes what is
-    /// his, as ever.
+    /// Whether this controller leaves even its preferred partition to others for now. If all are in a
+    /// crash loop, each acquires its own partition as usual.
     pub(super) fn defers_to_peers(&self) -> bool {
         self.is_crash_looping(self.own_name())
             && self.peers.iter().any(|(name, peer)| {
--- a/crates/controller/src/controller/fleet_planner.rs
+++ b/crates/controller/src/controller/fleet_planner.rs
@@ -199,7 +199,7 @@
             .get(&FLEET_PLANNER_PARTITION)
             .is_some_and(|h| h.partition_state().is_some() && !h.is_transferring());
         // Every node may ask for the types while nobody knows them.
-        if self.synced && (is_fleet_planner || self.cache.types.is_none()) {
+        if self.state_sync.is_synced() && (is_fleet_planner || self.cache.types.is_none()) {
             self.request_machine_types();
         }
         if !is_fleet_planner || !self.has_recent_state_read(super::MAX_LAUNCH_READ_AGE) {
@@ -316,7 +316,7 @@
     }
 
     pub(super) fn handle_cloud_reply(&mut self, call: CallId, reply: CloudReply) {
-        let Some(purpose) = self.calls.remove(&call) else {
+        let Some(purpose) = self.calls.complete(call) else {
             self.counters
                 .rejections
                 .add(MessageSource::Cloud, MessageFault::Stale);
@@ -642,7 +642,7 @@
                         request: format!(
                             "{}-{:x}-{}",
                             self.own_name(),
-                            self.incarnation,
+                            self.registration.incarnation(),
                             self.fleet_planner.requests
                         ),
                         machine_type,
--- a/crates/controller/src/controller/heartbeats.rs
+++ b/crates/controller/src/controller/heartbeats.rs
@@ -100,7 +100,8 @@
     /// For how long workers may be answered if no further read of changes succeeds.
     pub(super) fn remaining_lease_validity(&self) -> Duration {
         let until = self
-            .last_state_read_at
+            .state_sync
+            .last_read_at()
             .map(|at| at + self.settings.lease_validity());
         until.unwrap_or_default().duration_since(self.now)
     }
@@ -168,7 +169,7 @@
                     _ => None,
                 })
                 .collect();
-            let call = self.call(CallKind::Direct {
+            let call = self.calls.register(CallKind::Direct {
                 partition,
                 machine,
                 launches,
@@ -197,7 +198,7 @@
         purpose: CallKind,
         timeout: Duration,
     ) {
-        let call = self.call(purpose);
+        let call = self.calls.register(purpose);
         let body = DirectCommands {
             token: token.0,
             session: session.0,
@@ -254,7 +255,7 @@
     }
 
     pub(super) fn handle_worker_reply(&mut self, call: CallId, reply: DirectReply) {
-        match self.calls.remove(&call) {
+        match self.calls.complete(call) {
             Some(CallKind::Direct {
                 partition,
                 machine,
--- a/crates/controller/src/controller/job_archiver.rs
+++ b/crates/controller/src/controller/job_archiver.rs
@@ -116,7 +116,7 @@
     /// A job is over, and that is durable.
     pub(super) fn job_ended(&mut self, id: JobId, state: JobState) {
         let now = self.now;
-        self.cache_final_state(id, state);
+        self.job_status.record_terminal_state(id, state);
         for leadership in self.leaderships.values_mut() {
             leadership.forget_job(id, now);
         }
--- a/crates/controller/src/controller/leadership.rs
+++ b/crates/controller/src/controller/leadership.rs
@@ -3,6 +3,7 @@
 use super::job_archiver::JobArchiver;
 use super::machine_records::MachineChange;
 use super::{CallKind, Controller};
+use crate::job_status_cache::TaskCounts;
 use crate::placement_log::{CommitId, LogCommit, PlacementLog};
 use crate::records::{demand_key, partition_key, DemandRecord, COUNTER};
 use crate::rejections::{MessageFault, MessageSource};
@@ -234,9 +235,12 @@
     }
 
     /// Done and running tasks of a job of this partition.
-    pub(super) fn progress_of(&self, id: JobId) -> Option<(u64, u64)> {
+    pub(super) fn task_counts(&self, id: JobId) -> Option<TaskCounts> {
         let job = self.partition_state()?.jobs.get(&id)?;
-        Some((u64::from(job.done_count()), u64::from(job.running_count())))
+        Some(TaskCounts {
+            done: u64::from(job.done_count()),
+            running: u64::from(job.running_count()),
+        })
     }
 
     /// Takes in a report and works out the commands for its answer. `halts`
@@ -310,7 +314,7 @@
     /// A job's record has changed.
     pub(super) fn job_changed(&mut self, id: JobId) {
         let Some(open) = self.cache.jobs.get(&id).cloned() else {
-            self.progress.remove(&id);
+            self.job_status.forget_progress(id);
             return;
         };
         self.logical_clock_offset = self.logical_clock_offset.max(Duration::from_millis(
@@ -322,7 +326,7 @@
         let cancelled = self.cache.is_cancelled(id);
         let now = self.now;
         let until =
-            self.previous_state_read_at.unwrap_or_default() + self.settings.lease_validity();
+            self.state_sync.previous_read_at().unwrap_or_default() + self.settings.lease_validity();
         let Some(partition_state) = self
             .leaderships
             .get_mut(&partition)
@@ -351,7 +355,8 @@
             return;
         };
         let now = self.now;
-        let until = self.last_state_read_at.unwrap_or_default() + self.settings.lease_validity();
+        let until =
+            self.state_sync.last_read_at().unwrap_or_default() + self.settings.lease_validity();
         let partition_state = self
             .leaderships
             .get_mut(&partition)
--- a/crates/controller/src/controller/linearizable_reads.rs
+++ b/crates/controller/src/controller/linearizable_reads.rs
@@ -8,6 +8,7 @@
 use super::{CallKind, Controller, PendingRequest, RequestKind, UserReply};
 use crate::records::{final_key, FinalRecord};
 use crate::request_budget::CallPriority;
+use crate::state_sync::watch_request;
 use model::{JobId, JobState, Timestamp};
 use serde::Deserialize;
 use std::collections::BTreeSet;
@@ -55,14 +56,14 @@
         let now = self.now;
         let pace = self.read_pace();
         let reads = &mut self.reads;
-        if !self.synced {
+        if !self.state_sync.is_synced() {
             return;
         }
         if !reads.queued.is_empty() && !reads.reading && now >= reads.read_next {
             reads.reading = true;
             reads.read_next = now + pace;
             let requests = std::mem::take(&mut reads.queued);
-            let read = self.watch_request(Duration::ZERO);
+            let read = watch_request(self.cache.revision, Duration::ZERO);
             self.state(CallPriority::Accept, read, CallKind::ReadChanges(requests));
         }
         let reads = &mut self.reads;
@@ -109,13 +110,13 @@
         self.reads.reading = false;
         match reply {
             StateReply::Changes(changes) => {
-                self.take_changes(&changes, sent);
+                self.apply_changes(&changes, sent);
                 for request in requests {
                     self.answer(request);
                 }
             }
             StateReply::Compacted => {
-                self.synced = false;
+                self.state_sync.require_full_read();
                 self.refuse_all(requests);
             }
             StateReply::Refused { throttled: true } => {
@@ -179,8 +180,8 @@
     /// Answers from a mirror that is fresh enough for this request.
     pub(super) fn answer(&mut self, request: PendingRequest) {
         let id = request.id;
-        if let Some(state) = self.finals.get(&id) {
-            let answer = status(id, *state);
+        if let Some(state) = self.job_status.terminal_state(id) {
+            let answer = status(id, state);
             self.reply_user(request.ticket, UserReply::Status(answer));
             return;
         }
@@ -207,7 +208,7 @@
     }
 
     pub(super) fn handle_final_state_read(&mut self, request: PendingRequest, reply: StateReply) {
-        if self.finals.contains_key(&request.id) || self.cache.jobs.contains_key(&request.id) {
+        if self.job_status.is_terminal(request.id) || self.cache.jobs.contains_key(&request.id) {
             // Accepted or ended while we read: the mirror knows more than that read.
             self.answer(request);
             return;
@@ -215,7 +216,8 @@
         match reply {
             StateReply::Item(item) => match FinalRecord::deserialize(&item.value) {
                 Ok(record) => {
-                    self.cache_final_state(request.id, record.state);
+                    self.job_status
+                        .record_terminal_state(request.id, record.state);
                     let answer = status(request.id, record.state);
                     self.reply_user(request.ticket, UserReply::Status(answer));
                 }
--- a/crates/controller/src/controller/load_partition.rs
+++ b/crates/controller/src/controller/load_partition.rs
@@ -133,7 +133,7 @@
         let ours = |p: &&crate::state_cache::Versioned<crate::records::PartitionRecord>| {
             let record = &p.record;
             record.leader == *self.own_name()
-                && record.incarnation == self.incarnation
+                && record.incarnation == self.registration.incarnation()
                 && record.term == leadership.term().0
         };
         Some(LeadershipFacts {
--- a/crates/controller/src/controller/machine_records.rs
+++ b/crates/controller/src/controller/machine_records.rs
@@ -103,7 +103,7 @@
     pub(super) fn write_machine_changes(&mut self) {
         let (now, revision) = (self.now, self.cache.revision);
         if self.machine_changes.wanted.is_empty()
-            || !self.synced
+            || !self.state_sync.is_synced()
             || !self.machine_changes.pipe.ready(now, revision)
         {
             self.machine_changes.held_up_since = None;
--- a/crates/controller/src/controller/membership.rs
+++ b/crates/controller/src/controller/membership.rs
@@ -4,6 +4,7 @@
 use super::leadership::PartitionLeadership;
 use super::standby::REPLICA_CATCH_UP_LIMIT;
 use super::{CallKind, Controller, PeerStatus};
+use crate::job_status_cache::TaskCounts;
 use crate::records::{partition_key, reclaim_key, PartitionRecord, ReclaimRecord, COUNTER};
 use crate::rejections::{MessageFault, MessageSource};
 use crate::request_budget::CallPriority;
@@ -82,9 +83,9 @@
     }
 
     pub(super) fn maintain_leadership(&mut self) {
-        if !self.synced
-            || !self.booted
-            || self.lease.is_none()
+        if !self.state_sync.is_synced()
+            || !self.registration.is_registered()
+            || self.lease.current().is_none()
             || !self.has_recent_state_read(Duration::from_secs(3))
         {
             return;
@@ -94,7 +95,7 @@
             if let Some(held) = self.cache.partitions.get(&partition) {
                 self.vacant_since.remove(&partition);
                 let ours = held.record.leader == *self.own_name()
-                    && held.record.incarnation == self.incarnation;
+                    && held.record.incarnation == self.registration.incarnation();
                 if ours && !self.leaderships.contains_key(&partition) {
                     self.partition_changed(partition);
                     self.renew_term(partition);
@@ -394,10 +395,12 @@
 
     /// Writes our name into a partition's record, which must still have this version (0: none).
     pub(super) fn acquire(&mut self, partition: PartitionId, version: u64) {
-        let Some(lease) = self.lease else { return };
+        let Some(lease) = self.lease.current() else {
+            return;
+        };
         let record = PartitionRecord {
             leader: self.own_name().clone(),
-            incarnation: self.incarnation,
+            incarnation: self.registration.incarnation(),
             term: self.cache.next_token(),
             // Those who may still answer, to be waited out by whoever comes after them.
             unconfirmed_predecessors: self.unconfirmed_predecessors_of(partition),
@@ -463,7 +466,9 @@
             return;
         };
         let record = held.record;
-        if record.leader != *self.own_name() || record.incarnation != self.incarnation {
+        if record.leader != *self.own_name()
+            || record.incarnation != self.registration.incarnation()
+        {
             if self.leaderships.remove(&partition).is_some() {
                 tracing::info!(%partition, leader = %record.leader, "a partition has moved on");
             }
@@ -522,7 +527,9 @@
             return;
         };
         let partition = PartitionId(number as u32);
-        let Some(lease) = self.lease else { return };
+        let Some(lease) = self.lease.current() else {
+            return;
+        };
         let Some(held) = self.cache.partitions.get(&partition) else {
             return;
         };
@@ -551,7 +558,7 @@
             self.reclaim_pending = true;
             let reclaim_request = ReclaimRecord {
                 node: self.own_name().clone(),
-                incarnation: self.incarnation,
+                incarnation: self.registration.incarnation(),
                 lease: lease.0,
             };
             let value = serde_json::to_value(reclaim_request).unwrap_or_default();
@@ -584,7 +591,7 @@
             let message = MeshMessage::ReclaimRequest {
                 partition: partition.0,
                 lease: lease.0,
-                incarnation: self.incarnation,
+                incarnation: self.registration.incarnation(),
             };
             self.mesh(&leader, message);
         }
@@ -614,7 +621,8 @@
         // Should the outcome stay unknown, we may answer again before we know; so the successor
         // waits until we show that we do.
         let mut unconfirmed_predecessors = leadership.unconfirmed_predecessors().to_vec();
-        unconfirmed_predecessors.push((self.settings.name.clone(), self.incarnation));
+        unconfirmed_predecessors
+            .push((self.settings.name.clone(), self.registration.incarnation()));
         let record = PartitionRecord {
             leader: to.clone(),
             incarnation,
@@ -676,14 +684,15 @@
         });
         let message = MeshMessage::Heartbeat {
             heard: heard.collect(),
-            incarnation: self.incarnation,
-            revision: if self.synced {
+            incarnation: self.registration.incarnation(),
+            revision: if self.state_sync.is_synced() {
                 self.cache.revision.0
             } else {
                 0
             },
-            state_contact: self.synced && self.has_recent_state_read(Duration::from_secs(3)),
-            ready: self.synced && self.booted,
+            state_contact: self.state_sync.is_synced()
+                && self.has_recent_state_read(Duration::from_secs(3)),
+            ready: self.state_sync.is_synced() && self.registration.is_registered(),
         };
         self.broadcast(message);
     }
@@ -777,7 +786,8 @@
                 for (id, done, running) in jobs {
                     let id = model::JobId(id);
                     if self.cache.jobs.contains_key(&id) {
-                        self.progress.insert(id, (done, running));
+                        self.job_status
+                            .record_progress(id, TaskCounts { done, running });
                     }
                 }
             }
--- a/crates/controller/src/controller/mod.rs
+++ b/crates/controller/src/controller/mod.rs
@@ -19,10 +19,16 @@
 mod state_sync;
 mod user_requests;
 
+use crate::controller_lease::{ControllerLease, LeaseCall};
+use crate::job_status_cache::JobStatusCache;
+use crate::pending_calls::PendingCalls;
 use crate::placement_log::CommitId;
+use crate::registration::Registration;
 use crate::rejections::RejectionCounts;
-use crate::request_budget::{CallPriority, TokenBucket};
+use crate::request_budget::CallPriority;
 use crate::state_cache::StateCache;
+use crate::state_client::{QueuedCall, StateClient};
+use crate::state_sync::{StateSync, SyncCall};
 use admin::{AdminReply, AdminRequest};
 use admission::Admission;
 use autoscaler::FleetPolicy;
@@ -32,14 +38,14 @@
 use linearizable_reads::LinearizableReads;
 use machine_records::MachineChanges;
 use model::{
-    CallId, ControllerName, FencingToken, JobId, JobState, LeaseId, MachineName, PartitionId,
-    RejectReason, Settings, TaskId, Timestamp, ZoneName,
+    CallId, ControllerName, FencingToken, JobId, MachineName, PartitionId, RejectReason, Settings,
+    TaskId, Timestamp, ZoneName,
 };
 use rand::rngs::SmallRng;
-use rand::{Rng, SeedableRng};
+use rand::SeedableRng;
 use scheduler::Policy;
 use scheduling_queue::QueueConfig;
-use std::collections::{BTreeMap, HashMap, HashSet, VecDeque};
+use std::collections::{BTreeMap, HashMap, HashSet};
 use wire::cloud::{CloudReply, CloudRequest, RentRequest};
 use wire::mesh::MeshMessage;
 use wire::state::{StateReply, StateRequest};
@@ -196,12 +202,13 @@
 /// Why a call was made.
 #[derive(Debug)]
 pub(crate) enum CallKind {
-    List,
-    Watch,
+    /// A read that keeps the state cache up to date.
+    Sync(SyncCall),
     /// A read of changes that answers these requests.
     ReadChanges(Vec<PendingRequest>),
-    NewLease,
-    Renew(LeaseId),
+    /// Creation or renewal of the controller's lease.
+    Lease(LeaseCall),
+    /// Registration of this incarnation.
     Boot,
     Acquire(PartitionId),
     HandOver {
@@ -320,33 +327,18 @@
     tuning: Tuning,
     rng: SmallRng,
     now: Timestamp,
-    incarnation: u64,
-    booted: bool,
+    registration: Registration,
     nodes: Vec<(ControllerName, ZoneName)>,
     cache: StateCache,
-    synced: bool,
-    listing: Option<state_sync::FullRead>,
-    watching: bool,
+    state_sync: StateSync,
     /// Since when we have been running without a stop: what we have not heard before that, we may
     /// have been unable to hear.
     running_since: Timestamp,
     /// How far the nodes' common clock is ahead of ours.
     logical_clock_offset: Duration,
-    /// Sending time of the last confirmed read of changes.
-    last_state_read_at: Option<Timestamp>,
-    /// The one before: what has changed since may have been so from then on.
-    previous_state_read_at: Option<Timestamp>,
-    sent_at: HashMap<CallId, Timestamp>,
-    lease: Option<LeaseId>,
-    lease_pending: bool,
-    renew_at: Timestamp,
-    calls: HashMap<CallId, CallKind>,
-    next_call: u64,
-    outbox: BTreeMap<CallPriority, VecDeque<(CallId, StateRequest)>>,
-    /// Calls to be made again later.
-    retries: Vec<(Timestamp, CallId, CallPriority, StateRequest)>,
-    requests: TokenBucket,
-    writes: TokenBucket,
+    lease: ControllerLease,
+    calls: PendingCalls<CallKind>,
+    state_client: StateClient,
     leaderships: BTreeMap<PartitionId, PartitionLeadership>,
     /// Terms under which partitions were handed over: they are not taken up again.
     relinquished_terms: HashMap<PartitionId, FencingToken>,
@@ -368,8 +360,7 @@
     load_at: Timestamp,
     /// When we wrote what our partitions lack, and whether that was anything.
     demand_at: HashMap<PartitionId, (Timestamp, bool)>,
-    progress: HashMap<JobId, (u64, u64)>,
-    finals: HashMap<JobId, JobState>,
+    job_status: JobStatusCache,
     reads: LinearizableReads,
     admission: Admission,
     cancellations: Cancellations,
@@ -382,57 +373,31 @@
 
 /// The loop turns ten times a second; after a longer pause we must have stood still.
 const PAUSE_THRESHOLD: Duration = Duration::from_secs(1);
-/// Life of a node's lease in the state service.
-const LEASE_DURATION: Duration = Duration::from_millis(3_500);
-/// Time between renewals.
-const LEASE_RENEWAL_INTERVAL: Duration = Duration::from_millis(900);
 /// Longest wait of the watch.
 const MAX_WATCH_WAIT: Duration = Duration::from_millis(1_500);
-/// Patience with a call to the state service.
-const CALL_TIMEOUT: Duration = Duration::from_millis(1_500);
 /// Launches need changes read not longer ago than this.
 const MAX_LAUNCH_READ_AGE: Duration = Duration::from_millis(4_500);
 /// The partition whose holder is the leader.
 pub(crate) const FLEET_PLANNER_PARTITION: PartitionId = PartitionId(0);
-/// Final states that are kept in memory.
-const MAX_CACHED_FINAL_STATES: usize = 200_000;
 
 impl Controller {
     /// A node that has just started. `seed` must be random, it names the incarnation.
     pub fn new(settings: Settings, seed: u64) -> Self {
         let nodes = settings.nodes();
-        let limits = settings.state_limits.clone();
-        let count = nodes.len().max(1) as f64;
-        // Others are often idle, so each node may use more than its even part for a while;
-        // a 429 tells when that was too much.
+        let state_client = StateClient::new(&settings.state_limits, nodes.len());
         Controller {
             tuning: Tuning::default(),
             rng: SmallRng::seed_from_u64(seed),
             now: Timestamp::default(),
-            incarnation: seed >> 12,
-            booted: false,
+            registration: Registration::new(seed >> 12),
             nodes,
             cache: StateCache::default(),
-            synced: false,
-            listing: None,
-            watching: false,
+            state_sync: StateSync::default(),
             running_since: Timestamp::default(),
             logical_clock_offset: Duration::ZERO,
-            last_state_read_at: None,
-            previous_state_read_at: None,
-            sent_at: HashMap::new(),
-            lease: None,
-            lease_pending: false,
-            renew_at: Timestamp::default(),
-            calls: HashMap::new(),
-            next_call: 0,
-            outbox: BTreeMap::new(),
-            retries: Vec::new(),
-            requests: TokenBucket::shared(
-                limits.requests_per_s / count,
-                limits.requests_per_s / count,
-            ),
-            writes: TokenBucket::shared(limits.writes_per_s / count, limits.writes_per_s * 0.6),
+            lease: ControllerLease::default(),
+            calls: PendingCalls::default(),
+            state_client,
             leaderships: BTreeMap::new(),
             relinquished_terms: HashMap::new(),
             renewed: HashMap::new(),
@@ -447,8 +412,7 @@
             alive_at: Timestamp::default(),
             load_at: Timestamp::default(),
             demand_at: HashMap::new(),
-            progress: HashMap::new(),
-            finals: HashMap::new(),
+            job_status: JobStatusCache::default(),
             reads: LinearizableReads::default(),
             admission: Admission::default(),
             cancellations: Cancellations::default(),
@@ -528,19 +492,16 @@
         if let Some(at) = self.next_read() {
             next = next.min(at);
         }
-        if let Some(at) = self.retries.iter().map(|r| r.0).min() {
+        if let Some(at) = self.state_client.next_wakeup(self.now) {
             next = next.min(at);
         }
-        if self.outbox.values().any(|queue| !queue.is_empty()) {
-            next = next.min(self.now + Duration::from_millis(20));
-        }
         next.max(self.now + Duration::from_millis(2))
     }
 
     /// Whether users may be sent here.
     pub fn healthy(&self) -> bool {
-        let contact = |at: Timestamp| self.now.duration_since(at) <= Duration::from_secs(4);
-        if self.synced && self.last_state_read_at.is_some_and(contact) {
+        let is_synced = self.state_sync.is_synced();
+        if is_synced && self.has_recent_state_read(Duration::from_secs(4)) {
             return true;
         }
         // When nobody has contact, going unhealthy helps nobody and costs time afterwards. Who hears none
@@ -549,12 +510,11 @@
             |p: &&PeerStatus| self.now.duration_since(p.last_seen_at) <= Duration::from_secs(2);
         let peer_serves = self.peers.values().filter(heard).any(|p| p.state_contact);
         let alone = !self.peers.is_empty() && !self.peers.values().any(|p| heard(&p));
-        self.synced && !peer_serves && !alone
+        is_synced && !peer_serves && !alone
     }
 
-    fn has_recent_state_read(&self, within: Duration) -> bool {
-        self.last_state_read_at
-            .is_some_and(|at| self.now.duration_since(at) <= within)
+    fn has_recent_state_read(&self, max_age: Duration) -> bool {
+        self.state_sync.has_recent_read(self.now, max_age)
     }
 
     /// Now on a clock that all nodes share: each reads its steady clock and goes ahead as far as
@@ -570,23 +530,15 @@
         &self.settings.name
     }
 
-    fn call(&mut self, purpose: CallKind) -> CallId {
-        self.next_call += 1;
-        let call = CallId(self.next_call);
-        self.calls.insert(call, purpose);
-        call
-    }
-
-    fn state(&mut self, importance: CallPriority, request: StateRequest, purpose: CallKind) {
-        let call = self.call(purpose);
-        self.outbox
-            .entry(importance)
-            .or_default()
-            .push_back((call, request));
+    /// Queues a call to the state service.
+    fn state(&mut self, priority: CallPriority, request: StateRequest, kind: CallKind) {
+        let call = self.calls.register(kind);
+        self.state_client
+            .enqueue(priority, QueuedCall { call, request });
     }
 
     fn cloud(&mut self, request: CloudRequest, purpose: CallKind) -> CallId {
-        let call = self.call(purpose);
+        let call = self.calls.register(purpose);
         self.counters.cloud_calls += 1;
         self.effects.push(Effect::Cloud { call, request });
         call
@@ -611,76 +563,38 @@
         }
     }
 
-    /// Makes the same call again after a pause: its outcome is still open, or it was refused.
+    /// Repeats a call after a pause: its outcome is unknown, or it was refused.
     fn retry_later(
         &mut self,
-        after: Duration,
-        importance: CallPriority,
+        delay: Duration,
+        priority: CallPriority,
         request: StateRequest,
-        purpose: CallKind,
+        kind: CallKind,
     ) {
-        let call = self.call(purpose);
-        let jitter = Duration::from_millis(self.rng.random_range(0..40));
-        self.retries
-            .push((self.now + after + jitter, call, importance, request));
+        let call = self.calls.register(kind);
+        self.state_client.retry_after(
+            self.now,
+            delay,
+            &mut self.rng,
+            priority,
+            QueuedCall { call, request },
+        );
     }
 
-    /// Whether a write of so many puts would go out at once. Writes that pack what waits are made
-    /// up only then.
-    fn may_write(&mut self, importance: CallPriority, puts: f64) -> bool {
-        let waits = self.outbox.range(..=importance).any(|(_, queue)| {
-            queue
-                .iter()
-                .any(|(_, request)| matches!(request, StateRequest::Transaction(_)))
-        });
-        !waits && self.writes.level(self.now) >= puts + importance.reserves().1
+    /// Whether a transaction of so many writes would be sent at once.
+    fn may_write(&mut self, priority: CallPriority, writes: f64) -> bool {
+        self.state_client.may_write(self.now, priority, writes)
     }
 
-    /// Sends what the budgets allow, the most important first. Reads do not wait behind writes.
+    /// Sends the queued calls that the budgets allow.
     fn dispatch_state_calls(&mut self) {
-        let now = self.now;
-        for (_, call, importance, request) in self.retries.extract_if(.., |r| r.0 <= now) {
-            self.outbox
-                .entry(importance)
-                .or_default()
-                .push_front((call, request));
-        }
-        let mut going = Vec::new();
-        for (importance, queue) in &mut self.outbox {
-            let (request_reserve, write_reserve) = importance.reserves();
-            let mut kept = VecDeque::new();
-            let mut blocked = false;
-            for (call, request) in queue.drain(..) {
-                let puts = match &request {
-                    StateRequest::Transaction(txn) => txn.writes.len() as f64,
-                    _ => 0.0,
-                };
-                let goes = self.requests.level(now) >= 1.0 + request_reserve
-                    && (puts == 0.0 || !blocked && self.writes.take(now, puts, write_reserve));
-                if !goes {
-                    blocked |= puts > 0.0;
-                    kept.push_back((call, request));
-                    continue;
-                }
-                self.requests.take(now, 1.0, request_reserve);
-                self.counters.state_calls += 1;
-                self.counters.state_writes += puts as u64;
-                going.push((call, request));
-            }
-            *queue = kept;
-        }
-        for (call, request) in going {
-            let timeout = match &request {
-                StateRequest::Watch { wait_ms, .. } => {
-                    CALL_TIMEOUT + Duration::from_millis(*wait_ms)
-                }
-                _ => CALL_TIMEOUT,
-            };
-            self.sent_at.insert(call, now);
+        for dispatched in self.state_client.dispatch(self.now) {
+            self.counters.state_calls += 1;
+            self.counters.state_writes += dispatched.write_cost as u64;
             self.effects.push(Effect::State {
-                call,
-                request,
-                timeout,
+                call: dispatched.call,
+                request: dispatched.request,
+                timeout: dispatched.timeout,
             });
         }
     }
@@ -691,21 +605,4 @@
         }
         self.effects.push(Effect::User { ticket, reply });
     }
-
-    fn cache_final_state(&mut self, id: JobId, state: JobState) {
-        if self.finals.len() >= MAX_CACHED_FINAL_STATES {
-            // Any answer can be read again, so which ones go does not matter.
-            let some: Vec<JobId> = self
-                .finals
-                .keys()
-                .take(MAX_CACHED_FINAL_STATES / 10)
-                .copied()
-                .collect();
-            for id in some {
-                self.finals.remove(&id);
-            }
-        }
-        self.finals.insert(id, state);
-        self.progress.remove(&id);
-    }
 }
--- a/crates/controller/src/controller/standby.rs
+++ b/crates/controller/src/controller/standby.rs
@@ -1,7 +1,8 @@
 //! Replicas of partitions that we stand by for, and the streams to our own subscribers.
 
 use super::leadership::PartitionLeadership;
-use super::{Controller, LEASE_DURATION};
+use super::Controller;
+use crate::controller_lease::LEASE_DURATION;
 use crate::rejections::{MessageFault, MessageSource};
 use failover::failure_detector::{Evidence, FailoverBlocker, FailureDetector};
 use failover::{assign, PartitionReplica, Replicas, ReplicationSource, ReplicationStream};
@@ -85,8 +86,8 @@
     }
 
     pub(super) fn maintain_standby(&mut self) {
-        if !self.synced
-            || !self.booted
+        if !self.state_sync.is_synced()
+            || !self.registration.is_registered()
             || self.now.duration_since(self.standby.scanned_at) < DETECTOR_INTERVAL
         {
             return;
@@ -118,7 +119,7 @@
             stream.update(partition_state.replication_records(now));
             let header = ReplicationBatch {
                 partition: partition.0,
-                incarnation: self.incarnation,
+                incarnation: self.registration.incarnation(),
                 term: *term,
                 at_ms: now.as_millis(),
                 ..ReplicationBatch::default()
@@ -144,7 +145,7 @@
             .get(&partition)
             .is_some_and(|h| h.term().0 == term);
         // Whoever follows another incarnation of ours sees the record of this one soon.
-        if !held || incarnation != self.incarnation {
+        if !held || incarnation != self.registration.incarnation() {
             self.counters
                 .rejections
                 .add(MessageSource::Peer, MessageFault::Stale);
@@ -220,7 +221,7 @@
             peer_heartbeat_age,
             reporting_machines: replica.map_or(0, PartitionReplica::reporting_machines),
             replica_complete: replica.is_some_and(PartitionReplica::is_complete),
-            last_state_read: self.last_state_read_at,
+            last_state_read: self.state_sync.last_read_at(),
             resumed_at: self.running_since,
         };
         self.standby
--- a/crates/controller/src/controller/state_sync.rs
+++ b/crates/controller/src/controller/state_sync.rs
@@ -1,93 +1,69 @@
-//! Keeping the mirror: full read, watch, lease, and where answers of the state service go.
+//! Keeping the state cache and the controller's lease up to date, and routing of the replies of the
+//! state service.
 
-use super::{CallKind, Controller, LEASE_DURATION, LEASE_RENEWAL_INTERVAL, MAX_WATCH_WAIT};
-use crate::records::WATCHED;
+use super::{CallKind, Controller, MAX_WATCH_WAIT};
+use crate::controller_lease::LeaseCall;
 use crate::rejections::{MessageFault, MessageSource};
 use crate::request_budget::CallPriority;
 use crate::state_cache::CacheEvent;
-use model::DurationExt;
-use model::{CallId, LeaseId, Timestamp};
+use crate::state_client::Budget;
+use crate::state_sync::{watch_request, FullRead, FullReadStep, SyncCall, SyncRequest, WatchStep};
+use model::{CallId, Timestamp};
 use std::time::Duration;
-use wire::state::{Changes, Item, StateReply, StateRequest};
+use wire::state::{Changes, StateReply};
 
-/// A full read on its way.
-#[derive(Debug, Default)]
-pub(crate) struct FullRead {
-    items: Vec<Item>,
-    revision: Option<u64>,
-}
-
-/// One page of the full read.
-fn list_request(after: String) -> StateRequest {
-    StateRequest::List {
-        prefix: WATCHED.into(),
-        after,
-        limit: 500,
-    }
-}
+/// Shortest wait of a watch.
+const MIN_WATCH_WAIT: Duration = Duration::from_millis(100);
+/// Pause before a failed read is sent again.
+const READ_RETRY_DELAY: Duration = Duration::from_millis(200);
 
 impl Controller {
+    /// Sends the read that is due: a page of a full read, or a watch.
     pub(super) fn drive_state_sync(&mut self) {
-        if !self.synced && self.listing.is_none() {
-            self.listing = Some(FullRead::default());
-            self.request_full_read_page(String::new());
-        }
-        if self.synced && !self.watching {
-            self.watching = true;
-            let request = self.watch_request(self.watch_wait());
-            self.state(CallPriority::Lease, request, CallKind::Watch);
+        let watch_wait = self.watch_wait();
+        let due = self.state_sync.begin_read(self.cache.revision, watch_wait);
+        if let Some(read) = due {
+            self.send_sync_read(read);
         }
     }
 
-    /// How long a watch waits: where little time is left for answers without a read, reads come often.
-    fn watch_wait(&self) -> Duration {
-        MAX_WATCH_WAIT.min((self.settings.lease_validity() / 2).max(Duration::from_millis(100)))
+    fn send_sync_read(&mut self, read: SyncRequest) {
+        self.state(CallPriority::Lease, read.request, CallKind::Sync(read.call));
     }
 
-    /// A read of what has changed since the mirror's revision.
-    pub(super) fn watch_request(&self, wait: Duration) -> StateRequest {
-        StateRequest::Watch {
-            prefix: WATCHED.into(),
-            after: self.cache.revision.0,
-            wait_ms: wait.whole_millis(),
-        }
+    fn retry_sync_read(&mut self, read: SyncRequest) {
+        self.retry_later(
+            READ_RETRY_DELAY,
+            CallPriority::Lease,
+            read.request,
+            CallKind::Sync(read.call),
+        );
     }
 
-    fn request_full_read_page(&mut self, after: String) {
-        self.state(CallPriority::Lease, list_request(after), CallKind::List);
+    /// How long a watch waits: the shorter a read stays valid, the more often one is sent.
+    fn watch_wait(&self) -> Duration {
+        MAX_WATCH_WAIT.min((self.settings.lease_validity() / 2).max(MIN_WATCH_WAIT))
     }
 
+    /// Registers this incarnation, then creates the lease and keeps renewing it.
     pub(super) fn maintain_lease(&mut self) {
-        if !self.synced {
-            return;
-        }
-        if !self.booted {
-            self.booted = self.announce();
+        if !self.state_sync.is_synced() {
             return;
         }
-        self.announce();
-        if self.lease_pending || self.now < self.renew_at {
+        let was_registered = self.registration.is_registered();
+        self.update_registration();
+        if !was_registered {
             return;
         }
-        self.lease_pending = true;
-        match self.lease {
-            Some(lease) => {
-                let request = StateRequest::Renew { lease: lease.0 };
-                self.state(CallPriority::Lease, request, CallKind::Renew(lease));
-            }
-            None => {
-                let request = StateRequest::NewLease {
-                    ttl_ms: LEASE_DURATION.whole_millis(),
-                };
-                self.state(CallPriority::Lease, request, CallKind::NewLease);
-            }
+        if let Some(call) = self.lease.begin_call(self.now) {
+            self.state(CallPriority::Lease, call.request(), CallKind::Lease(call));
         }
     }
 
     /// An answer of the state service.
     pub(super) fn handle_state_reply(&mut self, call: CallId, reply: StateReply) {
-        let sent = self.sent_at.remove(&call).unwrap_or(self.now);
-        let Some(purpose) = self.calls.remove(&call) else {
+        let sent = self.state_client.complete(call).unwrap_or(self.now);
+        let Some(purpose) = self.calls.complete(call) else {
             self.counters
                 .rejections
                 .add(MessageSource::State, MessageFault::Stale);
@@ -98,32 +74,27 @@
             // What changes something may have met either limit; the rest only that of requests.
             match purpose {
                 _ if !throttled => {}
-                CallKind::List
-                | CallKind::Watch
+                CallKind::Sync(_)
                 | CallKind::ReadChanges(_)
-                | CallKind::NewLease
-                | CallKind::Renew(_)
+                | CallKind::Lease(_)
                 | CallKind::LedgerList { .. }
                 | CallKind::LedgerProof { .. }
                 | CallKind::FinalRead { .. }
-                | CallKind::CompareFinals(_) => self.requests.drain(self.now),
-                _ => self.writes.drain(self.now),
+                | CallKind::CompareFinals(_) => self
+                    .state_client
+                    .handle_throttled(self.now, Budget::Requests),
+                _ => self.state_client.handle_throttled(self.now, Budget::Writes),
             }
         }
         match purpose {
-            CallKind::List => self.handle_full_read_page(reply),
-            CallKind::Watch => self.handle_watch_reply(reply, sent),
+            CallKind::Sync(SyncCall::FullReadPage) => self.handle_full_read_page(reply),
+            CallKind::Sync(SyncCall::Watch) => self.handle_watch_reply(&reply, sent),
             CallKind::ReadChanges(requests) => self.handle_changes_read(requests, reply, sent),
-            CallKind::NewLease => {
-                self.lease_pending = false;
-                self.renew_at = self.now + Duration::from_millis(200);
-                if let StateReply::Lease(lease) = reply {
-                    self.lease = Some(LeaseId(lease));
-                    self.renew_at = self.now + LEASE_RENEWAL_INTERVAL;
-                }
+            CallKind::Lease(LeaseCall::Create) => self.lease.handle_creation(&reply, self.now),
+            CallKind::Lease(LeaseCall::Renew(lease)) => {
+                self.lease.handle_renewal(lease, &reply, sent, self.now)
             }
-            CallKind::Renew(lease) => self.handle_lease_renewal(lease, reply, sent),
-            CallKind::Boot => {}
+            CallKind::Boot => self.registration.handle_written(),
             CallKind::Acquire(partition) => self.handle_acquisition_reply(partition, &reply),
             CallKind::HandOver { partition, to } => {
                 self.handle_transfer_reply(partition, to, reply)
@@ -173,82 +144,42 @@
     }
 
     fn handle_full_read_page(&mut self, reply: StateReply) {
-        match reply {
-            StateReply::List(page) => {
-                let Some(listing) = self.listing.as_mut() else {
-                    return;
-                };
-                let last = listing.items.last().map_or("", |item| item.key.as_str());
-                if !page.follows(WATCHED, last) {
-                    tracing::error!(
-                        last,
-                        "a page of the full read does not follow the one before"
-                    );
-                    self.counters
-                        .rejections
-                        .add(MessageSource::State, MessageFault::Malformed);
-                    self.restart_full_read();
-                    return;
-                }
-                // Later pages may be newer; the watch repeats what lies between.
-                listing.revision.get_or_insert(page.revision);
-                let after = page.items.last().map(|item| item.key.clone());
-                listing.items.extend(page.items);
-                match (page.more, after) {
-                    (true, Some(after)) => self.request_full_read_page(after),
-                    _ => {
-                        let Some(listing) = self.listing.take() else {
-                            return;
-                        };
-                        let revision = listing.revision.unwrap_or(0);
-                        let changed = self.cache.replace(&listing.items, revision);
-                        self.synced = true;
-                        self.watching = false;
-                        self.handle_cache_events(changed);
-                    }
-                }
+        match self.state_sync.handle_full_read_page(reply) {
+            FullReadStep::Ignored => {}
+            FullReadStep::NextPage(read) => self.send_sync_read(read),
+            FullReadStep::Complete(read) => self.replace_cache(&read),
+            FullReadStep::Failed(read) => self.retry_sync_read(read),
+            FullReadStep::Malformed(read) => {
+                self.counters
+                    .rejections
+                    .add(MessageSource::State, MessageFault::Malformed);
+                self.retry_sync_read(read);
             }
-            _ => self.restart_full_read(),
         }
     }
 
-    /// Begins the full read again, after a pause.
-    fn restart_full_read(&mut self) {
-        self.listing = Some(FullRead::default());
-        let request = list_request(String::new());
-        self.retry_later(
-            Duration::from_millis(200),
-            CallPriority::Lease,
-            request,
-            CallKind::List,
-        );
+    fn replace_cache(&mut self, read: &FullRead) {
+        let changed = self.cache.replace(&read.items, read.revision());
+        self.handle_cache_events(changed);
     }
 
-    fn handle_watch_reply(&mut self, reply: StateReply, sent: Timestamp) {
-        match reply {
-            StateReply::Changes(changes) => {
-                self.watching = false;
-                self.take_changes(&changes, sent);
-            }
-            StateReply::Compacted => {
-                self.watching = false;
-                self.synced = false;
-            }
-            _ => {
-                let request = self.watch_request(self.watch_wait());
-                self.retry_later(
-                    Duration::from_millis(200),
-                    CallPriority::Lease,
+    fn handle_watch_reply(&mut self, reply: &StateReply, sent_at: Timestamp) {
+        match self.state_sync.handle_watch_reply(reply) {
+            WatchStep::Changed(changes) => self.apply_changes(changes, sent_at),
+            WatchStep::Compacted => {}
+            WatchStep::Failed => {
+                let request = watch_request(self.cache.revision, self.watch_wait());
+                self.retry_sync_read(SyncRequest {
+                    call: SyncCall::Watch,
                     request,
-                    CallKind::Watch,
-                );
+                });
             }
         }
     }
 
-    pub(super) fn take_changes(&mut self, changes: &Changes, sent: Timestamp) {
-        self.previous_state_read_at = self.last_state_read_at;
-        self.last_state_read_at = Some(self.last_state_read_at.map_or(sent, |at| at.max(sent)));
+    /// Applies the reply to a read of changes that was sent at `sent_at`.
+    pub(super) fn apply_changes(&mut self, changes: &Changes, sent_at: Timestamp) {
+        self.state_sync.record_read(sent_at);
         let changed = self.cache.apply(changes);
         self.handle_cache_events(changed);
     }
@@ -273,20 +204,4 @@
             }
         }
     }
-
-    fn handle_lease_renewal(&mut self, lease: LeaseId, reply: StateReply, sent: Timestamp) {
-        self.lease_pending = false;
-        match reply {
-            StateReply::Ok => {
-                self.lease = Some(lease);
-                self.renew_at = sent + LEASE_RENEWAL_INTERVAL;
-            }
-            StateReply::LeaseGone => {
-                tracing::warn!(%lease, "our lease has ended");
-                self.lease = None;
-                self.renew_at = self.now;
-            }
-            _ => self.renew_at = self.now + Duration::from_millis(200),
-        }
-    }
 }
--- a/crates/controller/src/controller/user_requests.rs
+++ b/crates/controller/src/controller/user_requests.rs
@@ -31,12 +31,12 @@
     }
 
     fn read_for(&mut self, ticket: Ticket, id: JobId, kind: RequestKind) {
-        if let Some(state) = self.finals.get(&id) {
-            let answer = status(id, *state);
+        if let Some(state) = self.job_status.terminal_state(id) {
+            let answer = status(id, state);
             self.reply_user(ticket, UserReply::Status(answer));
             return;
         }
-        if !self.synced {
+        if !self.state_sync.is_synced() {
             self.busy(ticket, 1);
             return;
         }
@@ -57,11 +57,11 @@
             }
         };
         let id = spec.id;
-        if !self.synced {
+        if !self.state_sync.is_synced() {
             self.busy(ticket, 1);
             return;
         }
-        if self.finals.contains_key(&id) || self.cache.jobs.contains_key(&id) {
+        if self.job_status.is_terminal(id) || self.cache.jobs.contains_key(&id) {
             self.read_for(ticket, id, RequestKind::Resubmit { reject: None });
             return;
         }
@@ -105,11 +105,14 @@
 
     /// Status of a job that is not over.
     pub(super) fn open_status(&self, id: JobId) -> JobStatus {
-        let own = self.leaderships.values().find_map(|h| h.progress_of(id));
-        let (done, running) = own
-            .or_else(|| self.progress.get(&id).copied())
-            .unwrap_or((0, 0));
-        let state = if running > 0 {
+        let own = self
+            .leaderships
+            .values()
+            .find_map(|leadership| leadership.task_counts(id));
+        let counts = own
+            .or_else(|| self.job_status.progress(id))
+            .unwrap_or_default();
+        let state = if counts.running > 0 {
             JobState::Running
         } else {
             JobState::Queued
@@ -117,8 +120,8 @@
         JobStatus {
             id: id.to_string(),
             state,
-            done: Some(done),
-            running: Some(running),
+            done: Some(counts.done),
+            running: Some(counts.running),
         }
     }
 }
--- /dev/null
+++ b/crates/controller/src/controller_lease.rs
@@ -0,0 +1,92 @@
+//! The controller's own lease in the state service: creation, renewal and loss.
+//!
+//! Records that a controller writes name its lease, so that the others see when it has gone.
+
+use model::{DurationExt, LeaseId, Timestamp};
+use std::time::Duration;
+use wire::state::{StateReply, StateRequest};
+
+/// Time to live of the lease.
+pub const LEASE_DURATION: Duration = Duration::from_millis(3_500);
+/// Time between renewals.
+const LEASE_RENEWAL_INTERVAL: Duration = Duration::from_millis(900);
+/// Pause after a call that did not succeed.
+const RETRY_DELAY: Duration = Duration::from_millis(200);
+
+/// The next call that the lease needs.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum LeaseCall {
+    Create,
+    Renew(LeaseId),
+}
+
+impl LeaseCall {
+    /// The request of the call.
+    pub fn request(self) -> StateRequest {
+        match self {
+            LeaseCall::Create => StateRequest::NewLease {
+                ttl_ms: LEASE_DURATION.whole_millis(),
+            },
+            LeaseCall::Renew(lease) => StateRequest::Renew { lease: lease.0 },
+        }
+    }
+}
+
+/// The lease of this controller.
+#[derive(Debug, Default)]
+pub struct ControllerLease {
+    current: Option<LeaseId>,
+    call_pending: bool,
+    next_call_at: Timestamp,
+}
+
+impl ControllerLease {
+    /// The lease, unless it was not created yet or has expired.
+    pub fn current(&self) -> Option<LeaseId> {
+        self.current
+    }
+
+    /// The call that is due now; until its reply is handled, no other is.
+    pub fn begin_call(&mut self, now: Timestamp) -> Option<LeaseCall> {
+        if self.call_pending || now < self.next_call_at {
+            return None;
+        }
+        self.call_pending = true;
+        Some(self.current.map_or(LeaseCall::Create, LeaseCall::Renew))
+    }
+
+    /// Handles the reply to a creation.
+    pub fn handle_creation(&mut self, reply: &StateReply, now: Timestamp) {
+        self.call_pending = false;
+        match reply {
+            StateReply::Lease(lease) => {
+                self.current = Some(LeaseId(*lease));
+                self.next_call_at = now + LEASE_RENEWAL_INTERVAL;
+            }
+            _ => self.next_call_at = now + RETRY_DELAY,
+        }
+    }
+
+    /// Handles the reply to a renewal that was sent at `sent_at`.
+    pub fn handle_renewal(
+        &mut self,
+        lease: LeaseId,
+        reply: &StateReply,
+        sent_at: Timestamp,
+        now: Timestamp,
+    ) {
+        self.call_pending = false;
+        match reply {
+            StateReply::Ok => {
+                self.current = Some(lease);
+                self.next_call_at = sent_at + LEASE_RENEWAL_INTERVAL;
+            }
+            StateReply::LeaseGone => {
+                tracing::warn!(%lease, "controller lease expired");
+                self.current = None;
+                self.next_call_at = now;
+            }
+            _ => self.next_call_at = now + RETRY_DELAY,
+        }
+    }
+}
--- /dev/null
+++ b/crates/controller/src/job_status_cache.rs
@@ -0,0 +1,70 @@
+//! What is known of jobs for answers to users: terminal states, and progress reported by peers.
+
+use model::{JobId, JobState};
+use std::collections::HashMap;
+
+/// Number of terminal states that are kept in memory.
+const MAX_TERMINAL_STATES: usize = 200_000;
+
+/// Numbers of a job's tasks, for display only.
+#[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
+pub struct TaskCounts {
+    pub done: u64,
+    pub running: u64,
+}
+
+/// Terminal states and progress of jobs.
+#[derive(Debug, Default)]
+pub struct JobStatusCache {
+    terminal_states: HashMap<JobId, JobState>,
+    progress: HashMap<JobId, TaskCounts>,
+}
+
+impl JobStatusCache {
+    /// The terminal state of a job, if it is known. It is durable, so it may be told to users.
+    pub fn terminal_state(&self, id: JobId) -> Option<JobState> {
+        self.terminal_states.get(&id).copied()
+    }
+
+    /// Whether a job is known to be in a terminal state.
+    pub fn is_terminal(&self, id: JobId) -> bool {
+        self.terminal_states.contains_key(&id)
+    }
+
+    /// Records a terminal state that is durable. A full cache loses a tenth of its entries first:
+    /// any of them can be read again, so which ones does not matter.
+    pub fn record_terminal_state(&mut self, id: JobId, state: JobState) {
+        if self.terminal_states.len() >= MAX_TERMINAL_STATES {
+            self.evict_some();
+        }
+        self.terminal_states.insert(id, state);
+        self.progress.remove(&id);
+    }
+
+    fn evict_some(&mut self) {
+        let evicted: Vec<JobId> = self
+            .terminal_states
+            .keys()
+            .take(MAX_TERMINAL_STATES / 10)
+            .copied()
+            .collect();
+        for id in evicted {
+            self.terminal_states.remove(&id);
+        }
+    }
+
+    /// The progress that a peer reported of a job last.
+    pub fn progress(&self, id: JobId) -> Option<TaskCounts> {
+        self.progress.get(&id).copied()
+    }
+
+    /// Records the progress that a peer reports.
+    pub fn record_progress(&mut self, id: JobId, counts: TaskCounts) {
+        self.progress.insert(id, counts);
+    }
+
+    /// Forgets the progress of a job that is not open any more.
+    pub fn forget_progress(&mut self, id: JobId) {
+        self.progress.remove(&id);
+    }
+}
--- a/crates/controller/src/request_budget.rs
+++ b/crates/controller/src/request_budget.rs
@@ -1,13 +1,13 @@
-//! Request budgets: token buckets, and the importance of calls that share them.
+//! Request budgets: token buckets, and the priorities of the calls that share them.
 
 use model::DurationExt;
 use model::Timestamp;
 
-/// Maximum multiple of its even share of a budget that a node uses while others leave it.
+/// Maximum multiple of its even share of a budget that a controller uses while others use less.
 const MAX_RATE_FACTOR: f64 = 2.0;
-/// The multiple that a node starts with.
+/// The multiple that a controller starts with.
 const INITIAL_RATE_FACTOR: f64 = 1.5;
-/// Multiplicative decrease of the factor after a refusal for want of budget.
+/// Multiplicative decrease of the factor after a refusal because the budget was exhausted.
 const RATE_DECREASE: f64 = 0.8;
 /// Additive increase of the factor in a second without a refusal.
 const RATE_INCREASE_PER_S: f64 = 0.05;
@@ -37,7 +37,7 @@
         }
     }
 
-    /// A full bucket with an even share of a budget that other nodes use too. They are often idle,
+    /// A full bucket with an even share of a budget that other controllers use too. They are often idle,
     /// so the rate varies between that share and a multiple of it: it grows until the service
     /// refuses a call (additive increase, multiplicative decrease).
     pub fn shared(even_per_s: f64, capacity: f64) -> Self {
@@ -76,7 +76,7 @@
         false
     }
 
-    /// Empties the bucket and lowers its rate: the service refused a call for want of budget.
+    /// Empties the bucket and lowers its rate: the service refused a call because the budget was exhausted.
     pub fn drain(&mut self, now: Timestamp) {
         self.refill(now);
         self.level = self.level.min(0.0);
@@ -84,27 +84,36 @@
     }
 }
 
-/// How much a call to the state service matters.
+/// Tokens that calls of a priority leave for more important ones. A negative reserve lets a call
+/// overdraw the budget by as much.
+#[derive(Debug, Clone, Copy, PartialEq)]
+pub struct Reserves {
+    pub requests: f64,
+    pub writes: f64,
+}
+
+/// Priority of a call to the state service, the highest first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum CallPriority {
-    /// Leases and terms.
+    /// Leases, terms and the reads that keep the cache up to date.
     Lease,
-    /// What users wait for.
+    /// Writes and reads that user requests wait for.
     Accept,
-    /// Placements and outcomes.
+    /// Placements and their results.
     Placement,
     /// Everything else.
     Rest,
 }
 
 impl CallPriority {
-    /// Requests and writes that calls of this importance leave for more important ones.
-    pub fn reserves(self) -> (f64, f64) {
-        match self {
+    /// Tokens that calls of this priority leave in the budgets.
+    pub fn reserves(self) -> Reserves {
+        let (requests, writes) = match self {
             CallPriority::Lease => (-20.0, -5.0),
             CallPriority::Accept => (2.0, 0.0),
             CallPriority::Placement => (4.0, 1.0),
             CallPriority::Rest => (6.0, 3.0),
-        }
+        };
+        Reserves { requests, writes }
     }
 }
--- /dev/null
+++ b/crates/controller/tests/job_status_cache.rs
@@ -0,0 +1,33 @@
+//! Terminal states and progress of jobs.
+
+use controller::job_status_cache::{JobStatusCache, TaskCounts};
+use model::{JobId, JobState};
+
+#[test]
+fn terminal_state_replaces_progress() {
+    let mut cache = JobStatusCache::default();
+    let counts = TaskCounts {
+        done: 2,
+        running: 1,
+    };
+    cache.record_progress(JobId(1), counts);
+    cache.record_progress(JobId(2), counts);
+    assert_eq!(cache.progress(JobId(1)), Some(counts));
+    assert!(!cache.is_terminal(JobId(1)));
+    cache.record_terminal_state(JobId(1), JobState::Done);
+    assert_eq!(cache.progress(JobId(1)), None);
+    assert_eq!(cache.terminal_state(JobId(1)), Some(JobState::Done));
+    cache.forget_progress(JobId(2));
+    assert_eq!(cache.progress(JobId(2)), None);
+}
+
+#[test]
+fn full_cache_evicts_a_tenth_and_keeps_the_newest() {
+    let mut cache = JobStatusCache::default();
+    for id in 0..=200_000 {
+        cache.record_terminal_state(JobId(id), JobState::Done);
+    }
+    let kept = (0..=200_000).filter(|id| cache.is_terminal(JobId(*id)));
+    assert_eq!(kept.count(), 180_001);
+    assert!(cache.is_terminal(JobId(200_000)));
+}
--- /dev/null
+++ b/crates/controller/tests/state_client.rs
@@ -0,0 +1,130 @@
+//! Outgoing calls to the state service: order, budgets and retries.
+
+use controller::request_budget::CallPriority;
+use controller::state_client::{Budget, QueuedCall, StateClient};
+use model::settings::StateLimits;
+use model::{CallId, Timestamp};
+use rand::rngs::SmallRng;
+use rand::SeedableRng;
+use std::time::Duration;
+use wire::state::{StateRequest, Transaction, Write};
+
+fn client() -> StateClient {
+    let limits = StateLimits {
+        requests_per_s: 20.0,
+        writes_per_s: 10.0,
+        value_bytes: 1_024,
+        txn_ops: 8,
+    };
+    StateClient::new(&limits, 1)
+}
+
+fn read(call: u64) -> QueuedCall {
+    QueuedCall {
+        call: CallId(call),
+        request: StateRequest::Get { key: "k".into() },
+    }
+}
+
+fn write(call: u64, writes: usize) -> QueuedCall {
+    let transaction = (0..writes).fold(Transaction::default(), |transaction, index| {
+        transaction.write(Write::put(&format!("k/{index}"), serde_json::Value::Null))
+    });
+    QueuedCall {
+        call: CallId(call),
+        request: StateRequest::Transaction(transaction),
+    }
+}
+
+fn dispatched_ids(client: &mut StateClient, now: Timestamp) -> Vec<u64> {
+    let dispatched = client.dispatch(now);
+    dispatched.iter().map(|call| call.call.0).collect()
+}
+
+#[test]
+fn dispatch_follows_priority_then_queue_order() {
+    let mut client = client();
+    client.enqueue(CallPriority::Rest, read(1));
+    client.enqueue(CallPriority::Lease, read(2));
+    client.enqueue(CallPriority::Accept, read(3));
+    client.enqueue(CallPriority::Lease, read(4));
+    assert_eq!(
+        dispatched_ids(&mut client, Timestamp::default()),
+        [2, 4, 3, 1]
+    );
+    assert_eq!(client.next_wakeup(Timestamp::default()), None);
+}
+
+#[test]
+fn reads_pass_a_write_that_waits_for_budget() {
+    let mut client = client();
+    let now = Timestamp::default();
+    client.handle_throttled(now, Budget::Writes);
+    client.enqueue(CallPriority::Accept, write(1, 3));
+    client.enqueue(CallPriority::Accept, read(2));
+    client.enqueue(CallPriority::Accept, write(3, 1));
+    assert_eq!(dispatched_ids(&mut client, now), [2]);
+    assert!(client.next_wakeup(now).is_some_and(|at| at > now));
+    let later = Timestamp::from_millis(2_000);
+    assert_eq!(dispatched_ids(&mut client, later), [1, 3]);
+}
+
+#[test]
+fn queued_transaction_forbids_writes_of_its_priority_and_below() {
+    let mut client = client();
+    let now = Timestamp::default();
+    assert!(client.may_write(now, CallPriority::Accept, 1.0));
+    client.enqueue(CallPriority::Placement, write(1, 1));
+    assert!(client.may_write(now, CallPriority::Accept, 1.0));
+    assert!(!client.may_write(now, CallPriority::Placement, 1.0));
+    assert!(!client.may_write(now, CallPriority::Rest, 1.0));
+}
+
+#[test]
+fn retry_waits_for_its_delay_and_then_goes_first() {
+    let mut client = client();
+    let mut rng = SmallRng::seed_from_u64(7);
+    let now = Timestamp::default();
+    let delay = Duration::from_millis(100);
+    client.retry_after(now, delay, &mut rng, CallPriority::Accept, read(1));
+    client.enqueue(CallPriority::Accept, read(2));
+    let due_at = client.next_wakeup(now).expect("a call waits");
+    assert!(due_at <= Timestamp::from_millis(20), "{due_at:?}");
+    assert_eq!(dispatched_ids(&mut client, now), [2]);
+    let due_at = client.next_wakeup(now).expect("the retry waits");
+    assert!(due_at >= now + delay && due_at < now + delay + Duration::from_millis(40));
+    assert!(dispatched_ids(&mut client, Timestamp::from_millis(99)).is_empty());
+    client.enqueue(CallPriority::Accept, read(3));
+    assert_eq!(dispatched_ids(&mut client, due_at), [1, 3]);
+}
+
+#[test]
+fn completion_returns_the_sending_time_once() {
+    let mut client = client();
+    let sent_at = Timestamp::from_millis(5);
+    client.enqueue(CallPriority::Lease, read(1));
+    assert_eq!(client.complete(CallId(1)), None);
+    client.dispatch(sent_at);
+    assert_eq!(client.complete(CallId(1)), Some(sent_at));
+    assert_eq!(client.complete(CallId(1)), None);
+}
+
+#[test]
+fn watch_may_take_its_waiting_time_longer() {
+    let mut client = client();
+    client.enqueue(CallPriority::Lease, read(1));
+    client.enqueue(
+        CallPriority::Lease,
+        QueuedCall {
+            call: CallId(2),
+            request: StateRequest::Watch {
+                prefix: "s/".into(),
+                after: 0,
+                wait_ms: 700,
+            },
+        },
+    );
+    let dispatched = client.dispatch(Timestamp::default());
+    let timeouts: Vec<Duration> = dispatched.iter().map(|call| call.timeout).collect();
+    assert_eq!(timeouts[1], timeouts[0] + Duration::from_millis(700));
+}
