--- a/crates/controller/src/controller/leadership.rs
+++ b/crates/controller/src/controller/leadership.rs
@@ -634,7 +634,9 @@
     fn workers_are_unreachable(&self, partition: PartitionId) -> bool {
         let now = self.now;
         // Workers report every 1.25 times the interval at the latest; their leases run meanwhile.
-        let silence = Duration::from_millis(self.settings.workers.report.whole_millis() * 2 + 500);
+        let silence = Duration::from_millis(
+            self.settings.workers.heartbeat_interval.whole_millis() * 2 + 500,
+        );
         let Some(leadership) = self.leaderships.get(&partition) else {
             return false;
         };
@@ -688,7 +690,7 @@
     /// is gone.
     fn release_unresponsive_machines(&mut self, partition: PartitionId) {
         let now = self.now;
-        let report = self.settings.workers.report;
+        let report = self.settings.workers.heartbeat_interval;
         let (late, patience) = (
             Duration::from_millis(report.whole_millis() * 5 / 4 + 200),
             Duration::from_millis(report.whole_millis() * 9 / 4 + 500),
--- a/crates/controller/src/controller/load_partition.rs
+++ b/crates/controller/src/controller/load_partition.rs
@@ -173,13 +173,13 @@
         let workers = &self.settings.workers;
         let mut partition_state = PartitionState::new(
             teams,
-            workers.lease,
+            workers.lease_duration,
             self.tuning.policy.clone(),
             self.tuning.queue,
             leadership.term(),
         );
-        partition_state.report = workers.report;
-        partition_state.gang_wait = workers.gang_wait;
+        partition_state.report = workers.heartbeat_interval;
+        partition_state.gang_wait = workers.gang_start_timeout;
         partition_state.completion_objectives = self.settings.completion_objectives.clone();
         partition_state.predecessors_valid_until = leadership.predecessors_valid_until;
         partition_state.leading_since = leadership.since;
--- a/crates/controller/src/controller/mod.rs
+++ b/crates/controller/src/controller/mod.rs
@@ -453,7 +453,7 @@
             admission: Admission::default(),
             cancellations: Cancellations::default(),
             machine_changes: MachineChanges::default(),
-            fleet_planner: FleetPlanner::new(settings.cloud_rps),
+            fleet_planner: FleetPlanner::new(settings.cloud_requests_per_s),
             standby: standby::Standby::default(),
             effects: Vec::new(),
             counters: Counters::default(),
--- a/crates/model/src/ids.rs
+++ b/crates/model/src/ids.rs
@@ -1,4 +1,4 @@
-//! Small types for ids, versions and tokens.
+//! Types for ids, names, versions and tokens, so that none is taken for another.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
@@ -47,15 +47,16 @@
 }
 
 number!(
-    /// Entitlement of a controller to command a machine; terms are drawn from the same counter.
+    /// Fencing token: entitles a controller to command a machine. Workers drop commands with a lower
+    /// token than the highest that they have received. Terms are drawn from the same counter.
     FencingToken
 );
 number!(
-    /// One start of a task, or of a whole gang.
+    /// Number of an attempt to run a task, or all tasks of a gang.
     Attempt
 );
 number!(
-    /// Version of a key in the state service; 0 says that the key does not exist.
+    /// Version of a key in the state service: the revision of its last write, or 0 if it does not exist.
     Version
 );
 number!(
@@ -63,11 +64,11 @@
     Revision
 );
 number!(
-    /// Lease in the state service.
+    /// Id of a lease in the state service.
     LeaseId
 );
 number!(
-    /// A worker's session.
+    /// Session of a worker: it rises whenever the worker's lease expires.
     WorkerEpoch
 );
 number!(
@@ -75,28 +76,28 @@
     SequenceNumber
 );
 number!(
-    /// Correlates a request of the deciding code with its answer.
+    /// Correlates a request to another service with its response.
     CallId
 );
 
 name!(
-    /// A controller node.
+    /// Name of a controller.
     ControllerName
 );
 name!(
-    /// A rented machine.
+    /// Name of a rented machine.
     MachineName
 );
 name!(
-    /// A team.
+    /// Name of a team.
     TeamName
 );
 name!(
-    /// A zone.
+    /// Name of a zone.
     ZoneName
 );
 
-/// Number of a partition: fixed teams and a share of the machines.
+/// Number of a partition: a fixed set of teams and a share of the machines.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct PartitionId(pub u32);
@@ -107,18 +108,21 @@
     }
 }
 
+/// Digits of a job's id; lower numbers are padded with zeros.
+const MIN_JOB_ID_DIGITS: usize = 6;
+
 /// A job's id: `j-` and a number of at least six digits.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct JobId(pub u64);
 
 impl JobId {
-    /// Reads an id; only the one canonical spelling is accepted.
+    /// Parses an id; only the canonical form is accepted.
     pub fn parse(text: &str) -> Option<Self> {
         let digits = text.strip_prefix("j-")?;
-        if digits.len() < 6 || !digits.bytes().all(|b| b.is_ascii_digit()) {
+        if digits.len() < MIN_JOB_ID_DIGITS || !digits.bytes().all(|byte| byte.is_ascii_digit()) {
             return None;
         }
-        if digits.len() > 6 && digits.starts_with('0') {
+        if digits.len() > MIN_JOB_ID_DIGITS && digits.starts_with('0') {
             return None;
         }
         digits.parse().ok().map(JobId)
@@ -127,22 +131,24 @@
 
 impl fmt::Display for JobId {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "j-{:06}", self.0)
+        write!(f, "j-{:0width$}", self.0, width = MIN_JOB_ID_DIGITS)
     }
 }
 
-/// A task: a job's id and the number of the task within it.
+/// A task, written as the id of its job and its index: `j-000412/3`.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TaskId {
+    /// Id of the job.
     pub job: JobId,
+    /// Index of the task within the job, from 0.
     pub index: u32,
 }
 
 impl TaskId {
-    /// Reads `j-000412/3`.
+    /// Parses an id such as `j-000412/3`.
     pub fn parse(text: &str) -> Option<Self> {
         let (job, index) = text.split_once('/')?;
-        if index.is_empty() || !index.bytes().all(|b| b.is_ascii_digit()) {
+        if index.is_empty() || !index.bytes().all(|byte| byte.is_ascii_digit()) {
             return None;
         }
         Some(TaskId {
@@ -157,35 +163,3 @@
         write!(f, "{}/{}", self.job, self.index)
     }
 }
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn job_ids_have_one_spelling() {
-        assert_eq!(JobId::parse("j-000412"), Some(JobId(412)));
-        assert_eq!(JobId(412).to_string(), "j-000412");
-        assert_eq!(JobId::parse("j-1000000"), Some(JobId(1_000_000)));
-        for bad in [
-            "",
-            "j-",
-            "j-12",
-            "j-0000412",
-            "k-000412",
-            "j-00041x",
-            "j-+00412",
-            "j-000412/1",
-        ] {
-            assert_eq!(JobId::parse(bad), None, "{bad}");
-        }
-        assert_eq!(
-            TaskId::parse("j-000412/3"),
-            Some(TaskId {
-                job: JobId(412),
-                index: 3
-            })
-        );
-        assert_eq!(TaskId::parse("j-000412/"), None);
-    }
-}
--- a/crates/model/src/job.rs
+++ b/crates/model/src/job.rs
@@ -1,73 +1,121 @@
-//! Jobs: checking what users submit.
+//! Jobs and the checks of submissions.
 
-use crate::duration_from_secs;
-use crate::{JobId, JobKind, Priority, Resources, Settings, TeamName, ZoneName};
+use crate::{
+    duration_from_secs, JobId, JobKind, Priority, Resources, Settings, TeamName, ZoneName,
+};
 use std::time::Duration;
 use thiserror::Error;
 use wire::cloud::MachineType;
 use wire::users::JobRequest;
 
-/// Most tasks a job may have.
+/// Most tasks that a job may have.
 pub const MAX_TASKS: u64 = 100_000;
+/// Largest amount in a field of a submission.
+const MAX_AMOUNT: f64 = 1e9;
+/// Longest name in a field of a submission, in bytes.
+const MAX_NAME_LENGTH: usize = 200;
 
-/// A checked job.
+/// A submitted job whose fields have been checked.
 #[derive(Debug, Clone, PartialEq)]
 pub struct JobSpec {
+    /// Id of the job.
     pub id: JobId,
+    /// Class of the job, to which service-level objectives refer.
     pub class: String,
+    /// Team that owns the job.
     pub team: TeamName,
+    /// Kind of the job.
     pub kind: JobKind,
+    /// Priority class.
     pub priority: Priority,
+    /// Number of tasks, from 1 to [`MAX_TASKS`].
     pub tasks: u32,
+    /// Resources of one task.
     pub needs: Resources,
+    /// Name of the image that the tasks run.
     pub image: std::sync::Arc<str>,
+    /// Size of the image in GB.
     pub image_gb: f64,
+    /// Machine types that are allowed; all if absent.
     pub types: Option<Vec<String>>,
+    /// Zone that is required; any if absent.
     pub zone: Option<ZoneName>,
+    /// Whether all tasks must run in the same zone.
     pub one_zone: bool,
+    /// Whether at most half of the tasks, rounded up, may run in one zone.
     pub spread: bool,
+    /// Whether spot machines are allowed.
     pub spot: bool,
+    /// Owner's estimate of a task's run time.
     pub estimate: Duration,
+    /// Time between two checkpoints of a task; zero if it saves none.
     pub checkpoint: Duration,
+    /// Time that a task takes to save a checkpoint when it is stopped.
     pub save: Duration,
+    /// Time after the submission within which the job should be finished.
     pub deadline: Option<Duration>,
 }
 
-/// A field that makes a submission malformed (400).
+/// A field that makes a submission malformed (status 400).
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 #[error("field `{field}`: {problem}")]
 pub struct InvalidJob {
+    /// Name of the field in the request.
     pub field: &'static str,
-    pub problem: &'static str,
+    /// What is wrong with it.
+    pub problem: JobFieldProblem,
 }
 
-/// Why a well-formed job can never run (422).
+/// What is wrong with a field of a submission.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
+pub enum JobFieldProblem {
+    /// The text is no id of a job.
+    #[error("must look like j-000412")]
+    NotAJobId,
+    /// The number of tasks is zero or above [`MAX_TASKS`].
+    #[error("must be from 1 to {MAX_TASKS}")]
+    TaskCount,
+    /// The amount is negative, not finite or too large.
+    #[error("must be a number from 0")]
+    Amount,
+    /// The name is empty or too long.
+    #[error("must have 1 to {MAX_NAME_LENGTH} characters")]
+    NameLength,
+    /// A task needs no CPUs, no GPUs and no memory.
+    #[error("a task must take something")]
+    NoResources,
+}
+
+/// Why a well-formed job can never run (status 422).
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub enum RejectReason {
+    /// The settings name no such team.
     #[error("unknown team")]
     UnknownTeam,
+    /// No allowed machine type has the resources of one task.
     #[error("a task fits no allowed machine type")]
     FitsNoMachine,
+    /// What the job needs at one time exceeds the team's limit.
     #[error("the job needs more than the team's limit")]
     BeyondLimit,
 }
 
-fn amount(field: &'static str, value: f64) -> Result<f64, InvalidJob> {
-    if value.is_finite() && (0.0..=1e9).contains(&value) {
+fn checked_amount(field: &'static str, value: f64) -> Result<f64, InvalidJob> {
+    if value.is_finite() && (0.0..=MAX_AMOUNT).contains(&value) {
         Ok(value)
     } else {
         Err(InvalidJob {
             field,
-            problem: "must be a number from 0",
+            problem: JobFieldProblem::Amount,
         })
     }
 }
 
-fn named(field: &'static str, value: &str) -> Result<(), InvalidJob> {
-    if value.is_empty() || value.len() > 200 {
+fn check_name(field: &'static str, value: &str) -> Result<(), InvalidJob> {
+    if value.is_empty() || value.len() > MAX_NAME_LENGTH {
         Err(InvalidJob {
             field,
-            problem: "must have 1 to 200 characters",
+            problem: JobFieldProblem::NameLength,
         })
     } else {
         Ok(())
@@ -80,34 +128,34 @@
     fn try_from(request: &JobRequest) -> Result<Self, InvalidJob> {
         let id = JobId::parse(&request.id).ok_or(InvalidJob {
             field: "id",
-            problem: "must look like j-000412",
+            problem: JobFieldProblem::NotAJobId,
         })?;
         if request.tasks == 0 || request.tasks > MAX_TASKS {
             return Err(InvalidJob {
                 field: "pieces",
-                problem: "must be from 1 to 100000",
+                problem: JobFieldProblem::TaskCount,
             });
         }
-        named("lane", &request.class)?;
-        named("crew", &request.team)?;
-        named("bundle", &request.image)?;
+        check_name("lane", &request.class)?;
+        check_name("crew", &request.team)?;
+        check_name("bundle", &request.image)?;
         if let Some(zone) = &request.zone {
-            named("yard", zone)?;
+            check_name("yard", zone)?;
         }
-        for kind in request.types.iter().flatten() {
-            named("rigs", kind)?;
+        for machine_type in request.types.iter().flatten() {
+            check_name("rigs", machine_type)?;
         }
-        let cpus = amount("vcpus", request.cpus)?;
-        let gpus = amount("gpus", request.gpus)?;
-        let memory = amount("ram_gb", request.memory_gb)?;
+        let cpus = checked_amount("vcpus", request.cpus)?;
+        let gpus = checked_amount("gpus", request.gpus)?;
+        let memory = checked_amount("ram_gb", request.memory_gb)?;
         if cpus == 0.0 && gpus == 0.0 && memory == 0.0 {
             return Err(InvalidJob {
                 field: "vcpus",
-                problem: "a task must take something",
+                problem: JobFieldProblem::NoResources,
             });
         }
         let deadline = match request.deadline_s {
-            Some(seconds) => Some(duration_from_secs(amount("due_s", seconds)?)),
+            Some(seconds) => Some(duration_from_secs(checked_amount("due_s", seconds)?)),
             None => None,
         };
         Ok(JobSpec {
@@ -119,73 +167,80 @@
             tasks: request.tasks as u32,
             needs: Resources::needed(cpus, gpus, memory),
             image: request.image.as_str().into(),
-            image_gb: amount("pull_gb", request.image_gb)?,
+            image_gb: checked_amount("pull_gb", request.image_gb)?,
             types: request.types.clone(),
             zone: request.zone.as_deref().map(ZoneName::from),
             one_zone: request.one_zone,
             spread: request.spread,
             spot: request.spot,
-            estimate: duration_from_secs(amount("expect_s", request.estimate_s)?),
-            checkpoint: duration_from_secs(amount("notch_s", request.checkpoint_s)?),
-            save: duration_from_secs(amount("stash_s", request.save_s)?),
+            estimate: duration_from_secs(checked_amount("expect_s", request.estimate_s)?),
+            checkpoint: duration_from_secs(checked_amount("notch_s", request.checkpoint_s)?),
+            save: duration_from_secs(checked_amount("stash_s", request.save_s)?),
             deadline,
         })
     }
 }
 
 impl JobSpec {
-    /// Whether a machine of this type, zone and kind may run the job's tasks.
+    /// Whether a machine of this type and zone, which is a spot machine or not, may run the job's tasks.
     pub fn allows(&self, machine_type: &str, zone: &ZoneName, spot: bool) -> bool {
         (self.spot || !spot)
-            && self.zone.as_ref().is_none_or(|z| z == zone)
+            && self.zone.as_ref().is_none_or(|required| required == zone)
             && self
                 .types
                 .as_ref()
-                .is_none_or(|t| t.iter().any(|name| name == machine_type))
+                .is_none_or(|types| types.iter().any(|name| name == machine_type))
     }
 
-    /// Whether a task fits a machine of this type where the job allows one.
-    fn fits_type(&self, kind: &MachineType) -> bool {
-        let mut zones = kind.zones.iter().map(|zone| ZoneName::from(zone.as_str()));
-        zones.any(|zone| self.allows(&kind.name, &zone, false))
-            && self
-                .needs
-                .fits(&Resources::offered(kind.cpus, kind.gpus, kind.memory_gb))
+    /// Whether a task fits a machine of this type in a zone that the job allows.
+    fn fits_type(&self, machine_type: &MachineType) -> bool {
+        let mut zones = machine_type
+            .zones
+            .iter()
+            .map(|zone| ZoneName::from(zone.as_str()));
+        zones.any(|zone| self.allows(&machine_type.name, &zone, false))
+            && self.needs.fits(&Resources::offered(
+                machine_type.cpus,
+                machine_type.gpus,
+                machine_type.memory_gb,
+            ))
     }
 
-    /// Whether another job's tasks ask the same of their machines.
+    /// Whether the tasks of another job have the same requirements for their machines.
     pub fn is_placed_like(&self, other: &JobSpec) -> bool {
         (self.needs, &self.types, &self.zone, self.spot)
             == (other.needs, &other.types, &other.zone, other.spot)
     }
 
-    /// Whether there is a type that holds its tasks and none of the other job's.
+    /// Whether some machine type fits this job's tasks, but not those of the other job.
     pub fn fits_other_type(&self, other: &JobSpec, types: &[MachineType]) -> bool {
         types
             .iter()
-            .any(|kind| self.fits_type(kind) && !other.fits_type(kind))
+            .any(|machine_type| self.fits_type(machine_type) && !other.fits_type(machine_type))
     }
 
-    /// Whether it takes no GPUs and has machines without any to run on.
+    /// Whether its tasks need no GPUs and fit some machine type without any.
     pub fn does_without_gpus(&self, types: &[MachineType]) -> bool {
-        let plain = types.iter().filter(|kind| kind.gpus == 0.0);
-        self.needs.milli_gpus == 0 && plain.into_iter().any(|kind| self.fits_type(kind))
+        self.needs.milli_gpus == 0
+            && types
+                .iter()
+                .any(|machine_type| machine_type.gpus == 0.0 && self.fits_type(machine_type))
     }
 
-    /// Whether the whole job must run at one time (its limit check counts all tasks).
-    pub fn all_at_once(&self) -> bool {
+    /// Whether all tasks run at the same time, so that the quota check counts all of them.
+    pub fn requires_all_tasks(&self) -> bool {
         self.kind != JobKind::Array
     }
 
-    /// Whether it runs in what others leave: work of any higher priority goes first, and the
-    /// fleet grows for it only where machines are cheap. What has a deadline is expected at a time,
-    /// whatever its priority: GPU arrays of low priority waited for 553 s at the median, for cheap
-    /// machines that were not to be had (`docs/incidents/2026-12-02-low-with-a-deadline.md`).
+    /// Whether it is best-effort work: it uses capacity that other work leaves free, and the fleet is
+    /// scaled out for it only with spot machines. A job with a deadline is never best-effort, whatever
+    /// its priority, since it could wait without bound for spot machines that the cloud does not have
+    /// (`docs/incidents/2026-12-02-low-with-a-deadline.md`).
     pub fn is_best_effort(&self) -> bool {
         self.kind == JobKind::Array && self.priority == Priority::Low && self.deadline.is_none()
     }
 
-    /// Most tasks that one zone may hold at a time.
+    /// Most tasks that may run in one zone at a time.
     pub fn zone_limit(&self) -> u32 {
         if self.spread {
             self.tasks.div_ceil(2)
@@ -194,18 +249,21 @@
         }
     }
 
-    /// Whether the job can ever run here.
+    /// Checks whether the job can ever run on this site.
     pub fn check(&self, settings: &Settings, types: &[MachineType]) -> Result<(), RejectReason> {
         let team = settings.team(&self.team).ok_or(RejectReason::UnknownTeam)?;
-        if !types.iter().any(|kind| self.fits_type(kind)) {
+        if !types
+            .iter()
+            .any(|machine_type| self.fits_type(machine_type))
+        {
             return Err(RejectReason::FitsNoMachine);
         }
-        let at_once = if self.all_at_once() {
+        let concurrent_tasks = if self.requires_all_tasks() {
             u64::from(self.tasks)
         } else {
             1
         };
-        if !self.needs.times(at_once).fits_quota(&team.limit) {
+        if !self.needs.times(concurrent_tasks).fits_quota(&team.limit) {
             return Err(RejectReason::BeyondLimit);
         }
         Ok(())
--- a/crates/model/src/lib.rs
+++ b/crates/model/src/lib.rs
@@ -7,7 +7,7 @@
 pub mod time;
 
 pub use ids::*;
-pub use job::{InvalidJob, JobSpec, RejectReason};
+pub use job::{InvalidJob, JobFieldProblem, JobSpec, RejectReason};
 pub use resources::Resources;
 pub use settings::Settings;
 pub use time::{duration_from_secs, DurationExt, Timestamp};
--- a/crates/model/src/settings/file.rs
+++ b/crates/model/src/settings/file.rs
@@ -1,23 +1,23 @@
-//! The settings file: its format, and the checks on its fields.
+//! Format of the settings file, and the checks of its fields.
 //!
 //! Unknown fields are ignored. The first field that fails a check is reported.
 
-use super::{Peer, Settings, SettingsError, StateLimits, Team, WorkerTimes};
-use crate::duration_from_secs;
-use crate::{ControllerName, Resources, TeamName, ZoneName};
+use super::{FieldProblem, Peer, Settings, SettingsError, StateLimits, Team, WorkerTimes};
+use crate::{duration_from_secs, ControllerName, Resources, TeamName, ZoneName};
 use serde::Deserialize;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Sockets that a node may open if the file sets no quota.
+/// Sockets that a controller may open if the file sets no quota.
 const DEFAULT_SOCKETS: usize = 1000;
-/// A transaction needs a condition and a write.
+/// A transaction needs at least a condition and a write.
 const MIN_TXN_OPS: usize = 2;
+/// Smallest limit of a value that records fit into.
 const MIN_VALUE_KB: f64 = 1.0;
 const BYTES_PER_KB: f64 = 1024.0;
-/// The kind of objective that says when jobs should be finished.
-const FINISHED_OBJECTIVE: &str = "finished";
+/// Kind of the objectives that set a time within which jobs should be finished.
+const COMPLETION_OBJECTIVE: &str = "finished";
 
 #[derive(Deserialize)]
 struct FileTeam {
@@ -80,7 +80,7 @@
 }
 
 #[derive(Deserialize)]
-struct FileParams {
+struct FileSettings {
     teams: Vec<FileTeam>,
     #[serde(default)]
     objectives: Vec<FileObjective>,
@@ -99,37 +99,36 @@
     #[serde(default)]
     peers: Vec<FilePeer>,
     endpoints: FileEndpoints,
-    settings: FileParams,
+    settings: FileSettings,
 }
 
-fn invalid<T>(field: impl Into<String>, problem: impl Into<String>) -> Result<T, SettingsError> {
+fn invalid<T>(field: impl Into<String>, problem: FieldProblem) -> Result<T, SettingsError> {
     Err(SettingsError::Field {
         field: field.into(),
-        problem: problem.into(),
+        problem,
     })
 }
 
+fn one_line(error: &toml::de::Error) -> String {
+    error.to_string().trim().replace('\n', " ")
+}
+
 fn address(field: &str, text: &str) -> Result<SocketAddr, SettingsError> {
-    match text.parse() {
-        Ok(address) => Ok(address),
-        Err(_) => invalid(
-            field,
-            format!("`{text}` is no address of the form 10.0.0.1:8080"),
-        ),
-    }
+    text.parse()
+        .or_else(|_| invalid(field, FieldProblem::NotAnAddress(text.to_owned())))
 }
 
 fn positive(field: &str, value: f64) -> Result<f64, SettingsError> {
     if value.is_finite() && value > 0.0 {
         Ok(value)
     } else {
-        invalid(field, format!("{value} must be above 0"))
+        invalid(field, FieldProblem::NotPositive(value))
     }
 }
 
 fn not_empty(field: &str, value: &str) -> Result<(), SettingsError> {
     if value.is_empty() {
-        return invalid(field, "must not be empty");
+        return invalid(field, FieldProblem::Empty);
     }
     Ok(())
 }
@@ -140,7 +139,7 @@
         peers.push(Peer {
             name: ControllerName::from(peer.member.as_str()),
             zone: ZoneName::from(peer.zone.as_str()),
-            mesh: address(&format!("peers[{index}].endpoint"), &peer.endpoint)?,
+            mesh_address: address(&format!("peers[{index}].endpoint"), &peer.endpoint)?,
         });
     }
     Ok(peers)
@@ -154,7 +153,7 @@
         if teams.iter().any(|other| other.name == team.name) {
             return invalid(
                 format!("{prefix}.name"),
-                format!("`{}` is named twice", team.name),
+                FieldProblem::DuplicateTeam(team.name.to_string()),
             );
         }
         teams.push(team);
@@ -171,7 +170,7 @@
     ];
     for (field, value) in amounts {
         if !value.is_finite() || value < 0.0 {
-            return invalid(format!("{prefix}.{field}"), "must be a number from 0");
+            return invalid(format!("{prefix}.{field}"), FieldProblem::Negative);
         }
     }
     Ok(Team {
@@ -182,15 +181,15 @@
 }
 
 fn worker_times(workers: &FileWorkers) -> Result<WorkerTimes, SettingsError> {
-    let span = |field: &str, value: f64| {
+    let duration = |field: &str, value: f64| {
         positive(&format!("settings.workers.{field}"), value).map(duration_from_secs)
     };
     Ok(WorkerTimes {
-        report: span("report_s", workers.report_s)?,
-        lease: span("lease_s", workers.lease_s)?,
-        gang_wait: span("gang_wait_s", workers.gang_wait_s)?,
-        gang_peer: span("gang_peer_s", workers.gang_peer_s)?,
-        cancel: span("cancel_s", workers.cancel_s)?,
+        heartbeat_interval: duration("report_s", workers.report_s)?,
+        lease_duration: duration("lease_s", workers.lease_s)?,
+        gang_start_timeout: duration("gang_wait_s", workers.gang_wait_s)?,
+        gang_peer_timeout: duration("gang_peer_s", workers.gang_peer_s)?,
+        cancel_deadline: duration("cancel_s", workers.cancel_s)?,
     })
 }
 
@@ -199,14 +198,14 @@
     if state.txn_ops < MIN_TXN_OPS {
         return invalid(
             "settings.state.txn_ops",
-            format!("must be at least {MIN_TXN_OPS}"),
+            FieldProblem::BelowMinimum(MIN_TXN_OPS as f64),
         );
     }
     let value_kb = positive("settings.state.value_kb", state.value_kb)?;
     if value_kb < MIN_VALUE_KB {
         return invalid(
             "settings.state.value_kb",
-            format!("must be at least {MIN_VALUE_KB}"),
+            FieldProblem::BelowMinimum(MIN_VALUE_KB),
         );
     }
     Ok((value_kb * BYTES_PER_KB) as usize)
@@ -226,7 +225,7 @@
         else {
             continue;
         };
-        if kind != FINISHED_OBJECTIVE {
+        if kind != COMPLETION_OBJECTIVE {
             continue;
         }
         let field = format!("settings.objectives[{index}].within_s");
@@ -240,8 +239,8 @@
 impl Settings {
     /// Reads and checks a settings file.
     pub fn parse(text: &str) -> Result<Self, SettingsError> {
-        let file: File = toml::from_str(text)
-            .map_err(|e| SettingsError::Syntax(e.to_string().trim().replace('\n', " ")))?;
+        let file: File =
+            toml::from_str(text).map_err(|error| SettingsError::Syntax(one_line(&error)))?;
         not_empty("member", &file.member)?;
         not_empty("zone", &file.zone)?;
         let params = &file.settings;
@@ -253,11 +252,11 @@
         Ok(Settings {
             name: ControllerName::from(file.member.as_str()),
             zone: ZoneName::from(file.zone.as_str()),
-            listen: address("serve_on", &file.serve_on)?,
-            mesh: address("mesh_addr", &file.mesh_addr)?,
+            listen_address: address("serve_on", &file.serve_on)?,
+            mesh_address: address("mesh_addr", &file.mesh_addr)?,
             peers,
-            cloud: address("endpoints.cloud", &file.endpoints.cloud)?,
-            state: address("endpoints.state", &file.endpoints.state)?,
+            cloud_address: address("endpoints.cloud", &file.endpoints.cloud)?,
+            state_address: address("endpoints.state", &file.endpoints.state)?,
             teams,
             workers,
             state_limits: StateLimits {
@@ -266,9 +265,9 @@
                 value_bytes,
                 txn_ops: params.state.txn_ops,
             },
-            cloud_rps: positive("settings.cloud.rps", params.cloud.rps)?,
+            cloud_requests_per_s: positive("settings.cloud.rps", params.cloud.rps)?,
             cloud_list_lag: duration_from_secs(params.cloud.list_lag_s),
-            sockets: params
+            max_sockets: params
                 .quota
                 .as_ref()
                 .map_or(DEFAULT_SOCKETS, |quota| quota.sockets),
--- a/crates/model/tests/golden_settings.rs
+++ b/crates/model/tests/golden_settings.rs
@@ -51,11 +51,11 @@
     text.parse().expect("an address")
 }
 
-fn peer(name: &str, zone: &str, mesh: &str) -> Peer {
+fn peer(name: &str, zone: &str, mesh_address: &str) -> Peer {
     Peer {
         name: ControllerName::from(name),
         zone: ZoneName::from(zone),
-        mesh: address(mesh),
+        mesh_address: address(mesh_address),
     }
 }
 
@@ -89,18 +89,18 @@
     Settings {
         name: ControllerName::from("n0"),
         zone: ZoneName::from("north"),
-        listen: address("10.0.0.1:8080"),
-        mesh: address("10.0.0.1:8081"),
+        listen_address: address("10.0.0.1:8080"),
+        mesh_address: address("10.0.0.1:8081"),
         peers: Vec::new(),
-        cloud: address("10.1.0.1:9001"),
-        state: address("10.1.0.2:9002"),
+        cloud_address: address("10.1.0.1:9001"),
+        state_address: address("10.1.0.2:9002"),
         teams: Vec::new(),
         workers: WorkerTimes {
-            report: Duration::from_millis(1_500),
-            lease: Duration::from_secs(20),
-            gang_wait: Duration::from_secs(45),
-            gang_peer: Duration::from_secs(8),
-            cancel: Duration::from_millis(60_250),
+            heartbeat_interval: Duration::from_millis(1_500),
+            lease_duration: Duration::from_secs(20),
+            gang_start_timeout: Duration::from_secs(45),
+            gang_peer_timeout: Duration::from_secs(8),
+            cancel_deadline: Duration::from_millis(60_250),
         },
         state_limits: StateLimits {
             requests_per_s: 100.0,
@@ -108,9 +108,9 @@
             value_bytes: 8_704,
             txn_ops: 6,
         },
-        cloud_rps: 10.0,
+        cloud_requests_per_s: 10.0,
         cloud_list_lag: Duration::from_millis(8_250),
-        sockets: 1_000,
+        max_sockets: 1_000,
         completion_objectives: BTreeMap::new(),
     }
 }
@@ -122,7 +122,7 @@
             peer("n2", "north", "[::1]:8083"),
         ],
         teams: teams(),
-        sockets: 321,
+        max_sockets: 321,
         completion_objectives: BTreeMap::from([(
             "train".to_owned(),
             Duration::from_millis(600_500),
--- a/crates/model/tests/settings.rs
+++ b/crates/model/tests/settings.rs
@@ -32,7 +32,7 @@
 #[test]
 fn settings_name_the_field_that_is_wrong() {
     let good = Settings::parse(GOOD).expect("good settings");
-    assert!(good.lease_validity() + good.workers.lease < good.workers.cancel);
+    assert!(good.lease_validity() + good.workers.lease_duration < good.workers.cancel_deadline);
     for (from, to, field) in [
         (
             "serve_on = \"10.0.0.1:8080\"",
--- a/crates/trackcrank/src/mesh.rs
+++ b/crates/trackcrank/src/mesh.rs
@@ -31,7 +31,8 @@
     tokio::spawn(async move {
         let patience = Duration::from_millis(1_500);
         loop {
-            let stream = tokio::time::timeout(patience, TcpStream::connect(peer.mesh)).await;
+            let stream =
+                tokio::time::timeout(patience, TcpStream::connect(peer.mesh_address)).await;
             let Ok(Ok(stream)) = stream else {
                 tokio::time::sleep(Duration::from_millis(300)).await;
                 while queue.try_recv().is_ok() {}
--- a/crates/trackcrank/src/runtime.rs
+++ b/crates/trackcrank/src/runtime.rs
@@ -30,15 +30,19 @@
     let (events, results) = mpsc::channel::<Event>(1024);
     let metrics = Arc::new(Metrics::new().map_err(|e| format!("metrics: {e}"))?);
     let client = HttpClient::new(Some(metrics.rejected().clone()));
-    mesh::listen(settings.mesh, events.clone(), metrics.rejected().clone())
-        .await
-        .map_err(|e| format!("mesh_addr {}: {e}", settings.mesh))?;
+    mesh::listen(
+        settings.mesh_address,
+        events.clone(),
+        metrics.rejected().clone(),
+    )
+    .await
+    .map_err(|e| format!("mesh_addr {}: {e}", settings.mesh_address))?;
     let shared = Shared {
         inbound,
         healthy: Arc::new(AtomicBool::new(false)),
         metrics,
     };
-    let listen = settings.listen;
+    let listen = settings.listen_address;
     let server = tokio::spawn(server::run(listen, shared.clone()));
     let peers = settings
         .peers
@@ -53,8 +57,8 @@
     let seed = rand::rng().random();
     let process = Process {
         client,
-        state: settings.state,
-        cloud: settings.cloud,
+        state: settings.state_address,
+        cloud: settings.cloud_address,
         events,
         peers,
         users: HashMap::new(),
--- a/crates/trackcrank/tests/large_site.rs
+++ b/crates/trackcrank/tests/large_site.rs
@@ -37,7 +37,7 @@
     let peer = Peer {
         name,
         zone: ZoneName::from("a"),
-        mesh: address,
+        mesh_address: address,
     };
     let sender = mesh::connect(ControllerName::from("n0"), peer);
     for number in 0..MACHINES {
