--- a/crates/controller/src/controller/mod.rs
+++ b/crates/controller/src/controller/mod.rs
@@ -293,7 +293,7 @@
     state_contact: bool,
     ready: bool,
     /// How long before that it had heard others.
-    heard: Vec<(ControllerName, Duration)>,
+    peer_heartbeat_ages: Vec<(ControllerName, Duration)>,
 }
 
 /// Counts for the metrics.
@@ -417,7 +417,7 @@
             admission: Admission::default(),
             cancellations: Cancellations::default(),
             machine_changes: MachineChanges::default(),
-            fleet_planner: FleetPlanner::new(settings.cloud_rps),
+            fleet_planner: FleetPlanner::new(settings.cloud_requests_per_s),
             standby: standby::Standby::default(),
             effects: Vec::new(),
             counters: Counters::default(),
@@ -506,10 +506,14 @@
         }
         // When nobody has contact, going unhealthy helps nobody and costs time afterwards. Who hears none
         // of the others either is cut off itself: they may serve.
-        let heard =
+        let sends_heartbeats =
             |p: &&PeerStatus| self.now.duration_since(p.last_seen_at) <= Duration::from_secs(2);
-        let peer_serves = self.peers.values().filter(heard).any(|p| p.state_contact);
-        let alone = !self.peers.is_empty() && !self.peers.values().any(|p| heard(&p));
+        let peer_serves = self
+            .peers
+            .values()
+            .filter(sends_heartbeats)
+            .any(|p| p.state_contact);
+        let alone = !self.peers.is_empty() && !self.peers.values().any(|p| sends_heartbeats(&p));
         is_synced && !peer_serves && !alone
     }
 
