--- a/crates/loadtest/src/rules.rs
+++ b/crates/loadtest/src/rules.rs
@@ -1,14 +1,14 @@
 //! The rules, checked after a run from what workers and users saw.
 //!
-//! What users may be told is checked by [`simulator::rules::Rules`]; what tasks may do is checked here, since
+//! What users may be told is checked by [`simulator::rules::RuleChecker`]; what tasks may do is checked here, since
 //! a run has a hundred times the workers of a simulated world.
 
 use crate::config::Experiment;
 use crate::observations::{TaskChange, TaskEvent, UserAnswer, UserEvent};
 use crate::site::job_id;
 use serde::{Deserialize, Serialize};
-use simulator::history::{Answer, Instant};
-use simulator::rules::Rules;
+use simulator::history::{Answer, HistoryTime};
+use simulator::rules::RuleChecker;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use wire::users::{JobRequest, JobState};
 
@@ -63,7 +63,7 @@
         }
     }
     replay.finish(end_us);
-    let broken = replay.rules.broken.iter().take(MOST_LISTED);
+    let broken = replay.rules.violations.iter().take(MOST_LISTED);
     verdict.broken = broken
         .map(|b| BrokenRule {
             rule: b.rule.to_owned(),
@@ -90,7 +90,7 @@
     present: HashMap<(u64, u64), BTreeSet<u32>>,
     cpus: BTreeMap<String, f64>,
     cancelled_us: HashMap<u64, u64>,
-    rules: Rules,
+    rules: RuleChecker,
 }
 
 impl<'a> Replay<'a> {
@@ -108,12 +108,12 @@
             present: HashMap::new(),
             cpus: BTreeMap::new(),
             cancelled_us: HashMap::new(),
-            rules: Rules::new(cancel_ms),
+            rules: RuleChecker::new(cancel_ms),
         }
     }
 
     fn broke(&mut self, rule: &'static str, what: String, at_us: u64) {
-        self.rules.broke(rule, what, at_us / 1_000);
+        self.rules.record_violation(rule, what, at_us / 1_000);
     }
 
     fn task(&mut self, event: &TaskEvent) {
@@ -183,7 +183,7 @@
 
     fn user(&mut self, event: &UserEvent) {
         let id = job_id(event.job);
-        let (sent, now) = (Instant::at_us(event.asked_us), event.at_us / 1_000);
+        let (sent, now) = (HistoryTime::at_us(event.asked_us), event.at_us / 1_000);
         self.rules.history.advance_to_us(event.at_us);
         match event.answer {
             UserAnswer::Submitted => {}
@@ -193,15 +193,15 @@
             }
             UserAnswer::CancelAsked => {
                 self.rules.history.cancel_requested(&id, now);
-                self.rules.cancel_asked.insert(id);
+                self.rules.cancel_requests.insert(id);
             }
             UserAnswer::Told(state) => {
                 if state == JobState::Cancelled {
                     self.cancelled_us.entry(event.job).or_insert(event.at_us);
                 }
-                self.rules.told(&id, state, &self.jobs, sent, now);
+                self.rules.record_status(&id, state, &self.jobs, sent, now);
             }
-            UserAnswer::Missing => self.rules.told_missing(&id, Answer::Missing, sent, now),
+            UserAnswer::Missing => self.rules.record_missing(&id, Answer::Missing, sent, now),
         }
     }
 
--- a/crates/loadtest/src/workers.rs
+++ b/crates/loadtest/src/workers.rs
@@ -9,7 +9,7 @@
 use crate::site::{controller_number, job_number, machine_number, Clock, Net};
 use hyper::Method;
 use rand::Rng;
-use simulator::worker::{Happened, Worker};
+use simulator::worker::{TaskTransition, Worker};
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeSet, HashMap};
 use std::rc::Rc;
@@ -351,11 +351,11 @@
         let now_us = self.site.clock.now_us();
         for event in happened {
             match event {
-                Happened::Started(task) => {
+                TaskTransition::Started(task) => {
                     self.record(&task, TaskChange::Started, now_us);
                     state.present.insert(task);
                 }
-                Happened::Done(task) => self.record(&task, TaskChange::Done, now_us),
+                TaskTransition::Done(task) => self.record(&task, TaskChange::Done, now_us),
             }
         }
         self.record_ends(state, now_us);
--- a/crates/simulator/benches/scale.rs
+++ b/crates/simulator/benches/scale.rs
@@ -13,7 +13,7 @@
 };
 use scheduler::{Machine, PartitionState, Policy, StatusSource};
 use scheduling_queue::QueueConfig;
-use simulator::{solo, Solo};
+use simulator::{single_controller, SingleController};
 use std::cell::RefCell;
 use std::collections::{BTreeMap, HashMap};
 use std::time::{Duration, Instant};
@@ -23,42 +23,51 @@
 const SIZES: [usize; 4] = [300, 1_000, 3_000, 10_000];
 
 /// One turn of a measurement and what it cost.
-type Each = Box<dyn FnMut(&mut Solo, u64) -> Duration>;
+type Each = Box<dyn FnMut(&mut SingleController, u64) -> Duration>;
 
 /// A node: ticks, reports, takeovers.
 fn node(c: &mut Criterion) {
     let mut group = c.benchmark_group("node");
     group.sample_size(10);
     for size in SIZES {
-        let made: RefCell<Option<Solo>> = RefCell::new(None);
-        let solo = |iters: u64, mut each: Each| {
+        let made: RefCell<Option<SingleController>> = RefCell::new(None);
+        let single_controller = |iters: u64, mut each: Each| {
             let mut made = made.borrow_mut();
-            let solo = made.get_or_insert_with(|| {
-                let mut solo = Solo::new(size);
-                solo.fill();
-                solo
+            let single_controller = made.get_or_insert_with(|| {
+                let mut single_controller = SingleController::new(size);
+                single_controller.fill();
+                single_controller
             });
-            (0..iters).map(|n| each(solo, n)).sum::<Duration>()
+            (0..iters)
+                .map(|n| each(single_controller, n))
+                .sum::<Duration>()
         };
         group.bench_function(BenchmarkId::new("tick", size), |b| {
-            b.iter_custom(|iters| solo(iters, Box::new(|solo, _| solo.tick(7))));
+            b.iter_custom(|iters| {
+                single_controller(
+                    iters,
+                    Box::new(|single_controller, _| single_controller.tick(7)),
+                )
+            });
         });
         group.bench_function(BenchmarkId::new("report", size), |b| {
             b.iter_custom(|iters| {
-                solo(
+                single_controller(
                     iters,
-                    Box::new(move |solo, n| solo.report(n as usize * 7 % size)),
+                    Box::new(move |single_controller, n| {
+                        single_controller.report(n as usize * 7 % size)
+                    }),
                 )
             });
         });
         group.bench_function(BenchmarkId::new("report_done", size), |b| {
             b.iter_custom(|iters| {
-                solo(
+                single_controller(
                     iters,
-                    Box::new(move |solo, n| {
-                        let cost = solo.report_done(n as usize * 13 % size);
+                    Box::new(move |single_controller, n| {
+                        let cost = single_controller.report_done(n as usize * 13 % size);
                         if n.is_multiple_of(10) {
-                            solo.tick(70);
+                            single_controller.tick(70);
                         }
                         cost
                     }),
@@ -66,7 +75,12 @@
             });
         });
         group.bench_function(BenchmarkId::new("takeover", size), |b| {
-            b.iter_custom(|iters| solo(iters, Box::new(|solo, _| solo.take_over())));
+            b.iter_custom(|iters| {
+                single_controller(
+                    iters,
+                    Box::new(|single_controller, _| single_controller.fail_over()),
+                )
+            });
         });
     }
     group.finish();
@@ -76,7 +90,7 @@
     let request = JobRequest {
         team: "t".into(),
         cpus,
-        ..solo::job(id, JobKind::Array, tasks)
+        ..single_controller::job(id, JobKind::Array, tasks)
     };
     match JobSpec::try_from(&request) {
         Ok(spec) => spec,
@@ -100,12 +114,12 @@
         QueueConfig::default(),
         FencingToken(5),
     );
-    for mut worker in (0..size).map(solo::worker) {
+    for mut worker in (0..size).map(single_controller::worker) {
         let name = MachineName::from(worker.name.as_str());
         let zone = ZoneName::from(worker.zone.as_str());
         let machine = Machine::new(
             name,
-            &solo::machine_type(),
+            &single_controller::machine_type(),
             zone,
             worker.spot,
             FencingToken(5),
@@ -229,7 +243,7 @@
     group.sample_size(10);
     for size in SIZES {
         let machines: Vec<FleetMachine> = (0..size)
-            .map(|nth| (nth, solo::worker(nth)))
+            .map(|nth| (nth, single_controller::worker(nth)))
             .map(|(nth, worker)| FleetMachine {
                 name: MachineName::from(worker.name.as_str()),
                 machine_type: worker.machine_type,
@@ -276,7 +290,7 @@
             b.iter(|| {
                 autoscaler::plan(
                     &policy,
-                    &[solo::machine_type()],
+                    &[single_controller::machine_type()],
                     &machines,
                     &needs,
                     &HashMap::new(),
--- a/crates/simulator/examples/takeovers.rs
+++ b/crates/simulator/examples/failovers.rs
@@ -1,10 +1,10 @@
 //! How long takeovers take, over many seeds in simulated time.
 //!
-//! `cargo run --release -p simulator --example takeovers -- --size 107 --seeds 50`
+//! `cargo run --release -p simulator --example failovers -- --size 107 --seeds 50`
 
 use clap::Parser;
 use serde_json::json;
-use simulator::{Fault, Plan, Takeover, World};
+use simulator::{Failover, Fault, Plan, World};
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::Mutex;
 
@@ -39,43 +39,43 @@
 }
 
 /// When a takeover came to a step.
-type Step = fn(&Takeover) -> Option<u64>;
+type Step = fn(&Failover) -> Option<u64>;
 
 /// When the holder ends.
 const AT: u64 = 60_000;
 
-fn takeovers(seed: u64, size: u64, case: Case) -> (usize, Vec<Takeover>, (u64, u64)) {
+fn failovers(seed: u64, size: u64, case: Case) -> (usize, Vec<Failover>, (u64, u64)) {
     let back = 8_000;
     // Work waits when the holder ends, so that the first launch shows when it decides.
     let burst = |at, jobs| {
         (
             at,
-            Fault::Burst {
+            Fault::JobBurst {
                 jobs: jobs * size as usize,
             },
         )
     };
     let mut faults = vec![burst(1_000, 8), burst(AT - 6_000, 4)];
     faults.extend(match case {
-        Case::Ends => vec![(AT, Fault::Crash { node: 1, back })],
+        Case::Ends => vec![(AT, Fault::CrashController { node: 1, back })],
         Case::StandsStill => vec![(
             AT,
-            Fault::Freeze {
+            Fault::PauseController {
                 node: 1,
                 ms: 15_000,
             },
         )],
         Case::TwoEnd => {
             vec![
-                (AT, Fault::Crash { node: 1, back }),
-                (AT, Fault::Crash { node: 2, back }),
+                (AT, Fault::CrashController { node: 1, back }),
+                (AT, Fault::CrashController { node: 2, back }),
             ]
         }
         Case::WithMachines => vec![
-            (AT, Fault::Crash { node: 1, back }),
+            (AT, Fault::CrashController { node: 1, back }),
             (
                 AT + 1,
-                Fault::KillMany {
+                Fault::CrashMachines {
                     count: size as usize,
                 },
             ),
@@ -85,7 +85,7 @@
         seed,
         ms: 85_000,
         faults,
-        sabotage: None,
+        mutation: None,
         submit_ms: 85_000,
         size,
     };
@@ -93,15 +93,15 @@
     world.run_to(AT - 1);
     let machines = world.machines_up();
     world.run();
-    assert_eq!(world.rules.broken, [], "seed {seed}");
+    assert_eq!(world.rules.violations, [], "seed {seed}");
     let list = world
-        .takeovers
+        .failovers
         .list
         .iter()
-        .filter(|t| t.ended_at >= AT)
+        .filter(|t| t.leader_stopped_at >= AT)
         .cloned()
         .collect();
-    (machines, list, world.early_takeovers())
+    (machines, list, world.early_failovers())
 }
 
 /// Median, 99th percentile and the most, in ms.
@@ -126,7 +126,7 @@
                 if seed > arguments.seeds {
                     return;
                 }
-                let run = takeovers(seed, arguments.size, arguments.case);
+                let run = failovers(seed, arguments.size, arguments.case);
                 found.lock().expect("no thread fails").push(run);
             });
         }
@@ -137,21 +137,21 @@
     let wrong: u64 = runs.iter().map(|r| r.2 .1).sum();
     let mut rows = Vec::new();
     for handed in [false, true] {
-        let list: Vec<&Takeover> = runs
+        let list: Vec<&Failover> = runs
             .iter()
             .flat_map(|r| &r.1)
-            .filter(|t| t.handed == handed)
+            .filter(|t| t.transferred == handed)
             .collect();
         let steps: [(&str, Step); 4] = [
-            ("taken", |t| t.taken_at),
-            ("first machine told", |t| t.first_told),
-            ("last machine told", |t| t.last_told),
-            ("first launch", |t| t.first_launch),
+            ("taken", |t| t.acquired_at),
+            ("first machine told", |t| t.first_contact_at),
+            ("last machine told", |t| t.last_contact_at),
+            ("first launch", |t| t.first_launch_at),
         ];
         for (step, at) in steps {
             let after = list
                 .iter()
-                .filter_map(|t| Some(at(t)? - t.ended_at))
+                .filter_map(|t| Some(at(t)? - t.leader_stopped_at))
                 .collect();
             rows.push((
                 if handed { "handed home" } else { "taken over" },
--- a/crates/simulator/examples/fingerprint.rs
+++ b/crates/simulator/examples/fingerprint.rs
@@ -80,10 +80,10 @@
     let seconds = started.elapsed().as_secs_f64();
     let messages = outcome.recorder.messages();
     eprintln!("{}: {messages} messages, {seconds:.1} s", run.name);
-    if outcome.broken > 0 {
+    if outcome.violations > 0 {
         eprintln!(
             "{}: ends early, since {} rules are broken",
-            run.name, outcome.broken
+            run.name, outcome.violations
         );
     }
     outcome.recorder.digest()
--- a/crates/simulator/src/served.rs
+++ b/crates/simulator/src/availability.rs
@@ -6,14 +6,14 @@
 use wire::workers::TaskState;
 
 /// A service counts from so long after its acceptance on.
-const SETTLING: u64 = 20_000;
+const SERVICE_START_GRACE_MS: u64 = 20_000;
 /// Time between two looks.
-const LOOK: u64 = 1_000;
+const OBSERVATION_INTERVAL_MS: u64 = 1_000;
 
 /// Seconds of replicas that were due and were up, by job.
 #[derive(Debug, Default)]
-pub struct Served {
-    looked_at: u64,
+pub struct Availability {
+    last_observed_at: u64,
     replicas: BTreeMap<String, (u64, u64)>,
     /// Tasks of each job that have started, and when enough of them had for the job to have begun.
     started: BTreeMap<String, BTreeSet<String>>,
@@ -22,26 +22,26 @@
 
 /// One class of work: a team's, or a kind of jobs.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Share {
+pub struct ServiceLevel {
     pub of: String,
     pub due: u64,
     pub served: u64,
 }
 
-impl Share {
+impl ServiceLevel {
     /// Part of what was due that was served.
-    pub fn part(&self) -> f64 {
+    pub fn ratio(&self) -> f64 {
         self.served as f64 / self.due.max(1) as f64
     }
 }
 
 /// Within this time the largest jobs are to begin, too.
-const BEGIN: u64 = 240_000;
+const LARGE_JOB_START_DEADLINE_MS: u64 = 240_000;
 
 /// Of each kind, the largest jobs are those of the largest size and one in so many.
-const ONE_IN: usize = 10;
+const LARGEST_FRACTION: usize = 10;
 
-impl Served {
+impl Availability {
     /// A task has started. A job has begun with as many of its tasks as run at a time: an array's with as many
     /// as `limit`, its team's in CPUs, permits, all of the others'.
     pub fn started(&mut self, task: &str, job: &JobRequest, limit: f64, now: u64) {
@@ -69,7 +69,7 @@
         submitted: &HashMap<String, u64>,
         cancelled: &BTreeSet<String>,
         now: u64,
-    ) -> Vec<Share> {
+    ) -> Vec<ServiceLevel> {
         let mut kinds: BTreeMap<String, Vec<(u64, &String, u64)>> = BTreeMap::new();
         for id in accepted.keys() {
             let (Some(job), Some(at)) = (jobs.get(id), submitted.get(id)) else {
@@ -82,10 +82,10 @@
         for (kind, mut list) in kinds {
             list.sort_unstable_by_key(|(tasks, id, _)| (std::cmp::Reverse(*tasks), *id));
             let most = list.first().map_or(0, |(tasks, ..)| *tasks);
-            let tenth = list.len().div_ceil(ONE_IN);
+            let tenth = list.len().div_ceil(LARGEST_FRACTION);
             let largest = list.iter().enumerate();
             let largest = largest.filter(|(nth, (tasks, ..))| *nth < tenth || *tasks == most);
-            let mut share = Share {
+            let mut share = ServiceLevel {
                 of: format!("largest {kind}s"),
                 due: 0,
                 served: 0,
@@ -94,8 +94,8 @@
                 let begun = self
                     .begun
                     .get(*id)
-                    .is_some_and(|begun| *begun <= at + BEGIN);
-                let open = now < at + BEGIN || cancelled.contains(*id);
+                    .is_some_and(|begun| *begun <= at + LARGE_JOB_START_DEADLINE_MS);
+                let open = now < at + LARGE_JOB_START_DEADLINE_MS || cancelled.contains(*id);
                 share.due += u64::from(begun || !open);
                 share.served += u64::from(begun);
             }
@@ -107,7 +107,7 @@
     }
 
     /// Looks at the replicas of all services that should be up.
-    pub fn look(
+    pub fn observe(
         &mut self,
         workers: &BTreeMap<String, Worker>,
         jobs: &HashMap<String, JobRequest>,
@@ -115,10 +115,10 @@
         cancelled: &BTreeSet<String>,
         now: u64,
     ) {
-        if now < self.looked_at + LOOK {
+        if now < self.last_observed_at + OBSERVATION_INTERVAL_MS {
             return;
         }
-        self.looked_at = now;
+        self.last_observed_at = now;
         let mut up: HashMap<&str, u64> = HashMap::new();
         for worker in workers.values().filter(|w| !w.dead && w.hangs_until <= now) {
             for ((task, _), held) in &worker.tasks {
@@ -128,7 +128,9 @@
                 }
             }
         }
-        let due = accepted.iter().filter(|(_, at)| now >= **at + SETTLING);
+        let due = accepted
+            .iter()
+            .filter(|(_, at)| now >= **at + SERVICE_START_GRACE_MS);
         for (id, _) in due.filter(|(id, _)| !cancelled.contains(*id)) {
             let Some(job) = jobs.get(id).filter(|job| job.kind == JobKind::Service) else {
                 continue;
@@ -148,7 +150,7 @@
         cancelled: &BTreeSet<String>,
         done: &BTreeMap<String, u64>,
         until: u64,
-    ) -> Vec<Share> {
+    ) -> Vec<ServiceLevel> {
         let mut found: BTreeMap<String, (u64, u64)> = BTreeMap::new();
         let mut add = |of: String, due, served| {
             let share = found.entry(of).or_default();
@@ -169,18 +171,18 @@
         }
         found
             .into_iter()
-            .map(|(of, (due, served))| Share { of, due, served })
+            .map(|(of, (due, served))| ServiceLevel { of, due, served })
             .collect()
     }
 }
 
 /// The class or team of which the least was served, with the part that was. A team's part is the mean
 /// over its classes: seconds of replicas and jobs do not add up.
-pub fn least(shares: &[Share]) -> Option<(String, f64)> {
+pub fn lowest(shares: &[ServiceLevel]) -> Option<(String, f64)> {
     let mut teams: BTreeMap<&str, Vec<f64>> = BTreeMap::new();
     for share in shares {
         if let Some((_, team)) = share.of.split_once(" of ") {
-            teams.entry(team).or_default().push(share.part());
+            teams.entry(team).or_default().push(share.ratio());
         }
     }
     let mean = |parts: Vec<f64>| parts.iter().sum::<f64>() / parts.len() as f64;
@@ -188,7 +190,7 @@
         .into_iter()
         .map(|(team, parts)| (format!("team {team}"), mean(parts)));
     let classes = shares.iter().filter(|share| !share.of.contains(" of "));
-    let classes = classes.map(|share| (share.of.clone(), share.part()));
+    let classes = classes.map(|share| (share.of.clone(), share.ratio()));
     classes.chain(teams).min_by(|a, b| a.1.total_cmp(&b.1))
 }
 
@@ -199,22 +201,22 @@
     /// Ten small gangs begin at once, one of eight tasks never does.
     #[test]
     fn largest_job_without_start_is_reported_despite_started_small_jobs() {
-        let mut served = Served::default();
+        let mut served = Availability::default();
         let (mut jobs, mut accepted) = (HashMap::new(), BTreeMap::new());
         let mut submitted = HashMap::new();
         for n in 0..11 {
             let tasks = if n == 0 { 8 } else { 1 };
-            let job = crate::solo::job(n, JobKind::Gang, tasks);
+            let job = crate::single_controller::job(n, JobKind::Gang, tasks);
             let seen = if n == 0 { 7 } else { 1 };
             (0..seen).for_each(|i| served.started(&format!("{}/{i}", job.id), &job, 100.0, 1_000));
             accepted.insert(job.id.clone(), 900);
             submitted.insert(job.id.clone(), 0);
             jobs.insert(job.id.clone(), job);
         }
-        let largest = |served: &Served, now| {
+        let largest = |served: &Availability, now| {
             served.largest(&jobs, &accepted, &submitted, &BTreeSet::new(), now)
         };
-        let part = |due, served| Share {
+        let part = |due, served| ServiceLevel {
             of: "largest gangs".into(),
             due,
             served,
--- a/crates/simulator/src/cloud.rs
+++ b/crates/simulator/src/cloud.rs
@@ -9,7 +9,7 @@
 
 /// A rented machine.
 #[derive(Debug, Clone)]
-pub struct Rented {
+pub struct RentedMachine {
     pub machine_type: String,
     pub zone: String,
     pub spot: bool,
@@ -22,18 +22,18 @@
 #[derive(Debug)]
 pub struct Cloud {
     pub types: Vec<MachineType>,
-    pub machines: BTreeMap<String, Rented>,
+    pub machines: BTreeMap<String, RentedMachine>,
     requests: HashMap<String, Vec<String>>,
     capacity: BTreeMap<(String, bool), u32>,
     next: u64,
     lag: u64,
     /// How machines that are rented now come up.
-    pub boots: Boots,
+    pub boots: BootBehavior,
 }
 
 /// How machines come up.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub enum Boots {
+pub enum BootBehavior {
     #[default]
     Usual,
     /// Before the answer to their rental.
@@ -72,12 +72,12 @@
             capacity,
             next: 0,
             lag: 6_000,
-            boots: Boots::Usual,
+            boots: BootBehavior::Usual,
         }
     }
 
     fn used(&self, zone: &str, spot: bool) -> u32 {
-        let lives = |m: &&Rented| m.gone_at.is_none() && m.zone == zone && m.spot == spot;
+        let lives = |m: &&RentedMachine| m.gone_at.is_none() && m.zone == zone && m.spot == spot;
         self.machines.values().filter(lives).count() as u32
     }
 
@@ -114,16 +114,16 @@
                         self.next += 1;
                         let name = format!("host-{:06}", self.next);
                         let never = rng.random_bool(match self.boots {
-                            Boots::Never => 0.5,
+                            BootBehavior::Never => 0.5,
                             _ => 0.03,
                         });
                         let boot = match self.boots {
-                            Boots::Early => 0,
-                            Boots::Late => rng.random_range(15_000..60_000),
-                            Boots::Quick => rng.random_range(1_500..2_000),
+                            BootBehavior::Early => 0,
+                            BootBehavior::Late => rng.random_range(15_000..60_000),
+                            BootBehavior::Quick => rng.random_range(1_500..2_000),
                             _ => rng.random_range(2_000..8_000),
                         };
-                        let machine = Rented {
+                        let machine = RentedMachine {
                             machine_type: rent.machine_type.clone(),
                             zone: rent.zone.clone(),
                             spot: rent.spot,
--- a/crates/simulator/src/fingerprint/runs.rs
+++ b/crates/simulator/src/fingerprint/runs.rs
@@ -1,29 +1,29 @@
 //! The runs whose fingerprints are taken.
 
 use super::Recorder;
-use crate::{Boots, Fault, Plan, World};
+use crate::{BootBehavior, Fault, Plan, World};
 use controller::AdminRequest;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use serde_json::json;
 
 /// Length of a run of a small site, and when users stop submitting.
-const SMALL_MS: u64 = 140_000;
-const SMALL_SUBMIT_MS: u64 = 90_000;
+const SMALL_SITE_MS: u64 = 140_000;
+const SMALL_SITE_SUBMIT_MS: u64 = 90_000;
 /// When a single fault begins, and how long it lasts.
 const FAULT_AT_MS: u64 = 40_000;
 const FAULT_MS: u64 = 16_000;
 /// Pause between two rounds of operators' requests.
-const ADMIN_PAUSE_MS: u64 = 20_000;
+const ADMIN_INTERVAL_MS: u64 = 20_000;
 /// How many times the smallest site a grown one and a fleet are.
-const GROWN: u64 = 20;
-const FLEET: u64 = 107;
-const NODES: usize = 3;
+const LARGE_SITE_SIZE: u64 = 20;
+const FLEET_SIZE: u64 = 107;
+const CONTROLLERS: usize = 3;
 /// Runs with faults that are drawn.
-const DRAWN: u64 = 12;
+const RANDOM_RUNS: u64 = 12;
 
 /// Names of the runs of the short list.
-const SHORT: [&str; 12] = [
+const SHORT_LIST: [&str; 12] = [
     "quiet_1",
     "crash",
     "freeze",
@@ -51,7 +51,7 @@
 pub struct Outcome {
     pub recorder: Recorder,
     /// Rules of the world that were broken; a run ends at the first.
-    pub broken: usize,
+    pub violations: usize,
 }
 
 impl Run {
@@ -80,24 +80,24 @@
         let recorder = world.take_recorder().unwrap_or_default();
         Outcome {
             recorder,
-            broken: world.rules.broken.len(),
+            violations: world.rules.violations.len(),
         }
     }
 }
 
 /// Operators ask every node for every view from time to time, and change the settings.
 fn administer(world: &mut World, until_ms: u64) {
-    for (round, at_ms) in (ADMIN_PAUSE_MS..until_ms)
-        .step_by(ADMIN_PAUSE_MS as usize)
+    for (round, at_ms) in (ADMIN_INTERVAL_MS..until_ms)
+        .step_by(ADMIN_INTERVAL_MS as usize)
         .enumerate()
     {
         world.run_to(at_ms);
-        for node in 0..NODES {
+        for node in 0..CONTROLLERS {
             for request in views(world) {
                 world.administer(node, request);
             }
         }
-        world.administer(round % NODES, change_of_settings(round));
+        world.administer(round % CONTROLLERS, change_of_settings(round));
     }
 }
 
@@ -113,7 +113,7 @@
     let jobs = world
         .unfinished()
         .into_iter()
-        .chain(world.rules.done_told.keys().take(2).cloned());
+        .chain(world.rules.done_confirmed.keys().take(2).cloned());
     views.extend(jobs.map(AdminRequest::Job));
     views
 }
@@ -145,24 +145,24 @@
 pub fn short_runs() -> Vec<Run> {
     all_runs()
         .into_iter()
-        .filter(|run| SHORT.contains(&run.name.as_str()))
+        .filter(|run| SHORT_LIST.contains(&run.name.as_str()))
         .collect()
 }
 
 fn small_plan(seed: u64, faults: Vec<(u64, Fault)>) -> Plan {
     Plan {
         seed,
-        ms: SMALL_MS,
+        ms: SMALL_SITE_MS,
         faults,
-        sabotage: None,
-        submit_ms: SMALL_SUBMIT_MS,
+        mutation: None,
+        submit_ms: SMALL_SITE_SUBMIT_MS,
         size: 1 + seed % 2,
     }
 }
 
 fn quiet_runs() -> Vec<Run> {
     let quiet = |seed| Run::new(format!("quiet_{seed}"), small_plan(seed, Vec::new()));
-    let crash = Fault::Crash {
+    let crash = Fault::CrashController {
         node: 0,
         back: 4_000,
     };
@@ -187,8 +187,8 @@
 
 fn single_fault(index: usize, name: &str, fault: &Fault) -> [Run; 2] {
     let seed = 100 + index as u64;
-    let crash = Fault::Crash {
-        node: (index + 1) % NODES,
+    let crash = Fault::CrashController {
+        node: (index + 1) % CONTROLLERS,
         back: 300,
     };
     let faults = vec![
@@ -196,13 +196,13 @@
         (FAULT_AT_MS + 6_000, crash),
         (
             FAULT_AT_MS + 9_000,
-            Fault::CancelAll {
-                through: index % NODES,
+            Fault::CancelAllJobs {
+                through: index % CONTROLLERS,
             },
         ),
-        (FAULT_AT_MS + 20_000, Fault::Burst { jobs: 8 }),
+        (FAULT_AT_MS + 20_000, Fault::JobBurst { jobs: 8 }),
     ];
-    let long = Plan::of_long_tasks(seed, SMALL_MS, faults.clone());
+    let long = Plan::of_long_tasks(seed, SMALL_SITE_MS, faults.clone());
     [
         Run::new(name, small_plan(seed, faults)),
         Run::new(format!("{name}_among_long_tasks"), long),
@@ -214,24 +214,30 @@
     vec![
         (
             "crash",
-            Fault::Crash {
+            Fault::CrashController {
                 node: 0,
                 back: 6_000,
             },
         ),
-        ("crash_at", Fault::CrashAt { node: 0, nth: 9 }),
-        ("cut_state", Fault::CutState { node: 1, ms }),
-        ("refuse_one", Fault::Refuse { node: Some(2), ms }),
-        ("refuse_all", Fault::Refuse { node: None, ms }),
-        ("slow_state", Fault::SlowState { times: 30, ms }),
-        ("cut_workers", Fault::CutWorkers { node: 0, ms }),
-        ("cut_mesh", Fault::CutMesh { node: 1, ms }),
-        ("freeze", Fault::Freeze { node: 2, ms }),
-        ("freeze_briefly", Fault::Freeze { node: 0, ms: 2_500 }),
-        ("isolate", Fault::Isolate { node: 1, ms }),
+        ("crash_at", Fault::CrashBeforeEffect { node: 0, nth: 9 }),
+        ("cut_state", Fault::DisconnectStateService { node: 1, ms }),
+        (
+            "refuse_one",
+            Fault::RefuseStateRequests { node: Some(2), ms },
+        ),
+        ("refuse_all", Fault::RefuseStateRequests { node: None, ms }),
+        ("slow_state", Fault::SlowStateService { times: 30, ms }),
+        ("cut_workers", Fault::DisconnectWorkers { node: 0, ms }),
+        ("cut_mesh", Fault::DisconnectMesh { node: 1, ms }),
+        ("freeze", Fault::PauseController { node: 2, ms }),
+        (
+            "freeze_briefly",
+            Fault::PauseController { node: 0, ms: 2_500 },
+        ),
+        ("isolate", Fault::IsolateController { node: 1, ms }),
         (
             "blind",
-            Fault::Blind {
+            Fault::DisconnectStateAndMesh {
                 node: 2,
                 ms,
                 refused: false,
@@ -239,78 +245,84 @@
         ),
         (
             "blind_refused",
-            Fault::Blind {
+            Fault::DisconnectStateAndMesh {
                 node: 0,
                 ms,
                 refused: true,
             },
         ),
-        ("one_way", Fault::OneWay { from: 0, to: 1, ms }),
-        ("mesh_copies", Fault::MeshCopies { percent: 30, ms }),
-        ("late_writes", Fault::LateWrites { percent: 20, ms }),
-        ("lost_answers", Fault::LostAnswers { percent: 30, ms }),
+        ("one_way", Fault::OneWayMeshPartition { from: 0, to: 1, ms }),
+        (
+            "mesh_copies",
+            Fault::DuplicateMeshMessages { percent: 30, ms },
+        ),
+        ("late_writes", Fault::DelayTransactions { percent: 20, ms }),
+        (
+            "lost_answers",
+            Fault::DropTransactionReplies { percent: 30, ms },
+        ),
         (
             "spoil_page",
-            Fault::SpoilPage {
+            Fault::CorruptLogPage {
                 partition: 1,
                 ms: 4_000,
             },
         ),
         ("slow_links", Fault::SlowLinks { times: 60, ms }),
-        ("cut_zones", Fault::CutZones { ms }),
-        ("cut_zone", Fault::CutZone { ms }),
+        ("cut_zones", Fault::PartitionZones { ms }),
+        ("cut_zone", Fault::IsolateZone { ms }),
     ]
 }
 
 fn machine_faults() -> Vec<(&'static str, Fault)> {
     let ms = FAULT_MS;
     vec![
-        ("cut_machine", Fault::CutMachine { nth: 3, ms }),
-        ("hang", Fault::Hang { nth: 2, ms }),
+        ("cut_machine", Fault::DisconnectMachine { nth: 3, ms }),
+        ("hang", Fault::HangMachine { nth: 2, ms }),
         (
             "hang_many",
-            Fault::HangMany {
+            Fault::HangMachines {
                 count: 5,
                 ms: 9_000,
             },
         ),
-        ("kill", Fault::Kill { nth: 1 }),
-        ("kill_many", Fault::KillMany { count: 4 }),
-        ("sick", Fault::Sick { nth: 2 }),
-        ("sick_many", Fault::SickMany { count: 3 }),
-        ("unreached", Fault::Unreached { count: 5, ms }),
-        ("unreached_zone", Fault::UnreachedZone { ms }),
-        ("mute", Fault::Mute { count: 5, ms }),
-        ("copies", Fault::Copies { ms }),
-        ("kept_copies", Fault::KeptCopies { percent: 30, ms }),
-        ("held_reports", Fault::HeldReports { percent: 40, ms }),
-        ("late_commands", Fault::LateCommands { percent: 60, ms }),
+        ("kill", Fault::CrashMachine { nth: 1 }),
+        ("kill_many", Fault::CrashMachines { count: 4 }),
+        ("sick", Fault::FailTasksOnMachine { nth: 2 }),
+        ("sick_many", Fault::FailTasksOnMachines { count: 3 }),
+        ("unreached", Fault::DropMessagesToMachines { count: 5, ms }),
+        ("unreached_zone", Fault::DropMessagesToZone { ms }),
+        ("mute", Fault::RefuseMachineConnections { count: 5, ms }),
+        ("copies", Fault::DuplicateMessages { ms }),
+        ("kept_copies", Fault::ReplayHeartbeats { percent: 30, ms }),
+        ("held_reports", Fault::HoldHeartbeats { percent: 40, ms }),
+        ("late_commands", Fault::DelayCommands { percent: 60, ms }),
         ("cloud_outage", Fault::CloudOutage { ms }),
         (
             "boots_early",
-            Fault::Boots {
-                how: Boots::Early,
+            Fault::ChangeBootBehavior {
+                how: BootBehavior::Early,
                 ms,
             },
         ),
         (
             "boots_late",
-            Fault::Boots {
-                how: Boots::Late,
+            Fault::ChangeBootBehavior {
+                how: BootBehavior::Late,
                 ms,
             },
         ),
         (
             "boots_never",
-            Fault::Boots {
-                how: Boots::Never,
+            Fault::ChangeBootBehavior {
+                how: BootBehavior::Never,
                 ms,
             },
         ),
         (
             "boots_quick",
-            Fault::Boots {
-                how: Boots::Quick,
+            Fault::ChangeBootBehavior {
+                how: BootBehavior::Quick,
                 ms,
             },
         ),
@@ -320,74 +332,79 @@
 fn user_faults() -> Vec<(&'static str, Fault)> {
     let ms = FAULT_MS;
     vec![
-        ("mistakes", Fault::Mistakes { ms }),
-        ("questions", Fault::Questions { ms }),
-        ("guests", Fault::Guests { jobs: 4 }),
-        ("heavy", Fault::Heavy { ms }),
-        ("burst", Fault::Burst { jobs: 60 }),
-        ("long", Fault::Long { times: 10, ms }),
-        ("close_looks", Fault::CloseLooks { ms }),
-        ("cancel_all", Fault::CancelAll { through: 1 }),
-        ("cancel_at_end", Fault::CancelAtEnd { percent: 60, ms }),
+        ("mistakes", Fault::FailingJobs { ms }),
+        ("questions", Fault::StatusRequestStorm { ms }),
+        ("guests", Fault::GuestJobs { jobs: 4 }),
+        ("heavy", Fault::SkewedLoad { ms }),
+        ("burst", Fault::JobBurst { jobs: 60 }),
+        ("long", Fault::LongTasks { times: 10, ms }),
+        ("close_looks", Fault::FollowUpRequests { ms }),
+        ("cancel_all", Fault::CancelAllJobs { through: 1 }),
+        (
+            "cancel_at_end",
+            Fault::CancelAtCompletion { percent: 60, ms },
+        ),
         (
             "cancel_now",
-            Fault::CancelNow {
+            Fault::CancelRunningJobs {
                 count: 8,
                 hang_ms: 9_000,
             },
         ),
-        ("odd_requests", Fault::OddRequests { ms }),
+        ("odd_requests", Fault::UnusualRequests { ms }),
         ("one_task_jobs", Fault::OneTaskJobs { ms }),
     ]
 }
 
 fn several_faults() -> Vec<Run> {
-    let crash = |at, node, back| (at, Fault::Crash { node, back });
-    let all_end = (0..NODES).map(|node| crash(45_000, node, 6_000)).collect();
-    let rolled = (0..NODES)
+    let crash = |at, node, back| (at, Fault::CrashController { node, back });
+    let all_end = (0..CONTROLLERS)
+        .map(|node| crash(45_000, node, 6_000))
+        .collect();
+    let rolled = (0..CONTROLLERS)
         .map(|n| crash(35_000 + 12_000 * n as u64, n, 5_000))
         .collect();
     let loops = (0..16).map(|n| crash(40_000 + 1_700 * n, 1, 200)).collect();
     let freezes = vec![
         (
             30_000,
-            Fault::Freeze {
+            Fault::PauseController {
                 node: 0,
                 ms: 20_000,
             },
         ),
-        (36_000, Fault::Freeze { node: 1, ms: 5_000 }),
+        (36_000, Fault::PauseController { node: 1, ms: 5_000 }),
         (
             70_000,
-            Fault::Freeze {
+            Fault::PauseController {
                 node: 1,
                 ms: 14_000,
             },
         ),
         (
             70_000,
-            Fault::Freeze {
+            Fault::PauseController {
                 node: 2,
                 ms: 12_000,
             },
         ),
     ];
     let histories = vec![
-        (1_000, Fault::CloseLooks { ms: 100_000 }),
+        (1_000, Fault::FollowUpRequests { ms: 100_000 }),
         (5_000, Fault::OneTaskJobs { ms: 50_000 }),
         (
             20_000,
-            Fault::SlowState {
+            Fault::SlowStateService {
                 times: 9,
                 ms: 50_000,
             },
         ),
-        (40_000, Fault::CancelAll { through: 1 }),
+        (40_000, Fault::CancelAllJobs { through: 1 }),
         crash(55_000, 2, 500),
-        (60_000, Fault::OddRequests { ms: 20_000 }),
+        (60_000, Fault::UnusualRequests { ms: 20_000 }),
         (
             65_000,
-            Fault::LostAnswers {
+            Fault::DropTransactionReplies {
                 percent: 20,
                 ms: 20_000,
             },
@@ -411,7 +428,7 @@
             small_plan(seed, drawn_faults(seed)),
         )
     };
-    (1..=DRAWN).map(drawn).collect()
+    (1..=RANDOM_RUNS).map(drawn).collect()
 }
 
 fn drawn_faults(seed: u64) -> Vec<(u64, Fault)> {
@@ -436,62 +453,69 @@
         seed,
         ms,
         faults,
-        sabotage: None,
+        mutation: None,
         submit_ms: 50_000,
         size,
     };
     let grown = vec![
-        (1_000, Fault::Burst { jobs: 200 }),
+        (1_000, Fault::JobBurst { jobs: 200 }),
         (
             40_000,
-            Fault::Crash {
+            Fault::CrashController {
                 node: 1,
                 back: 6_000,
             },
         ),
-        (55_000, Fault::KillMany { count: 20 }),
+        (55_000, Fault::CrashMachines { count: 20 }),
         (
             60_000,
-            Fault::Refuse {
+            Fault::RefuseStateRequests {
                 node: None,
                 ms: 12_000,
             },
         ),
     ];
-    let all_end = (0..NODES).map(|node| (46_000, Fault::Crash { node, back: 8_000 }));
-    let fleet_all_end: Vec<_> = [(1_000, Fault::Burst { jobs: 900 })]
+    let all_end =
+        (0..CONTROLLERS).map(|node| (46_000, Fault::CrashController { node, back: 8_000 }));
+    let fleet_all_end: Vec<_> = [(1_000, Fault::JobBurst { jobs: 900 })]
         .into_iter()
         .chain(all_end)
         .collect();
     let fleet_failover = vec![
-        (1_000, Fault::Burst { jobs: 900 }),
+        (1_000, Fault::JobBurst { jobs: 900 }),
         (
             40_000,
-            Fault::Crash {
+            Fault::CrashController {
                 node: 1,
                 back: 4_000,
             },
         ),
-        (44_000, Fault::KillMany { count: 100 }),
+        (44_000, Fault::CrashMachines { count: 100 }),
         (
             46_000,
-            Fault::SlowState {
+            Fault::SlowStateService {
                 times: 10,
                 ms: 10_000,
             },
         ),
-        (50_000, Fault::CancelAll { through: 2 }),
+        (50_000, Fault::CancelAllJobs { through: 2 }),
     ];
     vec![
         Run {
             administration: true,
             ..Run::new(
                 "grown_administration",
-                plan(404, 70_000, GROWN, grown.clone()),
+                plan(404, 70_000, LARGE_SITE_SIZE, grown.clone()),
             )
         },
-        Run::new("grown", plan(401, 100_000, GROWN, grown)),
-        Run::new("fleet_all_end", plan(402, 66_000, FLEET, fleet_all_end)),
-        Run::new("fleet_failover", plan(403, 62_000, FLEET, fleet_failover)),
+        Run::new("grown", plan(401, 100_000, LARGE_SITE_SIZE, grown)),
+        Run::new(
+            "fleet_all_end",
+            plan(402, 66_000, FLEET_SIZE, fleet_all_end),
+        ),
+        Run::new(
+            "fleet_failover",
+            plan(403, 62_000, FLEET_SIZE, fleet_failover),
+        ),
     ]
 }
--- a/crates/simulator/src/history.rs
+++ b/crates/simulator/src/history.rs
@@ -5,19 +5,19 @@
 use wire::users::JobState;
 
 /// A question counts as close to a confirmation if it was sent at most so many ms after it.
-const CLOSE: u64 = 100;
+const CLOSE_ANSWER_MS: u64 = 100;
 
 /// A point in the total order of all questions and answers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Instant {
+pub struct HistoryTime {
     order: u64,
     ms: u64,
 }
 
-impl Instant {
+impl HistoryTime {
     /// A point by a clock in microseconds, for histories whose order is that of a clock.
     pub fn at_us(us: u64) -> Self {
-        Instant {
+        HistoryTime {
             order: us,
             ms: us / 1_000,
         }
@@ -28,7 +28,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Answer {
     /// The job is known and has this state.
-    Known(JobState),
+    UnansweredJobs(JobState),
     /// There is no such job (404).
     Missing,
     /// The submission was refused for good (400 or 422).
@@ -37,23 +37,23 @@
 
 /// An answer that contradicts the history of its job.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Contradiction {
+pub struct HistoryViolation {
     pub rule: &'static str,
     pub what: String,
 }
 
-impl Contradiction {
+impl HistoryViolation {
     fn new(rule: &'static str, what: String) -> Self {
-        Contradiction { rule, what }
+        HistoryViolation { rule, what }
     }
 }
 
 /// What has been confirmed about one job, and when first.
 #[derive(Debug, Default)]
 struct JobHistory {
-    known: Option<Instant>,
-    finished: Option<(JobState, Instant)>,
-    cancel_requested: Option<Instant>,
+    known: Option<HistoryTime>,
+    finished: Option<(JobState, HistoryTime)>,
+    cancel_requested: Option<HistoryTime>,
 }
 
 /// Answers whose questions were sent within milliseconds of a confirmation about the same job.
@@ -75,9 +75,9 @@
 
 impl History {
     /// A question is sent, or an answer comes.
-    pub fn next_instant(&mut self, ms: u64) -> Instant {
+    pub fn next_time(&mut self, ms: u64) -> HistoryTime {
         self.last_order += 1;
-        Instant {
+        HistoryTime {
             order: self.last_order,
             ms,
         }
@@ -90,7 +90,7 @@
 
     /// A user asks for the cancellation of a job.
     pub fn cancel_requested(&mut self, id: &str, ms: u64) {
-        let now = self.next_instant(ms);
+        let now = self.next_time(ms);
         self.jobs
             .entry(id.to_owned())
             .or_default()
@@ -100,7 +100,7 @@
 
     /// A submission was answered, whatever the answer says of the job's state: it is known from now on.
     pub fn accepted(&mut self, id: &str, ms: u64) {
-        let now = self.next_instant(ms);
+        let now = self.next_time(ms);
         self.jobs
             .entry(id.to_owned())
             .or_default()
@@ -118,11 +118,11 @@
     pub fn record(
         &mut self,
         id: &str,
-        sent: Instant,
+        sent: HistoryTime,
         answer: Answer,
         ms: u64,
-    ) -> Result<(), Contradiction> {
-        let now = self.next_instant(ms);
+    ) -> Result<(), HistoryViolation> {
+        let now = self.next_time(ms);
         let job = self.jobs.entry(id.to_owned()).or_default();
         self.answers += 1;
         self.close_answers.count(job, sent);
@@ -133,8 +133,9 @@
 }
 
 impl CloseAnswers {
-    fn count(&mut self, job: &JobHistory, sent: Instant) {
-        let close = |confirmed: Instant| confirmed < sent && sent.ms <= confirmed.ms + CLOSE;
+    fn count(&mut self, job: &JobHistory, sent: HistoryTime) {
+        let close =
+            |confirmed: HistoryTime| confirmed < sent && sent.ms <= confirmed.ms + CLOSE_ANSWER_MS;
         match job.finished {
             Some((JobState::Done, at)) => self.after_done += u64::from(close(at)),
             Some((_, at)) => self.after_cancelled += u64::from(close(at)),
@@ -144,18 +145,21 @@
 }
 
 impl JobHistory {
-    fn judge(&self, id: &str, sent: Instant, answer: Answer) -> Result<(), Contradiction> {
+    fn judge(&self, id: &str, sent: HistoryTime, answer: Answer) -> Result<(), HistoryViolation> {
         match answer {
             Answer::Missing | Answer::Refused => {
                 if self.known.is_some_and(|at| at < sent) {
-                    return Err(Contradiction::new("forgotten", format!("{id}: {answer:?}")));
+                    return Err(HistoryViolation::new(
+                        "forgotten",
+                        format!("{id}: {answer:?}"),
+                    ));
                 }
             }
-            Answer::Known(JobState::Cancelled) if self.cancel_requested.is_none() => {
+            Answer::UnansweredJobs(JobState::Cancelled) if self.cancel_requested.is_none() => {
                 let what = format!("{id} is cancelled, and nobody asked for it");
-                return Err(Contradiction::new("went_back", what));
+                return Err(HistoryViolation::new("went_back", what));
             }
-            Answer::Known(state) => {
+            Answer::UnansweredJobs(state) => {
                 let Some((finished, at)) = self.finished else {
                     return Ok(());
                 };
@@ -163,15 +167,17 @@
                 let is_final = matches!(state, JobState::Done | JobState::Cancelled);
                 if state != finished && (is_final || at < sent) {
                     let what = format!("{id} was {finished:?} at {}, then {state:?}", at.ms);
-                    return Err(Contradiction::new("went_back", what));
+                    return Err(HistoryViolation::new("went_back", what));
                 }
             }
         }
         Ok(())
     }
 
-    fn confirm(&mut self, answer: Answer, now: Instant) {
-        let Answer::Known(state) = answer else { return };
+    fn confirm(&mut self, answer: Answer, now: HistoryTime) {
+        let Answer::UnansweredJobs(state) = answer else {
+            return;
+        };
         self.known.get_or_insert(now);
         if matches!(state, JobState::Done | JobState::Cancelled) {
             self.finished.get_or_insert((state, now));
--- a/crates/simulator/src/lib.rs
+++ b/crates/simulator/src/lib.rs
@@ -4,24 +4,24 @@
 //!
 //! The stand-ins are written from the protocols, not from the controllers.
 
+pub mod availability;
 pub mod cloud;
+pub mod failovers;
 pub mod fingerprint;
 pub mod history;
-pub mod known;
 pub mod rules;
-pub mod served;
-pub mod solo;
-pub mod starved;
+pub mod single_controller;
+pub mod starvation;
 pub mod state;
-pub mod takeovers;
+pub mod unanswered;
 pub mod worker;
 pub mod world;
 
-pub use cloud::Boots;
-pub use rules::Broken;
-pub use solo::Solo;
-pub use takeovers::Takeover;
-pub use world::{Fault, Met, Plan, Sabotage, World};
+pub use cloud::BootBehavior;
+pub use failovers::Failover;
+pub use rules::Violation;
+pub use single_controller::SingleController;
+pub use world::{Fault, FaultCoverage, Mutation, Plan, World};
 
 /// Runs something for each seed from 1 on, on all cores.
 pub fn for_seeds(seeds: u64, run: impl Fn(u64) + Sync) {
--- a/crates/simulator/src/rules.rs
+++ b/crates/simulator/src/rules.rs
@@ -1,13 +1,13 @@
 //! The rules of the protocols, checked from what workers do and users are told.
 
-use crate::history::{Answer, Contradiction, History, Instant};
+use crate::history::{Answer, History, HistoryTime, HistoryViolation};
 use crate::worker::Worker;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use wire::users::{JobRequest, JobState};
 
 /// A broken rule.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Broken {
+pub struct Violation {
     pub rule: &'static str,
     pub what: String,
     pub at: u64,
@@ -15,15 +15,15 @@
 
 /// What users were told and what has run.
 #[derive(Debug, Default)]
-pub struct Rules {
+pub struct RuleChecker {
     /// Time for a cancellation, in ms.
     cancel: u64,
-    pub broken: Vec<Broken>,
+    pub violations: Vec<Violation>,
     pub started: u64,
     pub accepted: BTreeMap<String, u64>,
-    pub done_told: BTreeMap<String, u64>,
-    pub cancelled_told: BTreeMap<String, u64>,
-    pub cancel_asked: BTreeSet<String>,
+    pub done_confirmed: BTreeMap<String, u64>,
+    pub cancel_confirmed: BTreeMap<String, u64>,
+    pub cancel_requests: BTreeSet<String>,
     pub done_tasks: BTreeSet<String>,
     /// What users were told of each job, in real-time order.
     pub history: History,
@@ -32,18 +32,18 @@
     pub longest_start_after_cancel: u64,
 }
 
-impl Rules {
+impl RuleChecker {
     /// Nothing has happened yet; a cancelled job's tasks must be gone after so many ms.
     pub fn new(cancel: u64) -> Self {
-        Rules {
+        RuleChecker {
             cancel,
-            ..Rules::default()
+            ..RuleChecker::default()
         }
     }
 
     /// Notes a broken rule.
-    pub fn broke(&mut self, rule: &'static str, what: impl Into<String>, at: u64) {
-        self.broken.push(Broken {
+    pub fn record_violation(&mut self, rule: &'static str, what: impl Into<String>, at: u64) {
+        self.violations.push(Violation {
             rule,
             what: what.into(),
             at,
@@ -62,7 +62,7 @@
         self.started += 1;
         let id = task.split('/').next().unwrap_or_default();
         let Some(job) = jobs.get(id) else {
-            self.broke("wrong_place", format!("{task} was never submitted"), now);
+            self.record_violation("wrong_place", format!("{task} was never submitted"), now);
             return;
         };
         let present = |w: &Worker, name: &str| {
@@ -74,7 +74,7 @@
         for other in workers.values().filter(|w| w.name != on.name) {
             if present(other, task) {
                 let what = format!("{task} on {} and {}", on.name, other.name);
-                self.broke("ran_twice", what, now);
+                self.record_violation("ran_twice", what, now);
             }
         }
         let zone_ok = job.zone.as_ref().is_none_or(|z| *z == on.zone);
@@ -83,7 +83,7 @@
             .as_ref()
             .is_none_or(|t| t.contains(&on.machine_type));
         if !zone_ok || !type_ok || (on.spot && !job.spot) {
-            self.broke("wrong_place", format!("{task} on {}", on.name), now);
+            self.record_violation("wrong_place", format!("{task} on {}", on.name), now);
         }
         let mut zones: HashMap<&str, u64> = HashMap::new();
         for worker in workers.values().filter(|w| !w.dead) {
@@ -95,12 +95,12 @@
         }
         let limit = job.tasks.div_ceil(2);
         if job.one_zone && zones.len() > 1 {
-            self.broke("wrong_place", format!("{task}: together in {zones:?}"), now);
+            self.record_violation("wrong_place", format!("{task}: together in {zones:?}"), now);
         }
         if job.spread && zones.get(on.zone.as_str()).is_some_and(|n| *n > limit) {
-            self.broke("wrong_place", format!("{task}: spread in {zones:?}"), now);
+            self.record_violation("wrong_place", format!("{task}: spread in {zones:?}"), now);
         }
-        if let Some(told) = self.cancelled_told.get(id) {
+        if let Some(told) = self.cancel_confirmed.get(id) {
             self.started_after_cancel += 1;
             self.longest_start_after_cancel = self.longest_start_after_cancel.max(now - told);
         }
@@ -109,9 +109,9 @@
 
     fn check_cancelled(&mut self, task: &str, now: u64) {
         let id = task.split('/').next().unwrap_or_default();
-        if let Some(told) = self.cancelled_told.get(id) {
+        if let Some(told) = self.cancel_confirmed.get(id) {
             if now > told + self.cancel {
-                self.broke("ran_cancelled", task, now);
+                self.record_violation("ran_cancelled", task, now);
             }
         }
     }
@@ -139,49 +139,49 @@
         }
         for (team, cpus) in used {
             if limits.get(team).is_some_and(|limit| cpus > limit + 1e-6) {
-                self.broke("quota", format!("{team} uses {cpus}"), now);
+                self.record_violation("quota", format!("{team} uses {cpus}"), now);
             }
         }
     }
 
     /// A user whose question was sent at `sent` was given a status.
-    pub fn told(
+    pub fn record_status(
         &mut self,
         id: &str,
         state: JobState,
         jobs: &HashMap<String, JobRequest>,
-        sent: Instant,
+        sent: HistoryTime,
         now: u64,
     ) {
         let Some(job) = jobs.get(id) else {
-            self.broke("invented", id, now);
+            self.record_violation("invented", id, now);
             return;
         };
-        self.judge(id, sent, Answer::Known(state), now);
+        self.judge(id, sent, Answer::UnansweredJobs(state), now);
         match state {
             JobState::Done => {
                 let all = (0..job.tasks).all(|i| self.done_tasks.contains(&format!("{id}/{i}")));
                 if !all {
-                    self.broke("not_done", id, now);
+                    self.record_violation("not_done", id, now);
                 }
-                self.done_told.entry(id.to_owned()).or_insert(now);
+                self.done_confirmed.entry(id.to_owned()).or_insert(now);
             }
             JobState::Cancelled => {
-                self.cancelled_told.entry(id.to_owned()).or_insert(now);
+                self.cancel_confirmed.entry(id.to_owned()).or_insert(now);
             }
             JobState::Queued | JobState::Running => {}
         }
     }
 
     /// A user whose question was sent at `sent` was told that there is no such job, or was refused for good.
-    pub fn told_missing(&mut self, id: &str, answer: Answer, sent: Instant, now: u64) {
+    pub fn record_missing(&mut self, id: &str, answer: Answer, sent: HistoryTime, now: u64) {
         self.judge(id, sent, answer, now);
     }
 
     /// Judges an answer by the history of its job.
-    fn judge(&mut self, id: &str, sent: Instant, answer: Answer, now: u64) {
-        if let Err(Contradiction { rule, what }) = self.history.record(id, sent, answer, now) {
-            self.broke(rule, what, now);
+    fn judge(&mut self, id: &str, sent: HistoryTime, answer: Answer, now: u64) {
+        if let Err(HistoryViolation { rule, what }) = self.history.record(id, sent, answer, now) {
+            self.record_violation(rule, what, now);
         }
     }
 }
--- a/crates/simulator/src/solo.rs
+++ b/crates/simulator/src/single_controller.rs
@@ -15,15 +15,15 @@
 use wire::workers::{Heartbeat, TaskState};
 
 /// Tasks that a machine holds.
-const SLOTS: u64 = 4;
+const TASKS_PER_MACHINE: u64 = 4;
 /// Machines on one page of their records.
-const PAGE: usize = 40;
+const MACHINES_PER_PAGE: usize = 40;
 /// A worker's lease, in ms as in the settings: none ends here, since time passes only as events are
 /// fed.
-const LEASE: u64 = 600_000;
+const LEASE_MS: u64 = 600_000;
 
 /// The node and what surrounds it.
-pub struct Solo {
+pub struct SingleController {
     settings: Settings,
     node: Controller,
     state: StateService,
@@ -69,7 +69,7 @@
 pub fn machine_type() -> MachineType {
     MachineType {
         name: "m4".into(),
-        cpus: SLOTS as f64,
+        cpus: TASKS_PER_MACHINE as f64,
         gpus: 0.0,
         memory_gb: 16.0,
         cache_gb: 80.0,
@@ -119,22 +119,22 @@
     }
 }
 
-impl Solo {
+impl SingleController {
     /// A node that holds so many machines, all of them idle and known to it.
     pub fn new(machines: usize) -> Self {
-        Solo::with_settings(machines, settings(machines, ""))
+        SingleController::with_settings(machines, settings(machines, ""))
     }
 
     /// The same beside a peer, n1, that says nothing of its own.
     pub fn with_silent_peer(machines: usize) -> Self {
         let peer = "[[peers]]\nmember = \"n1\"\nzone = \"b\"\nendpoint = \"10.0.0.2:81\"\n";
-        Solo::with_settings(machines, settings(machines, peer))
+        SingleController::with_settings(machines, settings(machines, peer))
     }
 
     fn with_settings(machines: usize, settings: Settings) -> Self {
         let mut state = StateService::new(1e9);
         let workers: Vec<Worker> = (0..machines).map(worker).collect();
-        for (page, workers) in workers.chunks(PAGE).enumerate() {
+        for (page, workers) in workers.chunks(MACHINES_PER_PAGE).enumerate() {
             let records = workers.iter().map(|worker| {
                 let record = MachineRecord {
                     machine_type: worker.machine_type.clone(),
@@ -155,7 +155,7 @@
                 &StateRequest::Transaction(Transaction::default().write(write)),
             );
         }
-        let mut solo = Solo {
+        let mut single_controller = SingleController {
             node: Controller::new(settings.clone(), 1 << 20),
             settings,
             state,
@@ -172,12 +172,12 @@
             report_replies: Vec::new(),
             user_replies: Vec::new(),
         };
-        solo.hear_all();
-        solo
+        single_controller.wait_for_all_heartbeats();
+        single_controller
     }
 
     /// Ticks until the node holds its partition, and has every machine report.
-    fn hear_all(&mut self) {
+    fn wait_for_all_heartbeats(&mut self) {
         for _ in 0..200 {
             self.tick(20);
         }
@@ -195,7 +195,7 @@
     /// Fills all machines but for some slots: a quarter with replicas, the rest with arrays, a
     /// tenth as much again waiting.
     pub fn fill(&mut self) {
-        let slots = self.machines as u64 * SLOTS;
+        let slots = self.machines as u64 * TASKS_PER_MACHINE;
         let mut left = slots / 4;
         while left > 0 {
             self.submit(JobKind::Service, 1);
@@ -233,7 +233,7 @@
         self.jobs.insert(job.id.clone(), job.clone());
         self.tickets += 1;
         let request = UserRequest::Submit(Box::new(job));
-        self.feed(Event::User {
+        self.handle_event(Event::User {
             ticket: self.tickets,
             request,
         });
@@ -246,11 +246,11 @@
     /// Lets time pass and turns the loop once; returns what that cost.
     pub fn tick(&mut self, ms: u64) -> Duration {
         self.now += ms;
-        let cost = self.feed(Event::Tick);
+        let cost = self.handle_event(Event::Tick);
         // A long poll that has found nothing ends.
         if let Some((call, ..)) = self.watch.take() {
             let reply = self.state.no_changes();
-            self.feed(Event::State { call, reply });
+            self.handle_event(Event::State { call, reply });
         }
         cost
     }
@@ -260,7 +260,7 @@
         let report = self.workers[nth].report();
         self.now += 1;
         self.tickets += 1;
-        self.feed(Event::Heartbeat {
+        self.handle_event(Event::Heartbeat {
             ticket: self.tickets,
             report: Box::new(report),
         })
@@ -297,7 +297,7 @@
 
     /// Another incarnation of the node starts on the same state: what all its events cost until
     /// it has answered the first report with its partition read.
-    pub fn take_over(&mut self) -> Duration {
+    pub fn fail_over(&mut self) -> Duration {
         self.restart();
         let mut all = Duration::ZERO;
         let before = self.answered;
@@ -324,7 +324,7 @@
     }
 
     /// Feeds an event and all that follows from it; returns what the node itself took.
-    fn feed(&mut self, event: Event) -> Duration {
+    fn handle_event(&mut self, event: Event) -> Duration {
         let mut spent = Duration::ZERO;
         self.events.push_back(event);
         while let Some(event) = self.events.pop_front() {
@@ -332,13 +332,13 @@
             let effects = self.node.handle(Timestamp::from_millis(self.now), event);
             spent += start.elapsed();
             for effect in effects {
-                self.carry_out(effect);
+                self.apply_effect(effect);
             }
         }
         spent
     }
 
-    fn carry_out(&mut self, effect: Effect) {
+    fn apply_effect(&mut self, effect: Effect) {
         match effect {
             Effect::State { call, request, .. } => self.state_call(call, request),
             Effect::Cloud { call, request } => {
@@ -368,7 +368,7 @@
                     .parse::<usize>()
                     .unwrap_or(0);
                 let worker = &mut self.workers[nth];
-                worker.check_lease(self.now, LEASE);
+                worker.check_lease(self.now, LEASE_MS);
                 worker.direct(
                     body.token,
                     body.session,
@@ -419,13 +419,13 @@
 
     /// Feeds an event from outside at the present time.
     pub fn inject(&mut self, event: Event) {
-        self.feed(event);
+        self.handle_event(event);
     }
 
     /// A user's request.
     pub fn request(&mut self, request: UserRequest) {
         self.tickets += 1;
-        self.feed(Event::User {
+        self.handle_event(Event::User {
             ticket: self.tickets,
             request,
         });
@@ -434,7 +434,7 @@
     /// Hands a report to the node as it is.
     pub fn send_report(&mut self, report: Heartbeat) {
         self.tickets += 1;
-        self.feed(Event::Heartbeat {
+        self.handle_event(Event::Heartbeat {
             ticket: self.tickets,
             report: Box::new(report),
         });
--- a/crates/simulator/src/starved.rs
+++ b/crates/simulator/src/starvation.rs
@@ -1,60 +1,60 @@
 //! Jobs that wait although there is room for them.
 
-use crate::worker::{Worker, MISTAKEN};
+use crate::worker::{Worker, FAILING_CLASS};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use wire::users::{JobKind, JobRequest};
 use wire::workers::TaskState;
 
 /// Once all troubles are over, no job waits for so long while a machine that fits has room and its team is
 /// under its limit.
-const PATIENCE: u64 = 90_000;
+const STARVATION_LIMIT_MS: u64 = 90_000;
 /// Time between two looks.
-const LOOK: u64 = 1_000;
+const OBSERVATION_INTERVAL_MS: u64 = 1_000;
 /// CPUs of a machine.
-const CPUS: f64 = 4.0;
+const MACHINE_CPUS: f64 = 4.0;
 
 /// Since when jobs have been waiting although there was room.
 #[derive(Debug, Default)]
-pub struct Starved {
-    looked_at: u64,
+pub struct StarvationChecker {
+    last_observed_at: u64,
     since: BTreeMap<String, u64>,
 }
 
 /// What machines have free, what teams use, and which jobs have tasks on machines.
-struct Picture<'a> {
+struct CapacitySnapshot<'a> {
     free: Vec<(&'a Worker, f64)>,
     used: HashMap<&'a str, f64>,
     present: BTreeSet<&'a str>,
 }
 
-impl<'a> Picture<'a> {
+impl<'a> CapacitySnapshot<'a> {
     fn of(
         workers: &'a BTreeMap<String, Worker>,
         jobs: &'a HashMap<String, JobRequest>,
         now: u64,
     ) -> Self {
-        let mut picture = Picture {
+        let mut snapshot = CapacitySnapshot {
             free: Vec::new(),
             used: HashMap::new(),
             present: BTreeSet::new(),
         };
         for worker in workers.values().filter(|w| !w.dead) {
-            let mut free = CPUS;
+            let mut free = MACHINE_CPUS;
             for ((task, _), held) in &worker.tasks {
                 let Some(job) = jobs.get(task.split('/').next().unwrap_or_default()) else {
                     continue;
                 };
                 if held.state != TaskState::Exited {
                     free -= job.cpus;
-                    *picture.used.entry(&job.team).or_default() += job.cpus;
-                    picture.present.insert(&job.id);
+                    *snapshot.used.entry(&job.team).or_default() += job.cpus;
+                    snapshot.present.insert(&job.id);
                 }
             }
-            if worker.hangs_until <= now && !worker.fails_everything {
-                picture.free.push((worker, free));
+            if worker.hangs_until <= now && !worker.fails_all_tasks {
+                snapshot.free.push((worker, free));
             }
         }
-        picture
+        snapshot
     }
 
     /// Whether the first of a job's tasks could start now: all of a gang's, one of the others'.
@@ -88,10 +88,10 @@
     }
 }
 
-impl Starved {
+impl StarvationChecker {
     /// Looks at the jobs that wait, all troubles being over. Returns those that have done so for too long;
     /// each is named once.
-    pub fn look<'a>(
+    pub fn observe<'a>(
         &mut self,
         workers: &BTreeMap<String, Worker>,
         jobs: &HashMap<String, JobRequest>,
@@ -99,24 +99,26 @@
         limits: &BTreeMap<String, f64>,
         now: u64,
     ) -> Vec<String> {
-        if now < self.looked_at + LOOK {
+        if now < self.last_observed_at + OBSERVATION_INTERVAL_MS {
             return Vec::new();
         }
-        self.looked_at = now;
-        let picture = Picture::of(workers, jobs, now);
+        self.last_observed_at = now;
+        let snapshot = CapacitySnapshot::of(workers, jobs, now);
         let waits = |id: &&String| {
-            let Some(job) = jobs.get(*id).filter(|job| job.class != MISTAKEN) else {
+            let Some(job) = jobs.get(*id).filter(|job| job.class != FAILING_CLASS) else {
                 return false;
             };
             let limit = limits.get(&job.team).copied().unwrap_or(f64::MAX);
-            !picture.present.contains(id.as_str()) && picture.has_room(job, limit)
+            !snapshot.present.contains(id.as_str()) && snapshot.has_room(job, limit)
         };
         let waiting: BTreeSet<&String> = open.filter(waits).collect();
         self.since.retain(|id, _| waiting.contains(id));
         let mut starved = Vec::new();
         for id in waiting {
             let since = *self.since.entry(id.clone()).or_insert(now);
-            if now >= since + PATIENCE && now < since + PATIENCE + LOOK {
+            if now >= since + STARVATION_LIMIT_MS
+                && now < since + STARVATION_LIMIT_MS + OBSERVATION_INTERVAL_MS
+            {
                 starved.push(id.clone());
             }
         }
@@ -134,22 +136,22 @@
         let workers = BTreeMap::from([(worker.name.clone(), worker)]);
         let jobs = HashMap::from([(job.id.clone(), job.clone())]);
         let limits = BTreeMap::from([(job.team.clone(), limit)]);
-        let mut checker = Starved::default();
+        let mut checker = StarvationChecker::default();
         let looks = (1..=120).map(|second| second * 1_000);
         looks
-            .flat_map(|now| checker.look(&workers, &jobs, jobs.keys(), &limits, now))
+            .flat_map(|now| checker.observe(&workers, &jobs, jobs.keys(), &limits, now))
             .collect()
     }
 
     #[test]
     fn job_waiting_beside_empty_machine_is_reported_once() {
-        let job = crate::solo::job(1, JobKind::Array, 3);
+        let job = crate::single_controller::job(1, JobKind::Array, 3);
         assert_eq!(starved(&job, 100.0), [job.id]);
     }
 
     #[test]
     fn job_without_capacity_or_quota_is_not_reported() {
-        let job = crate::solo::job(1, JobKind::Array, 3);
+        let job = crate::single_controller::job(1, JobKind::Array, 3);
         assert_eq!(starved(&job, 0.5), [""; 0], "over its limit");
         let elsewhere = JobRequest {
             zone: Some("b".into()),
@@ -160,9 +162,9 @@
             [""; 0],
             "no machine in its zone"
         );
-        let gang = crate::solo::job(2, JobKind::Gang, 5);
+        let gang = crate::single_controller::job(2, JobKind::Gang, 5);
         assert_eq!(starved(&gang, 100.0), [""; 0], "four of five tasks fit");
-        let gang = crate::solo::job(2, JobKind::Gang, 4);
+        let gang = crate::single_controller::job(2, JobKind::Gang, 4);
         assert_eq!(starved(&gang, 100.0), [gang.id]);
     }
 }
--- a/crates/simulator/src/worker.rs
+++ b/crates/simulator/src/worker.rs
@@ -6,7 +6,7 @@
 
 /// A task on the machine.
 #[derive(Debug, Clone)]
-pub struct Held {
+pub struct WorkerTask {
     pub state: TaskState,
     pub why: Option<ExitCause>,
     pub image_at: u64,
@@ -15,7 +15,7 @@
     pub saved_at: Option<u64>,
 }
 
-impl Held {
+impl WorkerTask {
     /// Whether the task counts as being on its machine.
     pub fn present(&self) -> bool {
         !matches!(self.state, TaskState::Fetching | TaskState::Exited)
@@ -27,13 +27,13 @@
 
 /// Something that happened on the worker and that the rules look at.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Happened {
+pub enum TaskTransition {
     Started(String),
     Done(String),
 }
 
 /// Class of jobs that were submitted with a mistake and fail on every machine.
-pub const MISTAKEN: &str = "mistaken";
+pub const FAILING_CLASS: &str = "mistaken";
 
 /// The worker of one machine.
 #[derive(Debug)]
@@ -45,7 +45,7 @@
     pub session: u64,
     seq: u64,
     pub token: u64,
-    pub tasks: BTreeMap<Key, Held>,
+    pub tasks: BTreeMap<Key, WorkerTask>,
     images: BTreeSet<String>,
     /// Sending time of the last answered report, or the begin of the session.
     lease_from: u64,
@@ -58,15 +58,15 @@
     pub hangs_until: u64,
     pub dead: bool,
     /// It ended with tasks on it.
-    pub ended_busy: bool,
+    pub crashed_with_tasks: bool,
     /// Tasks that were completed here; their results are kept.
     results: BTreeSet<String>,
-    pub fails_everything: bool,
+    pub fails_all_tasks: bool,
     /// Commands that stop tasks are ignored, against the rules.
     pub ignores_stops: bool,
     gang_wait: u64,
     /// Tasks that it has killed since its lease had run out.
-    pub lapsed_tasks: u64,
+    pub tasks_killed_by_lease: u64,
     gangs: BTreeMap<Key, u64>,
 }
 
@@ -91,12 +91,12 @@
             changed: false,
             hangs_until: 0,
             dead: false,
-            ended_busy: false,
+            crashed_with_tasks: false,
             results: BTreeSet::new(),
-            fails_everything: false,
+            fails_all_tasks: false,
             ignores_stops: false,
             gang_wait: 45_000,
-            lapsed_tasks: 0,
+            tasks_killed_by_lease: 0,
             gangs: BTreeMap::new(),
         }
     }
@@ -129,7 +129,7 @@
     }
 
     /// Whether something newer than this report has been sent.
-    pub fn has_said_more(&self, report: &Heartbeat) -> bool {
+    pub fn has_sent_newer(&self, report: &Heartbeat) -> bool {
         (report.session, report.seq) < (self.session, self.seq)
     }
 
@@ -137,7 +137,8 @@
     pub fn check_lease(&mut self, now: u64, lease: u64) {
         if now > self.lease_from + lease {
             self.session += 1;
-            self.lapsed_tasks += self.tasks.values().filter(|held| held.present()).count() as u64;
+            self.tasks_killed_by_lease +=
+                self.tasks.values().filter(|held| held.present()).count() as u64;
             self.tasks.clear();
             self.gangs.clear();
             self.lease_from = now;
@@ -172,7 +173,7 @@
     }
 
     /// Keeps the lease up without an answer to a report, as no worker may.
-    pub fn renew_unasked(&mut self, now: u64) {
+    pub fn renew_without_reply(&mut self, now: u64) {
         self.lease_from = now;
     }
 
@@ -211,7 +212,7 @@
                 }
                 self.changed = true;
                 let id = task.split('/').next().unwrap_or_default();
-                let exited = |why| Held {
+                let exited = |why| WorkerTask {
                     state: TaskState::Exited,
                     why: Some(why),
                     image_at: 0,
@@ -249,7 +250,7 @@
                 };
                 self.tasks.insert(
                     key,
-                    Held {
+                    WorkerTask {
                         state: TaskState::Fetching,
                         why: None,
                         image_at: now + fetch,
@@ -304,17 +305,17 @@
         now: u64,
         jobs: &HashMap<String, JobRequest>,
         run_ms: impl Fn(&str) -> u64,
-    ) -> Vec<Happened> {
-        let mut happened = Vec::new();
+    ) -> Vec<TaskTransition> {
+        let mut transitions = Vec::new();
         for ((task, attempt), held) in &mut self.tasks {
             let Some(job) = jobs.get(task.split('/').next().unwrap_or_default()) else {
                 continue;
             };
             if held.state == TaskState::Fetching && now >= held.image_at {
                 self.images.insert(job.image.clone());
-                happened.push(Happened::Started(task.clone()));
+                transitions.push(TaskTransition::Started(task.clone()));
                 self.changed = true;
-                if self.fails_everything || job.class == MISTAKEN {
+                if self.fails_all_tasks || job.class == FAILING_CLASS {
                     held.state = TaskState::Exited;
                     held.why = Some(ExitCause::Error);
                     continue;
@@ -359,11 +360,11 @@
                 held.state = TaskState::Exited;
                 held.why = Some(ExitCause::Done);
                 self.results.insert(task.clone());
-                happened.push(Happened::Done(task.clone()));
+                transitions.push(TaskTransition::Done(task.clone()));
                 self.changed = true;
             }
         }
-        happened
+        transitions
     }
 
     /// A gang's task starts or ends with the others.
--- a/crates/simulator/src/world/cancellations.rs
+++ b/crates/simulator/src/world/cancellations.rs
@@ -4,41 +4,43 @@
 use super::*;
 
 /// Within this time the users of one wave cancel, in ms.
-const WAVE: u64 = 200;
+const CANCEL_BURST_MS: u64 = 200;
 /// A job has long to go if a task of it runs for at least so many ms more.
-const LONG: u64 = 10_000;
+const MIN_REMAINING_MS: u64 = 10_000;
 /// At most so many machines of cancelled jobs hang.
-const MOST_HANGING: usize = 8;
+const MAX_HUNG_MACHINES: usize = 8;
 /// A cancellation at the end of a job comes within this time of it, in ms: the controllers hear of the
 /// end, write it and tell it meanwhile.
-const AROUND_THE_END: u64 = 1_500;
+const COMPLETION_WINDOW_MS: u64 = 1_500;
 
 impl World {
     /// Notes that the user of a job has asked to cancel it.
-    pub(super) fn note_cancel_requested(&mut self, id: &str) {
-        self.rules.cancel_asked.insert(id.to_owned());
+    pub(super) fn record_cancel_request(&mut self, id: &str) {
+        self.rules.cancel_requests.insert(id.to_owned());
         self.rules.history.cancel_requested(id, self.now);
     }
 
     /// Users cancel every job that is accepted and not over, all through one node.
     pub(super) fn cancel_all(&mut self, through: usize) {
-        let Rules {
+        let RuleChecker {
             accepted,
-            done_told,
-            cancel_asked,
+            done_confirmed,
+            cancel_requests,
             ..
         } = &self.rules;
-        let open = accepted.keys().filter(|id| !done_told.contains_key(*id));
+        let open = accepted
+            .keys()
+            .filter(|id| !done_confirmed.contains_key(*id));
         let ids: Vec<String> = open
-            .filter(|id| !cancel_asked.contains(*id))
+            .filter(|id| !cancel_requests.contains(*id))
             .cloned()
             .collect();
         for id in ids {
             let Some(job) = JobId::parse(&id) else {
                 continue;
             };
-            self.note_cancel_requested(&id);
-            self.ask_node(through, UserRequest::Cancel(job), id, 0);
+            self.record_cancel_request(&id);
+            self.send_request_to(through, UserRequest::Cancel(job), id, 0);
         }
     }
 
@@ -48,14 +50,14 @@
         let ids: Vec<String> = running.keys().cloned().collect();
         let mut hanging: BTreeSet<String> = BTreeSet::new();
         for id in self.some(&ids, count) {
-            self.met.cancelled_running += 1;
+            self.coverage.cancelled_running += 1;
             hanging.extend(running[&id].iter().cloned());
-            let at = self.now + self.rng.random_range(0..WAVE);
-            self.at(at, Happening::Cancel { id });
+            let at = self.now + self.rng.random_range(0..CANCEL_BURST_MS);
+            self.at(at, ScheduledEvent::CancelJob { id });
         }
         if hang_ms > 0 {
-            for machine in hanging.into_iter().take(MOST_HANGING) {
-                self.met.hung_with_cancelled += 1;
+            for machine in hanging.into_iter().take(MAX_HUNG_MACHINES) {
+                self.coverage.hung_machines_of_cancelled_jobs += 1;
                 self.hang(machine, hang_ms);
             }
         }
@@ -68,9 +70,11 @@
             for ((task, _), held) in &worker.tasks {
                 let id = task.split('/').next().unwrap_or_default();
                 let runs = held.state == TaskState::Running;
-                let long = held.done_at.is_none_or(|at| at >= self.now + LONG);
-                let open =
-                    self.rules.accepted.contains_key(id) && !self.rules.cancel_asked.contains(id);
+                let long = held
+                    .done_at
+                    .is_none_or(|at| at >= self.now + MIN_REMAINING_MS);
+                let open = self.rules.accepted.contains_key(id)
+                    && !self.rules.cancel_requests.contains(id);
                 if runs && long && open {
                     found
                         .entry(id.to_owned())
@@ -87,14 +91,14 @@
     pub(super) fn task_done(&mut self, task: String) {
         let id = task.split('/').next().unwrap_or_default().to_owned();
         let fresh = self.rules.done_tasks.insert(task);
-        let percent = self.cuts.iter().find_map(|cut| match cut {
-            Cut::CancelAtEnd(percent) => Some(*percent),
+        let percent = self.active_faults.iter().find_map(|cut| match cut {
+            ActiveFault::CancelAtCompletion(percent) => Some(*percent),
             _ => None,
         });
         let Some(percent) = percent.filter(|_| fresh) else {
             return;
         };
-        if self.rules.cancel_asked.contains(&id) || !self.all_tasks_done(&id) {
+        if self.rules.cancel_requests.contains(&id) || !self.all_tasks_done(&id) {
             return;
         }
         if self.rng.random_range(0..100) >= percent {
@@ -104,11 +108,11 @@
         let after = if at_once {
             0
         } else {
-            self.rng.random_range(0..AROUND_THE_END)
+            self.rng.random_range(0..COMPLETION_WINDOW_MS)
         };
-        self.met.cancelled_at_end.insert(id.clone());
-        self.look_everywhere(&id, after);
-        self.at(self.now + after, Happening::Cancel { id });
+        self.coverage.cancelled_at_completion.insert(id.clone());
+        self.follow_up_everywhere(&id, after);
+        self.at(self.now + after, ScheduledEvent::CancelJob { id });
     }
 
     fn all_tasks_done(&self, id: &str) -> bool {
--- a/crates/simulator/src/world/kinds.rs
+++ b/crates/simulator/src/world/events.rs
@@ -1,7 +1,7 @@
 //! What happens, and what is on its way.
 
-use super::plan::Fault;
-use crate::history::Instant;
+use super::scenario::Fault;
+use crate::history::HistoryTime;
 use controller::{Controller, Effect, Event, HeartbeatReply, UserRequest};
 use model::CallId;
 use wire::cloud::CloudRequest;
@@ -12,19 +12,19 @@
 pub(super) enum Message {
     State {
         node: usize,
-        life: u64,
+        incarnation: u64,
         call: CallId,
         request: StateRequest,
     },
     Cloud {
         node: usize,
-        life: u64,
+        incarnation: u64,
         call: CallId,
         request: CloudRequest,
     },
     Controller {
         node: usize,
-        life: u64,
+        incarnation: u64,
         event: Event,
     },
     Heartbeat {
@@ -41,7 +41,7 @@
     },
     Direct {
         node: usize,
-        life: u64,
+        incarnation: u64,
         call: CallId,
         machine: String,
         body: DirectCommands,
@@ -49,7 +49,7 @@
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub(super) enum Place {
+pub(super) enum Endpoint {
     Controller(usize),
     State,
     Cloud,
@@ -57,167 +57,167 @@
 }
 
 #[derive(Debug)]
-pub(super) enum Happening {
+pub(super) enum ScheduledEvent {
     Tick {
         node: usize,
-        life: u64,
+        incarnation: u64,
     },
     Deliver(Box<Message>),
     Timeout {
         node: usize,
-        life: u64,
+        incarnation: u64,
         call: CallId,
         event: Box<Event>,
     },
-    WatchEnds {
+    WatchTimeout {
         node: usize,
-        life: u64,
+        incarnation: u64,
         call: CallId,
     },
-    Workers,
-    Submit,
-    Poll {
+    StepWorkers,
+    SubmitJob,
+    PollStatus {
         id: String,
     },
-    Cancel {
+    CancelJob {
         id: String,
     },
-    Boot {
+    StartController {
         node: usize,
     },
-    Fault(Fault),
-    Heal(Cut),
-    Flush,
+    StartFault(Fault),
+    EndFault(ActiveFault),
+    ReleaseHeldMessages,
     /// A copy of something that was sent before comes.
-    Copy(Box<Message>),
+    DeliverDuplicate(Box<Message>),
     /// A transaction is carried out at last, of which its node has heard nothing.
-    LateWrite {
+    ApplyDelayedTransaction {
         node: usize,
-        life: u64,
+        incarnation: u64,
         /// Transactions of the node that had been carried out when it was sent.
         newer_than: u64,
         txn: Transaction,
     },
     /// A direct command comes late.
-    LateCommand(Box<Message>),
+    DeliverDelayedCommand(Box<Message>),
     /// A report that was held back comes to the holder that has begun meanwhile.
-    HeldReport(Box<Message>),
+    DeliverHeldHeartbeat(Box<Message>),
     /// Something that a node has told another before comes again.
-    MeshCopy {
+    DeliverMeshDuplicate {
         to: usize,
         event: Event,
     },
     /// Every accepted job is asked about.
-    AskAll,
-    Thaw {
+    QueryAllJobs,
+    ResumeController {
         node: usize,
-        life: u64,
+        incarnation: u64,
     },
     /// What stood under a key stands there again.
-    Mend {
+    RestoreValue {
         key: String,
         value: serde_json::Value,
     },
-    Ask {
+    SendRequest {
         request: UserRequest,
         id: String,
         tries: u32,
     },
     /// A question to one node that isn't repeated.
-    Look {
+    SendFollowUp {
         node: usize,
         request: UserRequest,
         id: String,
     },
-    OddRequest,
-    OneTaskJob,
+    SendUnusualRequest,
+    SubmitOneTaskJob,
 }
 
 #[derive(Debug, Clone, PartialEq)]
-pub(super) enum Cut {
-    State(usize),
-    Refuse(Option<usize>),
-    Workers(usize),
-    Mesh(usize),
-    Zones,
-    Machine(String),
-    Cloud,
-    Users(usize),
-    Boots,
-    Mistakes,
-    Questions,
-    Heavy,
-    Zone,
-    Slow(u64),
-    Unreached(String),
-    UnreachedZone,
-    Copies,
-    LateWrites(u64),
-    Long(u64),
-    Mute(String),
-    LostAnswers(u64),
-    KeptCopies(u64),
-    HeldReports(u64),
-    LateCommands(u64),
-    OneWay(usize, usize),
-    MeshCopies(u64),
+pub(super) enum ActiveFault {
+    StateServiceDisconnected(usize),
+    StateRequestsRefused(Option<usize>),
+    WorkersDisconnected(usize),
+    MeshDisconnected(usize),
+    ZonesPartitioned,
+    MachineDisconnected(String),
+    CloudOutage,
+    UsersDisconnected(usize),
+    ChangedBootBehavior,
+    FailingJobs,
+    StatusRequestStorm,
+    SkewedLoad,
+    ZoneIsolated,
+    SlowStateService(u64),
+    MachineUnreachable(String),
+    ZoneUnreachable,
+    DuplicatedMessages,
+    DelayedTransactions(u64),
+    LongTasks(u64),
+    MachineConnectionsRefused(String),
+    LostTransactionReplies(u64),
+    ReplayedHeartbeats(u64),
+    HeldHeartbeats(u64),
+    DelayedCommands(u64),
+    OneWayMeshPartition(usize, usize),
+    DuplicatedMeshMessages(u64),
     SlowLinks(u64),
-    CloseLooks,
-    CancelAtEnd(u64),
-    OddRequests,
+    FollowUpRequests,
+    CancelAtCompletion(u64),
+    UnusualRequests,
     OneTaskJobs,
 }
 
-pub(super) struct Running {
+pub(super) struct RunningController {
     pub(super) node: Controller,
-    pub(super) life: u64,
+    pub(super) incarnation: u64,
     pub(super) since: u64,
     pub(super) rate: f64,
     pub(super) ticking: u64,
-    pub(super) frozen: Option<Frozen>,
+    pub(super) paused: Option<PausedController>,
 }
 
 /// What waits while a node stands still.
 #[derive(Default)]
-pub(super) struct Frozen {
+pub(super) struct PausedController {
     /// Decided, not sent.
     pub(super) decided: Vec<Effect>,
     pub(super) handled: bool,
     pub(super) waiting: Vec<Event>,
 }
 
-pub(super) struct Queued {
+pub(super) struct QueueEntry {
     pub(super) at: u64,
-    pub(super) order: u64,
-    pub(super) what: Happening,
+    pub(super) sequence: u64,
+    pub(super) what: ScheduledEvent,
 }
 
-impl PartialEq for Queued {
+impl PartialEq for QueueEntry {
     fn eq(&self, other: &Self) -> bool {
-        (self.at, self.order) == (other.at, other.order)
+        (self.at, self.sequence) == (other.at, other.sequence)
     }
 }
 
-impl Eq for Queued {}
+impl Eq for QueueEntry {}
 
-impl PartialOrd for Queued {
+impl PartialOrd for QueueEntry {
     fn partial_cmp(&self, other: &Self) -> Option<std::cmp::Ordering> {
         Some(self.cmp(other))
     }
 }
 
-impl Ord for Queued {
+impl Ord for QueueEntry {
     fn cmp(&self, other: &Self) -> std::cmp::Ordering {
-        (self.at, self.order).cmp(&(other.at, other.order))
+        (self.at, self.sequence).cmp(&(other.at, other.sequence))
     }
 }
 
 #[derive(Debug, Clone)]
-pub(super) struct Asked {
+pub(super) struct PendingRequest {
     pub(super) request: UserRequest,
     pub(super) id: String,
     pub(super) tries: u32,
-    pub(super) sent: Instant,
+    pub(super) sent: HistoryTime,
 }
 
 /// Whether any of the commands starts a task.
--- a/crates/simulator/src/world/faults.rs
+++ b/crates/simulator/src/world/faults.rs
@@ -12,15 +12,18 @@
             .collect();
         let pick = |nth: usize| names.get(nth % names.len().max(1)).cloned();
         let (cut, ms) = match fault {
-            Fault::Crash { node, back } => {
-                self.holder_stops(node);
+            Fault::CrashController { node, back } => {
+                self.record_leader_stop(node);
                 if let Some(ended) = self.nodes[node].take() {
                     self.early.0 += ended.node.counters.early_takeovers;
                     self.early.1 += ended.node.counters.wrong_takeovers;
                 }
                 self.watches.retain(|w| w.0 != node);
                 // Users repeat what has not been answered.
-                let lost: Vec<_> = self.tickets.extract_if(|key, _| key.0 == node).collect();
+                let lost: Vec<_> = self
+                    .user_requests
+                    .extract_if(|key, _| key.0 == node)
+                    .collect();
                 let mut lost: Vec<_> = lost
                     .into_iter()
                     .map(|(key, asked)| (key.2, asked))
@@ -28,13 +31,13 @@
                 lost.sort_by_key(|(ticket, _)| *ticket);
                 for (
                     _,
-                    Asked {
+                    PendingRequest {
                         request, id, tries, ..
                     },
                 ) in lost
                 {
                     if !matches!(request, UserRequest::Get(_)) {
-                        let what = Happening::Ask {
+                        let what = ScheduledEvent::SendRequest {
                             request,
                             id,
                             tries: tries + 1,
@@ -42,153 +45,176 @@
                         self.at(self.now + 1_000, what);
                     }
                 }
-                self.at(self.now + back, Happening::Boot { node });
+                self.at(self.now + back, ScheduledEvent::StartController { node });
                 return;
             }
-            Fault::Hang { nth, ms } => {
+            Fault::HangMachine { nth, ms } => {
                 if let Some(name) = pick(nth) {
                     self.hang(name, ms);
                 }
                 return;
             }
-            Fault::Kill { nth } => {
+            Fault::CrashMachine { nth } => {
                 if let Some(name) = pick(nth) {
                     self.end_machine(&name);
                 }
                 return;
             }
-            Fault::Sick { nth } => {
+            Fault::FailTasksOnMachine { nth } => {
                 if let Some(name) = pick(nth) {
-                    self.sicken(&name);
+                    self.fail_all_tasks(&name);
                 }
                 return;
             }
-            Fault::Burst { jobs } => {
+            Fault::JobBurst { jobs } => {
                 (0..jobs).for_each(|_| self.new_job());
                 return;
             }
-            Fault::KillMany { count } => {
+            Fault::CrashMachines { count } => {
                 self.some(&names, count)
                     .iter()
                     .for_each(|name| self.end_machine(name));
                 return;
             }
-            Fault::SickMany { count } => {
+            Fault::FailTasksOnMachines { count } => {
                 self.some(&names, count)
                     .iter()
-                    .for_each(|name| self.sicken(name));
+                    .for_each(|name| self.fail_all_tasks(name));
                 return;
             }
-            Fault::HangMany { count, ms } => {
+            Fault::HangMachines { count, ms } => {
                 for name in self.some(&names, count) {
                     self.hang(name, ms);
                 }
                 return;
             }
-            Fault::CutZone { ms } => {
-                self.cut(Cut::Users(1), ms);
-                (Cut::Zone, ms)
+            Fault::IsolateZone { ms } => {
+                self.cut(ActiveFault::UsersDisconnected(1), ms);
+                (ActiveFault::ZoneIsolated, ms)
             }
-            Fault::Unreached { count, ms } => {
+            Fault::DropMessagesToMachines { count, ms } => {
                 for name in self.some(&names, count) {
-                    self.cut(Cut::Unreached(name), ms);
+                    self.cut(ActiveFault::MachineUnreachable(name), ms);
                 }
                 return;
             }
-            Fault::UnreachedZone { ms } => (Cut::UnreachedZone, ms),
-            Fault::Copies { ms } => (Cut::Copies, ms),
-            Fault::Blind { node, ms, refused } => {
-                self.cut(Cut::Mesh(node), ms);
+            Fault::DropMessagesToZone { ms } => (ActiveFault::ZoneUnreachable, ms),
+            Fault::DuplicateMessages { ms } => (ActiveFault::DuplicatedMessages, ms),
+            Fault::DisconnectStateAndMesh { node, ms, refused } => {
+                self.cut(ActiveFault::MeshDisconnected(node), ms);
                 (
                     if refused {
-                        Cut::Refuse(Some(node))
+                        ActiveFault::StateRequestsRefused(Some(node))
                     } else {
-                        Cut::State(node)
+                        ActiveFault::StateServiceDisconnected(node)
                     },
                     ms,
                 )
             }
-            Fault::SlowState { times, ms } => (Cut::Slow(times), ms),
-            Fault::CrashAt { node, nth } => {
-                self.ends_at.insert(node, (0, nth));
+            Fault::SlowStateService { times, ms } => (ActiveFault::SlowStateService(times), ms),
+            Fault::CrashBeforeEffect { node, nth } => {
+                self.crash_points.insert(node, (0, nth));
                 return;
             }
-            Fault::LateWrites { percent, ms } => (Cut::LateWrites(percent), ms),
-            Fault::Long { times, ms } => (Cut::Long(times), ms),
-            Fault::CancelAll { through } => {
+            Fault::DelayTransactions { percent, ms } => {
+                (ActiveFault::DelayedTransactions(percent), ms)
+            }
+            Fault::LongTasks { times, ms } => (ActiveFault::LongTasks(times), ms),
+            Fault::CancelAllJobs { through } => {
                 self.cancel_all(through);
                 return;
             }
-            Fault::SpoilPage { partition, ms } => {
+            Fault::CorruptLogPage { partition, ms } => {
                 let key = format!("l/{partition}/0000");
                 if let Some(value) = self.state.value(&key).cloned() {
-                    self.write_past(&key, serde_json::json!({ "round": "garbage" }));
-                    self.at(self.now + ms, Happening::Mend { key, value });
+                    self.write_directly(&key, serde_json::json!({ "round": "garbage" }));
+                    self.at(self.now + ms, ScheduledEvent::RestoreValue { key, value });
                 }
                 return;
             }
-            Fault::CutState { node, ms } => (Cut::State(node), ms),
-            Fault::Refuse { node, ms } => (Cut::Refuse(node), ms),
-            Fault::CutWorkers { node, ms } => (Cut::Workers(node), ms),
-            Fault::CutMesh { node, ms } => (Cut::Mesh(node), ms),
-            Fault::CutZones { ms } => (Cut::Zones, ms),
-            Fault::CutMachine { nth, ms } => match pick(nth) {
-                Some(name) => (Cut::Machine(name), ms),
+            Fault::DisconnectStateService { node, ms } => {
+                (ActiveFault::StateServiceDisconnected(node), ms)
+            }
+            Fault::RefuseStateRequests { node, ms } => {
+                (ActiveFault::StateRequestsRefused(node), ms)
+            }
+            Fault::DisconnectWorkers { node, ms } => (ActiveFault::WorkersDisconnected(node), ms),
+            Fault::DisconnectMesh { node, ms } => (ActiveFault::MeshDisconnected(node), ms),
+            Fault::PartitionZones { ms } => (ActiveFault::ZonesPartitioned, ms),
+            Fault::DisconnectMachine { nth, ms } => match pick(nth) {
+                Some(name) => (ActiveFault::MachineDisconnected(name), ms),
                 None => return,
             },
-            Fault::CloudOutage { ms } => (Cut::Cloud, ms),
-            Fault::Freeze { node, ms } => {
+            Fault::CloudOutage { ms } => (ActiveFault::CloudOutage, ms),
+            Fault::PauseController { node, ms } => {
                 if ms >= 4_000 {
-                    self.holder_stops(node);
+                    self.record_leader_stop(node);
                 }
                 if let Some(running) = self.nodes[node].as_mut() {
-                    running.frozen.get_or_insert_default();
-                    let life = running.life;
-                    self.at(self.now + ms, Happening::Thaw { node, life });
+                    running.paused.get_or_insert_default();
+                    let incarnation = running.incarnation;
+                    self.at(
+                        self.now + ms,
+                        ScheduledEvent::ResumeController { node, incarnation },
+                    );
                 }
                 return;
             }
-            Fault::Isolate { node, ms } => {
-                for cut in [Cut::State(node), Cut::Workers(node), Cut::Mesh(node)] {
+            Fault::IsolateController { node, ms } => {
+                for cut in [
+                    ActiveFault::StateServiceDisconnected(node),
+                    ActiveFault::WorkersDisconnected(node),
+                    ActiveFault::MeshDisconnected(node),
+                ] {
                     self.cut(cut, ms);
                 }
-                (Cut::Users(node), ms)
+                (ActiveFault::UsersDisconnected(node), ms)
             }
-            Fault::Guests { jobs } => {
+            Fault::GuestJobs { jobs } => {
                 (0..jobs).for_each(|_| self.guest_job());
                 return;
             }
-            Fault::Boots { how, ms } => {
+            Fault::ChangeBootBehavior { how, ms } => {
                 self.cloud.boots = how;
-                (Cut::Boots, ms)
+                (ActiveFault::ChangedBootBehavior, ms)
             }
-            Fault::Heavy { ms } => (Cut::Heavy, ms),
-            Fault::Mute { count, ms } => {
+            Fault::SkewedLoad { ms } => (ActiveFault::SkewedLoad, ms),
+            Fault::RefuseMachineConnections { count, ms } => {
                 for name in self.some(&names, count) {
-                    self.cut(Cut::Mute(name), ms);
+                    self.cut(ActiveFault::MachineConnectionsRefused(name), ms);
                 }
                 return;
             }
-            Fault::LostAnswers { percent, ms } => (Cut::LostAnswers(percent), ms),
-            Fault::KeptCopies { percent, ms } => (Cut::KeptCopies(percent), ms),
-            Fault::HeldReports { percent, ms } => (Cut::HeldReports(percent), ms),
-            Fault::LateCommands { percent, ms } => (Cut::LateCommands(percent), ms),
-            Fault::OneWay { from, to, ms } => (Cut::OneWay(from, to), ms),
-            Fault::MeshCopies { percent, ms } => (Cut::MeshCopies(percent), ms),
-            Fault::SlowLinks { times, ms } => (Cut::SlowLinks(times), ms),
-            Fault::Mistakes { ms } => (Cut::Mistakes, ms),
-            Fault::Questions { ms } => (Cut::Questions, ms),
-            Fault::CloseLooks { ms } => (Cut::CloseLooks, ms),
-            Fault::CancelAtEnd { percent, ms } => (Cut::CancelAtEnd(percent), ms),
-            Fault::OddRequests { ms } => {
-                self.at(self.now + 1, Happening::OddRequest);
-                (Cut::OddRequests, ms)
+            Fault::DropTransactionReplies { percent, ms } => {
+                (ActiveFault::LostTransactionReplies(percent), ms)
+            }
+            Fault::ReplayHeartbeats { percent, ms } => {
+                (ActiveFault::ReplayedHeartbeats(percent), ms)
+            }
+            Fault::HoldHeartbeats { percent, ms } => (ActiveFault::HeldHeartbeats(percent), ms),
+            Fault::DelayCommands { percent, ms } => (ActiveFault::DelayedCommands(percent), ms),
+            Fault::OneWayMeshPartition { from, to, ms } => {
+                (ActiveFault::OneWayMeshPartition(from, to), ms)
+            }
+            Fault::DuplicateMeshMessages { percent, ms } => {
+                (ActiveFault::DuplicatedMeshMessages(percent), ms)
+            }
+            Fault::SlowLinks { times, ms } => (ActiveFault::SlowLinks(times), ms),
+            Fault::FailingJobs { ms } => (ActiveFault::FailingJobs, ms),
+            Fault::StatusRequestStorm { ms } => (ActiveFault::StatusRequestStorm, ms),
+            Fault::FollowUpRequests { ms } => (ActiveFault::FollowUpRequests, ms),
+            Fault::CancelAtCompletion { percent, ms } => {
+                (ActiveFault::CancelAtCompletion(percent), ms)
+            }
+            Fault::UnusualRequests { ms } => {
+                self.at(self.now + 1, ScheduledEvent::SendUnusualRequest);
+                (ActiveFault::UnusualRequests, ms)
             }
             Fault::OneTaskJobs { ms } => {
-                self.at(self.now + 1, Happening::OneTaskJob);
-                (Cut::OneTaskJobs, ms)
+                self.at(self.now + 1, ScheduledEvent::SubmitOneTaskJob);
+                (ActiveFault::OneTaskJobs, ms)
             }
-            Fault::CancelNow { count, hang_ms } => {
+            Fault::CancelRunningJobs { count, hang_ms } => {
                 self.cancel_now(count, hang_ms);
                 return;
             }
@@ -197,7 +223,7 @@
     }
 
     /// Writes a value past everybody.
-    pub(super) fn write_past(&mut self, key: &str, value: serde_json::Value) {
+    pub(super) fn write_directly(&mut self, key: &str, value: serde_json::Value) {
         let txn = Transaction::default().write(Write::put(key, value));
         self.state
             .execute(self.now, &StateRequest::Transaction(txn));
@@ -205,9 +231,9 @@
     }
 
     /// Cuts something for a time.
-    pub(super) fn cut(&mut self, cut: Cut, ms: u64) {
-        self.cuts.push(cut.clone());
-        self.at(self.now + ms, Happening::Heal(cut));
+    pub(super) fn cut(&mut self, cut: ActiveFault, ms: u64) {
+        self.active_faults.push(cut.clone());
+        self.at(self.now + ms, ScheduledEvent::EndFault(cut));
     }
 
     /// A machine hangs: what is sent to it meanwhile waits.
@@ -215,15 +241,15 @@
         let until = self.now + ms;
         if let Some(worker) = self.workers.get_mut(&name) {
             worker.hangs_until = until;
-            worker.ignores_stops = self.plan.sabotage == Some(Sabotage::HungMachinesIgnoreStops);
+            worker.ignores_stops = self.plan.mutation == Some(Mutation::HungMachinesIgnoreStops);
         }
-        self.cut(Cut::Machine(name), ms);
+        self.cut(ActiveFault::MachineDisconnected(name), ms);
     }
 
     /// A machine fails every task from now on.
-    pub(super) fn sicken(&mut self, name: &str) {
+    pub(super) fn fail_all_tasks(&mut self, name: &str) {
         if let Some(worker) = self.workers.get_mut(name) {
-            worker.fails_everything = true;
+            worker.fails_all_tasks = true;
         }
     }
 
@@ -241,19 +267,20 @@
         }
         if let Some(worker) = self.workers.get_mut(name) {
             worker.dead = true;
-            worker.ended_busy = !worker.tasks.is_empty();
+            worker.crashed_with_tasks = !worker.tasks.is_empty();
             worker.tasks.clear();
         }
-        self.takeovers.gone(name, self.now);
+        self.failovers.record_machine_loss(name, self.now);
     }
 
     pub(super) fn refuses(&self, node: usize) -> bool {
-        self.cuts
-            .iter()
-            .any(|c| matches!(c, Cut::Refuse(n) if n.is_none_or(|n| n == node)))
+        self.active_faults.iter().any(
+            |c| matches!(c, ActiveFault::StateRequestsRefused(n) if n.is_none_or(|n| n == node)),
+        )
     }
 
     pub(super) fn outage(&self) -> bool {
-        self.cuts.contains(&Cut::Refuse(None))
+        self.active_faults
+            .contains(&ActiveFault::StateRequestsRefused(None))
     }
 }
--- a/crates/simulator/src/world/close_looks.rs
+++ b/crates/simulator/src/world/follow_ups.rs
@@ -4,11 +4,11 @@
 use super::*;
 
 /// Pauses between a confirmation and the looks that follow it, in ms.
-const PAUSES: [u64; 4] = [0, 3, 15, 80];
+const FOLLOW_UP_DELAYS_MS: [u64; 4] = [0, 3, 15, 80];
 /// How often a confirmation of one kind is followed by looks, for each job.
-const ROUNDS: u32 = 3;
+const MAX_FOLLOW_UP_ROUNDS: u32 = 3;
 /// Share of the jobs that are cancelled at the moment of their acceptance.
-const CANCELLED_AT_ONCE: f64 = 0.15;
+const CANCEL_AT_ACCEPTANCE_PROBABILITY: f64 = 0.15;
 
 /// What an answer confirms.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
@@ -21,53 +21,59 @@
 /// What users send in one round of looks. A node that a round asks only questions has not been sent the job, and
 /// may still not know it when a later round repeats its submission there.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Style {
+enum FollowUpStyle {
     Questions,
     Repeats,
     Both,
 }
 
 /// How often each kind of confirmation of a job has been followed by looks.
-pub(super) type Looks = HashMap<(String, Confirmation), u32>;
+pub(super) type FollowUpCounts = HashMap<(String, Confirmation), u32>;
 
 impl World {
     /// Something was confirmed: looks follow if users look closely at present.
-    pub(super) fn look_closely(&mut self, id: &str, confirmed: Confirmation) {
-        if !self.cuts.contains(&Cut::CloseLooks) {
+    pub(super) fn schedule_follow_ups(&mut self, id: &str, confirmed: Confirmation) {
+        if !self.active_faults.contains(&ActiveFault::FollowUpRequests) {
             return;
         }
-        let rounds = self.looks.entry((id.to_owned(), confirmed)).or_default();
-        if *rounds >= ROUNDS {
+        let rounds = self
+            .follow_up_counts
+            .entry((id.to_owned(), confirmed))
+            .or_default();
+        if *rounds >= MAX_FOLLOW_UP_ROUNDS {
             return;
         }
         *rounds += 1;
         let first = *rounds == 1;
-        if first && confirmed == Confirmation::Accepted && self.rng.random_bool(CANCELLED_AT_ONCE) {
-            self.met.cancelled_at_acceptance += 1;
-            let what = Happening::Cancel { id: id.to_owned() };
+        if first
+            && confirmed == Confirmation::Accepted
+            && self.rng.random_bool(CANCEL_AT_ACCEPTANCE_PROBABILITY)
+        {
+            self.coverage.cancelled_at_acceptance += 1;
+            let what = ScheduledEvent::CancelJob { id: id.to_owned() };
             let after = self.rng.random_range(0..3);
             self.at(self.now + after, what);
         }
         let style = match self.rng.random_range(0..3) {
-            0 => Style::Questions,
-            1 => Style::Repeats,
-            _ => Style::Both,
+            0 => FollowUpStyle::Questions,
+            1 => FollowUpStyle::Repeats,
+            _ => FollowUpStyle::Both,
         };
-        for pause in PAUSES {
-            for node in 0..NODES {
-                self.schedule_look(node, id, confirmed, style, pause);
+        for pause in FOLLOW_UP_DELAYS_MS {
+            for node in 0..CONTROLLERS {
+                self.schedule_follow_up(node, id, confirmed, style, pause);
             }
         }
     }
 
     /// One look of a kind that fits what was confirmed: a question, a repeated submission, a repeated
     /// cancellation.
-    fn schedule_look(
+    fn schedule_follow_up(
         &mut self,
         node: usize,
         id: &str,
         confirmed: Confirmation,
-        style: Style,
+        style: FollowUpStyle,
         pause: u64,
     ) {
         let Some(number) = JobId::parse(id) else {
@@ -77,9 +83,9 @@
             return;
         };
         let repeats = match style {
-            Style::Questions => false,
-            Style::Repeats => true,
-            Style::Both => self.rng.random_bool(0.5),
+            FollowUpStyle::Questions => false,
+            FollowUpStyle::Repeats => true,
+            FollowUpStyle::Both => self.rng.random_bool(0.5),
         };
         let cancels = confirmed == Confirmation::Cancelled && self.rng.random_bool(0.2);
         let request = match (repeats, cancels) {
@@ -90,7 +96,7 @@
         let at = self.now + pause + self.rng.random_range(0..3);
         self.at(
             at,
-            Happening::Look {
+            ScheduledEvent::SendFollowUp {
                 node,
                 request,
                 id: id.to_owned(),
@@ -99,16 +105,19 @@
     }
 
     /// A look at one node, over a connection of its own; it isn't repeated.
-    pub(super) fn look(&mut self, node: usize, request: UserRequest, id: String) {
-        if !self.cuts.contains(&Cut::Users(node)) {
-            self.ask_node(node, request, id, LAST_TRY);
+    pub(super) fn send_follow_up(&mut self, node: usize, request: UserRequest, id: String) {
+        if !self
+            .active_faults
+            .contains(&ActiveFault::UsersDisconnected(node))
+        {
+            self.send_request_to(node, request, id, MAX_ATTEMPTS);
         }
     }
 
     /// Questions and repeated submissions at every node at the same moment.
-    pub(super) fn look_everywhere(&mut self, id: &str, after: u64) {
-        for node in 0..NODES {
-            self.schedule_look(node, id, Confirmation::Done, Style::Both, after);
+    pub(super) fn follow_up_everywhere(&mut self, id: &str, after: u64) {
+        for node in 0..CONTROLLERS {
+            self.schedule_follow_up(node, id, Confirmation::Done, FollowUpStyle::Both, after);
         }
     }
 }
--- a/crates/simulator/src/world/machines.rs
+++ b/crates/simulator/src/world/machines.rs
@@ -14,7 +14,7 @@
 }
 
 impl World {
-    pub(super) fn report_answer(
+    pub(super) fn handle_heartbeat_reply(
         &mut self,
         machine: &str,
         number: u64,
@@ -22,36 +22,37 @@
         reply: HeartbeatReply,
     ) {
         let now = self.now;
-        let ignore_tokens = self.plan.sabotage == Some(Sabotage::TokensIgnored);
+        let ignore_tokens = self.plan.mutation == Some(Mutation::TokensIgnored);
         let Some(worker) = self.workers.get_mut(machine) else {
             return;
         };
         if worker.dead || worker.in_flight.map(|f| f.0) != Some(number) {
             return;
         }
-        worker.check_lease(now, self.terms.lease);
+        worker.check_lease(now, self.parameters.lease);
         match reply {
             // `Worker::answered` takes the report out of flight.
             HeartbeatReply::Answer(mut answer) => {
                 if ignore_tokens {
                     answer.token = answer.token.max(worker.token);
                 }
-                if self.plan.sabotage == Some(Sabotage::AnswersWithoutHalts) {
+                if self.plan.mutation == Some(Mutation::RepliesWithoutKills) {
                     answer
                         .commands
                         .retain(|c| !matches!(c, Command::Stop { .. }));
                 }
                 if worker.answered(number, &answer, now, &self.jobs) {
                     let launches = starts(&answer.commands);
-                    self.takeovers.told(machine, answer.token, launches, now);
-                    self.note_launch(machine, &answer.commands);
+                    self.failovers
+                        .record_contact(machine, answer.token, launches, now);
+                    self.record_launch(machine, &answer.commands);
                 }
             }
             HeartbeatReply::Redirect(Some(to)) => {
                 worker.in_flight = None;
                 let to: usize = to.as_str().trim_start_matches('n').parse().unwrap_or(0);
                 if to == node {
-                    worker.node = (node + 1) % NODES;
+                    worker.node = (node + 1) % CONTROLLERS;
                     worker.next_report = now + 1_000;
                 } else {
                     worker.node = to;
@@ -62,7 +63,7 @@
             | HeartbeatReply::Unavailable
             | HeartbeatReply::Malformed => {
                 worker.in_flight = None;
-                worker.node = (node + 1) % NODES;
+                worker.node = (node + 1) % CONTROLLERS;
                 worker.next_report = now + 1_000;
             }
         }
@@ -87,7 +88,7 @@
             .collect();
         for (name, kind, zone, spot) in up {
             let mut worker = Worker::new(&name, &kind, &zone, spot, now);
-            worker.node = self.rng.random_range(0..NODES);
+            worker.node = self.rng.random_range(0..CONTROLLERS);
             self.workers.insert(name, worker);
         }
         let names: Vec<String> = self.workers.keys().cloned().collect();
@@ -99,15 +100,16 @@
                 continue;
             }
             // A machine that hangs does not outlive its lease either.
-            worker.check_lease(now, self.terms.lease);
+            worker.check_lease(now, self.parameters.lease);
             if worker.hangs_until > now {
                 continue;
             }
-            let run = |task: &str| run_ms(self.plan.seed, &self.long, task) * self.terms.longer;
-            let happened = worker.advance(now, &self.jobs, run);
-            for event in happened {
+            let run =
+                |task: &str| run_ms(self.plan.seed, &self.long, task) * self.parameters.longer;
+            let transitions = worker.advance(now, &self.jobs, run);
+            for event in transitions {
                 match event {
-                    Happened::Started(task) => {
+                    TaskTransition::Started(task) => {
                         if let Some(on) = self.workers.get(&name) {
                             self.rules
                                 .started(&task, on, &self.workers, &self.jobs, now);
@@ -115,11 +117,11 @@
                         let id = task.split('/').next().unwrap_or_default();
                         if let Some(job) = self.jobs.get(id) {
                             let limit = self.limits.get(&job.team).copied();
-                            self.served
+                            self.availability
                                 .started(&task, job, limit.unwrap_or(f64::MAX), now);
                         }
                     }
-                    Happened::Done(task) => self.task_done(task),
+                    TaskTransition::Done(task) => self.task_done(task),
                 }
             }
             self.step_report(&name);
@@ -130,7 +132,7 @@
     pub(super) fn step_report(&mut self, name: &str) {
         let now = self.now;
         let from = self.machine(name);
-        let report = self.terms.report;
+        let report = self.parameters.report;
         let wait = self.rng.random_range(report * 3 / 4..report * 5 / 4);
         let Some(worker) = self.workers.get_mut(name) else {
             return;
@@ -138,7 +140,7 @@
         if let Some((_, sent, _)) = worker.in_flight {
             if now >= sent + 4_000 {
                 worker.in_flight = None;
-                worker.node = (worker.node + 1) % NODES;
+                worker.node = (worker.node + 1) % CONTROLLERS;
                 worker.next_report = now + 1_000;
             }
             return;
@@ -154,14 +156,14 @@
         worker.next_report = now + wait;
         let node = worker.node;
         let report = Box::new(worker.report());
-        let mute = self.is_mute(name);
+        let mute = self.refuses_connections(name);
         let Some(worker) = self.workers.get_mut(name) else {
             return;
         };
         if self.nodes[node].is_none() || mute {
             // Refused at once.
             worker.in_flight = None;
-            worker.node = (node + 1) % NODES;
+            worker.node = (node + 1) % CONTROLLERS;
             worker.next_report = now + 1_000;
             return;
         }
@@ -171,7 +173,7 @@
             number,
             report,
         };
-        self.send(from, Place::Controller(node), message);
+        self.send(from, Endpoint::Controller(node), message);
     }
 
     /// Gangs start when all their tasks wait, end together, and notice lost members.
--- a/crates/simulator/src/world/mod.rs
+++ b/crates/simulator/src/world/mod.rs
@@ -1,47 +1,50 @@
 //! The world: a queue of events in simulated time, a network, and real [`Controller`]s.
 
 mod cancellations;
-mod close_looks;
+mod events;
 mod faults;
-mod interference;
-mod kinds;
+mod follow_ups;
+mod interceptor;
 mod machines;
+mod mutations;
 mod network;
-mod odd_requests;
-mod outgoing;
-mod plan;
-mod sabotage;
+mod recording;
+mod scenario;
 mod site;
-mod state;
+mod state_service;
+mod unusual_requests;
 mod users;
 mod views;
 
 use model::DurationExt;
-pub use plan::{Fault, Plan, Sabotage};
+pub use scenario::{Fault, Mutation, Plan};
 
-use crate::cloud::{Boots, Cloud};
+use crate::availability::{lowest, Availability, ServiceLevel};
+use crate::cloud::{BootBehavior, Cloud};
+use crate::failovers::FailoverTimeline;
 use crate::fingerprint::Recorder;
-use crate::known::Known;
-use crate::rules::Rules;
-use crate::served::{least, Served, Share};
-use crate::starved::Starved;
+use crate::rules::RuleChecker;
+use crate::starvation::StarvationChecker;
 use crate::state::StateService;
-use crate::takeovers::Takeovers;
-use crate::worker::{Happened, Worker, MISTAKEN};
-use close_looks::{Confirmation, Looks};
+use crate::unanswered::UnansweredJobs;
+use crate::worker::{TaskTransition, Worker, FAILING_CLASS};
 use controller::controller::DirectReply;
 use controller::{Controller, Effect, Event, HeartbeatReply, UserReply, UserRequest};
-use interference::Interference;
-use kinds::{starts, Asked, Cut, Happening, Message, Place, Queued, Running};
+use events::{
+    starts, ActiveFault, Endpoint, Message, PendingRequest, QueueEntry, RunningController,
+    ScheduledEvent,
+};
+use follow_ups::{Confirmation, FollowUpCounts};
+use interceptor::MessageInterceptor;
 use model::{CallId, ControllerName, JobId, Settings, Timestamp};
-use odd_requests::Refusal;
 use rand::rngs::SmallRng;
 use rand::seq::SliceRandom;
 use rand::{Rng, SeedableRng};
-use site::{settings, Terms, NODES};
+use site::{settings, SiteParameters, CONTROLLERS};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap, HashMap, HashSet};
-use users::LAST_TRY;
+use unusual_requests::ExpectedRejection;
+use users::MAX_ATTEMPTS;
 use wire::cloud::{CloudReply, CloudRequest};
 use wire::mesh::{MeshMessage, ReplicatedRecord};
 use wire::state::{StateReply, StateRequest, Transaction, Write};
@@ -51,120 +54,120 @@
 /// What has really come about of troubles that are there to meet: a test whose troubles never met
 /// proves nothing.
 #[derive(Debug, Clone, Default)]
-pub struct Met {
+pub struct FaultCoverage {
     /// Late transactions that were applied; of these, after newer ones of the same node, and of lives
     /// that were over by then.
-    pub late_writes: u64,
-    pub late_after_newer: u64,
-    pub late_of_the_dead: u64,
+    pub delayed_writes: u64,
+    pub delayed_writes_after_newer: u64,
+    pub delayed_writes_of_crashed: u64,
     /// Late transactions whose conditions voided them.
-    pub late_and_void: u64,
+    pub delayed_writes_rejected: u64,
     /// Copies of reports that came after newer messages of their machines; of these, from earlier
     /// sessions.
-    pub old_reports: u64,
-    pub old_sessions: u64,
+    pub stale_heartbeats: u64,
+    pub stale_sessions: u64,
     /// Answers and commands that were lost on their way to machines whose reports arrive.
-    pub unheard: u64,
+    pub dropped_messages: u64,
     /// Connections of machines that failed, and direct commands and questions that reached these
     /// machines meanwhile.
-    pub mute: u64,
-    pub mute_and_told: u64,
+    pub refused_connections: u64,
+    pub direct_calls_while_refusing: u64,
     /// Transactions that were carried out and whose answers were lost; those of them that another node
     /// read.
-    pub lost_answers: u64,
-    pub lost_and_read: u64,
+    pub lost_replies: u64,
+    pub lost_replies_read_elsewhere: u64,
     /// Kept copies of reports, older than what their machines had said since, that came to a holder that
     /// had just begun; of these, from earlier sessions.
-    pub old_at_begin: u64,
-    pub old_sessions_at_begin: u64,
+    pub stale_heartbeats_at_failover: u64,
+    pub stale_sessions_at_failover: u64,
     /// Reports that were held back and came to a holder that had begun since.
-    pub held_reports: u64,
+    pub held_heartbeats: u64,
     /// Late direct commands that were carried out, and that their token or session made void; those
     /// with commands whose node had ended, and those that came after a higher token.
-    pub late_commands: u64,
-    pub late_commands_void: u64,
-    pub late_commands_of_the_dead: u64,
-    pub late_commands_of_the_deposed: u64,
+    pub delayed_commands: u64,
+    pub delayed_commands_rejected: u64,
+    pub delayed_commands_of_crashed: u64,
+    pub delayed_commands_of_deposed: u64,
     /// Launches on machines that had come up within two seconds a moment before, while writes came late.
-    pub young_launches: u64,
+    pub launches_on_new_machines: u64,
     /// What nodes told each other and was lost on one way, and what came again late.
-    pub lost_on_one_way: u64,
-    pub mesh_copies: u64,
+    pub one_way_losses: u64,
+    pub mesh_duplicates: u64,
     /// Jobs that were cancelled at the moment of their acceptance, while they ran with long to go, and
     /// around the end of their last task.
     pub cancelled_at_acceptance: u64,
     pub cancelled_running: u64,
-    pub cancelled_at_end: BTreeSet<String>,
+    pub cancelled_at_completion: BTreeSet<String>,
     /// Machines that hung while their jobs were cancelled.
-    pub hung_with_cancelled: u64,
+    pub hung_machines_of_cancelled_jobs: u64,
     /// Odd requests, by kind.
     pub repeated_unfinished: u64,
     pub cancelled_done: u64,
-    pub refused_unfit: u64,
-    pub refused_malformed: u64,
+    pub rejected_unschedulable: u64,
+    pub rejected_malformed: u64,
     pub one_task_jobs: u64,
 }
 
 /// The world.
 pub struct World {
     plan: Plan,
-    terms: Terms,
+    parameters: SiteParameters,
     rng: SmallRng,
     now: u64,
-    order: u64,
-    queue: BinaryHeap<Reverse<Queued>>,
-    nodes: Vec<Option<Running>>,
-    lives: u64,
+    sequence: u64,
+    queue: BinaryHeap<Reverse<QueueEntry>>,
+    nodes: Vec<Option<RunningController>>,
+    incarnations: u64,
     state: StateService,
     /// As it was some seconds ago, for those who are to read what is old.
-    older: StateService,
+    stale_state: StateService,
     watches: Vec<(usize, u64, CallId, String, u64)>,
     cloud: Cloud,
     workers: BTreeMap<String, Worker>,
-    cuts: Vec<Cut>,
-    held: Vec<(Place, Place, Message)>,
-    interference: Interference,
-    pending: HashSet<(usize, u64, CallId)>,
-    tickets: HashMap<(usize, u64, u64), Asked>,
-    report_tickets: HashMap<(usize, u64, u64), (String, u64)>,
+    active_faults: Vec<ActiveFault>,
+    held: Vec<(Endpoint, Endpoint, Message)>,
+    interceptor: MessageInterceptor,
+    pending_calls: HashSet<(usize, u64, CallId)>,
+    user_requests: HashMap<(usize, u64, u64), PendingRequest>,
+    heartbeat_tickets: HashMap<(usize, u64, u64), (String, u64)>,
     next_ticket: u64,
     jobs: HashMap<String, JobRequest>,
     /// Jobs whose tasks run so many times as long.
     long: HashMap<String, u64>,
     next_job: u64,
     /// How often users have looked closely at each confirmation.
-    looks: Looks,
+    follow_up_counts: FollowUpCounts,
     /// Submissions that have to be refused.
-    odd_jobs: HashMap<String, Refusal>,
+    invalid_jobs: HashMap<String, ExpectedRejection>,
     limits: BTreeMap<String, f64>,
     settled: BTreeSet<String>,
     submitted: HashMap<String, u64>,
     /// Requests that the state service has had, and answers that turned a user away.
     pub requests: u64,
-    pub turned_away: u64,
+    pub rejected_busy: u64,
     /// How long users waited for each acceptance.
-    pub accept_ms: Vec<u64>,
-    pub rules: Rules,
-    pub takeovers: Takeovers,
+    pub acceptance_latencies_ms: Vec<u64>,
+    pub rules: RuleChecker,
+    pub failovers: FailoverTimeline,
     /// Whether questions are answered once all troubles are over.
-    known: Known,
+    unanswered: UnansweredJobs,
     /// Whether jobs wait beside room for them, from the end of all troubles on.
-    starved: Starved,
-    troubles_over: u64,
+    starvation: StarvationChecker,
+    faults_over: u64,
     /// Arrays of low priority among them: these are left to cheap machines and to the gaps beside other
     /// work, see `scheduler::best_effort`, and are told apart until that is settled.
-    pub starved_low: Vec<String>,
+    pub starved_low_priority: Vec<String>,
     /// Since when each node has been healthy without a break.
-    healthy_since: [Option<u64>; NODES],
-    served: Served,
+    healthy_since: [Option<u64>; CONTROLLERS],
+    availability: Availability,
     /// Transactions of each node that have been carried out.
-    carried_out: [u64; NODES],
-    pub met: Met,
+    transactions_applied: [u64; CONTROLLERS],
+    pub coverage: FaultCoverage,
     /// Nodes that end as they are about to do something: what they have done so far, and at which
     /// deed they end.
-    ends_at: HashMap<usize, (u64, u64)>,
+    crash_points: HashMap<usize, (u64, u64)>,
     /// Machines that lived when the controllers gave them back.
-    pub released_alive: u64,
+    pub machines_released_alive: u64,
     /// Early takeovers, and those of them whose holders lived, of nodes that have ended.
     early: (u64, u64),
     /// Records what leaves the controllers, if that is wanted.
@@ -174,72 +177,72 @@
 impl World {
     /// A world in which nothing has happened yet.
     pub fn new(plan: Plan) -> Self {
-        let terms = Terms::of(plan.size);
+        let parameters = SiteParameters::of(plan.size);
         let mut world = World {
             rng: SmallRng::seed_from_u64(plan.seed),
             now: 0,
-            order: 0,
+            sequence: 0,
             queue: BinaryHeap::new(),
-            nodes: (0..NODES).map(|_| None).collect(),
-            lives: 0,
-            state: StateService::new(terms.write_rps),
-            older: StateService::new(terms.write_rps),
+            nodes: (0..CONTROLLERS).map(|_| None).collect(),
+            incarnations: 0,
+            state: StateService::new(parameters.write_rps),
+            stale_state: StateService::new(parameters.write_rps),
             watches: Vec::new(),
             cloud: Cloud::new(&["a", "b"], 5 * plan.size as u32, 2 * plan.size as u32),
             workers: BTreeMap::new(),
-            cuts: Vec::new(),
+            active_faults: Vec::new(),
             held: Vec::new(),
-            interference: Interference::default(),
-            pending: HashSet::new(),
-            tickets: HashMap::new(),
-            report_tickets: HashMap::new(),
+            interceptor: MessageInterceptor::default(),
+            pending_calls: HashSet::new(),
+            user_requests: HashMap::new(),
+            heartbeat_tickets: HashMap::new(),
             next_ticket: 0,
             jobs: HashMap::new(),
             long: HashMap::new(),
             next_job: 0,
-            looks: Looks::default(),
-            odd_jobs: HashMap::new(),
+            follow_up_counts: FollowUpCounts::default(),
+            invalid_jobs: HashMap::new(),
             limits: (0..6)
                 .map(|t| (format!("t{t}"), 6.0 * plan.size as f64))
                 .collect(),
             settled: BTreeSet::new(),
             submitted: HashMap::new(),
             requests: 0,
-            turned_away: 0,
-            accept_ms: Vec::new(),
-            rules: Rules::new(terms.cancel),
-            takeovers: Takeovers::default(),
-            known: Known::default(),
-            starved: Starved::default(),
-            troubles_over: 0,
-            starved_low: Vec::new(),
-            healthy_since: [None; NODES],
-            served: Served::default(),
-            carried_out: [0; NODES],
-            met: Met::default(),
-            ends_at: HashMap::new(),
-            released_alive: 0,
+            rejected_busy: 0,
+            acceptance_latencies_ms: Vec::new(),
+            rules: RuleChecker::new(parameters.cancel),
+            failovers: FailoverTimeline::default(),
+            unanswered: UnansweredJobs::default(),
+            starvation: StarvationChecker::default(),
+            faults_over: 0,
+            starved_low_priority: Vec::new(),
+            healthy_since: [None; CONTROLLERS],
+            availability: Availability::default(),
+            transactions_applied: [0; CONTROLLERS],
+            coverage: FaultCoverage::default(),
+            crash_points: HashMap::new(),
+            machines_released_alive: 0,
             early: (0, 0),
             recorder: None,
-            terms,
+            parameters,
             plan,
         };
         world.pretend_large_machines();
-        for node in 0..NODES {
-            world.at(0, Happening::Boot { node });
+        for node in 0..CONTROLLERS {
+            world.at(0, ScheduledEvent::StartController { node });
         }
-        world.at(0, Happening::Workers);
-        world.at(1_500, Happening::Submit);
+        world.at(0, ScheduledEvent::StepWorkers);
+        world.at(1_500, ScheduledEvent::SubmitJob);
         let over = world
             .plan
             .faults
             .iter()
             .map(|(at, fault)| at + fault.lasts())
             .max();
-        world.troubles_over = over.unwrap_or(0).max(60_000);
-        world.at(world.troubles_over, Happening::AskAll);
+        world.faults_over = over.unwrap_or(0).max(60_000);
+        world.at(world.faults_over, ScheduledEvent::QueryAllJobs);
         for (at, fault) in world.plan.faults.clone() {
-            world.at(at, Happening::Fault(fault));
+            world.at(at, ScheduledEvent::StartFault(fault));
         }
         world
     }
@@ -263,8 +266,8 @@
     }
 
     /// Takeovers of partitions whose records stood, and those of them whose holders lived.
-    pub fn early_takeovers(&self) -> (u64, u64) {
-        let counts = |r: &Running| {
+    pub fn early_failovers(&self) -> (u64, u64) {
+        let counts = |r: &RunningController| {
             (
                 r.node.counters.early_takeovers,
                 r.node.counters.wrong_takeovers,
@@ -284,72 +287,77 @@
     }
 
     /// Machines that ended with tasks on them, and are recorded and not given up yet.
-    pub fn recorded_dead(&self) -> usize {
+    pub fn recorded_dead_machines(&self) -> usize {
         let kept = self
             .records()
             .filter(|m| m.get(6).is_some_and(|leaving| *leaving == false));
         let names = kept.filter_map(|m| m.get(0)?.as_str());
         names
-            .filter(|name| self.workers.get(*name).is_some_and(|w| w.ended_busy))
+            .filter(|name| {
+                self.workers
+                    .get(*name)
+                    .is_some_and(|w| w.crashed_with_tasks)
+            })
             .count()
     }
 
     /// How much of what is due has been served, by kind of work and by team. What came within the last
     /// `patience` ms need not be done.
-    pub fn served(&self, patience: u64) -> Vec<Share> {
-        let Rules {
+    pub fn service_levels(&self, patience: u64) -> Vec<ServiceLevel> {
+        let RuleChecker {
             accepted,
-            cancel_asked,
-            done_told,
+            cancel_requests,
+            done_confirmed,
             ..
         } = &self.rules;
         let until = self.now.saturating_sub(patience);
-        let mut shares = self
-            .served
-            .shares(&self.jobs, accepted, cancel_asked, done_told, until);
-        shares.extend(self.served.largest(
+        let mut shares =
+            self.availability
+                .shares(&self.jobs, accepted, cancel_requests, done_confirmed, until);
+        shares.extend(self.availability.largest(
             &self.jobs,
             accepted,
             &self.submitted,
-            cancel_asked,
+            cancel_requests,
             self.now,
         ));
         shares
     }
 
-    /// The class or team of which the least was served, see [`World::served`].
-    pub fn least_served(&self, patience: u64) -> Option<(String, f64)> {
-        least(&self.served(patience))
+    /// The class or team of which the least was served, see [`World::availability`].
+    pub fn lowest_service_level(&self, patience: u64) -> Option<(String, f64)> {
+        lowest(&self.service_levels(patience))
     }
 
     /// Names of the machines recorded for a partition that live.
-    fn living_of(&self, partition: u32) -> BTreeSet<String> {
+    fn living_machines_of(&self, partition: u32) -> BTreeSet<String> {
         let ours = self
             .records()
             .filter(|m| m.get(4).is_some_and(|p| *p == partition));
         let names = ours.filter_map(|m| m.get(0)?.as_str());
-        let lives = |name: &&str| self.workers.get(*name).is_some_and(|w| !w.dead);
-        names.filter(lives).map(str::to_owned).collect()
+        let incarnations = |name: &&str| self.workers.get(*name).is_some_and(|w| !w.dead);
+        names.filter(incarnations).map(str::to_owned).collect()
     }
 
     /// Tasks of jobs that were confirmed as cancelled which are still on machines of a partition.
-    pub fn cancelled_and_there(&self, partition: u32) -> usize {
-        let machines = self.living_of(partition);
+    pub fn cancelled_tasks_present(&self, partition: u32) -> usize {
+        let machines = self.living_machines_of(partition);
         let workers = machines.iter().filter_map(|name| self.workers.get(name));
         let tasks = workers.flat_map(|w| w.tasks.iter().filter(|(_, held)| held.present()));
         let cancelled = |task: &str| {
             let id = task.split('/').next().unwrap_or_default();
-            self.rules.cancelled_told.contains_key(id)
+            self.rules.cancel_confirmed.contains_key(id)
         };
         tasks.filter(|((task, _), _)| cancelled(task)).count()
     }
 
     /// A holder ends or stands still: its partitions are to be taken over.
-    fn holder_stops(&mut self, node: usize) {
+    fn record_leader_stop(&mut self, node: usize) {
         let name = format!("n{node}");
-        for partition in 0..NODES as u32 {
-            if self.holder(partition) == Some(&name) {
-                self.takeovers.ended(partition, &name, self.now);
+        for partition in 0..CONTROLLERS as u32 {
+            if self.leader(partition) == Some(&name) {
+                self.failovers
+                    .record_leader_stop(partition, &name, self.now);
             }
         }
     }
@@ -360,7 +368,7 @@
     }
 
     /// The node that holds a partition by its record.
-    pub fn holder(&self, partition: u32) -> Option<&str> {
+    pub fn leader(&self, partition: u32) -> Option<&str> {
         self.state
             .value(&format!("s/p/{partition}"))?
             .get("holder")?
@@ -378,23 +386,26 @@
     /// Runs to a time, or to the first broken rule.
     pub fn run_to(&mut self, ms: u64) {
         while let Some(Reverse(next)) = self.queue.pop() {
-            if next.at > ms || !self.rules.broken.is_empty() {
+            if next.at > ms || !self.rules.violations.is_empty() {
                 self.queue.push(Reverse(next));
                 break;
             }
             self.now = next.at;
             // Where there is much to look at, it is looked at every time the workers move; every
             // start is checked anyway.
-            let look = self.plan.size == 1 || matches!(next.what, Happening::Workers);
-            self.happen(next.what);
+            let look = self.plan.size == 1 || matches!(next.what, ScheduledEvent::StepWorkers);
+            self.process_event(next.what);
             if !look {
                 continue;
             }
             self.rules
                 .check(&self.workers, &self.jobs, &self.limits, self.now);
-            for id in self.known.forgotten(self.now) {
-                self.rules
-                    .broke("forgotten", format!("{id}: no answer for 75 s"), self.now);
+            for id in self.unanswered.take_overdue(self.now) {
+                self.rules.record_violation(
+                    "forgotten",
+                    format!("{id}: no answer for 75 s"),
+                    self.now,
+                );
             }
         }
     }
@@ -428,7 +439,7 @@
 
     /// Tasks that workers have killed since their lease had run out.
     pub fn killed_by_lease(&self) -> u64 {
-        self.workers.values().map(|w| w.lapsed_tasks).sum()
+        self.workers.values().map(|w| w.tasks_killed_by_lease).sum()
     }
 
     /// Tasks of jobs that were accepted, are not over and have nothing on any machine.
@@ -450,29 +461,29 @@
     }
 
     /// Notes jobs that have been waiting for too long beside room for them.
-    fn look_for_starved(&mut self) {
-        if self.now < self.troubles_over {
+    fn check_starvation(&mut self) {
+        if self.now < self.faults_over {
             return;
         }
-        let Rules {
+        let RuleChecker {
             accepted,
-            done_told,
-            cancel_asked,
+            done_confirmed,
+            cancel_requests,
             ..
         } = &self.rules;
         let open = accepted
             .keys()
-            .filter(|id| !done_told.contains_key(*id) && !cancel_asked.contains(*id));
-        let starved = self
-            .starved
-            .look(&self.workers, &self.jobs, open, &self.limits, self.now);
-        for id in starved {
+            .filter(|id| !done_confirmed.contains_key(*id) && !cancel_requests.contains(*id));
+        let starvation =
+            self.starvation
+                .observe(&self.workers, &self.jobs, open, &self.limits, self.now);
+        for id in starvation {
             let low =
                 |job: &JobRequest| job.kind == JobKind::Array && job.priority == Priority::Low;
             if self.jobs.get(&id).is_some_and(low) {
-                self.starved_low.push(id);
+                self.starved_low_priority.push(id);
             } else {
-                self.rules.broke(
+                self.rules.record_violation(
                     "starved",
                     format!("{id} waits beside room for it"),
                     self.now,
@@ -487,41 +498,43 @@
             .accepted
             .keys()
             .filter(|id| {
-                !self.rules.done_told.contains_key(*id)
-                    && !self.rules.cancelled_told.contains_key(*id)
+                !self.rules.done_confirmed.contains_key(*id)
+                    && !self.rules.cancel_confirmed.contains_key(*id)
             })
             .cloned()
             .collect()
     }
 
-    fn at(&mut self, at: u64, what: Happening) {
-        self.order += 1;
-        self.queue.push(Reverse(Queued {
+    fn at(&mut self, at: u64, what: ScheduledEvent) {
+        self.sequence += 1;
+        self.queue.push(Reverse(QueueEntry {
             at: at.max(self.now),
-            order: self.order,
+            sequence: self.sequence,
             what,
         }));
     }
 
-    fn live(&self, node: usize, life: u64) -> bool {
-        self.nodes[node].as_ref().is_some_and(|r| r.life == life)
+    fn is_running(&self, node: usize, incarnation: u64) -> bool {
+        self.nodes[node]
+            .as_ref()
+            .is_some_and(|r| r.incarnation == incarnation)
     }
 
-    fn feed(&mut self, node: usize, event: Event) {
+    fn handle_event(&mut self, node: usize, event: Event) {
         let now = self.now;
         let Some(running) = self.nodes[node].as_mut() else {
             return;
         };
-        if let Some(frozen) = running.frozen.as_mut().filter(|frozen| frozen.handled) {
-            frozen.waiting.push(event);
+        if let Some(paused) = running.paused.as_mut().filter(|paused| paused.handled) {
+            paused.waiting.push(event);
             return;
         }
         let local = Timestamp::from_millis(((now - running.since) as f64 * running.rate) as u64);
         let effects = running.node.handle(local, event);
-        let life = running.life;
-        if let Some(frozen) = running.frozen.as_mut() {
-            frozen.handled = true;
-            frozen.decided = effects;
+        let incarnation = running.incarnation;
+        if let Some(paused) = running.paused.as_mut() {
+            paused.handled = true;
+            paused.decided = effects;
             return;
         }
         let next = running.node.next_tick();
@@ -529,19 +542,19 @@
         if running.ticking <= now || at < running.ticking {
             running.ticking = at.max(now + 1);
             let at = running.ticking;
-            self.at(at, Happening::Tick { node, life });
+            self.at(at, ScheduledEvent::Tick { node, incarnation });
         }
         for effect in effects {
-            if self.ends_here(node, &effect) {
+            if self.crashes_here(node, &effect) {
                 return;
             }
-            self.carry_out(node, life, effect);
+            self.apply_effect(node, incarnation, effect);
         }
     }
 
     /// Ends a node that has come to the deed at which it is to end.
-    fn ends_here(&mut self, node: usize, effect: &Effect) -> bool {
-        let Some((done, last)) = self.ends_at.get_mut(&node) else {
+    fn crashes_here(&mut self, node: usize, effect: &Effect) -> bool {
+        let Some((done, last)) = self.crash_points.get_mut(&node) else {
             return false;
         };
         let changes = match effect {
@@ -556,47 +569,47 @@
         if !changes || done < last {
             return false;
         }
-        self.ends_at.remove(&node);
-        self.fault(Fault::Crash { node, back: 6_000 });
+        self.crash_points.remove(&node);
+        self.fault(Fault::CrashController { node, back: 6_000 });
         true
     }
 
-    fn carry_out(&mut self, node: usize, life: u64, effect: Effect) {
-        self.record(node, life, &effect);
+    fn apply_effect(&mut self, node: usize, incarnation: u64, effect: Effect) {
+        self.record(node, incarnation, &effect);
         match effect {
             Effect::State {
                 call,
                 request,
                 timeout,
             } => {
-                self.pending.insert((node, life, call));
+                self.pending_calls.insert((node, incarnation, call));
                 let event = Event::State {
                     call,
                     reply: StateReply::Unknown,
                 };
-                self.time_out(timeout.whole_millis(), node, life, call, event);
+                self.time_out(timeout.whole_millis(), node, incarnation, call, event);
                 let message = Message::State {
                     node,
-                    life,
+                    incarnation,
                     call,
                     request,
                 };
-                self.send(Place::Controller(node), Place::State, message);
+                self.send(Endpoint::Controller(node), Endpoint::State, message);
             }
             Effect::Cloud { call, request } => {
-                self.pending.insert((node, life, call));
+                self.pending_calls.insert((node, incarnation, call));
                 let event = Event::Cloud {
                     call,
                     reply: CloudReply::Unknown,
                 };
-                self.time_out(4_000, node, life, call, event);
+                self.time_out(4_000, node, incarnation, call, event);
                 let message = Message::Cloud {
                     node,
-                    life,
+                    incarnation,
                     call,
                     request,
                 };
-                self.send(Place::Controller(node), Place::Cloud, message);
+                self.send(Endpoint::Controller(node), Endpoint::Cloud, message);
             }
             Effect::Worker {
                 call,
@@ -604,22 +617,22 @@
                 body,
                 timeout,
             } => {
-                self.pending.insert((node, life, call));
+                self.pending_calls.insert((node, incarnation, call));
                 let event = Event::Worker {
                     call,
                     reply: DirectReply::Unknown,
                 };
-                self.time_out(timeout.whole_millis(), node, life, call, event);
+                self.time_out(timeout.whole_millis(), node, incarnation, call, event);
                 let machine = address.trim_end_matches(":9000").to_owned();
                 let to = self.machine(&machine);
                 let message = Message::Direct {
                     node,
-                    life,
+                    incarnation,
                     call,
                     machine,
                     body,
                 };
-                self.send(Place::Controller(node), to, message);
+                self.send(Endpoint::Controller(node), to, message);
             }
             Effect::Mesh { to, message } => {
                 let Some(other) = to.as_str().trim_start_matches('n').parse::<usize>().ok() else {
@@ -629,12 +642,14 @@
             }
             Effect::Admin { .. } => {}
             Effect::User { ticket, reply } => {
-                if let Some(asked) = self.tickets.remove(&(node, life, ticket)) {
-                    self.user_answer(asked, reply);
+                if let Some(asked) = self.user_requests.remove(&(node, incarnation, ticket)) {
+                    self.handle_user_reply(asked, reply);
                 }
             }
             Effect::Heartbeat { ticket, reply } => {
-                if let Some((machine, number)) = self.report_tickets.remove(&(node, life, ticket)) {
+                if let Some((machine, number)) =
+                    self.heartbeat_tickets.remove(&(node, incarnation, ticket))
+                {
                     let to = self.machine(&machine);
                     let message = Message::HeartbeatResponse {
                         machine,
@@ -642,120 +657,136 @@
                         node,
                         reply,
                     };
-                    self.send(Place::Controller(node), to, message);
+                    self.send(Endpoint::Controller(node), to, message);
                 }
             }
         }
     }
 
-    fn happen(&mut self, what: Happening) {
+    fn process_event(&mut self, what: ScheduledEvent) {
         match what {
-            Happening::Tick { node, life } => {
-                if self.live(node, life) {
-                    self.feed(node, Event::Tick);
+            ScheduledEvent::Tick { node, incarnation } => {
+                if self.is_running(node, incarnation) {
+                    self.handle_event(node, Event::Tick);
                 }
             }
-            Happening::Thaw { node, life } => self.thaw(node, life),
-            Happening::Mend { key, value } => self.write_past(&key, value),
-            Happening::Deliver(message) => self.deliver(*message),
-            Happening::Copy(message) => {
-                self.note_copy(&message);
+            ScheduledEvent::ResumeController { node, incarnation } => {
+                self.resume_controller(node, incarnation)
+            }
+            ScheduledEvent::RestoreValue { key, value } => self.write_directly(&key, value),
+            ScheduledEvent::Deliver(message) => self.deliver(*message),
+            ScheduledEvent::DeliverDuplicate(message) => {
+                self.record_duplicate(&message);
                 self.deliver(*message);
             }
-            Happening::LateWrite {
+            ScheduledEvent::ApplyDelayedTransaction {
                 node,
-                life,
+                incarnation,
                 newer_than,
                 txn,
             } => {
-                self.late_write(node, life, newer_than, txn);
+                self.apply_delayed_transaction(node, incarnation, newer_than, txn);
+            }
+            ScheduledEvent::DeliverDelayedCommand(message) => {
+                self.deliver_delayed_command(*message)
             }
-            Happening::LateCommand(message) => self.late_command(*message),
-            Happening::HeldReport(message) => self.held_report(*message),
-            Happening::MeshCopy { to, event } => {
-                self.met.mesh_copies += 1;
-                self.feed(to, event);
+            ScheduledEvent::DeliverHeldHeartbeat(message) => self.deliver_held_heartbeat(*message),
+            ScheduledEvent::DeliverMeshDuplicate { to, event } => {
+                self.coverage.mesh_duplicates += 1;
+                self.handle_event(to, event);
             }
-            Happening::AskAll => self.ask_all(),
-            Happening::Timeout {
+            ScheduledEvent::QueryAllJobs => self.query_all_jobs(),
+            ScheduledEvent::Timeout {
                 node,
-                life,
+                incarnation,
                 call,
                 event,
             } => {
-                if self.live(node, life) && self.pending.remove(&(node, life, call)) {
-                    self.feed(node, *event);
+                if self.is_running(node, incarnation)
+                    && self.pending_calls.remove(&(node, incarnation, call))
+                {
+                    self.handle_event(node, *event);
                 }
             }
-            Happening::WatchEnds { node, life, call } => {
+            ScheduledEvent::WatchTimeout {
+                node,
+                incarnation,
+                call,
+            } => {
                 let waiting = self
                     .watches
                     .iter()
-                    .position(|w| (w.0, w.1, w.2) == (node, life, call));
+                    .position(|w| (w.0, w.1, w.2) == (node, incarnation, call));
                 if let Some(at) = waiting {
                     if self.refuses(node) {
                         return;
                     }
                     self.watches.remove(at);
                     let reply = self.state.no_changes();
-                    self.state_answer(node, life, call, reply);
+                    self.send_state_reply(node, incarnation, call, reply);
                 }
             }
-            Happening::Workers => {
-                let keeps = self.plan.sabotage == Some(Sabotage::OldLedger);
-                if keeps && self.now % 6_000 < self.terms.step {
-                    self.older = self.state.clone();
+            ScheduledEvent::StepWorkers => {
+                let keeps = self.plan.mutation == Some(Mutation::StalePlacementLog);
+                if keeps && self.now % 6_000 < self.parameters.step {
+                    self.stale_state = self.state.clone();
                 }
                 self.step_workers();
-                for node in 0..NODES {
+                for node in 0..CONTROLLERS {
                     let healthy = self.nodes[node].as_ref().is_some_and(|r| r.node.healthy());
                     let since = self.healthy_since[node].filter(|_| healthy);
                     self.healthy_since[node] = since.or(healthy.then_some(self.now));
                 }
-                let (accepted, asked) = (&self.rules.accepted, &self.rules.cancel_asked);
-                self.served
-                    .look(&self.workers, &self.jobs, accepted, asked, self.now);
-                self.look_for_starved();
-                self.at(self.now + self.terms.step, Happening::Workers);
+                let (accepted, asked) = (&self.rules.accepted, &self.rules.cancel_requests);
+                self.availability
+                    .observe(&self.workers, &self.jobs, accepted, asked, self.now);
+                self.check_starvation();
+                self.at(self.now + self.parameters.step, ScheduledEvent::StepWorkers);
             }
-            Happening::Submit => self.submit(),
-            Happening::Poll { id } => {
+            ScheduledEvent::SubmitJob => self.submit(),
+            ScheduledEvent::PollStatus { id } => {
                 if !self.settled.contains(&id) {
                     if let Some(job) = JobId::parse(&id) {
-                        self.ask(UserRequest::Get(job), id.clone(), 0);
+                        self.send_request(UserRequest::Get(job), id.clone(), 0);
                     }
-                    let often = self.cuts.contains(&Cut::Questions);
+                    let often = self
+                        .active_faults
+                        .contains(&ActiveFault::StatusRequestStorm);
                     self.at(
                         self.now + if often { 300 } else { 5_000 },
-                        Happening::Poll { id },
+                        ScheduledEvent::PollStatus { id },
                     );
                 }
             }
-            Happening::Cancel { id } => {
-                self.note_cancel_requested(&id);
+            ScheduledEvent::CancelJob { id } => {
+                self.record_cancel_request(&id);
                 if let Some(job) = JobId::parse(&id) {
-                    self.ask(UserRequest::Cancel(job), id, 0);
+                    self.send_request(UserRequest::Cancel(job), id, 0);
                 }
             }
-            Happening::Ask { request, id, tries } => self.ask(request, id, tries),
-            Happening::Look { node, request, id } => self.look(node, request, id),
-            Happening::OddRequest => self.odd_request(),
-            Happening::OneTaskJob => self.one_task_job(),
-            Happening::Boot { node } => self.boot(node),
-            Happening::Fault(fault) => self.fault(fault),
-            Happening::Heal(cut) => {
-                if let Some(at) = self.cuts.iter().position(|c| *c == cut) {
-                    self.cuts.remove(at);
+            ScheduledEvent::SendRequest { request, id, tries } => {
+                self.send_request(request, id, tries)
+            }
+            ScheduledEvent::SendFollowUp { node, request, id } => {
+                self.send_follow_up(node, request, id)
+            }
+            ScheduledEvent::SendUnusualRequest => self.unusual_request(),
+            ScheduledEvent::SubmitOneTaskJob => self.one_task_job(),
+            ScheduledEvent::StartController { node } => self.start_controller(node),
+            ScheduledEvent::StartFault(fault) => self.fault(fault),
+            ScheduledEvent::EndFault(cut) => {
+                if let Some(at) = self.active_faults.iter().position(|c| *c == cut) {
+                    self.active_faults.remove(at);
                 }
-                if let Cut::Refuse(None) = cut {
+                if let ActiveFault::StateRequestsRefused(None) = cut {
                     self.state.refresh_leases(self.now);
                 }
-                if cut == Cut::Boots {
-                    self.cloud.boots = Boots::Usual;
+                if cut == ActiveFault::ChangedBootBehavior {
+                    self.cloud.boots = BootBehavior::Usual;
                 }
-                self.at(self.now + 1, Happening::Flush);
+                self.at(self.now + 1, ScheduledEvent::ReleaseHeldMessages);
             }
-            Happening::Flush => {
+            ScheduledEvent::ReleaseHeldMessages => {
                 let held = std::mem::take(&mut self.held);
                 for (from, to, message) in held {
                     self.send(from, to, message);
@@ -764,45 +795,45 @@
         }
     }
 
-    fn boot(&mut self, node: usize) {
-        self.lives += 1;
-        let text = settings(node, self.plan.sabotage, self.plan.size);
+    fn start_controller(&mut self, node: usize) {
+        self.incarnations += 1;
+        let text = settings(node, self.plan.mutation, self.plan.size);
         let Ok(settings) = Settings::parse(&text) else {
             panic!("settings of the world")
         };
         let rate = 1.0 + self.rng.random_range(-0.0005..0.0005);
         let seed = self.rng.random();
-        self.nodes[node] = Some(Running {
+        self.nodes[node] = Some(RunningController {
             node: Controller::new(settings, seed),
-            life: self.lives,
+            incarnation: self.incarnations,
             since: self.now,
             rate,
             ticking: 0,
-            frozen: None,
+            paused: None,
         });
-        self.feed(node, Event::Tick);
+        self.handle_event(node, Event::Tick);
     }
 
     /// A node goes on: what it had decided is sent, and what has come meanwhile reaches it in any
     /// order, its own timers among it.
-    fn thaw(&mut self, node: usize, life: u64) {
-        if !self.live(node, life) {
+    fn resume_controller(&mut self, node: usize, incarnation: u64) {
+        if !self.is_running(node, incarnation) {
             return;
         }
-        let Some(frozen) = self.nodes[node].as_mut().and_then(|r| r.frozen.take()) else {
+        let Some(paused) = self.nodes[node].as_mut().and_then(|r| r.paused.take()) else {
             return;
         };
-        for effect in frozen.decided {
-            self.carry_out(node, life, effect);
+        for effect in paused.decided {
+            self.apply_effect(node, incarnation, effect);
         }
-        let mut waiting = frozen.waiting;
+        let mut waiting = paused.waiting;
         waiting.push(Event::Tick);
         waiting.shuffle(&mut self.rng);
         if let Some(running) = self.nodes[node].as_mut() {
             running.ticking = 0;
         }
         for event in waiting {
-            self.feed(node, event);
+            self.handle_event(node, event);
         }
     }
 }
--- a/crates/simulator/src/world/sabotage.rs
+++ b/crates/simulator/src/world/mutations.rs
@@ -5,7 +5,7 @@
 impl World {
     /// The cloud claims that its machines hold any task.
     pub(super) fn pretend_large_machines(&mut self) {
-        if self.plan.sabotage == Some(Sabotage::UnfitJobsFit) {
+        if self.plan.mutation == Some(Mutation::UnschedulableJobsFit) {
             for kind in &mut self.cloud.types {
                 (kind.cpus, kind.gpus, kind.memory_gb) = (1_000.0, 8.0, 10_000.0);
             }
@@ -13,18 +13,18 @@
     }
 
     /// A message as followers get it: with lies, or in part.
-    pub(super) fn as_sabotaged(&mut self, message: MeshMessage) -> Option<MeshMessage> {
+    pub(super) fn as_mutated(&mut self, message: MeshMessage) -> Option<MeshMessage> {
         let MeshMessage::Replication(mut part) = message else {
             return Some(message);
         };
-        match self.plan.sabotage {
-            Some(Sabotage::HintsLie) => {
+        match self.plan.mutation {
+            Some(Mutation::FalseReplicationRecords) => {
                 let names: Vec<String> = self.cloud.machines.keys().cloned().collect();
                 for hint in &mut part.hints {
                     self.lie(hint, &names);
                 }
             }
-            Some(Sabotage::HintsLost) => match self.rng.random_range(0..6) {
+            Some(Mutation::LostReplicationRecords) => match self.rng.random_range(0..6) {
                 0 => return None,
                 1 => part.hints.truncate(part.hints.len() / 2),
                 2 => part.term = part.term.saturating_sub(1),
@@ -38,7 +38,7 @@
 
     /// A message to a machine without the launches of some jobs.
     pub(super) fn without_some_launches(&self, mut message: Message) -> Message {
-        let sabotaged = self.plan.sabotage == Some(Sabotage::SomeNeverStarted);
+        let mutated = self.plan.mutation == Some(Mutation::SomeJobsNeverStarted);
         let commands = match &mut message {
             Message::HeartbeatResponse {
                 reply: HeartbeatReply::Answer(answer),
@@ -47,7 +47,7 @@
             Message::Direct { body, .. } => &mut body.commands,
             _ => return message,
         };
-        if sabotaged {
+        if mutated {
             commands.retain(|command| match command {
                 Command::Start { task, .. } => {
                     let id = task.split('/').next().and_then(JobId::parse);
--- a/crates/simulator/src/world/network.rs
+++ b/crates/simulator/src/world/network.rs
@@ -3,8 +3,8 @@
 use super::*;
 
 impl World {
-    pub(super) fn machine(&self, name: &str) -> Place {
-        Place::Machine(
+    pub(super) fn machine(&self, name: &str) -> Endpoint {
+        Endpoint::Machine(
             name.rsplit('-')
                 .next()
                 .and_then(|n| n.parse().ok())
@@ -12,11 +12,11 @@
         )
     }
 
-    pub(super) fn zone_of(&self, place: Place) -> Option<String> {
+    pub(super) fn zone_of(&self, place: Endpoint) -> Option<String> {
         match place {
-            Place::Controller(1) => Some("b".into()),
-            Place::Controller(_) => Some("a".into()),
-            Place::Machine(n) => self
+            Endpoint::Controller(1) => Some("b".into()),
+            Endpoint::Controller(_) => Some("a".into()),
+            Endpoint::Machine(n) => self
                 .cloud
                 .machines
                 .get(&format!("host-{n:06}"))
@@ -25,50 +25,69 @@
         }
     }
 
-    pub(super) fn is_cut(&self, from: Place, to: Place) -> bool {
-        let between = |a: Place, b: Place| (from, to) == (a, b) || (from, to) == (b, a);
+    pub(super) fn is_cut(&self, from: Endpoint, to: Endpoint) -> bool {
+        let between = |a: Endpoint, b: Endpoint| (from, to) == (a, b) || (from, to) == (b, a);
         let node_machine = |n: usize| {
-            matches!((from, to), (Place::Controller(x), Place::Machine(_))
-                | (Place::Machine(_), Place::Controller(x)) if x == n)
+            matches!((from, to), (Endpoint::Controller(x), Endpoint::Machine(_))
+                | (Endpoint::Machine(_), Endpoint::Controller(x)) if x == n)
         };
-        self.cuts.iter().any(|cut| match cut {
-            Cut::State(n) => between(Place::Controller(*n), Place::State),
-            Cut::Workers(n) => node_machine(*n),
-            Cut::Mesh(n) => matches!((from, to), (Place::Controller(a), Place::Controller(b))
-                if (a == *n) != (b == *n)),
-            Cut::Zones => match (self.zone_of(from), self.zone_of(to)) {
+        self.active_faults.iter().any(|cut| match cut {
+            ActiveFault::StateServiceDisconnected(n) => {
+                between(Endpoint::Controller(*n), Endpoint::State)
+            }
+            ActiveFault::WorkersDisconnected(n) => node_machine(*n),
+            ActiveFault::MeshDisconnected(n) => {
+                matches!((from, to), (Endpoint::Controller(a), Endpoint::Controller(b))
+                if (a == *n) != (b == *n))
+            }
+            ActiveFault::ZonesPartitioned => match (self.zone_of(from), self.zone_of(to)) {
                 (Some(a), Some(b)) => a != b,
                 _ => false,
             },
-            Cut::Machine(name) => {
+            ActiveFault::MachineDisconnected(name) => {
                 let place = self.machine(name);
                 from == place || to == place
             }
-            Cut::Zone => {
+            ActiveFault::ZoneIsolated => {
                 let inside = |place| self.zone_of(place).is_some_and(|zone| zone == "b");
                 inside(from) != inside(to)
             }
             // What is lost on one way is not held back.
-            Cut::Unreached(_) | Cut::UnreachedZone | Cut::Copies => false,
-            Cut::Refuse(_) | Cut::Cloud | Cut::Users(_) | Cut::Slow(_) => false,
-            Cut::Boots | Cut::Mistakes | Cut::Questions | Cut::Heavy => false,
-            Cut::LateWrites(_) | Cut::Long(_) => false,
-            Cut::Mute(_) | Cut::LostAnswers(_) | Cut::KeptCopies(_) | Cut::HeldReports(_) => false,
-            Cut::LateCommands(_) | Cut::OneWay(..) | Cut::MeshCopies(_) | Cut::SlowLinks(_) => {
-                false
-            }
-            Cut::CloseLooks | Cut::CancelAtEnd(_) | Cut::OddRequests | Cut::OneTaskJobs => false,
+            ActiveFault::MachineUnreachable(_)
+            | ActiveFault::ZoneUnreachable
+            | ActiveFault::DuplicatedMessages => false,
+            ActiveFault::StateRequestsRefused(_)
+            | ActiveFault::CloudOutage
+            | ActiveFault::UsersDisconnected(_)
+            | ActiveFault::SlowStateService(_) => false,
+            ActiveFault::ChangedBootBehavior
+            | ActiveFault::FailingJobs
+            | ActiveFault::StatusRequestStorm
+            | ActiveFault::SkewedLoad => false,
+            ActiveFault::DelayedTransactions(_) | ActiveFault::LongTasks(_) => false,
+            ActiveFault::MachineConnectionsRefused(_)
+            | ActiveFault::LostTransactionReplies(_)
+            | ActiveFault::ReplayedHeartbeats(_)
+            | ActiveFault::HeldHeartbeats(_) => false,
+            ActiveFault::DelayedCommands(_)
+            | ActiveFault::OneWayMeshPartition(..)
+            | ActiveFault::DuplicatedMeshMessages(_)
+            | ActiveFault::SlowLinks(_) => false,
+            ActiveFault::FollowUpRequests
+            | ActiveFault::CancelAtCompletion(_)
+            | ActiveFault::UnusualRequests
+            | ActiveFault::OneTaskJobs => false,
         })
     }
 
     /// Whether a message is lost on its way to a machine.
-    fn is_lost(&self, from: Place, to: Place) -> bool {
-        let (Place::Controller(_), Place::Machine(_)) = (from, to) else {
+    fn is_lost(&self, from: Endpoint, to: Endpoint) -> bool {
+        let (Endpoint::Controller(_), Endpoint::Machine(_)) = (from, to) else {
             return false;
         };
-        self.cuts.iter().any(|cut| match cut {
-            Cut::Unreached(name) => self.machine(name) == to,
-            Cut::UnreachedZone => self.zone_of(to).is_some_and(|zone| zone == "b"),
+        self.active_faults.iter().any(|cut| match cut {
+            ActiveFault::MachineUnreachable(name) => self.machine(name) == to,
+            ActiveFault::ZoneUnreachable => self.zone_of(to).is_some_and(|zone| zone == "b"),
             _ => false,
         })
     }
@@ -81,7 +100,12 @@
             Message::Cloud { request, .. } => !matches!(request, CloudRequest::List { .. }),
             _ => false,
         };
-        if !copied || !self.cuts.contains(&Cut::Copies) || !self.rng.random_bool(0.3) {
+        if !copied
+            || !self
+                .active_faults
+                .contains(&ActiveFault::DuplicatedMessages)
+            || !self.rng.random_bool(0.3)
+        {
             return;
         }
         for _ in 0..self.rng.random_range(1..4) {
@@ -94,18 +118,21 @@
             } = &mut copy
             {
                 // Its answer goes to nobody.
-                (*node, *number) = (self.rng.random_range(0..NODES), 0);
-                if self.plan.sabotage == Some(Sabotage::CopiesTrusted) {
+                (*node, *number) = (self.rng.random_range(0..CONTROLLERS), 0);
+                if self.plan.mutation == Some(Mutation::DuplicatesTrusted) {
                     report.seq += 1_000_000;
                 }
             }
-            let after = self.rng.random_range(1_000..3 * self.terms.lease);
-            self.at(self.now + after, Happening::Copy(Box::new(copy)));
+            let after = self.rng.random_range(1_000..3 * self.parameters.lease);
+            self.at(
+                self.now + after,
+                ScheduledEvent::DeliverDuplicate(Box::new(copy)),
+            );
         }
     }
 
     /// Whether a copy of a report is older than what its machine has said since.
-    pub(super) fn note_copy(&mut self, message: &Message) {
+    pub(super) fn record_duplicate(&mut self, message: &Message) {
         let Message::Heartbeat {
             machine, report, ..
         } = message
@@ -115,21 +142,21 @@
         let Some(worker) = self.workers.get(machine).filter(|w| !w.dead) else {
             return;
         };
-        self.met.old_reports += u64::from(worker.has_said_more(report));
-        self.met.old_sessions += u64::from(report.session < worker.session);
+        self.coverage.stale_heartbeats += u64::from(worker.has_sent_newer(report));
+        self.coverage.stale_sessions += u64::from(report.session < worker.session);
     }
 
     /// Sends a message; a cut holds it back until it heals.
-    pub(super) fn send(&mut self, from: Place, to: Place, message: Message) {
+    pub(super) fn send(&mut self, from: Endpoint, to: Endpoint, message: Message) {
         self.copy(&message);
-        if self.is_lost_between_nodes(from, to) {
+        if self.is_lost_on_mesh(from, to) {
             return;
         }
-        let Some(message) = self.as_intercepted(message) else {
+        let Some(message) = self.intercept(message) else {
             return;
         };
         if self.is_lost(from, to) {
-            self.met.unheard += 1;
+            self.coverage.dropped_messages += 1;
             return;
         }
         if self.is_cut(from, to) {
@@ -140,47 +167,51 @@
         if self.rng.random_bool(0.004) {
             delay += self.rng.random_range(50..600);
         }
-        let slow = self.cuts.iter().find_map(|cut| match cut {
-            Cut::Slow(times) => Some(*times),
+        let slow = self.active_faults.iter().find_map(|cut| match cut {
+            ActiveFault::SlowStateService(times) => Some(*times),
             _ => None,
         });
-        if let (Some(times), true) = (slow, from == Place::State || to == Place::State) {
+        if let (Some(times), true) = (slow, from == Endpoint::State || to == Endpoint::State) {
             delay *= times;
         }
-        self.at(self.now + delay, Happening::Deliver(Box::new(message)));
+        self.at(self.now + delay, ScheduledEvent::Deliver(Box::new(message)));
     }
 
     pub(super) fn send_mesh(&mut self, node: usize, other: usize, message: MeshMessage) {
-        let Some(life) = self.nodes[other].as_ref().map(|r| r.life) else {
+        let Some(incarnation) = self.nodes[other].as_ref().map(|r| r.incarnation) else {
             return;
         };
-        let Some(message) = self.as_sabotaged(message) else {
+        let Some(message) = self.as_mutated(message) else {
             return;
         };
         let event = Event::Mesh {
             from: ControllerName::from(format!("n{node}").as_str()),
             message,
         };
-        self.copy_mesh(other, &event);
+        self.duplicate_mesh_event(other, &event);
         let message = Message::Controller {
             node: other,
-            life,
+            incarnation,
             event,
         };
-        self.send(Place::Controller(node), Place::Controller(other), message);
+        self.send(
+            Endpoint::Controller(node),
+            Endpoint::Controller(other),
+            message,
+        );
     }
 
     pub(super) fn time_out(
         &mut self,
         after: u64,
         node: usize,
-        life: u64,
+        incarnation: u64,
         call: CallId,
         event: Event,
     ) {
-        let what = Happening::Timeout {
+        let what = ScheduledEvent::Timeout {
             node,
-            life,
+            incarnation,
             call,
             event: Box::new(event),
         };
@@ -191,25 +222,25 @@
         match message {
             Message::State {
                 node,
-                life,
+                incarnation,
                 call,
                 request,
             } => {
-                self.state_request(node, life, call, request);
+                self.handle_state_request(node, incarnation, call, request);
             }
             Message::Cloud {
                 node,
-                life,
+                incarnation,
                 call,
                 request,
             } => {
-                let reply = if self.cuts.contains(&Cut::Cloud) {
+                let reply = if self.active_faults.contains(&ActiveFault::CloudOutage) {
                     CloudReply::Refused
                 } else {
                     let (reply, gone) = self.cloud.execute(self.now, &request, &mut self.rng);
                     for name in gone {
                         let lives = self.workers.get(&name).is_some_and(|w| !w.dead);
-                        self.released_alive += u64::from(lives);
+                        self.machines_released_alive += u64::from(lives);
                         self.end_machine(&name);
                     }
                     reply
@@ -217,25 +248,33 @@
                 // Now and then the answer is lost.
                 if !self.rng.random_bool(0.02) {
                     let event = Event::Cloud { call, reply };
-                    let message = Message::Controller { node, life, event };
-                    self.send(Place::Cloud, Place::Controller(node), message);
+                    let message = Message::Controller {
+                        node,
+                        incarnation,
+                        event,
+                    };
+                    self.send(Endpoint::Cloud, Endpoint::Controller(node), message);
                 }
             }
-            Message::Controller { node, life, event } => self.node_event(node, life, event),
+            Message::Controller {
+                node,
+                incarnation,
+                event,
+            } => self.node_event(node, incarnation, event),
             Message::Heartbeat {
                 node,
                 machine,
                 number,
                 report,
             } => {
-                let Some(life) = self.nodes[node].as_ref().map(|r| r.life) else {
+                let Some(incarnation) = self.nodes[node].as_ref().map(|r| r.incarnation) else {
                     return;
                 };
                 self.next_ticket += 1;
                 let ticket = self.next_ticket;
-                self.report_tickets
-                    .insert((node, life, ticket), (machine, number));
-                self.feed(node, Event::Heartbeat { ticket, report });
+                self.heartbeat_tickets
+                    .insert((node, incarnation, ticket), (machine, number));
+                self.handle_event(node, Event::Heartbeat { ticket, report });
             }
             Message::HeartbeatResponse {
                 machine,
@@ -243,35 +282,39 @@
                 node,
                 reply,
             } => {
-                self.report_answer(&machine, number, node, reply);
+                self.handle_heartbeat_reply(&machine, number, node, reply);
             }
             Message::Direct {
                 node,
-                life,
+                incarnation,
                 call,
                 machine,
                 body,
             } => {
                 let now = self.now;
                 let from = self.machine(&machine);
-                self.note_told(&machine);
+                self.record_direct_call(&machine);
                 let Some(worker) = self.workers.get_mut(&machine) else {
                     return;
                 };
                 if worker.dead {
                     return;
                 }
-                worker.check_lease(now, self.terms.lease);
-                if self.plan.sabotage == Some(Sabotage::DirectKeepsLease) {
-                    worker.renew_unasked(now);
+                worker.check_lease(now, self.parameters.lease);
+                if self.plan.mutation == Some(Mutation::DirectCommandsRenewLease) {
+                    worker.renew_without_reply(now);
                 }
                 let executed =
                     worker.direct(body.token, body.session, &body.commands, now, &self.jobs);
                 let report = Box::new(worker.report());
                 if executed {
-                    self.takeovers
-                        .told(&machine, body.token, starts(&body.commands), now);
-                    self.note_launch(&machine, &body.commands);
+                    self.failovers.record_contact(
+                        &machine,
+                        body.token,
+                        starts(&body.commands),
+                        now,
+                    );
+                    self.record_launch(&machine, &body.commands);
                 }
                 let event = Event::Worker {
                     call,
@@ -279,25 +322,29 @@
                 };
                 self.send(
                     from,
-                    Place::Controller(node),
-                    Message::Controller { node, life, event },
+                    Endpoint::Controller(node),
+                    Message::Controller {
+                        node,
+                        incarnation,
+                        event,
+                    },
                 );
             }
         }
     }
 
-    pub(super) fn node_event(&mut self, node: usize, life: u64, event: Event) {
+    pub(super) fn node_event(&mut self, node: usize, incarnation: u64, event: Event) {
         let call = match &event {
             Event::State { call, .. } | Event::Cloud { call, .. } | Event::Worker { call, .. } => {
                 Some(*call)
             }
             _ => None,
         };
-        if !self.live(node, life) {
+        if !self.is_running(node, incarnation) {
             return;
         }
-        if call.is_none_or(|call| self.pending.remove(&(node, life, call))) {
-            self.feed(node, event);
+        if call.is_none_or(|call| self.pending_calls.remove(&(node, incarnation, call))) {
+            self.handle_event(node, event);
         }
     }
 }
--- a/crates/simulator/src/world/outgoing.rs
+++ b/crates/simulator/src/world/recording.rs
@@ -19,15 +19,17 @@
     pub fn administer(&mut self, node: usize, request: AdminRequest) {
         self.next_ticket += 1;
         let ticket = self.next_ticket;
-        self.feed(node, Event::Admin { ticket, request });
+        self.handle_event(node, Event::Admin { ticket, request });
     }
 
-    pub(super) fn record(&mut self, node: usize, life: u64, effect: &Effect) {
+    pub(super) fn record(&mut self, node: usize, incarnation: u64, effect: &Effect) {
         let Some(recorder) = &mut self.recorder else {
             return;
         };
         let reporter = match effect {
-            Effect::Heartbeat { ticket, .. } => self.report_tickets.get(&(node, life, *ticket)),
+            Effect::Heartbeat { ticket, .. } => {
+                self.heartbeat_tickets.get(&(node, incarnation, *ticket))
+            }
             _ => None,
         };
         let machine = reporter.map(|(machine, _)| machine.as_str());
--- a/crates/simulator/src/world/site.rs
+++ b/crates/simulator/src/world/site.rs
@@ -1,22 +1,22 @@
 //! A site's sizes, times and settings.
 
-use super::plan::Sabotage;
+use super::scenario::Mutation;
 
-pub(super) const NODES: usize = 3;
+pub(super) const CONTROLLERS: usize = 3;
 
 /// Puts and deletes a second that the state service takes, by the size of the site.
-const SMALL_WRITES: f64 = 40.0;
+const SMALL_SITE_WRITES_PER_SECOND: f64 = 40.0;
 
-const GROWN_WRITES: f64 = 20.0;
+const LARGE_SITE_WRITES_PER_SECOND: f64 = 20.0;
 
-const FLEET_WRITES: f64 = 70.0;
+const FLEET_WRITES_PER_SECOND: f64 = 70.0;
 
 /// From this size on a site has a fleet's allowances and times.
-pub(super) const FLEET: u64 = 100;
+pub(super) const FLEET_SIZE: u64 = 100;
 
 /// Times of the workers, in ms, and what the state service takes a second.
 #[derive(Debug, Clone, Copy)]
-pub(super) struct Terms {
+pub(super) struct SiteParameters {
     pub(super) report: u64,
     pub(super) lease: u64,
     pub(super) cancel: u64,
@@ -31,14 +31,14 @@
     pub(super) large: u64,
 }
 
-impl Terms {
+impl SiteParameters {
     pub(super) fn of(size: u64) -> Self {
-        let small = Terms {
+        let small = SiteParameters {
             report: 2_000,
             lease: 10_000,
             cancel: 30_000,
             rps: 400.0,
-            write_rps: SMALL_WRITES,
+            write_rps: SMALL_SITE_WRITES_PER_SECOND,
             step: 50,
             longer: 1,
             often: 4,
@@ -47,16 +47,16 @@
         match size {
             0..=1 => small,
             // A grown site is allowed no more than a small one.
-            2..FLEET => Terms {
-                write_rps: GROWN_WRITES,
+            2..FLEET_SIZE => SiteParameters {
+                write_rps: LARGE_SITE_WRITES_PER_SECOND,
                 ..small
             },
-            _ => Terms {
+            _ => SiteParameters {
                 report: 5_000,
                 lease: 26_500,
                 cancel: 56_500,
                 rps: 700.0,
-                write_rps: FLEET_WRITES,
+                write_rps: FLEET_WRITES_PER_SECOND,
                 step: 200,
                 longer: 4,
                 often: 8,
@@ -66,9 +66,9 @@
     }
 }
 
-pub(super) fn settings(node: usize, sabotage: Option<Sabotage>, size: u64) -> String {
+pub(super) fn settings(node: usize, mutation: Option<Mutation>, size: u64) -> String {
     let zone = |n: usize| if n == 1 { "b" } else { "a" };
-    let peers: String = (0..NODES)
+    let peers: String = (0..CONTROLLERS)
         .filter(|n| *n != node)
         .map(|n| {
             format!(
@@ -84,23 +84,23 @@
         })
         .chain(["[[settings.teams]]\nname = \"guest\"\ncpus = 0.0\ncpus_max = 0.0\n".to_owned()])
         .collect();
-    let Terms {
+    let SiteParameters {
         report,
         lease,
         cancel,
         rps,
         write_rps,
         ..
-    } = Terms::of(size);
+    } = SiteParameters::of(size);
     let value_kb = if size > 1 { 4 } else { 1 };
     let seconds = |ms: u64| ms as f64 / 1_000.0;
     let report = seconds(report);
-    let lease = if sabotage == Some(Sabotage::ShortLease) {
+    let lease = if mutation == Some(Mutation::ShortLease) {
         1.0
     } else {
         seconds(lease)
     };
-    let cancel = if sabotage == Some(Sabotage::LongCancel) {
+    let cancel = if mutation == Some(Mutation::LongCancel) {
         300.0
     } else {
         seconds(cancel)
--- a/crates/simulator/src/world/state.rs
+++ b/crates/simulator/src/world/state_service.rs
@@ -44,23 +44,38 @@
 }
 
 impl World {
-    pub(super) fn state_answer(&mut self, node: usize, life: u64, call: CallId, reply: StateReply) {
-        self.note_read(node, &reply);
+    pub(super) fn send_state_reply(
+        &mut self,
+        node: usize,
+        incarnation: u64,
+        call: CallId,
+        reply: StateReply,
+    ) {
+        self.record_changes_read(node, &reply);
         let event = Event::State { call, reply };
-        let message = Message::Controller { node, life, event };
-        self.send(Place::State, Place::Controller(node), message);
+        let message = Message::Controller {
+            node,
+            incarnation,
+            event,
+        };
+        self.send(Endpoint::State, Endpoint::Controller(node), message);
     }
 
-    pub(super) fn state_request(
+    pub(super) fn handle_state_request(
         &mut self,
         node: usize,
-        life: u64,
+        incarnation: u64,
         call: CallId,
         mut request: StateRequest,
     ) {
         self.requests += 1;
         if self.refuses(node) {
-            self.state_answer(node, life, call, StateReply::Refused { throttled: false });
+            self.send_state_reply(
+                node,
+                incarnation,
+                call,
+                StateReply::Refused { throttled: false },
+            );
             return;
         }
         if let StateRequest::Watch {
@@ -69,63 +84,67 @@
             wait_ms,
         } = &request
         {
-            if *wait_ms == 0 && self.plan.sabotage == Some(Sabotage::FreshReadsOld) {
+            if *wait_ms == 0 && self.plan.mutation == Some(Mutation::StaleFreshReads) {
                 let nothing = Changes {
                     revision: *after,
                     events: Vec::new(),
                 };
-                self.state_answer(node, life, call, StateReply::Changes(nothing));
+                self.send_state_reply(node, incarnation, call, StateReply::Changes(nothing));
                 return;
             }
             match self.state.changes(prefix, *after) {
-                Some(reply) => self.state_answer(node, life, call, reply),
+                Some(reply) => self.send_state_reply(node, incarnation, call, reply),
                 None => {
                     self.watches
-                        .push((node, life, call, prefix.clone(), *after));
-                    let what = Happening::WatchEnds { node, life, call };
+                        .push((node, incarnation, call, prefix.clone(), *after));
+                    let what = ScheduledEvent::WatchTimeout {
+                        node,
+                        incarnation,
+                        call,
+                    };
                     self.at(self.now + wait_ms, what);
                 }
             }
             return;
         }
-        if self.is_late(node, life, &request) {
+        if self.delays_transaction(node, incarnation, &request) {
             return;
         }
-        let lost = self.loses_answer(&request);
+        let lost = self.loses_reply(&request);
         let mut pretend = false;
         if let StateRequest::Transaction(txn) = &mut request {
             let page = |w: &Write| matches!(w, Write::Put { put, .. } if put.starts_with("l/"));
-            match self.plan.sabotage {
-                Some(Sabotage::PredecessorsForgotten) => forget_predecessors(&mut txn.writes),
-                Some(Sabotage::EndsIgnoreCancellations) => {
+            match self.plan.mutation {
+                Some(Mutation::PredecessorsForgotten) => forget_predecessors(&mut txn.writes),
+                Some(Mutation::TerminalStatesIgnoreCancellations) => {
                     txn.conditions
                         .retain(|c| !c.key.starts_with("s/x/") || !writes_end(&txn.writes));
                 }
-                Some(Sabotage::RoundsNotWritten) => pretend = txn.writes.iter().any(page),
-                Some(Sabotage::LostNotCarriedOut) => pretend = lost,
-                Some(Sabotage::NoFencing) => {
+                Some(Mutation::LogCommitsNotWritten) => pretend = txn.writes.iter().any(page),
+                Some(Mutation::LostRepliesNotApplied) => pretend = lost,
+                Some(Mutation::NoFencing) => {
                     txn.conditions
                         .retain(|c| !c.key.starts_with("s/p/") && !c.key.starts_with("l/"));
                 }
                 _ => {}
             }
         }
-        let reply = self.carry_out_state(node, &request, pretend);
-        if self.plan.sabotage == Some(Sabotage::EndsNotWritten) {
+        let reply = self.apply_state_request(node, &request, pretend);
+        if self.plan.mutation == Some(Mutation::TerminalStatesNotWritten) {
             self.state.lose("f/");
             self.state.lose("s/e/");
         }
         // Now and then the answer is lost, although the request was executed.
         if lost && !pretend {
-            self.note_lost_answer(node, &reply);
+            self.record_lost_reply(node, &reply);
         } else if !self.rng.random_bool(0.003) {
-            self.state_answer(node, life, call, reply);
+            self.send_state_reply(node, incarnation, call, reply);
         }
         self.answer_watches();
     }
 
     /// Executes a request and notes which partitions it moves.
-    fn carry_out_state(
+    fn apply_state_request(
         &mut self,
         node: usize,
         request: &StateRequest,
@@ -134,44 +153,54 @@
         let records = holders_written(request);
         let before: Vec<Option<String>> = records
             .iter()
-            .map(|(p, _)| self.holder(*p).map(str::to_owned))
+            .map(|(p, _)| self.leader(*p).map(str::to_owned))
             .collect();
         let reply = if pretend {
             StateReply::Committed { revision: 0 }
-        } else if self.is_read_late(request) {
-            self.older.execute(self.now, request)
+        } else if self.reads_stale_log(request) {
+            self.stale_state.execute(self.now, request)
         } else {
             self.state.execute(self.now, request)
         };
         if let StateReply::Committed { .. } = reply {
             for ((partition, term), before) in records.into_iter().zip(before) {
-                let living = self.living_of(partition);
-                self.next_holder_begins(&living, partition);
-                self.takeovers
-                    .taken(partition, before.as_deref(), term, living, self.now);
+                let living = self.living_machines_of(partition);
+                self.deliver_to_new_leader(&living, partition);
+                self.failovers.record_acquisition(
+                    partition,
+                    before.as_deref(),
+                    term,
+                    living,
+                    self.now,
+                );
             }
             if matches!(request, StateRequest::Transaction(_)) {
-                self.carried_out[node] += 1;
+                self.transactions_applied[node] += 1;
             }
         }
         reply
     }
 
     /// Whether a transaction gets no answer and is carried out later, if there are such at present.
-    fn is_late(&mut self, node: usize, life: u64, request: &StateRequest) -> bool {
+    fn delays_transaction(
+        &mut self,
+        node: usize,
+        incarnation: u64,
+        request: &StateRequest,
+    ) -> bool {
         let StateRequest::Transaction(txn) = request else {
             return false;
         };
-        let percent = self.cuts.iter().find_map(|cut| match cut {
-            Cut::LateWrites(percent) => Some(*percent),
+        let percent = self.active_faults.iter().find_map(|cut| match cut {
+            ActiveFault::DelayedTransactions(percent) => Some(*percent),
             _ => None,
         });
         let late = percent.is_some_and(|p| self.rng.random_range(0..100) < p);
         if late {
-            let newer_than = self.carried_out[node];
-            let what = Happening::LateWrite {
+            let newer_than = self.transactions_applied[node];
+            let what = ScheduledEvent::ApplyDelayedTransaction {
                 node,
-                life,
+                incarnation,
                 newer_than,
                 txn: txn.clone(),
             };
@@ -182,45 +211,50 @@
     }
 
     /// A late transaction is carried out.
-    pub(super) fn late_write(
+    pub(super) fn apply_delayed_transaction(
         &mut self,
         node: usize,
-        life: u64,
+        incarnation: u64,
         newer_than: u64,
         mut txn: Transaction,
     ) {
         if self.outage() {
             return;
         }
-        if self.plan.sabotage == Some(Sabotage::LateUnconditional) {
+        if self.plan.mutation == Some(Mutation::DelayedWritesUnconditional) {
             txn.conditions.clear();
         }
-        let newer = self.carried_out[node] > newer_than;
+        let newer = self.transactions_applied[node] > newer_than;
         let writes = !txn.writes.is_empty();
-        let reply = self.carry_out_state(node, &StateRequest::Transaction(txn), false);
+        let reply = self.apply_state_request(node, &StateRequest::Transaction(txn), false);
         if writes && matches!(reply, StateReply::Committed { .. }) {
-            self.met.late_writes += 1;
-            self.met.late_after_newer += u64::from(newer);
-            self.met.late_of_the_dead += u64::from(!self.live(node, life));
+            self.coverage.delayed_writes += 1;
+            self.coverage.delayed_writes_after_newer += u64::from(newer);
+            self.coverage.delayed_writes_of_crashed +=
+                u64::from(!self.is_running(node, incarnation));
         } else if writes {
-            self.met.late_and_void += 1;
+            self.coverage.delayed_writes_rejected += 1;
         }
         self.answer_watches();
     }
 
     /// Whether a read of the ledger gets what was there some seconds before.
-    pub(super) fn is_read_late(&mut self, request: &StateRequest) -> bool {
+    pub(super) fn reads_stale_log(&mut self, request: &StateRequest) -> bool {
         let ledger =
             matches!(request, StateRequest::List { prefix, .. } if prefix.starts_with("l/"));
-        ledger && self.plan.sabotage == Some(Sabotage::OldLedger) && self.rng.random_bool(0.7)
+        ledger
+            && self.plan.mutation == Some(Mutation::StalePlacementLog)
+            && self.rng.random_bool(0.7)
     }
 
     pub(super) fn answer_watches(&mut self) {
         let watches = std::mem::take(&mut self.watches);
-        for (node, life, call, prefix, after) in watches {
+        for (node, incarnation, call, prefix, after) in watches {
             match self.state.changes(&prefix, after) {
-                Some(reply) if !self.refuses(node) => self.state_answer(node, life, call, reply),
-                _ => self.watches.push((node, life, call, prefix, after)),
+                Some(reply) if !self.refuses(node) => {
+                    self.send_state_reply(node, incarnation, call, reply)
+                }
+                _ => self.watches.push((node, incarnation, call, prefix, after)),
             }
         }
     }
