--- a/crates/simulator/src/world/odd_requests.rs
+++ b/crates/simulator/src/world/unusual_requests.rs
@@ -4,16 +4,16 @@
 use super::*;
 
 /// Pause between two odd requests, in ms.
-const ODD_PAUSE: std::ops::Range<u64> = 100..500;
+const UNUSUAL_REQUEST_INTERVAL_MS: std::ops::Range<u64> = 100..500;
 /// Pause between two jobs of one task.
-const ONE_TASK_PAUSE: u64 = 250;
+const ONE_TASK_JOB_INTERVAL_MS: u64 = 250;
 /// Share of the jobs of one task that is cancelled, and after how many ms.
-const ONE_TASK_CANCELLED: f64 = 0.25;
-const ONE_TASK_CANCEL: std::ops::Range<u64> = 50..12_000;
+const ONE_TASK_CANCEL_PROBABILITY: f64 = 0.25;
+const ONE_TASK_CANCEL_DELAY_MS: std::ops::Range<u64> = 50..12_000;
 
 /// How an odd submission has to be refused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum Refusal {
+pub(super) enum ExpectedRejection {
     /// 400: a field is missing.
     Malformed,
     /// 422: the job can never run.
@@ -22,8 +22,8 @@
 
 impl World {
     /// One odd request, and the next one later.
-    pub(super) fn odd_request(&mut self) {
-        if !self.cuts.contains(&Cut::OddRequests) {
+    pub(super) fn unusual_request(&mut self) {
+        if !self.active_faults.contains(&ActiveFault::UnusualRequests) {
             return;
         }
         match self.rng.random_range(0..4) {
@@ -32,8 +32,8 @@
             2 => self.submit_unfit(),
             _ => self.submit_incomplete(),
         }
-        let pause = self.rng.random_range(ODD_PAUSE);
-        self.at(self.now + pause, Happening::OddRequest);
+        let pause = self.rng.random_range(UNUSUAL_REQUEST_INTERVAL_MS);
+        self.at(self.now + pause, ScheduledEvent::SendUnusualRequest);
     }
 
     fn any_of(&mut self, ids: Vec<String>) -> Option<String> {
@@ -49,17 +49,17 @@
         let Some(job) = self.jobs.get(&id).cloned() else {
             return;
         };
-        self.met.repeated_unfinished += 1;
-        self.ask(UserRequest::Submit(Box::new(job)), id, LAST_TRY);
+        self.coverage.repeated_unfinished += 1;
+        self.send_request(UserRequest::Submit(Box::new(job)), id, MAX_ATTEMPTS);
     }
 
     /// Nobody expects it to be called cancelled, so that it doesn't count as asked for.
     fn cancel_done(&mut self) {
-        let done = self.rules.done_told.keys().cloned().collect();
+        let done = self.rules.done_confirmed.keys().cloned().collect();
         let Some(id) = self.any_of(done) else { return };
         let Some(job) = JobId::parse(&id) else { return };
-        self.met.cancelled_done += 1;
-        self.ask(UserRequest::Cancel(job), id, LAST_TRY);
+        self.coverage.cancelled_done += 1;
+        self.send_request(UserRequest::Cancel(job), id, MAX_ATTEMPTS);
     }
 
     fn submit_unfit(&mut self) {
@@ -73,9 +73,10 @@
             5 => (job.kind, job.tasks) = (JobKind::Gang, 1_000 * self.plan.size),
             _ => (job.kind, job.tasks) = (JobKind::Service, 1_000 * self.plan.size),
         }
-        self.odd_jobs.insert(job.id.clone(), Refusal::NeverRuns);
+        self.invalid_jobs
+            .insert(job.id.clone(), ExpectedRejection::NeverRuns);
         let id = job.id.clone();
-        self.ask(UserRequest::Submit(Box::new(job)), id, 0);
+        self.send_request(UserRequest::Submit(Box::new(job)), id, 0);
     }
 
     /// A submission without one of its fields, read as the server reads it.
@@ -90,52 +91,69 @@
             return;
         };
         let removed = body.remove(&field);
-        if self.plan.sabotage == Some(Sabotage::MissingFieldsFilled) {
+        if self.plan.mutation == Some(Mutation::MissingFieldsFilled) {
             body.extend(removed.map(|value| (field, value)));
         }
-        self.odd_jobs.insert(id.clone(), Refusal::Malformed);
+        self.invalid_jobs
+            .insert(id.clone(), ExpectedRejection::Malformed);
         match serde_json::from_value(serde_json::Value::Object(body)) {
-            Ok(job) => self.ask(UserRequest::Submit(Box::new(job)), id, 0),
+            Ok(job) => self.send_request(UserRequest::Submit(Box::new(job)), id, 0),
             // The server answers 400 before any node sees it.
-            Err(_) => self.refused_odd(id, Refusal::Malformed),
+            Err(_) => self.record_rejection_of_invalid_job(id, ExpectedRejection::Malformed),
         }
     }
 
     /// An answer about an odd job: it has to be refused in the right way, and is unknown for ever.
-    pub(super) fn odd_answer(&mut self, asked: Asked, expected: Refusal, reply: UserReply) {
-        let Asked {
+    pub(super) fn check_invalid_job_reply(
+        &mut self,
+        asked: PendingRequest,
+        expected: ExpectedRejection,
+        reply: UserReply,
+    ) {
+        let PendingRequest {
             request, id, tries, ..
         } = asked;
         match reply {
             UserReply::Created(_) | UserReply::Status(_) => {
                 let what = format!("{id}, {expected:?}: {reply:?}");
-                self.rules.broke("accepted_invalid", what, self.now);
+                self.rules
+                    .record_violation("accepted_invalid", what, self.now);
+            }
+            UserReply::Invalid(_) => self.check_refusal(id, expected, ExpectedRejection::Malformed),
+            UserReply::Rejected(_) => {
+                self.check_refusal(id, expected, ExpectedRejection::NeverRuns)
             }
-            UserReply::Invalid(_) => self.check_refusal(id, expected, Refusal::Malformed),
-            UserReply::Rejected(_) => self.check_refusal(id, expected, Refusal::NeverRuns),
             UserReply::NotFound => {}
-            UserReply::Busy { retry_after_s } => self.ask_again(request, id, tries, retry_after_s),
+            UserReply::Busy { retry_after_s } => {
+                self.retry_request(request, id, tries, retry_after_s)
+            }
         }
     }
 
-    fn check_refusal(&mut self, id: String, expected: Refusal, refusal: Refusal) {
+    fn check_refusal(
+        &mut self,
+        id: String,
+        expected: ExpectedRejection,
+        refusal: ExpectedRejection,
+    ) {
         if refusal == expected {
-            self.refused_odd(id, refusal);
+            self.record_rejection_of_invalid_job(id, refusal);
         } else {
             let what = format!("{id} is refused as {refusal:?}, not {expected:?}");
-            self.rules.broke("refused_wrongly", what, self.now);
+            self.rules
+                .record_violation("refused_wrongly", what, self.now);
         }
     }
 
     /// What was refused is asked about at every node.
-    fn refused_odd(&mut self, id: String, refusal: Refusal) {
+    fn record_rejection_of_invalid_job(&mut self, id: String, refusal: ExpectedRejection) {
         match refusal {
-            Refusal::Malformed => self.met.refused_malformed += 1,
-            Refusal::NeverRuns => self.met.refused_unfit += 1,
+            ExpectedRejection::Malformed => self.coverage.rejected_malformed += 1,
+            ExpectedRejection::NeverRuns => self.coverage.rejected_unschedulable += 1,
         }
         let Some(job) = JobId::parse(&id) else { return };
-        for node in 0..NODES {
-            let what = Happening::Look {
+        for node in 0..CONTROLLERS {
+            let what = ScheduledEvent::SendFollowUp {
                 node,
                 request: UserRequest::Get(job),
                 id: id.clone(),
@@ -151,18 +169,21 @@
 
     /// One job of one task, and the next one later.
     pub(super) fn one_task_job(&mut self) {
-        if !self.cuts.contains(&Cut::OneTaskJobs) {
+        if !self.active_faults.contains(&ActiveFault::OneTaskJobs) {
             return;
         }
         let job = self.one_task();
         let id = job.id.clone();
-        self.met.one_task_jobs += 1;
+        self.coverage.one_task_jobs += 1;
         self.submit_job(job);
-        if self.rng.random_bool(ONE_TASK_CANCELLED) {
-            let after = self.rng.random_range(ONE_TASK_CANCEL);
-            self.at(self.now + after, Happening::Cancel { id });
+        if self.rng.random_bool(ONE_TASK_CANCEL_PROBABILITY) {
+            let after = self.rng.random_range(ONE_TASK_CANCEL_DELAY_MS);
+            self.at(self.now + after, ScheduledEvent::CancelJob { id });
         }
-        self.at(self.now + ONE_TASK_PAUSE, Happening::OneTaskJob);
+        self.at(
+            self.now + ONE_TASK_JOB_INTERVAL_MS,
+            ScheduledEvent::SubmitOneTaskJob,
+        );
     }
 
     fn any_team(&mut self) -> String {
@@ -201,7 +222,7 @@
         let id = job.id.clone();
         self.jobs.insert(id.clone(), job.clone());
         self.submitted.insert(id.clone(), self.now);
-        self.ask(UserRequest::Submit(Box::new(job)), id.clone(), 0);
-        self.at(self.now + 4_000, Happening::Poll { id });
+        self.send_request(UserRequest::Submit(Box::new(job)), id.clone(), 0);
+        self.at(self.now + 4_000, ScheduledEvent::PollStatus { id });
     }
 }
--- a/crates/simulator/tests/combined_faults.rs
+++ b/crates/simulator/tests/combined_faults.rs
@@ -3,7 +3,7 @@
 
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
-use simulator::{for_seeds, Boots, Fault, Met, Plan, Sabotage, World};
+use simulator::{for_seeds, BootBehavior, Fault, FaultCoverage, Mutation, Plan, World};
 
 fn plan(seed: u64, ms: u64, faults: Vec<(u64, Fault)>) -> Plan {
     Plan::of_long_tasks(seed, ms, faults)
@@ -16,7 +16,7 @@
 /// Runs to the end. Whatever broke is named with the run that broke it.
 fn to_the_end(world: &mut World, said: &str) {
     world.run();
-    assert_eq!(world.rules.broken, [], "{said}");
+    assert_eq!(world.rules.violations, [], "{said}");
 }
 
 /// After the refusal, in ms: the cancellations, the outage.
@@ -43,7 +43,7 @@
 ];
 
 /// The `nth` time of each: a holder is refused, another node cancels, everybody is refused.
-fn refused_then_out(holder: usize, nth: usize) -> (u64, Vec<(u64, Fault)>) {
+fn refused_then_out(leader: usize, nth: usize) -> (u64, Vec<(u64, Fault)>) {
     let (cancelled, out) = TIMES[nth];
     let refused = 50_000 + 37 * nth as u64;
     // It ends inside the outage, or long after it.
@@ -52,19 +52,19 @@
     } else {
         90_000
     };
-    let through = (holder + 1 + nth % 2) % 3;
+    let through = (leader + 1 + nth % 2) % 3;
     let faults = vec![
         (
             refused,
-            Fault::Refuse {
-                node: Some(holder),
+            Fault::RefuseStateRequests {
+                node: Some(leader),
                 ms,
             },
         ),
-        (refused + cancelled, Fault::CancelAll { through }),
+        (refused + cancelled, Fault::CancelAllJobs { through }),
         (
             refused + out,
-            Fault::Refuse {
+            Fault::RefuseStateRequests {
                 node: None,
                 ms: 45_000,
             },
@@ -72,8 +72,8 @@
         // Nobody tells it what was cancelled.
         (
             refused,
-            Fault::CutMesh {
-                node: holder,
+            Fault::DisconnectMesh {
+                node: leader,
                 ms: ms * (nth as u64 % 3).min(1),
             },
         ),
@@ -86,54 +86,54 @@
 /// for everybody, for longer than `cancel_s`.
 #[test]
 fn state_outage_after_refused_leader_and_cancellation_elsewhere_keeps_cancel_deadline() {
-    let (mut met, mut moved) = (0, 0);
-    for holder in 0..3 {
+    let (mut coverage, mut moved) = (0, 0);
+    for leader in 0..3 {
         for (nth, (cancelled, out)) in TIMES.into_iter().enumerate() {
-            let seed = 100 * holder as u64 + nth as u64;
-            let (refused, faults) = refused_then_out(holder, nth);
-            let said = format!("holder {holder}, {cancelled} and {out} ms after the refusal");
+            let seed = 100 * leader as u64 + nth as u64;
+            let (refused, faults) = refused_then_out(leader, nth);
+            let said = format!("holder {leader}, {cancelled} and {out} ms after the refusal");
             let mut world = site(seed, 160_000, faults);
             world.run_to(refused - 1);
-            let name = format!("n{holder}");
+            let name = format!("n{leader}");
             assert_eq!(
-                world.holder(holder as u32),
+                world.leader(leader as u32),
                 Some(&*name),
                 "{said}: it was the holder"
             );
             world.run_to(refused + out);
             // Confirmed by now, and their tasks are on machines of the refused holder.
-            met += world.cancelled_and_there(holder as u32);
-            moved += u32::from(world.holder(holder as u32) != Some(&*name));
+            coverage += world.cancelled_tasks_present(leader as u32);
+            moved += u32::from(world.leader(leader as u32) != Some(&*name));
             to_the_end(&mut world, &said);
         }
     }
     assert!(
-        met >= 100 && moved >= 9,
-        "{met} tasks of cancelled jobs, {moved} partitions moved"
+        coverage >= 100 && moved >= 9,
+        "{coverage} tasks of cancelled jobs, {moved} partitions moved"
     );
 }
 
 /// A holder is refused alone and hears none of the others, who cancel all that there is.
-fn gap(holder: usize) -> Vec<(u64, Fault)> {
+fn gap(leader: usize) -> Vec<(u64, Fault)> {
     vec![
         (
             50_000,
-            Fault::Refuse {
-                node: Some(holder),
+            Fault::RefuseStateRequests {
+                node: Some(leader),
                 ms: 70_000,
             },
         ),
         (
             50_000,
-            Fault::CutMesh {
-                node: holder,
+            Fault::DisconnectMesh {
+                node: leader,
                 ms: 70_000,
             },
         ),
         (
             50_100,
-            Fault::CancelAll {
-                through: (holder + 1) % 3,
+            Fault::CancelAllJobs {
+                through: (leader + 1) % 3,
             },
         ),
     ]
@@ -145,13 +145,13 @@
     let partition = home as u32;
     world.run_to(50_000);
     assert_eq!(
-        world.holder(partition),
+        world.leader(partition),
         Some(&*name),
         "{said}: it was the holder"
     );
     let moved = (50_000..70_000).find(|at| {
         world.run_to(*at);
-        world.holder(partition).is_some_and(|by| by != name)
+        world.leader(partition).is_some_and(|by| by != name)
     });
     moved.unwrap_or_else(|| panic!("{said}: a successor takes it"))
 }
@@ -161,70 +161,70 @@
 /// tasks that it did not know for as long as a holder may that knows all.
 #[test]
 fn state_outage_between_failover_record_and_placement_log_keeps_cancel_deadline() {
-    let mut met = 0;
+    let mut coverage = 0;
     for (nth, after) in [0, 2, 4, 6, 10, 15, 20, 40, 80, 150]
         .into_iter()
         .enumerate()
     {
-        for holder in 0..3 {
-            let seed = 300 + 10 * holder as u64 + nth as u64;
+        for leader in 0..3 {
+            let seed = 300 + 10 * leader as u64 + nth as u64;
             // With a slow service the ledger takes longer to read.
-            let mut faults = gap(holder);
+            let mut faults = gap(leader);
             if nth % 2 == 1 {
                 faults.push((
                     52_000,
-                    Fault::SlowState {
+                    Fault::SlowStateService {
                         times: 30,
                         ms: 60_000,
                     },
                 ));
             }
-            let said = format!("holder {holder}, {after} ms after its successor's record");
+            let said = format!("holder {leader}, {after} ms after its successor's record");
             let mut world = site(seed, 160_000, faults);
-            let partition = holder as u32;
-            let moved = to_the_successor(&mut world, holder, &said);
+            let partition = leader as u32;
+            let moved = to_the_successor(&mut world, leader, &said);
             world.run_to(moved + after);
-            met += world.cancelled_and_there(partition);
-            world.begin(Fault::Refuse {
+            coverage += world.cancelled_tasks_present(partition);
+            world.begin(Fault::RefuseStateRequests {
                 node: None,
                 ms: 45_000,
             });
             to_the_end(&mut world, &said);
         }
     }
-    assert!(met >= 30, "{met} tasks of cancelled jobs");
+    assert!(coverage >= 30, "{coverage} tasks of cancelled jobs");
 }
 
 /// The checker tells where a successor answers without the halts.
 #[test]
 fn checker_detects_successor_that_renews_without_kills() {
     let caught = (0..12).any(|nth| {
-        let holder = nth % 3;
-        let mut faults = gap(holder);
+        let leader = nth % 3;
+        let mut faults = gap(leader);
         faults.push((
             52_000,
-            Fault::SlowState {
+            Fault::SlowStateService {
                 times: 30,
                 ms: 60_000,
             },
         ));
         let plan = plan(300 + nth as u64, 160_000, faults);
         let mut world = World::new(Plan {
-            sabotage: Some(Sabotage::AnswersWithoutHalts),
+            mutation: Some(Mutation::RepliesWithoutKills),
             ..plan
         });
-        let moved = to_the_successor(&mut world, holder, "sabotaged");
+        let moved = to_the_successor(&mut world, leader, "sabotaged");
         world.run_to(moved + 20);
-        world.begin(Fault::Refuse {
+        world.begin(Fault::RefuseStateRequests {
             node: None,
             ms: 45_000,
         });
         world.run();
         world
             .rules
-            .broken
+            .violations
             .iter()
-            .any(|broken| broken.rule == "ran_cancelled")
+            .any(|violations| violations.rule == "ran_cancelled")
     });
     assert!(caught);
 }
@@ -234,48 +234,48 @@
     let faults = vec![
         (
             48_000,
-            Fault::Unreached {
+            Fault::DropMessagesToMachines {
                 count: 6,
                 ms: 8_000 + seed * 4_000,
             },
         ),
         (
             48_500,
-            Fault::CutMachine {
+            Fault::DisconnectMachine {
                 nth: seed as usize,
                 ms: 9_000 + seed * 2_000,
             },
         ),
         (
             49_000,
-            Fault::UnreachedZone {
+            Fault::DropMessagesToZone {
                 ms: 7_000 + seed * 1_000,
             },
         ),
         (
             50_000,
-            Fault::Crash {
+            Fault::CrashController {
                 node: seed as usize % 3,
                 back: 100 + seed * 900,
             },
         ),
         (
             52_000,
-            Fault::CancelAll {
+            Fault::CancelAllJobs {
                 through: (seed as usize + 1) % 3,
             },
         ),
-        (90_000, Fault::Burst { jobs: 12 }),
+        (90_000, Fault::JobBurst { jobs: 12 }),
         (
             110_000,
-            Fault::Unreached {
+            Fault::DropMessagesToMachines {
                 count: 8,
                 ms: 30_000,
             },
         ),
         (
             112_000,
-            Fault::Crash {
+            Fault::CrashController {
                 node: (seed as usize + 1) % 3,
                 back: 6_000,
             },
@@ -287,20 +287,20 @@
 /// A leader ends while machines with long tasks can't be reached, or don't hear the new leader's answer.
 #[test]
 fn leader_crash_with_machines_unreachable_for_successor_keeps_rules() {
-    let mut met = Met::default();
+    let mut coverage = FaultCoverage::default();
     for seed in 1..=8 {
         let faults = unheard(seed);
         let mut world = site(seed, 220_000, faults);
         to_the_end(&mut world, &format!("unheard successor, seed {seed}"));
-        met.unheard += world.met.unheard;
+        coverage.dropped_messages += world.coverage.dropped_messages;
         let taken = world
-            .takeovers
+            .failovers
             .list
             .iter()
-            .any(|t| t.taken_at.is_some() && t.machines > 0);
+            .any(|t| t.acquired_at.is_some() && t.machines > 0);
         assert!(taken, "seed {seed}: a successor had machines to find");
     }
-    assert!(met.unheard > 200, "{met:?}");
+    assert!(coverage.dropped_messages > 200, "{coverage:?}");
 }
 
 /// Machines hang or are cut off for most of their lease, with work to be started and cancelled.
@@ -308,12 +308,12 @@
     let ms = 3_000 + seed * 650;
     let mut faults = Vec::new();
     for at in [30_000, 45_000, 60_000, 75_000] {
-        faults.push((at, Fault::HangMany { count: 5, ms }));
-        faults.push((at + 40, Fault::Burst { jobs: 10 }));
+        faults.push((at, Fault::HangMachines { count: 5, ms }));
+        faults.push((at + 40, Fault::JobBurst { jobs: 10 }));
         for nth in 0..4 {
             faults.push((
                 at + 100,
-                Fault::CutMachine {
+                Fault::DisconnectMachine {
                     nth: nth * 3,
                     ms: ms + 500,
                 },
@@ -321,14 +321,14 @@
         }
         faults.push((
             at + 1_200,
-            Fault::CancelAll {
+            Fault::CancelAllJobs {
                 through: seed as usize % 3,
             },
         ));
         // Nothing more can be written: no token can be raised.
         faults.push((
             at + 1_700,
-            Fault::Refuse {
+            Fault::RefuseStateRequests {
                 node: None,
                 ms: 6_000,
             },
@@ -341,15 +341,15 @@
 /// cancel what they were to start, and the machine goes on.
 #[test]
 fn delayed_commands_of_cancelled_jobs_keep_cancel_deadline() {
-    let mut met = 0;
+    let mut coverage = 0;
     for seed in 1..=10 {
         let faults = held_up(seed);
         let mut world = site(seed, 160_000, faults);
         world.run_to(76_600);
-        met += world.rules.cancelled_told.len();
+        coverage += world.rules.cancel_confirmed.len();
         to_the_end(&mut world, &format!("held up, seed {seed}"));
     }
-    assert!(met > 100, "{met} jobs were cancelled meanwhile");
+    assert!(coverage > 100, "{coverage} jobs were cancelled meanwhile");
 }
 
 /// A holder without state and peers, whose successor reaches the workers or does not.
@@ -358,7 +358,7 @@
     let mut faults = vec![
         (
             50_000,
-            Fault::Blind {
+            Fault::DisconnectStateAndMesh {
                 node,
                 ms: 60_000,
                 refused: seed.is_multiple_of(2),
@@ -366,14 +366,14 @@
         ),
         (
             56_000 + seed * 300,
-            Fault::CancelAll {
+            Fault::CancelAllJobs {
                 through: (node + 1) % 3,
             },
         ),
         // In half of the runs nobody is there to tell it afterwards either.
         (
             57_000 + seed * 300,
-            Fault::Refuse {
+            Fault::RefuseStateRequests {
                 node: None,
                 ms: 40_000 * (seed / 2 % 2),
             },
@@ -384,7 +384,7 @@
         for other in (0..3).filter(|other| *other != node) {
             faults.push((
                 50_000,
-                Fault::CutWorkers {
+                Fault::DisconnectWorkers {
                     node: other,
                     ms: 50_000,
                 },
@@ -398,19 +398,19 @@
 /// and jobs are cancelled through the new one.
 #[test]
 fn cancel_through_successor_of_isolated_leader_keeps_rules() {
-    let mut met = 0;
+    let mut coverage = 0;
     for seed in 0..12 {
         let (faults, node) = (blind(seed), seed as usize % 3);
         let said = format!("blind leader, seed {seed}");
         let mut world = site(seed, 160_000, faults);
         to_the_successor(&mut world, node, &said);
         world.run_to(56_990 + seed * 300);
-        met += world.cancelled_and_there(node as u32);
+        coverage += world.cancelled_tasks_present(node as u32);
         to_the_end(&mut world, &said);
     }
     assert!(
-        met > 10,
-        "{met} tasks of cancelled jobs were there when their cancellation was told"
+        coverage > 10,
+        "{coverage} tasks of cancelled jobs were there when their cancellation was told"
     );
 }
 
@@ -420,41 +420,41 @@
     let faults = vec![
         (
             40_000,
-            Fault::SlowState {
+            Fault::SlowStateService {
                 times: 10 * seed,
                 ms: 80_000,
             },
         ),
-        (45_000, Fault::Questions { ms: 60_000 }),
+        (45_000, Fault::StatusRequestStorm { ms: 60_000 }),
         (
             50_000,
-            Fault::Refuse {
+            Fault::RefuseStateRequests {
                 node: Some(node),
                 ms: 20_000,
             },
         ),
         (
             50_000,
-            Fault::CutMesh {
+            Fault::DisconnectMesh {
                 node,
                 ms: 40_000 * (seed % 2),
             },
         ),
         (
             50_500,
-            Fault::CancelAll {
+            Fault::CancelAllJobs {
                 through: (node + 1) % 3,
             },
         ),
         (
             51_000 + seed * 400,
-            Fault::CancelAll {
+            Fault::CancelAllJobs {
                 through: (node + 2) % 3,
             },
         ),
         (
             51_600 + seed * 400,
-            Fault::Refuse {
+            Fault::RefuseStateRequests {
                 node: None,
                 ms: 45_000,
             },
@@ -467,15 +467,18 @@
 /// `cancel_s`, while users cancel and ask.
 #[test]
 fn slow_state_service_refusing_leader_then_all_keeps_rules() {
-    let mut met = 0;
+    let mut coverage = 0;
     for seed in 1..=9 {
         let faults = slow_and_out(seed);
         let mut world = site(seed, 170_000, faults);
         world.run_to(51_599 + seed * 400);
-        met += world.rules.cancelled_told.len();
+        coverage += world.rules.cancel_confirmed.len();
         to_the_end(&mut world, &format!("slow and refused, seed {seed}"));
     }
-    assert!(met > 60, "{met} jobs were cancelled before the outage");
+    assert!(
+        coverage > 60,
+        "{coverage} jobs were cancelled before the outage"
+    );
 }
 
 /// One end of a holder after the other, with late transactions.
@@ -484,7 +487,7 @@
         let back = [80, 700, 6_000][n as usize % 3];
         (
             30_000 + n * 11_000 + seed * 97,
-            Fault::Crash {
+            Fault::CrashController {
                 node: n as usize % 3,
                 back,
             },
@@ -493,23 +496,23 @@
     let late = [
         (
             30_000,
-            Fault::LateWrites {
+            Fault::DelayTransactions {
                 percent: 15,
                 ms: 90_000,
             },
         ),
-        (55_000, Fault::KillMany { count: 1 }),
-        (85_000, Fault::KillMany { count: 1 }),
+        (55_000, Fault::CrashMachines { count: 1 }),
+        (85_000, Fault::CrashMachines { count: 1 }),
     ];
     let faults = vec![
         (
             0,
-            Fault::Long {
+            Fault::LongTasks {
                 times: 8,
                 ms: 100_000,
             },
         ),
-        (2_000, Fault::Burst { jobs: 24 }),
+        (2_000, Fault::JobBurst { jobs: 24 }),
     ];
     faults.into_iter().chain(ends).chain(late).collect()
 }
@@ -517,14 +520,14 @@
 /// Jobs of two or three tasks end far apart across changes of leader: done neither too early nor never.
 #[test]
 fn small_jobs_complete_exactly_once_across_leader_changes() {
-    let mut met = 0;
+    let mut coverage = 0;
     for seed in 1..=6 {
         let faults = ends_and_late_writes(seed);
         let plan = Plan {
             seed,
             ms: 700_000,
             faults,
-            sabotage: None,
+            mutation: None,
             submit_ms: 60_000,
             size: 1,
         };
@@ -532,34 +535,40 @@
         to_the_end(&mut world, &format!("small jobs, seed {seed}"));
         assert_eq!(world.unfinished(), Vec::<String>::new(), "seed {seed}");
         let small = |id: &&String| world.job(id).is_some_and(|j| (2..=3).contains(&j.tasks));
-        met += world.rules.done_told.keys().filter(small).count();
+        coverage += world.rules.done_confirmed.keys().filter(small).count();
     }
-    assert!(met > 40, "{met} jobs of two or three tasks were done");
+    assert!(
+        coverage > 40,
+        "{coverage} jobs of two or three tasks were done"
+    );
 }
 
 /// Copies of reports, lapsed leases, new holders.
-fn old_reports(seed: u64) -> Vec<(u64, Fault)> {
+fn stale_heartbeats(seed: u64) -> Vec<(u64, Fault)> {
     let faults = vec![
-        (20_000, Fault::Copies { ms: 110_000 }),
+        (20_000, Fault::DuplicateMessages { ms: 110_000 }),
         (
             50_000,
-            Fault::Unreached {
+            Fault::DropMessagesToMachines {
                 count: 4,
                 ms: 15_000,
             },
         ),
         (
             60_000,
-            Fault::Refuse {
+            Fault::RefuseStateRequests {
                 node: None,
                 ms: 32_000,
             },
         ),
-        (61_000 + seed * 100, Fault::Crash { node: 0, back: 300 }),
-        (95_000, Fault::Crash { node: 1, back: 200 }),
-        (96_000, Fault::CancelAll { through: 2 }),
-        (110_000, Fault::Burst { jobs: 10 }),
-        (118_000, Fault::Crash { node: 2, back: 100 }),
+        (
+            61_000 + seed * 100,
+            Fault::CrashController { node: 0, back: 300 },
+        ),
+        (95_000, Fault::CrashController { node: 1, back: 200 }),
+        (96_000, Fault::CancelAllJobs { through: 2 }),
+        (110_000, Fault::JobBurst { jobs: 10 }),
+        (118_000, Fault::CrashController { node: 2, back: 100 }),
     ];
     faults
 }
@@ -568,49 +577,52 @@
 /// holder hears.
 #[test]
 fn reordered_heartbeats_change_no_outcome() {
-    let mut met = Met::default();
+    let mut coverage = FaultCoverage::default();
     for seed in 1..=8 {
-        let faults = old_reports(seed);
+        let faults = stale_heartbeats(seed);
         let mut world = site(seed, 220_000, faults);
         to_the_end(&mut world, &format!("old reports, seed {seed}"));
-        met.old_reports += world.met.old_reports;
-        met.old_sessions += world.met.old_sessions;
+        coverage.stale_heartbeats += world.coverage.stale_heartbeats;
+        coverage.stale_sessions += world.coverage.stale_sessions;
     }
-    assert!(met.old_reports > 500 && met.old_sessions > 50, "{met:?}");
+    assert!(
+        coverage.stale_heartbeats > 500 && coverage.stale_sessions > 50,
+        "{coverage:?}"
+    );
 }
 
 /// Late transactions, ends and cuts.
-fn late_writes(seed: u64) -> Vec<(u64, Fault)> {
+fn delayed_writes(seed: u64) -> Vec<(u64, Fault)> {
     let node = seed as usize % 3;
     let faults = vec![
         (
             5_000,
-            Fault::LateWrites {
+            Fault::DelayTransactions {
                 percent: 10 + 5 * (seed % 5),
                 ms: 130_000,
             },
         ),
-        (40_000, Fault::Crash { node, back: 100 }),
+        (40_000, Fault::CrashController { node, back: 100 }),
         (
             60_000,
-            Fault::Crash {
+            Fault::CrashController {
                 node: (node + 1) % 3,
                 back: 3_000,
             },
         ),
-        (75_000, Fault::CutWorkers { node, ms: 20_000 }),
-        (80_000, Fault::CancelAll { through: node }),
-        (85_000, Fault::Burst { jobs: 10 }),
+        (75_000, Fault::DisconnectWorkers { node, ms: 20_000 }),
+        (80_000, Fault::CancelAllJobs { through: node }),
+        (85_000, Fault::JobBurst { jobs: 10 }),
         (
             100_000,
-            Fault::CutState {
+            Fault::DisconnectStateService {
                 node: (node + 2) % 3,
                 ms: 9_000,
             },
         ),
         (
             120_000,
-            Fault::Crash {
+            Fault::CrashController {
                 node: (node + 2) % 3,
                 back: 700,
             },
@@ -623,25 +635,27 @@
 /// that controller's end.
 #[test]
 fn delayed_transactions_keep_rules() {
-    let mut met = Met::default();
+    let mut coverage = FaultCoverage::default();
     for seed in 1..=12 {
-        let faults = late_writes(seed);
+        let faults = delayed_writes(seed);
         let mut world = site(seed, 220_000, faults);
         to_the_end(&mut world, &format!("late writes, seed {seed}"));
-        met.late_writes += world.met.late_writes;
-        met.late_after_newer += world.met.late_after_newer;
-        met.late_of_the_dead += world.met.late_of_the_dead;
-        met.late_and_void += world.met.late_and_void;
+        coverage.delayed_writes += world.coverage.delayed_writes;
+        coverage.delayed_writes_after_newer += world.coverage.delayed_writes_after_newer;
+        coverage.delayed_writes_of_crashed += world.coverage.delayed_writes_of_crashed;
+        coverage.delayed_writes_rejected += world.coverage.delayed_writes_rejected;
     }
-    let Met {
-        late_after_newer,
-        late_of_the_dead,
-        late_and_void,
+    let FaultCoverage {
+        delayed_writes_after_newer,
+        delayed_writes_of_crashed,
+        delayed_writes_rejected,
         ..
-    } = met;
+    } = coverage;
     assert!(
-        late_after_newer > 6 && late_of_the_dead > 0 && late_and_void > 100,
-        "{met:?}"
+        delayed_writes_after_newer > 6
+            && delayed_writes_of_crashed > 0
+            && delayed_writes_rejected > 100,
+        "{coverage:?}"
     );
 }
 
@@ -649,7 +663,7 @@
 fn over_and_back(seed: u64) -> Vec<(u64, Fault)> {
     let mut faults = vec![(
         50_000,
-        Fault::LateWrites {
+        Fault::DelayTransactions {
             percent: 10,
             ms: 60_000,
         },
@@ -659,16 +673,19 @@
         let node = (n + seed) as usize % 3;
         faults.push((
             at,
-            Fault::Crash {
+            Fault::CrashController {
                 node,
                 back: 60 + seed * 80,
             },
         ));
         // Back, and gone again as its partition comes home.
-        faults.push((at + 2_000 + seed * 150, Fault::Crash { node, back: 900 }));
+        faults.push((
+            at + 2_000 + seed * 150,
+            Fault::CrashController { node, back: 900 },
+        ));
         faults.push((
             at + 6_000,
-            Fault::CancelAll {
+            Fault::CancelAllJobs {
                 through: (node + 1) % 3,
             },
         ));
@@ -676,10 +693,10 @@
             let back = if other == node { 50 + seed * 90 } else { 4_000 };
             faults.push((
                 at + 7_000 + other as u64 * 30,
-                Fault::Crash { node: other, back },
+                Fault::CrashController { node: other, back },
             ));
         }
-        faults.push((at + 9_000, Fault::Burst { jobs: 6 }));
+        faults.push((at + 9_000, Fault::JobBurst { jobs: 6 }));
     }
     faults
 }
@@ -687,15 +704,15 @@
 /// Controllers hand over and back, all end, and one returns, also within a second.
 #[test]
 fn failover_failback_and_crash_of_all_with_one_restart_keeps_rules() {
-    let mut met = 0;
+    let mut coverage = 0;
     for seed in 1..=10 {
         let faults = over_and_back(seed);
         let mut world = site(seed, 220_000, faults);
         to_the_end(&mut world, &format!("over and back, seed {seed}"));
-        let terms: Vec<u64> = world.takeovers.list.iter().map(|t| t.term).collect();
-        met += terms.iter().filter(|term| **term > 0).count();
+        let terms: Vec<u64> = world.failovers.list.iter().map(|t| t.term).collect();
+        coverage += terms.iter().filter(|term| **term > 0).count();
     }
-    assert!(met > 100, "{met} partitions were taken");
+    assert!(coverage > 100, "{coverage} partitions were taken");
 }
 
 /// Somebody else writes to a ledger page, so that a holder's round fails and can't be proved. It read its pages
@@ -709,35 +726,35 @@
         let mut faults = vec![
             (
                 spoilt,
-                Fault::SpoilPage {
+                Fault::CorruptLogPage {
                     partition,
                     ms: 3_000,
                 },
             ),
             (
                 spoilt + 600,
-                Fault::CancelAll {
+                Fault::CancelAllJobs {
                     through: (seed as usize + 2) % 3,
                 },
             ),
             (
                 spoilt + 4_000,
-                Fault::CancelAll {
+                Fault::CancelAllJobs {
                     through: (seed as usize + 1) % 3,
                 },
             ),
         ];
         // Room, and a round for each page of the ring, so that one of them meets the page that is spoilt.
-        faults.extend((1..=7).map(|nth| (spoilt + 500 * nth, Fault::Burst { jobs: 10 })));
+        faults.extend((1..=7).map(|nth| (spoilt + 500 * nth, Fault::JobBurst { jobs: 10 })));
         let mut world = site(seed, 160_000, faults);
         world.run_to(spoilt - 1);
         let before = world.term(partition);
         assert!(
-            world.holder(partition) == Some(&*name) && before.is_some(),
+            world.leader(partition) == Some(&*name) && before.is_some(),
             "seed {seed}"
         );
         world.run_to(spoilt + 15_000);
-        assert_eq!(world.holder(partition), Some(&*name), "seed {seed}");
+        assert_eq!(world.leader(partition), Some(&*name), "seed {seed}");
         assert!(world.term(partition) > before, "seed {seed}: {before:?}");
         to_the_end(&mut world, &format!("a page is spoilt, seed {seed}"));
     }
@@ -746,105 +763,111 @@
 /// Every trouble that troubles are made of, for the table of pairs.
 fn kinds(node: usize, ms: u64) -> Vec<(&'static str, Fault)> {
     vec![
-        ("ended", Fault::Crash { node, back: 200 }),
-        ("no state", Fault::CutState { node, ms }),
+        ("ended", Fault::CrashController { node, back: 200 }),
+        ("no state", Fault::DisconnectStateService { node, ms }),
         (
             "refused",
-            Fault::Refuse {
+            Fault::RefuseStateRequests {
                 node: Some(node),
                 ms,
             },
         ),
         (
             "state out",
-            Fault::Refuse {
+            Fault::RefuseStateRequests {
                 node: None,
                 ms: ms + 22_000,
             },
         ),
-        ("state slow", Fault::SlowState { times: 40, ms }),
-        ("no workers", Fault::CutWorkers { node, ms }),
-        ("no peers", Fault::CutMesh { node, ms }),
+        ("state slow", Fault::SlowStateService { times: 40, ms }),
+        ("no workers", Fault::DisconnectWorkers { node, ms }),
+        ("no peers", Fault::DisconnectMesh { node, ms }),
         (
             "blind",
-            Fault::Blind {
+            Fault::DisconnectStateAndMesh {
                 node,
                 ms,
                 refused: false,
             },
         ),
-        ("isolated", Fault::Isolate { node, ms }),
-        ("frozen", Fault::Freeze { node, ms }),
-        ("zones apart", Fault::CutZones { ms }),
-        ("zone cut", Fault::CutZone { ms }),
-        ("machines cut", Fault::CutMachine { nth: node, ms }),
+        ("isolated", Fault::IsolateController { node, ms }),
+        ("frozen", Fault::PauseController { node, ms }),
+        ("zones apart", Fault::PartitionZones { ms }),
+        ("zone cut", Fault::IsolateZone { ms }),
+        ("machines cut", Fault::DisconnectMachine { nth: node, ms }),
         (
             "hanging",
-            Fault::HangMany {
+            Fault::HangMachines {
                 count: 5,
                 ms: ms.min(9_500),
             },
         ),
-        ("deaf", Fault::Unreached { count: 5, ms }),
-        ("dead", Fault::KillMany { count: 3 }),
-        ("late writes", Fault::LateWrites { percent: 20, ms }),
-        ("late copies", Fault::Copies { ms }),
+        ("deaf", Fault::DropMessagesToMachines { count: 5, ms }),
+        ("dead", Fault::CrashMachines { count: 3 }),
+        ("late writes", Fault::DelayTransactions { percent: 20, ms }),
+        ("late copies", Fault::DuplicateMessages { ms }),
         ("cloud out", Fault::CloudOutage { ms }),
         (
             "cancelled",
-            Fault::CancelAll {
+            Fault::CancelAllJobs {
                 through: (node + 1) % 3,
             },
         ),
         (
             "page spoilt",
-            Fault::SpoilPage {
+            Fault::CorruptLogPage {
                 partition: node as u32,
                 ms: ms.min(5_000),
             },
         ),
-        ("mute", Fault::Mute { count: 5, ms }),
-        ("answers lost", Fault::LostAnswers { percent: 30, ms }),
-        ("kept copies", Fault::KeptCopies { percent: 30, ms }),
-        ("held reports", Fault::HeldReports { percent: 30, ms }),
-        ("late commands", Fault::LateCommands { percent: 50, ms }),
+        ("mute", Fault::RefuseMachineConnections { count: 5, ms }),
+        (
+            "answers lost",
+            Fault::DropTransactionReplies { percent: 30, ms },
+        ),
+        ("kept copies", Fault::ReplayHeartbeats { percent: 30, ms }),
+        ("held reports", Fault::HoldHeartbeats { percent: 30, ms }),
+        ("late commands", Fault::DelayCommands { percent: 50, ms }),
         (
             "one way",
-            Fault::OneWay {
+            Fault::OneWayMeshPartition {
                 from: node,
                 to: (node + 1) % 3,
                 ms,
             },
         ),
-        ("mesh copies", Fault::MeshCopies { percent: 30, ms }),
+        (
+            "mesh copies",
+            Fault::DuplicateMeshMessages { percent: 30, ms },
+        ),
         (
             "quick boots",
-            Fault::Boots {
-                how: Boots::Quick,
+            Fault::ChangeBootBehavior {
+                how: BootBehavior::Quick,
                 ms,
             },
         ),
         ("slow links", Fault::SlowLinks { times: 60, ms }),
         (
             "state slow for long",
-            Fault::SlowState {
+            Fault::SlowStateService {
                 times: 15 + ms % 26,
                 ms: ms + 50_000,
             },
         ),
-        ("close looks", Fault::CloseLooks { ms }),
+        ("close looks", Fault::FollowUpRequests { ms }),
         (
             "cancelled at the end",
-            Fault::CancelAtEnd { percent: 60, ms },
+            Fault::CancelAtCompletion { percent: 60, ms },
         ),
         (
             "cancelled and hanging",
-            Fault::CancelNow {
+            Fault::CancelRunningJobs {
                 count: 8,
                 hang_ms: ms.min(9_500),
             },
         ),
-        ("odd requests", Fault::OddRequests { ms }),
+        ("odd requests", Fault::UnusualRequests { ms }),
         ("one-task jobs", Fault::OneTaskJobs { ms }),
     ]
 }
@@ -871,12 +894,12 @@
         (45_000 + after, b),
         (
             45_000 + after + 300,
-            Fault::CancelAll {
+            Fault::CancelAllJobs {
                 through: (node + 2) % 3,
             },
         ),
-        (85_000, Fault::Burst { jobs: 6 }),
-        (2_000, Fault::CloseLooks { ms: looks }),
+        (85_000, Fault::JobBurst { jobs: 6 }),
+        (2_000, Fault::FollowUpRequests { ms: looks }),
     ];
     let plan = plan(nth, 170_000, faults);
     let mut world = World::new(Plan {
@@ -933,53 +956,58 @@
         "went_back",
         "forgotten",
     ];
-    type Meeting<'a> = (
+    type ScenarioCase<'a> = (
         &'a str,
         &'a (dyn Fn(u64) -> Vec<(u64, Fault)> + Sync),
-        Sabotage,
+        Mutation,
         &'a [&'a str],
     );
-    let meetings: [Meeting; 9] = [
-        ("refused, then out", &first, Sabotage::LongCancel, &long),
-        ("unheard", &unheard, Sabotage::ShortLease, &doubled),
-        ("held up", &held_up, Sabotage::ShortLease, &doubled),
-        ("blind", &blind, Sabotage::LongCancel, &long),
-        ("slow and out", &slow_and_out, Sabotage::LongCancel, &long),
+    let scenarios: [ScenarioCase; 9] = [
+        ("refused, then out", &first, Mutation::LongCancel, &long),
+        ("unheard", &unheard, Mutation::ShortLease, &doubled),
+        ("held up", &held_up, Mutation::ShortLease, &doubled),
+        ("blind", &blind, Mutation::LongCancel, &long),
+        ("slow and out", &slow_and_out, Mutation::LongCancel, &long),
         (
             "small jobs",
             &ends_and_late_writes,
-            Sabotage::RoundsNotWritten,
+            Mutation::LogCommitsNotWritten,
+            &lost,
+        ),
+        (
+            "old reports",
+            &stale_heartbeats,
+            Mutation::DuplicatesTrusted,
             &lost,
         ),
-        ("old reports", &old_reports, Sabotage::CopiesTrusted, &lost),
         (
             "late writes",
-            &late_writes,
-            Sabotage::LateUnconditional,
+            &delayed_writes,
+            Mutation::DelayedWritesUnconditional,
             &lost,
         ),
         (
             "over and back",
             &over_and_back,
-            Sabotage::RoundsNotWritten,
+            Mutation::LogCommitsNotWritten,
             &lost,
         ),
     ];
     let untold = std::sync::Mutex::new(Vec::new());
-    for_seeds(meetings.len() as u64, |nth| {
-        let (name, faults, sabotage, rules) = meetings[nth as usize - 1];
+    for_seeds(scenarios.len() as u64, |nth| {
+        let (name, faults, mutation, rules) = scenarios[nth as usize - 1];
         let told = (1..=20).any(|seed| {
             let plan = plan(seed, 220_000, faults(seed));
             let mut world = World::new(Plan {
-                sabotage: Some(sabotage),
+                mutation: Some(mutation),
                 ..plan
             });
             world.run();
             world
                 .rules
-                .broken
+                .violations
                 .iter()
-                .any(|broken| rules.contains(&broken.rule))
+                .any(|violations| rules.contains(&violations.rule))
         });
         if !told {
             untold.lock().expect("no run has panicked").push(name);
--- a/crates/simulator/tests/combined_machine_faults.rs
+++ b/crates/simulator/tests/combined_machine_faults.rs
@@ -3,7 +3,7 @@
 //! change. One test a meeting, on the deciding code in the simulated world; each asserts that its meeting has
 //! come about, and one runs all of them again with a safety step broken on purpose.
 
-use simulator::{for_seeds, Boots, Fault, Met, Plan, Sabotage, World};
+use simulator::{for_seeds, BootBehavior, Fault, FaultCoverage, Mutation, Plan, World};
 
 /// Length of each run.
 const MS: u64 = 220_000;
@@ -12,7 +12,7 @@
 fn whole_run(name: &str, seed: u64, faults: Vec<(u64, Fault)>) -> World {
     let mut world = World::new(Plan::of_long_tasks(seed, MS, faults));
     world.run();
-    assert_eq!(world.rules.broken, [], "{name}, seed {seed}");
+    assert_eq!(world.rules.violations, [], "{name}, seed {seed}");
     world
 }
 
@@ -21,16 +21,16 @@
     name: &str,
     seeds: u64,
     faults: impl Fn(u64) -> Vec<(u64, Fault)> + Sync,
-    add: impl Fn(&mut Met, &World) + Sync,
-) -> Met {
-    let met = std::sync::Mutex::new(Met::default());
+    add: impl Fn(&mut FaultCoverage, &World) + Sync,
+) -> FaultCoverage {
+    let coverage = std::sync::Mutex::new(FaultCoverage::default());
     for_seeds(seeds, |seed| {
         let world = whole_run(name, seed, faults(seed));
-        add(&mut met.lock().expect("no run has panicked"), &world);
+        add(&mut coverage.lock().expect("no run has panicked"), &world);
     });
-    let met = met.into_inner().expect("no run has panicked");
-    println!("{name}: {met:?}");
-    met
+    let coverage = coverage.into_inner().expect("no run has panicked");
+    println!("{name}: {coverage:?}");
+    coverage
 }
 
 /// Transactions are carried out at once and only their answers are lost, while leaders end and jobs are
@@ -40,38 +40,38 @@
     vec![
         (
             5_000,
-            Fault::LostAnswers {
+            Fault::DropTransactionReplies {
                 percent: 20 + 10 * (seed % 4),
                 ms: 130_000,
             },
         ),
-        (40_000, Fault::Crash { node, back: 100 }),
+        (40_000, Fault::CrashController { node, back: 100 }),
         (
             55_000 + seed * 130,
-            Fault::CancelAll {
+            Fault::CancelAllJobs {
                 through: (node + 1) % 3,
             },
         ),
         (
             55_300 + seed * 130,
-            Fault::Refuse {
+            Fault::RefuseStateRequests {
                 node: Some(node),
                 ms: 6_000,
             },
         ),
-        (62_000, Fault::Burst { jobs: 10 }),
+        (62_000, Fault::JobBurst { jobs: 10 }),
         (
             66_000,
-            Fault::Crash {
+            Fault::CrashController {
                 node: (node + 1) % 3,
                 back: 3_000,
             },
         ),
-        (80_000, Fault::KillMany { count: 2 }),
-        (100_000, Fault::CancelAll { through: node }),
+        (80_000, Fault::CrashMachines { count: 2 }),
+        (100_000, Fault::CancelAllJobs { through: node }),
         (
             100_200,
-            Fault::Crash {
+            Fault::CrashController {
                 node: (node + 2) % 3,
                 back: 700,
             },
@@ -81,11 +81,14 @@
 
 #[test]
 fn applied_transaction_with_lost_reply_keeps_rules() {
-    let met = whole_runs("answers lost", 10, answers_lost, |met, world| {
-        met.lost_answers += world.met.lost_answers;
-        met.lost_and_read += world.met.lost_and_read;
+    let coverage = whole_runs("answers lost", 10, answers_lost, |coverage, world| {
+        coverage.lost_replies += world.coverage.lost_replies;
+        coverage.lost_replies_read_elsewhere += world.coverage.lost_replies_read_elsewhere;
     });
-    assert!(met.lost_answers > 500 && met.lost_and_read > 300, "{met:?}");
+    assert!(
+        coverage.lost_replies > 500 && coverage.lost_replies_read_elsewhere > 300,
+        "{coverage:?}"
+    );
 }
 
 /// When the leader ends as machines have just come up.
@@ -96,14 +99,14 @@
     let mut faults = vec![
         (
             0,
-            Fault::Boots {
-                how: Boots::Quick,
+            Fault::ChangeBootBehavior {
+                how: BootBehavior::Quick,
                 ms: 200_000,
             },
         ),
         (
             30_000,
-            Fault::LateWrites {
+            Fault::DelayTransactions {
                 percent: 25,
                 ms: 100_000,
             },
@@ -111,18 +114,18 @@
     ];
     for (nth, at) in QUICK_ENDS.into_iter().enumerate() {
         let node = (nth + seed as usize) % 3;
-        faults.push((at - 4_000, Fault::KillMany { count: 5 }));
-        faults.push((at - 3_900, Fault::Burst { jobs: 16 }));
+        faults.push((at - 4_000, Fault::CrashMachines { count: 5 }));
+        faults.push((at - 3_900, Fault::JobBurst { jobs: 16 }));
         faults.push((
             at + seed * 170,
-            Fault::Crash {
+            Fault::CrashController {
                 node,
                 back: 100 + seed * 400,
             },
         ));
         faults.push((
             at + seed * 170 + 1_500,
-            Fault::CancelAll {
+            Fault::CancelAllJobs {
                 through: (node + 1) % 3,
             },
         ));
@@ -132,20 +135,20 @@
 
 #[test]
 fn fast_machine_boot_during_slow_writes_and_leader_crash_keeps_rules() {
-    let met = whole_runs("quick boots", 10, quick_boots, |met, world| {
-        met.young_launches += world.met.young_launches;
-        met.late_after_newer += world.met.late_after_newer;
+    let coverage = whole_runs("quick boots", 10, quick_boots, |coverage, world| {
+        coverage.launches_on_new_machines += world.coverage.launches_on_new_machines;
+        coverage.delayed_writes_after_newer += world.coverage.delayed_writes_after_newer;
         let taken = world
-            .takeovers
+            .failovers
             .list
             .iter()
-            .filter(|t| t.taken_at.is_some())
+            .filter(|t| t.acquired_at.is_some())
             .count();
         assert!(taken > 0, "a leader ended");
     });
     assert!(
-        met.young_launches > 40 && met.late_after_newer > 5,
-        "{met:?}"
+        coverage.launches_on_new_machines > 40 && coverage.delayed_writes_after_newer > 5,
+        "{coverage:?}"
     );
 }
 
@@ -155,43 +158,46 @@
     vec![
         (
             20_000,
-            Fault::KeptCopies {
+            Fault::ReplayHeartbeats {
                 percent: 25,
                 ms: 140_000,
             },
         ),
         (
             40_000,
-            Fault::Unreached {
+            Fault::DropMessagesToMachines {
                 count: 5,
                 ms: 15_000,
             },
         ),
-        (58_000 + seed * 110, Fault::Crash { node, back: 300 }),
+        (
+            58_000 + seed * 110,
+            Fault::CrashController { node, back: 300 },
+        ),
         (
             60_000,
-            Fault::Refuse {
+            Fault::RefuseStateRequests {
                 node: None,
                 ms: 32_000,
             },
         ),
         (
             96_000,
-            Fault::Crash {
+            Fault::CrashController {
                 node: (node + 1) % 3,
                 back: 200,
             },
         ),
         (
             97_000,
-            Fault::CancelAll {
+            Fault::CancelAllJobs {
                 through: (node + 2) % 3,
             },
         ),
-        (110_000, Fault::Burst { jobs: 10 }),
+        (110_000, Fault::JobBurst { jobs: 10 }),
         (
             118_000 + seed * 70,
-            Fault::Crash {
+            Fault::CrashController {
                 node: (node + 2) % 3,
                 back: 100,
             },
@@ -201,56 +207,56 @@
 
 #[test]
 fn stale_heartbeat_at_start_of_new_leader_changes_nothing() {
-    let met = whole_runs("kept copies", 10, kept_copies, |met, world| {
-        met.old_at_begin += world.met.old_at_begin;
-        met.old_sessions_at_begin += world.met.old_sessions_at_begin;
+    let coverage = whole_runs("kept copies", 10, kept_copies, |coverage, world| {
+        coverage.stale_heartbeats_at_failover += world.coverage.stale_heartbeats_at_failover;
+        coverage.stale_sessions_at_failover += world.coverage.stale_sessions_at_failover;
     });
     assert!(
-        met.old_at_begin > 500 && met.old_sessions_at_begin > 50,
-        "{met:?}"
+        coverage.stale_heartbeats_at_failover > 500 && coverage.stale_sessions_at_failover > 50,
+        "{coverage:?}"
     );
 }
 
 /// Reports are held back as a leader ends, and come when its successor has acted.
-fn held_reports(seed: u64) -> Vec<(u64, Fault)> {
+fn held_heartbeats(seed: u64) -> Vec<(u64, Fault)> {
     let mut faults = Vec::new();
     for (nth, at) in [45_000, 70_000, 95_000].into_iter().enumerate() {
         let node = (nth + seed as usize) % 3;
         faults.push((
             at,
-            Fault::HeldReports {
+            Fault::HoldHeartbeats {
                 percent: 75,
                 ms: 8_000,
             },
         ));
-        faults.push((at + 200, Fault::Burst { jobs: 16 }));
+        faults.push((at + 200, Fault::JobBurst { jobs: 16 }));
         let crash = at + 1_000 + seed * 140;
         faults.push((
             crash,
-            Fault::Crash {
+            Fault::CrashController {
                 node,
                 back: 200 + seed * 600,
             },
         ));
         // Work for the successor to start before the reports come.
-        faults.push((crash + 2_000, Fault::Burst { jobs: 12 }));
+        faults.push((crash + 2_000, Fault::JobBurst { jobs: 12 }));
         faults.push((
             crash + 3_000,
-            Fault::CancelAll {
+            Fault::CancelAllJobs {
                 through: (node + 1) % 3,
             },
         ));
-        faults.push((crash + 3_500, Fault::Burst { jobs: 12 }));
+        faults.push((crash + 3_500, Fault::JobBurst { jobs: 12 }));
     }
     faults
 }
 
 #[test]
 fn delayed_heartbeat_after_first_actions_of_new_leader_keeps_rules() {
-    let met = whole_runs("held reports", 10, held_reports, |met, world| {
-        met.held_reports += world.met.held_reports;
+    let coverage = whole_runs("held reports", 10, held_heartbeats, |coverage, world| {
+        coverage.held_heartbeats += world.coverage.held_heartbeats;
     });
-    assert!(met.held_reports > 200, "{met:?}");
+    assert!(coverage.held_heartbeats > 200, "{coverage:?}");
 }
 
 /// Machines can't open connections, for less and for more than a lease, and leaders end meanwhile.
@@ -261,37 +267,37 @@
     vec![
         (
             45_000,
-            Fault::Mute {
+            Fault::RefuseMachineConnections {
                 count,
                 ms: 5_000 + seed * 2_500,
             },
         ),
-        (45_500, Fault::Burst { jobs: 8 }),
+        (45_500, Fault::JobBurst { jobs: 8 }),
         (
             47_000 + seed * 250,
-            Fault::Crash {
+            Fault::CrashController {
                 node,
                 back: 100 + seed * 700,
             },
         ),
         (
             52_000,
-            Fault::CancelAll {
+            Fault::CancelAllJobs {
                 through: (node + 1) % 3,
             },
         ),
-        (85_000, Fault::Burst { jobs: 10 }),
+        (85_000, Fault::JobBurst { jobs: 10 }),
         (
             90_000,
-            Fault::Mute {
+            Fault::RefuseMachineConnections {
                 count: 8,
                 ms: 30_000,
             },
         ),
-        (91_000 + seed * 300, Fault::CancelAll { through: node }),
+        (91_000 + seed * 300, Fault::CancelAllJobs { through: node }),
         (
             93_000,
-            Fault::Refuse {
+            Fault::RefuseStateRequests {
                 node: None,
                 ms: 20_000,
             },
@@ -301,33 +307,36 @@
 
 #[test]
 fn direct_commands_to_machines_without_outgoing_connections_keep_rules() {
-    let met = whole_runs("mute", 10, mute, |met, world| {
-        met.mute += world.met.mute;
-        met.mute_and_told += world.met.mute_and_told;
+    let coverage = whole_runs("mute", 10, mute, |coverage, world| {
+        coverage.refused_connections += world.coverage.refused_connections;
+        coverage.direct_calls_while_refusing += world.coverage.direct_calls_while_refusing;
     });
-    assert!(met.mute > 1_000 && met.mute_and_told > 200, "{met:?}");
+    assert!(
+        coverage.refused_connections > 1_000 && coverage.direct_calls_while_refusing > 200,
+        "{coverage:?}"
+    );
 }
 
 /// Direct commands are held up as their leaders end, are deposed, or lose sight of what is cancelled.
-fn late_commands(seed: u64) -> Vec<(u64, Fault)> {
+fn delayed_commands(seed: u64) -> Vec<(u64, Fault)> {
     let mut faults = vec![(
         30_000,
-        Fault::LateCommands {
+        Fault::DelayCommands {
             percent: 80,
             ms: 110_000,
         },
     )];
     for (nth, at) in [40_000, 70_000, 100_000].into_iter().enumerate() {
         let node = (nth + seed as usize) % 3;
-        faults.push((at, Fault::KillMany { count: 2 }));
-        faults.push((at, Fault::Burst { jobs: 8 }));
+        faults.push((at, Fault::CrashMachines { count: 2 }));
+        faults.push((at, Fault::JobBurst { jobs: 8 }));
         let ends = if (seed + nth as u64).is_multiple_of(2) {
-            Fault::Crash {
+            Fault::CrashController {
                 node,
                 back: 200 + seed * 300,
             }
         } else {
-            Fault::Blind {
+            Fault::DisconnectStateAndMesh {
                 node,
                 ms: 25_000,
                 refused: seed.is_multiple_of(3),
@@ -336,35 +345,35 @@
         faults.push((at + 800 + seed * 210, ends));
         faults.push((
             at + 5_000,
-            Fault::CancelAll {
+            Fault::CancelAllJobs {
                 through: (node + 1) % 3,
             },
         ));
-        faults.push((at + 9_000, Fault::Burst { jobs: 6 }));
+        faults.push((at + 9_000, Fault::JobBurst { jobs: 6 }));
     }
     faults
 }
 
 #[test]
 fn delayed_command_of_former_leader_is_fenced_after_failover() {
-    let met = whole_runs("late commands", 12, late_commands, |met, world| {
-        met.late_commands += world.met.late_commands;
-        met.late_commands_void += world.met.late_commands_void;
-        met.late_commands_of_the_dead += world.met.late_commands_of_the_dead;
-        met.late_commands_of_the_deposed += world.met.late_commands_of_the_deposed;
+    let coverage = whole_runs("late commands", 12, delayed_commands, |coverage, world| {
+        coverage.delayed_commands += world.coverage.delayed_commands;
+        coverage.delayed_commands_rejected += world.coverage.delayed_commands_rejected;
+        coverage.delayed_commands_of_crashed += world.coverage.delayed_commands_of_crashed;
+        coverage.delayed_commands_of_deposed += world.coverage.delayed_commands_of_deposed;
     });
     assert!(
-        met.late_commands > 50 && met.late_commands_void > 50,
-        "{met:?}"
+        coverage.delayed_commands > 50 && coverage.delayed_commands_rejected > 50,
+        "{coverage:?}"
     );
-    let Met {
-        late_commands_of_the_dead,
-        late_commands_of_the_deposed,
+    let FaultCoverage {
+        delayed_commands_of_crashed,
+        delayed_commands_of_deposed,
         ..
-    } = met;
+    } = coverage;
     assert!(
-        late_commands_of_the_dead > 20 && late_commands_of_the_deposed > 20,
-        "{met:?}"
+        delayed_commands_of_crashed > 20 && delayed_commands_of_deposed > 20,
+        "{coverage:?}"
     );
 }
 
@@ -378,7 +387,7 @@
     let (out, out_ms) = OUTAGE;
     let mut faults = vec![(
         out,
-        Fault::Refuse {
+        Fault::RefuseStateRequests {
             node: None,
             ms: out_ms,
         },
@@ -392,17 +401,17 @@
         let node = (nth + seed) as usize % 3;
         faults.push((
             CHANGES_FROM + nth * pause + seed * 53,
-            Fault::Crash { node, back },
+            Fault::CrashController { node, back },
         ));
     }
     for at in [60_000, 90_000, 94_500, 125_000] {
         faults.push((
             at + seed * 91,
-            Fault::CancelAll {
+            Fault::CancelAllJobs {
                 through: (seed as usize + 1) % 3,
             },
         ));
-        faults.push((at + 3_000, Fault::Burst { jobs: 6 }));
+        faults.push((at + 3_000, Fault::JobBurst { jobs: 6 }));
     }
     faults
 }
@@ -431,7 +440,7 @@
         let mut world = World::new(Plan::of_long_tasks(seed, MS, ten_changes(seed)));
         let changes = changes_in_two_minutes(&mut world);
         world.run();
-        assert_eq!(world.rules.broken, [], "ten changes, seed {seed}");
+        assert_eq!(world.rules.violations, [], "ten changes, seed {seed}");
         println!("ten changes, seed {seed}: {changes:?}");
         assert!(
             changes.iter().any(|count| *count >= 10),
@@ -451,25 +460,25 @@
                 ms: 120_000,
             },
         ),
-        (16_000, Fault::Guests { jobs: 4 }),
-        (20_000, Fault::Heavy { ms: 60_000 }),
-        (22_000, Fault::Burst { jobs: 60 }),
-        (40_000, Fault::KillMany { count: 3 }),
+        (16_000, Fault::GuestJobs { jobs: 4 }),
+        (20_000, Fault::SkewedLoad { ms: 60_000 }),
+        (22_000, Fault::JobBurst { jobs: 60 }),
+        (40_000, Fault::CrashMachines { count: 3 }),
         (
             50_000 + seed * 120,
-            Fault::Crash {
+            Fault::CrashController {
                 node,
                 back: 150 + seed * 500,
             },
         ),
-        (52_000, Fault::Burst { jobs: 20 }),
+        (52_000, Fault::JobBurst { jobs: 20 }),
         (
             80_000,
-            Fault::CancelAll {
+            Fault::CancelAllJobs {
                 through: (node + 1) % 3,
             },
         ),
-        (81_000, Fault::Burst { jobs: 30 }),
+        (81_000, Fault::JobBurst { jobs: 30 }),
     ]
 }
 
@@ -480,7 +489,7 @@
         world.run_to(49_000);
         let waiting = world.waiting();
         world.run();
-        assert_eq!(world.rules.broken, [], "overload, seed {seed}");
+        assert_eq!(world.rules.violations, [], "overload, seed {seed}");
         println!("overload, seed {seed}: {waiting} tasks wait");
         assert!(waiting > 100, "seed {seed}: {waiting} tasks wait");
     });
@@ -498,16 +507,16 @@
         } else {
             (other, node)
         };
-        faults.push((48_000, Fault::OneWay { from, to, ms }));
+        faults.push((48_000, Fault::OneWayMeshPartition { from, to, ms }));
     }
     let state = match seed % 3 {
-        0 => Fault::CutState { node, ms: 40_000 },
-        1 => Fault::Refuse {
+        0 => Fault::DisconnectStateService { node, ms: 40_000 },
+        1 => Fault::RefuseStateRequests {
             node: Some(node),
             ms: 40_000,
         },
         // Only its link is lost: it keeps its partition.
-        _ => Fault::Crash {
+        _ => Fault::CrashController {
             node: (node + 1) % 3,
             back: 400,
         },
@@ -515,35 +524,35 @@
     faults.push((50_000, state));
     faults.push((
         50_100 + seed * 400,
-        Fault::CancelAll {
+        Fault::CancelAllJobs {
             through: (node + 1) % 3,
         },
     ));
     faults.push((
         51_000 + seed * 400,
-        Fault::Refuse {
+        Fault::RefuseStateRequests {
             node: None,
             ms: 35_000 * (seed / 2 % 2),
         },
     ));
     faults.push((
         115_000,
-        Fault::OneWay {
+        Fault::OneWayMeshPartition {
             from: node,
             to: (node + 1) % 3,
             ms: 20_000,
         },
     ));
-    faults.push((117_000, Fault::Crash { node, back: 100 }));
+    faults.push((117_000, Fault::CrashController { node, back: 100 }));
     faults
 }
 
 #[test]
 fn one_way_mesh_partition_keeps_rules() {
-    let met = whole_runs("one way", 12, one_way, |met, world| {
-        met.lost_on_one_way += world.met.lost_on_one_way;
+    let coverage = whole_runs("one way", 12, one_way, |coverage, world| {
+        coverage.one_way_losses += world.coverage.one_way_losses;
     });
-    assert!(met.lost_on_one_way > 2_000, "{met:?}");
+    assert!(coverage.one_way_losses > 2_000, "{coverage:?}");
 }
 
 /// Holders that hear the leader and are not heard by it: it knew nothing of what they lacked, and rented no
@@ -553,7 +562,7 @@
     let faults = [1, 2].map(|from| {
         (
             0,
-            Fault::OneWay {
+            Fault::OneWayMeshPartition {
                 from,
                 to: 0,
                 ms: 60_000,
@@ -563,35 +572,35 @@
     let plan = Plan::of_long_tasks(5, MS, faults.into());
     let mut world = World::new(plan);
     world.run_to(40_000);
-    assert_eq!(world.holder(0), Some("n0"), "the leader");
+    assert_eq!(world.leader(0), Some("n0"), "the leader");
     for partition in 0..3 {
         assert!(world.machines_of(partition) > 0, "partition {partition}");
     }
     world.run();
-    assert_eq!(world.rules.broken, []);
+    assert_eq!(world.rules.violations, []);
 }
 
 /// What controllers told each other comes again late, also from and to earlier lives, while they end, come
 /// back and are cut off.
-fn mesh_copies(seed: u64) -> Vec<(u64, Fault)> {
+fn mesh_duplicates(seed: u64) -> Vec<(u64, Fault)> {
     let node = seed as usize % 3;
     if seed.is_multiple_of(2) {
         // Nobody has followed it, and it answers its workers for as long as it may: late signs of life are
         // all that its successor hears of it.
         return vec![
-            (1_000, Fault::CutMesh { node, ms: 120_000 }),
+            (1_000, Fault::DisconnectMesh { node, ms: 120_000 }),
             (
                 20_000,
-                Fault::MeshCopies {
+                Fault::DuplicateMeshMessages {
                     percent: 50,
                     ms: 140_000,
                 },
             ),
-            (40_000, Fault::CutState { node, ms: 60_000 }),
-            (42_000, Fault::Burst { jobs: 10 }),
+            (40_000, Fault::DisconnectStateService { node, ms: 60_000 }),
+            (42_000, Fault::JobBurst { jobs: 10 }),
             (
                 85_000,
-                Fault::CancelAll {
+                Fault::CancelAllJobs {
                     through: (node + 1) % 3,
                 },
             ),
@@ -600,21 +609,21 @@
     vec![
         (
             20_000,
-            Fault::MeshCopies {
+            Fault::DuplicateMeshMessages {
                 percent: 30,
                 ms: 140_000,
             },
         ),
         (
             45_000,
-            Fault::Crash {
+            Fault::CrashController {
                 node,
                 back: 100 + seed * 300,
             },
         ),
         (
             58_000,
-            Fault::Blind {
+            Fault::DisconnectStateAndMesh {
                 node: (node + 1) % 3,
                 ms: 25_000,
                 refused: seed % 4 == 1,
@@ -622,84 +631,96 @@
         ),
         (
             60_000 + seed * 500,
-            Fault::CancelAll {
+            Fault::CancelAllJobs {
                 through: (node + 2) % 3,
             },
         ),
         (
             61_000,
-            Fault::CutWorkers {
+            Fault::DisconnectWorkers {
                 node: (node + 2) % 3,
                 ms: 15_000,
             },
         ),
-        (90_000, Fault::Burst { jobs: 10 }),
+        (90_000, Fault::JobBurst { jobs: 10 }),
         (
             95_000,
-            Fault::Crash {
+            Fault::CrashController {
                 node: (node + 2) % 3,
                 back: 5_000,
             },
         ),
         (
             97_500,
-            Fault::Crash {
+            Fault::CrashController {
                 node: (node + 2) % 3,
                 back: 100,
             },
         ),
-        (110_000, Fault::CancelAll { through: node }),
+        (110_000, Fault::CancelAllJobs { through: node }),
     ]
 }
 
 #[test]
 fn delayed_duplicates_on_mesh_keep_rules() {
-    let met = whole_runs("mesh copies", 12, mesh_copies, |met, world| {
-        met.mesh_copies += world.met.mesh_copies;
+    let coverage = whole_runs("mesh copies", 12, mesh_duplicates, |coverage, world| {
+        coverage.mesh_duplicates += world.coverage.mesh_duplicates;
     });
-    assert!(met.mesh_copies > 1_000, "{met:?}");
+    assert!(coverage.mesh_duplicates > 1_000, "{coverage:?}");
 }
 
 /// A meeting, its troubles by seed, and a safety step that it tells when broken.
-type Meeting = (&'static str, fn(u64) -> Vec<(u64, Fault)>, Sabotage);
-
-const MEETINGS: [Meeting; 10] = [
-    ("answers lost", answers_lost, Sabotage::LostNotCarriedOut),
-    ("quick boots", quick_boots, Sabotage::LateUnconditional),
-    ("kept copies", kept_copies, Sabotage::CopiesTrusted),
-    ("held reports", held_reports, Sabotage::CopiesTrusted),
-    ("mute", mute, Sabotage::DirectKeepsLease),
+type ScenarioCase = (&'static str, fn(u64) -> Vec<(u64, Fault)>, Mutation);
+
+const SCENARIOS: [ScenarioCase; 10] = [
+    (
+        "answers lost",
+        answers_lost,
+        Mutation::LostRepliesNotApplied,
+    ),
+    (
+        "quick boots",
+        quick_boots,
+        Mutation::DelayedWritesUnconditional,
+    ),
+    ("kept copies", kept_copies, Mutation::DuplicatesTrusted),
+    ("held reports", held_heartbeats, Mutation::DuplicatesTrusted),
+    ("mute", mute, Mutation::DirectCommandsRenewLease),
     (
         "late commands",
-        late_commands,
-        Sabotage::LateCommandsTrusted,
+        delayed_commands,
+        Mutation::DelayedCommandsTrusted,
+    ),
+    ("ten changes", ten_changes, Mutation::LogCommitsNotWritten),
+    ("overload", overload, Mutation::LogCommitsNotWritten),
+    ("one way", one_way, Mutation::LongCancel),
+    (
+        "mesh copies",
+        mesh_duplicates,
+        Mutation::MeshDuplicatesTrusted,
     ),
-    ("ten changes", ten_changes, Sabotage::RoundsNotWritten),
-    ("overload", overload, Sabotage::RoundsNotWritten),
-    ("one way", one_way, Sabotage::LongCancel),
-    ("mesh copies", mesh_copies, Sabotage::MeshCopiesTrusted),
 ];
 
 /// Each meeting again with a safety step broken on purpose: what it asserts can fail.
 #[test]
 fn each_scenario_detects_its_injected_defect() {
     let untold = std::sync::Mutex::new(Vec::new());
-    for_seeds(MEETINGS.len() as u64, |nth| {
-        let (name, faults, sabotage) = MEETINGS[nth as usize - 1];
+    for_seeds(SCENARIOS.len() as u64, |nth| {
+        let (name, faults, mutation) = SCENARIOS[nth as usize - 1];
         let told = (1..=20).find_map(|seed| {
             let plan = Plan::of_long_tasks(seed, MS, faults(seed));
             let mut world = World::new(Plan {
-                sabotage: Some(sabotage),
+                mutation: Some(mutation),
                 ..plan
             });
             world.run();
             world
                 .rules
-                .broken
+                .violations
                 .first()
-                .map(|broken| (seed, broken.clone()))
+                .map(|violations| (seed, violations.clone()))
         });
-        println!("{name}, {sabotage:?}: {told:?}");
+        println!("{name}, {mutation:?}: {told:?}");
         if told.is_none() {
             untold.lock().expect("no run has panicked").push(name);
         }
@@ -722,19 +743,19 @@
             .unwrap_or(usual)
     };
     let (from, seeds) = (number("FROM", 100), number("SEEDS", 300));
-    let meetings = MEETINGS.len() as u64;
-    let broken = std::sync::Mutex::new(Vec::new());
-    for_seeds(seeds * meetings, |nth| {
-        let (name, faults, _) = MEETINGS[(nth % meetings) as usize];
-        let seed = from + nth / meetings;
+    let scenarios = SCENARIOS.len() as u64;
+    let violations = std::sync::Mutex::new(Vec::new());
+    for_seeds(seeds * scenarios, |nth| {
+        let (name, faults, _) = SCENARIOS[(nth % scenarios) as usize];
+        let seed = from + nth / scenarios;
         // The times of the troubles are those of small seeds.
         let mut world = World::new(Plan::of_long_tasks(seed, MS, faults(seed % 24)));
         world.run();
-        if !world.rules.broken.is_empty() {
-            let told = (name, seed, world.rules.broken.clone());
+        if !world.rules.violations.is_empty() {
+            let told = (name, seed, world.rules.violations.clone());
             println!("{told:?}");
-            broken.lock().expect("no run has panicked").push(told);
+            violations.lock().expect("no run has panicked").push(told);
         }
     });
-    assert_eq!(broken.into_inner().expect("no run has panicked"), []);
+    assert_eq!(violations.into_inner().expect("no run has panicked"), []);
 }
--- a/crates/simulator/tests/end_of_run.rs
+++ b/crates/simulator/tests/end_of_run.rs
@@ -5,7 +5,7 @@
 
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
-use simulator::{for_seeds, Fault, Plan, Sabotage, World};
+use simulator::{for_seeds, Fault, Mutation, Plan, World};
 
 /// Troubles of the last kind, drawn alone and together, with ends and outages among them.
 fn troubles(seed: u64, count: usize, size: u64) -> Vec<(u64, Fault)> {
@@ -16,23 +16,23 @@
         let node = rng.random_range(0..3);
         let count = rng.random_range(1..4 * size as usize);
         let fault = match rng.random_range(0..12) {
-            0 | 1 => Fault::Unreached { count, ms },
-            2 => Fault::UnreachedZone { ms },
-            3 | 4 => Fault::Copies { ms },
-            5..=7 => Fault::Blind {
+            0 | 1 => Fault::DropMessagesToMachines { count, ms },
+            2 => Fault::DropMessagesToZone { ms },
+            3 | 4 => Fault::DuplicateMessages { ms },
+            5..=7 => Fault::DisconnectStateAndMesh {
                 node,
                 ms,
                 refused: rng.random_bool(0.5),
             },
-            8 | 9 => Fault::Crash {
+            8 | 9 => Fault::CrashController {
                 node,
                 back: rng.random_range(50..1_000),
             },
-            10 => Fault::Refuse {
+            10 => Fault::RefuseStateRequests {
                 node: None,
                 ms: ms.min(20_000),
             },
-            _ => Fault::KillMany { count },
+            _ => Fault::CrashMachines { count },
         };
         (at, fault)
     };
@@ -44,7 +44,7 @@
         seed,
         ms: 300_000,
         faults,
-        sabotage: None,
+        mutation: None,
         submit_ms: 150_000,
         size,
     }
@@ -55,8 +55,10 @@
     let said = format!("{what}, seed {}: {:?}", plan.seed, plan.faults);
     let mut world = World::new(plan);
     world.run();
-    assert_eq!(world.rules.broken, [], "{said}");
-    let (of, part) = world.least_served(75_000).expect("something was asked for");
+    assert_eq!(world.rules.violations, [], "{said}");
+    let (of, part) = world
+        .lowest_service_level(75_000)
+        .expect("something was asked for");
     println!(
         "{what}: least served {of}, {part:.2}; {} starts",
         world.rules.started
@@ -70,8 +72,11 @@
     for seed in 1..=6 {
         let ms = 4_000 + seed * 9_000;
         let faults = vec![
-            (60_000 + seed * 97, Fault::Unreached { count: 3, ms }),
-            (130_000, Fault::UnreachedZone { ms: ms.min(25_000) }),
+            (
+                60_000 + seed * 97,
+                Fault::DropMessagesToMachines { count: 3, ms },
+            ),
+            (130_000, Fault::DropMessagesToZone { ms: ms.min(25_000) }),
         ];
         let world = day("unreached", plan(seed, 1 + seed % 2, faults));
         assert_eq!(world.unfinished(), Vec::<String>::new(), "seed {seed}");
@@ -83,11 +88,20 @@
     for seed in 1..=8 {
         let back = 50 + seed * 100;
         let faults = vec![
-            (15_000, Fault::Copies { ms: 140_000 }),
-            (50_000 + seed * 131, Fault::Crash { node: 0, back }),
-            (80_000, Fault::KillMany { count: 2 }),
-            (100_000 + seed * 77, Fault::Crash { node: 1, back }),
-            (100_300 + seed * 77, Fault::Crash { node: 2, back }),
+            (15_000, Fault::DuplicateMessages { ms: 140_000 }),
+            (
+                50_000 + seed * 131,
+                Fault::CrashController { node: 0, back },
+            ),
+            (80_000, Fault::CrashMachines { count: 2 }),
+            (
+                100_000 + seed * 77,
+                Fault::CrashController { node: 1, back },
+            ),
+            (
+                100_300 + seed * 77,
+                Fault::CrashController { node: 2, back },
+            ),
         ];
         let world = day("copies", plan(seed, 1 + seed % 2, faults));
         assert_eq!(world.unfinished(), Vec::<String>::new(), "seed {seed}");
@@ -102,7 +116,7 @@
         let faults = vec![
             (
                 50_000,
-                Fault::Blind {
+                Fault::DisconnectStateAndMesh {
                     node,
                     ms: 3_000 + seed * 4_000,
                     refused: seed % 2 == 0,
@@ -110,7 +124,7 @@
             ),
             (
                 110_000,
-                Fault::Blind {
+                Fault::DisconnectStateAndMesh {
                     node: (node + 1) % 3,
                     ms: 30_000,
                     refused: seed % 2 == 1,
@@ -118,7 +132,7 @@
             ),
             (
                 112_000,
-                Fault::Crash {
+                Fault::CrashController {
                     node: (node + 2) % 3,
                     back: 100,
                 },
@@ -134,7 +148,7 @@
 #[test]
 fn simultaneous_loss_of_all_machines_is_recovered() {
     for seed in 1..=4 {
-        let faults = vec![(60_000 + seed * 777, Fault::KillMany { count: 1_000 })];
+        let faults = vec![(60_000 + seed * 777, Fault::CrashMachines { count: 1_000 })];
         let world = day("all die", plan(seed, 1 + seed % 2, faults));
         assert_eq!(world.unfinished(), Vec::<String>::new(), "seed {seed}");
     }
@@ -180,32 +194,32 @@
 #[test]
 fn low_priority_arrays_are_not_starved_beside_free_capacity() {
     let faults = vec![
-        (1_000, Fault::Burst { jobs: 400 }),
+        (1_000, Fault::JobBurst { jobs: 400 }),
         (
             40_000,
-            Fault::Crash {
+            Fault::CrashController {
                 node: 1,
                 back: 6_000,
             },
         ),
-        (55_000, Fault::CutMachine { nth: 7, ms: 20_000 }),
+        (55_000, Fault::DisconnectMachine { nth: 7, ms: 20_000 }),
         (
             60_000,
-            Fault::Refuse {
+            Fault::RefuseStateRequests {
                 node: None,
                 ms: 12_000,
             },
         ),
         (
             80_000,
-            Fault::Crash {
+            Fault::CrashController {
                 node: 0,
                 back: 6_000,
             },
         ),
         (
             80_000,
-            Fault::Crash {
+            Fault::CrashController {
                 node: 2,
                 back: 6_000,
             },
@@ -216,45 +230,45 @@
         ..plan(1, 30, faults)
     });
     world.run();
-    assert_eq!(world.starved_low, [""; 0]);
+    assert_eq!(world.starved_low_priority, [""; 0]);
 }
 
 /// What a checker must tell.
-fn is_caught(sabotage: Sabotage, rules: &[&str]) {
+fn is_caught(mutation: Mutation, rules: &[&str]) {
     let caught = (1..=12).any(|seed| {
         let faults = troubles(seed, 7, 1);
         let faults = faults
             .into_iter()
-            .chain([(30_000, Fault::Copies { ms: 100_000 })])
+            .chain([(30_000, Fault::DuplicateMessages { ms: 100_000 })])
             .collect();
         let mut world = World::new(Plan {
-            sabotage: Some(sabotage),
+            mutation: Some(mutation),
             ..plan(seed, 1, faults)
         });
         world.run();
         world
             .rules
-            .broken
+            .violations
             .iter()
-            .any(|broken| rules.contains(&broken.rule))
+            .any(|violations| rules.contains(&violations.rule))
     });
-    assert!(caught, "{sabotage:?}");
+    assert!(caught, "{mutation:?}");
 }
 
 #[test]
 fn checker_detects_duplicates_accepted_as_new_heartbeats() {
     is_caught(
-        Sabotage::CopiesTrusted,
+        Mutation::DuplicatesTrusted,
         &["ran_twice", "quota", "wrong_place", "ran_cancelled"],
     );
 }
 
 #[test]
 fn checker_detects_jobs_starved_beside_free_capacity() {
-    is_caught(Sabotage::SomeNeverStarted, &["starved"]);
+    is_caught(Mutation::SomeJobsNeverStarted, &["starved"]);
 }
 
 #[test]
 fn checker_detects_jobs_without_status_answers() {
-    is_caught(Sabotage::SomeUnanswered, &["forgotten"]);
+    is_caught(Mutation::SomeStatusRequestsUnanswered, &["forgotten"]);
 }
--- a/crates/simulator/tests/failover.rs
+++ b/crates/simulator/tests/failover.rs
@@ -2,8 +2,8 @@
 
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
-use simulator::served::Share;
-use simulator::{for_seeds, Fault, Plan, Sabotage, Takeover, World};
+use simulator::availability::ServiceLevel;
+use simulator::{for_seeds, Failover, Fault, Mutation, Plan, World};
 
 /// A site of some hundred machines, filled by the time 60 s.
 fn site(seed: u64, size: u64, ms: u64, mut faults: Vec<(u64, Fault)>) -> World {
@@ -11,7 +11,7 @@
         0,
         (
             1_000,
-            Fault::Burst {
+            Fault::JobBurst {
                 jobs: 8 * size as usize,
             },
         ),
@@ -20,7 +20,7 @@
         seed,
         ms,
         faults,
-        sabotage: None,
+        mutation: None,
         submit_ms: ms,
         size,
     };
@@ -35,13 +35,13 @@
 }
 
 /// Work comes for 150 s, and there is time to finish it even where a lie has slowed it down.
-fn small(seed: u64, faults: Vec<(u64, Fault)>, sabotage: Option<Sabotage>) -> World {
-    let ms = if sabotage.is_some() { 320_000 } else { 300_000 };
+fn small(seed: u64, faults: Vec<(u64, Fault)>, mutation: Option<Mutation>) -> World {
+    let ms = if mutation.is_some() { 320_000 } else { 300_000 };
     let mut world = World::new(Plan {
         seed,
         ms,
         faults,
-        sabotage,
+        mutation,
         submit_ms: 150_000,
         size: 2,
     });
@@ -57,19 +57,19 @@
             let at = 20_000 + n * 14_000 + rng.random_range(0..9_000);
             let node = rng.random_range(0..3);
             let fault = match rng.random_range(0..6) {
-                0 => Fault::Freeze {
+                0 => Fault::PauseController {
                     node,
                     ms: rng.random_range(800..20_000),
                 },
-                1 => Fault::Isolate {
+                1 => Fault::IsolateController {
                     node,
                     ms: rng.random_range(2_000..25_000),
                 },
-                2 => Fault::CutMesh {
+                2 => Fault::DisconnectMesh {
                     node,
                     ms: rng.random_range(2_000..20_000),
                 },
-                _ => Fault::Crash {
+                _ => Fault::CrashController {
                     node,
                     back: rng.random_range(2_000..9_000),
                 },
@@ -91,8 +91,8 @@
     })
 }
 
-fn since_end(takeover: &Takeover, at: Option<u64>) -> u64 {
-    at.map_or(u64::MAX, |at| at - takeover.ended_at)
+fn since_end(failover: &Failover, at: Option<u64>) -> u64 {
+    at.map_or(u64::MAX, |at| at - failover.leader_stopped_at)
 }
 
 /// The gap that users see: with the lease alone it was 3 s until the partition was taken, and its
@@ -101,7 +101,7 @@
 #[test]
 fn standby_fails_over_within_two_seconds_and_returns_no_living_machine() {
     // Work waits, so that the first launch shows when the standby decides.
-    let burst = (59_500, Fault::Burst { jobs: 150 });
+    let burst = (59_500, Fault::JobBurst { jobs: 150 });
     let mut world = site(
         21,
         107,
@@ -110,51 +110,57 @@
             burst,
             (
                 60_000,
-                Fault::Crash {
+                Fault::CrashController {
                     node: 1,
                     back: 8_000,
                 },
             ),
         ],
     );
-    let released = world.released_alive;
+    let released = world.machines_released_alive;
     world.run_to(60_000);
-    let before = world.released_alive - released;
+    let before = world.machines_released_alive - released;
     world.run_to(66_000);
-    let ended = |t: &&Takeover| t.ended_at >= 60_000 && !t.handed;
+    let ended = |t: &&Failover| t.leader_stopped_at >= 60_000 && !t.transferred;
     let first = world
-        .takeovers
+        .failovers
         .list
         .iter()
         .find(ended)
         .cloned()
         .expect("a takeover");
-    assert_eq!((first.partition, first.handed), (1, false));
+    assert_eq!((first.partition, first.transferred), (1, false));
     assert!(first.machines > 150, "{first:?}");
-    assert!(since_end(&first, first.taken_at) <= 2_000, "{first:?}");
-    assert!(since_end(&first, first.first_told) <= 2_200, "{first:?}");
-    assert!(since_end(&first, first.first_launch) <= 2_500, "{first:?}");
-    let after = world.released_alive - released - before;
+    assert!(since_end(&first, first.acquired_at) <= 2_000, "{first:?}");
+    assert!(
+        since_end(&first, first.first_contact_at) <= 2_200,
+        "{first:?}"
+    );
+    assert!(
+        since_end(&first, first.first_launch_at) <= 2_500,
+        "{first:?}"
+    );
+    let after = world.machines_released_alive - released - before;
     assert!(
         after <= 10,
         "{after} living machines given back within 6 s, {before} in a second before"
     );
     world.run();
     let home = world
-        .takeovers
+        .failovers
         .list
         .iter()
-        .rfind(|t| t.handed)
+        .rfind(|t| t.transferred)
         .cloned()
         .expect("handed home");
-    assert_eq!(world.holder(1), Some("n1"));
+    assert_eq!(world.leader(1), Some("n1"));
     assert!(
-        since_end(&home, home.first_told) <= 200,
+        since_end(&home, home.first_contact_at) <= 200,
         "no gap at the way home: {home:?}"
     );
-    assert_eq!(world.early_takeovers(), (1, 0));
+    assert_eq!(world.early_failovers(), (1, 0));
     assert_eq!(world.killed_by_lease(), 0);
-    assert_eq!(world.rules.broken, []);
+    assert_eq!(world.rules.violations, []);
 }
 
 /// Machines that end with their holder are nobody's: the standby asks those that its holder had
@@ -167,21 +173,21 @@
         let faults = vec![
             (
                 60_000,
-                Fault::Crash {
+                Fault::CrashController {
                     node: 1,
                     back: 8_000,
                 },
             ),
-            (60_001, Fault::KillMany { count: 91 }),
+            (60_001, Fault::CrashMachines { count: 91 }),
         ];
         let mut world = site(seed, 107, 110_000, faults);
         world.run_to(60_010);
-        let dead = world.recorded_dead();
+        let dead = world.recorded_dead_machines();
         assert!(dead >= 50, "seed {seed}: {dead}");
         world.run_to(72_000);
-        let left = world.recorded_dead();
+        let left = world.recorded_dead_machines();
         world.run();
-        assert_eq!(world.rules.broken, [], "seed {seed}");
+        assert_eq!(world.rules.violations, [], "seed {seed}");
         (left, dead)
     });
     let (left, dead) = seen
@@ -199,10 +205,10 @@
 fn last_machine_hears_successor_within_seconds_of_leader_crash() {
     let told = of_seeds(21..26, |seed| {
         let faults = vec![
-            (59_500, Fault::Burst { jobs: 150 }),
+            (59_500, Fault::JobBurst { jobs: 150 }),
             (
                 60_000,
-                Fault::Crash {
+                Fault::CrashController {
                     node: 1,
                     back: 8_000,
                 },
@@ -210,14 +216,14 @@
         ];
         let mut world = site(seed, 107, 78_000, faults);
         world.run();
-        assert_eq!(world.rules.broken, [], "seed {seed}");
-        let since = |t: &Takeover| since_end(t, t.last_told);
+        assert_eq!(world.rules.violations, [], "seed {seed}");
+        let since = |t: &Failover| since_end(t, t.last_contact_at);
         let taken = world
-            .takeovers
+            .failovers
             .list
             .iter()
-            .find(|t| t.ended_at >= 60_000 && !t.handed);
-        let home = world.takeovers.list.iter().rfind(|t| t.handed);
+            .find(|t| t.leader_stopped_at >= 60_000 && !t.transferred);
+        let home = world.failovers.list.iter().rfind(|t| t.transferred);
         (
             since(taken.expect("a takeover")),
             since(home.expect("handed home")),
@@ -235,14 +241,14 @@
     let faults = vec![
         (
             60_000,
-            Fault::Crash {
+            Fault::CrashController {
                 node: 0,
                 back: 30_000,
             },
         ),
         (
             60_000,
-            Fault::Crash {
+            Fault::CrashController {
                 node: 1,
                 back: 31_000,
             },
@@ -251,19 +257,19 @@
     let mut world = site(23, 107, 120_000, faults);
     world.run_to(62_500);
     for partition in 0..3 {
-        assert_eq!(world.holder(partition), Some("n2"), "partition {partition}");
+        assert_eq!(world.leader(partition), Some("n2"), "partition {partition}");
     }
     world.run_to(89_000);
     let served = world.rules.started;
     world.run();
     assert!(world.rules.started > served, "work goes on");
     assert_eq!(
-        (world.holder(0), world.holder(1)),
+        (world.leader(0), world.leader(1)),
         (Some("n0"), Some("n1")),
         "home again"
     );
     assert_eq!(world.killed_by_lease(), 0);
-    assert_eq!(world.rules.broken, []);
+    assert_eq!(world.rules.violations, []);
 }
 
 #[test]
@@ -272,14 +278,14 @@
         let faults = vec![
             (
                 60_000,
-                Fault::Crash {
+                Fault::CrashController {
                     node: 0,
                     back: 9_000,
                 },
             ),
             (
                 60_000 + later,
-                Fault::Crash {
+                Fault::CrashController {
                     node: 1,
                     back: 9_000,
                 },
@@ -287,8 +293,8 @@
         ];
         let mut world = site(seed, 20, 130_000, faults);
         world.run();
-        assert_eq!(world.rules.broken, [], "seed {seed}");
-        assert_eq!(world.holder(0), Some("n0"), "seed {seed}");
+        assert_eq!(world.rules.violations, [], "seed {seed}");
+        assert_eq!(world.leader(0), Some("n0"), "seed {seed}");
     }
 }
 
@@ -299,19 +305,19 @@
         .map(|n| {
             (
                 60_000 + n * 20_000,
-                Fault::Crash {
+                Fault::CrashController {
                     node: n as usize % 3,
                     back: 6_000,
                 },
             )
         })
         .collect();
-    faults.extend((0..20).map(|n| (60_000 + n * 4_000, Fault::Burst { jobs: 12 })));
+    faults.extend((0..20).map(|n| (60_000 + n * 4_000, Fault::JobBurst { jobs: 12 })));
     let mut world = site(27, 30, 200_000, faults);
     world.run();
-    assert_eq!(world.rules.broken, []);
+    assert_eq!(world.rules.violations, []);
     assert_eq!(world.killed_by_lease(), 0);
-    let (early, wrong) = world.early_takeovers();
+    let (early, wrong) = world.early_failovers();
     assert!(
         early >= 5 && wrong == 0,
         "{early} taken early, {wrong} wrongly"
@@ -354,22 +360,22 @@
         faults.push(match rng.random_range(0..8) {
             0 | 1 => (
                 at,
-                Fault::Freeze {
+                Fault::PauseController {
                     node,
                     ms: rng.random_range(100..1_000),
                 },
             ),
-            2 => (at, Fault::CutMesh { node, ms }),
-            3 => (at, Fault::CutMachine { nth, ms }),
-            4 => (at, Fault::HangMany { count: 4, ms }),
-            5 => (at, Fault::KillMany { count: 3 }),
-            6 => (at, Fault::Burst { jobs: 20 }),
-            _ => (at, Fault::SlowState { times: 15, ms }),
+            2 => (at, Fault::DisconnectMesh { node, ms }),
+            3 => (at, Fault::DisconnectMachine { nth, ms }),
+            4 => (at, Fault::HangMachines { count: 4, ms }),
+            5 => (at, Fault::CrashMachines { count: 3 }),
+            6 => (at, Fault::JobBurst { jobs: 20 }),
+            _ => (at, Fault::SlowStateService { times: 15, ms }),
         });
     }
     let world = small(seed, faults.clone(), None);
-    assert_eq!(world.rules.broken, [], "seed {seed}: {faults:?}");
-    world.early_takeovers().0
+    assert_eq!(world.rules.violations, [], "seed {seed}: {faults:?}");
+    world.early_failovers().0
 }
 
 /// Whatever a holder says, or whatever of it is lost: it proves nothing, so no rule breaks, and work
@@ -377,13 +383,16 @@
 #[test]
 fn false_replication_records_keep_rules() {
     for seed in 5..=14 {
-        for sabotage in [Sabotage::HintsLie, Sabotage::HintsLost] {
-            let world = small(seed, ends(seed), Some(sabotage));
-            assert_eq!(world.rules.broken, [], "seed {seed}, {sabotage:?}");
+        for mutation in [
+            Mutation::FalseReplicationRecords,
+            Mutation::LostReplicationRecords,
+        ] {
+            let world = small(seed, ends(seed), Some(mutation));
+            assert_eq!(world.rules.violations, [], "seed {seed}, {mutation:?}");
             assert_eq!(
                 world.unfinished(),
                 Vec::<String>::new(),
-                "seed {seed}, {sabotage:?}"
+                "seed {seed}, {mutation:?}"
             );
         }
     }
@@ -394,9 +403,9 @@
     let mut early = 0;
     for seed in 1..=24 {
         let world = small(seed, ends(seed), None);
-        assert_eq!(world.rules.broken, [], "seed {seed}");
+        assert_eq!(world.rules.violations, [], "seed {seed}");
         assert_eq!(world.unfinished(), Vec::<String>::new(), "seed {seed}");
-        early += world.early_takeovers().0;
+        early += world.early_failovers().0;
     }
     assert!(
         early >= 20,
@@ -412,12 +421,12 @@
         let node = (seed % 3) as usize;
         // Nobody has followed it: a successor that has asks its workers, who know its token then.
         let faults = vec![
-            (1_000, Fault::CutMesh { node, ms: 99_000 }),
-            (40_000, Fault::CutState { node, ms: 60_000 }),
+            (1_000, Fault::DisconnectMesh { node, ms: 99_000 }),
+            (40_000, Fault::DisconnectStateService { node, ms: 60_000 }),
         ];
-        small(seed, faults, Some(Sabotage::PredecessorsForgotten))
+        small(seed, faults, Some(Mutation::PredecessorsForgotten))
             .rules
-            .broken
+            .violations
             .first()
             .cloned()
     });
@@ -425,7 +434,7 @@
     assert!(
         caught
             .as_ref()
-            .is_some_and(|broken| rules.contains(&broken.rule)),
+            .is_some_and(|violations| rules.contains(&violations.rule)),
         "{caught:?}"
     );
 }
@@ -436,8 +445,8 @@
 #[test]
 fn placement_log_read_below_record_revision_is_read_again() {
     for seed in 1..=8 {
-        let world = small(seed, ends(seed), Some(Sabotage::OldLedger));
-        assert_eq!(world.rules.broken, [], "seed {seed}");
+        let world = small(seed, ends(seed), Some(Mutation::StalePlacementLog));
+        assert_eq!(world.rules.violations, [], "seed {seed}");
         assert_eq!(world.unfinished(), Vec::<String>::new(), "seed {seed}");
     }
 }
@@ -451,21 +460,21 @@
         let faults = vec![
             (
                 60_000,
-                Fault::SpoilPage {
+                Fault::CorruptLogPage {
                     partition: 1,
                     ms: 22_000,
                 },
             ),
             (
                 60_500,
-                Fault::Crash {
+                Fault::CrashController {
                     node: 1,
                     back: 40_000,
                 },
             ),
         ];
         let world = small(seed, faults, None);
-        assert_eq!(world.rules.broken, [], "seed {seed}");
+        assert_eq!(world.rules.violations, [], "seed {seed}");
         assert_eq!(world.killed_by_lease(), 0, "seed {seed}");
         assert_eq!(world.unfinished(), Vec::<String>::new(), "seed {seed}");
     }
@@ -480,28 +489,28 @@
         } else {
             nth as usize % 3..nth as usize % 3 + 1
         };
-        let mut faults = vec![(40_000, Fault::Burst { jobs: 12 })];
+        let mut faults = vec![(40_000, Fault::JobBurst { jobs: 12 })];
         faults.extend(nodes.map(|node| {
             (
                 39_990,
-                Fault::CrashAt {
+                Fault::CrashBeforeEffect {
                     node,
                     nth: 1 + nth / 3,
                 },
             )
         }));
-        faults.push((44_000, Fault::Burst { jobs: 6 }));
+        faults.push((44_000, Fault::JobBurst { jobs: 6 }));
         let plan = Plan {
             seed: nth,
             ms: 220_000,
             faults,
-            sabotage: None,
+            mutation: None,
             submit_ms: 70_000,
             size: 2,
         };
         let mut world = World::new(plan);
         world.run();
-        assert_eq!(world.rules.broken, [], "at {nth}");
+        assert_eq!(world.rules.violations, [], "at {nth}");
         assert_eq!(world.unfinished(), Vec::<String>::new(), "at {nth}");
     }
 }
@@ -537,42 +546,42 @@
 fn each_job_kind_and_team_is_served_through_crashes() {
     for seed in 52..=54 {
         let worst = left_behind_most(seed);
-        assert!(worst.part() >= 0.6, "seed {seed}: {worst:?}");
+        assert!(worst.ratio() >= 0.6, "seed {seed}: {worst:?}");
     }
 }
 
 /// The kind of work or team that is served least on a day of ends and losses.
-fn left_behind_most(seed: u64) -> Share {
+fn left_behind_most(seed: u64) -> ServiceLevel {
     let mut faults: Vec<(u64, Fault)> = (0..4)
         .map(|n| {
             (
                 60_000 + n * 14_000,
-                Fault::Crash {
+                Fault::CrashController {
                     node: n as usize % 3,
                     back: 6_000,
                 },
             )
         })
         .collect();
-    faults.push((62_000, Fault::Burst { jobs: 15 }));
-    faults.push((90_000, Fault::KillMany { count: 10 }));
+    faults.push((62_000, Fault::JobBurst { jobs: 15 }));
+    faults.push((90_000, Fault::CrashMachines { count: 10 }));
     let ms = 190_000;
     let plan = Plan {
         seed,
         ms,
         faults,
-        sabotage: None,
+        mutation: None,
         submit_ms: ms,
         size: 30,
     };
     let mut world = World::new(plan);
     world.run();
-    assert_eq!(world.rules.broken, [], "seed {seed}");
-    let shares = world.served(60_000);
+    assert_eq!(world.rules.violations, [], "seed {seed}");
+    let shares = world.service_levels(60_000);
     assert!(shares.len() >= 3 * 6 + 3, "{shares:?}");
     shares
         .into_iter()
-        .min_by(|a, b| a.part().total_cmp(&b.part()))
+        .min_by(|a, b| a.ratio().total_cmp(&b.ratio()))
         .expect("some")
 }
 
@@ -582,7 +591,7 @@
 fn each_job_kind_and_team_is_served_over_many_seeds() {
     let worst = std::sync::Mutex::new(Vec::new());
     for_seeds(24, |nth| {
-        let part = left_behind_most(200 + nth).part();
+        let part = left_behind_most(200 + nth).ratio();
         worst.lock().expect("no seed has panicked").push(part);
     });
     let mut worst = worst.into_inner().expect("no seed has panicked");
--- a/crates/simulator/tests/fingerprint.rs
+++ b/crates/simulator/tests/fingerprint.rs
@@ -11,7 +11,7 @@
 fn digest(run: &Run) -> u128 {
     let outcome = run.play(Recorder::default());
     assert_eq!(
-        outcome.broken, 0,
+        outcome.violations, 0,
         "{}: broken rules end a run early",
         run.name
     );
--- a/crates/simulator/tests/fleet.rs
+++ b/crates/simulator/tests/fleet.rs
@@ -6,13 +6,13 @@
 
 /// A site with seven to nine hundred machines up by 45 s, and more to come.
 fn fleet(seed: u64, ms: u64, mut faults: Vec<(u64, Fault)>) -> World {
-    faults.insert(0, (1_000, Fault::Burst { jobs: 900 }));
-    faults.push((25_000, Fault::Burst { jobs: 400 }));
+    faults.insert(0, (1_000, Fault::JobBurst { jobs: 900 }));
+    faults.push((25_000, Fault::JobBurst { jobs: 400 }));
     let plan = Plan {
         seed,
         ms,
         faults,
-        sabotage: None,
+        mutation: None,
         submit_ms: 60_000,
         size: 107,
     };
@@ -43,7 +43,7 @@
 
 #[test]
 fn simultaneous_controller_crash_in_full_fleet_is_recovered() {
-    let crash = |node| (46_000, Fault::Crash { node, back: 8_000 });
+    let crash = |node| (46_000, Fault::CrashController { node, back: 8_000 });
     let mut world = fleet(1, 80_000, (0..3).map(crash).collect());
     world.run_to(54_000);
     let took = until_started(&mut world, 54_000, 50);
@@ -52,7 +52,7 @@
         "the first starts came {took} ms after the controllers"
     );
     world.run();
-    assert_eq!(world.rules.broken, []);
+    assert_eq!(world.rules.violations, []);
     assert_eq!(
         world.killed_by_lease(),
         0,
@@ -66,24 +66,24 @@
         .map(|n| {
             (
                 46_000 + n * 20_000,
-                Fault::Crash {
+                Fault::CrashController {
                     node: n as usize,
                     back: 6_000,
                 },
             )
         })
         .collect();
-    faults.push((50_000, Fault::Burst { jobs: 250 }));
+    faults.push((50_000, Fault::JobBurst { jobs: 250 }));
     faults.push((
         58_000,
-        Fault::Refuse {
+        Fault::RefuseStateRequests {
             node: None,
             ms: 25_000,
         },
     ));
     let mut world = fleet(2, 120_000, faults);
     world.run();
-    assert_eq!(world.rules.broken, []);
+    assert_eq!(world.rules.violations, []);
     // A controller that ends within the outage has no successor before its end, 17 s later: that and
     // the time since their last report leave some workers less than a second of their lease.
     assert!(
@@ -98,21 +98,21 @@
 #[test]
 fn zone_partition_with_slow_state_and_paused_controller_keeps_rules() {
     let faults = vec![
-        (46_000, Fault::CutZone { ms: 45_000 }),
+        (46_000, Fault::IsolateZone { ms: 45_000 }),
         (
             55_000,
-            Fault::SlowState {
+            Fault::SlowStateService {
                 times: 30,
                 ms: 30_000,
             },
         ),
-        (60_000, Fault::Freeze { node: 2, ms: 9_000 }),
+        (60_000, Fault::PauseController { node: 2, ms: 9_000 }),
     ];
     let mut world = fleet(3, 115_000, faults);
     world.run_to(91_000);
     until_started(&mut world, 91_000, 50);
     world.run();
-    assert_eq!(world.rules.broken, []);
+    assert_eq!(world.rules.violations, []);
 }
 
 #[test]
@@ -120,26 +120,26 @@
     let faults = vec![
         (
             46_000,
-            Fault::HangMany {
+            Fault::HangMachines {
                 count: 150,
                 ms: 35_000,
             },
         ),
-        (55_000, Fault::KillMany { count: 150 }),
-        (62_000, Fault::SickMany { count: 100 }),
+        (55_000, Fault::CrashMachines { count: 150 }),
+        (62_000, Fault::FailTasksOnMachines { count: 100 }),
     ];
     let mut world = fleet(4, 100_000, faults);
     world.run();
-    assert_eq!(world.rules.broken, []);
+    assert_eq!(world.rules.violations, []);
 }
 
 #[test]
 fn fleet_planner_without_peers_scales_out_for_all_partitions() {
-    let cut = |node| (0, Fault::CutMesh { node, ms: 60_000 });
+    let cut = |node| (0, Fault::DisconnectMesh { node, ms: 60_000 });
     let mut world = fleet(5, 80_000, (0..3).map(cut).collect());
     for partition in 0..3 {
         assert!(world.machines_of(partition) > 200, "partition {partition}");
     }
     world.run();
-    assert_eq!(world.rules.broken, []);
+    assert_eq!(world.rules.violations, []);
 }
--- a/crates/simulator/tests/golden_admin.rs
+++ b/crates/simulator/tests/golden_admin.rs
@@ -9,7 +9,7 @@
 use golden::Entry;
 use model::{CallId, ControllerName, Timestamp};
 use serde_json::{json, Value};
-use simulator::Solo;
+use simulator::SingleController;
 use wire::mesh::MeshMessage;
 use wire::state::{StateReply, StateRequest, Transaction};
 use wire::users::JobKind;
@@ -78,25 +78,25 @@
 }
 
 /// A node on whose machines an array and a service run, with more that waits.
-fn busy_site() -> Solo {
-    let mut solo = Solo::with_silent_peer(MACHINES);
-    solo.submit(JobKind::Service, 1);
-    solo.submit(JobKind::Array, 12);
-    solo.submit(JobKind::Gang, 5);
+fn busy_site() -> SingleController {
+    let mut single_controller = SingleController::with_silent_peer(MACHINES);
+    single_controller.submit(JobKind::Service, 1);
+    single_controller.submit(JobKind::Array, 12);
+    single_controller.submit(JobKind::Gang, 5);
     for _ in 0..30 {
-        solo.tick(100);
-        solo.inject(from_peer(sign_of_life()));
+        single_controller.tick(100);
+        single_controller.inject(from_peer(sign_of_life()));
         for nth in 0..MACHINES {
-            solo.report(nth);
+            single_controller.report(nth);
         }
     }
-    solo
+    single_controller
 }
 
 #[test]
 fn admin_views_match_golden_bytes() {
-    let mut solo = busy_site();
-    let node = solo.node();
+    let mut single_controller = busy_site();
+    let node = single_controller.node();
     node.handle(ASKED_AT, from_peer(follow()));
     let job = |id: &str| AdminRequest::Job(id.into());
     let entries = [
@@ -118,14 +118,14 @@
 /// A node that was asked for more than it could answer before it had taken its partition over.
 #[test]
 fn admin_refusals_match_golden_names() {
-    let mut solo = Solo::new(MACHINES);
-    solo.restart();
-    solo.submit(JobKind::Array, 1);
+    let mut single_controller = SingleController::new(MACHINES);
+    single_controller.restart();
+    single_controller.submit(JobKind::Array, 1);
     for _ in 0..200 {
-        solo.tick(20);
-        solo.report(0);
+        single_controller.tick(20);
+        single_controller.report(0);
     }
-    let effects = solo.node().handle(
+    let effects = single_controller.node().handle(
         Timestamp::from_millis(30_000),
         Event::Admin {
             ticket: TICKET,
@@ -147,8 +147,8 @@
 
 #[test]
 fn invalid_settings_are_rejected_with_field_name() {
-    let mut solo = Solo::new(MACHINES);
-    let node = solo.node();
+    let mut single_controller = SingleController::new(MACHINES);
+    let node = single_controller.node();
     let entries = [
         view(node, "unknown_field", change(json!({ "lease_s": 3.0 }))),
         view(node, "wrong_type", change(json!({ "window": "many" }))),
@@ -206,8 +206,8 @@
 
 /// The answer to a change, after this answer of the state service.
 fn changed(name: &'static str, reply: StateReply) -> Entry {
-    let mut solo = Solo::new(MACHINES);
-    let node = solo.node();
+    let mut single_controller = SingleController::new(MACHINES);
+    let node = single_controller.node();
     let (call, _) = write_settings(node, json!({ "window": 32 }));
     let effects = node.handle(ASKED_AT, Event::State { call, reply });
     Entry::text(
@@ -217,8 +217,8 @@
 }
 
 fn written(name: &'static str, settings: Value) -> Entry {
-    let mut solo = Solo::new(MACHINES);
-    let (_, txn) = write_settings(solo.node(), settings);
+    let mut single_controller = SingleController::new(MACHINES);
+    let (_, txn) = write_settings(single_controller.node(), settings);
     Entry::text(name, golden::to_json(&txn))
 }
 
--- a/crates/simulator/tests/rejected_messages.rs
+++ b/crates/simulator/tests/rejected_messages.rs
@@ -9,8 +9,8 @@
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use serde_json::{json, Value};
-use simulator::solo::job;
-use simulator::Solo;
+use simulator::single_controller::job;
+use simulator::SingleController;
 use std::collections::BTreeMap;
 use wire::cloud::{CloudReply, MachineList, MachineTypes};
 use wire::mesh::{
@@ -33,61 +33,79 @@
     }
 }
 
-fn rejected(solo: &mut Solo, source: MessageSource, fault: MessageFault) -> u64 {
-    solo.node().counters.rejections.get(source, fault)
+fn rejected(
+    single_controller: &mut SingleController,
+    source: MessageSource,
+    fault: MessageFault,
+) -> u64 {
+    single_controller
+        .node()
+        .counters
+        .rejections
+        .get(source, fault)
 }
 
 /// What the node knows of the first jobs, as operators are told.
-fn view(solo: &mut Solo) -> Vec<String> {
+fn view(single_controller: &mut SingleController) -> Vec<String> {
     (1..=20)
-        .map(|id| solo.node().explain(&format!("j-{id:06}")))
+        .map(|id| single_controller.node().explain(&format!("j-{id:06}")))
         .collect()
 }
 
 /// Lets time pass, with reports of all machines.
-fn run(solo: &mut Solo, rounds: usize) {
+fn run(single_controller: &mut SingleController, rounds: usize) {
     for _ in 0..rounds {
-        solo.tick(100);
+        single_controller.tick(100);
         for nth in 0..MACHINES {
-            solo.report(nth);
+            single_controller.report(nth);
         }
     }
 }
 
 /// Puts work on the machines.
-fn employ(solo: &mut Solo) {
+fn employ(single_controller: &mut SingleController) {
     // Odd teams belong to the partition of the silent peer, which has no machines.
     for _ in 0..4 {
-        solo.submit(JobKind::Array, 3);
-        solo.submit(JobKind::Service, 2);
+        single_controller.submit(JobKind::Array, 3);
+        single_controller.submit(JobKind::Service, 2);
     }
-    run(solo, 12);
-    assert!(solo.running() > 0, "there is work");
+    run(single_controller, 12);
+    assert!(single_controller.running() > 0, "there is work");
 }
 
 /// Addresses are used again: what another machine answers says nothing of a launch that was sent to the
 /// one before. Taken for settled, the cancelled task would count as gone while its launch may still come.
 #[test]
 fn reply_of_other_machine_settles_no_direct_launch() {
-    let mut solo = Solo::new(MACHINES);
-    let mut other = solo.workers()[0].report();
+    let mut single_controller = SingleController::new(MACHINES);
+    let mut other = single_controller.workers()[0].report();
     other.machine = "host-999999".into();
-    solo.answer_direct_calls_with(Some(other));
-    solo.submit(JobKind::Array, 1);
-    run(&mut solo, 10);
-    assert_eq!(solo.running(), 0, "the launch has reached nobody");
-    assert!(rejected(&mut solo, MessageSource::Worker, MessageFault::Misrouted) > 0);
-    solo.request(UserRequest::Cancel(JobId(1)));
-    run(&mut solo, 30);
+    single_controller.answer_direct_calls_with(Some(other));
+    single_controller.submit(JobKind::Array, 1);
+    run(&mut single_controller, 10);
+    assert_eq!(
+        single_controller.running(),
+        0,
+        "the launch has reached nobody"
+    );
+    assert!(
+        rejected(
+            &mut single_controller,
+            MessageSource::Worker,
+            MessageFault::Misrouted
+        ) > 0
+    );
+    single_controller.request(UserRequest::Cancel(JobId(1)));
+    run(&mut single_controller, 30);
     assert_ne!(
-        solo.node().explain("j-000001"),
+        single_controller.node().explain("j-000001"),
         "not open",
         "its launch may still come"
     );
     // A report under a higher token shows that the launch would not be executed any more.
-    solo.answer_direct_calls_with(None);
+    single_controller.answer_direct_calls_with(None);
     for _ in 0..20 {
-        let tokens = solo
+        let tokens = single_controller
             .take_report_replies()
             .into_iter()
             .filter_map(|reply| match reply {
@@ -95,38 +113,46 @@
                 _ => None,
             });
         let newest = tokens.max().expect("workers are answered");
-        for worker in solo.workers() {
+        for worker in single_controller.workers() {
             worker.token = worker.token.max(newest);
         }
-        run(&mut solo, 5);
+        run(&mut single_controller, 5);
     }
-    assert_eq!(solo.node().explain("j-000001"), "not open");
+    assert_eq!(single_controller.node().explain("j-000001"), "not open");
 }
 
 #[test]
 fn stale_heartbeat_is_answered_and_changes_nothing() {
-    let mut solo = Solo::new(MACHINES);
-    let old = solo.workers()[0].report();
-    employ(&mut solo);
-    let before = view(&mut solo);
-    let counted = rejected(&mut solo, MessageSource::Worker, MessageFault::Stale);
-    solo.send_report(old);
+    let mut single_controller = SingleController::new(MACHINES);
+    let old = single_controller.workers()[0].report();
+    employ(&mut single_controller);
+    let before = view(&mut single_controller);
+    let counted = rejected(
+        &mut single_controller,
+        MessageSource::Worker,
+        MessageFault::Stale,
+    );
+    single_controller.send_report(old);
     assert!(matches!(
-        solo.take_report_replies().last(),
+        single_controller.take_report_replies().last(),
         Some(HeartbeatReply::Answer(_))
     ));
-    assert_eq!(view(&mut solo), before);
+    assert_eq!(view(&mut single_controller), before);
     assert_eq!(
-        rejected(&mut solo, MessageSource::Worker, MessageFault::Stale),
+        rejected(
+            &mut single_controller,
+            MessageSource::Worker,
+            MessageFault::Stale
+        ),
         counted + 1
     );
 }
 
 #[test]
 fn mesh_messages_of_unknown_peer_change_nothing() {
-    let mut solo = Solo::with_silent_peer(MACHINES);
-    employ(&mut solo);
-    let before = view(&mut solo);
+    let mut single_controller = SingleController::with_silent_peer(MACHINES);
+    employ(&mut single_controller);
+    let before = view(&mut single_controller);
     let messages = [
         MeshMessage::LeaderChanged {
             partition: 0,
@@ -147,12 +173,16 @@
     for sender in ["n0", "stranger", "", "n1 "] {
         for message in &messages {
             let (from, message) = (ControllerName::from(sender), message.clone());
-            solo.inject(Event::Mesh { from, message });
+            single_controller.inject(Event::Mesh { from, message });
         }
     }
-    assert_eq!(view(&mut solo), before);
+    assert_eq!(view(&mut single_controller), before);
     assert_eq!(
-        rejected(&mut solo, MessageSource::Peer, MessageFault::UnknownSender),
+        rejected(
+            &mut single_controller,
+            MessageSource::Peer,
+            MessageFault::UnknownSender
+        ),
         16
     );
     // A peer cannot take a partition over for another, nor have a machine moved to none.
@@ -161,29 +191,37 @@
         term: 1 << 30,
         leader: "n7".into(),
     };
-    solo.inject(Event::Mesh {
+    single_controller.inject(Event::Mesh {
         from: ControllerName::from("n1"),
         message,
     });
     assert_eq!(
-        rejected(&mut solo, MessageSource::Peer, MessageFault::Misrouted),
+        rejected(
+            &mut single_controller,
+            MessageSource::Peer,
+            MessageFault::Misrouted
+        ),
         1
     );
     let message = MeshMessage::ReleaseMachine {
         machine: "host-000000".into(),
         to: Some(7),
     };
-    solo.inject(Event::Mesh {
+    single_controller.inject(Event::Mesh {
         from: ControllerName::from("n1"),
         message,
     });
     assert_eq!(
-        rejected(&mut solo, MessageSource::Peer, MessageFault::Malformed),
+        rejected(
+            &mut single_controller,
+            MessageSource::Peer,
+            MessageFault::Malformed
+        ),
         1
     );
-    solo.take_report_replies();
-    run(&mut solo, 1);
-    let replies = solo.take_report_replies();
+    single_controller.take_report_replies();
+    run(&mut single_controller, 1);
+    let replies = single_controller.take_report_replies();
     assert!(
         replies
             .iter()
@@ -191,10 +229,10 @@
         "{replies:?}"
     );
     for _ in 0..8 {
-        solo.submit(JobKind::Array, 3);
+        single_controller.submit(JobKind::Array, 3);
     }
-    run(&mut solo, 20);
-    let unused = solo
+    run(&mut single_controller, 20);
+    let unused = single_controller
         .workers()
         .iter()
         .filter(|worker| worker.tasks.is_empty())
@@ -204,26 +242,27 @@
 
 #[test]
 fn unschedulable_submissions_are_rejected_with_reason() {
-    let mut solo = Solo::new(MACHINES);
-    let refused = |solo: &mut Solo, change: &dyn Fn(&mut wire::users::JobRequest)| {
+    let mut single_controller = SingleController::new(MACHINES);
+    let refused = |single_controller: &mut SingleController,
+                   change: &dyn Fn(&mut wire::users::JobRequest)| {
         let mut request = job(77, JobKind::Array, 1);
         change(&mut request);
-        solo.take_user_replies();
-        solo.request(UserRequest::Submit(Box::new(request)));
+        single_controller.take_user_replies();
+        single_controller.request(UserRequest::Submit(Box::new(request)));
         for _ in 0..10 {
-            solo.tick(100);
+            single_controller.tick(100);
         }
-        solo.take_user_replies().pop()
+        single_controller.take_user_replies().pop()
     };
     let by = |reply: Option<UserReply>| match reply {
         Some(UserReply::Rejected(reason)) => reason.to_string(),
         other => format!("{other:?}"),
     };
-    let unknown_team = refused(&mut solo, &|job| job.team = "nobody".into());
+    let unknown_team = refused(&mut single_controller, &|job| job.team = "nobody".into());
     assert_eq!(by(unknown_team), "unknown team");
     // No machine of the site has GPUs.
     for gpus in [0.001, 0.5, 1.0, 1e9] {
-        let beyond = refused(&mut solo, &|job| job.gpus = gpus);
+        let beyond = refused(&mut single_controller, &|job| job.gpus = gpus);
         assert_eq!(
             by(beyond),
             "a task fits no allowed machine type",
@@ -231,18 +270,18 @@
         );
     }
     for gpus in [-1.0, -1e-9, f64::NAN, f64::INFINITY, 1e10] {
-        let invalid = refused(&mut solo, &|job| job.gpus = gpus);
+        let invalid = refused(&mut single_controller, &|job| job.gpus = gpus);
         assert!(
             matches!(invalid, Some(UserReply::Invalid(_))),
             "{gpus} GPUs: {invalid:?}"
         );
     }
-    let beyond_limit = refused(&mut solo, &|job| {
+    let beyond_limit = refused(&mut single_controller, &|job| {
         job.kind = JobKind::Gang;
         job.tasks = 1_000;
     });
     assert_eq!(by(beyond_limit), "the job needs more than the team's limit");
-    let accepted = refused(&mut solo, &|_| {});
+    let accepted = refused(&mut single_controller, &|_| {});
     assert!(
         matches!(accepted, Some(UserReply::Created(_))),
         "{accepted:?}"
@@ -608,49 +647,49 @@
     ]
 }
 
-fn play(solo: &mut Solo, step: Step) {
+fn play(single_controller: &mut SingleController, step: Step) {
     let call = CallId(u64::MAX);
     match step {
         Step::Tick(ms) => {
-            solo.tick(ms);
+            single_controller.tick(ms);
         }
-        Step::Reports => run(solo, 1),
+        Step::Reports => run(single_controller, 1),
         Step::Mesh(from, message) => {
-            solo.inject(Event::Mesh {
+            single_controller.inject(Event::Mesh {
                 from: ControllerName::from(from),
                 message,
             });
         }
-        Step::Forged(report) => solo.send_report(report),
-        Step::Foreign(key, value) => solo.write(&key, value),
-        Step::LateState(reply) => solo.inject(Event::State { call, reply }),
-        Step::LateCloud(reply) => solo.inject(Event::Cloud { call, reply }),
+        Step::Forged(report) => single_controller.send_report(report),
+        Step::Foreign(key, value) => single_controller.write(&key, value),
+        Step::LateState(reply) => single_controller.inject(Event::State { call, reply }),
+        Step::LateCloud(reply) => single_controller.inject(Event::Cloud { call, reply }),
         Step::LateWorker(report) => {
             let reply = DirectReply::Answered(Box::new(report));
-            solo.inject(Event::Worker { call, reply });
+            single_controller.inject(Event::Worker { call, reply });
         }
-        Step::Ask(id) => solo.request(UserRequest::Get(JobId(id))),
-        Step::Cancel(id) => solo.request(UserRequest::Cancel(JobId(id))),
+        Step::Ask(id) => single_controller.request(UserRequest::Get(JobId(id))),
+        Step::Cancel(id) => single_controller.request(UserRequest::Cancel(JobId(id))),
         Step::Submit(id, amount) => {
             let mut request = job(id, JobKind::Array, 3);
             (request.cpus, request.estimate_s) = (amount, amount);
-            solo.request(UserRequest::Submit(Box::new(request)));
+            single_controller.request(UserRequest::Submit(Box::new(request)));
         }
         Step::Admin(settings) => {
             let request = AdminRequest::ChangeSettings {
                 version: 0,
                 settings,
             };
-            solo.inject(Event::Admin { ticket: 0, request });
+            single_controller.inject(Event::Admin { ticket: 0, request });
         }
-        Step::TakeOver => solo.restart(),
+        Step::TakeOver => single_controller.restart(),
     }
 }
 
 /// Tasks that are on two machines at a time.
-fn on_two_machines(solo: &mut Solo) -> Vec<String> {
+fn on_two_machines(single_controller: &mut SingleController) -> Vec<String> {
     let mut places: BTreeMap<String, usize> = BTreeMap::new();
-    for worker in solo.workers() {
+    for worker in single_controller.workers() {
         let held = worker.tasks.iter().filter(|(_, held)| held.present());
         for ((task, _), _) in held {
             *places.entry(task.clone()).or_default() += 1;
@@ -673,21 +712,21 @@
 
     #[test]
     fn arbitrary_messages_cause_no_panic(steps in vec(step(), 1..40)) {
-        let mut solo = Solo::with_silent_peer(MACHINES);
-        employ(&mut solo);
+        let mut single_controller = SingleController::with_silent_peer(MACHINES);
+        employ(&mut single_controller);
         for step in steps {
-            play(&mut solo, step);
+            play(&mut single_controller, step);
         }
-        run(&mut solo, 3);
+        run(&mut single_controller, 3);
     }
 
     #[test]
     fn malformed_messages_start_no_task_twice(steps in vec(step().prop_filter("said", proves_nothing), 1..40)) {
-        let mut solo = Solo::with_silent_peer(MACHINES);
-        employ(&mut solo);
+        let mut single_controller = SingleController::with_silent_peer(MACHINES);
+        employ(&mut single_controller);
         for step in steps {
-            play(&mut solo, step);
-            prop_assert_eq!(on_two_machines(&mut solo), Vec::<String>::new());
+            play(&mut single_controller, step);
+            prop_assert_eq!(on_two_machines(&mut single_controller), Vec::<String>::new());
         }
     }
 }
@@ -697,13 +736,13 @@
 
     #[test]
     fn malformed_heartbeats_change_nothing(faults in vec((0..MACHINES, 0..6usize), 1..20)) {
-        let mut solo = Solo::new(MACHINES);
-        employ(&mut solo);
-        let before = view(&mut solo);
-        solo.take_report_replies();
-        solo.node().counters.rejections.drain().for_each(drop);
+        let mut single_controller = SingleController::new(MACHINES);
+        employ(&mut single_controller);
+        let before = view(&mut single_controller);
+        single_controller.take_report_replies();
+        single_controller.node().counters.rejections.drain().for_each(drop);
         for (nth, fault) in &faults {
-            let mut report = solo.workers()[*nth].report();
+            let mut report = single_controller.workers()[*nth].report();
             match fault {
                 0 => report.machine_type = String::new(),
                 1 => report.machine = "x".repeat(300),
@@ -715,15 +754,15 @@
                     report.tasks.iter_mut().for_each(|entry| entry.task.push('x'));
                 }
             }
-            solo.send_report(report);
+            single_controller.send_report(report);
         }
-        let replies = solo.take_report_replies();
+        let replies = single_controller.take_report_replies();
         prop_assert!(replies.iter().all(|reply| *reply == HeartbeatReply::Malformed), "{replies:?}");
-        let counted = rejected(&mut solo, MessageSource::Worker, MessageFault::Malformed);
+        let counted = rejected(&mut single_controller, MessageSource::Worker, MessageFault::Malformed);
         prop_assert_eq!(counted, faults.len() as u64);
-        prop_assert_eq!(view(&mut solo), before);
-        run(&mut solo, 1);
-        let replies = solo.take_report_replies();
+        prop_assert_eq!(view(&mut single_controller), before);
+        run(&mut single_controller, 1);
+        let replies = single_controller.take_report_replies();
         prop_assert!(replies.iter().all(|reply| matches!(reply, HeartbeatReply::Answer(_))));
     }
 }
--- a/crates/simulator/tests/rules.rs
+++ b/crates/simulator/tests/rules.rs
@@ -2,7 +2,7 @@
 
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
-use simulator::{Boots, Fault, Plan, Sabotage, World};
+use simulator::{BootBehavior, Fault, Mutation, Plan, World};
 
 /// Troubles drawn from a seed: singly, together, and overlapping.
 fn troubles(seed: u64, count: usize, from: u64, to: u64) -> Vec<(u64, Fault)> {
@@ -14,25 +14,25 @@
             let ms = rng.random_range(3_000..40_000);
             let nth = rng.random_range(0..20);
             let fault = match rng.random_range(0..12) {
-                0 | 1 => Fault::Crash {
+                0 | 1 => Fault::CrashController {
                     node,
                     back: rng.random_range(2_000..9_000),
                 },
-                2 => Fault::CutState { node, ms },
-                3 => Fault::Refuse {
+                2 => Fault::DisconnectStateService { node, ms },
+                3 => Fault::RefuseStateRequests {
                     node: Some(node),
                     ms,
                 },
-                4 => Fault::Refuse {
+                4 => Fault::RefuseStateRequests {
                     node: None,
                     ms: ms.min(25_000),
                 },
-                5 => Fault::CutWorkers { node, ms },
-                6 => Fault::CutMesh { node, ms },
-                7 => Fault::CutZones { ms },
-                8 => Fault::CutMachine { nth, ms },
-                9 => Fault::Hang { nth, ms },
-                10 => Fault::Kill { nth },
+                5 => Fault::DisconnectWorkers { node, ms },
+                6 => Fault::DisconnectMesh { node, ms },
+                7 => Fault::PartitionZones { ms },
+                8 => Fault::DisconnectMachine { nth, ms },
+                9 => Fault::HangMachine { nth, ms },
+                10 => Fault::CrashMachine { nth },
                 _ => Fault::CloudOutage { ms },
             };
             (at, fault)
@@ -49,19 +49,20 @@
         let node = rng.random_range(0..3);
         let ms = rng.random_range(3_000..40_000);
         let fault = match rng.random_range(0..9) {
-            0..=2 => Fault::Freeze {
+            0..=2 => Fault::PauseController {
                 node,
                 ms: rng.random_range(500..22_000),
             },
-            3 => Fault::Isolate { node, ms },
-            4 => Fault::Mistakes { ms },
-            5 => Fault::Questions { ms },
-            6 => Fault::Guests {
+            3 => Fault::IsolateController { node, ms },
+            4 => Fault::FailingJobs { ms },
+            5 => Fault::StatusRequestStorm { ms },
+            6 => Fault::GuestJobs {
                 jobs: rng.random_range(1..6),
             },
             _ => {
-                let how = [Boots::Early, Boots::Late, Boots::Never][rng.random_range(0..3)];
-                Fault::Boots { how, ms }
+                let how = [BootBehavior::Early, BootBehavior::Late, BootBehavior::Never]
+                    [rng.random_range(0..3)];
+                Fault::ChangeBootBehavior { how, ms }
             }
         };
         faults.push((at, fault));
@@ -80,7 +81,7 @@
         seed,
         ms: 260_000,
         faults,
-        sabotage: None,
+        mutation: None,
         submit_ms: 150_000,
         size: 1,
     }
@@ -90,7 +91,7 @@
 fn runs_without_faults_complete_all_work() {
     for seed in 1..=4 {
         let world = run(plan(seed, Vec::new()));
-        assert_eq!(world.rules.broken, [], "seed {seed}");
+        assert_eq!(world.rules.violations, [], "seed {seed}");
         assert!(
             world.rules.started > 100,
             "seed {seed}: {} starts",
@@ -105,7 +106,7 @@
     for seed in 1..=40 {
         let faults = troubles(seed, 6, 20_000, 150_000);
         let world = run(plan(seed, faults.clone()));
-        assert_eq!(world.rules.broken, [], "seed {seed}: {faults:?}");
+        assert_eq!(world.rules.violations, [], "seed {seed}: {faults:?}");
         assert!(world.rules.started > 50, "seed {seed}");
     }
 }
@@ -118,7 +119,7 @@
             size: 1 + seed % 2,
             ..plan(seed, faults.clone())
         });
-        assert_eq!(world.rules.broken, [], "seed {seed}: {faults:?}");
+        assert_eq!(world.rules.violations, [], "seed {seed}: {faults:?}");
         assert!(world.rules.started > 50, "seed {seed}");
     }
 }
@@ -127,7 +128,8 @@
 /// that takes over.
 /// Controllers that stand still for less and for more than a lease, one alone and two together.
 fn freezes(seed: u64) -> Vec<(u64, Fault)> {
-    let freeze = |at: u64, node: usize, ms: u64| (at + seed * 13, Fault::Freeze { node, ms });
+    let freeze =
+        |at: u64, node: usize, ms: u64| (at + seed * 13, Fault::PauseController { node, ms });
     vec![
         freeze(30_000, 0, 20_000),
         freeze(36_000, 1, 5_000),
@@ -146,7 +148,7 @@
             size: 2,
             ..plan(seed, freezes(seed))
         });
-        assert_eq!(world.rules.broken, [], "seed {seed}");
+        assert_eq!(world.rules.violations, [], "seed {seed}");
         assert_eq!(world.unfinished(), Vec::<String>::new(), "seed {seed}");
     }
 }
@@ -159,7 +161,7 @@
             size: 2,
             ..plan(seed, freezes(seed))
         });
-        assert_eq!(world.rules.broken, [], "seed {seed}");
+        assert_eq!(world.rules.violations, [], "seed {seed}");
         if seed > 8 {
             assert_eq!(world.unfinished(), Vec::<String>::new(), "seed {seed}");
         }
@@ -172,42 +174,48 @@
     for seed in 1..=6 {
         let mut faults = Vec::new();
         for node in 0..3 {
-            faults.push((60_000, Fault::Crash { node, back: 6_000 }));
+            faults.push((60_000, Fault::CrashController { node, back: 6_000 }));
             faults.push((
                 100_000 + node as u64 * 12_000,
-                Fault::Crash { node, back: 7_000 },
+                Fault::CrashController { node, back: 7_000 },
             ));
         }
         let world = run(plan(seed, faults));
-        assert_eq!(world.rules.broken, [], "seed {seed}");
+        assert_eq!(world.rules.violations, [], "seed {seed}");
         assert_eq!(world.unfinished(), Vec::<String>::new(), "seed {seed}");
     }
 }
 
 /// The checker must be able to fail: with a safety step broken it finds a broken rule in at
 /// least one of a few runs.
-fn is_caught(sabotage: Sabotage, rules: &[&str], faults: impl Fn(u64) -> Vec<(u64, Fault)>) {
+fn is_caught(mutation: Mutation, rules: &[&str], faults: impl Fn(u64) -> Vec<(u64, Fault)>) {
     let mut seen = Vec::new();
     for seed in 1..=12 {
         let plan = Plan {
-            sabotage: Some(sabotage),
+            mutation: Some(mutation),
             ..plan(seed, faults(seed))
         };
         let world = run(plan);
-        if let Some(broken) = world.rules.broken.first() {
-            assert!(rules.contains(&broken.rule), "{sabotage:?}: {broken:?}");
+        if let Some(violations) = world.rules.violations.first() {
+            assert!(
+                rules.contains(&violations.rule),
+                "{mutation:?}: {violations:?}"
+            );
             return;
         }
         seen.push(world.rules.started);
     }
-    panic!("{sabotage:?} was not caught in {seen:?} starts");
+    panic!("{mutation:?} was not caught in {seen:?} starts");
 }
 
 fn crashes(seed: u64) -> Vec<(u64, Fault)> {
     (0..8)
         .map(|n| {
             let node = ((seed + n) % 3) as usize;
-            (25_000 + n * 14_000, Fault::Crash { node, back: 6_000 })
+            (
+                25_000 + n * 14_000,
+                Fault::CrashController { node, back: 6_000 },
+            )
         })
         .collect()
 }
@@ -215,7 +223,7 @@
 #[test]
 fn checker_detects_launch_before_durable_placement() {
     is_caught(
-        Sabotage::RoundsNotWritten,
+        Mutation::LogCommitsNotWritten,
         &[
             "ran_twice",
             "quota",
@@ -230,14 +238,14 @@
 #[test]
 fn checker_detects_underestimated_lease() {
     is_caught(
-        Sabotage::ShortLease,
+        Mutation::ShortLease,
         &["ran_twice", "quota", "wrong_place"],
         |_| {
             (0..10)
                 .map(|n| {
                     (
                         20_000 + n * 12_000,
-                        Fault::CutMachine {
+                        Fault::DisconnectMachine {
                             nth: n as usize,
                             ms: 9_000,
                         },
@@ -250,13 +258,13 @@
 
 #[test]
 fn checker_detects_heartbeats_answered_beyond_lease_validity() {
-    is_caught(Sabotage::LongCancel, &["ran_cancelled"], |seed| {
+    is_caught(Mutation::LongCancel, &["ran_cancelled"], |seed| {
         let node = (seed % 3) as usize;
-        let cut = |node| (40_000, Fault::CutWorkers { node, ms: 100_000 });
+        let cut = |node| (40_000, Fault::DisconnectWorkers { node, ms: 100_000 });
         // A successor that reaches the workers ends it at once: they know its token then.
         let mut faults: Vec<(u64, Fault)> = (0..3).filter(|n| *n != node).map(cut).collect();
-        faults.push((40_000, Fault::CutState { node, ms: 100_000 }));
-        faults.push((40_000, Fault::CutMesh { node, ms: 100_000 }));
+        faults.push((40_000, Fault::DisconnectStateService { node, ms: 100_000 }));
+        faults.push((40_000, Fault::DisconnectMesh { node, ms: 100_000 }));
         faults
     });
 }
@@ -264,7 +272,7 @@
 #[test]
 fn checker_detects_unwritten_completion() {
     is_caught(
-        Sabotage::EndsNotWritten,
+        Mutation::TerminalStatesNotWritten,
         &["went_back", "forgotten", "not_done", "ran_cancelled"],
         crashes,
     );
@@ -278,21 +286,21 @@
     let faults = vec![
         (
             40_061,
-            Fault::CutWorkers {
+            Fault::DisconnectWorkers {
                 node: 0,
                 ms: 18_764,
             },
         ),
         (
             23_545,
-            Fault::Refuse {
+            Fault::RefuseStateRequests {
                 node: None,
                 ms: 25_000,
             },
         ),
         (
             39_271,
-            Fault::CutWorkers {
+            Fault::DisconnectWorkers {
                 node: 1,
                 ms: 32_358,
             },
@@ -300,7 +308,7 @@
     ];
     for seed in [1097, 7, 8, 9, 10] {
         let world = run(plan(seed, faults.clone()));
-        assert_eq!(world.rules.broken, [], "seed {seed}");
+        assert_eq!(world.rules.violations, [], "seed {seed}");
     }
 }
 
@@ -309,10 +317,10 @@
 #[test]
 fn failback_with_mesh_partition_succeeds() {
     let faults = vec![
-        (50_000, Fault::CutZones { ms: 60_000 }),
+        (50_000, Fault::PartitionZones { ms: 60_000 }),
         (
             50_500,
-            Fault::Crash {
+            Fault::CrashController {
                 node: 1,
                 back: 6_000,
             },
@@ -320,11 +328,11 @@
     ];
     let mut world = World::new(plan(3, faults));
     world.run_to(56_000);
-    assert_ne!(world.holder(1), Some("n1"), "another node has taken it");
+    assert_ne!(world.leader(1), Some("n1"), "another node has taken it");
     world.run_to(64_000);
-    assert_eq!(world.holder(1), Some("n1"));
+    assert_eq!(world.leader(1), Some("n1"));
     world.run();
-    assert_eq!(world.rules.broken, []);
+    assert_eq!(world.rules.violations, []);
     assert_eq!(world.unfinished(), Vec::<String>::new());
 }
 
@@ -332,7 +340,7 @@
 fn leader_unreachable_for_workers_resigns() {
     let faults = vec![(
         50_000,
-        Fault::CutWorkers {
+        Fault::DisconnectWorkers {
             node: 0,
             ms: 60_000,
         },
@@ -344,24 +352,24 @@
     });
     world.run_to(64_000);
     assert!(
-        world.holder(0).is_some_and(|holder| holder != "n0"),
+        world.leader(0).is_some_and(|leader| leader != "n0"),
         "{:?}",
-        world.holder(0)
+        world.leader(0)
     );
     // Seen on an ops day: it went home after 15 s although no worker reached its home yet, and 264
     // tasks lost their leases.
     for at in 64..109 {
         world.run_to(at * 1_000);
-        assert_ne!(world.holder(0), Some("n0"), "at {at} s");
+        assert_ne!(world.leader(0), Some("n0"), "at {at} s");
     }
     world.run_to(150_000);
     assert_eq!(
-        world.holder(0),
+        world.leader(0),
         Some("n0"),
         "it is back when workers reach its node again"
     );
     world.run();
-    assert_eq!(world.rules.broken, []);
+    assert_eq!(world.rules.violations, []);
     assert_eq!(world.unfinished(), Vec::<String>::new());
 }
 
@@ -372,32 +380,32 @@
 fn large_site_keeps_rules_and_write_budget() {
     for seed in 1..=2 {
         let faults = vec![
-            (1_000, Fault::Burst { jobs: 400 }),
+            (1_000, Fault::JobBurst { jobs: 400 }),
             (
                 40_000,
-                Fault::Crash {
+                Fault::CrashController {
                     node: 1,
                     back: 6_000,
                 },
             ),
-            (55_000, Fault::CutMachine { nth: 7, ms: 20_000 }),
+            (55_000, Fault::DisconnectMachine { nth: 7, ms: 20_000 }),
             (
                 60_000,
-                Fault::Refuse {
+                Fault::RefuseStateRequests {
                     node: None,
                     ms: 12_000,
                 },
             ),
             (
                 80_000,
-                Fault::Crash {
+                Fault::CrashController {
                     node: 0,
                     back: 6_000,
                 },
             ),
             (
                 80_000,
-                Fault::Crash {
+                Fault::CrashController {
                     node: 2,
                     back: 6_000,
                 },
@@ -415,7 +423,7 @@
             "seed {seed}: {} machines",
             world.machines_up()
         );
-        let mut waits = world.accept_ms.clone();
+        let mut waits = world.acceptance_latencies_ms.clone();
         waits.sort_unstable();
         let late = waits.iter().filter(|ms| **ms > 5_000).count();
         assert!(
@@ -423,7 +431,7 @@
             "seed {seed}: {waits:?}"
         );
         world.run();
-        assert_eq!(world.rules.broken, [], "seed {seed}");
+        assert_eq!(world.rules.violations, [], "seed {seed}");
         let (taken, refused) = world.writes();
         assert!(taken <= 261 * 20, "seed {seed}: {taken} puts");
         assert!(
@@ -439,7 +447,7 @@
 #[test]
 fn fleet_planner_scales_out_for_unreachable_leaders() {
     let faults = (0..3)
-        .map(|node| (0, Fault::CutMesh { node, ms: 60_000 }))
+        .map(|node| (0, Fault::DisconnectMesh { node, ms: 60_000 }))
         .collect();
     let mut world = World::new(Plan {
         size: 2,
@@ -450,31 +458,31 @@
         assert!(world.machines_of(partition) > 0, "partition {partition}");
     }
     world.run_to(200_000);
-    assert_eq!(world.rules.broken, []);
+    assert_eq!(world.rules.violations, []);
 }
 
 /// Found by a day of our own: users who asked fifteen times as often took the state service's whole
 /// allowance of requests, and submissions waited for seconds.
 #[test]
 fn status_request_storm_keeps_submissions_fast() {
-    let faults = vec![(60_000, Fault::Questions { ms: 40_000 })];
+    let faults = vec![(60_000, Fault::StatusRequestStorm { ms: 40_000 })];
     let mut world = World::new(Plan {
         size: 4,
         ..plan(11, faults)
     });
     world.run_to(60_000);
-    let (before, away) = (world.requests, world.turned_away);
+    let (before, away) = (world.requests, world.rejected_busy);
     world.run_to(100_000);
     let rate = (world.requests - before) / 40;
     // A fifth of the 400 a second for each kind of read, and what all else takes.
     assert!(rate <= 170, "{rate} requests a second");
     // Now and then the answer to a read is lost, and those who wait for it come again.
     assert!(
-        world.turned_away - away <= 10,
+        world.rejected_busy - away <= 10,
         "{}",
-        world.turned_away - away
+        world.rejected_busy - away
     );
-    assert_eq!(world.rules.broken, []);
+    assert_eq!(world.rules.violations, []);
 }
 
 /// Found by a sweep: see `a_gang_that_is_done_counts_until_its_last_member_is_gone`.
@@ -483,35 +491,35 @@
     let faults = vec![
         (
             42_577,
-            Fault::Refuse {
+            Fault::RefuseStateRequests {
                 node: Some(2),
                 ms: 14_806,
             },
         ),
         (
             47_988,
-            Fault::Refuse {
+            Fault::RefuseStateRequests {
                 node: Some(2),
                 ms: 28_092,
             },
         ),
         (
             52_834,
-            Fault::CutState {
+            Fault::DisconnectStateService {
                 node: 0,
                 ms: 36_171,
             },
         ),
         (
             56_571,
-            Fault::CutState {
+            Fault::DisconnectStateService {
                 node: 1,
                 ms: 26_899,
             },
         ),
         (
             62_332,
-            Fault::Refuse {
+            Fault::RefuseStateRequests {
                 node: Some(1),
                 ms: 22_394,
             },
@@ -519,7 +527,7 @@
     ];
     for seed in [5178, 5181, 5184] {
         let world = run(plan(seed, faults.clone()));
-        assert_eq!(world.rules.broken, [], "seed {seed}");
+        assert_eq!(world.rules.violations, [], "seed {seed}");
         assert_eq!(world.unfinished(), Vec::<String>::new(), "seed {seed}");
     }
 }
@@ -529,23 +537,23 @@
 fn guest_team_and_other_teams_are_served() {
     for seed in 1..=4 {
         let faults = vec![
-            (20_000, Fault::Guests { jobs: 4 }),
+            (20_000, Fault::GuestJobs { jobs: 4 }),
             (
                 50_000,
-                Fault::Crash {
+                Fault::CrashController {
                     node: 0,
                     back: 6_000,
                 },
             ),
-            (80_000, Fault::Freeze { node: 0, ms: 8_000 }),
-            (90_000, Fault::Guests { jobs: 2 }),
+            (80_000, Fault::PauseController { node: 0, ms: 8_000 }),
+            (90_000, Fault::GuestJobs { jobs: 2 }),
         ];
         let world = run(Plan {
             size: 2,
             submit_ms: 120_000,
             ..plan(seed, faults)
         });
-        assert_eq!(world.rules.broken, [], "seed {seed}");
+        assert_eq!(world.rules.violations, [], "seed {seed}");
         assert_eq!(world.unfinished(), Vec::<String>::new(), "seed {seed}");
     }
 }
--- a/crates/simulator/tests/service_levels.rs
+++ b/crates/simulator/tests/service_levels.rs
@@ -18,14 +18,16 @@
         seed,
         ms,
         faults,
-        sabotage: None,
+        mutation: None,
         submit_ms,
         size,
     };
     let mut world = World::new(plan);
     world.run();
-    assert_eq!(world.rules.broken, [], "{said}");
-    let (of, part) = world.least_served(ms / 4).expect("something was asked for");
+    assert_eq!(world.rules.violations, [], "{said}");
+    let (of, part) = world
+        .lowest_service_level(ms / 4)
+        .expect("something was asked for");
     println!(
         "{said}: least served {of}, {part:.2}; {} starts",
         world.rules.started
@@ -46,7 +48,7 @@
     let mut at = from;
     while at < until {
         let back = rng.random_range(50..400);
-        faults.push((at, Fault::Crash { node, back }));
+        faults.push((at, Fault::CrashController { node, back }));
         at += back + rng.random_range(every.clone());
     }
     faults
@@ -66,11 +68,11 @@
             let ms = rng.random_range(3_000..20_000);
             let node = rng.random_range(0..3);
             let fault = match rng.random_range(0..8) {
-                0 => Fault::Refuse { node: None, ms },
-                1 => Fault::CutMesh { node, ms },
-                2 => Fault::CutState { node, ms },
-                3 => Fault::SlowState { times: 20, ms },
-                _ => Fault::Crash { node, back },
+                0 => Fault::RefuseStateRequests { node: None, ms },
+                1 => Fault::DisconnectMesh { node, ms },
+                2 => Fault::DisconnectStateService { node, ms },
+                3 => Fault::SlowStateService { times: 20, ms },
+                _ => Fault::CrashController { node, back },
             };
             (at, fault)
         });
@@ -119,10 +121,10 @@
 fn tenfold_demand_of_one_team_keeps_service_levels_of_all_teams() {
     for seed in 1..=3 {
         let faults = vec![
-            (0, Fault::Heavy { ms: 240_000 }),
-            (60_000, Fault::Crash { node: 0, back: 200 }),
-            (80_000, Fault::Burst { jobs: 60 }),
-            (90_000, Fault::KillMany { count: 30 }),
+            (0, Fault::SkewedLoad { ms: 240_000 }),
+            (60_000, Fault::CrashController { node: 0, back: 200 }),
+            (80_000, Fault::JobBurst { jobs: 60 }),
+            (90_000, Fault::CrashMachines { count: 30 }),
         ];
         day("a heavy team", seed, 60, 240_000, faults);
     }
@@ -131,14 +133,14 @@
 /// All at once at the operators' size: the mass loss, the ends, the loop and the outage.
 #[test]
 fn oversized_fleet_recovers_from_simultaneous_restart() {
-    let all = |at: u64| (0..3).map(move |node| (at, Fault::Crash { node, back: 100 }));
+    let all = |at: u64| (0..3).map(move |node| (at, Fault::CrashController { node, back: 100 }));
     let mut rng = SmallRng::seed_from_u64(7);
     let mut faults = vec![
-        (1_000, Fault::Burst { jobs: 150 }),
-        (46_000, Fault::KillMany { count: 220 }),
+        (1_000, Fault::JobBurst { jobs: 150 }),
+        (46_000, Fault::CrashMachines { count: 220 }),
         (
             70_000,
-            Fault::Refuse {
+            Fault::RefuseStateRequests {
                 node: None,
                 ms: 12_000,
             },
@@ -167,25 +169,25 @@
 /// Troubles at the operators' size, drawn by seed.
 fn drawn(seed: u64) -> Vec<(u64, Fault)> {
     let mut rng = SmallRng::seed_from_u64(seed ^ 0xf1ee7);
-    let mut faults = vec![(1_000, Fault::Burst { jobs: 150 })];
+    let mut faults = vec![(1_000, Fault::JobBurst { jobs: 150 })];
     for _ in 0..6 {
         let at = rng.random_range(30_000..85_000);
         let ms = rng.random_range(2_000..20_000);
         let node = rng.random_range(0..3);
         let count = rng.random_range(50..250);
         let fault = match rng.random_range(0..12) {
-            0..=3 => Fault::Crash {
+            0..=3 => Fault::CrashController {
                 node,
                 back: rng.random_range(50..500),
             },
-            4 => Fault::KillMany { count },
-            5 => Fault::HangMany { count, ms },
-            6 => Fault::Refuse { node: None, ms },
-            7 => Fault::CutState { node, ms },
-            8 => Fault::CutWorkers { node, ms },
-            9 => Fault::SlowState { times: 20, ms },
-            10 => Fault::Burst { jobs: 60 },
-            _ => Fault::Freeze {
+            4 => Fault::CrashMachines { count },
+            5 => Fault::HangMachines { count, ms },
+            6 => Fault::RefuseStateRequests { node: None, ms },
+            7 => Fault::DisconnectStateService { node, ms },
+            8 => Fault::DisconnectWorkers { node, ms },
+            9 => Fault::SlowStateService { times: 20, ms },
+            10 => Fault::JobBurst { jobs: 60 },
+            _ => Fault::PauseController {
                 node,
                 ms: ms.min(9_000),
             },
--- a/crates/simulator/tests/stale_cache.rs
+++ b/crates/simulator/tests/stale_cache.rs
@@ -7,7 +7,7 @@
 use controller::{Controller, Effect, Event, UserReply, UserRequest};
 use model::{CallId, ControllerName, JobId, JobState, PartitionId, Settings, Timestamp};
 use serde::Serialize;
-use simulator::solo::{job, machine_type};
+use simulator::single_controller::{job, machine_type};
 use simulator::state::StateService;
 use std::collections::VecDeque;
 use wire::cloud::{CloudReply, CloudRequest, MachineTypes};
--- a/crates/simulator/tests/user_histories.rs
+++ b/crates/simulator/tests/user_histories.rs
@@ -2,18 +2,18 @@
 //! is judged by the history of its job. Each test asserts that its meeting has come about, and each meeting is
 //! run again with a safety step broken, to show that the checker would tell.
 
-use simulator::{for_seeds, Fault, Met, Plan, Sabotage, World};
+use simulator::{for_seeds, Fault, FaultCoverage, Mutation, Plan, World};
 
 type Faults = Vec<(u64, Fault)>;
 
 /// A small site with users who look closely throughout.
 fn plan(seed: u64, ms: u64, mut faults: Faults) -> Plan {
-    faults.insert(0, (1_000, Fault::CloseLooks { ms }));
+    faults.insert(0, (1_000, Fault::FollowUpRequests { ms }));
     Plan {
         seed,
         ms,
         faults,
-        sabotage: None,
+        mutation: None,
         submit_ms: 60_000,
         size: 1 + seed % 2,
     }
@@ -21,15 +21,15 @@
 
 /// The same with long tasks.
 fn long_plan(seed: u64, ms: u64, mut faults: Faults) -> Plan {
-    faults.insert(0, (1_000, Fault::CloseLooks { ms }));
+    faults.insert(0, (1_000, Fault::FollowUpRequests { ms }));
     Plan::of_long_tasks(seed, ms, faults)
 }
 
-fn run(plan: Plan, meeting: &str) -> World {
-    let said = format!("{meeting}, seed {}", plan.seed);
+fn run(plan: Plan, scenario: &str) -> World {
+    let said = format!("{scenario}, seed {}", plan.seed);
     let mut world = World::new(plan);
     world.run();
-    assert_eq!(world.rules.broken, [], "{said}");
+    assert_eq!(world.rules.violations, [], "{said}");
     world
 }
 
@@ -49,27 +49,30 @@
         (5_000, Fault::OneTaskJobs { ms: 60_000 }),
         (
             20_000,
-            Fault::SlowState {
+            Fault::SlowStateService {
                 times: 1 + 4 * (seed % 6),
                 ms: 60_000,
             },
         ),
         (
             40_000,
-            Fault::CancelAll {
+            Fault::CancelAllJobs {
                 through: seed as usize % 3,
             },
         ),
         (
             60_000,
-            Fault::CancelAll {
+            Fault::CancelAllJobs {
                 through: (seed as usize + 1) % 3,
             },
         ),
     ];
     for nth in 0..40 {
         let (node, ms) = (nth as usize % 3, 200 + 97 * ((seed + nth) % 13));
-        faults.push((20_000 + nth * 1_500, Fault::CutState { node, ms }));
+        faults.push((
+            20_000 + nth * 1_500,
+            Fault::DisconnectStateService { node, ms },
+        ));
     }
     faults
 }
@@ -80,40 +83,40 @@
         let world = run(plan(seed, 130_000, slow_state(seed)), "slow state service");
         assert_closely_watched(&world, &format!("seed {seed}"));
         assert!(
-            world.met.cancelled_at_acceptance > 10,
+            world.coverage.cancelled_at_acceptance > 10,
             "seed {seed}: {:?}",
-            world.met
+            world.coverage
         );
     });
 }
 
 /// Answers of the state service are lost, and jobs are cancelled around their ends.
-fn lost_answers(seed: u64) -> Faults {
+fn lost_replies(seed: u64) -> Faults {
     vec![
         (5_000, Fault::OneTaskJobs { ms: 50_000 }),
         (
             15_000,
-            Fault::LostAnswers {
+            Fault::DropTransactionReplies {
                 percent: 10 + 5 * (seed % 4),
                 ms: 60_000,
             },
         ),
         (
             15_000,
-            Fault::CancelAtEnd {
+            Fault::CancelAtCompletion {
                 percent: 50,
                 ms: 60_000,
             },
         ),
         (
             35_000,
-            Fault::CancelAll {
+            Fault::CancelAllJobs {
                 through: seed as usize % 3,
             },
         ),
         (
             50_000,
-            Fault::CancelNow {
+            Fault::CancelRunningJobs {
                 count: 12,
                 hang_ms: 0,
             },
@@ -126,17 +129,17 @@
 #[test]
 fn answers_are_current_with_lost_state_service_replies() {
     for_seeds(12, |seed| {
-        let world = run(plan(seed, 130_000, lost_answers(seed)), "lost answers");
+        let world = run(plan(seed, 130_000, lost_replies(seed)), "lost answers");
         assert_closely_watched(&world, &format!("seed {seed}"));
-        let Met {
-            lost_answers,
-            lost_and_read,
+        let FaultCoverage {
+            lost_replies,
+            lost_replies_read_elsewhere,
             ..
-        } = world.met;
+        } = world.coverage;
         assert!(
-            lost_answers > 20 && lost_and_read > 10,
+            lost_replies > 20 && lost_replies_read_elsewhere > 10,
             "seed {seed}: {:?}",
-            world.met
+            world.coverage
         );
     });
 }
@@ -147,7 +150,7 @@
     vec![
         (
             2_000,
-            Fault::CancelAtEnd {
+            Fault::CancelAtCompletion {
                 percent: 60,
                 ms: 120_000,
             },
@@ -155,7 +158,7 @@
         (5_000, Fault::OneTaskJobs { ms: 60_000 }),
         (
             20_000,
-            Fault::SlowState {
+            Fault::SlowStateService {
                 times: 1 + 9 * (seed % 2),
                 ms: 60_000,
             },
@@ -169,15 +172,15 @@
         let world = run(plan(seed, 130_000, ends(seed)), "ends");
         let told = |told: &std::collections::BTreeMap<String, u64>| {
             world
-                .met
-                .cancelled_at_end
+                .coverage
+                .cancelled_at_completion
                 .iter()
                 .filter(|id| told.contains_key(*id))
                 .count()
         };
         let (done, cancelled) = (
-            told(&world.rules.done_told),
-            told(&world.rules.cancelled_told),
+            told(&world.rules.done_confirmed),
+            told(&world.rules.cancel_confirmed),
         );
         assert!(
             done >= 10 && cancelled >= 10,
@@ -189,10 +192,10 @@
 /// Odd requests, also while a node is back and has not read everything, and while the cloud is out.
 fn odd_requests(seed: u64) -> Faults {
     vec![
-        (3_000, Fault::OddRequests { ms: 110_000 }),
+        (3_000, Fault::UnusualRequests { ms: 110_000 }),
         (
             30_000,
-            Fault::Crash {
+            Fault::CrashController {
                 node: seed as usize % 3,
                 back: 300,
             },
@@ -200,21 +203,21 @@
         (50_000, Fault::CloudOutage { ms: 15_000 }),
         (
             55_000,
-            Fault::Crash {
+            Fault::CrashController {
                 node: (seed as usize + 1) % 3,
                 back: 500,
             },
         ),
         (
             75_000,
-            Fault::SlowState {
+            Fault::SlowStateService {
                 times: 10,
                 ms: 20_000,
             },
         ),
         (
             80_000,
-            Fault::CutState {
+            Fault::DisconnectStateService {
                 node: seed as usize % 3,
                 ms: 8_000,
             },
@@ -226,21 +229,21 @@
 fn unusual_requests_are_rejected_or_change_nothing() {
     for_seeds(12, |seed| {
         let world = run(plan(seed, 150_000, odd_requests(seed)), "odd requests");
-        let Met {
+        let FaultCoverage {
             repeated_unfinished,
             cancelled_done,
             ..
-        } = world.met;
-        let Met {
-            refused_unfit,
-            refused_malformed,
+        } = world.coverage;
+        let FaultCoverage {
+            rejected_unschedulable,
+            rejected_malformed,
             ..
-        } = world.met;
+        } = world.coverage;
         let kinds = [
             repeated_unfinished,
             cancelled_done,
-            refused_unfit,
-            refused_malformed,
+            rejected_unschedulable,
+            rejected_malformed,
         ];
         assert!(
             kinds.iter().all(|count| *count >= 30),
@@ -255,21 +258,21 @@
         (5_000, Fault::OneTaskJobs { ms: 130_000 }),
         (
             40_000 + seed * 211,
-            Fault::Crash {
+            Fault::CrashController {
                 node: seed as usize % 3,
                 back: 200,
             },
         ),
         (
             70_000,
-            Fault::Crash {
+            Fault::CrashController {
                 node: (seed as usize + 1) % 3,
                 back: 6_000,
             },
         ),
         (
             100_000,
-            Fault::CutState {
+            Fault::DisconnectStateService {
                 node: (seed as usize + 2) % 3,
                 ms: 9_000,
             },
@@ -286,7 +289,10 @@
         };
         let world = run(plan, "one-task jobs");
         assert_closely_watched(&world, &format!("seed {seed}"));
-        let (jobs, cancelled) = (world.met.one_task_jobs, world.rules.cancelled_told.len());
+        let (jobs, cancelled) = (
+            world.coverage.one_task_jobs,
+            world.rules.cancel_confirmed.len(),
+        );
         assert!(
             jobs > 450 && cancelled > 100,
             "seed {seed}: {jobs} jobs, {cancelled} cancelled"
@@ -303,7 +309,7 @@
         let (at, node) = (35_000 + nth * 25_000, (seed + nth) as usize % 3);
         faults.push((
             at,
-            Fault::Crash {
+            Fault::CrashController {
                 node,
                 back: 300 + seed * 200,
             },
@@ -311,26 +317,26 @@
         for wave in 0..24 {
             faults.push((
                 at + 100 + wave * 500,
-                Fault::CancelNow {
+                Fault::CancelRunningJobs {
                     count: 1,
                     hang_ms: 0,
                 },
             ));
         }
-        faults.push((at + 14_000, Fault::Burst { jobs: 14 }));
+        faults.push((at + 14_000, Fault::JobBurst { jobs: 14 }));
     }
     faults
 }
 
 /// Cancellations that were asked for within two seconds of a partition's move to another node.
-fn cancelled_in_moves(world: &World, handed: bool) -> usize {
+fn cancelled_in_moves(world: &World, transferred: bool) -> usize {
     let moves = world
-        .takeovers
+        .failovers
         .list
         .iter()
-        .filter(|takeover| takeover.handed == handed);
-    let moves: Vec<u64> = moves.filter_map(|takeover| takeover.taken_at).collect();
-    let asked = world.rules.cancel_asked.iter();
+        .filter(|takeover| takeover.transferred == transferred);
+    let moves: Vec<u64> = moves.filter_map(|takeover| takeover.acquired_at).collect();
+    let asked = world.rules.cancel_requests.iter();
     let asked = asked.filter_map(|id| world.rules.history.cancel_requested_at(id));
     asked
         .filter(|at| moves.iter().any(|moved| at.abs_diff(*moved) <= 2_000))
@@ -339,14 +345,14 @@
 
 #[test]
 fn cancel_during_leadership_change_keeps_rules() {
-    let met = std::sync::Mutex::new((0, 0));
+    let coverage = std::sync::Mutex::new((0, 0));
     for_seeds(12, |seed| {
         let world = run(long_plan(seed, 170_000, hand_overs(seed)), "hand-overs");
-        let mut met = met.lock().expect("no run has panicked");
-        met.0 += cancelled_in_moves(&world, true);
-        met.1 += cancelled_in_moves(&world, false);
+        let mut coverage = coverage.lock().expect("no run has panicked");
+        coverage.0 += cancelled_in_moves(&world, true);
+        coverage.1 += cancelled_in_moves(&world, false);
     });
-    let (handed, taken) = met.into_inner().expect("no run has panicked");
+    let (handed, taken) = coverage.into_inner().expect("no run has panicked");
     assert!(
         handed >= 60 && taken >= 60,
         "{handed} around hand-overs, {taken} around takeovers"
@@ -356,21 +362,21 @@
 /// More work of every team than its limit, and cancellations whose machines hang or are cut off as leaders
 /// change.
 fn teams_at_their_limits(seed: u64) -> Faults {
-    let mut faults = vec![(10_000, Fault::Burst { jobs: 60 })];
+    let mut faults = vec![(10_000, Fault::JobBurst { jobs: 60 })];
     for nth in 0..3 {
         let at = 50_000 + nth * 25_000;
         let hang_ms = 4_000 + (seed + nth) % 5 * 4_000;
-        faults.push((at, Fault::CancelNow { count: 6, hang_ms }));
+        faults.push((at, Fault::CancelRunningJobs { count: 6, hang_ms }));
         faults.push((
             at + 50,
-            Fault::CutMachine {
+            Fault::DisconnectMachine {
                 nth: (seed + nth) as usize,
                 ms: hang_ms,
             },
         ));
         faults.push((
             at + 60,
-            Fault::CutMachine {
+            Fault::DisconnectMachine {
                 nth: (seed + nth) as usize * 3,
                 ms: 25_000,
             },
@@ -378,26 +384,26 @@
         let node = (seed + nth) as usize % 3;
         faults.push((
             at + 300 * (seed % 4),
-            Fault::Crash {
+            Fault::CrashController {
                 node,
                 back: 200 + 2_000 * (seed % 3),
             },
         ));
         faults.push((
             at + 2_000,
-            Fault::CancelNow {
+            Fault::CancelRunningJobs {
                 count: 4,
                 hang_ms: 0,
             },
         ));
-        faults.push((at + 3_000, Fault::Burst { jobs: 12 }));
+        faults.push((at + 3_000, Fault::JobBurst { jobs: 12 }));
     }
     faults
 }
 
 #[test]
 fn cancel_with_all_teams_at_quota_during_failover_keeps_rules() {
-    let met = std::sync::Mutex::new((0, 0));
+    let coverage = std::sync::Mutex::new((0, 0));
     for_seeds(12, |seed| {
         let mut world = World::new(long_plan(seed, 180_000, teams_at_their_limits(seed)));
         let mut at_limit = 0;
@@ -406,12 +412,16 @@
             at_limit = at_limit.max(world.teams_at_limit());
         }
         world.run();
-        assert_eq!(world.rules.broken, [], "teams at their limits, seed {seed}");
-        let mut met = met.lock().expect("no run has panicked");
-        met.0 += at_limit;
-        met.1 += world.met.hung_with_cancelled;
+        assert_eq!(
+            world.rules.violations,
+            [],
+            "teams at their limits, seed {seed}"
+        );
+        let mut coverage = coverage.lock().expect("no run has panicked");
+        coverage.0 += at_limit;
+        coverage.1 += world.coverage.hung_machines_of_cancelled_jobs;
     });
-    let (at_limit, hung) = met.into_inner().expect("no run has panicked");
+    let (at_limit, hung) = coverage.into_inner().expect("no run has panicked");
     assert!(
         at_limit >= 36 && hung >= 50,
         "{at_limit} teams at their limit, {hung} machines hung"
@@ -424,7 +434,7 @@
         let hang_ms = [5_000, 9_900, 45_000][(seed + nth) as usize % 3];
         (
             40_000 + nth * 20_000,
-            Fault::CancelNow { count: 8, hang_ms },
+            Fault::CancelRunningJobs { count: 8, hang_ms },
         )
     });
     waves.collect()
@@ -435,9 +445,9 @@
     for_seeds(9, |seed| {
         let world = run(long_plan(seed, 160_000, hanging(seed)), "hanging");
         assert!(
-            world.met.hung_with_cancelled >= 8,
+            world.coverage.hung_machines_of_cancelled_jobs >= 8,
             "seed {seed}: {:?}",
-            world.met
+            world.coverage
         );
     });
 }
@@ -445,104 +455,104 @@
 /// Each meeting again with a safety step broken on purpose: what it asserts can fail.
 #[test]
 fn each_scenario_detects_its_injected_defect() {
-    struct Meeting {
+    struct ScenarioCase {
         name: &'static str,
         plan: fn(u64, u64, Faults) -> Plan,
         faults: fn(u64) -> Faults,
-        sabotage: Sabotage,
+        mutation: Mutation,
         rules: &'static [&'static str],
     }
-    let meeting = |name, faults, sabotage, rules| Meeting {
+    let scenario = |name, faults, mutation, rules| ScenarioCase {
         name,
         plan,
         faults,
-        sabotage,
+        mutation,
         rules,
     };
-    let long = |name, faults, sabotage, rules| Meeting {
+    let long = |name, faults, mutation, rules| ScenarioCase {
         plan: long_plan,
-        ..meeting(name, faults, sabotage, rules)
+        ..scenario(name, faults, mutation, rules)
     };
     let stale = &["went_back", "forgotten"];
-    let meetings = [
-        meeting(
+    let scenarios = [
+        scenario(
             "slow state service",
             slow_state,
-            Sabotage::FreshReadsOld,
+            Mutation::StaleFreshReads,
             stale,
         ),
-        meeting(
+        scenario(
             "lost answers",
-            lost_answers,
-            Sabotage::EndsIgnoreCancellations,
+            lost_replies,
+            Mutation::TerminalStatesIgnoreCancellations,
             &["went_back"],
         ),
-        meeting(
+        scenario(
             "lost, not durable",
-            lost_answers,
-            Sabotage::LostNotCarriedOut,
+            lost_replies,
+            Mutation::LostRepliesNotApplied,
             &["ran_twice"],
         ),
-        meeting("ends, stale reads", ends, Sabotage::FreshReadsOld, stale),
-        meeting(
+        scenario("ends, stale reads", ends, Mutation::StaleFreshReads, stale),
+        scenario(
             "ends, unconditional",
             ends,
-            Sabotage::EndsIgnoreCancellations,
+            Mutation::TerminalStatesIgnoreCancellations,
             &["went_back"],
         ),
-        meeting(
+        scenario(
             "odd, unfit",
             odd_requests,
-            Sabotage::UnfitJobsFit,
+            Mutation::UnschedulableJobsFit,
             &["accepted_invalid"],
         ),
-        meeting(
+        scenario(
             "odd, field",
             odd_requests,
-            Sabotage::MissingFieldsFilled,
+            Mutation::MissingFieldsFilled,
             &["accepted_invalid"],
         ),
-        meeting(
+        scenario(
             "one-task jobs",
             one_task_jobs,
-            Sabotage::FreshReadsOld,
+            Mutation::StaleFreshReads,
             stale,
         ),
-        long("hand-overs", hand_overs, Sabotage::FreshReadsOld, stale),
+        long("hand-overs", hand_overs, Mutation::StaleFreshReads, stale),
         long(
             "limits",
             teams_at_their_limits,
-            Sabotage::ShortLease,
+            Mutation::ShortLease,
             &["quota", "ran_twice"],
         ),
         long(
             "hanging",
             hanging,
-            Sabotage::HungMachinesIgnoreStops,
+            Mutation::HungMachinesIgnoreStops,
             &["ran_cancelled"],
         ),
     ];
     let untold = std::sync::Mutex::new(Vec::new());
-    for_seeds(meetings.len() as u64, |nth| {
-        let Meeting {
+    for_seeds(scenarios.len() as u64, |nth| {
+        let ScenarioCase {
             name,
             plan,
             faults,
-            sabotage,
+            mutation,
             rules,
-        } = meetings[nth as usize - 1];
+        } = scenarios[nth as usize - 1];
         let first_broken = (1..=24).find_map(|seed| {
             let plan = Plan {
-                sabotage: Some(sabotage),
+                mutation: Some(mutation),
                 ..plan(seed, 180_000, faults(seed))
             };
             let mut world = World::new(plan);
             world.run();
             world
                 .rules
-                .broken
+                .violations
                 .into_iter()
-                .find(|broken| rules.contains(&broken.rule))
+                .find(|violations| rules.contains(&violations.rule))
         });
         println!("{name}: {first_broken:?}");
         if first_broken.is_none() {
@@ -563,18 +573,18 @@
     #[test]
     fn answer_is_judged_by_send_time_of_request() {
         let mut history = History::default();
-        let early = history.next_instant(10);
+        let early = history.next_time(10);
         history.cancel_requested("j-000001", 11);
-        let cancel = history.next_instant(11);
-        let cancelled = Answer::Known(JobState::Cancelled);
-        let queued = Answer::Known(JobState::Queued);
+        let cancel = history.next_time(11);
+        let cancelled = Answer::UnansweredJobs(JobState::Cancelled);
+        let queued = Answer::UnansweredJobs(JobState::Queued);
         assert_eq!(history.record("j-000001", cancel, cancelled, 20), Ok(()));
         assert_eq!(
             history.record("j-000001", early, queued, 30),
             Ok(()),
             "sent before"
         );
-        let late = history.next_instant(20);
+        let late = history.next_time(20);
         let told = history
             .record("j-000001", late, queued, 30)
             .expect_err("sent after");
@@ -584,8 +594,8 @@
     #[test]
     fn known_job_is_never_missing_or_rejected_later() {
         let mut history = History::default();
-        let (early, first) = (history.next_instant(1), history.next_instant(1));
-        let queued = Answer::Known(JobState::Queued);
+        let (early, first) = (history.next_time(1), history.next_time(1));
+        let queued = Answer::UnansweredJobs(JobState::Queued);
         assert_eq!(history.record("j-000001", first, queued, 2), Ok(()));
         assert_eq!(
             history.record("j-000001", early, Answer::Missing, 3),
@@ -593,7 +603,7 @@
             "sent before"
         );
         for answer in [Answer::Missing, Answer::Refused] {
-            let late = history.next_instant(2);
+            let late = history.next_time(2);
             let told = history
                 .record("j-000001", late, answer, 3)
                 .expect_err("sent after");
@@ -604,8 +614,8 @@
     #[test]
     fn two_terminal_states_and_unrequested_cancellation_contradict_history() {
         let mut history = History::default();
-        let first = history.next_instant(1);
-        let [done, cancelled] = [JobState::Done, JobState::Cancelled].map(Answer::Known);
+        let first = history.next_time(1);
+        let [done, cancelled] = [JobState::Done, JobState::Cancelled].map(Answer::UnansweredJobs);
         let unasked = history
             .record("j-000001", first, cancelled, 2)
             .expect_err("unasked");
