--- a/crates/controller/src/controller/heartbeats.rs
+++ b/crates/controller/src/controller/heartbeats.rs
@@ -8,7 +8,7 @@
 use crate::rejections::{MessageFault, MessageSource};
 use crate::state_cache::StateCache;
 use model::{CallId, FencingToken, MachineName, PartitionId, TaskId, WorkerEpoch};
-use scheduler::{CommandRoute, StatusSource};
+use scheduler::{CommandRoute, StatusSource, TaskAttempt};
 use std::time::Duration;
 use wire::workers::{Command, DirectCommands, Heartbeat, HeartbeatResponse, TaskState, TaskStatus};
 
@@ -148,22 +148,23 @@
         let mut calls = Vec::new();
         if let Some(partition_state) = leadership.partition_state_mut() {
             for name in partition_state.take_urgent_machines() {
-                let Some((address, token, session)) = partition_state.direct_call_target(&name)
-                else {
+                let Some(target) = partition_state.direct_call_target(&name) else {
                     continue;
                 };
                 let commands = partition_state.commands_for(&name, CommandRoute::Direct, now);
                 if !commands.is_empty() {
-                    calls.push((name, address, token, session, commands));
+                    calls.push((name, target, commands));
                 }
             }
         }
-        for (machine, address, token, session, commands) in calls {
+        for (machine, target, commands) in calls {
             let launches = commands
                 .iter()
                 .filter_map(|command| match command {
                     Command::Start { task, attempt } => {
-                        TaskId::parse(task).map(|task| (task, model::Attempt(*attempt)))
+                        let task = TaskId::parse(task)?;
+                        let attempt = model::Attempt(*attempt);
+                        Some(TaskAttempt { task, attempt })
                     }
                     _ => None,
                 })
@@ -174,13 +175,13 @@
                 launches,
             });
             let body = DirectCommands {
-                token: token.0,
-                session: session.0,
+                token: target.token.0,
+                session: target.worker_epoch.0,
                 commands,
             };
             self.effects.push(Effect::Worker {
                 call,
-                address,
+                address: target.address,
                 body,
                 timeout: WORKER_TIMEOUT,
             });
@@ -286,7 +287,7 @@
         &mut self,
         partition: PartitionId,
         machine: &MachineName,
-        launches: &[(TaskId, model::Attempt)],
+        launches: &[TaskAttempt],
         reply: DirectReply,
     ) {
         let now = self.now;
--- a/crates/controller/src/controller/leadership.rs
+++ b/crates/controller/src/controller/leadership.rs
@@ -266,7 +266,7 @@
             return HeartbeatOutcome::Withheld;
         }
         if let Some(machine) = partition_state.machines.get_mut(name) {
-            machine.answer(newer, now);
+            machine.renew_lease(newer, now);
         }
         if !newer {
             return HeartbeatOutcome::Stale(halts());
--- a/crates/controller/src/controller/mod.rs
+++ b/crates/controller/src/controller/mod.rs
@@ -33,11 +33,11 @@
 use machine_records::MachineChanges;
 use model::{
     CallId, ControllerName, FencingToken, JobId, JobState, LeaseId, MachineName, PartitionId,
-    RejectReason, Settings, TaskId, Timestamp, ZoneName,
+    RejectReason, Settings, Timestamp, ZoneName,
 };
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
-use scheduler::Policy;
+use scheduler::{Policy, TaskAttempt};
 use scheduling_queue::QueueConfig;
 use std::collections::{BTreeMap, HashMap, HashSet, VecDeque};
 use wire::cloud::{CloudReply, CloudRequest, RentRequest};
@@ -274,7 +274,7 @@
     Direct {
         partition: PartitionId,
         machine: MachineName,
-        launches: Vec<(TaskId, model::Attempt)>,
+        launches: Vec<TaskAttempt>,
     },
 }
 
--- a/crates/controller/src/placement_log.rs
+++ b/crates/controller/src/placement_log.rs
@@ -160,7 +160,10 @@
                 ledger.cursor = number + 1;
             }
             for Entry(job, chunk, chunk_body) in body.items {
-                let key = (JobId(job), chunk);
+                let key = ChunkKey {
+                    job: JobId(job),
+                    chunk,
+                };
                 let known = ledger.items.get(&key);
                 if known.is_none_or(|kept| ledger.pages[kept.page].round < body.round) {
                     let size = size_of(&chunk_body);
@@ -186,14 +189,14 @@
     /// What is known of a job.
     pub fn chunks_of(&self, job: JobId) -> Vec<(u32, TaskChunk)> {
         self.items
-            .range((job, 0)..=(job, u32::MAX))
-            .map(|(key, kept)| (key.1, kept.body.clone()))
+            .range(ChunkKey::all_of(job))
+            .map(|(key, kept)| (key.chunk, kept.body.clone()))
             .collect()
     }
 
     /// All jobs with anything kept.
     pub fn jobs(&self) -> Vec<JobId> {
-        let mut jobs: Vec<JobId> = self.items.keys().map(|key| key.0).collect();
+        let mut jobs: Vec<JobId> = self.items.keys().map(|key| key.job).collect();
         jobs.dedup();
         jobs
     }
@@ -202,7 +205,7 @@
     pub fn forget_job(&mut self, job: JobId) {
         let keys: Vec<ChunkKey> = self
             .items
-            .range((job, 0)..=(job, u32::MAX))
+            .range(ChunkKey::all_of(job))
             .map(|(key, _)| *key)
             .collect();
         for key in keys {
@@ -292,7 +295,7 @@
             let version = self.pages.get(page).map_or(0, |p| p.version.0);
             let items = items
                 .into_iter()
-                .map(|(key, (body, _))| Entry(key.0 .0, key.1, body))
+                .map(|(key, (body, _))| Entry(key.job.0, key.chunk, body))
                 .collect();
             let body = PageBody {
                 round: number,
@@ -379,6 +382,6 @@
 }
 
 fn size_of(body: &TaskChunk) -> usize {
-    let placed: usize = body.placed.iter().map(|p| p.2.len() + 32).sum();
+    let placed: usize = body.placed.iter().map(|task| task.machine.len() + 32).sum();
     32 + body.done.len() + placed
 }
--- a/crates/controller/tests/golden_records.rs
+++ b/crates/controller/tests/golden_records.rs
@@ -323,8 +323,16 @@
 
 fn placed() -> Vec<PlacedTask> {
     vec![
-        PlacedTask(3, 57, "host-000007".into()),
-        PlacedTask(5, 58, "host-000008".into()),
+        PlacedTask {
+            offset: 3,
+            attempt: 57,
+            machine: "host-000007".into(),
+        },
+        PlacedTask {
+            offset: 5,
+            attempt: 58,
+            machine: "host-000008".into(),
+        },
     ]
 }
 
@@ -333,27 +341,42 @@
     let done = || "8000000000000005".to_owned();
     vec![
         (
-            (JobId(7), 0),
+            ChunkKey {
+                job: JobId(7),
+                chunk: 0,
+            },
             TaskChunk {
                 done: done(),
                 placed: placed(),
             },
         ),
         (
-            (JobId(7), 2),
+            ChunkKey {
+                job: JobId(7),
+                chunk: 2,
+            },
             TaskChunk {
                 done: done(),
                 placed: Vec::new(),
             },
         ),
         (
-            (JobId(412), 0),
+            ChunkKey {
+                job: JobId(412),
+                chunk: 0,
+            },
             TaskChunk {
                 done: String::new(),
                 placed: placed(),
             },
         ),
-        ((JobId(413), 1), TaskChunk::default()),
+        (
+            ChunkKey {
+                job: JobId(413),
+                chunk: 1,
+            },
+            TaskChunk::default(),
+        ),
     ]
 }
 
@@ -406,10 +429,10 @@
 fn stored_pages_of_the_ledger_are_read_and_written_again() {
     let mut ledger = stored_ledger(4_096);
     assert!(ledger.unreadable().is_empty());
-    for ((job, chunk), body) in chunks() {
+    for (key, body) in chunks() {
         assert!(
-            ledger.chunks_of(job).contains(&(chunk, body)),
-            "{job:?} {chunk}"
+            ledger.chunks_of(key.job).contains(&(key.chunk, body)),
+            "{key:?}"
         );
     }
     // Rounds without changes go around the other three pages, so that the next writes this one anew.
--- a/crates/controller/tests/ledger.rs
+++ b/crates/controller/tests/ledger.rs
@@ -2,7 +2,7 @@
 
 use controller::placement_log::PlacementLog;
 use model::{JobId, PartitionId, Version};
-use scheduler::TaskChunk;
+use scheduler::{ChunkKey, TaskChunk};
 use wire::state::Write;
 
 /// A predecessor whose round met a conflict reads the page back, and may do so before it hears of its
@@ -10,7 +10,15 @@
 /// page.
 #[test]
 fn a_round_of_a_successor_proves_nothing_about_ours() {
-    let changes = || vec![((JobId(7), 0), TaskChunk::default())];
+    let changes = || {
+        vec![(
+            ChunkKey {
+                job: JobId(7),
+                chunk: 0,
+            },
+            TaskChunk::default(),
+        )]
+    };
     let ledger = || PlacementLog::load(PartitionId(1), &[], 4_096, 6);
     let (ours, _) = ledger().prepare(Version(10), changes());
     let (theirs, _) = ledger().prepare(Version(12), changes());
--- a/crates/scheduler/src/capacity_index.rs
+++ b/crates/scheduler/src/capacity_index.rs
@@ -369,7 +369,7 @@
                         let at = rng.random_range(0..held.len());
                         let (name, task, spec) = held.swap_remove(at);
                         let on = machines.get_mut(&name).expect("it is there");
-                        on.let_go(task, &spec, Timestamp::from_millis(step));
+                        on.remove_task(task, &spec, Timestamp::from_millis(step));
                         index.update(on);
                     }
                     (4 | 5, Some(name)) => {
@@ -379,7 +379,7 @@
                             index: 0,
                         };
                         if job.spec.needs.fits(&on.free()) {
-                            on.hold(task, &job.spec);
+                            on.add_task(task, &job.spec);
                             index.update(on);
                             index.touch_image(on, &job.spec.image, job.spec.image_gb);
                             held.push((name, task, job.spec.clone()));
--- a/crates/scheduler/src/commands.rs
+++ b/crates/scheduler/src/commands.rs
@@ -1,21 +1,31 @@
-//! What a machine is told.
+//! Commands to workers.
 
+use crate::job::{DirectLaunch, LaunchState, Placement, TaskAttempt};
+use crate::machine::{Machine, OrphanedTask};
 use crate::partition_state::PartitionState;
-use model::{Attempt, FencingToken, MachineName, TaskId, Timestamp, WorkerEpoch};
+use model::{FencingToken, MachineName, TaskId, Timestamp, WorkerEpoch};
 use wire::workers::{Command, TaskState};
 
-/// By which way commands go.
+/// The route by which commands reach a worker.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CommandRoute {
-    /// In the answer to a report: dies with it.
+    /// In the reply to a heartbeat: they arrive with that reply or never.
     Answer,
-    /// Straight to the worker: may arrive late.
+    /// By a direct call: they may arrive late.
     Direct,
 }
 
+/// Where a direct call to a machine goes, and what the worker accepts it under.
+#[derive(Debug, Clone, PartialEq, Eq)]
+pub struct DirectCallTarget {
+    pub address: String,
+    pub token: FencingToken,
+    pub worker_epoch: WorkerEpoch,
+}
+
 impl PartitionState {
-    /// Commands for a machine: launches of durable placements, stops, and forgets of tasks
-    /// whose outcome is durable.
+    /// Commands for a machine: launches of durable placements, stops, and forgets of exited tasks
+    /// whose outcome is durable. The launches count as sent by `route`.
     pub fn commands_for(
         &mut self,
         name: &MachineName,
@@ -25,117 +35,155 @@
         let Some(machine) = self.machines.get(name) else {
             return Vec::new();
         };
-        let mut commands = Vec::new();
-        for orphan in &machine.orphaned_tasks {
-            let task = orphan.task.to_string();
-            let attempt = orphan.attempt.0;
-            if orphan.state != TaskState::Exited {
-                commands.push(Command::Stop {
-                    task,
-                    attempt,
-                    grace_s: 0.0,
-                });
-            } else if !self.undurable_outcomes.contains(&(orphan.task, orphan.attempt))
-                && machine.unconfirmed_launch.is_none()
-                && machine.may_forget(orphan)
-                // A worker that has forgotten the attempt would start it when the launch in a
-                // late answer reaches it.
-                && !machine.answer_launches.contains(&(orphan.task, orphan.attempt))
-            {
-                commands.push(Command::Forget { task, attempt });
-            }
-        }
-        let (session, token) = (machine.session, machine.token);
-        let launches_allowed = machine.last_seen_at.is_some() && !machine.leaving;
-        let noticed = machine.notice.is_some();
+        let mut commands: Vec<Command> = machine
+            .orphaned_tasks
+            .iter()
+            .filter_map(|orphan| self.command_for_orphan(machine, orphan))
+            .collect();
+        let launch = DirectLaunch {
+            token: machine.token,
+            worker_epoch: machine.worker_epoch,
+        };
         let tasks: Vec<TaskId> = machine.tasks.iter().copied().collect();
         let mut launches = Vec::new();
         for task in tasks {
-            let waits = |share: &PartitionState| {
-                let job = share.jobs.get(&task.job)?;
-                Some(share.waits_for_fetches(job, share.machines.get(name)?))
-            };
-            let waits = waits(self) == Some(true);
-            let Some(job) = self.jobs.get_mut(&task.job) else {
-                continue;
-            };
-            let cancelled = job.cancelled;
-            let Some(p) = job.placed.get_mut(&task.index) else {
-                continue;
-            };
-            let id = task.to_string();
-            let attempt = p.attempt.0;
-            if let Some(stop) = p.stop {
-                let saving = p.last_status == Some(TaskState::Saving);
-                // A second halt with no grace would end a task that is saving.
-                if !saving || stop.grace_ms == 0 {
-                    let grace_s = stop.grace_ms as f64 / 1000.0;
-                    commands.push(Command::Stop {
-                        task: id,
-                        attempt,
-                        grace_s,
-                    });
-                }
-            } else if p.durable
-                && !p.inherited
-                && p.last_status.is_none()
-                && launches_allowed
-                && !cancelled
-                && !(waits && p.launched.is_none())
-                && !(noticed && p.launched.is_none())
-            {
-                // A direct launch that waits for its answer is not doubled by another.
-                if route == CommandRoute::Direct && p.unconfirmed_launch_of.is_some() {
-                    continue;
-                }
-                p.launched = Some(session);
-                match route {
-                    CommandRoute::Direct => p.unconfirmed_launch_of = Some((token, session)),
-                    CommandRoute::Answer => p.launched_in_response = true,
-                }
-                launches.push(((task, p.attempt), Command::Start { task: id, attempt }));
+            commands.extend(self.stop_command(task));
+            if self.may_launch(task, name, route) {
+                launches.extend(self.record_launch(task, route, launch));
             }
         }
         if let Some(machine) = self.machines.get_mut(name) {
-            match route {
-                CommandRoute::Direct => {
-                    if !launches.is_empty() {
-                        machine.last_direct_call_at = now;
-                    }
-                    let sent = launches.iter().map(|(id, _)| (*id, (token, session)));
-                    machine.direct.extend(sent);
-                }
-                CommandRoute::Answer => {
-                    machine.answer_launches = launches.iter().map(|(id, _)| *id).collect();
-                }
-            }
+            machine.record_launches(&launches, route, launch, now);
         }
-        commands.extend(launches.into_iter().map(|(_, command)| command));
+        commands.extend(launches.into_iter().map(|launched| Command::Start {
+            task: launched.task.to_string(),
+            attempt: launched.attempt.0,
+        }));
         commands
     }
 
-    /// A direct call was answered: what it carried has been executed or refused, and will
-    /// not be executed later.
-    pub fn record_direct_response(&mut self, name: &MachineName, sent: &[(TaskId, Attempt)]) {
-        for (task, attempt) in sent {
-            let Some(job) = self.jobs.get_mut(&task.job) else {
+    /// An orphaned task is stopped; once it has exited, the worker may forget it as soon as its
+    /// outcome is durable and no launch of it can still arrive.
+    fn command_for_orphan(&self, machine: &Machine, orphan: &OrphanedTask) -> Option<Command> {
+        let task = orphan.id.task.to_string();
+        let attempt = orphan.id.attempt.0;
+        if orphan.state != TaskState::Exited {
+            return Some(Command::Stop {
+                task,
+                attempt,
+                grace_s: 0.0,
+            });
+        }
+        let may_forget = !self.unrecorded.is_undurable(&orphan.id)
+            && machine.unconfirmed_launch.is_none()
+            && machine.may_forget(orphan)
+            // A worker that has forgotten the attempt would start it when the launch in a late
+            // reply reaches it.
+            && !machine.response_launches.contains(&orphan.id);
+        may_forget.then_some(Command::Forget { task, attempt })
+    }
+
+    fn stop_command(&self, task: TaskId) -> Option<Command> {
+        let placement = self.placement(task)?;
+        let stop = placement.stop?;
+        // A second stop without a grace period would kill a task that is saving.
+        let is_saving = placement.last_status == Some(TaskState::Saving);
+        (!is_saving || stop.grace_ms == 0).then(|| Command::Stop {
+            task: task.to_string(),
+            attempt: placement.attempt.0,
+            grace_s: stop.grace_ms as f64 / 1000.0,
+        })
+    }
+
+    /// Whether a launch of the task is to be sent to the machine now.
+    fn may_launch(&self, task: TaskId, name: &MachineName, route: CommandRoute) -> bool {
+        let (Some(machine), Some(job)) = (self.machines.get(name), self.jobs.get(&task.job)) else {
+            return false;
+        };
+        let Some(placement) = job.placed.get(&task.index) else {
+            return false;
+        };
+        let is_wanted = placement.is_launchable() && !job.cancelled;
+        let machine_accepts = machine.last_seen_at.is_some() && !machine.leaving;
+        // What has been launched once is launched again until it arrives.
+        let may_begin = || machine.notice.is_none() && !self.waits_for_fetches(job, machine);
+        let first_or_repeated = || placement.launch.is_launched() || may_begin();
+        // A direct launch that has not been answered is not repeated by another direct call.
+        let is_pending =
+            route == CommandRoute::Direct && placement.launch.unconfirmed_direct().is_some();
+        is_wanted && machine_accepts && first_or_repeated() && !is_pending
+    }
+
+    fn record_launch(
+        &mut self,
+        task: TaskId,
+        route: CommandRoute,
+        launch: DirectLaunch,
+    ) -> Option<TaskAttempt> {
+        let placement = self.placement_mut(task)?;
+        match route {
+            CommandRoute::Direct => placement.launch.record_direct_launch(launch),
+            CommandRoute::Answer => placement.launch.record_response_launch(),
+        }
+        Some(TaskAttempt {
+            task,
+            attempt: placement.attempt,
+        })
+    }
+
+    /// A direct call was answered: the launches that it carried have been executed or refused, and
+    /// will not be executed later.
+    pub fn record_direct_response(&mut self, name: &MachineName, sent: &[TaskAttempt]) {
+        for launched in sent {
+            let Some(placement) = self.placement_mut(launched.task) else {
                 continue;
             };
-            if let Some(p) = job.placed.get_mut(&task.index) {
-                if p.attempt == *attempt && p.machine == *name {
-                    p.unconfirmed_launch_of = None;
-                }
+            if placement.attempt == launched.attempt && placement.machine == *name {
+                placement.launch.settle_direct_launch();
             }
         }
     }
 
-    /// Session and token under which a direct call to the machine would be accepted.
-    pub fn direct_call_target(
-        &self,
-        name: &MachineName,
-    ) -> Option<(String, FencingToken, WorkerEpoch)> {
+    /// Where a direct call to the machine goes; none before its first status.
+    pub fn direct_call_target(&self, name: &MachineName) -> Option<DirectCallTarget> {
         let machine = self.machines.get(name)?;
         machine.last_seen_at?;
-        Some((machine.address.clone()?, machine.token, machine.session))
+        Some(DirectCallTarget {
+            address: machine.address.clone()?,
+            token: machine.token,
+            worker_epoch: machine.worker_epoch,
+        })
+    }
+}
+
+impl Placement {
+    /// Whether a launch would be safe and is still needed: it is durable, no previous leader may have
+    /// launched it, it is not being stopped, and no status has shown it.
+    fn is_launchable(&self) -> bool {
+        self.durable
+            && self.stop.is_none()
+            && self.launch != LaunchState::Inherited
+            && self.last_status.is_none()
+    }
+}
+
+impl Machine {
+    fn record_launches(
+        &mut self,
+        launches: &[TaskAttempt],
+        route: CommandRoute,
+        launch: DirectLaunch,
+        now: Timestamp,
+    ) {
+        match route {
+            CommandRoute::Direct => {
+                if !launches.is_empty() {
+                    self.last_direct_call_at = now;
+                }
+                let sent = launches.iter().map(|launched| (*launched, launch));
+                self.direct_launches.extend(sent);
+            }
+            CommandRoute::Answer => self.response_launches = launches.to_vec(),
+        }
     }
 }
--- a/crates/scheduler/src/consolidation.rs
+++ b/crates/scheduler/src/consolidation.rs
@@ -5,7 +5,9 @@
 //! beside others that have their image, so that the machines they leave can be used or returned.
 
 use crate::machine::Machine;
-use crate::partition_state::{EntryKey, PartitionState, Reservation};
+use crate::partition_state::PartitionState;
+use crate::queue_entry::EntryKey;
+use crate::reserved_capacity::Reservation;
 use model::{JobKind, MachineName, Resources, TaskId, Timestamp};
 use std::time::Duration;
 use wire::workers::TaskState;
--- a/crates/scheduler/src/demand.rs
+++ b/crates/scheduler/src/demand.rs
@@ -4,7 +4,8 @@
 use crate::cycle::zone_allowed;
 use crate::job::Job;
 use crate::machine::{Machine, PendingTransfer};
-use crate::partition_state::{EntryKey, PartitionState};
+use crate::partition_state::PartitionState;
+use crate::queue_entry::EntryKey;
 use model::DurationExt;
 use model::{
     JobId, JobKind, MachineName, PartitionId, Priority, Resources, TeamName, Timestamp, ZoneName,
--- a/crates/scheduler/src/gangs.rs
+++ b/crates/scheduler/src/gangs.rs
@@ -10,7 +10,9 @@
 use crate::cycle::{fetch_time, image_fetch_time, score, PlacementFailure};
 use crate::job::{Job, Placement};
 use crate::machine::Machine;
-use crate::partition_state::{rank_of, EntryKey, GangReservation, PartitionState, Rank};
+use crate::partition_state::PartitionState;
+use crate::queue_entry::{EntryKey, Rank};
+use crate::reserved_capacity::GangReservation;
 use model::DurationExt;
 use model::{JobId, JobKind, MachineName, Resources, TaskId, Timestamp, ZoneName};
 use std::collections::{BTreeMap, BTreeSet};
@@ -126,7 +128,7 @@
         let Some(gang) = self.jobs.get(&hold.job) else {
             return false;
         };
-        let goes_before = rank_of(gang) < rank_of(job);
+        let goes_before = Rank::of_job(gang) < Rank::of_job(job);
         // What leaves the gang its room beside it is not in its way.
         let kept = hold
             .machines
@@ -222,7 +224,7 @@
         let waits = job
             .placed
             .values()
-            .filter(|p| p.launched.is_none() && p.stop.is_none());
+            .filter(|p| !p.launch.is_launched() && p.stop.is_none());
         let machines: Vec<MachineName> = waits.map(|p| p.machine.clone()).collect();
         self.urgent_machines.extend(machines);
     }
@@ -283,7 +285,8 @@
         }
         let gangs = self.waiting_gangs.iter().filter_map(|id| self.jobs.get(id));
         let goes_before = |gang: &&Job| {
-            rank_of(gang) < rank_of(job) && job.spec.fits_other_type(&gang.spec, &self.types)
+            Rank::of_job(gang) < Rank::of_job(job)
+                && job.spec.fits_other_type(&gang.spec, &self.types)
         };
         gangs.filter(goes_before).collect()
     }
@@ -354,7 +357,13 @@
         let mut gangs: Vec<(Rank, JobId, Timestamp)> = self
             .gang_reservations
             .values()
-            .filter_map(|hold| Some((rank_of(self.jobs.get(&hold.job)?), hold.job, hold.until)))
+            .filter_map(|hold| {
+                Some((
+                    Rank::of_job(self.jobs.get(&hold.job)?),
+                    hold.job,
+                    hold.until,
+                ))
+            })
             .collect();
         gangs.sort_unstable();
         let held: Vec<JobId> = self.gang_reservations.keys().copied().collect();
@@ -440,8 +449,9 @@
         until: Timestamp,
         now: Timestamp,
     ) -> Option<GangReservation> {
-        let rank = rank_of(job);
-        let goes_before = |gang: JobId| self.jobs.get(&gang).is_some_and(|g| rank_of(g) < rank);
+        let rank = Rank::of_job(job);
+        let goes_before =
+            |gang: JobId| self.jobs.get(&gang).is_some_and(|g| Rank::of_job(g) < rank);
         let mut zones: BTreeMap<&ZoneName, Vec<(Timestamp, &Machine, u64)>> = BTreeMap::new();
         let mut all = Vec::new();
         for machine in self.machines.values().filter(|m| self.admits(job, m, now)) {
--- a/crates/scheduler/src/job.rs
+++ b/crates/scheduler/src/job.rs
@@ -1,100 +1,223 @@
 //! A job within a partition, and the placements of its tasks.
 
-use model::{Attempt, FencingToken, JobKind, JobSpec, MachineName, Timestamp, WorkerEpoch};
-use serde::{Deserialize, Serialize};
+use model::{Attempt, FencingToken, JobKind, JobSpec, MachineName, TaskId, Timestamp, WorkerEpoch};
+use serde::{Deserialize, Serialize, Serializer};
 use std::collections::BTreeMap;
 use std::sync::Arc;
 use std::time::Duration;
 use wire::workers::TaskState;
 
-/// Tasks whose progress is recorded together.
+/// Number of tasks whose progress is recorded together.
 pub const CHUNK: u32 = 64;
 
-/// Why and how a task is being stopped.
+/// One attempt at running a task.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
+pub struct TaskAttempt {
+    pub task: TaskId,
+    pub attempt: Attempt,
+}
+
+/// How a task is being stopped.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Stop {
-    /// Grace handed to the worker, in ms.
+    /// Grace period for saving a checkpoint, in milliseconds.
     pub grace_ms: u64,
 }
 
-/// A task's one place. It counts against machine and team until it is proven gone.
+/// Fencing token and worker epoch under which a launch was sent by a direct call.
+#[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
+pub struct DirectLaunch {
+    pub token: FencingToken,
+    pub worker_epoch: WorkerEpoch,
+}
+
+impl DirectLaunch {
+    /// Whether a worker that has seen `token`, or is in `worker_epoch`, no longer executes the launch:
+    /// it drops commands under a lower token and those that name an earlier epoch.
+    pub fn is_superseded_by(&self, token: FencingToken, worker_epoch: WorkerEpoch) -> bool {
+        token > self.token || worker_epoch > self.worker_epoch
+    }
+}
+
+/// What is known about launches of a placement.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum LaunchState {
+    /// Not launched, or the launch was certainly lost.
+    NotLaunched,
+    /// Recorded by a previous leader, which may have launched it by any route.
+    Inherited,
+    /// Launched by this leader, or seen in a worker's status.
+    Launched {
+        /// A launch was sent in the reply to a heartbeat. Only the next heartbeat settles whether it
+        /// arrived: the status in the response to a direct call may be older than that reply's arrival.
+        in_response: bool,
+        /// A launch was sent by a direct call that has not been answered. The worker may execute it
+        /// until it is superseded.
+        unconfirmed_direct: Option<DirectLaunch>,
+    },
+}
+
+impl LaunchState {
+    /// Whether this leader has launched the task or a worker's status has shown it.
+    pub fn is_launched(&self) -> bool {
+        matches!(self, LaunchState::Launched { .. })
+    }
+
+    /// Whether the outcome of a launch in the reply to a heartbeat is still open.
+    pub fn is_launched_in_response(&self) -> bool {
+        matches!(
+            self,
+            LaunchState::Launched {
+                in_response: true,
+                ..
+            }
+        )
+    }
+
+    /// The direct launch that has not been answered.
+    pub fn unconfirmed_direct(&self) -> Option<DirectLaunch> {
+        match self {
+            LaunchState::Launched {
+                unconfirmed_direct, ..
+            } => *unconfirmed_direct,
+            _ => None,
+        }
+    }
+
+    /// A launch is sent in the reply to a heartbeat.
+    pub fn record_response_launch(&mut self) {
+        *self = LaunchState::Launched {
+            in_response: true,
+            unconfirmed_direct: self.unconfirmed_direct(),
+        };
+    }
+
+    /// A launch is sent by a direct call.
+    pub fn record_direct_launch(&mut self, launch: DirectLaunch) {
+        *self = LaunchState::Launched {
+            in_response: self.is_launched_in_response(),
+            unconfirmed_direct: Some(launch),
+        };
+    }
+
+    /// A worker's status shows the task.
+    pub fn record_observed(&mut self) {
+        *self = LaunchState::Launched {
+            in_response: false,
+            unconfirmed_direct: self.unconfirmed_direct(),
+        };
+    }
+
+    /// The direct launch was answered or superseded, so that it will not be executed later.
+    pub fn settle_direct_launch(&mut self) {
+        if let LaunchState::Launched {
+            unconfirmed_direct, ..
+        } = self
+        {
+            *unconfirmed_direct = None;
+        }
+    }
+}
+
+/// The one machine on which a task may run. A placement counts against its machine and its team until
+/// the task is proven gone.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Placement {
     pub machine: MachineName,
     pub attempt: Attempt,
-    /// Durable in the state service; only then may it be launched.
+    /// Durable in the state service; only then may the task be launched.
     pub durable: bool,
-    /// Taken over from a predecessor, which may have launched it in ways unknown to us.
-    pub inherited: bool,
-    /// Session of the worker in which it was launched by us.
-    pub launched: Option<WorkerEpoch>,
-    /// Launched in the answer to a report. Only the next report settles whether it got there:
-    /// the body of a direct answer may be older than the arrival of that answer.
-    pub launched_in_response: bool,
-    /// A direct launch whose answer never came: it may yet be executed until the worker has
-    /// seen a higher token or a newer session.
-    pub unconfirmed_launch_of: Option<(FencingToken, WorkerEpoch)>,
-    /// State in the newest report.
+    pub launch: LaunchState,
+    /// The task's state in the newest status that shows it.
     pub last_status: Option<TaskState>,
+    /// The task is being stopped.
     pub stop: Option<Stop>,
     pub placed_at: Timestamp,
 }
 
-/// A job that is neither done nor cleared away.
+/// A job whose terminal state is not durable yet.
 #[derive(Debug)]
 pub struct Job {
     pub spec: Arc<JobSpec>,
-    /// When it was submitted, in ms on a clock that all holders share.
+    /// When it was submitted, in milliseconds on a clock that all controllers share.
     pub order: u64,
+    /// When this leader admitted it or loaded it.
     pub seen_at: Timestamp,
-    /// How far its size sets it back in the order.
+    /// How far it is deprioritised for its size.
     pub size_penalty: Duration,
-    /// When it should be over, counted from its submission: its own deadline, or what is expected
-    /// of its class.
+    /// Time from submission within which it should complete: its own deadline, or the objective of its
+    /// class.
     pub completion_objective: Option<Duration>,
-    /// How far what is left of it sets it back further in a shortage.
+    /// How far it is further deprioritised for its remaining work during overload.
     pub overload_penalty: Duration,
     pub cancelled: bool,
-    /// Until when its machines may be answered while a launch of it that could still arrive is not void:
-    /// an answer after that could keep it running for longer than a cancellation allows.
+    /// Until when the leases of its machines may be renewed while a launch of it could still arrive:
+    /// a later renewal could keep it running for longer than a cancellation allows.
     pub(crate) renew_until: Timestamp,
-    /// Its end is being written or has been written.
+    /// Its terminal state is being written or has been written.
     pub finishing: bool,
+    /// One bit for each task, in words of [`CHUNK`] bits: the task is done.
     done: Vec<u64>,
     done_count: u32,
+    /// Placements by the tasks' indexes.
     pub placed: BTreeMap<u32, Placement>,
-    /// Next task that has never been queued; later ones enter the queue as room appears.
+    /// First task that has never been queued; further tasks are queued as the window allows.
     pub cursor: u32,
-    /// Failures in a row of each task that failed.
+    /// Consecutive failures by the tasks' indexes.
     pub failures: BTreeMap<u32, u32>,
-    /// Machines on which a task of this job failed, a few at most.
+    /// The last few machines on which a task of this job failed.
     pub failed_on: Vec<MachineName>,
     pub successes: u32,
-    /// The longest that a task took to fail.
+    /// The longest time that a task took to fail.
     pub longest_failure: Duration,
-    /// Best-effort work whose team has had hardly any place for so long that it may take a few
-    /// anywhere.
+    /// Best-effort work whose team has had hardly any placements for so long that a few of its tasks may
+    /// be placed on any machine.
     pub stranded: bool,
-    /// Within the team's guarantee at present.
+    /// It lies within its team's guarantee.
     pub guaranteed: bool,
-    /// Within it also if the team's work of higher priority is counted first. Only this protects it
-    /// from the higher work of other teams, and only what lies beyond it falls to their guaranteed
-    /// work of lower priority.
+    /// It lies within the guarantee even if the team's work of higher priority is counted first. Only
+    /// such work is protected from preemption by other teams' work of higher priority, and only work
+    /// beyond it may be preempted by their guaranteed work of lower priority.
     pub strictly_guaranteed: bool,
-    /// On machines with GPUs it runs beside work that uses them, and takes nothing from it.
+    /// On machines with GPUs it runs only beside GPU work and takes no capacity from it.
     pub only_beside: bool,
-    /// When the gang's tasks were first seen running, in this attempt and by this holder.
+    /// When all tasks of the gang were first seen running in this attempt by this leader.
     pub gang_began: Option<Timestamp>,
 }
 
-/// A placed task as the ledger keeps it.
-#[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct PlacedTask(pub u32, pub u64, pub String);
+/// A placed task in the placement log; serialised as an array of its three fields.
+#[derive(Debug, Clone, PartialEq, Eq, Deserialize)]
+#[serde(from = "(u32, u64, String)")]
+pub struct PlacedTask {
+    /// Index of the task within its chunk.
+    pub offset: u32,
+    /// Number of the attempt, see [`Attempt`].
+    pub attempt: u64,
+    /// Name of the machine.
+    pub machine: String,
+}
+
+impl From<(u32, u64, String)> for PlacedTask {
+    fn from((offset, attempt, machine): (u32, u64, String)) -> Self {
+        PlacedTask {
+            offset,
+            attempt,
+            machine,
+        }
+    }
+}
+
+impl Serialize for PlacedTask {
+    fn serialize<S: Serializer>(&self, serializer: S) -> Result<S::Ok, S::Error> {
+        (self.offset, self.attempt, &self.machine).serialize(serializer)
+    }
+}
 
-/// Progress of one chunk of a job's tasks, as the ledger keeps it.
+/// Progress of one chunk of a job's tasks in the placement log.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct TaskChunk {
-    /// Bit i: task i of the chunk is done. Hexadecimal, to be exact in every JSON reader.
+    /// Bit i: task i of the chunk is done. Hexadecimal, because JSON readers do not agree on integers
+    /// beyond 53 bits.
     #[serde(rename = "d", default, skip_serializing_if = "String::is_empty")]
     pub done: String,
     #[serde(rename = "p", default, skip_serializing_if = "Vec::is_empty")]
@@ -102,48 +225,45 @@
 }
 
 impl TaskChunk {
-    /// Whether nothing is to be remembered.
+    /// Whether there is no progress to be recorded.
     pub fn is_empty(&self) -> bool {
         self.done.is_empty() && self.placed.is_empty()
     }
 
-    /// Whether all that it says can be taken over.
+    /// Whether all of it can be restored.
     pub fn is_sound(&self) -> bool {
         let done = self.done.is_empty() || u64::from_str_radix(&self.done, 16).is_ok();
-        let placed = |task: &PlacedTask| task.0 < CHUNK && !task.2.is_empty();
-        done && self.placed.iter().all(placed)
+        let is_sound = |task: &PlacedTask| task.offset < CHUNK && !task.machine.is_empty();
+        done && self.placed.iter().all(is_sound)
     }
 }
 
 impl Placement {
-    /// A placement that has just been chosen and is known to nobody else.
+    /// A placement that has just been decided.
     pub fn new(machine: MachineName, attempt: Attempt, now: Timestamp) -> Self {
         Placement {
             machine,
             attempt,
             durable: false,
-            inherited: false,
-            launched: None,
-            launched_in_response: false,
-            unconfirmed_launch_of: None,
+            launch: LaunchState::NotLaunched,
             last_status: None,
             stop: None,
             placed_at: now,
         }
     }
 
-    /// A placement that a predecessor has recorded and may have launched.
+    /// A placement that a previous leader has recorded and may have launched.
     pub fn inherited(machine: MachineName, attempt: Attempt, now: Timestamp) -> Self {
         Placement {
             durable: true,
-            inherited: true,
+            launch: LaunchState::Inherited,
             ..Placement::new(machine, attempt, now)
         }
     }
 }
 
 impl Job {
-    /// A job of which nothing has run.
+    /// A job without progress.
     pub fn new(spec: impl Into<Arc<JobSpec>>, order: u64, now: Timestamp) -> Self {
         let spec = spec.into();
         let words = spec.tasks.div_ceil(CHUNK) as usize;
@@ -173,7 +293,7 @@
         }
     }
 
-    /// Whether it is best-effort work at present: what lies within a guarantee is not.
+    /// Whether it is best-effort work: work within a guarantee is not.
     pub fn is_best_effort(&self) -> bool {
         self.spec.is_best_effort() && !self.guaranteed
     }
@@ -185,7 +305,7 @@
             .is_some_and(|word| word & (1 << (index % CHUNK)) != 0)
     }
 
-    /// Marks a task done; false if it was already.
+    /// Marks a task done. Returns false if it was done already or does not exist.
     pub fn mark_done(&mut self, index: u32) -> bool {
         if index >= self.spec.tasks || self.is_done(index) {
             return false;
@@ -196,12 +316,12 @@
         true
     }
 
-    /// Tasks that are done.
+    /// Number of tasks that are done.
     pub fn done_count(&self) -> u32 {
         self.done_count
     }
 
-    /// Tasks that are neither placed nor done.
+    /// Number of tasks that are neither placed nor done.
     pub(crate) fn waiting(&self) -> u64 {
         u64::from(self.spec.tasks - self.done_count()).saturating_sub(self.placed.len() as u64)
     }
@@ -211,21 +331,27 @@
         self.done_count == self.spec.tasks
     }
 
-    /// Tasks that run now, for display.
+    /// Number of tasks that run now, for display.
     pub fn running_count(&self) -> u32 {
-        let runs =
-            |p: &&Placement| matches!(p.last_status, Some(TaskState::Running | TaskState::Saving));
-        self.placed.values().filter(runs).count() as u32
+        let is_running = |placement: &&Placement| {
+            let status = placement.last_status;
+            matches!(status, Some(TaskState::Running | TaskState::Saving))
+        };
+        self.placed.values().filter(is_running).count() as u32
     }
 
-    /// The chunk's progress for the ledger.
+    /// The chunk's progress for the placement log.
     pub fn chunk(&self, chunk: u32) -> TaskChunk {
         let word = self.done.get(chunk as usize).copied().unwrap_or(0);
         let from = chunk * CHUNK;
         let placed = self
             .placed
             .range(from..from + CHUNK)
-            .map(|(index, p)| PlacedTask(index - from, p.attempt.0, p.machine.to_string()))
+            .map(|(index, placement)| PlacedTask {
+                offset: index - from,
+                attempt: placement.attempt.0,
+                machine: placement.machine.to_string(),
+            })
             .collect();
         TaskChunk {
             done: if word == 0 {
@@ -237,7 +363,7 @@
         }
     }
 
-    /// Takes over a chunk from the ledger. Placements come back as inherited.
+    /// Restores a chunk from the placement log. Its placements are inherited.
     pub fn restore(&mut self, chunk: u32, body: &TaskChunk, now: Timestamp) {
         let from = chunk * CHUNK;
         if let Ok(word) = u64::from_str_radix(&body.done, 16) {
@@ -245,16 +371,16 @@
                 self.mark_done(from + bit);
             }
         }
-        for PlacedTask(at, attempt, machine) in &body.placed {
-            let index = from + at;
-            // A gang's tasks are all done with the first, wherever they are.
-            let over = self.is_done(index) && self.spec.kind != JobKind::Gang;
-            if *at >= CHUNK || index >= self.spec.tasks || over {
+        for task in &body.placed {
+            let index = from + task.offset;
+            // All tasks of a gang are done with the first one, also those that are still placed.
+            let is_over = self.is_done(index) && self.spec.kind != JobKind::Gang;
+            if task.offset >= CHUNK || index >= self.spec.tasks || is_over {
                 continue;
             }
-            let machine = MachineName::from(machine.as_str());
-            self.placed
-                .insert(index, Placement::inherited(machine, Attempt(*attempt), now));
+            let machine = MachineName::from(task.machine.as_str());
+            let placement = Placement::inherited(machine, Attempt(task.attempt), now);
+            self.placed.insert(index, placement);
         }
     }
 }
--- /dev/null
+++ b/crates/scheduler/src/job_lifecycle.rs
@@ -0,0 +1,215 @@
+//! Jobs of a partition from admission to removal.
+
+use crate::job::{Job, TaskChunk};
+use crate::partition_state::PartitionState;
+use crate::queue_entry::{EntryKey, Rank};
+use model::DurationExt;
+use model::{JobId, JobKind, JobSpec, TaskId, Timestamp};
+use std::sync::Arc;
+use std::time::Duration;
+
+impl PartitionState {
+    /// Adds an open job with the progress that the placement log holds of it.
+    pub fn add_job(
+        &mut self,
+        spec: impl Into<Arc<JobSpec>>,
+        order: u64,
+        chunks: &[(u32, TaskChunk)],
+        now: Timestamp,
+    ) {
+        let spec = spec.into();
+        let id = spec.id;
+        if self.jobs.contains_key(&id) || !self.teams.contains(&spec.team) {
+            return;
+        }
+        let job = self.restore_job(spec, order, chunks, now);
+        for (index, placement) in &job.placed {
+            let task = TaskId {
+                job: id,
+                index: *index,
+            };
+            self.add_to_counts(task, &job.spec, placement);
+        }
+        self.teams.open_job(&job);
+        log_admission(&job);
+        let lost_tasks = self.tasks_on_unknown_machines(&job);
+        self.jobs.insert(id, job);
+        for task in lost_tasks {
+            self.drop_placement(task, now, false);
+        }
+        if self.jobs.get(&id).is_some_and(|job| job.all_done()) {
+            self.stop_gang(id, now);
+        }
+        self.enqueue(id);
+        self.check_finished(id);
+    }
+
+    /// The job as its progress shows it, not yet counted anywhere.
+    fn restore_job(
+        &self,
+        spec: Arc<JobSpec>,
+        order: u64,
+        chunks: &[(u32, TaskChunk)],
+        now: Timestamp,
+    ) -> Job {
+        let mut job = Job::new(spec, order, now);
+        job.size_penalty = self.size_penalty_of(&job.spec);
+        job.only_beside = job.spec.does_without_gpus(&self.types);
+        job.completion_objective = job
+            .spec
+            .deadline
+            .or_else(|| self.completion_objectives.get(&job.spec.class).copied());
+        for (chunk, body) in chunks {
+            job.restore(*chunk, body, now);
+        }
+        job
+    }
+
+    /// Tasks that are placed on machines without a record. A machine's record is deleted only after
+    /// the cloud has confirmed its release, so these tasks are gone.
+    fn tasks_on_unknown_machines(&self, job: &Job) -> Vec<TaskId> {
+        job.placed
+            .iter()
+            .filter(|(_, placement)| !self.machines.contains_key(&placement.machine))
+            .map(|(index, _)| TaskId {
+                job: job.spec.id,
+                index: *index,
+            })
+            .collect()
+    }
+
+    /// How far a job is deprioritised for its size: a multiple of the time that it takes with its
+    /// team's whole limit.
+    fn size_penalty_of(&self, spec: &JobSpec) -> Duration {
+        // A gang is one entry, and large gangs would starve behind small ones otherwise.
+        let tasks = if spec.kind == JobKind::Gang {
+            1
+        } else {
+            u64::from(spec.tasks)
+        };
+        let concurrent_tasks = self.teams.concurrent_tasks(spec);
+        let alone_ms = spec.estimate.whole_millis() * tasks / concurrent_tasks;
+        Duration::from_millis(alone_ms * self.policy.size_penalty_factor)
+    }
+
+    /// The user has cancelled the job: no task of it is launched any more, and all are stopped.
+    pub fn cancel_job(&mut self, id: JobId, now: Timestamp) {
+        let Some(job) = self.jobs.get_mut(&id) else {
+            return;
+        };
+        if job.cancelled {
+            return;
+        }
+        job.cancelled = true;
+        let placed: Vec<u32> = job.placed.keys().copied().collect();
+        let queued = job.cursor;
+        self.unqueue(id, queued);
+        for index in placed {
+            self.stop_task(TaskId { job: id, index }, 0, now);
+        }
+        self.close_job(id);
+        self.check_finished(id);
+    }
+
+    /// Puts a job's waiting tasks into the queue, as many as the window allows.
+    pub(crate) fn enqueue(&mut self, id: JobId) {
+        let Some(job) = self.jobs.get_mut(&id) else {
+            return;
+        };
+        if job.cancelled || job.finishing || self.job_probes.contains(&id) {
+            return;
+        }
+        let rank = Rank::of_job(job);
+        if job.spec.kind == JobKind::Gang {
+            if job.placed.is_empty() && !job.all_done() {
+                self.queue.add(EntryKey::Gang(id), rank);
+            }
+            return;
+        }
+        // All placed and queued tasks lie below the cursor, so this is an upper bound on the number
+        // of queued tasks: an array of 100,000 tasks does not fill the queue.
+        let limit = self.policy.window.max(1);
+        let mut waiting = job
+            .cursor
+            .saturating_sub(job.done_count() + job.placed.len() as u32);
+        while job.cursor < job.spec.tasks && waiting < limit {
+            let index = job.cursor;
+            job.cursor += 1;
+            if !job.is_done(index) && !job.placed.contains_key(&index) {
+                let entry = EntryKey::Task(TaskId { job: id, index });
+                self.queue.add(entry, rank.for_task(index));
+                waiting += 1;
+            }
+        }
+    }
+
+    /// Removes a job's entries from the queue, of whose tasks the first `queued` have been queued.
+    pub(crate) fn unqueue(&mut self, id: JobId, queued: u32) {
+        for index in 0..queued {
+            self.queue.remove(EntryKey::Task(TaskId { job: id, index }));
+        }
+        self.queue.remove(EntryKey::Gang(id));
+        self.cancel_reservations_of_job(id);
+    }
+
+    /// Notes whether the job has reached its terminal state.
+    pub(crate) fn check_finished(&mut self, id: JobId) {
+        let Some(job) = self.jobs.get_mut(&id) else {
+            return;
+        };
+        // A gang is done with its first task, but a member that was started again meanwhile still
+        // takes capacity and counts against the limit until it is gone.
+        let is_done = job.all_done() && (job.spec.kind != JobKind::Gang || job.placed.is_empty());
+        let is_cancelled = job.cancelled && job.placed.is_empty();
+        if !job.finishing && (is_done || is_cancelled) {
+            job.finishing = true;
+            self.finished.push(id);
+            self.close_job(id);
+        }
+    }
+
+    /// The job counts towards its team's guarantee no longer.
+    fn close_job(&mut self, id: JobId) {
+        if let Some(job) = self.jobs.get(&id) {
+            self.teams.close_job(job);
+        }
+    }
+
+    /// Jobs that have reached their terminal state since the last call, which is to be written.
+    pub fn take_finished(&mut self) -> Vec<JobId> {
+        std::mem::take(&mut self.finished)
+    }
+
+    /// The job's terminal state is durable, which settles the outcomes of all its tasks.
+    pub fn remove_job(&mut self, id: JobId, now: Timestamp) {
+        self.close_job(id);
+        let Some(job) = self.jobs.remove(&id) else {
+            return;
+        };
+        tracing::debug!(job = %id, took_ms = now.duration_since(job.seen_at).whole_millis(), "job removed");
+        self.unqueue(id, job.cursor);
+        for (index, placement) in &job.placed {
+            let task = TaskId {
+                job: id,
+                index: *index,
+            };
+            self.remove_from_counts(task, &job.spec, placement, now);
+        }
+        self.unrecorded.forget_job(id, job.spec.tasks);
+    }
+}
+
+fn log_admission(job: &Job) {
+    let spec = &job.spec;
+    tracing::debug!(
+        job = %spec.id,
+        class = spec.class,
+        team = %spec.team,
+        tasks = spec.tasks,
+        priority = ?spec.priority,
+        spot = spec.spot,
+        estimate_ms = spec.estimate.whole_millis(),
+        deadline_ms = spec.deadline.map(|deadline| deadline.whole_millis()),
+        "job added"
+    );
+}
--- a/crates/scheduler/src/lib.rs
+++ b/crates/scheduler/src/lib.rs
@@ -1,9 +1,9 @@
-//! What runs where within one partition: scheduling cycles, filters and scores, quota,
-//! guarantee, preemption, gangs, and the bookkeeping of what workers report.
+//! Scheduling of one partition: placement cycles, filters and scores, quotas and guarantees,
+//! preemption, gang scheduling, and reconciliation with what workers report.
 //!
-//! Nothing here does I/O. The owner of a [`PartitionState`] feeds it jobs, machines, reports and
-//! times, writes what [`PartitionState::take_dirty`] hands out, and sends what
-//! [`PartitionState::commands_for`] says.
+//! Nothing here does I/O. The owner of a [`PartitionState`] feeds it jobs, machines, heartbeats and
+//! times, writes what [`PartitionState::take_dirty`] returns, and sends what
+//! [`PartitionState::commands_for`] returns.
 
 pub mod best_effort;
 mod capacity_index;
@@ -12,22 +12,40 @@
 pub mod consolidation;
 pub mod cycle;
 pub mod demand;
+mod durability;
 mod failover;
 pub mod failure_attribution;
 mod gangs;
+mod guarantees;
 pub mod job;
+mod job_lifecycle;
+mod job_probes;
+mod leases;
 mod liveness;
 pub mod machine;
 mod overload;
 pub mod partition_state;
+mod placements;
+mod policy;
 pub mod preempt;
 mod preemption_candidates;
+mod progress;
+mod queue_entry;
+mod quotas;
 pub mod reconciliation;
 mod reservations;
+mod reserved_capacity;
+mod zone_alarms;
 
-pub use commands::CommandRoute;
-pub use failover::Probe;
-pub use job::{Job, PlacedTask, Placement, Stop, TaskChunk, CHUNK};
+pub use commands::{CommandRoute, DirectCallTarget};
+pub use job::{
+    DirectLaunch, Job, LaunchState, PlacedTask, Placement, Stop, TaskAttempt, TaskChunk, CHUNK,
+};
+pub use liveness::Probe;
 pub use machine::Machine;
-pub use partition_state::{ChunkKey, CommittedChanges, EntryKey, PartitionState, Policy};
+pub use partition_state::PartitionState;
+pub use policy::Policy;
+pub use progress::{ChunkKey, CommittedChanges};
+pub use queue_entry::{EntryKey, Rank};
+pub use quotas::{TeamQuotas, TeamUsage};
 pub use reconciliation::StatusSource;
--- a/crates/scheduler/src/machine.rs
+++ b/crates/scheduler/src/machine.rs
@@ -1,10 +1,10 @@
-//! A machine of the share, as its newest report and our own doings show it.
+//! A machine of the partition, as its newest status and what was sent to it show it.
 
-use crate::failover::ReplicatedEndpoint;
+use crate::job::{DirectLaunch, TaskAttempt};
 use model::DurationExt;
 use model::{
-    Attempt, FencingToken, JobId, JobKind, JobSpec, MachineName, PartitionId, Resources,
-    SequenceNumber, TaskId, Timestamp, WorkerEpoch, ZoneName,
+    FencingToken, JobId, JobKind, JobSpec, MachineName, PartitionId, Resources, SequenceNumber,
+    TaskId, Timestamp, WorkerEpoch, ZoneName,
 };
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -12,27 +12,27 @@
 use wire::cloud::MachineType;
 use wire::workers::{ExitCause, TaskState};
 
-/// How long exited tasks are kept before tokens are raised for them: those of some time at once.
+/// How long exited tasks are retained before the tokens are raised for them, so that one change
+/// settles those of some time.
 const EXITED_TASK_RETENTION: Duration = Duration::from_secs(45);
 
-/// A task in the newest report that has no placement here.
+/// A task in the machine's newest status that is not placed there.
 #[derive(Debug, Clone, PartialEq)]
 pub struct OrphanedTask {
-    pub task: TaskId,
-    pub attempt: Attempt,
+    pub id: TaskAttempt,
     pub state: TaskState,
     pub why: Option<ExitCause>,
 }
 
-/// A machine's way to another partition.
+/// A machine that is to be transferred to another partition.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PendingTransfer {
     pub to: PartitionId,
-    /// When it is kept after all if it is not empty by then.
+    /// The transfer is abandoned if the machine still has tasks by then.
     pub until: Timestamp,
 }
 
-/// Where a machine stands in the index.
+/// A machine's position in the capacity index. The derived order is that of the index.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct Place {
     pub class: u32,
@@ -41,19 +41,29 @@
     pub milli_cpus: u64,
 }
 
-/// What came of asking a machine.
+/// Results of liveness probes of a machine.
 #[derive(Debug, Clone, Copy, Default)]
 pub(crate) struct ProbeState {
-    /// A question is under way.
+    /// A probe has been sent and its result is not known yet.
     pub pending: bool,
-    /// Questions without an answer since it was heard last.
+    /// Number of unanswered probes since the machine's last status.
     pub missed: u32,
-    /// When the first and the last of them were given up.
-    pub first: Timestamp,
-    pub at: Timestamp,
+    /// When the first of them failed.
+    pub first_missed_at: Timestamp,
+    /// When the last of them failed.
+    pub last_missed_at: Timestamp,
 }
 
-/// A machine.
+/// Where a previous leader reached a machine that has not sent its status to this one yet.
+#[derive(Debug, Clone)]
+pub(crate) struct ReplicatedEndpoint {
+    pub address: String,
+    pub worker_epoch: WorkerEpoch,
+    /// It sent heartbeats to the previous leader.
+    pub reporting: bool,
+}
+
+/// A machine of the partition and the worker on it.
 #[derive(Debug)]
 pub struct Machine {
     pub name: MachineName,
@@ -64,78 +74,85 @@
     pub capacity: Resources,
     pub cache_gb: f64,
     pub fetch_gb_per_s: f64,
-    /// What placements take, proven gone or not.
+    /// Needs of all placed tasks.
     pub used: Resources,
-    /// Room promised to entries of the queue.
+    /// Capacity reserved for entries of the queue.
     pub(crate) reserved: Resources,
-    /// A gang for which it is kept.
+    /// The gang for which the machine is reserved.
     pub(crate) held_for: Option<JobId>,
-    /// Since when a machine with GPUs has had other work only.
+    /// Since when a machine with GPUs has had no GPU work.
     pub(crate) no_gpu_work_since: Option<Timestamp>,
-    /// Where it stands in the index of rooms.
+    /// Its position in the capacity index; none if it accepts no tasks.
     pub(crate) place: Option<Place>,
+    /// Tasks that are placed here.
     pub tasks: BTreeSet<TaskId>,
-    /// Replicas of services among them.
+    /// Number of replicas of services among them.
     pub pinned: u64,
-    /// Best-effort tasks among them, and what they take.
+    /// Number of best-effort tasks among them.
     pub best_effort: u64,
+    /// Needs of the best-effort tasks.
     pub best_effort_used: Resources,
-    /// When the last task that is not best-effort left.
+    /// When the last task that is not best-effort was removed.
     pub regular_left_at: Timestamp,
-    /// Token that our answers bear.
+    /// Fencing token of the replies and commands to it.
     pub token: FencingToken,
-    pub session: WorkerEpoch,
-    pub seq: SequenceNumber,
-    /// Highest token that the worker says it has seen.
+    /// Worker epoch in its newest status.
+    pub worker_epoch: WorkerEpoch,
+    /// Sequence number of its newest status.
+    pub sequence_number: SequenceNumber,
+    /// Highest token that the worker reports to have seen.
     pub seen_token: FencingToken,
-    /// When the newest report came in; none: not heard since we hold the share.
+    /// When its newest status came in, by a heartbeat or the response to a direct call; none: no status
+    /// since this controller leads the partition.
     pub last_seen_at: Option<Timestamp>,
-    /// What a predecessor said of it, until it is heard.
+    /// What a previous leader replicated, until the machine sends its own status.
     pub(crate) replicated_endpoint: Option<ReplicatedEndpoint>,
-    /// What came of asking it directly whether it is there.
     pub(crate) probe_state: ProbeState,
-    /// Since when nothing shows that what we send reaches it, although it may be heard: see `heartbeat_grace.rs`.
+    /// Since when nothing has shown that what is sent to it arrives, although its heartbeats may: see the
+    /// module `liveness`.
     pub(crate) suspected_since: Option<Timestamp>,
-    /// When we answered it last.
+    /// When its lease was last renewed by the reply to a heartbeat.
     pub lease_renewed_at: Timestamp,
-    /// When we last sent it a direct launch. A session that nobody answers still lives for one
-    /// lease from its begin, and the launch named a session that had begun by then.
+    /// When a direct launch was last sent to it. A worker epoch without any renewal still lasts for one
+    /// lease from its start, and the launch named an epoch that had started by then.
     pub last_direct_call_at: Timestamp,
-    /// When its newest report came in, as opposed to a direct answer: only reports keep its
-    /// lease alive, so only they make it fit for new tasks.
+    /// When its newest heartbeat came in, as opposed to the response to a direct call: only heartbeats
+    /// renew its lease, so only they make it usable for new tasks.
     pub last_heartbeat_at: Option<Timestamp>,
-    /// When the cloud takes it.
+    /// When the cloud reclaims it.
     pub notice: Option<Timestamp>,
-    /// On its way to another partition or back to the cloud.
+    /// It is being transferred to another partition or returned to the cloud.
     pub leaving: bool,
-    /// Fails what it starts.
+    /// Tasks of different jobs have failed on it.
     pub quarantined: bool,
     /// Failures since the last success, by job.
     pub failures_by_job: BTreeMap<JobId, u32>,
+    /// Tasks in its newest status that are not placed here.
     pub orphaned_tasks: Vec<OrphanedTask>,
-    /// Images it holds, least recently used first.
+    /// Cached images with their sizes in gigabytes, least recently used first.
     pub images: Vec<(Arc<str>, f64)>,
+    /// Since when no task has been placed here.
     pub idle_since: Timestamp,
-    /// Goes to another partition as soon as it is empty, and takes nothing new until then.
+    /// To be transferred as soon as it has no tasks; it takes no new ones until then.
     pub pending_transfer: Option<PendingTransfer>,
-    /// Being emptied until then, and takes nothing new.
+    /// Until then its tasks are moved elsewhere and it takes no new ones.
     pub emptied_until: Option<Timestamp>,
-    /// Launches in the newest answer to a report, which may still be under way: only the next
-    /// report shows that it has arrived or was dropped.
-    pub answer_launches: Vec<(TaskId, Attempt)>,
-    /// Direct launches of ours whose attempts the worker may still remember: under which token and in which
-    /// session. A copy of one may come at any later time, also of one that was answered.
-    pub(crate) direct: BTreeMap<(TaskId, Attempt), (FencingToken, WorkerEpoch)>,
+    /// Launches in the reply to the newest heartbeat, which may not have arrived yet: only the next
+    /// heartbeat shows that the reply has arrived or was lost.
+    pub response_launches: Vec<TaskAttempt>,
+    /// Direct launches of attempts that the worker may still remember. A copy of one may arrive at any
+    /// later time, even of one that was answered.
+    pub(crate) direct_launches: BTreeMap<TaskAttempt, DirectLaunch>,
     /// Since when it has had exited tasks that must not be forgotten before it has seen a higher token.
     pub(crate) exited_retained_since: Option<Timestamp>,
-    /// Token and session of a lost direct launch. Only a worker that has seen a higher token or
-    /// has begun a newer session will not execute it any more.
-    pub unconfirmed_launch: Option<(FencingToken, WorkerEpoch)>,
+    /// The least upper bound of all lost direct launches. Until it is superseded, the worker may execute
+    /// one of them.
+    pub unconfirmed_launch: Option<DirectLaunch>,
 }
 
 impl Machine {
-    /// Counts a task in.
-    pub fn hold(&mut self, task: TaskId, spec: &JobSpec) {
+    /// Adds a placed task to the counts.
+    pub fn add_task(&mut self, task: TaskId, spec: &JobSpec) {
         if self.tasks.insert(task) {
             self.used += spec.needs;
             self.pinned += u64::from(spec.kind == JobKind::Service);
@@ -146,13 +163,13 @@
         }
     }
 
-    /// Tasks that are not best-effort.
+    /// Number of tasks that are not best-effort.
     pub fn regular(&self) -> u64 {
         self.tasks.len() as u64 - self.best_effort
     }
 
-    /// Counts a task out.
-    pub fn let_go(&mut self, task: TaskId, spec: &JobSpec, now: Timestamp) {
+    /// Removes a task from the counts.
+    pub fn remove_task(&mut self, task: TaskId, spec: &JobSpec, now: Timestamp) {
         if self.tasks.remove(&task) {
             self.used -= spec.needs;
             self.pinned -= u64::from(spec.kind == JobKind::Service);
@@ -168,7 +185,7 @@
         }
     }
 
-    /// A machine of which nothing is known but its record.
+    /// A machine that has not sent its status yet.
     pub fn new(
         name: MachineName,
         kind: &MachineType,
@@ -196,8 +213,8 @@
             best_effort_used: Resources::default(),
             regular_left_at: Timestamp::default(),
             token,
-            session: WorkerEpoch(0),
-            seq: SequenceNumber(0),
+            worker_epoch: WorkerEpoch(0),
+            sequence_number: SequenceNumber(0),
             seen_token: FencingToken(0),
             last_seen_at: None,
             replicated_endpoint: None,
@@ -215,36 +232,36 @@
             idle_since: Timestamp::default(),
             pending_transfer: None,
             emptied_until: None,
-            answer_launches: Vec::new(),
-            direct: BTreeMap::new(),
+            response_launches: Vec::new(),
+            direct_launches: BTreeMap::new(),
             exited_retained_since: None,
             unconfirmed_launch: None,
         }
     }
 
-    /// Room that is neither used nor promised.
+    /// Capacity that is not used; part of it may be reserved.
     pub fn free(&self) -> Resources {
         self.capacity.saturating_sub(&self.used)
     }
 
-    /// Whether the image is here already.
+    /// Whether the image is cached.
     pub fn has_image(&self, image: &str) -> bool {
         self.images.iter().any(|(name, _)| &**name == image)
     }
 
-    /// Notes that a task with this image got past its fetch; returns the images that had to
-    /// make room for it.
+    /// Notes that a task with this image has fetched it; returns the images that were evicted from the
+    /// cache.
     pub(crate) fn touch_image(&mut self, image: &Arc<str>, gb: f64) -> Vec<Arc<str>> {
         self.images.retain(|(name, _)| name != image);
         self.images.push((image.clone(), gb));
         let mut total: f64 = self.images.iter().map(|(_, gb)| gb).sum();
-        let mut lost = Vec::new();
+        let mut evicted = Vec::new();
         while total > self.cache_gb && self.images.len() > 1 {
             let (name, gb) = self.images.remove(0);
             total -= gb;
-            lost.push(name);
+            evicted.push(name);
         }
-        lost
+        evicted
     }
 
     /// Whether new tasks may be placed here.
@@ -262,72 +279,87 @@
                 .is_some_and(|at| now.duration_since(at) <= heartbeat_grace)
     }
 
-    /// A direct launch was lost that could start again what is forgotten now.
-    pub fn record_lost_launch(&mut self, token: FencingToken, session: WorkerEpoch) {
-        let (old, before) = self.unconfirmed_launch.unwrap_or_default();
-        self.unconfirmed_launch = Some((old.max(token), before.max(session)));
+    /// Whether the worker will not execute the launch any more.
+    pub(crate) fn has_superseded(&self, launch: &DirectLaunch) -> bool {
+        launch.is_superseded_by(self.seen_token, self.worker_epoch)
+    }
+
+    /// A direct launch was lost that could start a task again after the worker has forgotten it.
+    pub fn record_lost_launch(&mut self, launch: DirectLaunch) {
+        let previous = self.unconfirmed_launch.unwrap_or_default();
+        self.unconfirmed_launch = Some(DirectLaunch {
+            token: previous.token.max(launch.token),
+            worker_epoch: previous.worker_epoch.max(launch.worker_epoch),
+        });
     }
 
-    /// Whether no launch of an exited task can arrive any more that the worker would execute. An attempt
-    /// that it remembers has no effect, so a copy of a launch does harm only after its forget; even where
-    /// the task was completed, since its job may have been cancelled after that.
+    /// Whether no launch of an exited task can arrive any more that the worker would execute.
+    ///
+    /// A launch of an attempt that the worker remembers has no effect, so a copy of it does harm only
+    /// after the worker has forgotten the attempt; even if the task was done, since its job may have been
+    /// cancelled after that.
     pub(crate) fn may_forget(&self, orphan: &OrphanedTask) -> bool {
-        self.direct
-            .get(&(orphan.task, orphan.attempt))
-            .is_none_or(|(token, session)| self.seen_token > *token || self.session > *session)
+        self.direct_launches
+            .get(&orphan.id)
+            .is_none_or(|launch| self.has_superseded(launch))
     }
 
-    /// Notes which exited tasks are kept, and what need not be known of launches any more.
+    /// Updates since when exited tasks are retained, and drops launches that no longer matter.
     pub(crate) fn update_exited_tasks(&mut self, now: Timestamp) {
         let orphaned_tasks = std::mem::take(&mut self.orphaned_tasks);
-        let kept = orphaned_tasks
+        let retains_any = orphaned_tasks
             .iter()
-            .any(|s| s.state == TaskState::Exited && !self.may_forget(s));
-        self.exited_retained_since = kept.then(|| self.exited_retained_since.unwrap_or(now));
+            .any(|orphan| orphan.state == TaskState::Exited && !self.may_forget(orphan));
+        self.exited_retained_since = retains_any.then(|| self.exited_retained_since.unwrap_or(now));
         let tasks = &self.tasks;
-        self.direct.retain(|(task, attempt), _| {
-            tasks.contains(task)
-                || orphaned_tasks
-                    .iter()
-                    .any(|s| s.task == *task && s.attempt == *attempt)
+        self.direct_launches.retain(|launched, _| {
+            tasks.contains(&launched.task)
+                || orphaned_tasks.iter().any(|orphan| orphan.id == *launched)
         });
         self.orphaned_tasks = orphaned_tasks;
     }
 
-    /// Whether its record must get a higher token to void a lost launch.
+    /// Whether its record must get a higher token to supersede a lost launch.
     pub fn needs_higher_token(&self) -> bool {
         self.unconfirmed_launch.is_some() && self.seen_token >= self.token
     }
 
-    /// Whether it has kept exited tasks for so long that all machines of the share should get a higher
-    /// token.
+    /// Whether it has retained exited tasks for so long that all machines of the partition should get a
+    /// higher token.
     pub fn retains_exited_tasks(&self, now: Timestamp) -> bool {
-        let kept = self
+        let is_due = self
             .exited_retained_since
-            .is_some_and(|at| now.duration_since(at) >= EXITED_TASK_RETENTION);
-        kept && self.seen_token >= self.token
+            .is_some_and(|since| now.duration_since(since) >= EXITED_TASK_RETENTION);
+        is_due && self.seen_token >= self.token
     }
 
-    /// Whether we have answered it so lately that its lease should stand.
-    pub(crate) fn answered_lately(&self, lease: Duration, now: Timestamp) -> bool {
+    /// Whether its lease was renewed so recently that it should not have expired.
+    pub(crate) fn lease_should_be_valid(&self, lease: Duration, now: Timestamp) -> bool {
         self.lease_renewed_at > Timestamp::default()
             && now.duration_since(self.lease_renewed_at) < lease
     }
 
-    /// Whether it is heard and not reached: it reports, and nothing that we send gets there.
+    /// Whether its heartbeats arrive here while nothing that is sent to it arrives there.
     pub fn is_unreachable(&self) -> bool {
         self.suspected_since
             .is_some_and(|since| self.last_heartbeat_at.is_some_and(|at| at > since))
     }
 
-    /// We answer a report. One that is older than what is known was sent before that came in, so an answer
-    /// to it keeps the lease up for no longer: a copy that comes late does not put the end of a lease off.
-    pub fn answer(&mut self, newer: bool, now: Timestamp) {
-        let known = self.last_seen_at.unwrap_or_default();
-        self.lease_renewed_at = self.lease_renewed_at.max(if newer { now } else { known });
+    /// The reply to a heartbeat renews the machine's lease.
+    ///
+    /// A heartbeat that is not newer than the known status was sent before that status came in, so the
+    /// reply to it renews the lease from then only: a late copy of a heartbeat does not defer lease expiry.
+    pub fn renew_lease(&mut self, is_newer: bool, now: Timestamp) {
+        let renewed_at = if is_newer {
+            now
+        } else {
+            self.last_seen_at.unwrap_or_default()
+        };
+        self.lease_renewed_at = self.lease_renewed_at.max(renewed_at);
     }
 
-    /// Whether every task must be gone: nobody entitled has answered for a whole lease.
+    /// Whether every task must be gone, because no leader can have renewed the lease for its whole
+    /// duration.
     pub fn lease_expired(
         &self,
         now: Timestamp,
--- a/crates/scheduler/src/overload.rs
+++ b/crates/scheduler/src/overload.rs
@@ -102,7 +102,7 @@
             if let Some(team) = self.teams.get_mut(&job.spec.team) {
                 team.stale = true;
             }
-            self.rerank(id);
+            self.update_ranks(id);
         }
     }
 }
--- /dev/null
+++ b/crates/scheduler/src/placements.rs
@@ -0,0 +1,187 @@
+//! Placements: creation, stopping and removal, with the counts that depend on them.
+
+use crate::job::{LaunchState, Placement, Stop};
+use crate::partition_state::PartitionState;
+use crate::queue_entry::{EntryKey, Rank};
+use model::DurationExt;
+use model::{Attempt, JobId, JobKind, JobSpec, MachineName, TaskId, Timestamp};
+use std::time::Duration;
+
+/// Bits of an attempt's number below the leader's term.
+const ATTEMPT_BITS: u32 = 24;
+/// Time that members of a gang get for stopping, beyond the time that saving a checkpoint takes.
+const GANG_STOP_MARGIN_MS: u64 = 1_000;
+
+impl PartitionState {
+    /// A number that no attempt of any task has had: terms only rise.
+    pub(crate) fn new_attempt(&mut self) -> Attempt {
+        self.attempts += 1;
+        Attempt((self.term.0 << ATTEMPT_BITS) | self.attempts)
+    }
+
+    /// Records a placement and counts it at once.
+    pub(crate) fn place(
+        &mut self,
+        task: TaskId,
+        machine: &MachineName,
+        attempt: Attempt,
+        now: Timestamp,
+    ) {
+        let Some(job) = self.jobs.get_mut(&task.job) else {
+            return;
+        };
+        let placement = Placement::new(machine.clone(), attempt, now);
+        let waited_ms = now.duration_since(job.seen_at).whole_millis();
+        let cached = self
+            .machines
+            .get(machine)
+            .is_some_and(|machine| machine.has_image(&job.spec.image));
+        tracing::debug!(%task, %machine, class = job.spec.class, waited_ms, cached, guaranteed = job.guaranteed, "task placed");
+        self.waits.push(waited_ms);
+        job.placed.insert(task.index, placement.clone());
+        let spec = job.spec.clone();
+        self.add_to_counts(task, &spec, &placement);
+        self.unrecorded.mark_dirty(task);
+    }
+
+    /// Adds a placement to all counts and indexes of placements.
+    pub(crate) fn add_to_counts(&mut self, task: TaskId, spec: &JobSpec, placement: &Placement) {
+        self.teams.charge(spec);
+        if let Some(machine) = self.machines.get_mut(&placement.machine) {
+            machine.add_task(task, spec);
+            self.capacity_index.update(machine);
+        }
+        self.preemption_candidates.add(task, spec, placement);
+        if !placement.durable {
+            self.unrecorded.add_placement();
+        }
+    }
+
+    /// Removes a placement from all counts and indexes of placements.
+    pub(crate) fn remove_from_counts(
+        &mut self,
+        task: TaskId,
+        spec: &JobSpec,
+        placement: &Placement,
+        now: Timestamp,
+    ) {
+        self.teams.release(spec);
+        if let Some(machine) = self.machines.get_mut(&placement.machine) {
+            machine.remove_task(task, spec, now);
+            self.capacity_index.update(machine);
+        }
+        self.preemption_candidates
+            .remove(task, spec.priority, placement.placed_at);
+        if !placement.durable {
+            self.unrecorded.remove_placement();
+        }
+    }
+
+    /// Stops a task. One that has certainly never been launched is removed at once.
+    pub fn stop_task(&mut self, task: TaskId, grace_ms: u64, now: Timestamp) {
+        let Some(job) = self.jobs.get_mut(&task.job) else {
+            return;
+        };
+        let Some(placement) = job.placed.get_mut(&task.index) else {
+            return;
+        };
+        if placement.launch == LaunchState::NotLaunched && placement.last_status.is_none() {
+            self.drop_placement(task, now, true);
+            return;
+        }
+        let machine = placement.machine.clone();
+        self.preemption_candidates
+            .remove(task, job.spec.priority, placement.placed_at);
+        match &mut placement.stop {
+            // A second stop may only shorten the grace period.
+            Some(stop) => stop.grace_ms = stop.grace_ms.min(grace_ms),
+            None => placement.stop = Some(Stop { grace_ms }),
+        }
+        self.urgent_machines.insert(machine);
+    }
+
+    /// Stops all members of a gang at once, with a grace period to save a checkpoint if the gang has
+    /// started.
+    pub fn stop_gang(&mut self, id: JobId, now: Timestamp) {
+        let Some(job) = self.jobs.get(&id) else {
+            return;
+        };
+        let has_progress = job.gang_began.is_some() && !job.cancelled && !job.all_done();
+        let grace_ms = if job.spec.checkpoint > Duration::ZERO && has_progress {
+            job.spec.save.whole_millis() + GANG_STOP_MARGIN_MS
+        } else {
+            0
+        };
+        let members: Vec<u32> = job
+            .placed
+            .iter()
+            .filter(|(_, placement)| placement.stop.is_none())
+            .map(|(index, _)| *index)
+            .collect();
+        for index in members {
+            self.stop_task(TaskId { job: id, index }, grace_ms, now);
+        }
+    }
+
+    /// Removes a placement whose task is proven gone or was never launched, and queues the
+    /// task again unless it or its job is done.
+    pub(crate) fn drop_placement(&mut self, task: TaskId, now: Timestamp, requeue: bool) {
+        let Some(job) = self.jobs.get_mut(&task.job) else {
+            return;
+        };
+        let Some(placement) = job.placed.remove(&task.index) else {
+            return;
+        };
+        let spec = job.spec.clone();
+        self.remove_from_counts(task, &spec, &placement, now);
+        self.unrecorded.mark_dirty(task);
+        if spec.kind == JobKind::Gang {
+            self.handle_lost_gang_member(task.job, now);
+        } else if requeue {
+            self.requeue_task(task, now);
+        }
+        self.queue.move_all(now);
+        self.check_finished(task.job);
+    }
+
+    fn requeue_task(&mut self, task: TaskId, now: Timestamp) {
+        let Some(job) = self.jobs.get(&task.job) else {
+            return;
+        };
+        if job.cancelled || job.is_done(task.index) || task.index >= job.cursor {
+            return;
+        }
+        let failures = job.failures.get(&task.index).copied().unwrap_or(0);
+        let rank = Rank::of_job(job).for_task(task.index);
+        self.queue_after_failures(EntryKey::Task(task), rank, failures, now);
+    }
+
+    /// The rest of a gang that lost a member stops; when all members are gone it is queued again.
+    fn handle_lost_gang_member(&mut self, id: JobId, now: Timestamp) {
+        let Some(job) = self.jobs.get_mut(&id) else {
+            return;
+        };
+        if !job.placed.is_empty() {
+            if !job.all_done() {
+                self.stop_gang(id, now);
+            }
+            return;
+        }
+        job.gang_began = None;
+        if job.cancelled || job.all_done() || self.job_probes.contains(&id) {
+            return;
+        }
+        let failures = job.failures.values().copied().max().unwrap_or(0);
+        let rank = Rank::of_job(job);
+        self.queue_after_failures(EntryKey::Gang(id), rank, failures, now);
+    }
+
+    /// Queues an entry, with backoff if it has failed.
+    fn queue_after_failures(&mut self, entry: EntryKey, rank: Rank, failures: u32, now: Timestamp) {
+        if failures == 0 {
+            self.queue.add(entry, rank);
+        } else {
+            self.queue.add_failed(entry, rank, failures, now);
+        }
+    }
+}
--- a/crates/scheduler/src/reconciliation.rs
+++ b/crates/scheduler/src/reconciliation.rs
@@ -1,6 +1,6 @@
-//! What reports prove.
+//! Reconciliation: what a worker's status proves is compared with what is placed on its machine.
 
-use crate::job::{Job, Placement};
+use crate::job::{Job, LaunchState, TaskAttempt};
 use crate::machine::{Machine, OrphanedTask};
 use crate::partition_state::PartitionState;
 use model::duration_from_secs;
@@ -10,104 +10,113 @@
 use std::time::Duration;
 use wire::workers::{ExitCause, Heartbeat, TaskState, TaskStatus};
 
-/// How long before a machine is taken its tasks are stopped, besides the time to save.
+/// How long before a machine is reclaimed its tasks are stopped, in addition to the time to save.
 const RECLAIM_MARGIN: Duration = Duration::from_millis(2_500);
 
-/// How a worker's message reached us.
+/// How a worker's status arrived.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum StatusSource {
-    /// A report: the worker has dealt with the answer to the one before.
+    /// By a heartbeat: the worker has processed the reply to the previous one, or will never do so.
     Heartbeat,
-    /// The answer to a direct call: an answer of ours may still be on its way.
+    /// In the response to a direct call: the reply to a heartbeat may still be on its way.
     Direct,
 }
 
+/// A worker's status with its raw fields converted.
+struct Status<'a> {
+    machine: MachineName,
+    worker_epoch: WorkerEpoch,
+    sequence_number: SequenceNumber,
+    token: FencingToken,
+    source: StatusSource,
+    received_at: Timestamp,
+    address: &'a str,
+    /// Time until the cloud reclaims the machine, if the worker knows of it.
+    reclaimed_in: Option<Duration>,
+    tasks: Vec<ListedTask<'a>>,
+}
+
+/// A task in a worker's status.
+struct ListedTask<'a> {
+    id: TaskAttempt,
+    status: &'a TaskStatus,
+}
+
+impl<'a> Status<'a> {
+    /// Tasks whose names cannot be parsed are left out.
+    fn new(heartbeat: &'a Heartbeat, source: StatusSource, received_at: Timestamp) -> Self {
+        let listed = |status: &'a TaskStatus| {
+            let id = TaskAttempt {
+                task: TaskId::parse(&status.task)?,
+                attempt: Attempt(status.attempt),
+            };
+            Some(ListedTask { id, status })
+        };
+        Status {
+            machine: MachineName::from(heartbeat.machine.as_str()),
+            worker_epoch: WorkerEpoch(heartbeat.session),
+            sequence_number: SequenceNumber(heartbeat.seq),
+            token: FencingToken(heartbeat.token),
+            source,
+            received_at,
+            address: &heartbeat.address,
+            reclaimed_in: heartbeat.notice_s.map(duration_from_secs),
+            tasks: heartbeat.tasks.iter().filter_map(listed).collect(),
+        }
+    }
+
+    fn is_newer_than(&self, machine: &Machine) -> bool {
+        let known = (machine.worker_epoch, machine.sequence_number);
+        machine.last_seen_at.is_none() || (self.worker_epoch, self.sequence_number) > known
+    }
+
+    fn find(&self, id: TaskAttempt) -> Option<&'a TaskStatus> {
+        let listed = self.tasks.iter().find(|listed| listed.id == id)?;
+        Some(listed.status)
+    }
+}
+
 impl PartitionState {
-    /// Takes in a report or the body of a worker's answer. False if it is not newer than
-    /// what is known: then it proves nothing.
-    pub fn reconcile(&mut self, report: &Heartbeat, source: StatusSource, now: Timestamp) -> bool {
-        let name = MachineName::from(report.machine.as_str());
-        let silence = self.heartbeat_timeout();
-        let Some(machine) = self.machines.get_mut(&name) else {
+    /// Reconciles the state with a heartbeat, or with the status in the response to a direct call.
+    /// Returns false if it is not newer than the known status: then it proves nothing.
+    pub fn reconcile(
+        &mut self,
+        heartbeat: &Heartbeat,
+        source: StatusSource,
+        now: Timestamp,
+    ) -> bool {
+        let status = Status::new(heartbeat, source, now);
+        let timeout = self.heartbeat_timeout();
+        let Some(machine) = self.machines.get_mut(&status.machine) else {
             return false;
         };
-        let (session, seq) = (WorkerEpoch(report.session), SequenceNumber(report.seq));
-        if machine.last_seen_at.is_some() && (session, seq) <= (machine.session, machine.seq) {
+        if !status.is_newer_than(machine) {
             return false;
         }
-        let first = machine.last_seen_at.is_none();
-        let reached = source == StatusSource::Direct && machine.suspected_since.take().is_some();
-        if reached {
-            tracing::debug!(machine = %name, "reached again");
-        } else if source == StatusSource::Heartbeat
-            && !first
-            && session > machine.session
-            && machine.answered_lately(self.lease, now)
-        {
-            // Its lease has ended although we answered: our answers do not reach it.
-            machine.suspected_since.get_or_insert(now);
-        }
-        let returns = !machine.usable(now, silence);
-        machine.session = session;
-        machine.seq = seq;
-        machine.seen_token = machine.seen_token.max(FencingToken(report.token));
-        machine.last_seen_at = Some(now);
-        machine.probe_state.missed = 0;
-        if source == StatusSource::Heartbeat {
-            machine.last_heartbeat_at = Some(now);
-            // One report is in flight at a time, so the answer to the one before is settled.
-            machine.answer_launches.clear();
-        }
-        machine.address = Some(report.address.clone());
-        if let Some(replicated_endpoint) = machine.replicated_endpoint.take() {
-            // It reported to our predecessor until just now, and has an interval to come to us.
-            if replicated_endpoint.reporting && replicated_endpoint.session == session {
-                machine.last_heartbeat_at.get_or_insert(now);
-            }
-        }
-        machine.notice = report.notice_s.map(|s| now + duration_from_secs(s));
-        if first && machine.tasks.is_empty() {
-            machine.idle_since = now;
-        }
-        let has_token = FencingToken(report.token) >= machine.token;
-        // Any report would bear the current token: only a higher one than the launch's counts.
-        if machine
-            .unconfirmed_launch
-            .is_some_and(|(token, session)| machine.seen_token > token || machine.session > session)
-        {
-            machine.unconfirmed_launch = None;
-        }
-        let listed: Vec<(TaskId, &TaskStatus)> = report
-            .tasks
-            .iter()
-            .filter_map(|entry| Some((TaskId::parse(&entry.task)?, entry)))
-            .collect();
+        let is_first = machine.last_seen_at.is_none();
+        let is_reachable_again = machine.update_suspicion(&status, self.lease);
+        let was_usable = machine.usable(now, timeout);
+        machine.apply_status(&status);
         let placed: Vec<TaskId> = machine.tasks.iter().copied().collect();
         for task in placed {
-            self.observe_placement(task, &name, &listed, has_token, source, now);
+            self.observe_placement(task, &status);
         }
-        self.find_strays(&name, &listed, now);
-        if let Some(machine) = self.machines.get_mut(&name) {
-            if machine.usable(now, silence) {
+        self.update_orphaned_tasks(&status);
+        if let Some(machine) = self.machines.get_mut(&status.machine) {
+            if machine.usable(now, timeout) {
                 self.capacity_index.enter(machine);
             }
         }
-        if first || reached || source == StatusSource::Heartbeat && returns {
+        let is_usable_again = source == StatusSource::Heartbeat && !was_usable;
+        if is_first || is_reachable_again || is_usable_again {
             self.queue.move_all(now);
         }
         true
     }
 
-    fn observe_placement(
-        &mut self,
-        task: TaskId,
-        name: &MachineName,
-        listed: &[(TaskId, &TaskStatus)],
-        has_token: bool,
-        source: StatusSource,
-        now: Timestamp,
-    ) {
-        let Some(machine) = self.machines.get_mut(name) else {
+    /// Updates a placement on the machine by what the status shows of it.
+    fn observe_placement(&mut self, task: TaskId, status: &Status<'_>) {
+        let Some(machine) = self.machines.get_mut(&status.machine) else {
             return;
         };
         let Some(job) = self.jobs.get_mut(&task.job) else {
@@ -116,27 +125,30 @@
         let Some(placement) = job.placed.get_mut(&task.index) else {
             return;
         };
-        settle_direct(placement, machine);
-        let this = |(id, entry): &&(TaskId, &TaskStatus)| {
-            *id == task && Attempt(entry.attempt) == placement.attempt
-        };
-        let Some((_, entry)) = listed.iter().find(this) else {
-            self.absent(task, has_token, source, now);
+        let launch = placement.launch.unconfirmed_direct();
+        if launch.is_some_and(|launch| machine.has_superseded(&launch)) {
+            placement.launch.settle_direct_launch();
+        }
+        let attempt = placement.attempt;
+        let Some(listed) = status.find(TaskAttempt { task, attempt }) else {
+            let has_token = status.token >= machine.token;
+            self.handle_absent_task(task, has_token, status);
             return;
         };
-        placement.last_status = Some(entry.state);
-        placement.inherited = false;
-        placement.launched = Some(machine.session);
-        placement.launched_in_response = false;
-        if entry.state != TaskState::Fetching {
+        placement.last_status = Some(listed.state);
+        placement.launch.record_observed();
+        if listed.state != TaskState::Fetching {
             self.capacity_index
                 .touch_image(machine, &job.spec.image, job.spec.image_gb);
         }
-        match entry.state {
-            TaskState::Exited => self.exited(task, entry.why.unwrap_or(ExitCause::Error), now),
+        let now = status.received_at;
+        match listed.state {
+            TaskState::Exited => {
+                self.handle_exit(task, listed.why.unwrap_or(ExitCause::Error), now);
+            }
             TaskState::Running => {
-                let since = placement.placed_at;
-                job.seen_running(since, now);
+                let placed_at = placement.placed_at;
+                job.record_running(placed_at, now);
                 self.record_gang_start(task.job, now);
             }
             TaskState::Waiting => self.record_gang_fetch(task.job),
@@ -144,213 +156,216 @@
         }
     }
 
-    /// A newer report does not show the task.
-    fn absent(&mut self, task: TaskId, has_token: bool, source: StatusSource, now: Timestamp) {
+    /// A newer status does not show the task. `has_token`: the worker has seen this leader's token.
+    fn handle_absent_task(&mut self, task: TaskId, has_token: bool, status: &Status<'_>) {
+        let Some(machine) = self.machines.get_mut(&status.machine) else {
+            return;
+        };
         let Some(job) = self.jobs.get_mut(&task.job) else {
             return;
         };
-        let gang = job.spec.kind == JobKind::Gang;
         let Some(placement) = job.placed.get_mut(&task.index) else {
             return;
         };
-        if let Some((token, session)) = placement.unconfirmed_launch_of {
-            // A direct launch may still be under way: the task stays bound to its machine.
-            let machine = placement.machine.clone();
+        if let Some(launch) = placement.launch.unconfirmed_direct() {
+            // The launch may still arrive: the task stays bound to its machine.
             if placement.stop.is_some() || placement.last_status.is_some() {
-                if let Some(machine) = self.machines.get_mut(&machine) {
-                    machine.record_lost_launch(token, session);
-                }
+                machine.record_lost_launch(launch);
             }
             return;
         }
-        if placement.launched_in_response && source == StatusSource::Direct {
+        if placement.launch.is_launched_in_response() && status.source == StatusSource::Direct {
             return;
         }
-        placement.launched_in_response = false;
-        if placement.inherited {
-            // Until the worker has seen our token, a predecessor's command may arrive.
-            if !has_token {
-                return;
-            }
-            placement.inherited = false;
+        // Until the worker has seen this leader's token, a previous leader's command may arrive.
+        if placement.launch == LaunchState::Inherited && !has_token {
+            return;
         }
-        let task_machine = placement.machine.clone();
-        let was_seen = placement.last_status.take().is_some();
-        let was_launched = placement.launched.take().is_some();
+        let was_launched = placement.launch.is_launched();
+        placement.launch = LaunchState::NotLaunched;
+        let was_running = placement.last_status.take().is_some();
+        let is_lost_gang_member =
+            job.spec.kind == JobKind::Gang && was_launched && job.gang_began.is_some();
+        // Either the task was there and is gone because of a new worker epoch, or it was never there
+        // and is no longer wanted, or a repeated launch would not reach the machine either. Otherwise
+        // the launch was lost with its reply; it is sent again to the same machine.
         if placement.stop.is_some()
-            || was_seen
-            || (gang && was_launched && job.gang_began.is_some())
-        {
-            // It was there and is not any more (a new session), or it never got there and is
-            // no longer wanted.
-            self.drop_placement(task, now, true);
-        } else if self
-            .machines
-            .get(&task_machine)
-            .is_some_and(|m| m.suspected_since.is_some())
+            || was_running
+            || is_lost_gang_member
+            || machine.suspected_since.is_some()
         {
-            // What could still arrive is settled, and nothing that is sent again would.
-            self.drop_placement(task, now, true);
+            self.drop_placement(task, status.received_at, true);
         }
-        // Otherwise the launch was lost with its answer; it is sent again to the same place.
     }
 
-    /// An exited task: its outcome is kept, and the task forgotten once that is durable.
-    fn exited(&mut self, task: TaskId, why: ExitCause, now: Timestamp) {
-        let Some(job) = self.jobs.get_mut(&task.job) else {
-            return;
-        };
-        let Some(placement) = job.placed.get(&task.index) else {
+    /// An exited task: its outcome is recorded, and the worker forgets it once that is durable.
+    fn handle_exit(&mut self, task: TaskId, cause: ExitCause, now: Timestamp) {
+        let Some(placement) = self.placement(task) else {
             return;
         };
         let attempt = placement.attempt;
         let name = placement.machine.clone();
-        if let Some((token, session)) = placement.unconfirmed_launch_of {
-            // Forgetting it now could let the lost launch start it again.
+        let is_stopped = placement.stop.is_some();
+        if let Some(launch) = placement.launch.unconfirmed_direct() {
+            // If the worker forgot the task now, the lost launch could start it again.
             if let Some(machine) = self.machines.get_mut(&name) {
-                machine.record_lost_launch(token, session);
+                machine.record_lost_launch(launch);
             }
         }
-        let stopped = placement.stop.is_some();
-        tracing::debug!(%task, machine = %name, ?why, stopped, "exited");
-        match why {
-            ExitCause::Done => {
-                job.successes += 1;
-                if job.spec.kind == JobKind::Gang {
-                    // One task done: every task is.
-                    for index in 0..job.spec.tasks {
-                        job.mark_done(index);
-                    }
-                } else {
-                    job.mark_done(task.index);
-                }
-                if let Some(machine) = self.machines.get_mut(&name) {
-                    machine.failures_by_job.clear();
-                }
-            }
-            ExitCause::Error if !stopped => self.task_error(task, &name, now),
+        tracing::debug!(%task, machine = %name, ?cause, is_stopped, "task exited");
+        match cause {
+            ExitCause::Done => self.record_completion(task, &name),
+            ExitCause::Error if !is_stopped => self.record_task_failure(task, &name, now),
             ExitCause::NoRoom | ExitCause::Busy | ExitCause::Unknown => {
-                *job.failures.entry(task.index).or_default() += 1;
+                if let Some(job) = self.jobs.get_mut(&task.job) {
+                    *job.failures.entry(task.index).or_default() += 1;
+                }
             }
             _ => {}
         }
-        self.undurable_outcomes.insert((task, attempt));
-        self.touch(task);
+        self.unrecorded.add_outcome(TaskAttempt { task, attempt });
+        self.unrecorded.mark_dirty(task);
         self.drop_placement(task, now, true);
-        let of_gang = |job: &Job| job.spec.kind == JobKind::Gang && job.all_done();
-        if self.jobs.get(&task.job).is_some_and(of_gang) {
+        let is_done_gang = |job: &Job| job.spec.kind == JobKind::Gang && job.all_done();
+        if self.jobs.get(&task.job).is_some_and(is_done_gang) {
             self.stop_gang(task.job, now);
         }
     }
 
-    /// Tasks on the machine that have no placement here.
-    fn find_strays(
-        &mut self,
-        name: &MachineName,
-        listed: &[(TaskId, &TaskStatus)],
-        now: Timestamp,
-    ) {
-        let mut orphaned_tasks = Vec::new();
-        for (task, entry) in listed.iter().copied() {
-            let attempt = Attempt(entry.attempt);
-            let ours = self
-                .jobs
-                .get(&task.job)
-                .and_then(|job| job.placed.get(&task.index))
-                .is_some_and(|p| p.machine == *name && p.attempt == attempt);
-            if !ours {
-                orphaned_tasks.push(OrphanedTask {
-                    task,
-                    attempt,
-                    state: entry.state,
-                    why: entry.why,
-                });
+    fn record_completion(&mut self, task: TaskId, name: &MachineName) {
+        let Some(job) = self.jobs.get_mut(&task.job) else {
+            return;
+        };
+        job.successes += 1;
+        if job.spec.kind == JobKind::Gang {
+            // The first task that is done completes the whole gang.
+            for index in 0..job.spec.tasks {
+                job.mark_done(index);
             }
+        } else {
+            job.mark_done(task.index);
         }
         if let Some(machine) = self.machines.get_mut(name) {
+            machine.failures_by_job.clear();
+        }
+    }
+
+    /// Tasks in the status that are not placed on the machine.
+    fn update_orphaned_tasks(&mut self, status: &Status<'_>) {
+        let is_placed_here = |id: TaskAttempt| {
+            self.placement(id.task).is_some_and(|placement| {
+                placement.machine == status.machine && placement.attempt == id.attempt
+            })
+        };
+        let orphaned_tasks = status
+            .tasks
+            .iter()
+            .filter(|listed| !is_placed_here(listed.id))
+            .map(|listed| OrphanedTask {
+                id: listed.id,
+                state: listed.status.state,
+                why: listed.status.why,
+            })
+            .collect();
+        if let Some(machine) = self.machines.get_mut(&status.machine) {
             machine.orphaned_tasks = orphaned_tasks;
-            machine.update_exited_tasks(now);
+            machine.update_exited_tasks(status.received_at);
         }
     }
 
-    /// Tasks on machines that the cloud is about to take are stopped just before: those that save
-    /// get the time to, and for all of them the exit is proof at once, where a machine that is
-    /// gone would have to be waited out for a whole lease.
+    /// Stops the tasks on machines shortly before the cloud reclaims them. Tasks that save get the time
+    /// to do so, and for all of them the exit is proof at once, whereas tasks of a machine that is gone
+    /// have to be waited for until its lease expires.
     pub fn drain_reclaimed_machines(&mut self, now: Timestamp) {
-        let mut stops = Vec::new();
+        let mut stops: Vec<TaskId> = Vec::new();
         for machine in self.machines.values() {
-            let Some(taken) = machine.notice else {
+            let Some(reclaimed_at) = machine.notice else {
                 continue;
             };
-            let left = Duration::from_millis(taken.as_millis().saturating_sub(now.as_millis()));
-            for task in &machine.tasks {
-                let Some(job) = self.jobs.get(&task.job) else {
-                    continue;
-                };
-                let saves = job.spec.checkpoint > Duration::ZERO;
-                let needed = if saves {
-                    job.spec.save + RECLAIM_MARGIN
-                } else {
-                    RECLAIM_MARGIN
-                };
-                let stops_already = job
-                    .placed
-                    .get(&task.index)
-                    .is_some_and(|p| p.stop.is_some());
-                if left <= needed && !stops_already {
-                    stops.push((*task, job.spec.kind));
-                }
-            }
+            let left_ms = reclaimed_at.as_millis().saturating_sub(now.as_millis());
+            let left = Duration::from_millis(left_ms);
+            let is_due = |task: &&TaskId| self.must_stop_before_reclaim(**task, left);
+            stops.extend(machine.tasks.iter().filter(is_due));
         }
-        for (task, kind) in stops {
-            if kind == JobKind::Gang {
+        for task in stops {
+            let is_gang = |job: &Job| job.spec.kind == JobKind::Gang;
+            if self.jobs.get(&task.job).is_some_and(is_gang) {
                 self.stop_gang(task.job, now);
             } else {
-                let grace = self.grace_period(task);
-                self.stop_task(task, grace, now);
+                let grace_ms = self.grace_period(task);
+                self.stop_task(task, grace_ms, now);
             }
         }
     }
 
-    /// Machines on which every task must be gone since nobody can have answered them for a
-    /// whole lease.
-    pub fn expire_leases(&mut self, now: Timestamp) {
-        let lapsed: Vec<MachineName> = self
-            .machines
-            .values()
-            .filter(|m| {
-                !m.tasks.is_empty()
-                    && m.lease_expired(now, self.predecessors_valid_until, self.lease)
-            })
-            .map(|m| m.name.clone())
-            .collect();
-        for name in lapsed {
-            let tasks: Vec<TaskId> = match self.machines.get(&name) {
-                Some(machine) => machine.tasks.iter().copied().collect(),
-                None => continue,
-            };
-            tracing::info!(machine = %name, tasks = tasks.len(), "a machine's lease has lapsed");
-            for task in tasks {
-                let Some(job) = self.jobs.get_mut(&task.job) else {
-                    continue;
-                };
-                let Some(p) = job.placed.get_mut(&task.index) else {
-                    continue;
-                };
-                // The lease ends a session, and a launch names the session it was meant for.
-                p.unconfirmed_launch_of = None;
-                self.drop_placement(task, now, true);
-            }
-        }
+    /// Whether a task on a machine that is reclaimed in `left` must be stopped now and is not yet.
+    fn must_stop_before_reclaim(&self, task: TaskId, left: Duration) -> bool {
+        let Some(job) = self.jobs.get(&task.job) else {
+            return false;
+        };
+        let needed = if job.spec.checkpoint > Duration::ZERO {
+            job.spec.save + RECLAIM_MARGIN
+        } else {
+            RECLAIM_MARGIN
+        };
+        let is_stopping = self
+            .placement(task)
+            .is_some_and(|placement| placement.stop.is_some());
+        left <= needed && !is_stopping
     }
 }
 
-/// A worker that has seen a higher token, or has begun a newer session, executes no command
-/// that was sent before.
-fn settle_direct(placement: &mut Placement, machine: &Machine) {
-    if let Some((token, session)) = placement.unconfirmed_launch_of {
-        if machine.seen_token > token || machine.session > session {
-            placement.unconfirmed_launch_of = None;
+impl Machine {
+    /// Updates whether commands and replies are suspected not to reach the machine. Returns true if it
+    /// has just been shown that they do.
+    fn update_suspicion(&mut self, status: &Status<'_>, lease: Duration) -> bool {
+        if status.source == StatusSource::Direct && self.suspected_since.take().is_some() {
+            tracing::debug!(machine = %status.machine, "machine reachable again");
+            return true;
+        }
+        // Its lease has expired although it was renewed: the replies do not reach it.
+        let lost_lease = status.source == StatusSource::Heartbeat
+            && self.last_seen_at.is_some()
+            && status.worker_epoch > self.worker_epoch
+            && self.lease_should_be_valid(lease, status.received_at);
+        if lost_lease {
+            self.suspected_since.get_or_insert(status.received_at);
+        }
+        false
+    }
+
+    /// Takes over what a newer status says of the machine itself.
+    fn apply_status(&mut self, status: &Status<'_>) {
+        let now = status.received_at;
+        let is_first = self.last_seen_at.is_none();
+        self.worker_epoch = status.worker_epoch;
+        self.sequence_number = status.sequence_number;
+        self.seen_token = self.seen_token.max(status.token);
+        self.last_seen_at = Some(now);
+        self.probe_state.missed = 0;
+        if status.source == StatusSource::Heartbeat {
+            self.last_heartbeat_at = Some(now);
+            // One heartbeat is in flight at a time, so the reply to the previous one is settled.
+            self.response_launches.clear();
+        }
+        self.address = Some(status.address.to_owned());
+        if let Some(endpoint) = self.replicated_endpoint.take() {
+            // It sent heartbeats to the previous leader until just now, and has one interval to find
+            // this one.
+            if endpoint.reporting && endpoint.worker_epoch == status.worker_epoch {
+                self.last_heartbeat_at.get_or_insert(now);
+            }
+        }
+        self.notice = status.reclaimed_in.map(|duration| now + duration);
+        if is_first && self.tasks.is_empty() {
+            self.idle_since = now;
+        }
+        // Any status may show the current token: only a higher one than the launch's supersedes it.
+        if self
+            .unconfirmed_launch
+            .is_some_and(|launch| self.has_superseded(&launch))
+        {
+            self.unconfirmed_launch = None;
         }
     }
 }
--- a/crates/scheduler/src/reservations.rs
+++ b/crates/scheduler/src/reservations.rs
@@ -5,7 +5,9 @@
 
 use crate::job::Job;
 use crate::machine::Machine;
-use crate::partition_state::{EntryKey, PartitionState, Reservation};
+use crate::partition_state::PartitionState;
+use crate::queue_entry::EntryKey;
+use crate::reserved_capacity::Reservation;
 use model::{JobId, JobKind, MachineName, Resources, Timestamp};
 
 impl PartitionState {
--- a/crates/scheduler/tests/share.rs
+++ b/crates/scheduler/tests/share.rs
@@ -2,7 +2,7 @@
 
 use model::{FencingToken, JobSpec, MachineName, Resources, TeamName, Timestamp, ZoneName};
 use scheduler::{
-    CommandRoute, Machine, PartitionState, PlacedTask, Policy, StatusSource, TaskChunk,
+    CommandRoute, Machine, PartitionState, PlacedTask, Policy, StatusSource, TaskAttempt, TaskChunk,
 };
 use scheduling_queue::QueueConfig;
 use std::time::Duration;
@@ -915,10 +915,11 @@
         .for_each(|t| t.limit = Resources::offered(8.0, 0.0, 0.0));
     let machines = ["host-000001", "host-000001", "host-000002", "host-000002"];
     let placed = |list: &[&str]| {
-        let all = list
-            .iter()
-            .zip(0..)
-            .map(|(m, n)| PlacedTask(n, 7, (*m).to_owned()));
+        let all = list.iter().zip(0..).map(|(m, n)| PlacedTask {
+            offset: n,
+            attempt: 7,
+            machine: (*m).to_owned(),
+        });
         TaskChunk {
             done: String::new(),
             placed: all.collect(),
@@ -967,10 +968,14 @@
     let mut successor = four_machines();
     let chunks: Vec<_> = keys
         .into_iter()
-        .map(|((_, chunk), body)| (chunk, body))
+        .map(|(key, body)| (key.chunk, body))
         .collect();
     successor.add_job(gang, 1, &chunks, Timestamp::from_millis(400));
-    assert_eq!(successor.teams[&TeamName::from("t")].used.milli_cpus, 2_000);
+    let team = successor
+        .teams
+        .get(&TeamName::from("t"))
+        .expect("a known team");
+    assert_eq!(team.used.milli_cpus, 2_000);
     assert_eq!(successor.take_finished(), []);
     for share in [&mut share, &mut successor] {
         hear(share, 2, 5, Vec::new(), Timestamp::from_millis(900));
@@ -1234,7 +1239,13 @@
     };
     let id = model::TaskId::parse(&task).expect("a task");
     let running = vec![entry(&task, attempt, TaskState::Running, None)];
-    share.record_direct_response(&name, &[(id, model::Attempt(attempt))]);
+    share.record_direct_response(
+        &name,
+        &[TaskAttempt {
+            task: id,
+            attempt: model::Attempt(attempt),
+        }],
+    );
     share.reconcile(
         &report(2, None, running),
         StatusSource::Direct,
@@ -1289,7 +1300,7 @@
     for at in [100, 9_000] {
         let newer = share.reconcile(&first, StatusSource::Heartbeat, Timestamp::from_millis(at));
         let machine = share.machines.get_mut(&name).expect("it is there");
-        machine.answer(newer, Timestamp::from_millis(at));
+        machine.renew_lease(newer, Timestamp::from_millis(at));
         assert_eq!(machine.lease_renewed_at, Timestamp::from_millis(100));
     }
 }
