--- a/crates/controller/src/controller/standby.rs
+++ b/crates/controller/src/controller/standby.rs
@@ -1,7 +1,8 @@
 //! Replicas of partitions that we stand by for, and the streams to our own subscribers.
 
 use super::leadership::PartitionLeadership;
-use super::{Controller, LEASE_DURATION};
+use super::Controller;
+use crate::controller_lease::LEASE_DURATION;
 use crate::rejections::{MessageFault, MessageSource};
 use failover::failure_detector::{Evidence, FailoverBlocker, FailureDetector};
 use failover::{assign, PartitionReplica, Replicas, ReplicationSource, ReplicationStream};
@@ -85,8 +86,8 @@
     }
 
     pub(super) fn maintain_standby(&mut self) {
-        if !self.synced
-            || !self.booted
+        if !self.state_sync.is_synced()
+            || !self.registration.is_registered()
             || self.now.duration_since(self.standby.scanned_at) < DETECTOR_INTERVAL
         {
             return;
@@ -118,7 +119,7 @@
             stream.update(partition_state.replication_records(now));
             let header = ReplicationBatch {
                 partition: partition.0,
-                incarnation: self.incarnation,
+                incarnation: self.registration.incarnation(),
                 term: *term,
                 at_ms: now.as_millis(),
                 ..ReplicationBatch::default()
@@ -136,7 +137,7 @@
         partition: u32,
         incarnation: u64,
         term: u64,
-        have: u64,
+        applied: u64,
     ) {
         let partition = PartitionId(partition);
         let held = self
@@ -144,7 +145,7 @@
             .get(&partition)
             .is_some_and(|h| h.term().0 == term);
         // Whoever follows another incarnation of ours sees the record of this one soon.
-        if !held || incarnation != self.incarnation {
+        if !held || incarnation != self.registration.incarnation() {
             self.counters
                 .rejections
                 .add(MessageSource::Peer, MessageFault::Stale);
@@ -154,7 +155,7 @@
         if stream.0 != term {
             *stream = (term, ReplicationStream::default());
         }
-        stream.1.subscribe(from, have, self.now);
+        stream.1.subscribe(from, applied, self.now);
     }
 
     pub(super) fn handle_replication_batch(
@@ -210,7 +211,10 @@
             .filter(|(name, _)| *name != leader && self.peer_is_alive(name));
         let peer_heartbeat_age = others
             .filter_map(|(_, peer)| {
-                let said = peer.heard.iter().find(|(name, _)| name == leader)?;
+                let said = peer
+                    .peer_heartbeat_ages
+                    .iter()
+                    .find(|(name, _)| name == leader)?;
                 Some(said.1 + self.now.duration_since(peer.last_seen_at))
             })
             .min();
@@ -220,7 +224,7 @@
             peer_heartbeat_age,
             reporting_machines: replica.map_or(0, PartitionReplica::reporting_machines),
             replica_complete: replica.is_some_and(PartitionReplica::is_complete),
-            last_state_read: self.last_state_read_at,
+            last_state_read: self.state_sync.last_read_at(),
             resumed_at: self.running_since,
         };
         self.standby
--- a/crates/simulator/tests/golden_admin.rs
+++ b/crates/simulator/tests/golden_admin.rs
@@ -9,7 +9,7 @@
 use golden::Entry;
 use model::{CallId, ControllerName, Timestamp};
 use serde_json::{json, Value};
-use simulator::Solo;
+use simulator::SingleController;
 use wire::mesh::MeshMessage;
 use wire::state::{StateReply, StateRequest, Transaction};
 use wire::users::JobKind;
@@ -58,13 +58,13 @@
 }
 
 fn sign_of_life() -> MeshMessage {
-    let heard = vec![("n0".to_owned(), 20)];
+    let peer_heartbeat_ages = vec![("n0".to_owned(), 20)];
     MeshMessage::Heartbeat {
         incarnation: 9,
         revision: 1,
         state_contact: true,
         ready: true,
-        heard,
+        peer_heartbeat_ages,
     }
 }
 
@@ -73,30 +73,30 @@
         partition: 0,
         incarnation: BOOT,
         term: 1,
-        have: 0,
+        applied: 0,
     }
 }
 
 /// A node on whose machines an array and a service run, with more that waits.
-fn busy_site() -> Solo {
-    let mut solo = Solo::with_silent_peer(MACHINES);
-    solo.submit(JobKind::Service, 1);
-    solo.submit(JobKind::Array, 12);
-    solo.submit(JobKind::Gang, 5);
+fn busy_site() -> SingleController {
+    let mut single_controller = SingleController::with_silent_peer(MACHINES);
+    single_controller.submit(JobKind::Service, 1);
+    single_controller.submit(JobKind::Array, 12);
+    single_controller.submit(JobKind::Gang, 5);
     for _ in 0..30 {
-        solo.tick(100);
-        solo.inject(from_peer(sign_of_life()));
+        single_controller.tick(100);
+        single_controller.inject(from_peer(sign_of_life()));
         for nth in 0..MACHINES {
-            solo.report(nth);
+            single_controller.report(nth);
         }
     }
-    solo
+    single_controller
 }
 
 #[test]
-fn views_keep_their_bytes() {
-    let mut solo = busy_site();
-    let node = solo.node();
+fn admin_views_match_golden_bytes() {
+    let mut single_controller = busy_site();
+    let node = single_controller.node();
     node.handle(ASKED_AT, from_peer(follow()));
     let job = |id: &str| AdminRequest::Job(id.into());
     let entries = [
@@ -117,15 +117,15 @@
 
 /// A node that was asked for more than it could answer before it had taken its partition over.
 #[test]
-fn refusals_keep_their_names() {
-    let mut solo = Solo::new(MACHINES);
-    solo.restart();
-    solo.submit(JobKind::Array, 1);
+fn admin_refusals_match_golden_names() {
+    let mut single_controller = SingleController::new(MACHINES);
+    single_controller.restart();
+    single_controller.submit(JobKind::Array, 1);
     for _ in 0..200 {
-        solo.tick(20);
-        solo.report(0);
+        single_controller.tick(20);
+        single_controller.report(0);
     }
-    let effects = solo.node().handle(
+    let effects = single_controller.node().handle(
         Timestamp::from_millis(30_000),
         Event::Admin {
             ticket: TICKET,
@@ -146,9 +146,9 @@
 }
 
 #[test]
-fn wrong_settings_are_answered_with_the_field() {
-    let mut solo = Solo::new(MACHINES);
-    let node = solo.node();
+fn invalid_settings_are_rejected_with_field_name() {
+    let mut single_controller = SingleController::new(MACHINES);
+    let node = single_controller.node();
     let entries = [
         view(node, "unknown_field", change(json!({ "lease_s": 3.0 }))),
         view(node, "wrong_type", change(json!({ "window": "many" }))),
@@ -206,8 +206,8 @@
 
 /// The answer to a change, after this answer of the state service.
 fn changed(name: &'static str, reply: StateReply) -> Entry {
-    let mut solo = Solo::new(MACHINES);
-    let node = solo.node();
+    let mut single_controller = SingleController::new(MACHINES);
+    let node = single_controller.node();
     let (call, _) = write_settings(node, json!({ "window": 32 }));
     let effects = node.handle(ASKED_AT, Event::State { call, reply });
     Entry::text(
@@ -217,13 +217,13 @@
 }
 
 fn written(name: &'static str, settings: Value) -> Entry {
-    let mut solo = Solo::new(MACHINES);
-    let (_, txn) = write_settings(solo.node(), settings);
+    let mut single_controller = SingleController::new(MACHINES);
+    let (_, txn) = write_settings(single_controller.node(), settings);
     Entry::text(name, golden::to_json(&txn))
 }
 
 #[test]
-fn changes_of_settings_keep_their_bytes() {
+fn settings_changes_match_golden_bytes() {
     let conflict = StateReply::Conflict {
         failed: vec!["s/c".into()],
         revision: 90,
--- a/crates/simulator/tests/rules.rs
+++ b/crates/simulator/tests/rules.rs
@@ -2,7 +2,7 @@
 
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
-use simulator::{Boots, Fault, Plan, Sabotage, World};
+use simulator::{BootBehavior, Fault, Mutation, Plan, World};
 
 /// Troubles drawn from a seed: singly, together, and overlapping.
 fn troubles(seed: u64, count: usize, from: u64, to: u64) -> Vec<(u64, Fault)> {
@@ -14,25 +14,25 @@
             let ms = rng.random_range(3_000..40_000);
             let nth = rng.random_range(0..20);
             let fault = match rng.random_range(0..12) {
-                0 | 1 => Fault::Crash {
+                0 | 1 => Fault::CrashController {
                     node,
                     back: rng.random_range(2_000..9_000),
                 },
-                2 => Fault::CutState { node, ms },
-                3 => Fault::Refuse {
+                2 => Fault::DisconnectStateService { node, ms },
+                3 => Fault::RefuseStateRequests {
                     node: Some(node),
                     ms,
                 },
-                4 => Fault::Refuse {
+                4 => Fault::RefuseStateRequests {
                     node: None,
                     ms: ms.min(25_000),
                 },
-                5 => Fault::CutWorkers { node, ms },
-                6 => Fault::CutMesh { node, ms },
-                7 => Fault::CutZones { ms },
-                8 => Fault::CutMachine { nth, ms },
-                9 => Fault::Hang { nth, ms },
-                10 => Fault::Kill { nth },
+                5 => Fault::DisconnectWorkers { node, ms },
+                6 => Fault::DisconnectMesh { node, ms },
+                7 => Fault::PartitionZones { ms },
+                8 => Fault::DisconnectMachine { nth, ms },
+                9 => Fault::HangMachine { nth, ms },
+                10 => Fault::CrashMachine { nth },
                 _ => Fault::CloudOutage { ms },
             };
             (at, fault)
@@ -49,19 +49,20 @@
         let node = rng.random_range(0..3);
         let ms = rng.random_range(3_000..40_000);
         let fault = match rng.random_range(0..9) {
-            0..=2 => Fault::Freeze {
+            0..=2 => Fault::PauseController {
                 node,
                 ms: rng.random_range(500..22_000),
             },
-            3 => Fault::Isolate { node, ms },
-            4 => Fault::Mistakes { ms },
-            5 => Fault::Questions { ms },
-            6 => Fault::Guests {
+            3 => Fault::IsolateController { node, ms },
+            4 => Fault::FailingJobs { ms },
+            5 => Fault::StatusRequestStorm { ms },
+            6 => Fault::GuestJobs {
                 jobs: rng.random_range(1..6),
             },
             _ => {
-                let how = [Boots::Early, Boots::Late, Boots::Never][rng.random_range(0..3)];
-                Fault::Boots { how, ms }
+                let how = [BootBehavior::Early, BootBehavior::Late, BootBehavior::Never]
+                    [rng.random_range(0..3)];
+                Fault::ChangeBootBehavior { how, ms }
             }
         };
         faults.push((at, fault));
@@ -80,17 +81,17 @@
         seed,
         ms: 260_000,
         faults,
-        sabotage: None,
+        mutation: None,
         submit_ms: 150_000,
         size: 1,
     }
 }
 
 #[test]
-fn quiet_days_finish_their_work() {
+fn runs_without_faults_complete_all_work() {
     for seed in 1..=4 {
         let world = run(plan(seed, Vec::new()));
-        assert_eq!(world.rules.broken, [], "seed {seed}");
+        assert_eq!(world.rules.violations, [], "seed {seed}");
         assert!(
             world.rules.started > 100,
             "seed {seed}: {} starts",
@@ -101,24 +102,24 @@
 }
 
 #[test]
-fn rules_hold_under_drawn_troubles() {
+fn rules_hold_under_random_faults() {
     for seed in 1..=40 {
         let faults = troubles(seed, 6, 20_000, 150_000);
         let world = run(plan(seed, faults.clone()));
-        assert_eq!(world.rules.broken, [], "seed {seed}: {faults:?}");
+        assert_eq!(world.rules.violations, [], "seed {seed}: {faults:?}");
         assert!(world.rules.started > 50, "seed {seed}");
     }
 }
 
 #[test]
-fn rules_hold_under_the_troubles_met_later() {
+fn rules_hold_under_random_late_faults() {
     for seed in 1..=30 {
         let faults = later_troubles(seed, 6);
         let world = run(Plan {
             size: 1 + seed % 2,
             ..plan(seed, faults.clone())
         });
-        assert_eq!(world.rules.broken, [], "seed {seed}: {faults:?}");
+        assert_eq!(world.rules.violations, [], "seed {seed}: {faults:?}");
         assert!(world.rules.started > 50, "seed {seed}");
     }
 }
@@ -127,7 +128,8 @@
 /// that takes over.
 /// Controllers that stand still for less and for more than a lease, one alone and two together.
 fn freezes(seed: u64) -> Vec<(u64, Fault)> {
-    let freeze = |at: u64, node: usize, ms: u64| (at + seed * 13, Fault::Freeze { node, ms });
+    let freeze =
+        |at: u64, node: usize, ms: u64| (at + seed * 13, Fault::PauseController { node, ms });
     vec![
         freeze(30_000, 0, 20_000),
         freeze(36_000, 1, 5_000),
@@ -140,26 +142,26 @@
 }
 
 #[test]
-fn controllers_that_stand_still_break_no_rule_and_work_goes_on() {
+fn paused_controllers_keep_rules_and_complete_work() {
     for seed in 1..=8 {
         let world = run(Plan {
             size: 2,
             ..plan(seed, freezes(seed))
         });
-        assert_eq!(world.rules.broken, [], "seed {seed}");
+        assert_eq!(world.rules.violations, [], "seed {seed}");
         assert_eq!(world.unfinished(), Vec::<String>::new(), "seed {seed}");
     }
 }
 
 /// The rules alone, while the test above is known red; with the end of all work for the seeds that it has not.
 #[test]
-fn frozen_controllers_break_no_rule() {
+fn paused_controllers_keep_rules() {
     for seed in 1..=16 {
         let world = run(Plan {
             size: 2,
             ..plan(seed, freezes(seed))
         });
-        assert_eq!(world.rules.broken, [], "seed {seed}");
+        assert_eq!(world.rules.violations, [], "seed {seed}");
         if seed > 8 {
             assert_eq!(world.unfinished(), Vec::<String>::new(), "seed {seed}");
         }
@@ -168,54 +170,60 @@
 
 /// A fault of each kind, close together, with every node hit.
 #[test]
-fn all_controllers_at_once_and_one_after_the_other() {
+fn faults_on_all_controllers_together_and_in_turn_keep_rules() {
     for seed in 1..=6 {
         let mut faults = Vec::new();
         for node in 0..3 {
-            faults.push((60_000, Fault::Crash { node, back: 6_000 }));
+            faults.push((60_000, Fault::CrashController { node, back: 6_000 }));
             faults.push((
                 100_000 + node as u64 * 12_000,
-                Fault::Crash { node, back: 7_000 },
+                Fault::CrashController { node, back: 7_000 },
             ));
         }
         let world = run(plan(seed, faults));
-        assert_eq!(world.rules.broken, [], "seed {seed}");
+        assert_eq!(world.rules.violations, [], "seed {seed}");
         assert_eq!(world.unfinished(), Vec::<String>::new(), "seed {seed}");
     }
 }
 
 /// The checker must be able to fail: with a safety step broken it finds a broken rule in at
 /// least one of a few runs.
-fn is_caught(sabotage: Sabotage, rules: &[&str], faults: impl Fn(u64) -> Vec<(u64, Fault)>) {
+fn is_caught(mutation: Mutation, rules: &[&str], faults: impl Fn(u64) -> Vec<(u64, Fault)>) {
     let mut seen = Vec::new();
     for seed in 1..=12 {
         let plan = Plan {
-            sabotage: Some(sabotage),
+            mutation: Some(mutation),
             ..plan(seed, faults(seed))
         };
         let world = run(plan);
-        if let Some(broken) = world.rules.broken.first() {
-            assert!(rules.contains(&broken.rule), "{sabotage:?}: {broken:?}");
+        if let Some(violations) = world.rules.violations.first() {
+            assert!(
+                rules.contains(&violations.rule),
+                "{mutation:?}: {violations:?}"
+            );
             return;
         }
         seen.push(world.rules.started);
     }
-    panic!("{sabotage:?} was not caught in {seen:?} starts");
+    panic!("{mutation:?} was not caught in {seen:?} starts");
 }
 
 fn crashes(seed: u64) -> Vec<(u64, Fault)> {
     (0..8)
         .map(|n| {
             let node = ((seed + n) % 3) as usize;
-            (25_000 + n * 14_000, Fault::Crash { node, back: 6_000 })
+            (
+                25_000 + n * 14_000,
+                Fault::CrashController { node, back: 6_000 },
+            )
         })
         .collect()
 }
 
 #[test]
-fn a_placement_that_is_not_durable_is_caught() {
+fn checker_detects_launch_before_durable_placement() {
     is_caught(
-        Sabotage::RoundsNotWritten,
+        Mutation::LogCommitsNotWritten,
         &[
             "ran_twice",
             "quota",
@@ -228,16 +236,16 @@
 }
 
 #[test]
-fn a_lease_believed_too_short_is_caught() {
+fn checker_detects_underestimated_lease() {
     is_caught(
-        Sabotage::ShortLease,
+        Mutation::ShortLease,
         &["ran_twice", "quota", "wrong_place"],
         |_| {
             (0..10)
                 .map(|n| {
                     (
                         20_000 + n * 12_000,
-                        Fault::CutMachine {
+                        Fault::DisconnectMachine {
                             nth: n as usize,
                             ms: 9_000,
                         },
@@ -249,22 +257,22 @@
 }
 
 #[test]
-fn answering_workers_too_long_without_the_state_service_is_caught() {
-    is_caught(Sabotage::LongCancel, &["ran_cancelled"], |seed| {
+fn checker_detects_heartbeats_answered_beyond_lease_validity() {
+    is_caught(Mutation::LongCancel, &["ran_cancelled"], |seed| {
         let node = (seed % 3) as usize;
-        let cut = |node| (40_000, Fault::CutWorkers { node, ms: 100_000 });
+        let cut = |node| (40_000, Fault::DisconnectWorkers { node, ms: 100_000 });
         // A successor that reaches the workers ends it at once: they know its token then.
         let mut faults: Vec<(u64, Fault)> = (0..3).filter(|n| *n != node).map(cut).collect();
-        faults.push((40_000, Fault::CutState { node, ms: 100_000 }));
-        faults.push((40_000, Fault::CutMesh { node, ms: 100_000 }));
+        faults.push((40_000, Fault::DisconnectStateService { node, ms: 100_000 }));
+        faults.push((40_000, Fault::DisconnectMesh { node, ms: 100_000 }));
         faults
     });
 }
 
 #[test]
-fn an_end_that_is_not_written_is_caught() {
+fn checker_detects_unwritten_completion() {
     is_caught(
-        Sabotage::EndsNotWritten,
+        Mutation::TerminalStatesNotWritten,
         &["went_back", "forgotten", "not_done", "ran_cancelled"],
         crashes,
     );
@@ -274,25 +282,25 @@
 /// were placed on a machine whose lease counted as lapsed, and dropped again at once although
 /// their launch had been sent.
 #[test]
-fn direct_launches_outlive_a_lapsed_lease() {
+fn direct_launch_after_expired_lease_keeps_rules() {
     let faults = vec![
         (
             40_061,
-            Fault::CutWorkers {
+            Fault::DisconnectWorkers {
                 node: 0,
                 ms: 18_764,
             },
         ),
         (
             23_545,
-            Fault::Refuse {
+            Fault::RefuseStateRequests {
                 node: None,
                 ms: 25_000,
             },
         ),
         (
             39_271,
-            Fault::CutWorkers {
+            Fault::DisconnectWorkers {
                 node: 1,
                 ms: 32_358,
             },
@@ -300,19 +308,19 @@
     ];
     for seed in [1097, 7, 8, 9, 10] {
         let world = run(plan(seed, faults.clone()));
-        assert_eq!(world.rules.broken, [], "seed {seed}");
+        assert_eq!(world.rules.violations, [], "seed {seed}");
     }
 }
 
 /// Found by a hunted day: a node came back while the zones were apart, and its partition stayed
 /// with a node that neither it nor the partition's workers reached.
 #[test]
-fn a_node_gets_its_partition_back_although_the_mesh_is_cut() {
+fn failback_with_mesh_partition_succeeds() {
     let faults = vec![
-        (50_000, Fault::CutZones { ms: 60_000 }),
+        (50_000, Fault::PartitionZones { ms: 60_000 }),
         (
             50_500,
-            Fault::Crash {
+            Fault::CrashController {
                 node: 1,
                 back: 6_000,
             },
@@ -320,19 +328,19 @@
     ];
     let mut world = World::new(plan(3, faults));
     world.run_to(56_000);
-    assert_ne!(world.holder(1), Some("n1"), "another node has taken it");
+    assert_ne!(world.leader(1), Some("n1"), "another node has taken it");
     world.run_to(64_000);
-    assert_eq!(world.holder(1), Some("n1"));
+    assert_eq!(world.leader(1), Some("n1"));
     world.run();
-    assert_eq!(world.rules.broken, []);
+    assert_eq!(world.rules.violations, []);
     assert_eq!(world.unfinished(), Vec::<String>::new());
 }
 
 #[test]
-fn a_holder_that_its_workers_do_not_reach_gives_its_partition_up() {
+fn leader_unreachable_for_workers_resigns() {
     let faults = vec![(
         50_000,
-        Fault::CutWorkers {
+        Fault::DisconnectWorkers {
             node: 0,
             ms: 60_000,
         },
@@ -344,24 +352,24 @@
     });
     world.run_to(64_000);
     assert!(
-        world.holder(0).is_some_and(|holder| holder != "n0"),
+        world.leader(0).is_some_and(|leader| leader != "n0"),
         "{:?}",
-        world.holder(0)
+        world.leader(0)
     );
     // Seen on an ops day: it went home after 15 s although no worker reached its home yet, and 264
     // tasks lost their leases.
     for at in 64..109 {
         world.run_to(at * 1_000);
-        assert_ne!(world.holder(0), Some("n0"), "at {at} s");
+        assert_ne!(world.leader(0), Some("n0"), "at {at} s");
     }
     world.run_to(150_000);
     assert_eq!(
-        world.holder(0),
+        world.leader(0),
         Some("n0"),
         "it is back when workers reach its node again"
     );
     world.run();
-    assert_eq!(world.rules.broken, []);
+    assert_eq!(world.rules.violations, []);
     assert_eq!(world.unfinished(), Vec::<String>::new());
 }
 
@@ -369,35 +377,35 @@
 /// the rules hold, and neither filling the fleet nor a takeover nor the burst asks for more puts
 /// than the state service takes. With a put for each job, end and machine it took minutes.
 #[test]
-fn a_grown_site_keeps_the_rules_and_its_write_allowance() {
+fn large_site_keeps_rules_and_write_budget() {
     for seed in 1..=2 {
         let faults = vec![
-            (1_000, Fault::Burst { jobs: 400 }),
+            (1_000, Fault::JobBurst { jobs: 400 }),
             (
                 40_000,
-                Fault::Crash {
+                Fault::CrashController {
                     node: 1,
                     back: 6_000,
                 },
             ),
-            (55_000, Fault::CutMachine { nth: 7, ms: 20_000 }),
+            (55_000, Fault::DisconnectMachine { nth: 7, ms: 20_000 }),
             (
                 60_000,
-                Fault::Refuse {
+                Fault::RefuseStateRequests {
                     node: None,
                     ms: 12_000,
                 },
             ),
             (
                 80_000,
-                Fault::Crash {
+                Fault::CrashController {
                     node: 0,
                     back: 6_000,
                 },
             ),
             (
                 80_000,
-                Fault::Crash {
+                Fault::CrashController {
                     node: 2,
                     back: 6_000,
                 },
@@ -415,7 +423,7 @@
             "seed {seed}: {} machines",
             world.machines_up()
         );
-        let mut waits = world.accept_ms.clone();
+        let mut waits = world.acceptance_latencies_ms.clone();
         waits.sort_unstable();
         let late = waits.iter().filter(|ms| **ms > 5_000).count();
         assert!(
@@ -423,7 +431,7 @@
             "seed {seed}: {waits:?}"
         );
         world.run();
-        assert_eq!(world.rules.broken, [], "seed {seed}");
+        assert_eq!(world.rules.violations, [], "seed {seed}");
         let (taken, refused) = world.writes();
         assert!(taken <= 261 * 20, "seed {seed}: {taken} puts");
         assert!(
@@ -437,9 +445,9 @@
 /// Seen on days on which connections between nodes are refused: the leader did not know what
 /// other partitions lacked and rented nothing for them.
 #[test]
-fn machines_are_rented_for_partitions_whose_holders_do_not_reach_the_leader() {
+fn fleet_planner_scales_out_for_unreachable_leaders() {
     let faults = (0..3)
-        .map(|node| (0, Fault::CutMesh { node, ms: 60_000 }))
+        .map(|node| (0, Fault::DisconnectMesh { node, ms: 60_000 }))
         .collect();
     let mut world = World::new(Plan {
         size: 2,
@@ -450,68 +458,68 @@
         assert!(world.machines_of(partition) > 0, "partition {partition}");
     }
     world.run_to(200_000);
-    assert_eq!(world.rules.broken, []);
+    assert_eq!(world.rules.violations, []);
 }
 
 /// Found by a day of our own: users who asked fifteen times as often took the state service's whole
 /// allowance of requests, and submissions waited for seconds.
 #[test]
-fn a_storm_of_questions_leaves_the_state_service_room() {
-    let faults = vec![(60_000, Fault::Questions { ms: 40_000 })];
+fn status_request_storm_keeps_submissions_fast() {
+    let faults = vec![(60_000, Fault::StatusRequestStorm { ms: 40_000 })];
     let mut world = World::new(Plan {
         size: 4,
         ..plan(11, faults)
     });
     world.run_to(60_000);
-    let (before, away) = (world.requests, world.turned_away);
+    let (before, away) = (world.requests, world.rejected_busy);
     world.run_to(100_000);
     let rate = (world.requests - before) / 40;
     // A fifth of the 400 a second for each kind of read, and what all else takes.
     assert!(rate <= 170, "{rate} requests a second");
     // Now and then the answer to a read is lost, and those who wait for it come again.
     assert!(
-        world.turned_away - away <= 10,
+        world.rejected_busy - away <= 10,
         "{}",
-        world.turned_away - away
+        world.rejected_busy - away
     );
-    assert_eq!(world.rules.broken, []);
+    assert_eq!(world.rules.violations, []);
 }
 
 /// Found by a sweep: see `a_gang_that_is_done_counts_until_its_last_member_is_gone`.
 #[test]
-fn a_gang_whose_outcome_could_not_be_written_keeps_the_limit() {
+fn gang_with_unwritten_outcome_counts_against_quota() {
     let faults = vec![
         (
             42_577,
-            Fault::Refuse {
+            Fault::RefuseStateRequests {
                 node: Some(2),
                 ms: 14_806,
             },
         ),
         (
             47_988,
-            Fault::Refuse {
+            Fault::RefuseStateRequests {
                 node: Some(2),
                 ms: 28_092,
             },
         ),
         (
             52_834,
-            Fault::CutState {
+            Fault::DisconnectStateService {
                 node: 0,
                 ms: 36_171,
             },
         ),
         (
             56_571,
-            Fault::CutState {
+            Fault::DisconnectStateService {
                 node: 1,
                 ms: 26_899,
             },
         ),
         (
             62_332,
-            Fault::Refuse {
+            Fault::RefuseStateRequests {
                 node: Some(1),
                 ms: 22_394,
             },
@@ -519,33 +527,33 @@
     ];
     for seed in [5178, 5181, 5184] {
         let world = run(plan(seed, faults.clone()));
-        assert_eq!(world.rules.broken, [], "seed {seed}");
+        assert_eq!(world.rules.violations, [], "seed {seed}");
         assert_eq!(world.unfinished(), Vec::<String>::new(), "seed {seed}");
     }
 }
 
 /// Guests fill what others leave, through crashes and a freeze, and everybody's work is done.
 #[test]
-fn guests_are_served_and_others_too() {
+fn guest_team_and_other_teams_are_served() {
     for seed in 1..=4 {
         let faults = vec![
-            (20_000, Fault::Guests { jobs: 4 }),
+            (20_000, Fault::GuestJobs { jobs: 4 }),
             (
                 50_000,
-                Fault::Crash {
+                Fault::CrashController {
                     node: 0,
                     back: 6_000,
                 },
             ),
-            (80_000, Fault::Freeze { node: 0, ms: 8_000 }),
-            (90_000, Fault::Guests { jobs: 2 }),
+            (80_000, Fault::PauseController { node: 0, ms: 8_000 }),
+            (90_000, Fault::GuestJobs { jobs: 2 }),
         ];
         let world = run(Plan {
             size: 2,
             submit_ms: 120_000,
             ..plan(seed, faults)
         });
-        assert_eq!(world.rules.broken, [], "seed {seed}");
+        assert_eq!(world.rules.violations, [], "seed {seed}");
         assert_eq!(world.unfinished(), Vec::<String>::new(), "seed {seed}");
     }
 }
