--- a/crates/controller/src/controller/load_partition.rs
+++ b/crates/controller/src/controller/load_partition.rs
@@ -137,7 +137,7 @@
                 && record.term == leadership.term().0
         };
         Some(LeadershipFacts {
-            mirrored_record: self
+            cached_record: self
                 .cache
                 .partitions
                 .get(&partition)
@@ -146,8 +146,8 @@
             own_version: leadership.version(),
             term: leadership.term(),
             next_token: FencingToken(self.cache.next_token()),
-            mirror_revision: self.cache.revision,
-            ledger_revision: Some(*ledger),
+            cache_revision: self.cache.revision,
+            log_revision: Some(*ledger),
             unreadable_pages: pages.unreadable().len(),
             has_rival: leadership.is_transferring() || leadership.successor().is_some(),
             state_is_fresh: self.has_recent_state_read(MAX_LAUNCH_READ_AGE),
--- a/crates/controller/src/controller/standby.rs
+++ b/crates/controller/src/controller/standby.rs
@@ -123,7 +123,7 @@
                 at_ms: now.as_millis(),
                 ..ReplicationBatch::default()
             };
-            parts.extend(stream.due_parts(&header, now));
+            parts.extend(stream.due_batches(&header, now));
         }
         for (to, part) in parts {
             self.mesh(&to, MeshMessage::Replication(part));
@@ -180,7 +180,7 @@
             replica
                 .machines
                 .get(machine)
-                .is_some_and(|machine| machine.hint.reporting)
+                .is_some_and(|machine| machine.snapshot.reporting)
         };
         if self.standby.replicas.get(partition).is_some_and(reports) {
             self.standby
@@ -280,7 +280,7 @@
             return 0;
         };
         for machine in replica.machines.values() {
-            partition_state.apply_machine_snapshot(&machine.hint, machine.idle_since);
+            partition_state.apply_machine_snapshot(&machine.snapshot, machine.idle_since);
         }
         for hint in replica.jobs.values() {
             partition_state.apply_job_snapshot(hint, self.now);
--- a/crates/failover/src/assign.rs
+++ b/crates/failover/src/assign.rs
@@ -1,39 +1,44 @@
-//! Assignment of standbys: every node computes the same one from what all of them know.
+//! Assignment of standbys: every controller computes the same one from the same inputs.
 
 use model::{ControllerName, PartitionId};
 use std::collections::BTreeMap;
 
-/// Load of leading a partition, relative to standing by for one.
-const LEADER_LOAD: usize = 2;
-const STANDBY_LOAD: usize = 1;
+/// Load of leading a partition, relative to being the standby of one.
+const LEADER_WEIGHT: usize = 2;
+/// Load of being the standby of a partition.
+const STANDBY_WEIGHT: usize = 1;
 
-/// One standby for each partition that has a leader, as long as another node is live.
+/// One standby for each partition that has a leader, as long as another controller is live.
 ///
-/// `nodes` are all nodes in the order of the settings, `is_live` tells which could take a partition
-/// over. The standby of a partition is the node with the lowest load so far; among equals, the next
-/// one after the leader in the order of the nodes. So with every partition at its preferred leader
-/// each node stands by for its neighbour, and the partitions of a node that crashes are spread as
-/// evenly as possible.
+/// `controllers` are all controllers in the order of the settings; `is_live` says which could acquire
+/// a partition. The standby of a partition is the controller with the lowest load so far; among
+/// equals, the next one after the leader in the order of the settings. So with every partition at its
+/// preferred leader each controller is the standby of its neighbour, and the partitions of a
+/// controller that crashes are spread as evenly as possible.
 pub fn assign(
-    nodes: &[ControllerName],
+    controllers: &[ControllerName],
     is_live: impl Fn(&ControllerName) -> bool,
     leaders: &BTreeMap<PartitionId, ControllerName>,
 ) -> BTreeMap<PartitionId, ControllerName> {
     let mut loads: BTreeMap<&ControllerName, usize> = BTreeMap::new();
     for leader in leaders.values() {
-        *loads.entry(leader).or_default() += LEADER_LOAD;
+        *loads.entry(leader).or_default() += LEADER_WEIGHT;
     }
     let mut standbys = BTreeMap::new();
     for (partition, leader) in leaders {
-        let position = nodes.iter().position(|node| node == leader).unwrap_or(0);
-        let others = (1..nodes.len()).map(|step| &nodes[(position + step) % nodes.len()]);
+        let position = controllers
+            .iter()
+            .position(|controller| controller == leader)
+            .unwrap_or(0);
+        let others =
+            (1..controllers.len()).map(|step| &controllers[(position + step) % controllers.len()]);
         // `min_by_key` gives the first of equals.
         let least_loaded = others
-            .filter(|node| *node != leader && is_live(node))
-            .min_by_key(|node| loads.get(node).copied().unwrap_or(0));
-        if let Some(node) = least_loaded {
-            *loads.entry(node).or_default() += STANDBY_LOAD;
-            standbys.insert(*partition, node.clone());
+            .filter(|controller| *controller != leader && is_live(controller))
+            .min_by_key(|controller| loads.get(controller).copied().unwrap_or(0));
+        if let Some(controller) = least_loaded {
+            *loads.entry(controller).or_default() += STANDBY_WEIGHT;
+            standbys.insert(*partition, controller.clone());
         }
     }
     standbys
--- a/crates/failover/src/lib.rs
+++ b/crates/failover/src/lib.rs
@@ -1,10 +1,10 @@
-//! Standing by for a partition: replicating what its leader knows, suspecting that it has crashed,
-//! continuing where it stopped.
+//! Failover of partitions: replication of the leader's soft state to a standby, detection of a crash,
+//! and the checks of a new leader.
 //!
-//! Decisions without I/O: time and messages in, messages and verdicts out. What is replicated are
-//! *hints*, sent by the partition leader over the mesh ([`ReplicationStream`], [`Replicas`]). They
-//! may be lost, late or wrong: they choose whom to ask and what to try first, and prove nothing.
-//! Durable facts are read from the state service by the node that takes the partition over.
+//! The crate decides without I/O: time and messages in, messages and decisions out. Soft state is
+//! replicated in *records*, which the partition leader sends over the mesh ([`ReplicationStream`], [`Replicas`]). They
+//! may be lost, late or wrong: they decide which machines are probed first, and prove nothing.
+//! Durable state is read from the state service by the controller that acquires the partition.
 //!
 //! [`failure_detector`] suspects a leader whose record still stands, [`readiness`] is what a new
 //! leader checks before its first decision, [`assign`] chooses the standby of each partition.
--- a/crates/failover/src/replica.rs
+++ b/crates/failover/src/replica.rs
@@ -1,9 +1,9 @@
 //! The subscriber's side of replication: replicas of what leaders report about their partitions.
 //!
-//! A part that does not connect to what the replica has applied is not used: what is missing is
-//! requested. A part of another term or incarnation than the replica's source is not used at all.
-//! After a change of leader the replica starts from 0, but keeps the former leader's hints until
-//! the first part of the new one.
+//! A batch that leaves a gap after what the replica has applied is not used: the missing changes are
+//! requested. A batch of another term or incarnation than the replica's source is not used at all.
+//! After a change of leader the replica starts from 0, but keeps the former leader's records until
+//! the first batch of the new one.
 
 use model::{ControllerName, MachineName, PartitionId, Timestamp};
 use std::collections::BTreeMap;
@@ -17,25 +17,28 @@
 const RENEWAL_INTERVAL: Duration = Duration::from_secs(1);
 /// A replica that has not been updated for longer is not in sync.
 const MAX_UPDATE_AGE: Duration = Duration::from_millis(1_600);
-/// How long a replica is kept whose partition has no leader, or one we do not subscribe to.
+/// How long a replica is kept whose partition has no leader, or one this controller does not subscribe to.
 const RETENTION: Duration = Duration::from_secs(30);
-/// Maximum number of hints kept for one partition.
-const MAX_HINTS: usize = 20_000;
+/// Maximum number of records kept for one partition.
+const MAX_RECORDS: usize = 20_000;
 
 /// The leader that a replica subscribes to.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ReplicationSource {
+    /// Name of the leader.
     pub leader: ControllerName,
     /// Incarnation of the leader.
     pub incarnation: u64,
+    /// Term of its leadership.
     pub term: u64,
 }
 
 /// A machine as its partition leader reports it.
 #[derive(Debug)]
 pub struct ReplicatedMachine {
-    pub hint: MachineSnapshot,
-    /// Since when it has been idle, by our clock.
+    /// The last record of the machine.
+    pub snapshot: MachineSnapshot,
+    /// Since when it has been idle, by the clock of this controller.
     pub idle_since: Option<Timestamp>,
 }
 
@@ -44,7 +47,9 @@
 pub struct ReplicationLag {
     /// Changes that it lacks.
     pub changes: u64,
+    /// Since when this source is subscribed to.
     pub subscribed_since: Timestamp,
+    /// When the last batch was applied.
     pub updated_at: Option<Timestamp>,
 }
 
@@ -58,12 +63,14 @@
     announced: u64,
     subscribed_since: Timestamp,
     updated_at: Option<Timestamp>,
-    /// When the replica was last asked for.
+    /// When the replica was last among the wanted ones.
     wanted_at: Timestamp,
     renewed_at: Option<Timestamp>,
     /// Nothing was missing after the last update.
     complete: bool,
+    /// Machines of the partition by name.
     pub machines: BTreeMap<MachineName, ReplicatedMachine>,
+    /// Failures of jobs by number of the job.
     pub jobs: BTreeMap<u64, JobFailureSnapshot>,
 }
 
@@ -83,6 +90,7 @@
         }
     }
 
+    /// The leader that the replica follows.
     pub fn source(&self) -> &ReplicationSource {
         &self.source
     }
@@ -92,6 +100,7 @@
         self.complete
     }
 
+    /// How far the replica is behind its source.
     pub fn lag(&self) -> ReplicationLag {
         ReplicationLag {
             changes: self.announced - self.applied,
@@ -104,7 +113,7 @@
     pub fn reporting_machines(&self) -> usize {
         self.machines
             .values()
-            .filter(|machine| machine.hint.reporting)
+            .filter(|machine| machine.snapshot.reporting)
             .count()
     }
 
@@ -122,20 +131,22 @@
         }
     }
 
-    fn apply(&mut self, hint: ReplicatedRecord, sent_at: Timestamp, now: Timestamp) {
-        let full = self.machines.len() + self.jobs.len() >= MAX_HINTS;
-        match hint {
-            ReplicatedRecord::Machine(hint) => {
-                let name = MachineName::from(hint.machine.as_str());
+    fn apply(&mut self, record: ReplicatedRecord, sent_at: Timestamp, now: Timestamp) {
+        let full = self.machines.len() + self.jobs.len() >= MAX_RECORDS;
+        match record {
+            ReplicatedRecord::Machine(snapshot) => {
+                let name = MachineName::from(snapshot.machine.as_str());
                 if !full || self.machines.contains_key(&name) {
-                    let idle_since = idle_since(&hint, sent_at, now);
-                    self.machines
-                        .insert(name, ReplicatedMachine { hint, idle_since });
+                    let machine = ReplicatedMachine {
+                        idle_since: idle_since(&snapshot, sent_at, now),
+                        snapshot,
+                    };
+                    self.machines.insert(name, machine);
                 }
             }
-            ReplicatedRecord::Job(hint) => {
-                if !full || self.jobs.contains_key(&hint.job) {
-                    self.jobs.insert(hint.job, hint);
+            ReplicatedRecord::Job(snapshot) => {
+                if !full || self.jobs.contains_key(&snapshot.job) {
+                    self.jobs.insert(snapshot.job, snapshot);
                 }
             }
             ReplicatedRecord::Removed(ReplicationKey::Machine(name)) => {
@@ -147,7 +158,7 @@
         }
     }
 
-    /// Removes all hints, to start from 0.
+    /// Removes all records, to start from 0.
     fn reset(&mut self) {
         self.machines.clear();
         self.jobs.clear();
@@ -155,17 +166,17 @@
     }
 }
 
-/// Since when a machine has been idle, by our clock. Clocks of nodes differ: the time for which it
-/// had been idle when the hint was sent counts.
-fn idle_since(hint: &MachineSnapshot, sent_at: Timestamp, now: Timestamp) -> Option<Timestamp> {
-    let idle_at = hint.idle_at?;
+/// Since when a machine has been idle, by the clock of this controller. The clocks of controllers
+/// differ, so the time for which it had been idle when the record was sent counts.
+fn idle_since(snapshot: &MachineSnapshot, sent_at: Timestamp, now: Timestamp) -> Option<Timestamp> {
+    let idle_at = snapshot.idle_at?;
     let idle_for = sent_at.as_millis() - idle_at.min(sent_at.as_millis());
     Some(Timestamp::from_millis(
         now.as_millis().saturating_sub(idle_for),
     ))
 }
 
-/// All replicas of a node.
+/// All replicas of a controller.
 #[derive(Debug, Default)]
 pub struct Replicas {
     by_partition: BTreeMap<PartitionId, PartitionReplica>,
@@ -203,57 +214,59 @@
         messages
     }
 
-    /// Applies a part; returns what to ask its sender for if something is missing.
+    /// Applies a batch; returns the request for what is missing, if there is a gap.
     pub fn apply(
         &mut self,
         from: &ControllerName,
-        part: ReplicationBatch,
+        batch: ReplicationBatch,
         now: Timestamp,
     ) -> Option<MeshMessage> {
-        let partition = PartitionId(part.partition);
+        let partition = PartitionId(batch.partition);
         let replica = self.by_partition.get_mut(&partition)?;
         let ReplicationSource {
             leader,
             incarnation,
             term,
         } = &replica.source;
-        if (leader, *incarnation, *term) != (from, part.incarnation, part.term) {
+        if (leader, *incarnation, *term) != (from, batch.incarnation, batch.term) {
             return None;
         }
-        let has_gap = part.after > replica.applied;
-        if has_gap || part.up_to < part.after || part.newest < part.up_to {
+        let has_gap = batch.after > replica.applied;
+        if has_gap || batch.up_to < batch.after || batch.newest < batch.up_to {
             return Some(replica.subscription(partition, now));
         }
-        if replica.applied == 0 || replica.applied < part.tombstones_dropped_up_to {
-            // A former leader's hints are no longer valid; neither are our own if tombstones that
-            // we lack have been dropped.
-            if part.after != 0 {
+        if replica.applied == 0 || replica.applied < batch.tombstones_dropped_up_to {
+            // The records of a former leader are no longer valid; neither are those of the replica if
+            // tombstones that it lacks have been dropped.
+            if batch.after != 0 {
                 return Some(replica.subscription(partition, now));
             }
             replica.reset();
-        } else if part.up_to < replica.applied {
-            // It was sent before a part that we have applied and may be outdated.
+        } else if batch.up_to < replica.applied {
+            // It was sent before a batch that has been applied, and may be outdated.
             return None;
         }
-        for hint in part.records {
-            replica.apply(hint, Timestamp::from_millis(part.at_ms), now);
+        for record in batch.records {
+            replica.apply(record, Timestamp::from_millis(batch.at_ms), now);
         }
-        replica.applied = part.up_to;
-        replica.announced = part.newest;
+        replica.applied = batch.up_to;
+        replica.announced = batch.newest;
         replica.complete = replica.applied == replica.announced;
         replica.updated_at = Some(now);
         None
     }
 
+    /// The replica of a partition.
     pub fn get(&self, partition: PartitionId) -> Option<&PartitionReplica> {
         self.by_partition.get(&partition)
     }
 
+    /// All replicas, in the order of their partitions.
     pub fn iter(&self) -> impl Iterator<Item = (&PartitionId, &PartitionReplica)> {
         self.by_partition.iter()
     }
 
-    /// Whether the partition could be taken over now with all that its leader knew.
+    /// Whether a failover could continue now with all soft state of the leader.
     pub fn is_in_sync(&self, partition: PartitionId, now: Timestamp) -> bool {
         self.by_partition.get(&partition).is_some_and(|replica| {
             replica.complete
@@ -263,7 +276,7 @@
         })
     }
 
-    /// Removes and returns a replica, for a takeover of its partition.
+    /// Removes and returns a replica, for a failover of its partition.
     pub fn remove(&mut self, partition: PartitionId) -> Option<PartitionReplica> {
         self.by_partition.remove(&partition)
     }
--- a/crates/failover/src/stream.rs
+++ b/crates/failover/src/stream.rs
@@ -1,22 +1,22 @@
-//! The leader's side of replication: hints, numbered by their last change, sent to subscribers.
+//! The leader's side of replication: records, numbered by their last change, sent to subscribers.
 //!
-//! Each change of a hint gets the next sequence number. A part holds the hints that changed after
-//! one number up to another, so a subscriber that has missed something asks for what it lacks, and
-//! a new one starts from 0. The size of a part, the parts of a send and the rate of sends are
-//! bounded: a hint that changed twice in the meantime is sent once.
+//! Each change of a record gets the next sequence number. A batch holds the records that changed after
+//! one number up to another, so a subscriber that has missed something requests what it lacks, and
+//! a new one starts from 0. The size of a batch, the batches of a send and the rate of sends are
+//! bounded: a record that changed twice in the meantime is sent once.
 
 use model::{ControllerName, Timestamp};
 use std::collections::BTreeMap;
 use std::time::Duration;
 use wire::mesh::{ReplicatedRecord, ReplicationBatch, ReplicationKey};
 
-/// Approximate limit on the bytes of hints in one part.
-const MAX_PART_BYTES: usize = 16 * 1024;
-/// Parts that one subscriber is sent at a time: a copy of 8,000 machines takes 4 s.
-const MAX_PARTS_PER_SEND: usize = 16;
+/// Approximate limit on the bytes of records in one batch.
+const MAX_BATCH_BYTES: usize = 16 * 1024;
+/// Batches that one subscriber is sent at a time: a copy of 8,000 machines takes 4 s.
+const MAX_BATCHES_PER_SEND: usize = 16;
 /// Time between two sends of changes to one subscriber.
 const MIN_SEND_INTERVAL: Duration = Duration::from_millis(250);
-/// A subscriber without pending changes is sent an empty part this often.
+/// A subscriber without pending changes is sent an empty batch this often.
 const KEEPALIVE_INTERVAL: Duration = Duration::from_millis(500);
 /// A subscription that has not been renewed for this long ends.
 const SUBSCRIPTION_TIMEOUT: Duration = Duration::from_secs(4);
@@ -28,9 +28,9 @@
 struct Entry {
     /// Sequence number of its last change.
     sequence: u64,
-    /// None is a tombstone: the hint was removed, which subscribers must learn too.
-    hint: Option<ReplicatedRecord>,
-    /// The last update that contained the hint.
+    /// None is a tombstone: the record was removed, which subscribers must learn too.
+    record: Option<ReplicatedRecord>,
+    /// The last update that contained the record.
     update: u64,
 }
 
@@ -42,7 +42,7 @@
     sent_at: Option<Timestamp>,
 }
 
-/// The hints that a partition leader replicates, and its subscribers.
+/// The records that a partition leader replicates, and its subscribers.
 #[derive(Debug, Default)]
 pub struct ReplicationStream {
     /// Sequence number of the last change.
@@ -58,9 +58,9 @@
 }
 
 impl ReplicationStream {
-    /// Starts or renews the subscription of a node that has applied all changes up to `applied`.
+    /// Starts or renews the subscription of a controller that has applied all changes up to `applied`.
     pub fn subscribe(&mut self, node: &ControllerName, applied: u64, now: Timestamp) {
-        // A node that lacks dropped tombstones has to start from 0.
+        // A controller that lacks dropped tombstones has to start from 0.
         let applied = if applied < self.dropped {
             0
         } else {
@@ -82,7 +82,7 @@
         }
     }
 
-    /// Whether there are subscribers: otherwise the hints need not be collected.
+    /// Whether there are subscribers: otherwise the records need not be collected.
     pub fn has_subscribers(&mut self, now: Timestamp) -> bool {
         self.subscribers
             .retain(|_, s| now.duration_since(s.renewed_at) < SUBSCRIPTION_TIMEOUT);
@@ -96,20 +96,22 @@
             .map(|(name, subscriber)| (name, self.last - subscriber.sent))
     }
 
-    /// Compares all current hints with those known: each difference gets a new sequence number.
+    /// Compares all current records with those known: each difference gets a new sequence number.
     pub fn update(&mut self, records: impl IntoIterator<Item = ReplicatedRecord>) {
         self.updates += 1;
-        for hint in records {
-            let key = hint.key();
+        for record in records {
+            let key = record.key();
             match self.entries.get_mut(&key) {
-                Some(entry) if entry.hint.as_ref() == Some(&hint) => entry.update = self.updates,
-                _ => self.record_change(key, Some(hint)),
+                Some(entry) if entry.record.as_ref() == Some(&record) => {
+                    entry.update = self.updates
+                }
+                _ => self.record_change(key, Some(record)),
             }
         }
         let removed: Vec<ReplicationKey> = self
             .entries
             .iter()
-            .filter(|(_, entry)| entry.hint.is_some() && entry.update != self.updates)
+            .filter(|(_, entry)| entry.record.is_some() && entry.update != self.updates)
             .map(|(key, _)| key.clone())
             .collect();
         for key in removed {
@@ -120,17 +122,17 @@
         }
     }
 
-    fn record_change(&mut self, key: ReplicationKey, hint: Option<ReplicatedRecord>) {
+    fn record_change(&mut self, key: ReplicationKey, record: Option<ReplicatedRecord>) {
         self.last += 1;
-        self.tombstones += usize::from(hint.is_none());
+        self.tombstones += usize::from(record.is_none());
         let entry = Entry {
             sequence: self.last,
-            hint,
+            record,
             update: self.updates,
         };
         if let Some(old) = self.entries.insert(key.clone(), entry) {
             self.by_sequence.remove(&old.sequence);
-            self.tombstones -= usize::from(old.hint.is_none());
+            self.tombstones -= usize::from(old.record.is_none());
         }
         self.by_sequence.insert(self.last, key);
     }
@@ -139,7 +141,7 @@
         let is_tombstone = |key: &ReplicationKey| {
             self.entries
                 .get(key)
-                .is_some_and(|entry| entry.hint.is_none())
+                .is_some_and(|entry| entry.record.is_none())
         };
         let oldest = self.by_sequence.iter().find(|(_, key)| is_tombstone(key));
         let Some((sequence, key)) = oldest else {
@@ -152,9 +154,9 @@
         self.dropped = sequence;
     }
 
-    /// The parts that are due, each with its subscriber. `header` gives the fields that do not
+    /// The batches that are due, each with its subscriber. `header` gives the fields that do not
     /// depend on the subscriber.
-    pub fn due_parts(
+    pub fn due_batches(
         &mut self,
         header: &ReplicationBatch,
         now: Timestamp,
@@ -165,31 +167,37 @@
             .filter(|(_, subscriber)| self.is_due(subscriber, now))
             .map(|(name, subscriber)| (name.clone(), subscriber.sent))
             .collect();
-        let mut parts = Vec::new();
+        let mut batches = Vec::new();
         for (name, after) in due {
-            let batch = self.parts_after(after, header);
+            let batches_of_subscriber = self.batches_after(after, header);
             if let Some(subscriber) = self.subscribers.get_mut(&name) {
                 subscriber.sent_at = Some(now);
-                subscriber.sent = batch.last().map_or(after, |part| part.up_to);
+                subscriber.sent = batches_of_subscriber
+                    .last()
+                    .map_or(after, |batch| batch.up_to);
             }
-            parts.extend(batch.into_iter().map(|part| (name.clone(), part)));
+            batches.extend(
+                batches_of_subscriber
+                    .into_iter()
+                    .map(|batch| (name.clone(), batch)),
+            );
         }
-        parts
+        batches
     }
 
-    /// Consecutive parts after a sequence number, as many as one send takes; at least one.
-    fn parts_after(&self, after: u64, header: &ReplicationBatch) -> Vec<ReplicationBatch> {
-        let mut parts = vec![self.part_after(after, header)];
-        while parts.len() < MAX_PARTS_PER_SEND {
-            let Some(sent) = parts.last().map(|part| part.up_to) else {
+    /// Consecutive batches after a sequence number, as many as one send takes; at least one.
+    fn batches_after(&self, after: u64, header: &ReplicationBatch) -> Vec<ReplicationBatch> {
+        let mut batches = vec![self.batch_after(after, header)];
+        while batches.len() < MAX_BATCHES_PER_SEND {
+            let Some(sent) = batches.last().map(|batch| batch.up_to) else {
                 break;
             };
             if sent >= self.last {
                 break;
             }
-            parts.push(self.part_after(sent, header));
+            batches.push(self.batch_after(sent, header));
         }
-        parts
+        batches
     }
 
     fn is_due(&self, subscriber: &Subscriber, now: Timestamp) -> bool {
@@ -204,18 +212,18 @@
             .is_none_or(|at| now.duration_since(at) >= interval)
     }
 
-    /// The changes after a sequence number, as many as fit into one part.
-    fn part_after(&self, after: u64, header: &ReplicationBatch) -> ReplicationBatch {
+    /// The changes after a sequence number, as many as fit into one batch.
+    fn batch_after(&self, after: u64, header: &ReplicationBatch) -> ReplicationBatch {
         let (mut up_to, mut bytes, mut records) = (self.last, 0, Vec::new());
         for (sequence, key) in self.by_sequence.range(after + 1..) {
-            if bytes >= MAX_PART_BYTES {
+            if bytes >= MAX_BATCH_BYTES {
                 up_to = sequence - 1;
                 break;
             }
-            let hint = self.entries.get(key).and_then(|entry| entry.hint.clone());
-            let hint = hint.unwrap_or_else(|| ReplicatedRecord::Removed(key.clone()));
-            bytes += hint.weight();
-            records.push(hint);
+            let record = self.entries.get(key).and_then(|entry| entry.record.clone());
+            let record = record.unwrap_or_else(|| ReplicatedRecord::Removed(key.clone()));
+            bytes += record.weight();
+            records.push(record);
         }
         ReplicationBatch {
             after,
--- a/crates/failover/tests/large_partition.rs
+++ b/crates/failover/tests/large_partition.rs
@@ -68,9 +68,9 @@
             at_ms: now.as_millis(),
             ..ReplicationBatch::default()
         };
-        for (_, part) in self.stream.due_parts(&header, now) {
-            self.full_copies += usize::from(part.after == 0);
-            if let Some(message) = self.replicas.apply(&self.leader, part, now) {
+        for (_, batch) in self.stream.due_batches(&header, now) {
+            self.full_copies += usize::from(batch.after == 0);
+            if let Some(message) = self.replicas.apply(&self.leader, batch, now) {
                 self.subscribe(message, now);
             }
         }
@@ -91,7 +91,7 @@
 }
 
 #[test]
-fn a_copy_is_in_step_before_a_home_is_taken_without_it() {
+fn replica_of_large_partition_is_in_sync_within_catch_up_limit() {
     let mut pair = Pair::new();
     for at in (0..MAX_COPY_MS).step_by(STEP_MS as usize) {
         pair.step(0..MACHINES, Timestamp::from_millis(at));
@@ -102,7 +102,7 @@
 }
 
 #[test]
-fn the_loss_of_half_the_machines_sends_no_full_copy() {
+fn loss_of_half_the_machines_sends_no_full_copy() {
     let mut pair = Pair::new();
     let steps = 60;
     for step in 0..steps {
--- a/crates/failover/tests/readiness.rs
+++ b/crates/failover/tests/readiness.rs
@@ -6,12 +6,12 @@
 #[test]
 fn each_failed_check_alone_keeps_a_leader_from_deciding() {
     let sound = LeadershipFacts {
-        mirrored_record: Some(Version(70)),
+        cached_record: Some(Version(70)),
         own_version: Version(70),
         term: FencingToken(8),
         next_token: FencingToken(9),
-        mirror_revision: Revision(70),
-        ledger_revision: Some(Revision(71)),
+        cache_revision: Revision(70),
+        log_revision: Some(Revision(71)),
         unreadable_pages: 0,
         has_rival: false,
         state_is_fresh: true,
@@ -20,14 +20,14 @@
     let cases = [
         (
             LeadershipFacts {
-                mirrored_record: None,
+                cached_record: None,
                 ..sound
             },
             ReadinessCheck::OwnRecord,
         ),
         (
             LeadershipFacts {
-                mirrored_record: Some(Version(69)),
+                cached_record: Some(Version(69)),
                 ..sound
             },
             ReadinessCheck::OwnRecord,
@@ -41,21 +41,21 @@
         ),
         (
             LeadershipFacts {
-                mirror_revision: Revision(69),
+                cache_revision: Revision(69),
                 ..sound
             },
             ReadinessCheck::MirrorReached,
         ),
         (
             LeadershipFacts {
-                ledger_revision: None,
+                log_revision: None,
                 ..sound
             },
             ReadinessCheck::LedgerRead,
         ),
         (
             LeadershipFacts {
-                ledger_revision: Some(Revision(69)),
+                log_revision: Some(Revision(69)),
                 ..sound
             },
             ReadinessCheck::LedgerRead,
--- a/crates/failover/tests/stream.rs
+++ b/crates/failover/tests/stream.rs
@@ -1,5 +1,5 @@
 //! Seeded runs of one holder and its followers over a mesh that loses, repeats and delays: after each
-//! step a copy shows nothing that its source never said, and once the mesh is well it is equal.
+//! step a copy shows nothing that its source never sent, and once the mesh is well it is equal.
 
 use failover::{Replicas, ReplicationSource, ReplicationStream};
 use model::{ControllerName, MachineName, PartitionId, Timestamp};
@@ -54,7 +54,7 @@
         }
     }
 
-    fn change(&mut self, rng: &mut SmallRng, said: &mut BTreeSet<(String, u64)>) {
+    fn change(&mut self, rng: &mut SmallRng, sent: &mut BTreeSet<(String, u64)>) {
         for _ in 0..rng.random_range(0..60) {
             let n = rng.random_range(0..900);
             if rng.random_bool(0.2) {
@@ -62,7 +62,7 @@
             } else {
                 let session = rng.random_range(1..1_000);
                 self.truth.insert(n, session);
-                said.insert((format!("host-{n:04}"), session));
+                sent.insert((format!("host-{n:04}"), session));
             }
         }
         self.jobs
@@ -72,7 +72,7 @@
         self.stream.update(machines.chain(jobs));
     }
 
-    fn part(&self, now: Timestamp) -> ReplicationBatch {
+    fn batch(&self, now: Timestamp) -> ReplicationBatch {
         let (incarnation, at_ms) = (self.incarnation, now.as_millis());
         ReplicationBatch {
             partition: P.0,
@@ -85,11 +85,11 @@
 }
 
 #[test]
-fn copies_say_only_what_was_said_and_end_up_equal() {
+fn replicas_contain_only_sent_records_and_converge() {
     let (holder_name, me) = (ControllerName::from("n0"), ControllerName::from("n1"));
     for seed in 0..40 {
         let mut rng = SmallRng::seed_from_u64(seed);
-        let mut said = BTreeSet::new();
+        let mut sent = BTreeSet::new();
         let mut leader = Holder::new(1);
         let mut replicas = Replicas::default();
         let mut on_way: Vec<(Timestamp, ReplicationBatch)> = Vec::new();
@@ -97,11 +97,11 @@
         for at in (0..ends).step_by(250) {
             let now = Timestamp::from_millis(at);
             if at < well_from {
-                leader.change(&mut rng, &mut said);
+                leader.change(&mut rng, &mut sent);
                 if rng.random_bool(0.03) {
-                    // It ends, and its next incarnation knows nothing of what it has said.
+                    // It ends, and its next incarnation knows nothing of what it has sent.
                     leader = Holder::new(leader.incarnation + 1);
-                    leader.change(&mut rng, &mut said);
+                    leader.change(&mut rng, &mut sent);
                 }
             }
             let loss = if at < well_from { 0.2 } else { 0.0 };
@@ -113,10 +113,10 @@
             let mut words = replicas.subscribe(&BTreeMap::from([(P, source)]), now);
             on_way.sort_by_key(|(at, _)| *at);
             let due: Vec<_> = on_way.extract_if(.., |(at, _)| *at <= now).collect();
-            for (_, part) in due {
+            for (_, batch) in due {
                 words.extend(
                     replicas
-                        .apply(&holder_name, part, now)
+                        .apply(&holder_name, batch, now)
                         .map(|m| (me.clone(), m)),
                 );
             }
@@ -132,8 +132,8 @@
                     }
                 }
             }
-            for (_, part) in leader.stream.due_parts(&leader.part(now), now) {
-                let bytes: usize = part.records.iter().map(ReplicatedRecord::weight).sum();
+            for (_, batch) in leader.stream.due_batches(&leader.batch(now), now) {
+                let bytes: usize = batch.records.iter().map(ReplicatedRecord::weight).sum();
                 assert!(bytes < 20 * 1024, "seed {seed}: a part of {bytes} bytes");
                 if rng.random_bool(loss) {
                     continue;
@@ -143,17 +143,17 @@
                 } else {
                     1
                 };
-                on_way.push((Timestamp::from_millis(at + delay), part.clone()));
+                on_way.push((Timestamp::from_millis(at + delay), batch.clone()));
                 if rng.random_bool(loss) {
-                    on_way.push((Timestamp::from_millis(at + delay + 900), part));
+                    on_way.push((Timestamp::from_millis(at + delay + 900), batch));
                 }
             }
             let replica = replicas.get(P);
             for (name, machine) in replica.into_iter().flat_map(|replica| &replica.machines) {
-                let known = (name.to_string(), machine.hint.session);
+                let known = (name.to_string(), machine.snapshot.session);
                 assert!(
-                    said.contains(&known),
-                    "seed {seed}: {known:?} was never said"
+                    sent.contains(&known),
+                    "seed {seed}: {known:?} was never sent"
                 );
             }
         }
@@ -167,7 +167,7 @@
         let machines: BTreeMap<MachineName, u64> = copy
             .machines
             .iter()
-            .map(|(name, machine)| (name.clone(), machine.hint.session))
+            .map(|(name, machine)| (name.clone(), machine.snapshot.session))
             .collect();
         let truth: BTreeMap<MachineName, u64> = leader
             .truth
@@ -183,7 +183,7 @@
         let jobs: BTreeMap<u64, u32> = copy
             .jobs
             .iter()
-            .map(|(id, hint)| (*id, hint.failures[0].1))
+            .map(|(id, record)| (*id, record.failures[0].1))
             .collect();
         assert_eq!(jobs, leader.jobs, "seed {seed}");
     }
@@ -192,7 +192,7 @@
 /// Nothing of an earlier holder, of another partition or from a third node is taken for the source's
 /// word, and what a copy holds stays until the new holder speaks.
 #[test]
-fn words_of_others_are_not_used() {
+fn batches_of_other_leaders_or_terms_are_ignored() {
     let (old, new) = (ControllerName::from("n0"), ControllerName::from("n1"));
     let mut replicas = Replicas::default();
     let source = |leader: &ControllerName, incarnation, term| ReplicationSource {
@@ -200,7 +200,7 @@
         incarnation,
         term,
     };
-    let part = |incarnation, term, session| ReplicationBatch {
+    let batch = |incarnation, term, session| ReplicationBatch {
         partition: P.0,
         incarnation,
         term,
@@ -216,14 +216,14 @@
         copy.machines
             .values()
             .next()
-            .map(|machine| machine.hint.session)
+            .map(|machine| machine.snapshot.session)
     };
     replicas.subscribe(
         &BTreeMap::from([(P, source(&old, 5, 3))]),
         Timestamp::from_millis(10),
     );
     assert_eq!(
-        replicas.apply(&old, part(5, 3, 11), Timestamp::from_millis(20)),
+        replicas.apply(&old, batch(5, 3, 11), Timestamp::from_millis(20)),
         None
     );
     assert_eq!(session(&replicas), Some(11));
@@ -233,14 +233,14 @@
     );
     assert!(
         !replicas.is_in_sync(P, Timestamp::from_millis(30)),
-        "the new holder has said nothing yet"
+        "the new holder has sent nothing yet"
     );
-    replicas.apply(&old, part(5, 3, 12), Timestamp::from_millis(40));
-    replicas.apply(&old, part(6, 4, 13), Timestamp::from_millis(40));
-    replicas.apply(&new, part(6, 3, 14), Timestamp::from_millis(40));
-    replicas.apply(&new, part(9, 4, 15), Timestamp::from_millis(40));
+    replicas.apply(&old, batch(5, 3, 12), Timestamp::from_millis(40));
+    replicas.apply(&old, batch(6, 4, 13), Timestamp::from_millis(40));
+    replicas.apply(&new, batch(6, 3, 14), Timestamp::from_millis(40));
+    replicas.apply(&new, batch(9, 4, 15), Timestamp::from_millis(40));
     assert_eq!(session(&replicas), Some(11));
-    replicas.apply(&new, part(6, 4, 16), Timestamp::from_millis(50));
+    replicas.apply(&new, batch(6, 4, 16), Timestamp::from_millis(50));
     assert_eq!(session(&replicas), Some(16));
     assert!(replicas.is_in_sync(P, Timestamp::from_millis(50)));
 }
--- a/crates/scheduling-queue/src/config.rs
+++ b/crates/scheduling-queue/src/config.rs
@@ -1,9 +1,10 @@
 //! Settings of the queue.
+
 use model::DurationExt;
 use std::time::Duration;
 
-/// Times that operators may tune. The paper's backoff is 1 s to 10 s; ours is shorter since slots
-/// free up within seconds, see `docs/design.md` for the measurement.
+/// Times that operators may tune. Backoffs are short since capacity becomes free within seconds; see
+/// `docs/design.md` for the measurement.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct QueueConfig {
     /// Backoff after the first failure.
--- a/crates/scheduling-queue/src/queue.rs
+++ b/crates/scheduling-queue/src/queue.rs
@@ -165,7 +165,7 @@
         self.remove(key);
     }
 
-    /// Ends the entry's cycle: it found no place.
+    /// Ends the entry's cycle: it found no machine.
     pub fn failed(&mut self, key: K, now: Timestamp) {
         let Some(entry) = self.entries.get_mut(&key) else {
             return;
--- a/crates/simulator/benches/scale.rs
+++ b/crates/simulator/benches/scale.rs
@@ -144,7 +144,7 @@
         group.bench_function(BenchmarkId::new("look", size), |b| {
             b.iter(|| {
                 stream.update(share.replication_records(Timestamp::from_millis(2)));
-                stream.due_parts(&part, Timestamp::from_millis(2)).len()
+                stream.due_batches(&part, Timestamp::from_millis(2)).len()
             });
         });
         let mut clock = 10_000;
@@ -155,7 +155,7 @@
                 clock += 1_000;
                 parts.extend(
                     stream
-                        .due_parts(&part, Timestamp::from_millis(clock))
+                        .due_batches(&part, Timestamp::from_millis(clock))
                         .into_iter()
                         .map(|(_, part)| part),
                 );
@@ -182,7 +182,7 @@
         group.bench_function(BenchmarkId::new("used", size), |b| {
             b.iter(|| {
                 for machine in replica.machines.values() {
-                    share.apply_machine_snapshot(&machine.hint, machine.idle_since);
+                    share.apply_machine_snapshot(&machine.snapshot, machine.idle_since);
                 }
             });
         });
