--- a/crates/scheduler/src/demand.rs
+++ b/crates/scheduler/src/demand.rs
@@ -1,545 +1,423 @@
-//! What the share lacks and what it could spare.
+//! Demand for machines: waiting work that the free capacity of the partition will not take.
+//!
+//! The fleet planner collects the demand of all partitions and scales out for it.
 
-use crate::colocation::{beside, colocation_capacity};
+use crate::colocation::colocation_capacity;
 use crate::cycle::zone_allowed;
 use crate::job::Job;
-use crate::machine::{Machine, PendingTransfer};
+use crate::machine::Machine;
 use crate::partition_state::{EntryKey, PartitionState};
 use model::DurationExt;
-use model::{
-    JobId, JobKind, MachineName, PartitionId, Priority, Resources, TeamName, Timestamp, ZoneName,
-};
-use std::collections::{BTreeMap, BTreeSet, HashMap};
-use std::time::Duration;
-use wire::mesh::{DemandShape, MachineStatus};
+use model::{JobId, JobKind, Priority, Resources, TeamName, Timestamp, ZoneName};
+use std::collections::{BTreeMap, HashMap};
+use wire::mesh::DemandShape;
 
-/// Waiting entries of a job that its explanation names, the first ones.
-const EXPLAINED_ENTRIES: usize = 3;
+/// The shortest run time on which estimates of capacity that is about to be freed are based (ms).
+const MIN_ESTIMATE_MS: u64 = 1_000;
 
-/// How long a machine that is to be handed over is kept free for that.
-const TRANSFER_TIMEOUT: Duration = Duration::from_secs(40);
+/// A job with waiting tasks. Free capacity is allotted in the order of these keys: best-effort work
+/// last, then by order of submission.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+struct WaitingJob {
+    best_effort: bool,
+    submission_order: u64,
+    job: JobId,
+}
 
-/// Room on a machine while it is dealt out.
+/// Free capacity of a machine that has not been allotted to waiting tasks yet.
 struct FreeCapacity<'a> {
     machine: &'a Machine,
     free: Resources,
-    /// What best-effort tasks take; they give way to other work.
-    cleared: Resources,
+    /// What best-effort tasks use; they give way to other work.
+    reclaimable: Resources,
 }
 
 impl FreeCapacity<'_> {
     fn how_many_fit(&self, job: &Job) -> u64 {
-        let cleared = if job.spec.is_best_effort() {
+        let reclaimable = if job.spec.is_best_effort() {
             Resources::default()
         } else {
-            self.cleared
+            self.reclaimable
         };
-        colocation_capacity(job, self.machine, self.free + cleared)
+        colocation_capacity(job, self.machine, self.free + reclaimable)
     }
 
-    fn take(&mut self, taken: Resources) {
-        self.cleared -= taken.saturating_sub(&self.free);
-        self.free -= taken;
+    fn allocate(&mut self, resources: Resources) {
+        self.reclaimable -= resources.saturating_sub(&self.free);
+        self.free -= resources;
     }
 }
 
-/// What the tasks of each team take that would be stopped for its own work of higher priority: a team's
-/// limit leaves room for that even where they take all of it.
-struct Stoppable<'a>(BTreeMap<(&'a TeamName, Priority), Resources>);
+/// A team's tasks of one priority.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+struct TeamPriority<'a> {
+    team: &'a TeamName,
+    priority: Priority,
+}
+
+/// What the preemptible tasks of each team use, by priority. Tasks that would be preempted for their own
+/// team's work of higher priority leave room within the team's limit for that work, even where they use
+/// all of the limit.
+struct PreemptibleUsage<'a>(BTreeMap<TeamPriority<'a>, Resources>);
 
-impl<'a> Stoppable<'a> {
-    fn of(share: &'a PartitionState) -> Self {
-        let mut sums: BTreeMap<(&TeamName, Priority), Resources> = BTreeMap::new();
-        let stops = |job: &&Job| share.policy.preempt && job.spec.kind != JobKind::Gang;
-        for job in share.jobs.values().filter(stops) {
-            let taken = job.spec.needs.times(job.placed.len() as u64);
-            *sums.entry((&job.spec.team, job.spec.priority)).or_default() += taken;
+impl<'a> PreemptibleUsage<'a> {
+    fn new(partition: &'a PartitionState) -> Self {
+        let mut usage: BTreeMap<TeamPriority, Resources> = BTreeMap::new();
+        let preemptible = |job: &&Job| partition.policy.preempt && job.spec.kind != JobKind::Gang;
+        for job in partition.jobs.values().filter(preemptible) {
+            let key = TeamPriority {
+                team: &job.spec.team,
+                priority: job.spec.priority,
+            };
+            *usage.entry(key).or_default() += job.spec.needs.times(job.placed.len() as u64);
         }
-        Stoppable(sums)
+        PreemptibleUsage(usage)
     }
 
-    /// Takes room for so many tasks of a job, the lowest first; how many it was.
-    fn take(&mut self, share: &PartitionState, job: &Job, tasks: u64) -> u64 {
-        if tasks == 0 || share.stops_for(job) != Some(false) {
+    /// Allots usage of lower priority to tasks of a job, the lowest first, and returns how many tasks
+    /// that makes room for.
+    fn allot(&mut self, partition: &PartitionState, job: &Job, tasks: u64) -> u64 {
+        if tasks == 0 || partition.stops_for(job) != Some(false) {
             return 0;
         }
-        let per = Resources {
-            memory_mb: 0,
-            ..job.spec.needs
+        let needs = quota_needs(job);
+        let mut allotted = 0;
+        for (key, usage) in &mut self.0 {
+            if *key.team == job.spec.team && key.priority < job.spec.priority {
+                let count = usage.how_many_fit(&needs).min(tasks - allotted);
+                *usage -= needs.times(count);
+                allotted += count;
+            }
+        }
+        allotted
+    }
+}
+
+/// Where waiting tasks of a job find free capacity.
+struct WaitingPlacement {
+    /// Tasks that fit into free capacity.
+    placed: u64,
+    /// The zone in which machines for the other tasks have to be, if that matters.
+    zone: Option<ZoneName>,
+}
+
+/// Allots free capacity to waiting jobs one after the other and collects the remaining tasks as demand.
+struct DemandEstimate<'a> {
+    partition: &'a PartitionState,
+    now: Timestamp,
+    free: Vec<FreeCapacity<'a>>,
+    /// What running array tasks free soon.
+    turnover: Resources,
+    preemptible: PreemptibleUsage<'a>,
+    /// What is left of each team's limit.
+    quota_left: HashMap<TeamName, Resources>,
+    shapes: Vec<DemandShape>,
+}
+
+impl<'a> DemandEstimate<'a> {
+    /// `min_milli_cpus`: the least that a waiting task needs. Machines that have less are left out, so
+    /// that full machines are not checked for each job.
+    fn new(partition: &'a PartitionState, min_milli_cpus: u64, now: Timestamp) -> Self {
+        let free = partition
+            .machines
+            .values()
+            .filter(|machine| machine.usable(now, partition.heartbeat_timeout()))
+            .map(|machine| FreeCapacity {
+                machine,
+                free: machine.free(),
+                reclaimable: partition.clearable(machine, now),
+            })
+            .filter(|capacity| (capacity.free + capacity.reclaimable).milli_cpus >= min_milli_cpus)
+            .collect();
+        DemandEstimate {
+            partition,
+            now,
+            free,
+            turnover: partition.turnover(),
+            preemptible: PreemptibleUsage::new(partition),
+            quota_left: HashMap::new(),
+            shapes: Vec::new(),
+        }
+    }
+
+    fn add_job(&mut self, job: &Job, waiting_tasks: u64) {
+        // A gang that waits for machines that are free soon needs no others.
+        if job.spec.kind == JobKind::Gang
+            && self.partition.reservation_is_near(job.spec.id, self.now)
+        {
+            return;
+        }
+        let starved = is_starved(job);
+        let wanted = if starved {
+            waiting_tasks.min(1)
+        } else {
+            waiting_tasks
         };
-        let mut taken = 0;
-        for ((team, priority), amount) in &mut self.0 {
-            if **team == job.spec.team && *priority < job.spec.priority {
-                let here = amount.how_many_fit(&per).min(tasks - taken);
-                *amount -= per.times(here);
-                taken += here;
+        let Some(within_quota) = self.allot_quota(job, wanted) else {
+            return;
+        };
+        let preempting = self
+            .preemptible
+            .allot(self.partition, job, wanted - within_quota);
+        let startable = within_quota + preempting;
+        let placement = self.place_waiting_tasks(job, startable);
+        let unplaced = startable - placement.placed;
+        let tasks = unplaced - self.allot_turnover(job, unplaced);
+        if tasks > 0 {
+            self.add_shape(demand_shape(job, tasks, placement.zone, starved));
+        }
+    }
+
+    /// How many tasks fit into what is left of the team's limit, which is reduced by them. `None` if the
+    /// team is not known.
+    fn allot_quota(&mut self, job: &Job, wanted: u64) -> Option<u64> {
+        let team = self.partition.teams.get(&job.spec.team)?;
+        let left = self
+            .quota_left
+            .entry(job.spec.team.clone())
+            .or_insert_with(|| team.limit.saturating_sub(&(team.used + team.held)));
+        let needs = quota_needs(job);
+        let tasks = wanted.min(left.how_many_fit(&needs));
+        // The part of the limit that gangs need is reserved with their machines.
+        if job.spec.kind != JobKind::Gang {
+            *left -= needs.times(tasks);
+        }
+        Some(tasks)
+    }
+
+    /// How many array tasks fit into what running tasks free soon, which is reduced by them.
+    fn allot_turnover(&mut self, job: &Job, tasks: u64) -> u64 {
+        if job.guaranteed || job.spec.kind != JobKind::Array {
+            return 0;
+        }
+        let needs = quota_needs(job);
+        let absorbed = tasks.min(self.turnover.how_many_fit(&needs));
+        self.turnover -= needs.times(absorbed);
+        absorbed
+    }
+
+    /// Allots free capacity to waiting tasks of a job.
+    fn place_waiting_tasks(&mut self, job: &Job, tasks: u64) -> WaitingPlacement {
+        let (partition, now) = (self.partition, self.now);
+        let zone_constrained = job.spec.one_zone || job.spec.spread;
+        let mut zones = partition.zones_of(job);
+        if job.spec.one_zone && zones.is_empty() {
+            zones.extend(self.choose_zone(job).map(|zone| (zone, 0)));
+        }
+        let gangs = partition.gangs_with_precedence(job, now);
+        let may_use = |machine: &Machine| {
+            partition.admits(job, machine, now)
+                && !partition.is_reserved_from(job, machine, now)
+                && !partition.is_left_to_gangs(&gangs, machine, now)
+        };
+        let mut placed = 0;
+        for capacity in &mut self.free {
+            if placed == tasks {
+                break;
+            }
+            let zone = &capacity.machine.zone;
+            let fitting = capacity.how_many_fit(job);
+            if fitting == 0 || !may_use(capacity.machine) || !zone_allowed(job, zone, &zones) {
+                continue;
+            }
+            let count = fitting
+                .min(tasks - placed)
+                .min(zone_capacity(job, zone, &zones));
+            if zone_constrained {
+                *zones.entry(zone.clone()).or_default() += count as u32;
+            }
+            capacity.allocate(job.spec.needs.times(count));
+            placed += count;
+        }
+        WaitingPlacement {
+            placed,
+            zone: partition.zone_for_remaining_tasks(job, &zones),
+        }
+    }
+
+    /// The zone for a job that has to run in one zone and has no task placed: that of the machines
+    /// reserved for it, or the one with the most free capacity for it.
+    fn choose_zone(&self, job: &Job) -> Option<ZoneName> {
+        let partition = self.partition;
+        let reserved = partition
+            .gang_reservations
+            .get(&job.spec.id)
+            .and_then(|reservation| reservation.machines.keys().next())
+            .and_then(|name| partition.machines.get(name))
+            .map(|machine| machine.zone.clone());
+        let mut fitting_by_zone: BTreeMap<&ZoneName, u64> = BTreeMap::new();
+        for capacity in &self.free {
+            if partition.admits(job, capacity.machine, self.now) {
+                *fitting_by_zone.entry(&capacity.machine.zone).or_default() +=
+                    capacity.how_many_fit(job);
+            }
+        }
+        let roomiest = fitting_by_zone
+            .into_iter()
+            .max_by_key(|(_, fitting)| *fitting)
+            .map(|(zone, _)| zone.clone());
+        reserved
+            .or(roomiest)
+            .or_else(|| partition.zones.first().cloned())
+    }
+
+    /// Adds to a shape that is alike, if there is one.
+    fn add_shape(&mut self, shape: DemandShape) {
+        match self.shapes.iter_mut().find(|other| is_alike(other, &shape)) {
+            Some(other) => {
+                other.tasks += shape.tasks;
+                other.urgent += shape.urgent;
+                other.estimate_ms = other.estimate_ms.max(shape.estimate_ms);
             }
+            None => self.shapes.push(shape),
         }
-        taken
     }
 }
 
 impl PartitionState {
     /// Waiting work that its team's limit would let start, by shape.
-    /// What fits into the room there is will be placed soon and is no demand.
+    /// What fits into free capacity will be placed soon and is no demand.
     pub fn demand(&self, now: Timestamp) -> Vec<DemandShape> {
-        let mut waiting: BTreeMap<(bool, u64, JobId), u64> = BTreeMap::new();
-        for key in self.queue.keys() {
-            let job = key.job();
-            let Some(entry) = self.jobs.get(&job) else {
-                continue;
-            };
-            let tasks = match key {
-                EntryKey::Task(_) => 1,
-                EntryKey::Gang(_) => u64::from(entry.spec.tasks),
-            };
-            let last = entry.is_best_effort();
-            *waiting.entry((last, entry.order, job)).or_default() += tasks;
-        }
-        let least = waiting.keys().filter_map(|(_, _, id)| self.jobs.get(id));
-        let least = least
+        let waiting = self.waiting_jobs();
+        let min_milli_cpus = waiting
+            .keys()
+            .filter_map(|waiting| self.jobs.get(&waiting.job))
             .map(|job| job.spec.needs.milli_cpus)
             .min()
             .unwrap_or(0);
-        // Machines that are full for all that waits are not looked at job by job.
-        let mut free: Vec<FreeCapacity> = self
-            .machines
-            .values()
-            .filter(|m| m.usable(now, self.heartbeat_timeout()))
-            .map(|m| FreeCapacity {
-                machine: m,
-                free: m.free(),
-                cleared: self.clearable(m, now),
-            })
-            .filter(|room| (room.free + room.cleared).milli_cpus >= least)
-            .collect();
-        let mut absorbed = self.turnover();
-        let mut beside = Stoppable::of(self);
-        let mut room: HashMap<TeamName, Resources> = HashMap::new();
-        let mut shapes: Vec<DemandShape> = Vec::new();
-        for ((last, _, id), tasks) in waiting {
+        let mut estimate = DemandEstimate::new(self, min_milli_cpus, now);
+        for (waiting, tasks) in waiting {
+            if let Some(job) = self.jobs.get(&waiting.job) {
+                estimate.add_job(job, tasks);
+            }
+        }
+        estimate.shapes
+    }
+
+    /// The number of queued tasks of each job.
+    fn waiting_jobs(&self) -> BTreeMap<WaitingJob, u64> {
+        let mut waiting: BTreeMap<WaitingJob, u64> = BTreeMap::new();
+        for entry in self.queue.keys() {
+            let id = entry.job();
             let Some(job) = self.jobs.get(&id) else {
                 continue;
             };
-            let Some(team) = self.teams.get(&job.spec.team) else {
-                continue;
-            };
-            let left = room
-                .entry(job.spec.team.clone())
-                .or_insert_with(|| team.limit.saturating_sub(&(team.used + team.held)));
-            let per = Resources {
-                memory_mb: 0,
-                ..job.spec.needs
-            };
-            let foothold = last && job.stranded && job.placed.is_empty();
-            // Those who wait for machines that run already need no others.
-            if job.spec.kind == JobKind::Gang && self.reservation_is_near(id, now) {
-                continue;
-            }
-            let wanted = tasks.min(if foothold { 1 } else { u64::MAX });
-            let tasks = wanted.min(left.how_many_fit(&per));
-            // What gangs need of the limit is kept with their machines.
-            if job.spec.kind != JobKind::Gang {
-                *left -= per.times(tasks);
-            }
-            let tasks = tasks + beside.take(self, job, wanted - tasks);
-            let (here, zone) = self.place_waiting_tasks(job, tasks, &mut free, now);
-            let mut tasks = tasks - here;
-            if !job.guaranteed && job.spec.kind == JobKind::Array {
-                let soon = tasks.min(absorbed.how_many_fit(&per));
-                absorbed -= per.times(soon);
-                tasks -= soon;
-            }
-            if tasks == 0 {
-                continue;
-            }
-            let priority = if foothold {
-                Priority::Normal
-            } else {
-                job.spec.priority
+            let tasks = match entry {
+                EntryKey::Task(_) => 1,
+                EntryKey::Gang(_) => u64::from(job.spec.tasks),
             };
-            let urgent = if job.guaranteed || job.spec.estimate.whole_millis() == 0 {
-                tasks
-            } else {
-                0
+            let key = WaitingJob {
+                best_effort: job.is_best_effort(),
+                submission_order: job.order,
+                job: id,
             };
-            let whole = job.spec.one_zone && job.placed.is_empty();
-            let gang = if whole { u64::from(job.spec.tasks) } else { 0 };
-            let same = shapes.iter_mut().find(|s| {
-                s.milli_cpus == per.milli_cpus
-                    && s.milli_gpus == per.milli_gpus
-                    && s.memory_mb == job.spec.needs.memory_mb
-                    && s.types == job.spec.types
-                    && s.zone == zone
-                    && s.spot == job.spec.spot
-                    && s.priority == priority
-                    && s.gang + gang == 0
-                    && (s.estimate_ms == 0) == (job.spec.estimate.whole_millis() == 0)
-            });
-            match same {
-                Some(shape) => {
-                    shape.tasks += tasks;
-                    shape.urgent += urgent;
-                    shape.estimate_ms = shape.estimate_ms.max(job.spec.estimate.whole_millis());
-                }
-                None => shapes.push(DemandShape {
-                    milli_cpus: per.milli_cpus,
-                    milli_gpus: per.milli_gpus,
-                    memory_mb: job.spec.needs.memory_mb,
-                    types: job.spec.types.clone(),
-                    zone,
-                    spot: job.spec.spot,
-                    tasks,
-                    urgent,
-                    estimate_ms: job.spec.estimate.whole_millis(),
-                    priority,
-                    gang,
-                }),
-            }
+            *waiting.entry(key).or_default() += tasks;
         }
-        shapes
+        waiting
     }
 
-    /// What running array tasks free within the time of the policy. A team at its limit takes its own
-    /// freed room again.
+    /// What running array tasks free within [`Policy::absorb`](crate::Policy::absorb). A team at its limit
+    /// uses what its own tasks free itself.
     fn turnover(&self) -> Resources {
         let mut freed = Resources::default();
         for job in self.jobs.values() {
             if job.spec.kind != JobKind::Array || !self.fits_quota_now(job, 1) {
                 continue;
             }
-            let lasts = job.spec.estimate.whole_millis().max(1_000);
+            let estimate_ms = job.spec.estimate.whole_millis().max(MIN_ESTIMATE_MS);
             let running = job.placed.len() as u64;
-            let part = |each: u64| {
-                (running * each * self.policy.absorb.whole_millis() / lasts).min(running * each)
+            let freed_of = |each: u64| {
+                let used = running * each;
+                (used * self.policy.absorb.whole_millis() / estimate_ms).min(used)
             };
-            let needs = job.spec.needs;
             freed += Resources {
-                milli_cpus: part(needs.milli_cpus),
-                milli_gpus: part(needs.milli_gpus),
+                milli_cpus: freed_of(job.spec.needs.milli_cpus),
+                milli_gpus: freed_of(job.spec.needs.milli_gpus),
                 memory_mb: 0,
             };
         }
         freed
     }
 
-    /// How many of a job's waiting tasks fit into what is free, which they then take, and the
-    /// zone in which room for the others is to be found if it matters.
-    fn place_waiting_tasks(
+    /// The zone in which machines for more tasks of a job have to be, given its tasks in each zone.
+    fn zone_for_remaining_tasks(
         &self,
         job: &Job,
-        tasks: u64,
-        free: &mut [FreeCapacity],
-        now: Timestamp,
-    ) -> (u64, Option<String>) {
-        let needs = job.spec.needs;
-        let mut zones = self.zones_of(job);
-        let mut here = 0;
-        let constrained = job.spec.one_zone || job.spec.spread;
-        let held = self
-            .gang_reservations
-            .get(&job.spec.id)
-            .and_then(|hold| hold.machines.keys().next());
-        let held = held
-            .and_then(|name| self.machines.get(name))
-            .map(|m| m.zone.clone());
-        if job.spec.one_zone && zones.is_empty() {
-            // The zone that is nearest to holding it all is where the rest should come from.
-            let mut sums: BTreeMap<&ZoneName, u64> = BTreeMap::new();
-            for room in free
-                .iter()
-                .filter(|room| self.admits(job, room.machine, now))
-            {
-                *sums.entry(&room.machine.zone).or_default() += room.how_many_fit(job);
-            }
-            let best = sums
-                .into_iter()
-                .max_by_key(|(_, n)| *n)
-                .map(|(z, _)| z.clone());
-            if let Some(zone) = held.or(best).or_else(|| self.zones.first().cloned()) {
-                zones.insert(zone, 0);
-            }
+        zones: &BTreeMap<ZoneName, u32>,
+    ) -> Option<ZoneName> {
+        if job.spec.zone.is_some() {
+            return job.spec.zone.clone();
         }
-        let before = self.gangs_with_precedence(job, now);
-        for room in free.iter_mut() {
-            let machine = room.machine;
-            if here == tasks {
-                break;
-            }
-            if room.how_many_fit(job) == 0
-                || !self.admits(job, machine, now)
-                || self.is_reserved_from(job, machine, now)
-                || self.is_left_to_gangs(&before, machine, now)
-                || !zone_allowed(job, &machine.zone, &zones)
-            {
-                continue;
-            }
-            let used = zones.get(&machine.zone).copied().unwrap_or(0);
-            let cap = if job.spec.spread {
-                u64::from(job.spec.zone_limit().saturating_sub(used))
-            } else {
-                u64::MAX
-            };
-            let fits = room.how_many_fit(job).min(tasks - here).min(cap);
-            room.take(needs.times(fits));
-            here += fits;
-            if constrained {
-                *zones.entry(machine.zone.clone()).or_default() += fits as u32;
-            }
+        if job.spec.one_zone {
+            return zones.keys().next().cloned();
         }
-        let zone = match (&job.spec.zone, constrained) {
-            (Some(zone), _) => Some(zone.clone()),
-            (None, true) if job.spec.one_zone => zones.keys().next().cloned(),
-            (None, true) => self
-                .zones
-                .iter()
-                .min_by_key(|zone| zones.get(*zone).copied().unwrap_or(0))
-                .cloned(),
-            (None, false) => None,
-        };
-        (here, zone.map(|z| z.to_string()))
-    }
-
-    /// Where a job stands and why it waits.
-    pub fn explain(&self, id: JobId, now: Timestamp) -> Option<String> {
-        let job = self.jobs.get(&id)?;
-        let mut entries: Vec<EntryKey> = self.queue.keys().filter(|key| key.job() == id).collect();
-        entries.sort_unstable();
-        let waiting: Vec<String> = entries
-            .into_iter()
-            .take(EXPLAINED_ENTRIES)
-            .filter_map(|key| {
-                let (which, failures) = self.queue.location(key)?;
-                Some(format!("{which:?} after {failures} failures"))
-            })
-            .collect();
-        let reason = if !self.fits_quota_now(job, 1) {
-            "the team's limit is reached"
-        } else {
-            ""
-        };
-        let gang = self.explain_gang(job, now);
-        let stopping = job.placed.values().filter(|p| p.stop.is_some()).count();
-        Some(format!(
-            "{} done, {} placed ({} running, {stopping} stopping) of {}; \
-             cancelled: {}, ending: {}, guaranteed: {}; queued: [{}] {reason}{gang}",
-            job.done_count(),
-            job.placed.len(),
-            job.running_count(),
-            job.spec.tasks,
-            job.cancelled,
-            job.finishing,
-            job.guaranteed,
-            waiting.join(", "),
-        ))
-    }
-
-    /// A line for the log: how full the share is and what waits.
-    pub fn log_summary(&self, partition: model::PartitionId, now: Timestamp) {
-        let (mut up, mut spot, mut capacity, mut used, mut fetching) = (0, 0, 0, 0, 0);
-        let (mut gpus, mut gpus_used) = (0, 0);
-        for machine in self
-            .machines
-            .values()
-            .filter(|m| m.usable(now, self.heartbeat_timeout()))
-        {
-            up += 1;
-            spot += u32::from(machine.spot);
-            capacity += machine.capacity.milli_cpus / 1000;
-            used += machine.used.milli_cpus / 1000;
-            gpus += machine.capacity.milli_gpus / 1000;
-            gpus_used += machine.used.milli_gpus / 1000;
+        if job.spec.spread {
+            let tasks_in = |zone: &&ZoneName| zones.get(*zone).copied().unwrap_or(0);
+            return self.zones.iter().min_by_key(tasks_in).cloned();
         }
-        for placement in self.jobs.values().flat_map(|job| job.placed.values()) {
-            fetching +=
-                u32::from(placement.last_status == Some(wire::workers::TaskState::Fetching));
-        }
-        let wanted: u64 = self.demand(now).iter().map(|shape| shape.tasks).sum();
-        tracing::debug!(
-            %partition,
-            machines = self.machines.len(),
-            up,
-            spot,
-            capacity,
-            used,
-            gpus,
-            gpus_used,
-            fetching,
-            wanted,
-            pending = ?self.queue.pending().map(|(_, n)| n),
-            "share"
-        );
-    }
-
-    /// Machines with GPUs that the guaranteed work of the share could do without, those with least of it
-    /// first. They are few and large, and hardly one runs nothing that is guaranteed: a partition whose
-    /// own such work was not within its guarantee got none of them for seven minutes.
-    fn spare_gpu_machines(&self) -> BTreeSet<&MachineName> {
-        let gpus = |job: &Job, tasks: u64| job.spec.needs.milli_gpus * tasks;
-        let needed: u64 = self
-            .jobs
-            .values()
-            .filter(|job| job.guaranteed && !job.cancelled)
-            .map(|job| gpus(job, job.placed.len() as u64 + job.waiting()))
-            .sum();
-        let guaranteed = |machine: &Machine| -> u64 {
-            let jobs = machine
-                .tasks
-                .iter()
-                .filter_map(|task| self.jobs.get(&task.job));
-            jobs.filter(|job| job.guaranteed)
-                .map(|job| gpus(job, 1))
-                .sum()
-        };
-        let mut machines: Vec<(u64, &Machine)> = self
-            .machines
-            .values()
-            .filter(|m| m.capacity.milli_gpus > 0)
-            .map(|m| (guaranteed(m), m))
-            .collect();
-        machines.sort_by_key(|(guaranteed, m)| (*guaranteed, &m.name));
-        let all: u64 = machines.iter().map(|(_, m)| m.capacity.milli_gpus).sum();
-        let mut spare = all.saturating_sub(needed);
-        let least = |(_, m): &(u64, &'_ Machine)| {
-            let fits = m.capacity.milli_gpus <= spare;
-            spare -= if fits { m.capacity.milli_gpus } else { 0 };
-            fits
-        };
-        machines
-            .into_iter()
-            .take_while(least)
-            .map(|(_, m)| &m.name)
-            .collect()
+        None
     }
+}
 
-    /// Whether nothing on the machine would be missed by a guarantee, or by users who want their
-    /// replicas where they are.
-    fn is_transferable(
-        &self,
-        machine: &Machine,
-        spare_gpus: &BTreeSet<&MachineName>,
-        now: Timestamp,
-    ) -> bool {
-        machine.pinned == 0
-            && !self.is_reserved_for_gangs(machine, now)
-            && (spare_gpus.contains(&machine.name) || self.runs_no_guarantee(machine))
+/// What a task uses of its team's limit, which does not count memory.
+fn quota_needs(job: &Job) -> Resources {
+    Resources {
+        memory_mb: 0,
+        ..job.spec.needs
     }
+}
 
-    fn runs_no_guarantee(&self, machine: &Machine) -> bool {
-        machine.tasks.iter().all(|task| {
-            self.jobs
-                .get(&task.job)
-                .is_some_and(|job| !job.guaranteed && job.spec.kind == JobKind::Array)
-        })
-    }
+/// Whether a job is best-effort work that has had no place for long. It gets a machine for one task.
+fn is_starved(job: &Job) -> bool {
+    job.is_best_effort() && job.stranded && job.placed.is_empty()
+}
 
-    /// Marks machines to be handed to another partition as they empty, until there are `count`
-    /// of them; first those with best-effort work only, which is sent away, then those that will
-    /// be empty soonest.
-    pub fn request_transfers(
-        &mut self,
-        to: PartitionId,
-        count: usize,
-        shape: &DemandShape,
-        now: Timestamp,
-    ) {
-        let needs = Resources {
-            milli_cpus: shape.milli_cpus,
-            milli_gpus: shape.milli_gpus,
-            memory_mb: shape.memory_mb,
-        };
-        let spare = self.spare_gpu_machines();
-        let under_way = |m: &&Machine| m.pending_transfer.is_some_and(|c| c.to == to);
-        let missing = count.saturating_sub(self.machines.values().filter(under_way).count());
-        let suits = |m: &&Machine| {
-            m.usable(now, self.heartbeat_timeout())
-                && shape.suits(&m.machine_type, m.zone.as_str(), m.spot)
-                && m.capacity.how_many_fit(&needs) > 0
-                && self.is_transferable(m, &spare, now)
-        };
-        let ends = |m: &Machine| {
-            let left = m.tasks.iter().filter_map(|task| {
-                // What runs beside GPU work is stopped once that is over.
-                let job = self.jobs.get(&task.job).filter(|job| !beside(m, job))?;
-                let placement = job.placed.get(&task.index)?;
-                Some((placement.placed_at + job.spec.estimate).duration_since(now))
-            });
-            left.max().unwrap_or(Duration::ZERO)
-        };
-        let mut machines: Vec<(bool, Duration, MachineName)> = self
-            .machines
-            .values()
-            .filter(suits)
-            .map(|m| (!self.only_best_effort(m, now), ends(m), m.name.clone()))
-            // One that runs for longer would only stand half empty meanwhile.
-            .filter(|(regular, ends, _)| !regular || *ends <= TRANSFER_TIMEOUT)
-            .collect();
-        machines.sort_unstable();
-        for (regular, _, name) in machines.into_iter().take(missing) {
-            let Some(machine) = self.machines.get_mut(&name) else {
-                continue;
-            };
-            tracing::debug!(machine = %name, %to, tasks = machine.tasks.len(), "to be handed over once empty");
-            machine.pending_transfer = Some(PendingTransfer {
-                to,
-                until: now + TRANSFER_TIMEOUT,
-            });
-            if !regular {
-                let tasks = machine.tasks.iter().copied().collect();
-                self.clear_best_effort(tasks, now);
-            }
-        }
+/// How many more tasks of a job a zone may take.
+fn zone_capacity(job: &Job, zone: &ZoneName, zones: &BTreeMap<ZoneName, u32>) -> u64 {
+    if !job.spec.spread {
+        return u64::MAX;
     }
+    let placed = zones.get(zone).copied().unwrap_or(0);
+    u64::from(job.spec.zone_limit().saturating_sub(placed))
+}
 
-    /// Machines that are empty and to be handed over.
-    pub fn machines_ready_for_transfer(
-        &mut self,
-        now: Timestamp,
-    ) -> Vec<(MachineName, PartitionId)> {
-        let mut ready = Vec::new();
-        for machine in self.machines.values_mut() {
-            let Some(transfer_to) = machine.pending_transfer else {
-                continue;
-            };
-            if transfer_to.until <= now {
-                tracing::debug!(machine = %machine.name, to = %transfer_to.to, tasks = machine.tasks.len(), "not empty in time: kept");
-                machine.pending_transfer = None;
-            } else if machine.tasks.is_empty() && !machine.leaving {
-                ready.push((machine.name.clone(), transfer_to.to));
-            }
-        }
-        ready
+fn demand_shape(job: &Job, tasks: u64, zone: Option<ZoneName>, starved: bool) -> DemandShape {
+    let estimate_ms = job.spec.estimate.whole_millis();
+    let is_urgent = job.guaranteed || estimate_ms == 0;
+    let is_unplaced_one_zone_gang = job.spec.one_zone && job.placed.is_empty();
+    DemandShape {
+        milli_cpus: job.spec.needs.milli_cpus,
+        milli_gpus: job.spec.needs.milli_gpus,
+        memory_mb: job.spec.needs.memory_mb,
+        types: job.spec.types.clone(),
+        zone: zone.map(|zone| zone.to_string()),
+        spot: job.spec.spot,
+        tasks,
+        urgent: if is_urgent { tasks } else { 0 },
+        estimate_ms,
+        // Work of low priority gets spare capacity only, which this task has waited for in vain.
+        priority: if starved {
+            Priority::Normal
+        } else {
+            job.spec.priority
+        },
+        gang: if is_unplaced_one_zone_gang {
+            u64::from(job.spec.tasks)
+        } else {
+            0
+        },
     }
+}
 
-    /// The share's machines for the leader.
-    pub fn machine_statuses(&self, now: Timestamp) -> Vec<MachineStatus> {
-        let spare = self.spare_gpu_machines();
-        self.machines
-            .values()
-            .map(|m| MachineStatus {
-                machine: m.name.to_string(),
-                tasks: m.tasks.len() as u32,
-                // What is kept for a gang is not idle.
-                idle_ms: if m.tasks.is_empty() && !self.is_reserved_for_gangs(m, now) {
-                    now.duration_since(m.idle_since).whole_millis()
-                } else {
-                    0
-                },
-                up: m.is_up(),
-                quarantined: m.quarantined,
-                since_heartbeat_ms: match m.last_seen_at {
-                    Some(at) => now
-                        .duration_since(at.max(self.running_since))
-                        .whole_millis(),
-                    None if m.replicated_endpoint.is_some() => now
-                        .duration_since(self.leading_since.max(self.running_since))
-                        .whole_millis(),
-                    None => 0,
-                },
-                transferable: self.is_transferable(m, &spare, now),
-                best_effort: self.only_best_effort(m, now),
-                transfer_to: m.pending_transfer.map(|c| c.to.0),
-            })
-            .collect()
-    }
+/// Whether tasks of two shapes can be added up. Gangs in one zone are never added up.
+fn is_alike(left: &DemandShape, right: &DemandShape) -> bool {
+    left.milli_cpus == right.milli_cpus
+        && left.milli_gpus == right.milli_gpus
+        && left.memory_mb == right.memory_mb
+        && left.types == right.types
+        && left.zone == right.zone
+        && left.spot == right.spot
+        && left.priority == right.priority
+        && left.gang + right.gang == 0
+        && (left.estimate_ms == 0) == (right.estimate_ms == 0)
 }
--- /dev/null
+++ b/crates/scheduler/src/explain.rs
@@ -0,0 +1,160 @@
+//! Explanations for operators: why a job waits, and the periodic summary of a partition in the log.
+
+use crate::colocation::colocation_capacity;
+use crate::job::Job;
+use crate::partition_state::{EntryKey, PartitionState};
+use model::DurationExt;
+use model::{JobId, JobKind, PartitionId, Timestamp};
+use wire::workers::TaskState;
+
+/// How many of a job's queue entries its explanation names.
+const EXPLAINED_ENTRIES: usize = 3;
+
+/// Sums over the usable machines of a partition, in whole CPUs and GPUs.
+#[derive(Debug, Default)]
+struct MachineTotals {
+    usable: u32,
+    spot: u32,
+    cpus: u64,
+    cpus_used: u64,
+    gpus: u64,
+    gpus_used: u64,
+}
+
+impl PartitionState {
+    /// The state of a job and why it waits, or `None` if the job is not known.
+    pub fn explain(&self, id: JobId, now: Timestamp) -> Option<String> {
+        let job = self.jobs.get(&id)?;
+        let mut entries: Vec<EntryKey> = self
+            .queue
+            .keys()
+            .filter(|entry| entry.job() == id)
+            .collect();
+        entries.sort_unstable();
+        let waiting: Vec<String> = entries
+            .into_iter()
+            .take(EXPLAINED_ENTRIES)
+            .filter_map(|entry| {
+                let (stage, failures) = self.queue.location(entry)?;
+                Some(format!("{stage:?} after {failures} failures"))
+            })
+            .collect();
+        let reason = if !self.fits_quota_now(job, 1) {
+            "the team's limit is reached"
+        } else {
+            ""
+        };
+        let gang = self.explain_gang(job, now);
+        let is_stopping = |placement: &&crate::job::Placement| placement.stop.is_some();
+        let stopping = job.placed.values().filter(is_stopping).count();
+        Some(format!(
+            "{} done, {} placed ({} running, {stopping} stopping) of {}; \
+             cancelled: {}, ending: {}, guaranteed: {}; queued: [{}] {reason}{gang}",
+            job.done_count(),
+            job.placed.len(),
+            job.running_count(),
+            job.spec.tasks,
+            job.cancelled,
+            job.finishing,
+            job.guaranteed,
+            waiting.join(", "),
+        ))
+    }
+
+    /// Why a gang waits; empty for other jobs.
+    fn explain_gang(&self, job: &Job, now: Timestamp) -> String {
+        if job.spec.kind != JobKind::Gang || job.all_done() {
+            return String::new();
+        }
+        if !job.placed.is_empty() {
+            return explain_gathering(job);
+        }
+        if let Some(reservation) = self.gang_reservations.get(&job.spec.id) {
+            let first = reservation
+                .machines
+                .keys()
+                .next()
+                .and_then(|name| self.machines.get(name));
+            let zone = first
+                .map(|machine| machine.zone.to_string())
+                .unwrap_or_default();
+            return format!(
+                "{} machines are kept for it (the first in {zone}), free in {} s",
+                reservation.machines.len(),
+                reservation.ready_at.duration_since(now).whole_millis() / 1_000,
+            );
+        }
+        let capacity: u64 = self
+            .machines
+            .values()
+            .filter(|machine| self.admits(job, machine, now))
+            .map(|machine| colocation_capacity(job, machine, machine.capacity))
+            .sum();
+        format!(
+            "nothing is kept for it: the machines of its partition hold {capacity} of its {} tasks at most, \
+             those kept for gangs before it included",
+            job.spec.tasks
+        )
+    }
+
+    /// Logs how full the partition's machines are and what waits.
+    pub fn log_summary(&self, partition: PartitionId, now: Timestamp) {
+        let totals = self.machine_totals(now);
+        let fetching = self
+            .jobs
+            .values()
+            .flat_map(|job| job.placed.values())
+            .filter(|placement| placement.last_status == Some(TaskState::Fetching))
+            .count();
+        let demand: u64 = self.demand(now).iter().map(|shape| shape.tasks).sum();
+        tracing::debug!(
+            %partition,
+            machines = self.machines.len(),
+            usable = totals.usable,
+            spot = totals.spot,
+            cpus = totals.cpus,
+            cpus_used = totals.cpus_used,
+            gpus = totals.gpus,
+            gpus_used = totals.gpus_used,
+            fetching,
+            demand,
+            queued = ?self.queue.pending().map(|(_, count)| count),
+            "partition summary"
+        );
+    }
+
+    fn machine_totals(&self, now: Timestamp) -> MachineTotals {
+        let mut totals = MachineTotals::default();
+        let heartbeat_timeout = self.heartbeat_timeout();
+        for machine in self.machines.values() {
+            if !machine.usable(now, heartbeat_timeout) {
+                continue;
+            }
+            totals.usable += 1;
+            totals.spot += u32::from(machine.spot);
+            totals.cpus += machine.capacity.milli_cpus / 1000;
+            totals.cpus_used += machine.used.milli_cpus / 1000;
+            totals.gpus += machine.capacity.milli_gpus / 1000;
+            totals.gpus_used += machine.used.milli_gpus / 1000;
+        }
+        totals
+    }
+}
+
+/// The state of a gang whose tasks are placed.
+fn explain_gathering(job: &Job) -> String {
+    let gathered = job
+        .placed
+        .values()
+        .filter(|placement| placement.last_status == Some(TaskState::Waiting))
+        .count();
+    let state = if job.gang_began.is_some() {
+        "it has begun"
+    } else {
+        "it gathers"
+    };
+    format!(
+        "{state}: {gathered} of {} tasks wait for the others",
+        job.spec.tasks
+    )
+}
--- a/crates/scheduler/src/gangs.rs
+++ b/crates/scheduler/src/gangs.rs
@@ -145,46 +145,6 @@
         goes_before && !ends
     }
 
-    /// Why a gang waits, in words.
-    pub(crate) fn explain_gang(&self, job: &Job, now: Timestamp) -> String {
-        if job.spec.kind != JobKind::Gang || job.all_done() {
-            return String::new();
-        }
-        if !job.placed.is_empty() {
-            let waits = |p: &&crate::job::Placement| p.last_status == Some(TaskState::Waiting);
-            let gathered = job.placed.values().filter(waits).count();
-            let state = if job.gang_began.is_some() {
-                "it has begun"
-            } else {
-                "it gathers"
-            };
-            return format!(
-                "{state}: {gathered} of {} tasks wait for the others",
-                job.spec.tasks
-            );
-        }
-        if let Some(hold) = self.gang_reservations.get(&job.spec.id) {
-            let first = hold
-                .machines
-                .keys()
-                .next()
-                .and_then(|name| self.machines.get(name));
-            let zone = first.map(|m| m.zone.to_string()).unwrap_or_default();
-            return format!(
-                "{} machines are kept for it (the first in {zone}), free in {} s",
-                hold.machines.len(),
-                hold.ready_at.duration_since(now).whole_millis() / 1_000,
-            );
-        }
-        let hold = self.machines.values().filter(|m| self.admits(job, m, now));
-        let room: u64 = hold.map(|m| colocation_capacity(job, m, m.capacity)).sum();
-        format!(
-            "nothing is kept for it: the machines of its partition hold {room} of its {} tasks at most, \
-             those kept for gangs before it included",
-            job.spec.tasks
-        )
-    }
-
     /// Whether a gang's task that needs no fetch is launched later, when those that do are through: it would
     /// wait for longer than tasks of a gang wait for each other, and the gang would begin anew, again and
     /// again where an image is large.
--- a/crates/scheduler/src/lib.rs
+++ b/crates/scheduler/src/lib.rs
@@ -12,6 +12,7 @@
 pub mod consolidation;
 pub mod cycle;
 pub mod demand;
+pub mod explain;
 mod failover;
 pub mod failure_attribution;
 mod gangs;
@@ -24,6 +25,7 @@
 mod preemption_candidates;
 pub mod reconciliation;
 mod reservations;
+pub mod transfers;
 
 pub use commands::CommandRoute;
 pub use failover::Probe;
