--- /dev/null
+++ b/crates/scheduler/src/gang_precedence.rs
@@ -0,0 +1,88 @@
+//! Precedence of waiting gangs: other jobs leave them the machines that they need, if they can run
+//! elsewhere. Arrays that took each machine that becomes free would be preempted as soon as a gang has
+//! enough of them.
+
+use crate::colocation::colocation_capacity;
+use crate::job::Job;
+use crate::machine::Machine;
+use crate::partition_state::{rank_of, EntryKey, PartitionState};
+use model::{JobId, JobKind, Timestamp};
+use std::time::Duration;
+
+/// How long a job leaves machines to gangs if it has others to run on.
+const GANG_PRECEDENCE_DURATION: Duration = Duration::from_secs(120);
+/// Failed placements after which a gang takes precedence and has machines reserved for it.
+pub(crate) const GANG_FAILURES_BEFORE_RESERVATION: u32 = 2;
+
+impl PartitionState {
+    /// Lists the gangs that have failed to fit and still wait, one of each kind.
+    pub(crate) fn update_waiting_gangs(&mut self) {
+        self.waiting_gangs.clear();
+        for (id, job) in &self.jobs {
+            if job.spec.kind != JobKind::Gang
+                || self.gang_failures(*id) < GANG_FAILURES_BEFORE_RESERVATION
+            {
+                continue;
+            }
+            let is_alike = |other: &JobId| {
+                self.jobs
+                    .get(other)
+                    .is_some_and(|other| other.spec.is_placed_like(&job.spec))
+            };
+            if !self.waiting_gangs.iter().any(is_alike) {
+                self.waiting_gangs.push(*id);
+            }
+        }
+    }
+
+    /// How often a queued gang has failed to fit.
+    pub(crate) fn gang_failures(&self, id: JobId) -> u32 {
+        self.queue
+            .location(EntryKey::Gang(id))
+            .map_or(0, |(_, failures)| failures)
+    }
+
+    /// Waiting gangs to which a job leaves machines, since it can run on machines of another type. One of
+    /// each kind, usually none.
+    pub(crate) fn gangs_with_precedence(&self, job: &Job, now: Timestamp) -> Vec<&Job> {
+        if job.spec.kind == JobKind::Gang
+            || now.duration_since(job.seen_at) > GANG_PRECEDENCE_DURATION
+        {
+            return Vec::new();
+        }
+        let has_precedence = |gang: &&Job| {
+            rank_of(gang) < rank_of(job) && job.spec.fits_other_type(&gang.spec, &self.types)
+        };
+        self.waiting_gang_jobs().filter(has_precedence).collect()
+    }
+
+    /// Whether a machine is left to one of these gangs.
+    pub(crate) fn is_left_to_gangs(
+        &self,
+        gangs: &[&Job],
+        machine: &Machine,
+        now: Timestamp,
+    ) -> bool {
+        gangs
+            .iter()
+            .any(|gang| self.is_of_use_to(gang, machine, now))
+    }
+
+    /// Whether a machine is reserved for a gang, or is empty and of use to a waiting one.
+    pub(crate) fn is_reserved_for_gangs(&self, machine: &Machine, now: Timestamp) -> bool {
+        machine.held_for.is_some()
+            || (machine.tasks.is_empty()
+                && self
+                    .waiting_gang_jobs()
+                    .any(|gang| self.is_of_use_to(gang, machine, now)))
+    }
+
+    /// Whether a machine could run tasks of a gang if it were empty.
+    fn is_of_use_to(&self, gang: &Job, machine: &Machine, now: Timestamp) -> bool {
+        self.admits(gang, machine, now) && colocation_capacity(gang, machine, machine.capacity) > 0
+    }
+
+    fn waiting_gang_jobs(&self) -> impl Iterator<Item = &Job> {
+        self.waiting_gangs.iter().filter_map(|id| self.jobs.get(id))
+    }
+}
