--- a/crates/controller/src/controller/heartbeats.rs
+++ b/crates/controller/src/controller/heartbeats.rs
@@ -8,7 +8,7 @@
 use crate::rejections::{MessageFault, MessageSource};
 use crate::state_cache::StateCache;
 use model::{CallId, FencingToken, MachineName, PartitionId, TaskId, WorkerEpoch};
-use scheduler::{CommandRoute, StatusSource};
+use scheduler::{CommandRoute, StatusSource, TaskAttempt};
 use std::time::Duration;
 use wire::workers::{Command, DirectCommands, Heartbeat, HeartbeatResponse, TaskState, TaskStatus};
 
@@ -100,7 +100,8 @@
     /// For how long workers may be answered if no further read of changes succeeds.
     pub(super) fn remaining_lease_validity(&self) -> Duration {
         let until = self
-            .last_state_read_at
+            .state_sync
+            .last_read_at()
             .map(|at| at + self.settings.lease_validity());
         until.unwrap_or_default().duration_since(self.now)
     }
@@ -148,39 +149,40 @@
         let mut calls = Vec::new();
         if let Some(partition_state) = leadership.partition_state_mut() {
             for name in partition_state.take_urgent_machines() {
-                let Some((address, token, session)) = partition_state.direct_call_target(&name)
-                else {
+                let Some(target) = partition_state.direct_call_target(&name) else {
                     continue;
                 };
                 let commands = partition_state.commands_for(&name, CommandRoute::Direct, now);
                 if !commands.is_empty() {
-                    calls.push((name, address, token, session, commands));
+                    calls.push((name, target, commands));
                 }
             }
         }
-        for (machine, address, token, session, commands) in calls {
+        for (machine, target, commands) in calls {
             let launches = commands
                 .iter()
                 .filter_map(|command| match command {
                     Command::Start { task, attempt } => {
-                        TaskId::parse(task).map(|task| (task, model::Attempt(*attempt)))
+                        let task = TaskId::parse(task)?;
+                        let attempt = model::Attempt(*attempt);
+                        Some(TaskAttempt { task, attempt })
                     }
                     _ => None,
                 })
                 .collect();
-            let call = self.call(CallKind::Direct {
+            let call = self.calls.register(CallKind::Direct {
                 partition,
                 machine,
                 launches,
             });
             let body = DirectCommands {
-                token: token.0,
-                session: session.0,
+                token: target.token.0,
+                session: target.worker_epoch.0,
                 commands,
             };
             self.effects.push(Effect::Worker {
                 call,
-                address,
+                address: target.address,
                 body,
                 timeout: WORKER_TIMEOUT,
             });
@@ -197,7 +199,7 @@
         purpose: CallKind,
         timeout: Duration,
     ) {
-        let call = self.call(purpose);
+        let call = self.calls.register(purpose);
         let body = DirectCommands {
             token: token.0,
             session: session.0,
@@ -254,7 +256,7 @@
     }
 
     pub(super) fn handle_worker_reply(&mut self, call: CallId, reply: DirectReply) {
-        match self.calls.remove(&call) {
+        match self.calls.complete(call) {
             Some(CallKind::Direct {
                 partition,
                 machine,
@@ -286,7 +288,7 @@
         &mut self,
         partition: PartitionId,
         machine: &MachineName,
-        launches: &[(TaskId, model::Attempt)],
+        launches: &[TaskAttempt],
         reply: DirectReply,
     ) {
         let now = self.now;
--- a/crates/controller/src/controller/standby.rs
+++ b/crates/controller/src/controller/standby.rs
@@ -1,7 +1,8 @@
 //! Replicas of partitions that we stand by for, and the streams to our own subscribers.
 
 use super::leadership::PartitionLeadership;
-use super::{Controller, LEASE_DURATION};
+use super::Controller;
+use crate::controller_lease::LEASE_DURATION;
 use crate::rejections::{MessageFault, MessageSource};
 use failover::failure_detector::{Evidence, FailoverBlocker, FailureDetector};
 use failover::{assign, PartitionReplica, Replicas, ReplicationSource, ReplicationStream};
@@ -85,8 +86,8 @@
     }
 
     pub(super) fn maintain_standby(&mut self) {
-        if !self.synced
-            || !self.booted
+        if !self.state_sync.is_synced()
+            || !self.registration.is_registered()
             || self.now.duration_since(self.standby.scanned_at) < DETECTOR_INTERVAL
         {
             return;
@@ -118,12 +119,12 @@
             stream.update(partition_state.replication_records(now));
             let header = ReplicationBatch {
                 partition: partition.0,
-                incarnation: self.incarnation,
+                incarnation: self.registration.incarnation(),
                 term: *term,
                 at_ms: now.as_millis(),
                 ..ReplicationBatch::default()
             };
-            parts.extend(stream.due_parts(&header, now));
+            parts.extend(stream.due_batches(&header, now));
         }
         for (to, part) in parts {
             self.mesh(&to, MeshMessage::Replication(part));
@@ -144,7 +145,7 @@
             .get(&partition)
             .is_some_and(|h| h.term().0 == term);
         // Whoever follows another incarnation of ours sees the record of this one soon.
-        if !held || incarnation != self.incarnation {
+        if !held || incarnation != self.registration.incarnation() {
             self.counters
                 .rejections
                 .add(MessageSource::Peer, MessageFault::Stale);
@@ -180,7 +181,7 @@
             replica
                 .machines
                 .get(machine)
-                .is_some_and(|machine| machine.hint.reporting)
+                .is_some_and(|machine| machine.snapshot.reporting)
         };
         if self.standby.replicas.get(partition).is_some_and(reports) {
             self.standby
@@ -223,7 +224,7 @@
             peer_heartbeat_age,
             reporting_machines: replica.map_or(0, PartitionReplica::reporting_machines),
             replica_complete: replica.is_some_and(PartitionReplica::is_complete),
-            last_state_read: self.last_state_read_at,
+            last_state_read: self.state_sync.last_read_at(),
             resumed_at: self.running_since,
         };
         self.standby
@@ -280,7 +281,7 @@
             return 0;
         };
         for machine in replica.machines.values() {
-            partition_state.apply_machine_snapshot(&machine.hint, machine.idle_since);
+            partition_state.apply_machine_snapshot(&machine.snapshot, machine.idle_since);
         }
         for hint in replica.jobs.values() {
             partition_state.apply_job_snapshot(hint, self.now);
--- a/crates/scheduler/src/explain.rs
+++ b/crates/scheduler/src/explain.rs
@@ -2,7 +2,8 @@
 
 use crate::colocation::colocation_capacity;
 use crate::job::Job;
-use crate::partition_state::{EntryKey, PartitionState};
+use crate::partition_state::PartitionState;
+use crate::queue_entry::EntryKey;
 use model::DurationExt;
 use model::{JobId, JobKind, PartitionId, Timestamp};
 use wire::workers::TaskState;
--- a/crates/scheduler/src/gang_precedence.rs
+++ b/crates/scheduler/src/gang_precedence.rs
@@ -5,7 +5,8 @@
 use crate::colocation::colocation_capacity;
 use crate::job::Job;
 use crate::machine::Machine;
-use crate::partition_state::{rank_of, EntryKey, PartitionState};
+use crate::partition_state::PartitionState;
+use crate::queue_entry::{EntryKey, Rank};
 use model::{JobId, JobKind, Timestamp};
 use std::time::Duration;
 
@@ -51,7 +52,8 @@
             return Vec::new();
         }
         let has_precedence = |gang: &&Job| {
-            rank_of(gang) < rank_of(job) && job.spec.fits_other_type(&gang.spec, &self.types)
+            Rank::of_job(gang) < Rank::of_job(job)
+                && job.spec.fits_other_type(&gang.spec, &self.types)
         };
         self.waiting_gang_jobs().filter(has_precedence).collect()
     }
--- a/crates/scheduler/src/gang_reservation_choice.rs
+++ b/crates/scheduler/src/gang_reservation_choice.rs
@@ -5,7 +5,9 @@
 use crate::cycle::{image_fetch_time, score};
 use crate::job::{Job, Placement};
 use crate::machine::Machine;
-use crate::partition_state::{rank_of, EntryKey, GangReservation, PartitionState};
+use crate::partition_state::PartitionState;
+use crate::queue_entry::{EntryKey, Rank};
+use crate::reserved_capacity::GangReservation;
 use model::DurationExt;
 use model::{JobId, JobKind, MachineName, Resources, Timestamp, ZoneName};
 use std::cmp::Reverse;
@@ -70,11 +72,11 @@
     /// The machines that could be reserved for a gang: a list for each zone if it has to be in one, else one
     /// list.
     fn reservation_options(&self, job: &Job, now: Timestamp) -> Vec<Vec<MachineOption<'_>>> {
-        let rank = rank_of(job);
+        let rank = Rank::of_job(job);
         let ranks_before = |gang: JobId| {
             self.jobs
                 .get(&gang)
-                .is_some_and(|gang| rank_of(gang) < rank)
+                .is_some_and(|gang| Rank::of_job(gang) < rank)
         };
         let mut lists: BTreeMap<Option<&ZoneName>, Vec<MachineOption>> = BTreeMap::new();
         for machine in self.machines.values() {
--- a/crates/scheduler/src/gang_reservations.rs
+++ b/crates/scheduler/src/gang_reservations.rs
@@ -14,7 +14,9 @@
 use crate::gang_precedence::GANG_FAILURES_BEFORE_RESERVATION;
 use crate::job::Job;
 use crate::machine::Machine;
-use crate::partition_state::{rank_of, EntryKey, GangReservation, PartitionState, Rank};
+use crate::partition_state::PartitionState;
+use crate::queue_entry::{EntryKey, Rank};
+use crate::reserved_capacity::GangReservation;
 use model::DurationExt;
 use model::{JobId, JobKind, MachineName, Resources, TaskId, Timestamp};
 use std::collections::BTreeSet;
@@ -61,7 +63,7 @@
         let Some(gang) = self.jobs.get(&reservation.job) else {
             return false;
         };
-        rank_of(gang) < rank_of(job)
+        Rank::of_job(gang) < Rank::of_job(job)
             && !leaves_room_for_gang(job, gang, reservation, machine)
             && !ends_before(job, reservation.ready_at, machine, now)
     }
@@ -116,7 +118,7 @@
             .values()
             .filter_map(|reservation| {
                 Some(RenewedReservation {
-                    rank: rank_of(self.jobs.get(&reservation.job)?),
+                    rank: Rank::of_job(self.jobs.get(&reservation.job)?),
                     gang: reservation.job,
                     until: reservation.until,
                 })
--- a/crates/scheduler/src/gangs.rs
+++ b/crates/scheduler/src/gangs.rs
@@ -5,7 +5,8 @@
 use crate::cycle::{fetch_time, score, PlacementFailure};
 use crate::job::Job;
 use crate::machine::Machine;
-use crate::partition_state::{EntryKey, PartitionState};
+use crate::partition_state::PartitionState;
+use crate::queue_entry::EntryKey;
 use model::DurationExt;
 use model::{JobId, JobKind, MachineName, TaskId, Timestamp, ZoneName};
 use std::cmp::Reverse;
@@ -137,7 +138,7 @@
         let machines: Vec<MachineName> = job
             .placed
             .values()
-            .filter(|placement| placement.launched.is_none() && placement.stop.is_none())
+            .filter(|placement| !placement.launch.is_launched() && placement.stop.is_none())
             .map(|placement| placement.machine.clone())
             .collect();
         self.urgent_machines.extend(machines);
