--- a/crates/controller/src/controller/job_archiver.rs
+++ b/crates/controller/src/controller/job_archiver.rs
@@ -95,7 +95,7 @@
         reply: StateReply,
     ) {
         let now = self.now;
-        let Some(leadership) = self.current(partition, term) else {
+        let Some(leadership) = self.leadership_in_term(partition, term) else {
             return;
         };
         let Some((_, archiver)) = leadership.partition_state_and_archiver() else {
--- /dev/null
+++ b/crates/controller/src/controller/leadership/advance.rs
@@ -0,0 +1,116 @@
+//! The recurring work of a leader: scheduling cycles, commits, and scans of the partition's machines.
+
+use super::PartitionLeadership;
+use crate::controller::{Controller, MAX_LAUNCH_READ_AGE};
+use model::{ControllerName, PartitionId};
+use std::time::Duration;
+
+/// Time between two scans of all machines of a partition, for what comes with time and not with an
+/// event. Events come a thousand a second: a scan at each would let the cost grow with the square of
+/// the fleet.
+const SCAN_INTERVAL: Duration = Duration::from_millis(100);
+/// Time between two reports of the partitions' statuses.
+const STATUS_INTERVAL: Duration = Duration::from_millis(500);
+/// Scheduling cycles of one step; the rest follow in the next.
+const MAX_CYCLES_PER_STEP: usize = 400;
+
+impl Controller {
+    /// Advances every partition that this controller leads.
+    pub(in crate::controller) fn advance_partitions(&mut self) {
+        let partitions: Vec<PartitionId> = self.leaderships.keys().copied().collect();
+        for partition in partitions {
+            self.advance_partition(partition);
+        }
+        if self.now.duration_since(self.load_at) >= STATUS_INTERVAL {
+            self.load_at = self.now;
+            self.report_partition_statuses();
+        }
+    }
+
+    fn advance_partition(&mut self, partition: PartitionId) {
+        let now = self.now;
+        let exited = self.exited_predecessors(partition);
+        let Some(leadership) = self.leaderships.get_mut(&partition) else {
+            return;
+        };
+        leadership.expire_transfer(now);
+        leadership.remove_exited_predecessors(&exited, now);
+        if leadership.is_transferring() || leadership.successor.is_some() {
+            return;
+        }
+        let scan_due = now.duration_since(leadership.scanned_at) >= SCAN_INTERVAL;
+        if !leadership.is_loaded() {
+            self.try_load_partition(partition);
+        }
+        if !self.run_scheduling(partition, scan_due) {
+            return;
+        }
+        self.archive_terminal_jobs(partition);
+        self.write_commit(partition);
+        self.send_direct(partition);
+        if scan_due {
+            self.scan_machines(partition);
+        }
+    }
+
+    /// Unconfirmed predecessors of whose controllers a later incarnation has started.
+    fn exited_predecessors(&self, partition: PartitionId) -> Vec<(ControllerName, u64)> {
+        let predecessors = self
+            .leaderships
+            .get(&partition)
+            .map(PartitionLeadership::unconfirmed_predecessors)
+            .unwrap_or_default();
+        predecessors
+            .iter()
+            .filter(|predecessor| self.incarnation_is_over(predecessor))
+            .cloned()
+            .collect()
+    }
+
+    /// Expires leases and runs scheduling cycles. Returns whether the partition is loaded.
+    fn run_scheduling(&mut self, partition: PartitionId, scan_due: bool) -> bool {
+        let now = self.now;
+        let state_is_recent = self.has_recent_state_read(MAX_LAUNCH_READ_AGE);
+        let Some(leadership) = self.leaderships.get_mut(&partition) else {
+            return false;
+        };
+        if !leadership.is_loaded() {
+            return false;
+        }
+        if scan_due {
+            leadership.scanned_at = now;
+        }
+        let Some(loaded) = leadership.loaded_mut() else {
+            return false;
+        };
+        if scan_due {
+            loaded.partition_state.drain_reclaimed_machines(now);
+            if state_is_recent {
+                // Without a recent read a successor may be answering them.
+                loaded.partition_state.expire_leases(now);
+            }
+        }
+        if state_is_recent {
+            loaded.more_cycles = loaded.partition_state.run_cycles(now, MAX_CYCLES_PER_STEP);
+            loaded.partition_state.consolidate(now);
+        }
+        self.counters
+            .waits
+            .append(&mut loaded.partition_state.waits);
+        true
+    }
+
+    /// Work that follows from time that has passed, for all machines of a partition.
+    fn scan_machines(&mut self, partition: PartitionId) {
+        self.request_token_raises(partition);
+        self.raise_partition_token(partition);
+        self.transfer_drained_machines(partition);
+        self.probe_unresponsive_machines(partition);
+        self.release_unresponsive_machines(partition);
+        if self.has_recent_state_read(MAX_LAUNCH_READ_AGE)
+            && self.workers_are_unreachable(partition)
+        {
+            self.resign_leadership(partition);
+        }
+    }
+}
--- /dev/null
+++ b/crates/controller/src/controller/leadership/loading.rs
@@ -0,0 +1,205 @@
+//! A leadership whose partition is not loaded yet: pages of the placement log as they are read, and
+//! what arrives meanwhile.
+
+use super::{LoadState, LoadedPartition, PartitionLeadership};
+use crate::controller::job_archiver::JobArchiver;
+use crate::placement_log::PlacementLog;
+use crate::records::log_prefix;
+use failover::readiness::ReadinessCheck;
+use model::{MachineName, PartitionId, Revision, Timestamp};
+use scheduler::PartitionState;
+use std::collections::BTreeMap;
+use wire::state::{Item, ListPage};
+use wire::workers::Heartbeat;
+
+/// What is known before the partition's state can be built.
+#[derive(Debug, Default)]
+pub(super) struct Loading {
+    log: LogRead,
+    /// Readiness checks that failed when they were last evaluated.
+    failed_checks: Vec<ReadinessCheck>,
+    /// Heartbeats that were answered meanwhile. They are reconciled once the state is built.
+    heartbeats: BTreeMap<MachineName, EarlyHeartbeat>,
+}
+
+/// A heartbeat that was answered before the partition's state was built.
+#[derive(Debug)]
+pub(in crate::controller) struct EarlyHeartbeat {
+    /// The worker's status.
+    pub heartbeat: Heartbeat,
+    /// When it was answered.
+    pub received_at: Timestamp,
+}
+
+/// How far the placement log has been read.
+#[derive(Debug)]
+enum LogRead {
+    /// Pages so far, and the state service's revision at the read of the first one.
+    Reading {
+        pages: Vec<Item>,
+        revision: Option<Revision>,
+    },
+    Complete(ReadLog),
+}
+
+impl Default for LogRead {
+    fn default() -> Self {
+        LogRead::Reading {
+            pages: Vec::new(),
+            revision: None,
+        }
+    }
+}
+
+/// A placement log that has been read whole.
+#[derive(Debug)]
+pub(in crate::controller) struct ReadLog {
+    /// Revision of the state service at the read of the first page; later pages may be newer.
+    pub revision: Revision,
+    /// The log.
+    pub log: PlacementLog,
+}
+
+/// What follows from a page of the placement log.
+#[derive(Debug)]
+pub(in crate::controller) enum LogPageOutcome {
+    /// The page does not follow the one with this last key.
+    OutOfOrder { last_key: String },
+    /// The log goes on after this key.
+    More { after: String },
+    /// All pages have been read.
+    Complete { unreadable_pages: u64 },
+    /// No page was expected.
+    Unexpected,
+}
+
+impl Loading {
+    /// Keeps a heartbeat that is answered before the partition's state is built.
+    pub(super) fn record_heartbeat(
+        &mut self,
+        machine: &MachineName,
+        heartbeat: &Heartbeat,
+        now: Timestamp,
+    ) {
+        let early = EarlyHeartbeat {
+            heartbeat: heartbeat.clone(),
+            received_at: now,
+        };
+        self.heartbeats.insert(machine.clone(), early);
+    }
+}
+
+impl PartitionLeadership {
+    /// Whether the partition's state has been built.
+    pub(in crate::controller) fn is_loaded(&self) -> bool {
+        matches!(self.load_state, LoadState::Loaded(_))
+    }
+
+    fn loading(&self) -> Option<&Loading> {
+        match &self.load_state {
+            LoadState::Loading(loading) => Some(loading),
+            LoadState::Loaded(_) => None,
+        }
+    }
+
+    fn loading_mut(&mut self) -> Option<&mut Loading> {
+        match &mut self.load_state {
+            LoadState::Loading(loading) => Some(loading),
+            LoadState::Loaded(_) => None,
+        }
+    }
+
+    /// Begins to read the placement log anew; pages read before do not count.
+    pub(in crate::controller) fn restart_log_read(&mut self) {
+        if let Some(loading) = self.loading_mut() {
+            loading.log = LogRead::default();
+        }
+    }
+
+    /// Adds a page to the read of the placement log. `value_bytes` bounds a page of the log and
+    /// `txn_ops` a commit.
+    pub(in crate::controller) fn add_log_page(
+        &mut self,
+        partition: PartitionId,
+        page: ListPage,
+        value_bytes: usize,
+        txn_ops: usize,
+    ) -> LogPageOutcome {
+        let Some(loading) = self.loading_mut() else {
+            return LogPageOutcome::Unexpected;
+        };
+        let LogRead::Reading { pages, revision } = &mut loading.log else {
+            return LogPageOutcome::Unexpected;
+        };
+        let last_key = pages.last().map_or("", |item| item.key.as_str());
+        if !page.follows(&log_prefix(partition), last_key) {
+            let last_key = last_key.to_string();
+            return LogPageOutcome::OutOfOrder { last_key };
+        }
+        let revision = *revision.get_or_insert(Revision(page.revision));
+        let after = page.items.last().map(|item| item.key.clone());
+        pages.extend(page.items);
+        if let (true, Some(after)) = (page.more, after) {
+            return LogPageOutcome::More { after };
+        }
+        let log = PlacementLog::load(partition, pages, value_bytes, txn_ops);
+        let unreadable_pages = log.unreadable().len() as u64;
+        loading.log = LogRead::Complete(ReadLog { revision, log });
+        LogPageOutcome::Complete { unreadable_pages }
+    }
+
+    /// The placement log, if it has been read whole and the partition is not loaded yet.
+    pub(in crate::controller) fn read_log(&self) -> Option<&ReadLog> {
+        match &self.loading()?.log {
+            LogRead::Complete(read) => Some(read),
+            LogRead::Reading { .. } => None,
+        }
+    }
+
+    /// Takes the placement log that has been read, to build the partition's state from it.
+    pub(in crate::controller) fn take_read_log(&mut self) -> Option<ReadLog> {
+        let loading = self.loading_mut()?;
+        match std::mem::take(&mut loading.log) {
+            LogRead::Complete(read) => Some(read),
+            LogRead::Reading { .. } => None,
+        }
+    }
+
+    /// Takes the heartbeats that were answered before the partition's state was built.
+    pub(in crate::controller) fn take_early_heartbeats(
+        &mut self,
+    ) -> BTreeMap<MachineName, EarlyHeartbeat> {
+        self.loading_mut()
+            .map(|loading| std::mem::take(&mut loading.heartbeats))
+            .unwrap_or_default()
+    }
+
+    /// Readiness checks that failed when they were last evaluated.
+    pub(in crate::controller) fn failed_checks(&self) -> &[ReadinessCheck] {
+        self.loading()
+            .map_or(&[], |loading| loading.failed_checks.as_slice())
+    }
+
+    /// Records which readiness checks have failed.
+    pub(in crate::controller) fn set_failed_checks(&mut self, failed: &[ReadinessCheck]) {
+        if let Some(loading) = self.loading_mut() {
+            loading.failed_checks = failed.to_vec();
+        }
+    }
+
+    /// The partition's state has been built: scheduling begins.
+    pub(in crate::controller) fn finish_loading(
+        &mut self,
+        log: PlacementLog,
+        partition_state: PartitionState,
+    ) {
+        let loaded = LoadedPartition {
+            log,
+            partition_state,
+            pending_commit: None,
+            archiver: JobArchiver::default(),
+            more_cycles: true,
+        };
+        self.load_state = LoadState::Loaded(Box::new(loaded));
+    }
+}
--- /dev/null
+++ b/crates/controller/src/controller/leadership/machine_transfers.rs
@@ -0,0 +1,102 @@
+//! Machines that leave a partition on a request of the fleet planner: for another partition, or
+//! released to the cloud.
+
+use super::PartitionLeadership;
+use crate::controller::machine_records::MachineChange;
+use crate::controller::Controller;
+use crate::rejections::{MessageFault, MessageSource};
+use model::{MachineName, PartitionId};
+use scheduler::PartitionState;
+use wire::mesh::MeshMessage;
+
+impl Controller {
+    fn reject_malformed_peer_message(&mut self) {
+        self.counters
+            .rejections
+            .add(MessageSource::Peer, MessageFault::Malformed);
+    }
+
+    fn partition_state_of(&mut self, partition: PartitionId) -> Option<&mut PartitionState> {
+        self.leaderships
+            .get_mut(&partition)
+            .and_then(PartitionLeadership::partition_state_mut)
+    }
+
+    /// The fleet planner requests an idle machine, for another partition or for the cloud.
+    pub(in crate::controller) fn handle_release_request(&mut self, machine: &str, to: Option<u32>) {
+        let name = MachineName::from(machine);
+        let Some(partition) = self
+            .cache
+            .machines
+            .get(&name)
+            .map(|machine| machine.record.partition)
+        else {
+            return;
+        };
+        if to.is_some_and(|to| to >= self.partition_count()) {
+            self.reject_malformed_peer_message();
+            return;
+        }
+        let has_pending_change = self.machine_changes.concern(&name);
+        let Some(machine) = self
+            .partition_state_of(partition)
+            .and_then(|partition_state| partition_state.machines.get_mut(&name))
+        else {
+            return;
+        };
+        if !machine.tasks.is_empty() || machine.leaving || has_pending_change {
+            return;
+        }
+        // Nothing is placed here from now on, whether or not the write succeeds at once.
+        machine.leaving = true;
+        let change = match to {
+            None => MachineChange::Leave,
+            Some(to) => MachineChange::Shift(PartitionId(to)),
+        };
+        self.machine_changes.want(&name, change);
+    }
+
+    /// The fleet planner requests machines, as they become idle, for a partition with a greater need.
+    pub(in crate::controller) fn handle_transfer_request(&mut self, message: &MeshMessage) {
+        let MeshMessage::TransferMachines {
+            from,
+            to,
+            count,
+            shape,
+        } = message
+        else {
+            return;
+        };
+        if *to >= self.partition_count() || from == to {
+            self.reject_malformed_peer_message();
+            return;
+        }
+        let now = self.now;
+        if let Some(partition_state) = self.partition_state_of(PartitionId(*from)) {
+            partition_state.request_transfers(PartitionId(*to), *count as usize, shape, now);
+        }
+    }
+
+    /// Transfers machines that were requested and are idle now.
+    pub(super) fn transfer_drained_machines(&mut self, partition: PartitionId) {
+        let now = self.now;
+        let Some(partition_state) = self
+            .leaderships
+            .get_mut(&partition)
+            .and_then(PartitionLeadership::partition_state_mut)
+        else {
+            return;
+        };
+        for (name, to) in partition_state.machines_ready_for_transfer(now) {
+            if self.machine_changes.concern(&name) {
+                continue;
+            }
+            if let Some(machine) = partition_state.machines.get_mut(&name) {
+                // Nothing is placed here from now on, whether or not the write succeeds.
+                machine.leaving = true;
+            }
+            tracing::debug!(%partition, machine = %name, %to, "transferring idle machine");
+            self.machine_changes.want(&name, MachineChange::Shift(to));
+        }
+    }
+}
--- /dev/null
+++ b/crates/controller/src/controller/leadership/mod.rs
@@ -0,0 +1,346 @@
+//! Leadership of a partition: its state from the acquisition to the loss of the partition's record.
+//!
+//! [`PartitionLeadership`] keeps what a leader knows under one term. The submodules drive it, one
+//! concern each: scheduling cycles ([`advance`](self)), commits of the placement log, machines that
+//! have stopped responding, fencing tokens, transfers of machines, changes of records, and the
+//! statuses that the fleet planner receives.
+
+mod advance;
+mod commits;
+mod loading;
+mod machine_failures;
+mod machine_transfers;
+mod partition_status;
+mod record_changes;
+mod token_raises;
+
+pub(super) use loading::{LogPageOutcome, ReadLog};
+pub(super) use partition_status::DemandWrite;
+
+use super::job_archiver::JobArchiver;
+use crate::placement_log::{LogCommit, PlacementLog};
+use loading::Loading;
+use model::{ControllerName, FencingToken, JobId, MachineName, Timestamp, Version};
+use scheduler::{CommandRoute, CommittedChanges, PartitionState, StatusSource};
+use std::time::Duration;
+use token_raises::TokenRaise;
+use wire::workers::{Command, Heartbeat};
+
+/// Pause between commits that carry placements.
+const PLACEMENT_COMMIT_INTERVAL: Duration = Duration::from_millis(60);
+/// Delay of the next wakeup while scheduling cycles remain to be run.
+const NEXT_CYCLE_DELAY: Duration = Duration::from_millis(2);
+
+/// A partition that this controller leads under one term.
+///
+/// Invariants: `token()` never falls; workers are answered only while no transfer is open and no
+/// successor is known; at most one commit of the placement log is open at a time.
+#[derive(Debug)]
+pub(crate) struct PartitionLeadership {
+    term: FencingToken,
+    token_raise: TokenRaise,
+    version: Version,
+    since: Timestamp,
+    load_state: LoadState,
+    unconfirmed_predecessors: Vec<(ControllerName, u64)>,
+    predecessors_valid_until: Timestamp,
+    transfer: TransferState,
+    successor: Option<ControllerName>,
+    committed_at: Timestamp,
+    scanned_at: Timestamp,
+}
+
+/// Whether the partition's state has been built.
+#[derive(Debug)]
+enum LoadState {
+    Loading(Box<Loading>),
+    Loaded(Box<LoadedPartition>),
+}
+
+/// Whether a transaction that ends this leadership is open. A successor that is known is a separate
+/// fact: it may show itself during a transfer as well as without one.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+enum TransferState {
+    /// None is open.
+    Leading,
+    /// The transaction's reply is awaited.
+    Transferring,
+    /// The transaction may yet be applied, until then at the latest.
+    OutcomeUnknown { until: Timestamp },
+}
+
+/// The state of a partition whose placement log has been read and all readiness checks passed.
+#[derive(Debug)]
+struct LoadedPartition {
+    log: PlacementLog,
+    partition_state: PartitionState,
+    pending_commit: Option<PendingCommit>,
+    archiver: JobArchiver,
+    more_cycles: bool,
+}
+
+/// A commit of the placement log whose outcome is not known yet.
+#[derive(Debug)]
+struct PendingCommit {
+    commit: LogCommit,
+    changes: CommittedChanges,
+}
+
+/// How a worker's heartbeat is to be answered.
+#[derive(Debug)]
+pub(super) enum HeartbeatOutcome {
+    Answered(Vec<Command>),
+    /// A newer status of the machine is known: this one proves nothing, and is answered with these
+    /// commands.
+    Stale(Vec<Command>),
+    /// It must not be answered.
+    Withheld,
+}
+
+impl PartitionLeadership {
+    /// A leadership that begins: the record with this term has just been read at this version.
+    /// Unconfirmed predecessors may answer workers until `predecessors_valid_until`.
+    pub(super) fn new(
+        term: FencingToken,
+        version: Version,
+        predecessors_valid_until: Timestamp,
+        unconfirmed_predecessors: Vec<(ControllerName, u64)>,
+        now: Timestamp,
+    ) -> Self {
+        PartitionLeadership {
+            term,
+            token_raise: TokenRaise::default(),
+            version,
+            since: now,
+            load_state: LoadState::Loading(Box::default()),
+            unconfirmed_predecessors,
+            predecessors_valid_until,
+            transfer: TransferState::Leading,
+            successor: None,
+            committed_at: now,
+            scanned_at: Timestamp::default(),
+        }
+    }
+
+    /// The term of the partition's record.
+    pub(super) fn term(&self) -> FencingToken {
+        self.term
+    }
+
+    /// The lowest token with which the partition's machines are answered.
+    pub(super) fn token(&self) -> FencingToken {
+        self.term.max(self.token_raise.token())
+    }
+
+    /// The version of the partition's record, on which every write of the leader depends.
+    pub(super) fn version(&self) -> Version {
+        self.version
+    }
+
+    /// The partition's record has been written again under the same term.
+    pub(super) fn set_version(&mut self, version: Version) {
+        self.version = version;
+    }
+
+    /// When this controller learned that it leads.
+    pub(super) fn since(&self) -> Timestamp {
+        self.since
+    }
+
+    /// Former leaders that may not know yet that they lost the partition.
+    pub(super) fn unconfirmed_predecessors(&self) -> &[(ControllerName, u64)] {
+        &self.unconfirmed_predecessors
+    }
+
+    /// Until when unconfirmed predecessors may answer workers.
+    pub(super) fn predecessors_valid_until(&self) -> Timestamp {
+        self.predecessors_valid_until
+    }
+
+    /// The controller that has announced a higher term.
+    pub(super) fn successor(&self) -> Option<&ControllerName> {
+        self.successor.as_ref()
+    }
+
+    /// Records a controller that has announced a higher term.
+    pub(super) fn set_successor(&mut self, successor: ControllerName) {
+        self.successor = Some(successor);
+    }
+
+    /// Whether a transaction that ends this leadership may be applied.
+    pub(super) fn is_transferring(&self) -> bool {
+        self.transfer != TransferState::Leading
+    }
+
+    /// A transaction that ends this leadership is sent: no worker is answered from here on.
+    pub(super) fn begin_transfer(&mut self) {
+        self.transfer = TransferState::Transferring;
+    }
+
+    /// The transaction has failed: the leadership goes on.
+    pub(super) fn abort_transfer(&mut self) {
+        self.transfer = TransferState::Leading;
+    }
+
+    /// The transaction's outcome is unknown: it may be applied until then.
+    pub(super) fn await_transfer_outcome(&mut self, until: Timestamp) {
+        self.transfer = TransferState::OutcomeUnknown { until };
+    }
+
+    /// Ends the wait for a transfer whose outcome stayed unknown for too long.
+    fn expire_transfer(&mut self, now: Timestamp) {
+        match self.transfer {
+            TransferState::OutcomeUnknown { until } if now >= until => self.abort_transfer(),
+            _ => {}
+        }
+    }
+
+    /// Whether the partition may be transferred: no write is open whose outcome a successor would
+    /// have to find out.
+    pub(super) fn may_transfer(&self) -> bool {
+        !self.is_transferring()
+            && self.successor.is_none()
+            && self
+                .loaded()
+                .is_some_and(|loaded| loaded.pending_commit.is_none())
+    }
+
+    fn loaded(&self) -> Option<&LoadedPartition> {
+        match &self.load_state {
+            LoadState::Loaded(loaded) => Some(loaded),
+            LoadState::Loading(_) => None,
+        }
+    }
+
+    fn loaded_mut(&mut self) -> Option<&mut LoadedPartition> {
+        match &mut self.load_state {
+            LoadState::Loaded(loaded) => Some(loaded),
+            LoadState::Loading(_) => None,
+        }
+    }
+
+    /// The partition's state, once it is loaded.
+    pub(super) fn partition_state(&self) -> Option<&PartitionState> {
+        self.loaded().map(|loaded| &loaded.partition_state)
+    }
+
+    /// The partition's state, once it is loaded.
+    pub(super) fn partition_state_mut(&mut self) -> Option<&mut PartitionState> {
+        self.loaded_mut().map(|loaded| &mut loaded.partition_state)
+    }
+
+    /// The partition's state with the archiver of its jobs, once it is loaded.
+    pub(super) fn partition_state_and_archiver(
+        &mut self,
+    ) -> Option<(&mut PartitionState, &mut JobArchiver)> {
+        self.loaded_mut()
+            .map(|loaded| (&mut loaded.partition_state, &mut loaded.archiver))
+    }
+
+    /// Removes a job whose terminal state is durable.
+    pub(super) fn forget_job(&mut self, id: JobId, now: Timestamp) {
+        if let Some(loaded) = self.loaded_mut() {
+            loaded.partition_state.remove_job(id, now);
+            loaded.log.forget_job(id);
+        }
+    }
+
+    /// A peer has read all changes up to this revision: from the partition's record on it knows that
+    /// it no longer leads, and does not answer for the partition any more.
+    pub(super) fn record_peer_revision(
+        &mut self,
+        peer: &ControllerName,
+        incarnation: u64,
+        revision: u64,
+        now: Timestamp,
+    ) {
+        if revision < self.version.0 || self.unconfirmed_predecessors.is_empty() {
+            return;
+        }
+        self.unconfirmed_predecessors
+            .retain(|predecessor| predecessor != &(peer.clone(), incarnation));
+        self.clear_predecessors(now);
+    }
+
+    /// Removes predecessors whose incarnations have exited.
+    fn remove_exited_predecessors(&mut self, exited: &[(ControllerName, u64)], now: Timestamp) {
+        if exited.is_empty() {
+            return;
+        }
+        self.unconfirmed_predecessors
+            .retain(|predecessor| !exited.contains(predecessor));
+        self.clear_predecessors(now);
+    }
+
+    fn clear_predecessors(&mut self, now: Timestamp) {
+        if self.unconfirmed_predecessors.is_empty() && self.predecessors_valid_until > now {
+            self.predecessors_valid_until = now;
+            if let Some(loaded) = self.loaded_mut() {
+                loaded.partition_state.predecessors_valid_until = now;
+            }
+        }
+    }
+
+    /// Done and running tasks of a job of this partition.
+    pub(super) fn progress_of(&self, id: JobId) -> Option<(u64, u64)> {
+        let job = self.partition_state()?.jobs.get(&id)?;
+        Some((u64::from(job.done_count()), u64::from(job.running_count())))
+    }
+
+    /// Reconciles a heartbeat with the partition's state and returns the commands for its answer.
+    ///
+    /// `kill_commands` gives those for tasks that the records alone show as cancelled; it is called
+    /// only where the partition's state cannot tell.
+    pub(super) fn handle_heartbeat(
+        &mut self,
+        name: &MachineName,
+        heartbeat: &Heartbeat,
+        token: FencingToken,
+        launches: bool,
+        kill_commands: impl FnOnce() -> Vec<Command>,
+        now: Timestamp,
+    ) -> HeartbeatOutcome {
+        let loaded = match &mut self.load_state {
+            LoadState::Loaded(loaded) => loaded,
+            LoadState::Loading(loading) => {
+                // The worker's lease is renewed; which of its tasks to keep is not known yet, but
+                // for those that a user has cancelled. The token of this term voids commands that
+                // a predecessor has sent.
+                loading.record_heartbeat(name, heartbeat, now);
+                return HeartbeatOutcome::Answered(kill_commands());
+            }
+        };
+        let partition_state = &mut loaded.partition_state;
+        let Some(machine) = partition_state.machines.get_mut(name) else {
+            return HeartbeatOutcome::Answered(kill_commands());
+        };
+        machine.token = machine.token.max(token);
+        let newer = partition_state.reconcile(heartbeat, StatusSource::Heartbeat, now);
+        if !partition_state.may_renew_lease(name, now) {
+            return HeartbeatOutcome::Withheld;
+        }
+        if let Some(machine) = partition_state.machines.get_mut(name) {
+            machine.answer(newer, now);
+        }
+        if !newer {
+            return HeartbeatOutcome::Stale(kill_commands());
+        }
+        let mut commands = partition_state.commands_for(name, CommandRoute::Answer, now);
+        if !launches {
+            commands.retain(|command| !matches!(command, Command::Start { .. }));
+        }
+        HeartbeatOutcome::Answered(commands)
+    }
+
+    /// When the partition next has work to do without an event.
+    pub(super) fn next_wakeup(&self, now: Timestamp) -> Option<Timestamp> {
+        let loaded = self.loaded()?;
+        if loaded.more_cycles {
+            return Some(now + NEXT_CYCLE_DELAY);
+        }
+        let flush = loaded.partition_state.queue.next_flush();
+        let commit = (loaded.pending_commit.is_none() && loaded.partition_state.has_dirty())
+            .then(|| self.committed_at + PLACEMENT_COMMIT_INTERVAL);
+        [flush, commit].into_iter().flatten().min()
+    }
+}
--- /dev/null
+++ b/crates/controller/src/controller/leadership/partition_status.rs
@@ -0,0 +1,182 @@
+//! Statuses of the partitions that this controller leads: unmet demand and machines for the fleet
+//! planner, progress of jobs for all peers.
+
+use super::{LoadedPartition, PartitionLeadership};
+use crate::controller::{CallKind, Controller};
+use crate::records::{demand_key, partition_key, DemandRecord};
+use crate::request_budget::CallPriority;
+use model::{PartitionId, Timestamp};
+use std::time::Duration;
+use wire::mesh::{MeshMessage, PartitionStatus};
+use wire::state::{StateRequest, Transaction, Write};
+
+/// Time between writes of a partition's unmet demand while the fleet planner cannot be reached.
+const DEMAND_WRITE_INTERVAL: Duration = Duration::from_secs(2);
+/// Shapes of waiting work in such a write.
+const MAX_DEMAND_SHAPES: usize = 8;
+/// A summary of each partition is logged in the first `SUMMARY_LOG_WINDOW_MS` of each period.
+const SUMMARY_LOG_PERIOD_MS: u64 = 5_000;
+/// Equals the interval of the statuses, so that one of them falls into the window.
+const SUMMARY_LOG_WINDOW_MS: u64 = 500;
+
+/// The last write of a partition's unmet demand.
+#[derive(Debug, Clone, Copy)]
+pub(in crate::controller) struct DemandWrite {
+    at: Timestamp,
+    had_demand: bool,
+}
+
+impl LoadedPartition {
+    /// Done and running tasks of each job with tasks placed, as sent to peers.
+    fn job_progress(&self) -> impl Iterator<Item = (u64, u64, u64)> + '_ {
+        self.partition_state
+            .jobs
+            .iter()
+            .filter(|(_, job)| !job.placed.is_empty())
+            .map(|(id, job)| {
+                (
+                    id.0,
+                    u64::from(job.done_count()),
+                    u64::from(job.running_count()),
+                )
+            })
+    }
+}
+
+impl Controller {
+    /// Writes a partition's unmet demand to the state service, where the fleet planner is not reached
+    /// over the mesh: machines are rented for it all the same.
+    fn write_demand(&mut self, status: PartitionStatus) {
+        let partition = PartitionId(status.partition);
+        let has_demand = !status.demand.is_empty();
+        let last_write = self.demand_writes.get(&partition);
+        let due = last_write
+            .is_none_or(|write| self.now.duration_since(write.at) >= DEMAND_WRITE_INTERVAL);
+        let had_demand = last_write.is_some_and(|write| write.had_demand);
+        if !(has_demand || had_demand) || !due || !self.may_write(CallPriority::Placement, 1.0) {
+            return;
+        }
+        let write = DemandWrite {
+            at: self.now,
+            had_demand: has_demand,
+        };
+        self.demand_writes.insert(partition, write);
+        let txn = self.demand_txn(partition, status);
+        self.state(
+            CallPriority::Placement,
+            StateRequest::Transaction(txn),
+            CallKind::Demand,
+        );
+    }
+
+    /// The write depends on the partition's record: a late one would carry demand that has been met,
+    /// or that of an earlier leader.
+    fn demand_txn(&self, partition: PartitionId, status: PartitionStatus) -> Transaction {
+        let mut demand = status.demand;
+        demand.truncate(MAX_DEMAND_SHAPES);
+        let record = DemandRecord {
+            term: status.term,
+            demand,
+        };
+        let value = serde_json::to_value(record).unwrap_or_default();
+        let partition_version = self
+            .leaderships
+            .get(&partition)
+            .map_or(0, |leadership| leadership.version.0);
+        let demand_version = self
+            .cache
+            .demands
+            .get(&partition)
+            .map_or(0, |version| version.0);
+        let key = demand_key(partition);
+        Transaction::default()
+            .when(partition_key(partition), partition_version)
+            .when(&key, demand_version)
+            .write(Write::put(&key, value))
+    }
+
+    /// Sends the status of each loaded partition to the fleet planner, and the progress of its jobs
+    /// to all peers.
+    pub(super) fn report_partition_statuses(&mut self) {
+        let mut statuses = Vec::new();
+        let mut jobs = Vec::new();
+        let partitions: Vec<PartitionId> = self.leaderships.keys().copied().collect();
+        for partition in partitions {
+            self.reset_leaving_machines(partition);
+            let now = self.now;
+            let Some(leadership) = self.leaderships.get_mut(&partition) else {
+                continue;
+            };
+            let Some(status) = leadership.status(partition, now) else {
+                continue;
+            };
+            statuses.push(status);
+            jobs.extend(
+                leadership
+                    .loaded()
+                    .into_iter()
+                    .flat_map(LoadedPartition::job_progress),
+            );
+        }
+        if !jobs.is_empty() {
+            self.broadcast(MeshMessage::JobProgress { jobs });
+        }
+        for status in statuses {
+            self.send_partition_status(status);
+        }
+    }
+
+    /// A change of a record that came to nothing leaves the machine as recorded.
+    fn reset_leaving_machines(&mut self, partition: PartitionId) {
+        let Some(partition_state) = self
+            .leaderships
+            .get_mut(&partition)
+            .and_then(PartitionLeadership::partition_state_mut)
+        else {
+            return;
+        };
+        for machine in partition_state.machines.values_mut() {
+            if machine.leaving && !self.machine_changes.concern(&machine.name) {
+                machine.leaving = self
+                    .cache
+                    .machines
+                    .get(&machine.name)
+                    .is_some_and(|machine| machine.record.leaving);
+            }
+        }
+    }
+
+    fn send_partition_status(&mut self, status: PartitionStatus) {
+        let Some(fleet_planner) = self.fleet_planner_controller() else {
+            return;
+        };
+        if fleet_planner == *self.own_name() {
+            self.handle_partition_status(status);
+        } else if !self.peer_is_alive(&fleet_planner) || !self.is_reached_by(&fleet_planner) {
+            self.write_demand(status);
+        } else {
+            self.mesh(&fleet_planner, MeshMessage::PartitionStatus(status));
+        }
+    }
+}
+
+impl PartitionLeadership {
+    /// The partition's status for the fleet planner, once it is loaded. Best-effort work is evicted
+    /// first, where the status would otherwise show demand that its machines could meet.
+    fn status(&mut self, partition: PartitionId, now: Timestamp) -> Option<PartitionStatus> {
+        let term = self.term.0;
+        let partition_state = self.partition_state_mut()?;
+        if now.as_millis() % SUMMARY_LOG_PERIOD_MS < SUMMARY_LOG_WINDOW_MS {
+            partition_state.log_summary(partition, now);
+        }
+        partition_state.evict_best_effort(now);
+        partition_state.evict_colocated(now);
+        partition_state.update_overload();
+        Some(PartitionStatus {
+            partition: partition.0,
+            term,
+            demand: partition_state.demand(now),
+            machines: partition_state.machine_statuses(now),
+        })
+    }
+}
--- /dev/null
+++ b/crates/controller/src/controller/leadership/record_changes.rs
@@ -0,0 +1,162 @@
+//! Changes of the records of jobs and machines, applied to the partitions that they concern.
+
+use super::PartitionLeadership;
+use crate::controller::Controller;
+use crate::records::MachineRecord;
+use model::{FencingToken, JobId, MachineName, PartitionId, TeamName};
+use std::time::Duration;
+
+/// A machine that a record has brought to a partition which this controller leads.
+struct NewMachine {
+    partition: PartitionId,
+    record: MachineRecord,
+    token: FencingToken,
+}
+
+impl Controller {
+    /// The partition of a team: teams are assigned round-robin in the order of the settings.
+    pub(in crate::controller) fn partition_of_team(&self, team: &TeamName) -> Option<PartitionId> {
+        let index = self
+            .settings
+            .teams
+            .iter()
+            .position(|settings| settings.name == *team)?;
+        Some(PartitionId(index as u32 % self.partition_count().max(1)))
+    }
+
+    /// The leadership of a partition, if it still has this term.
+    pub(in crate::controller) fn leadership_in_term(
+        &mut self,
+        partition: PartitionId,
+        term: u64,
+    ) -> Option<&mut PartitionLeadership> {
+        self.leaderships
+            .get_mut(&partition)
+            .filter(|leadership| leadership.term.0 == term)
+    }
+
+    /// A job's record has changed.
+    pub(in crate::controller) fn job_changed(&mut self, id: JobId) {
+        let Some(open) = self.cache.jobs.get(&id).cloned() else {
+            self.progress.remove(&id);
+            return;
+        };
+        self.logical_clock_offset = self.logical_clock_offset.max(Duration::from_millis(
+            open.order().saturating_sub(self.now.as_millis()),
+        ));
+        let Some(partition) = self.partition_of_team(&open.spec.team) else {
+            return;
+        };
+        let cancelled = self.cache.is_cancelled(id);
+        let now = self.now;
+        let until =
+            self.previous_state_read_at.unwrap_or_default() + self.settings.lease_validity();
+        let Some(partition_state) = self
+            .leaderships
+            .get_mut(&partition)
+            .and_then(PartitionLeadership::partition_state_mut)
+        else {
+            return;
+        };
+        if !partition_state.jobs.contains_key(&id) {
+            partition_state.add_job(open.spec.clone(), open.order(), &[], now);
+        }
+        if cancelled {
+            partition_state.cancel_job(id, now);
+            // The cancellation was confirmed after the previous read of changes at the earliest.
+            partition_state.bound_lease_renewal(id, until);
+        }
+    }
+
+    /// A peer has announced that a job is recorded as cancelled, which stays true however late the
+    /// message arrives. The job's tasks are stopped at once, also by a leader that cannot read the
+    /// state service; the job's status and its terminal state follow the records.
+    pub(in crate::controller) fn stop_cancelled_job(&mut self, id: JobId) {
+        let Some(team) = self.cache.jobs.get(&id).map(|open| open.spec.team.clone()) else {
+            return;
+        };
+        let Some(partition) = self.partition_of_team(&team) else {
+            return;
+        };
+        let now = self.now;
+        let until = self.last_state_read_at.unwrap_or_default() + self.settings.lease_validity();
+        let partition_state = self
+            .leaderships
+            .get_mut(&partition)
+            .and_then(PartitionLeadership::partition_state_mut);
+        let Some(partition_state) = partition_state.filter(|partition_state| {
+            partition_state
+                .jobs
+                .get(&id)
+                .is_some_and(|job| !job.cancelled)
+        }) else {
+            return;
+        };
+        self.counters.cancelled_by_word += 1;
+        partition_state.cancel_job(id, now);
+        partition_state.bound_lease_renewal(id, until);
+    }
+
+    /// A machine's record has changed.
+    pub(in crate::controller) fn machine_changed(&mut self, name: &MachineName) {
+        let record = self
+            .cache
+            .machines
+            .get(name)
+            .map(|machine| machine.record.clone());
+        if record.is_none() {
+            self.fleet_planner.machine_gone(name);
+        }
+        if let Some(new_machine) = self.update_machine(name, record.as_ref()) {
+            self.add_machine(name, &new_machine);
+        }
+    }
+
+    /// Updates or removes a machine in all partitions that this controller leads; returns it if it
+    /// has to be added to one of them.
+    fn update_machine(
+        &mut self,
+        name: &MachineName,
+        record: Option<&MachineRecord>,
+    ) -> Option<NewMachine> {
+        let now = self.now;
+        let mut new_machine = None;
+        for (partition, leadership) in &mut self.leaderships {
+            let token = leadership.token();
+            let Some(partition_state) = leadership.partition_state_mut() else {
+                continue;
+            };
+            let Some(record) = record.filter(|record| record.partition == *partition) else {
+                // A record is deleted only after the cloud has confirmed the machine's release, and
+                // moved only while the machine is idle.
+                partition_state.remove_machine(name, now);
+                continue;
+            };
+            let Some(machine) = partition_state.machines.get_mut(name) else {
+                new_machine = Some(NewMachine {
+                    partition: *partition,
+                    record: record.clone(),
+                    token,
+                });
+                continue;
+            };
+            machine.token = token.max(FencingToken(record.token));
+            machine.leaving = record.leaving || self.machine_changes.take_away(name);
+        }
+        new_machine
+    }
+
+    fn add_machine(&mut self, name: &MachineName, new_machine: &NewMachine) {
+        let now = self.now;
+        let Some(machine) = self.machine_from(name, &new_machine.record, new_machine.token) else {
+            return;
+        };
+        let partition_state = self
+            .leaderships
+            .get_mut(&new_machine.partition)
+            .and_then(PartitionLeadership::partition_state_mut);
+        if let Some(partition_state) = partition_state {
+            partition_state.add_machine(machine, now);
+        }
+    }
+}
--- /dev/null
+++ b/crates/controller/src/controller/leadership/token_raises.rs
@@ -0,0 +1,166 @@
+//! Higher fencing tokens for the machines of a partition, under an unchanged term.
+
+use super::PartitionLeadership;
+use crate::controller::machine_records::MachineChange;
+use crate::controller::{CallKind, Controller};
+use crate::records::{partition_key, COUNTER};
+use crate::request_budget::CallPriority;
+use model::{FencingToken, PartitionId, Timestamp};
+use std::time::Duration;
+use wire::state::{StateReply, StateRequest, Transaction, Write};
+
+/// Time between two attempts to raise the token of all machines of a partition.
+const TOKEN_RAISE_INTERVAL: Duration = Duration::from_secs(2);
+
+/// The token that was drawn last for all machines of a partition, and the draw that may be open.
+#[derive(Debug, Default)]
+pub(super) struct TokenRaise {
+    token: FencingToken,
+    state: TokenRaiseState,
+}
+
+/// Whether a draw of a token is open.
+#[derive(Debug)]
+enum TokenRaiseState {
+    /// None is open; the next may begin then.
+    Idle { next_attempt_at: Timestamp },
+    /// The transaction's reply is awaited; after it the next may begin then.
+    Pending { next_attempt_at: Timestamp },
+}
+
+impl Default for TokenRaiseState {
+    fn default() -> Self {
+        TokenRaiseState::Idle {
+            next_attempt_at: Timestamp::default(),
+        }
+    }
+}
+
+impl TokenRaise {
+    /// The highest token drawn so far.
+    pub(super) fn token(&self) -> FencingToken {
+        self.token
+    }
+
+    fn is_due(&self, now: Timestamp) -> bool {
+        match self.state {
+            TokenRaiseState::Idle { next_attempt_at } => now >= next_attempt_at,
+            TokenRaiseState::Pending { .. } => false,
+        }
+    }
+
+    fn begin(&mut self, now: Timestamp) {
+        let next_attempt_at = now + TOKEN_RAISE_INTERVAL;
+        self.state = TokenRaiseState::Pending { next_attempt_at };
+    }
+
+    fn finish(&mut self) {
+        if let TokenRaiseState::Pending { next_attempt_at } = self.state {
+            self.state = TokenRaiseState::Idle { next_attempt_at };
+        }
+    }
+
+    fn raise_to(&mut self, token: FencingToken) {
+        self.token = self.token.max(token);
+    }
+}
+
+impl PartitionLeadership {
+    /// Whether a worker of the partition has kept exited tasks for long.
+    fn has_retained_exited_tasks(&self, now: Timestamp) -> bool {
+        self.partition_state().is_some_and(|partition_state| {
+            partition_state
+                .machines
+                .values()
+                .any(|machine| machine.retains_exited_tasks(now))
+        })
+    }
+
+    fn apply_raised_token(&mut self, token: FencingToken) {
+        self.token_raise.raise_to(token);
+        let token = self.token();
+        let Some(partition_state) = self.partition_state_mut() else {
+            return;
+        };
+        for machine in partition_state.machines.values_mut() {
+            machine.token = machine.token.max(token);
+        }
+    }
+}
+
+impl Controller {
+    /// Requests higher tokens for machines whose lost direct launches can only be voided by one.
+    pub(super) fn request_token_raises(&mut self, partition: PartitionId) {
+        let Some(partition_state) = self
+            .leaderships
+            .get(&partition)
+            .and_then(PartitionLeadership::partition_state)
+        else {
+            return;
+        };
+        for machine in partition_state.machines.values() {
+            if machine.needs_higher_token() {
+                self.machine_changes
+                    .want(&machine.name, MachineChange::Raise);
+            }
+        }
+    }
+
+    /// Draws a higher token for all machines of a partition, where some have kept exited tasks for
+    /// long: a worker that has seen it executes no copy of an earlier launch, and may forget them.
+    ///
+    /// The counter is written first, so that every later leader has a higher token still; the
+    /// partition's record and its term stay as they are.
+    pub(super) fn raise_partition_token(&mut self, partition: PartitionId) {
+        let now = self.now;
+        let Some(leadership) = self.leaderships.get_mut(&partition) else {
+            return;
+        };
+        if !leadership.token_raise.is_due(now) || !leadership.has_retained_exited_tasks(now) {
+            return;
+        }
+        leadership.token_raise.begin(now);
+        let (version, term) = (leadership.version.0, leadership.term.0);
+        let token = self.cache.next_token();
+        let mut counter = self
+            .cache
+            .counter
+            .as_ref()
+            .map(|counter| counter.record.clone())
+            .unwrap_or_default();
+        counter.next = token + 1;
+        let value = serde_json::to_value(counter).unwrap_or_default();
+        let txn = Transaction::default()
+            .when(partition_key(partition), version)
+            .when(COUNTER, self.cache.counter_version())
+            .write(Write::put(COUNTER, value));
+        let purpose = CallKind::RaiseAll {
+            partition,
+            term,
+            token,
+        };
+        self.state(
+            CallPriority::Placement,
+            StateRequest::Transaction(txn),
+            purpose,
+        );
+    }
+
+    /// Applies a token once the counter is written. After any other reply the number stays unused,
+    /// and a later attempt draws another one.
+    pub(in crate::controller) fn handle_token_raised(
+        &mut self,
+        partition: PartitionId,
+        term: u64,
+        token: u64,
+        reply: StateReply,
+    ) {
+        let Some(leadership) = self.leadership_in_term(partition, term) else {
+            return;
+        };
+        leadership.token_raise.finish();
+        if let StateReply::Committed { .. } = reply {
+            leadership.apply_raised_token(FencingToken(token));
+        }
+    }
+}
--- a/crates/controller/src/controller/load_partition.rs
+++ b/crates/controller/src/controller/load_partition.rs
@@ -1,15 +1,15 @@
 //! Taking a partition on: reading its ledger, the checks before the first decision, building the share.
 //! A warm start and a cold one differ only in what [`Controller::apply_replica`] has to give.
 
-use super::job_archiver::JobArchiver;
-use super::leadership::LoadedPartition;
+use super::leadership::{LogPageOutcome, PartitionLeadership, ReadLog};
 use super::{CallKind, Controller, MAX_LAUNCH_READ_AGE};
 use crate::placement_log::PlacementLog;
-use crate::records::{log_prefix, MachineRecord};
+use crate::records::{log_prefix, MachineRecord, PartitionRecord};
 use crate::rejections::{MessageFault, MessageSource};
 use crate::request_budget::CallPriority;
+use crate::state_cache::Versioned;
 use failover::readiness::{failed_checks, LeadershipFacts, ReadinessCheck};
-use model::{FencingToken, MachineName, PartitionId, Revision, Timestamp, ZoneName};
+use model::{FencingToken, MachineName, PartitionId, Timestamp, ZoneName};
 use scheduler::{Machine, PartitionState, StatusSource};
 use std::time::Duration;
 use wire::state::{StateReply, StateRequest};
@@ -51,56 +51,48 @@
         let Some(leadership) = self.leaderships.get_mut(&partition) else {
             return;
         };
-        leadership.start_reading();
+        leadership.restart_log_read();
         let Some((request, purpose)) = self.log_page_request(partition, String::new()) else {
             return;
         };
         self.retry_later(after, CallPriority::Lease, request, purpose);
     }
 
+    /// Handles a page of the placement log: requests the next one, or tries to load the partition
+    /// after the last.
     pub(super) fn handle_log_page(&mut self, partition: PartitionId, term: u64, reply: StateReply) {
-        let (bytes, ops) = (
-            self.settings.state_limits.value_bytes,
-            self.settings.state_limits.txn_ops,
-        );
-        let Some(leadership) = self.current(partition, term) else {
+        let value_bytes = self.settings.state_limits.value_bytes;
+        let txn_ops = self.settings.state_limits.txn_ops;
+        let Some(leadership) = self.leadership_in_term(partition, term) else {
             return;
         };
         let StateReply::List(page) = reply else {
             self.restart_log_read(partition, LOG_READ_RETRY_INTERVAL);
             return;
         };
-        let last = leadership.pages.last().map_or("", |item| item.key.as_str());
-        if !page.follows(&log_prefix(partition), last) {
-            tracing::error!(%partition, last, "a page of the ledger's read does not follow the one before");
-            self.counters
-                .rejections
-                .add(MessageSource::State, MessageFault::Malformed);
-            self.restart_log_read(partition, LOG_READ_RETRY_INTERVAL);
-            return;
-        }
-        // Later pages may be newer; what counts is when the first was read.
-        let revision = *leadership.read_at.get_or_insert(Revision(page.revision));
-        let after = page.items.last().map(|item| item.key.clone());
-        leadership.pages.extend(page.items);
-        if let (true, Some(after)) = (page.more, after) {
-            self.list_log_pages(partition, after);
-            return;
+        match leadership.add_log_page(partition, page, value_bytes, txn_ops) {
+            LogPageOutcome::OutOfOrder { last_key } => {
+                tracing::error!(%partition, last_key, "placement log page out of order");
+                self.count_malformed_log_pages(1);
+                self.restart_log_read(partition, LOG_READ_RETRY_INTERVAL);
+            }
+            LogPageOutcome::More { after } => self.list_log_pages(partition, after),
+            LogPageOutcome::Complete { unreadable_pages } => {
+                self.count_malformed_log_pages(unreadable_pages);
+                self.try_load_partition(partition);
+            }
+            LogPageOutcome::Unexpected => {}
         }
-        let pages = std::mem::take(&mut leadership.pages);
-        let ledger = PlacementLog::load(partition, &pages, bytes, ops);
-        let unreadable = ledger.unreadable().len() as u64;
-        leadership.read = Some((revision, ledger));
-        self.counters.rejections.add_many(
-            MessageSource::State,
-            MessageFault::Malformed,
-            unreadable,
-        );
-        self.try_load_partition(partition);
     }
 
-    /// Builds the share once all checks hold. Until then workers are answered, with no orders but
-    /// the halts of what is recorded as cancelled.
+    fn count_malformed_log_pages(&mut self, count: u64) {
+        self.counters
+            .rejections
+            .add_many(MessageSource::State, MessageFault::Malformed, count);
+    }
+
+    /// Builds the partition's state once all readiness checks pass. Until then heartbeats are
+    /// answered with no commands but those that stop tasks recorded as cancelled.
     pub(super) fn try_load_partition(&mut self, partition: PartitionId) {
         let Some(facts) = self.leadership_facts(partition) else {
             return;
@@ -109,16 +101,13 @@
         let Some(leadership) = self.leaderships.get_mut(&partition) else {
             return;
         };
-        if failed != leadership.failed_checks && !failed.is_empty() {
-            let unreadable = leadership
-                .read
-                .as_ref()
-                .map(|(_, ledger)| ledger.unreadable());
-            tracing::warn!(%partition, open = ?failed, ?unreadable, "not ready to decide");
+        if failed != leadership.failed_checks() && !failed.is_empty() {
+            let unreadable = leadership.read_log().map(|read| read.log.unreadable());
+            tracing::warn!(%partition, ?failed, ?unreadable, "partition not ready: checks failed");
         }
-        leadership.failed_checks.clone_from(&failed);
+        leadership.set_failed_checks(&failed);
         if failed.is_empty() {
-            self.build_partition_state(partition);
+            self.load_partition(partition);
         } else if failed.contains(&ReadinessCheck::PagesSound) {
             self.restart_log_read(partition, UNREADABLE_LOG_RETRY_INTERVAL);
         } else if failed.contains(&ReadinessCheck::LedgerRead) {
@@ -126,12 +115,12 @@
         }
     }
 
-    /// What the checks are made of, once the ledger has been read.
+    /// The facts that the readiness checks are about, once the placement log has been read.
     fn leadership_facts(&self, partition: PartitionId) -> Option<LeadershipFacts> {
         let leadership = self.leaderships.get(&partition)?;
-        let (ledger, pages) = leadership.read.as_ref()?;
-        let ours = |p: &&crate::state_cache::Versioned<crate::records::PartitionRecord>| {
-            let record = &p.record;
+        let read = leadership.read_log()?;
+        let names_this_leadership = |held: &&Versioned<PartitionRecord>| {
+            let record = &held.record;
             record.leader == *self.own_name()
                 && record.incarnation == self.incarnation
                 && record.term == leadership.term().0
@@ -141,34 +130,66 @@
                 .cache
                 .partitions
                 .get(&partition)
-                .filter(ours)
-                .map(|p| p.version),
+                .filter(names_this_leadership)
+                .map(|held| held.version),
             own_version: leadership.version(),
             term: leadership.term(),
             next_token: FencingToken(self.cache.next_token()),
             mirror_revision: self.cache.revision,
-            ledger_revision: Some(*ledger),
-            unreadable_pages: pages.unreadable().len(),
+            ledger_revision: Some(read.revision),
+            unreadable_pages: read.log.unreadable().len(),
             has_rival: leadership.is_transferring() || leadership.successor().is_some(),
             state_is_fresh: self.has_recent_state_read(MAX_LAUNCH_READ_AGE),
         })
     }
 
-    /// Builds the share from the records, the ledger, the reports that came meanwhile and what the
-    /// holder before us has told, all checks passed.
-    fn build_partition_state(&mut self, partition: PartitionId) {
+    /// Builds the partition's state from the records, the placement log, the heartbeats answered
+    /// meanwhile and the replica of the former leader's state. All readiness checks have passed.
+    fn load_partition(&mut self, partition: PartitionId) {
         let Some(mut leadership) = self.leaderships.remove(&partition) else {
             return;
         };
-        let Some((_, mut ledger)) = leadership.read.take() else {
+        let Some(ReadLog { mut log, .. }) = leadership.take_read_log() else {
             return;
         };
+        let mut partition_state = self.new_partition_state(partition, &leadership);
+        self.add_recorded_machines(partition, &leadership, &mut partition_state);
+        for job in log.jobs() {
+            if !self.cache.jobs.contains_key(&job) {
+                log.forget_job(job);
+            }
+        }
+        self.add_recorded_jobs(partition, &log, &mut partition_state);
+        let replicated_machines = self.apply_replica(partition, &mut partition_state);
+        for (name, early) in leadership.take_early_heartbeats() {
+            if let Some(machine) = partition_state.machines.get_mut(&name) {
+                machine.lease_renewed_at = early.received_at;
+            }
+            partition_state.reconcile(&early.heartbeat, StatusSource::Heartbeat, early.received_at);
+        }
+        tracing::info!(
+            %partition,
+            jobs = partition_state.jobs.len(),
+            machines = partition_state.machines.len(),
+            replicated_machines,
+            "partition loaded"
+        );
+        leadership.finish_loading(log, partition_state);
+        self.leaderships.insert(partition, leadership);
+    }
+
+    /// The state of a partition without machines and jobs.
+    fn new_partition_state(
+        &self,
+        partition: PartitionId,
+        leadership: &PartitionLeadership,
+    ) -> PartitionState {
         let teams: Vec<_> = self
             .settings
             .teams
             .iter()
-            .filter(|t| self.partition_of_team(&t.name) == Some(partition))
-            .map(|t| (t.name.clone(), t.guarantee, t.limit))
+            .filter(|team| self.partition_of_team(&team.name) == Some(partition))
+            .map(|team| (team.name.clone(), team.guarantee, team.limit))
             .collect();
         let workers = &self.settings.workers;
         let mut partition_state = PartitionState::new(
@@ -181,53 +202,47 @@
         partition_state.report = workers.report;
         partition_state.gang_wait = workers.gang_wait;
         partition_state.completion_objectives = self.settings.completion_objectives.clone();
-        partition_state.predecessors_valid_until = leadership.predecessors_valid_until;
-        partition_state.leading_since = leadership.since;
+        partition_state.predecessors_valid_until = leadership.predecessors_valid_until();
+        partition_state.leading_since = leadership.since();
         partition_state.zones = self.zones_near(partition);
         if let Some(types) = &self.cache.types {
             partition_state.set_machine_types(&types.record.types);
         }
-        for (name, record) in &self.cache.machines {
-            if record.record.partition == partition {
-                if let Some(machine) = self.machine_from(name, &record.record, leadership.token()) {
-                    partition_state.add_machine(machine, self.now);
-                }
+        partition_state
+    }
+
+    fn add_recorded_machines(
+        &self,
+        partition: PartitionId,
+        leadership: &PartitionLeadership,
+        partition_state: &mut PartitionState,
+    ) {
+        for (name, machine) in &self.cache.machines {
+            if machine.record.partition != partition {
+                continue;
             }
-        }
-        for job in ledger.jobs() {
-            if !self.cache.jobs.contains_key(&job) {
-                ledger.forget_job(job);
+            if let Some(machine) = self.machine_from(name, &machine.record, leadership.token()) {
+                partition_state.add_machine(machine, self.now);
             }
         }
-        for (id, open) in &self.cache.jobs {
-            if self.partition_of_team(&open.spec.team) == Some(partition) {
-                let chunks = ledger.chunks_of(*id);
-                partition_state.add_job(open.spec.clone(), open.order(), &chunks, self.now);
-                if self.cache.is_cancelled(*id) {
-                    partition_state.cancel_job(*id, self.now);
-                }
+    }
+
+    fn add_recorded_jobs(
+        &self,
+        partition: PartitionId,
+        log: &PlacementLog,
+        partition_state: &mut PartitionState,
+    ) {
+        for (id, job) in &self.cache.jobs {
+            if self.partition_of_team(&job.spec.team) != Some(partition) {
+                continue;
             }
-        }
-        let followed = self.apply_replica(partition, &mut partition_state);
-        for (name, (report, at)) in std::mem::take(&mut leadership.early) {
-            if let Some(machine) = partition_state.machines.get_mut(&name) {
-                machine.lease_renewed_at = at;
+            let chunks = log.chunks_of(*id);
+            partition_state.add_job(job.spec.clone(), job.order(), &chunks, self.now);
+            if self.cache.is_cancelled(*id) {
+                partition_state.cancel_job(*id, self.now);
             }
-            partition_state.reconcile(&report, StatusSource::Heartbeat, at);
         }
-        tracing::info!(
-            %partition,
-            jobs = partition_state.jobs.len(),
-            machines = partition_state.machines.len(),
-            followed,
-            "partition ready"
-        );
-        leadership.loaded = Some(Box::new(LoadedPartition::new(
-            ledger,
-            partition_state,
-            JobArchiver::default(),
-        )));
-        self.leaderships.insert(partition, leadership);
     }
 
     /// Zones in which machines can be had, that of the partition's home node first.
--- a/crates/controller/src/controller/membership.rs
+++ b/crates/controller/src/controller/membership.rs
@@ -258,7 +258,7 @@
         tracing::warn!(%partition, "its workers do not reach us: giving a partition up");
         // From here on nobody is answered. The counter names us as the last taker, so whoever
         // takes it next counts our answers until we show that we know.
-        leadership.set_transferring(true);
+        leadership.begin_transfer();
         let key = partition_key(partition);
         let txn = Transaction::default()
             .when(&key, leadership.version().0)
@@ -301,10 +301,9 @@
             }
             // It may yet be applied.
             StateReply::Unknown => {
-                leadership.set_transferring(true);
-                leadership.transferring_until(self.now + Duration::from_secs(2));
+                leadership.await_transfer_outcome(self.now + Duration::from_secs(2));
             }
-            _ => leadership.set_transferring(false),
+            _ => leadership.abort_transfer(),
         }
     }
 
@@ -609,7 +608,7 @@
             return;
         }
         // From here on nobody is answered, so the successor need not wait for us.
-        leadership.set_transferring(true);
+        leadership.begin_transfer();
         let version = leadership.version();
         // Should the outcome stay unknown, we may answer again before we know; so the successor
         // waits until we show that we do.
@@ -649,13 +648,12 @@
             // It may yet be applied.
             StateReply::Unknown => {
                 if let Some(leadership) = self.leaderships.get_mut(&partition) {
-                    leadership.set_transferring(true);
-                    leadership.transferring_until(self.now + Duration::from_secs(2));
+                    leadership.await_transfer_outcome(self.now + Duration::from_secs(2));
                 }
             }
             _ => {
                 if let Some(leadership) = self.leaderships.get_mut(&partition) {
-                    leadership.set_transferring(false);
+                    leadership.abort_transfer();
                 }
             }
         }
--- a/crates/controller/src/controller/mod.rs
+++ b/crates/controller/src/controller/mod.rs
@@ -366,8 +366,8 @@
     reacquisition_backoffs: BTreeMap<PartitionId, membership::ReacquisitionBackoff>,
     alive_at: Timestamp,
     load_at: Timestamp,
-    /// When we wrote what our partitions lack, and whether that was anything.
-    demand_at: HashMap<PartitionId, (Timestamp, bool)>,
+    /// The last writes of partitions' unmet demand.
+    demand_writes: HashMap<PartitionId, leadership::DemandWrite>,
     progress: HashMap<JobId, (u64, u64)>,
     finals: HashMap<JobId, JobState>,
     reads: LinearizableReads,
@@ -446,7 +446,7 @@
             reacquisition_backoffs: BTreeMap::new(),
             alive_at: Timestamp::default(),
             load_at: Timestamp::default(),
-            demand_at: HashMap::new(),
+            demand_writes: HashMap::new(),
             progress: HashMap::new(),
             finals: HashMap::new(),
             reads: LinearizableReads::default(),
--- a/crates/controller/src/controller/standby.rs
+++ b/crates/controller/src/controller/standby.rs
@@ -309,7 +309,7 @@
                     Vec::new()
                 };
                 let leadership = self.leaderships.get(partition);
-                let failed_checks = leadership.map(|h| format!("{:?}", h.failed_checks));
+                let failed_checks = leadership.map(|leadership| format!("{:?}", leadership.failed_checks()));
                 json!({
                     "waits_for": failed_checks,
                     "partition": partition.0, "holder": held.record.leader, "term": held.record.term,
