--- a/crates/controller/src/controller/leadership/machine_failures.rs
+++ b/crates/controller/src/controller/leadership/machine_failures.rs
@@ -41,7 +41,9 @@
         let now = self.now;
         // Workers send heartbeats every 1.25 times the interval at the latest; their leases run
         // meanwhile.
-        let timeout = Duration::from_millis(self.settings.workers.report.whole_millis() * 2 + 500);
+        let timeout = Duration::from_millis(
+            self.settings.workers.heartbeat_interval.whole_millis() * 2 + 500,
+        );
         let Some(leadership) = self.leaderships.get(&partition) else {
             return false;
         };
@@ -99,7 +101,7 @@
         if !self.has_recent_state_read(MAX_LAUNCH_READ_AGE) {
             return;
         }
-        let timeouts = ReleaseTimeouts::new(self.settings.workers.report);
+        let timeouts = ReleaseTimeouts::new(self.settings.workers.heartbeat_interval);
         let Some(leadership) = self.leaderships.get_mut(&partition) else {
             return;
         };
