--- a/crates/controller/src/controller/leadership/mod.rs
+++ b/crates/controller/src/controller/leadership/mod.rs
@@ -18,6 +18,7 @@
 pub(super) use partition_status::DemandWrite;
 
 use super::job_archiver::JobArchiver;
+use crate::job_status_cache::TaskCounts;
 use crate::placement_log::{LogCommit, PlacementLog};
 use loading::Loading;
 use model::{ControllerName, FencingToken, JobId, MachineName, Timestamp, Version};
@@ -282,9 +283,12 @@
     }
 
     /// Done and running tasks of a job of this partition.
-    pub(super) fn progress_of(&self, id: JobId) -> Option<(u64, u64)> {
+    pub(super) fn task_counts(&self, id: JobId) -> Option<TaskCounts> {
         let job = self.partition_state()?.jobs.get(&id)?;
-        Some((u64::from(job.done_count()), u64::from(job.running_count())))
+        Some(TaskCounts {
+            done: u64::from(job.done_count()),
+            running: u64::from(job.running_count()),
+        })
     }
 
     /// Reconciles a heartbeat with the partition's state and returns the commands for its answer.
--- a/crates/controller/src/controller/leadership/record_changes.rs
+++ b/crates/controller/src/controller/leadership/record_changes.rs
@@ -38,7 +38,7 @@
     /// A job's record has changed.
     pub(in crate::controller) fn job_changed(&mut self, id: JobId) {
         let Some(open) = self.cache.jobs.get(&id).cloned() else {
-            self.progress.remove(&id);
+            self.job_status.forget_progress(id);
             return;
         };
         self.logical_clock_offset = self.logical_clock_offset.max(Duration::from_millis(
@@ -50,7 +50,7 @@
         let cancelled = self.cache.is_cancelled(id);
         let now = self.now;
         let until =
-            self.previous_state_read_at.unwrap_or_default() + self.settings.lease_validity();
+            self.state_sync.previous_read_at().unwrap_or_default() + self.settings.lease_validity();
         let Some(partition_state) = self
             .leaderships
             .get_mut(&partition)
@@ -79,7 +79,8 @@
             return;
         };
         let now = self.now;
-        let until = self.last_state_read_at.unwrap_or_default() + self.settings.lease_validity();
+        let until =
+            self.state_sync.last_read_at().unwrap_or_default() + self.settings.lease_validity();
         let partition_state = self
             .leaderships
             .get_mut(&partition)
--- a/crates/controller/src/controller/load_partition.rs
+++ b/crates/controller/src/controller/load_partition.rs
@@ -122,7 +122,7 @@
         let names_this_leadership = |held: &&Versioned<PartitionRecord>| {
             let record = &held.record;
             record.leader == *self.own_name()
-                && record.incarnation == self.incarnation
+                && record.incarnation == self.registration.incarnation()
                 && record.term == leadership.term().0
         };
         Some(LeadershipFacts {
