--- a/crates/controller/src/controller/mod.rs
+++ b/crates/controller/src/controller/mod.rs
@@ -358,8 +358,8 @@
     reacquisition_backoffs: BTreeMap<PartitionId, membership::ReacquisitionBackoff>,
     alive_at: Timestamp,
     load_at: Timestamp,
-    /// When we wrote what our partitions lack, and whether that was anything.
-    demand_at: HashMap<PartitionId, (Timestamp, bool)>,
+    /// The last writes of partitions' unmet demand.
+    demand_writes: HashMap<PartitionId, leadership::DemandWrite>,
     job_status: JobStatusCache,
     reads: LinearizableReads,
     admission: Admission,
@@ -411,7 +411,7 @@
             reacquisition_backoffs: BTreeMap::new(),
             alive_at: Timestamp::default(),
             load_at: Timestamp::default(),
-            demand_at: HashMap::new(),
+            demand_writes: HashMap::new(),
             job_status: JobStatusCache::default(),
             reads: LinearizableReads::default(),
             admission: Admission::default(),
