--- a/crates/simulator/src/world/cancellations.rs
+++ b/crates/simulator/src/world/cancellations.rs
@@ -1,7 +1,15 @@
 //! Cancellations that meet something: all jobs at once, running jobs whose machines hang, the end of a job's last
 //! task.
 
-use super::*;
+use super::events::ScheduledEvent;
+use super::network::ActiveFault;
+use super::World;
+use crate::rules::RuleChecker;
+use controller::UserRequest;
+use model::JobId;
+use rand::Rng;
+use std::collections::{BTreeMap, BTreeSet};
+use wire::workers::TaskState;
 
 /// Within this time the users of one wave cancel, in ms.
 const CANCEL_BURST_MS: u64 = 200;
@@ -53,7 +61,7 @@
             self.coverage.cancelled_running += 1;
             hanging.extend(running[&id].iter().cloned());
             let at = self.now + self.rng.random_range(0..CANCEL_BURST_MS);
-            self.at(at, ScheduledEvent::CancelJob { id });
+            self.schedule(at, ScheduledEvent::CancelJob { id });
         }
         if hang_ms > 0 {
             for machine in hanging.into_iter().take(MAX_HUNG_MACHINES) {
@@ -91,7 +99,7 @@
     pub(super) fn task_done(&mut self, task: String) {
         let id = task.split('/').next().unwrap_or_default().to_owned();
         let fresh = self.rules.done_tasks.insert(task);
-        let percent = self.active_faults.iter().find_map(|cut| match cut {
+        let percent = self.network.find_active(|cut| match cut {
             ActiveFault::CancelAtCompletion(percent) => Some(*percent),
             _ => None,
         });
@@ -112,7 +120,7 @@
         };
         self.coverage.cancelled_at_completion.insert(id.clone());
         self.follow_up_everywhere(&id, after);
-        self.at(self.now + after, ScheduledEvent::CancelJob { id });
+        self.schedule(self.now + after, ScheduledEvent::CancelJob { id });
     }
 
     fn all_tasks_done(&self, id: &str) -> bool {
--- a/crates/simulator/src/world/events.rs
+++ b/crates/simulator/src/world/events.rs
@@ -1,5 +1,6 @@
 //! What happens, and what is on its way.
 
+use super::network::ActiveFault;
 use super::scenario::Fault;
 use crate::history::HistoryTime;
 use controller::{Controller, Effect, Event, HeartbeatReply, UserRequest};
@@ -133,41 +134,6 @@
     SubmitOneTaskJob,
 }
 
-#[derive(Debug, Clone, PartialEq)]
-pub(super) enum ActiveFault {
-    StateServiceDisconnected(usize),
-    StateRequestsRefused(Option<usize>),
-    WorkersDisconnected(usize),
-    MeshDisconnected(usize),
-    ZonesPartitioned,
-    MachineDisconnected(String),
-    CloudOutage,
-    UsersDisconnected(usize),
-    ChangedBootBehavior,
-    FailingJobs,
-    StatusRequestStorm,
-    SkewedLoad,
-    ZoneIsolated,
-    SlowStateService(u64),
-    MachineUnreachable(String),
-    ZoneUnreachable,
-    DuplicatedMessages,
-    DelayedTransactions(u64),
-    LongTasks(u64),
-    MachineConnectionsRefused(String),
-    LostTransactionReplies(u64),
-    ReplayedHeartbeats(u64),
-    HeldHeartbeats(u64),
-    DelayedCommands(u64),
-    OneWayMeshPartition(usize, usize),
-    DuplicatedMeshMessages(u64),
-    SlowLinks(u64),
-    FollowUpRequests,
-    CancelAtCompletion(u64),
-    UnusualRequests,
-    OneTaskJobs,
-}
-
 pub(super) struct RunningController {
     pub(super) node: Controller,
     pub(super) incarnation: u64,
@@ -186,32 +152,6 @@
     pub(super) waiting: Vec<Event>,
 }
 
-pub(super) struct QueueEntry {
-    pub(super) at: u64,
-    pub(super) sequence: u64,
-    pub(super) what: ScheduledEvent,
-}
-
-impl PartialEq for QueueEntry {
-    fn eq(&self, other: &Self) -> bool {
-        (self.at, self.sequence) == (other.at, other.sequence)
-    }
-}
-
-impl Eq for QueueEntry {}
-
-impl PartialOrd for QueueEntry {
-    fn partial_cmp(&self, other: &Self) -> Option<std::cmp::Ordering> {
-        Some(self.cmp(other))
-    }
-}
-
-impl Ord for QueueEntry {
-    fn cmp(&self, other: &Self) -> std::cmp::Ordering {
-        (self.at, self.sequence).cmp(&(other.at, other.sequence))
-    }
-}
-
 #[derive(Debug, Clone)]
 pub(super) struct PendingRequest {
     pub(super) request: UserRequest,
--- a/crates/simulator/src/world/faults.rs
+++ b/crates/simulator/src/world/faults.rs
@@ -1,6 +1,12 @@
 //! Troubles at a time, and what is cut meanwhile.
 
-use super::*;
+use super::events::{PendingRequest, ScheduledEvent};
+use super::network::ActiveFault;
+use super::scenario::{Fault, Mutation};
+use super::World;
+use controller::UserRequest;
+use rand::seq::SliceRandom;
+use wire::state::{StateRequest, Transaction, Write};
 
 impl World {
     pub(super) fn fault(&mut self, fault: Fault) {
@@ -18,34 +24,22 @@
                     self.early.0 += ended.node.counters.early_takeovers;
                     self.early.1 += ended.node.counters.wrong_takeovers;
                 }
-                self.watches.retain(|w| w.0 != node);
+                self.watches.retain(|watch| watch.key.node != node);
                 // Users repeat what has not been answered.
-                let lost: Vec<_> = self
-                    .user_requests
-                    .extract_if(|key, _| key.0 == node)
-                    .collect();
-                let mut lost: Vec<_> = lost
-                    .into_iter()
-                    .map(|(key, asked)| (key.2, asked))
-                    .collect();
-                lost.sort_by_key(|(ticket, _)| *ticket);
-                for (
-                    _,
-                    PendingRequest {
+                for lost in self.open_requests.take_user_requests_to(node) {
+                    let PendingRequest {
                         request, id, tries, ..
-                    },
-                ) in lost
-                {
+                    } = lost;
                     if !matches!(request, UserRequest::Get(_)) {
                         let what = ScheduledEvent::SendRequest {
                             request,
                             id,
                             tries: tries + 1,
                         };
-                        self.at(self.now + 1_000, what);
+                        self.schedule(self.now + 1_000, what);
                     }
                 }
-                self.at(self.now + back, ScheduledEvent::StartController { node });
+                self.schedule(self.now + back, ScheduledEvent::StartController { node });
                 return;
             }
             Fault::HangMachine { nth, ms } => {
@@ -113,7 +107,7 @@
             }
             Fault::SlowStateService { times, ms } => (ActiveFault::SlowStateService(times), ms),
             Fault::CrashBeforeEffect { node, nth } => {
-                self.crash_points.insert(node, (0, nth));
+                self.crash_points.set(node, nth);
                 return;
             }
             Fault::DelayTransactions { percent, ms } => {
@@ -128,7 +122,7 @@
                 let key = format!("l/{partition}/0000");
                 if let Some(value) = self.state.value(&key).cloned() {
                     self.write_directly(&key, serde_json::json!({ "round": "garbage" }));
-                    self.at(self.now + ms, ScheduledEvent::RestoreValue { key, value });
+                    self.schedule(self.now + ms, ScheduledEvent::RestoreValue { key, value });
                 }
                 return;
             }
@@ -153,7 +147,7 @@
                 if let Some(running) = self.nodes[node].as_mut() {
                     running.paused.get_or_insert_default();
                     let incarnation = running.incarnation;
-                    self.at(
+                    self.schedule(
                         self.now + ms,
                         ScheduledEvent::ResumeController { node, incarnation },
                     );
@@ -207,11 +201,11 @@
                 (ActiveFault::CancelAtCompletion(percent), ms)
             }
             Fault::UnusualRequests { ms } => {
-                self.at(self.now + 1, ScheduledEvent::SendUnusualRequest);
+                self.schedule(self.now + 1, ScheduledEvent::SendUnusualRequest);
                 (ActiveFault::UnusualRequests, ms)
             }
             Fault::OneTaskJobs { ms } => {
-                self.at(self.now + 1, ScheduledEvent::SubmitOneTaskJob);
+                self.schedule(self.now + 1, ScheduledEvent::SubmitOneTaskJob);
                 (ActiveFault::OneTaskJobs, ms)
             }
             Fault::CancelRunningJobs { count, hang_ms } => {
@@ -232,8 +226,8 @@
 
     /// Cuts something for a time.
     pub(super) fn cut(&mut self, cut: ActiveFault, ms: u64) {
-        self.active_faults.push(cut.clone());
-        self.at(self.now + ms, ScheduledEvent::EndFault(cut));
+        self.network.activate(cut.clone());
+        self.schedule(self.now + ms, ScheduledEvent::EndFault(cut));
     }
 
     /// A machine hangs: what is sent to it meanwhile waits.
@@ -274,13 +268,13 @@
     }
 
     pub(super) fn refuses(&self, node: usize) -> bool {
-        self.active_faults.iter().any(
+        self.network.any_active(
             |c| matches!(c, ActiveFault::StateRequestsRefused(n) if n.is_none_or(|n| n == node)),
         )
     }
 
     pub(super) fn outage(&self) -> bool {
-        self.active_faults
-            .contains(&ActiveFault::StateRequestsRefused(None))
+        self.network
+            .is_active(&ActiveFault::StateRequestsRefused(None))
     }
 }
--- a/crates/simulator/src/world/follow_ups.rs
+++ b/crates/simulator/src/world/follow_ups.rs
@@ -1,7 +1,15 @@
 //! Users who look closely: after each answer that confirms something about a job they ask every node again,
 //! within milliseconds and over parallel connections, and some cancel at once.
 
-use super::*;
+use super::events::ScheduledEvent;
+use super::network::ActiveFault;
+use super::site::CONTROLLERS;
+use super::users::MAX_ATTEMPTS;
+use super::World;
+use controller::UserRequest;
+use model::JobId;
+use rand::Rng;
+use std::collections::HashMap;
 
 /// Pauses between a confirmation and the looks that follow it, in ms.
 const FOLLOW_UP_DELAYS_MS: [u64; 4] = [0, 3, 15, 80];
@@ -33,7 +41,7 @@
 impl World {
     /// Something was confirmed: looks follow if users look closely at present.
     pub(super) fn schedule_follow_ups(&mut self, id: &str, confirmed: Confirmation) {
-        if !self.active_faults.contains(&ActiveFault::FollowUpRequests) {
+        if !self.network.is_active(&ActiveFault::FollowUpRequests) {
             return;
         }
         let rounds = self
@@ -52,7 +60,7 @@
             self.coverage.cancelled_at_acceptance += 1;
             let what = ScheduledEvent::CancelJob { id: id.to_owned() };
             let after = self.rng.random_range(0..3);
-            self.at(self.now + after, what);
+            self.schedule(self.now + after, what);
         }
         let style = match self.rng.random_range(0..3) {
             0 => FollowUpStyle::Questions,
@@ -94,7 +102,7 @@
             (true, false) => UserRequest::Submit(Box::new(job)),
         };
         let at = self.now + pause + self.rng.random_range(0..3);
-        self.at(
+        self.schedule(
             at,
             ScheduledEvent::SendFollowUp {
                 node,
@@ -107,8 +115,8 @@
     /// A look at one node, over a connection of its own; it isn't repeated.
     pub(super) fn send_follow_up(&mut self, node: usize, request: UserRequest, id: String) {
         if !self
-            .active_faults
-            .contains(&ActiveFault::UsersDisconnected(node))
+            .network
+            .is_active(&ActiveFault::UsersDisconnected(node))
         {
             self.send_request_to(node, request, id, MAX_ATTEMPTS);
         }
--- a/crates/simulator/src/world/interceptor.rs
+++ b/crates/simulator/src/world/interceptor.rs
@@ -1,7 +1,16 @@
 //! Messages that come late, twice, on one way only or without an answer.
 
-use super::*;
-use wire::workers::Heartbeat;
+use super::events::{starts, Endpoint, Message, ScheduledEvent};
+use super::network::ActiveFault;
+use super::scenario::Mutation;
+use super::site::CONTROLLERS;
+use super::World;
+use controller::Event;
+use rand::Rng;
+use std::collections::BTreeSet;
+use wire::mesh::MeshMessage;
+use wire::state::{StateReply, StateRequest};
+use wire::workers::{Command, Heartbeat};
 
 /// Longest time from a holder's record to a copy that meets its begin, in ms.
 const REPLAY_WINDOW_MS: u64 = 400;
@@ -24,7 +33,7 @@
 impl World {
     /// Draws whether one of so many per cent is meant. Nothing is drawn where there is no such trouble.
     fn draw_fault(&mut self, percent: impl Fn(&ActiveFault) -> Option<u64>) -> bool {
-        let percent = self.active_faults.iter().find_map(percent);
+        let percent = self.network.find_active(percent);
         percent.is_some_and(|percent| self.rng.random_range(0..100) < percent)
     }
 
@@ -56,7 +65,7 @@
                 };
                 if self.draw_fault(late) {
                     let after = self.rng.random_range(2_000..16_000);
-                    self.at(
+                    self.schedule(
                         self.now + after,
                         ScheduledEvent::DeliverDelayedCommand(Box::new(message)),
                     );
@@ -98,7 +107,7 @@
                     report,
                 };
                 let after = self.rng.random_range(1..REPLAY_WINDOW_MS);
-                self.at(
+                self.schedule(
                     self.now + after,
                     ScheduledEvent::DeliverDuplicate(Box::new(message)),
                 );
@@ -124,7 +133,7 @@
                 report,
             };
             let after = self.rng.random_range(1_000..6_000);
-            self.at(
+            self.schedule(
                 self.now + after,
                 ScheduledEvent::DeliverHeldHeartbeat(Box::new(message)),
             );
@@ -166,7 +175,7 @@
         };
         let (now, lease) = (self.now, self.parameters.lease);
         if self.is_cut(Endpoint::Controller(*node), self.machine(machine)) {
-            self.at(
+            self.schedule(
                 now + 1_000,
                 ScheduledEvent::DeliverDelayedCommand(Box::new(message)),
             );
@@ -182,7 +191,7 @@
             Some(Mutation::DelayedCommandsTrusted) => (worker.token, worker.session),
             _ => (body.token, body.session),
         };
-        let executed = worker.direct(token, session, &body.commands, now, &self.jobs);
+        let executed = worker.direct(token, session, &body.commands, now, self.jobs.all());
         if executed {
             self.failovers
                 .record_contact(machine, token, starts(&body.commands), now);
@@ -199,7 +208,7 @@
 
     /// Whether a machine's connections to controllers fail.
     pub(super) fn refuses_connections(&mut self, machine: &str) -> bool {
-        let mute = self.active_faults.iter().any(
+        let mute = self.network.any_active(
             |cut| matches!(cut, ActiveFault::MachineConnectionsRefused(name) if name == machine),
         );
         self.coverage.refused_connections += u64::from(mute);
@@ -208,7 +217,7 @@
 
     /// Something comes straight to a machine.
     pub(super) fn record_direct_call(&mut self, machine: &str) {
-        let mute = self.active_faults.iter().any(
+        let mute = self.network.any_active(
             |cut| matches!(cut, ActiveFault::MachineConnectionsRefused(name) if name == machine),
         );
         self.coverage.direct_calls_while_refusing += u64::from(mute);
@@ -218,9 +227,8 @@
     /// writes come late.
     pub(super) fn record_launch(&mut self, machine: &str, commands: &[Command]) {
         let lag = self
-            .active_faults
-            .iter()
-            .any(|cut| matches!(cut, ActiveFault::DelayedTransactions(_)));
+            .network
+            .any_active(|cut| matches!(cut, ActiveFault::DelayedTransactions(_)));
         let Some(rented) = self.cloud.machines.get(machine).filter(|_| lag) else {
             return;
         };
@@ -236,8 +244,8 @@
             return false;
         };
         let lost = self
-            .active_faults
-            .contains(&ActiveFault::OneWayMeshPartition(from, to));
+            .network
+            .is_active(&ActiveFault::OneWayMeshPartition(from, to));
         self.coverage.one_way_losses += u64::from(lost);
         lost
     }
@@ -264,7 +272,7 @@
             *revision = u64::MAX;
         }
         let after = self.rng.random_range(1_000..3 * self.parameters.lease);
-        self.at(
+        self.schedule(
             self.now + after,
             ScheduledEvent::DeliverMeshDuplicate { to, event },
         );
@@ -273,7 +281,7 @@
     /// How many times slower a link is than usual.
     pub(super) fn slowness(&self, from: Endpoint, to: Endpoint) -> u64 {
         let linked = |place| matches!(place, Endpoint::Controller(_) | Endpoint::Machine(_));
-        let slow = self.active_faults.iter().find_map(|cut| match cut {
+        let slow = self.network.find_active(|cut| match cut {
             ActiveFault::SlowLinks(times) => Some(*times),
             _ => None,
         });
--- a/crates/simulator/src/world/machines.rs
+++ b/crates/simulator/src/world/machines.rs
@@ -1,16 +1,26 @@
 //! Machines, their reports, tasks and gangs.
 
-use super::*;
+use super::events::{starts, Endpoint, Message};
+use super::jobs::SubmittedJobs;
+use super::scenario::Mutation;
+use super::site::CONTROLLERS;
+use super::World;
+use crate::worker::{TaskTransition, Worker};
+use controller::HeartbeatReply;
+use rand::Rng;
+use std::collections::BTreeMap;
+use wire::users::JobKind;
+use wire::workers::{Command, ExitCause, TaskState};
 
 /// A gang's task: its machine, its name, its state and when it completes.
 type Member = (String, String, TaskState, Option<u64>);
 
 /// How long a task runs, or a gang. Some jobs' tasks run so many times as long.
-fn run_ms(seed: u64, long: &HashMap<String, u64>, name: &str) -> u64 {
+fn run_ms(seed: u64, jobs: &SubmittedJobs, name: &str) -> u64 {
     let sum: u64 = name.bytes().map(u64::from).sum();
     let usual = 2_000 + (sum * 7919 + seed * 31) % 9_000;
     let id = name.split('/').next().unwrap_or_default();
-    usual * long.get(id).copied().unwrap_or(1)
+    usual * jobs.run_time_factor(id)
 }
 
 impl World {
@@ -41,7 +51,7 @@
                         .commands
                         .retain(|c| !matches!(c, Command::Stop { .. }));
                 }
-                if worker.answered(number, &answer, now, &self.jobs) {
+                if worker.answered(number, &answer, now, self.jobs.all()) {
                     let launches = starts(&answer.commands);
                     self.failovers
                         .record_contact(machine, answer.token, launches, now);
@@ -105,20 +115,20 @@
                 continue;
             }
             let run =
-                |task: &str| run_ms(self.plan.seed, &self.long, task) * self.parameters.longer;
-            let transitions = worker.advance(now, &self.jobs, run);
+                |task: &str| run_ms(self.plan.seed, &self.jobs, task) * self.parameters.longer;
+            let transitions = worker.advance(now, self.jobs.all(), run);
             for event in transitions {
                 match event {
                     TaskTransition::Started(task) => {
                         if let Some(on) = self.workers.get(&name) {
                             self.rules
-                                .started(&task, on, &self.workers, &self.jobs, now);
+                                .started(&task, on, &self.workers, self.jobs.all(), now);
                         }
                         let id = task.split('/').next().unwrap_or_default();
                         if let Some(job) = self.jobs.get(id) {
                             let limit = self.limits.get(&job.team).copied();
-                            self.availability
-                                .started(&task, job, limit.unwrap_or(f64::MAX), now);
+                            self.service
+                                .record_start(&task, job, limit.unwrap_or(f64::MAX), now);
                         }
                     }
                     TaskTransition::Done(task) => self.task_done(task),
@@ -148,8 +158,7 @@
         if !worker.report_due(now) {
             return;
         }
-        self.next_ticket += 1;
-        let number = self.next_ticket;
+        let number = self.open_requests.next_ticket();
         worker.in_flight = Some((number, now, worker.session));
         worker.changed = false;
         worker.last_report = now;
@@ -207,7 +216,7 @@
                 .collect();
             let whole = all && !hung.contains(&true);
             let done = members.iter().any(|m| m.3.is_some_and(|at| now >= at));
-            let end = now + run_ms(self.plan.seed, &self.long, &id);
+            let end = now + run_ms(self.plan.seed, &self.jobs, &id);
             for ((machine, task, state, _), hangs) in members.into_iter().zip(hung) {
                 if hangs {
                     continue;
--- a/crates/simulator/src/world/mutations.rs
+++ b/crates/simulator/src/world/mutations.rs
@@ -1,6 +1,13 @@
 //! Safety steps that are broken on purpose.
 
-use super::*;
+use super::events::Message;
+use super::scenario::Mutation;
+use super::World;
+use controller::HeartbeatReply;
+use model::JobId;
+use rand::Rng;
+use wire::mesh::{MeshMessage, ReplicatedRecord};
+use wire::workers::Command;
 
 impl World {
     /// The cloud claims that its machines hold any task.
--- a/crates/simulator/src/world/recording.rs
+++ b/crates/simulator/src/world/recording.rs
@@ -1,8 +1,9 @@
 //! What leaves the controllers, recorded for fingerprints; and operators' requests.
 
-use super::*;
+use super::open_requests::TicketKey;
+use super::World;
 use crate::fingerprint::{Outgoing, Recorder};
-use controller::AdminRequest;
+use controller::{AdminRequest, Effect, Event};
 
 impl World {
     /// Records all that leaves the controllers from now on.
@@ -17,8 +18,7 @@
 
     /// An operator asks a node; the answer is recorded, and goes to nobody.
     pub fn administer(&mut self, node: usize, request: AdminRequest) {
-        self.next_ticket += 1;
-        let ticket = self.next_ticket;
+        let ticket = self.open_requests.next_ticket();
         self.handle_event(node, Event::Admin { ticket, request });
     }
 
@@ -26,13 +26,14 @@
         let Some(recorder) = &mut self.recorder else {
             return;
         };
-        let reporter = match effect {
-            Effect::Heartbeat { ticket, .. } => {
-                self.heartbeat_tickets.get(&(node, incarnation, *ticket))
-            }
+        let machine = match effect {
+            Effect::Heartbeat { ticket, .. } => self.open_requests.heartbeat_machine(TicketKey {
+                node,
+                incarnation,
+                ticket: *ticket,
+            }),
             _ => None,
         };
-        let machine = reporter.map(|(machine, _)| machine.as_str());
         recorder.add(self.now, node, &Outgoing::of(node, effect, machine));
     }
 }
--- a/crates/simulator/src/world/state_service.rs
+++ b/crates/simulator/src/world/state_service.rs
@@ -1,7 +1,21 @@
 //! The state service's side of a request, and what is noticed on the way.
 
-use super::*;
-use wire::state::Changes;
+use super::events::{Endpoint, Message, ScheduledEvent};
+use super::network::ActiveFault;
+use super::open_requests::CallKey;
+use super::scenario::Mutation;
+use super::World;
+use controller::Event;
+use model::CallId;
+use rand::Rng;
+use wire::state::{Changes, StateReply, StateRequest, Transaction, Write};
+
+/// A controller's watch that waits for changes.
+pub(super) struct Watch {
+    pub(super) key: CallKey,
+    prefix: String,
+    after: u64,
+}
 
 /// Partitions whose records a request writes, with the new terms.
 fn holders_written(request: &StateRequest) -> Vec<(u32, u64)> {
@@ -95,14 +109,21 @@
             match self.state.changes(prefix, *after) {
                 Some(reply) => self.send_state_reply(node, incarnation, call, reply),
                 None => {
-                    self.watches
-                        .push((node, incarnation, call, prefix.clone(), *after));
+                    self.watches.push(Watch {
+                        key: CallKey {
+                            node,
+                            incarnation,
+                            call,
+                        },
+                        prefix: prefix.clone(),
+                        after: *after,
+                    });
                     let what = ScheduledEvent::WatchTimeout {
                         node,
                         incarnation,
                         call,
                     };
-                    self.at(self.now + wait_ms, what);
+                    self.schedule(self.now + wait_ms, what);
                 }
             }
             return;
@@ -191,7 +212,7 @@
         let StateRequest::Transaction(txn) = request else {
             return false;
         };
-        let percent = self.active_faults.iter().find_map(|cut| match cut {
+        let percent = self.network.find_active(|cut| match cut {
             ActiveFault::DelayedTransactions(percent) => Some(*percent),
             _ => None,
         });
@@ -205,7 +226,7 @@
                 txn: txn.clone(),
             };
             let after = self.rng.random_range(2_000..12_000);
-            self.at(self.now + after, what);
+            self.schedule(self.now + after, what);
         }
         late
     }
@@ -249,12 +270,17 @@
 
     pub(super) fn answer_watches(&mut self) {
         let watches = std::mem::take(&mut self.watches);
-        for (node, incarnation, call, prefix, after) in watches {
-            match self.state.changes(&prefix, after) {
+        for watch in watches {
+            let CallKey {
+                node,
+                incarnation,
+                call,
+            } = watch.key;
+            match self.state.changes(&watch.prefix, watch.after) {
                 Some(reply) if !self.refuses(node) => {
                     self.send_state_reply(node, incarnation, call, reply)
                 }
-                _ => self.watches.push((node, incarnation, call, prefix, after)),
+                _ => self.watches.push(watch),
             }
         }
     }
--- /dev/null
+++ b/crates/simulator/src/world/transport.rs
@@ -0,0 +1,376 @@
+//! The network: who reaches whom, delays, and messages that a cut holds back.
+
+use super::events::{starts, Endpoint, Message, ScheduledEvent};
+use super::network::{ActiveFault, HeldMessage};
+use super::open_requests::{CallKey, ReceivedHeartbeat, TicketKey};
+use super::scenario::Mutation;
+use super::site::CONTROLLERS;
+use super::World;
+use controller::controller::DirectReply;
+use controller::Event;
+use model::{CallId, ControllerName};
+use rand::Rng;
+use wire::cloud::{CloudReply, CloudRequest};
+use wire::mesh::MeshMessage;
+use wire::state::StateRequest;
+
+impl World {
+    pub(super) fn machine(&self, name: &str) -> Endpoint {
+        Endpoint::Machine(
+            name.rsplit('-')
+                .next()
+                .and_then(|n| n.parse().ok())
+                .unwrap_or(0),
+        )
+    }
+
+    pub(super) fn zone_of(&self, place: Endpoint) -> Option<String> {
+        match place {
+            Endpoint::Controller(1) => Some("b".into()),
+            Endpoint::Controller(_) => Some("a".into()),
+            Endpoint::Machine(n) => self
+                .cloud
+                .machines
+                .get(&format!("host-{n:06}"))
+                .map(|m| m.zone.clone()),
+            _ => None,
+        }
+    }
+
+    pub(super) fn is_cut(&self, from: Endpoint, to: Endpoint) -> bool {
+        let between = |a: Endpoint, b: Endpoint| (from, to) == (a, b) || (from, to) == (b, a);
+        let node_machine = |n: usize| {
+            matches!((from, to), (Endpoint::Controller(x), Endpoint::Machine(_))
+                | (Endpoint::Machine(_), Endpoint::Controller(x)) if x == n)
+        };
+        self.network.any_active(|cut| match cut {
+            ActiveFault::StateServiceDisconnected(n) => {
+                between(Endpoint::Controller(*n), Endpoint::State)
+            }
+            ActiveFault::WorkersDisconnected(n) => node_machine(*n),
+            ActiveFault::MeshDisconnected(n) => {
+                matches!((from, to), (Endpoint::Controller(a), Endpoint::Controller(b))
+                if (a == *n) != (b == *n))
+            }
+            ActiveFault::ZonesPartitioned => match (self.zone_of(from), self.zone_of(to)) {
+                (Some(a), Some(b)) => a != b,
+                _ => false,
+            },
+            ActiveFault::MachineDisconnected(name) => {
+                let place = self.machine(name);
+                from == place || to == place
+            }
+            ActiveFault::ZoneIsolated => {
+                let inside = |place| self.zone_of(place).is_some_and(|zone| zone == "b");
+                inside(from) != inside(to)
+            }
+            // What is lost on one way is not held back.
+            ActiveFault::MachineUnreachable(_)
+            | ActiveFault::ZoneUnreachable
+            | ActiveFault::DuplicatedMessages => false,
+            ActiveFault::StateRequestsRefused(_)
+            | ActiveFault::CloudOutage
+            | ActiveFault::UsersDisconnected(_)
+            | ActiveFault::SlowStateService(_) => false,
+            ActiveFault::ChangedBootBehavior
+            | ActiveFault::FailingJobs
+            | ActiveFault::StatusRequestStorm
+            | ActiveFault::SkewedLoad => false,
+            ActiveFault::DelayedTransactions(_) | ActiveFault::LongTasks(_) => false,
+            ActiveFault::MachineConnectionsRefused(_)
+            | ActiveFault::LostTransactionReplies(_)
+            | ActiveFault::ReplayedHeartbeats(_)
+            | ActiveFault::HeldHeartbeats(_) => false,
+            ActiveFault::DelayedCommands(_)
+            | ActiveFault::OneWayMeshPartition(..)
+            | ActiveFault::DuplicatedMeshMessages(_)
+            | ActiveFault::SlowLinks(_) => false,
+            ActiveFault::FollowUpRequests
+            | ActiveFault::CancelAtCompletion(_)
+            | ActiveFault::UnusualRequests
+            | ActiveFault::OneTaskJobs => false,
+        })
+    }
+
+    /// Whether a message is lost on its way to a machine.
+    fn is_lost(&self, from: Endpoint, to: Endpoint) -> bool {
+        let (Endpoint::Controller(_), Endpoint::Machine(_)) = (from, to) else {
+            return false;
+        };
+        self.network.any_active(|cut| match cut {
+            ActiveFault::MachineUnreachable(name) => self.machine(name) == to,
+            ActiveFault::ZoneUnreachable => self.zone_of(to).is_some_and(|zone| zone == "b"),
+            _ => false,
+        })
+    }
+
+    /// Has copies of a message come later, if there are such at present.
+    fn copy(&mut self, message: &Message) {
+        let copied = match message {
+            Message::Heartbeat { .. } | Message::Direct { .. } => true,
+            Message::State { request, .. } => matches!(request, StateRequest::Transaction(_)),
+            Message::Cloud { request, .. } => !matches!(request, CloudRequest::List { .. }),
+            _ => false,
+        };
+        if !copied
+            || !self.network.is_active(&ActiveFault::DuplicatedMessages)
+            || !self.rng.random_bool(0.3)
+        {
+            return;
+        }
+        for _ in 0..self.rng.random_range(1..4) {
+            let mut copy = message.clone();
+            if let Message::Heartbeat {
+                node,
+                number,
+                report,
+                ..
+            } = &mut copy
+            {
+                // Its answer goes to nobody.
+                (*node, *number) = (self.rng.random_range(0..CONTROLLERS), 0);
+                if self.plan.mutation == Some(Mutation::DuplicatesTrusted) {
+                    report.seq += 1_000_000;
+                }
+            }
+            let after = self.rng.random_range(1_000..3 * self.parameters.lease);
+            self.schedule(
+                self.now + after,
+                ScheduledEvent::DeliverDuplicate(Box::new(copy)),
+            );
+        }
+    }
+
+    /// Whether a copy of a report is older than what its machine has said since.
+    pub(super) fn record_duplicate(&mut self, message: &Message) {
+        let Message::Heartbeat {
+            machine, report, ..
+        } = message
+        else {
+            return;
+        };
+        let Some(worker) = self.workers.get(machine).filter(|w| !w.dead) else {
+            return;
+        };
+        self.coverage.stale_heartbeats += u64::from(worker.has_sent_newer(report));
+        self.coverage.stale_sessions += u64::from(report.session < worker.session);
+    }
+
+    /// Sends a message; a cut holds it back until it heals.
+    pub(super) fn send(&mut self, from: Endpoint, to: Endpoint, message: Message) {
+        self.copy(&message);
+        if self.is_lost_on_mesh(from, to) {
+            return;
+        }
+        let Some(message) = self.intercept(message) else {
+            return;
+        };
+        if self.is_lost(from, to) {
+            self.coverage.dropped_messages += 1;
+            return;
+        }
+        if self.is_cut(from, to) {
+            self.network.hold(HeldMessage { from, to, message });
+            return;
+        }
+        let mut delay = self.rng.random_range(1..6) * self.slowness(from, to);
+        if self.rng.random_bool(0.004) {
+            delay += self.rng.random_range(50..600);
+        }
+        let slow = self.network.find_active(|cut| match cut {
+            ActiveFault::SlowStateService(times) => Some(*times),
+            _ => None,
+        });
+        if let (Some(times), true) = (slow, from == Endpoint::State || to == Endpoint::State) {
+            delay *= times;
+        }
+        self.schedule(self.now + delay, ScheduledEvent::Deliver(Box::new(message)));
+    }
+
+    pub(super) fn send_mesh(&mut self, node: usize, other: usize, message: MeshMessage) {
+        let Some(incarnation) = self.nodes[other].as_ref().map(|r| r.incarnation) else {
+            return;
+        };
+        let Some(message) = self.as_mutated(message) else {
+            return;
+        };
+        let event = Event::Mesh {
+            from: ControllerName::from(format!("n{node}").as_str()),
+            message,
+        };
+        self.duplicate_mesh_event(other, &event);
+        let message = Message::Controller {
+            node: other,
+            incarnation,
+            event,
+        };
+        self.send(
+            Endpoint::Controller(node),
+            Endpoint::Controller(other),
+            message,
+        );
+    }
+
+    pub(super) fn time_out(
+        &mut self,
+        after: u64,
+        node: usize,
+        incarnation: u64,
+        call: CallId,
+        event: Event,
+    ) {
+        let what = ScheduledEvent::Timeout {
+            node,
+            incarnation,
+            call,
+            event: Box::new(event),
+        };
+        self.schedule(self.now + after, what);
+    }
+
+    pub(super) fn deliver(&mut self, message: Message) {
+        match message {
+            Message::State {
+                node,
+                incarnation,
+                call,
+                request,
+            } => {
+                self.handle_state_request(node, incarnation, call, request);
+            }
+            Message::Cloud {
+                node,
+                incarnation,
+                call,
+                request,
+            } => {
+                let reply = if self.network.is_active(&ActiveFault::CloudOutage) {
+                    CloudReply::Refused
+                } else {
+                    let (reply, gone) = self.cloud.execute(self.now, &request, &mut self.rng);
+                    for name in gone {
+                        let lives = self.workers.get(&name).is_some_and(|w| !w.dead);
+                        self.machines_released_alive += u64::from(lives);
+                        self.end_machine(&name);
+                    }
+                    reply
+                };
+                // Now and then the answer is lost.
+                if !self.rng.random_bool(0.02) {
+                    let event = Event::Cloud { call, reply };
+                    let message = Message::Controller {
+                        node,
+                        incarnation,
+                        event,
+                    };
+                    self.send(Endpoint::Cloud, Endpoint::Controller(node), message);
+                }
+            }
+            Message::Controller {
+                node,
+                incarnation,
+                event,
+            } => self.node_event(node, incarnation, event),
+            Message::Heartbeat {
+                node,
+                machine,
+                number,
+                report,
+            } => {
+                let Some(incarnation) = self.nodes[node].as_ref().map(|r| r.incarnation) else {
+                    return;
+                };
+                let ticket = self.open_requests.next_ticket();
+                self.open_requests.add_heartbeat(
+                    TicketKey {
+                        node,
+                        incarnation,
+                        ticket,
+                    },
+                    ReceivedHeartbeat { machine, number },
+                );
+                self.handle_event(node, Event::Heartbeat { ticket, report });
+            }
+            Message::HeartbeatResponse {
+                machine,
+                number,
+                node,
+                reply,
+            } => {
+                self.handle_heartbeat_reply(&machine, number, node, reply);
+            }
+            Message::Direct {
+                node,
+                incarnation,
+                call,
+                machine,
+                body,
+            } => {
+                let now = self.now;
+                let from = self.machine(&machine);
+                self.record_direct_call(&machine);
+                let Some(worker) = self.workers.get_mut(&machine) else {
+                    return;
+                };
+                if worker.dead {
+                    return;
+                }
+                worker.check_lease(now, self.parameters.lease);
+                if self.plan.mutation == Some(Mutation::DirectCommandsRenewLease) {
+                    worker.renew_without_reply(now);
+                }
+                let executed = worker.direct(
+                    body.token,
+                    body.session,
+                    &body.commands,
+                    now,
+                    self.jobs.all(),
+                );
+                let report = Box::new(worker.report());
+                if executed {
+                    self.failovers.record_contact(
+                        &machine,
+                        body.token,
+                        starts(&body.commands),
+                        now,
+                    );
+                    self.record_launch(&machine, &body.commands);
+                }
+                let event = Event::Worker {
+                    call,
+                    reply: DirectReply::Answered(report),
+                };
+                self.send(
+                    from,
+                    Endpoint::Controller(node),
+                    Message::Controller {
+                        node,
+                        incarnation,
+                        event,
+                    },
+                );
+            }
+        }
+    }
+
+    pub(super) fn node_event(&mut self, node: usize, incarnation: u64, event: Event) {
+        let call = match &event {
+            Event::State { call, .. } | Event::Cloud { call, .. } | Event::Worker { call, .. } => {
+                Some(*call)
+            }
+            _ => None,
+        };
+        if !self.is_running(node, incarnation) {
+            return;
+        }
+        if call.is_none_or(|call| {
+            self.open_requests.take_call(CallKey {
+                node,
+                incarnation,
+                call,
+            })
+        }) {
+            self.handle_event(node, event);
+        }
+    }
+}
--- a/crates/simulator/src/world/unusual_requests.rs
+++ b/crates/simulator/src/world/unusual_requests.rs
@@ -1,7 +1,16 @@
 //! Requests that users rarely make: repeated submissions of unfinished jobs, cancellations of jobs that are done,
 //! jobs that can never run or that lack a field. And many jobs of one task each.
 
-use super::*;
+use super::events::{PendingRequest, ScheduledEvent};
+use super::network::ActiveFault;
+use super::scenario::Mutation;
+use super::site::CONTROLLERS;
+use super::users::MAX_ATTEMPTS;
+use super::World;
+use controller::{UserReply, UserRequest};
+use model::JobId;
+use rand::Rng;
+use wire::users::{JobKind, JobRequest, Priority};
 
 /// Pause between two odd requests, in ms.
 const UNUSUAL_REQUEST_INTERVAL_MS: std::ops::Range<u64> = 100..500;
@@ -23,7 +32,7 @@
 impl World {
     /// One odd request, and the next one later.
     pub(super) fn unusual_request(&mut self) {
-        if !self.active_faults.contains(&ActiveFault::UnusualRequests) {
+        if !self.network.is_active(&ActiveFault::UnusualRequests) {
             return;
         }
         match self.rng.random_range(0..4) {
@@ -33,7 +42,7 @@
             _ => self.submit_incomplete(),
         }
         let pause = self.rng.random_range(UNUSUAL_REQUEST_INTERVAL_MS);
-        self.at(self.now + pause, ScheduledEvent::SendUnusualRequest);
+        self.schedule(self.now + pause, ScheduledEvent::SendUnusualRequest);
     }
 
     fn any_of(&mut self, ids: Vec<String>) -> Option<String> {
@@ -73,8 +82,8 @@
             5 => (job.kind, job.tasks) = (JobKind::Gang, 1_000 * self.plan.size),
             _ => (job.kind, job.tasks) = (JobKind::Service, 1_000 * self.plan.size),
         }
-        self.invalid_jobs
-            .insert(job.id.clone(), ExpectedRejection::NeverRuns);
+        self.jobs
+            .expect_rejection(job.id.clone(), ExpectedRejection::NeverRuns);
         let id = job.id.clone();
         self.send_request(UserRequest::Submit(Box::new(job)), id, 0);
     }
@@ -94,8 +103,8 @@
         if self.plan.mutation == Some(Mutation::MissingFieldsFilled) {
             body.extend(removed.map(|value| (field, value)));
         }
-        self.invalid_jobs
-            .insert(id.clone(), ExpectedRejection::Malformed);
+        self.jobs
+            .expect_rejection(id.clone(), ExpectedRejection::Malformed);
         match serde_json::from_value(serde_json::Value::Object(body)) {
             Ok(job) => self.send_request(UserRequest::Submit(Box::new(job)), id, 0),
             // The server answers 400 before any node sees it.
@@ -158,7 +167,7 @@
                 request: UserRequest::Get(job),
                 id: id.clone(),
             };
-            self.at(self.now + 3, what);
+            self.schedule(self.now + 3, what);
         }
     }
 
@@ -169,7 +178,7 @@
 
     /// One job of one task, and the next one later.
     pub(super) fn one_task_job(&mut self) {
-        if !self.active_faults.contains(&ActiveFault::OneTaskJobs) {
+        if !self.network.is_active(&ActiveFault::OneTaskJobs) {
             return;
         }
         let job = self.one_task();
@@ -178,9 +187,9 @@
         self.submit_job(job);
         if self.rng.random_bool(ONE_TASK_CANCEL_PROBABILITY) {
             let after = self.rng.random_range(ONE_TASK_CANCEL_DELAY_MS);
-            self.at(self.now + after, ScheduledEvent::CancelJob { id });
+            self.schedule(self.now + after, ScheduledEvent::CancelJob { id });
         }
-        self.at(
+        self.schedule(
             self.now + ONE_TASK_JOB_INTERVAL_MS,
             ScheduledEvent::SubmitOneTaskJob,
         );
@@ -192,9 +201,8 @@
 
     /// A new array that any machine may run.
     pub(super) fn plain_array(&mut self, team: String, tasks: u64) -> JobRequest {
-        self.next_job += 1;
         JobRequest {
-            id: format!("j-{:06}", self.next_job * 7),
+            id: self.jobs.next_id(),
             class: "c".into(),
             team,
             kind: JobKind::Array,
@@ -220,9 +228,8 @@
     /// Submits a job and asks about it from time to time.
     pub(super) fn submit_job(&mut self, job: JobRequest) {
         let id = job.id.clone();
-        self.jobs.insert(id.clone(), job.clone());
-        self.submitted.insert(id.clone(), self.now);
+        self.jobs.add(job.clone(), self.now);
         self.send_request(UserRequest::Submit(Box::new(job)), id.clone(), 0);
-        self.at(self.now + 4_000, ScheduledEvent::PollStatus { id });
+        self.schedule(self.now + 4_000, ScheduledEvent::PollStatus { id });
     }
 }
--- a/crates/simulator/src/world/users.rs
+++ b/crates/simulator/src/world/users.rs
@@ -1,7 +1,18 @@
 //! Users: what they submit, ask and cancel, and what they make of the answers.
 
-use super::*;
+use super::events::{PendingRequest, ScheduledEvent};
+use super::follow_ups::Confirmation;
+use super::network::ActiveFault;
+use super::open_requests::TicketKey;
+use super::scenario::Mutation;
+use super::site::CONTROLLERS;
+use super::World;
 use crate::history::Answer;
+use crate::worker::FAILING_CLASS;
+use controller::{Event, UserReply, UserRequest};
+use model::JobId;
+use rand::Rng;
+use wire::users::{JobKind, JobRequest, JobState, Priority};
 
 /// How long a node must have been healthy before a load balancer counts on it.
 const MIN_HEALTHY_MS: u64 = 3_000;
@@ -15,12 +26,11 @@
         }
         self.new_job();
         let pause = self.rng.random_range(700..2_800) / self.plan.size.min(self.parameters.often);
-        self.at(self.now + pause, ScheduledEvent::SubmitJob);
+        self.schedule(self.now + pause, ScheduledEvent::SubmitJob);
     }
 
     pub(super) fn new_job(&mut self) {
-        self.next_job += 1;
-        let id = format!("j-{:06}", self.next_job * 7);
+        let id = self.jobs.next_id();
         let kind = match self.rng.random_range(0..10) {
             0..=2 => JobKind::Service,
             3..=4 => JobKind::Gang,
@@ -36,10 +46,10 @@
         let zone = self.rng.random_bool(0.15).then(|| "a".to_owned());
         let together = zone.is_none() && self.rng.random_bool(0.2);
         let mistaken =
-            self.active_faults.contains(&ActiveFault::FailingJobs) && self.rng.random_bool(0.4);
+            self.network.is_active(&ActiveFault::FailingJobs) && self.rng.random_bool(0.4);
         // One of six teams, or two thirds of all for one of them: ten times what each other has.
-        let heavy = self.active_faults.contains(&ActiveFault::SkewedLoad)
-            && self.rng.random_range(0..15) < 9;
+        let heavy =
+            self.network.is_active(&ActiveFault::SkewedLoad) && self.rng.random_range(0..15) < 9;
         let team = if heavy {
             0
         } else {
@@ -76,22 +86,21 @@
             deadline_s: None,
         };
         let mut job = job;
-        let long = self.active_faults.iter().find_map(|cut| match cut {
+        let long = self.network.find_active(|cut| match cut {
             ActiveFault::LongTasks(times) => Some(*times),
             _ => None,
         });
         if let Some(times) = long {
-            self.long.insert(id.clone(), times);
+            self.jobs.set_run_time_factor(id.clone(), times);
             job.estimate_s *= times as f64;
-            if kind != JobKind::Service && self.next_job.is_multiple_of(2) {
+            if kind != JobKind::Service && self.jobs.count().is_multiple_of(2) {
                 (job.checkpoint_s, job.save_s) = (5.0, 3.0);
             }
         }
-        self.jobs.insert(id.clone(), job.clone());
-        self.submitted.insert(id.clone(), self.now);
+        self.jobs.add(job.clone(), self.now);
         if kind == JobKind::Service || mistaken || self.rng.random_bool(0.1) {
             let after = self.rng.random_range(10_000..50_000);
-            self.at(
+            self.schedule(
                 self.now + after,
                 ScheduledEvent::CancelJob { id: id.clone() },
             );
@@ -101,7 +110,7 @@
             // A retry may arrive at any later time.
             let after = self.rng.random_range(500..40_000);
             let request = UserRequest::Submit(Box::new(job));
-            self.at(
+            self.schedule(
                 self.now + after,
                 ScheduledEvent::SendRequest {
                     request,
@@ -113,7 +122,7 @@
         if self.rng.random_bool(0.05) {
             self.send_request(UserRequest::Get(JobId(900_001)), "j-900001".into(), 0);
         }
-        self.at(self.now + 4_000, ScheduledEvent::PollStatus { id });
+        self.schedule(self.now + 4_000, ScheduledEvent::PollStatus { id });
     }
 
     pub(super) fn guest_job(&mut self) {
@@ -133,10 +142,7 @@
 
     pub(super) fn send_request(&mut self, request: UserRequest, id: String, tries: u32) {
         let reached = |n: &usize| {
-            self.nodes[*n].is_some()
-                && !self
-                    .active_faults
-                    .contains(&ActiveFault::UsersDisconnected(*n))
+            self.nodes[*n].is_some() && !self.network.is_active(&ActiveFault::UsersDisconnected(*n))
         };
         let alive: Vec<usize> = (0..CONTROLLERS).filter(reached).collect();
         if alive.is_empty() {
@@ -146,7 +152,7 @@
                     id,
                     tries: tries + 1,
                 };
-                self.at(self.now + 1_000, what);
+                self.schedule(self.now + 1_000, what);
             }
             return;
         }
@@ -164,8 +170,7 @@
         let Some(incarnation) = self.nodes[node].as_ref().map(|r| r.incarnation) else {
             return;
         };
-        self.next_ticket += 1;
-        let ticket = self.next_ticket;
+        let ticket = self.open_requests.next_ticket();
         let sent = self.rules.history.next_time(self.now);
         let pending_request = PendingRequest {
             request: request.clone(),
@@ -173,8 +178,14 @@
             tries,
             sent,
         };
-        self.user_requests
-            .insert((node, incarnation, ticket), pending_request);
+        self.open_requests.add_user_request(
+            TicketKey {
+                node,
+                incarnation,
+                ticket,
+            },
+            pending_request,
+        );
         self.handle_event(node, Event::User { ticket, request });
     }
 
@@ -185,15 +196,13 @@
         // A large site is asked more slowly.
         let pause = if ids.len() > 300 { 20_000 } else { 5_000 };
         let serves = |n: &usize| {
-            let long = self.healthy_since[*n].is_some_and(|at| self.now >= at + MIN_HEALTHY_MS);
+            let long = self.service.healthy_for(*n, MIN_HEALTHY_MS, self.now);
             long && self.nodes[*n].is_some()
-                && !self
-                    .active_faults
-                    .contains(&ActiveFault::UsersDisconnected(*n))
+                && !self.network.is_active(&ActiveFault::UsersDisconnected(*n))
         };
         let nodes: Vec<usize> = (0..CONTROLLERS).filter(serves).collect();
         for (nth, id) in ids.into_iter().enumerate() {
-            self.unanswered.record_query(&id, self.now);
+            self.service.unanswered().record_query(&id, self.now);
             let (Some(job), Some(number)) = (self.jobs.get(&id).cloned(), JobId::parse(&id)) else {
                 continue;
             };
@@ -208,11 +217,11 @@
             // Not made again if refused: the next one comes soon.
             self.send_request_to(*node, request, id, MAX_ATTEMPTS);
         }
-        self.at(self.now + pause, ScheduledEvent::QueryAllJobs);
+        self.schedule(self.now + pause, ScheduledEvent::QueryAllJobs);
     }
 
     pub(super) fn handle_user_reply(&mut self, pending_request: PendingRequest, reply: UserReply) {
-        if let Some(expected) = self.invalid_jobs.get(&pending_request.id).copied() {
+        if let Some(expected) = self.jobs.expected_rejection(&pending_request.id) {
             self.check_invalid_job_reply(pending_request, expected, reply);
             return;
         }
@@ -226,15 +235,15 @@
         let unanswered = self.plan.mutation == Some(Mutation::SomeStatusRequestsUnanswered)
             && JobId::parse(&id).is_some_and(|job| job.0 % 49 == 0);
         if matches!(reply, UserReply::Status(_)) && !unanswered {
-            self.unanswered.record_answer(&id);
+            self.service.unanswered().record_answer(&id);
         }
         match reply {
             UserReply::Created(_) => {
-                let first = self.submitted.get(&id).copied().unwrap_or(now);
+                let first = self.jobs.submitted_at(&id).unwrap_or(now);
                 self.acceptance_latencies_ms.push(now - first);
                 self.rules.accepted.entry(id.clone()).or_insert(now);
                 self.rules
-                    .record_status(&id, JobState::Queued, &self.jobs, sent, now);
+                    .record_status(&id, JobState::Queued, self.jobs.all(), sent, now);
                 self.schedule_follow_ups(&id, Confirmation::Accepted);
             }
             UserReply::Status(status) => {
@@ -242,10 +251,10 @@
                     self.rules.accepted.entry(id.clone()).or_insert(now);
                 }
                 if matches!(status.state, JobState::Done | JobState::Cancelled) {
-                    self.settled.insert(id.clone());
+                    self.jobs.settle(id.clone());
                 }
                 self.rules
-                    .record_status(&id, status.state, &self.jobs, sent, now);
+                    .record_status(&id, status.state, self.jobs.all(), sent, now);
                 match (status.state, &request) {
                     (JobState::Done, _) => self.schedule_follow_ups(&id, Confirmation::Done),
                     (JobState::Cancelled, _) => {
@@ -267,7 +276,7 @@
                         tries: tries + 1,
                     };
                     if tries < 30 {
-                        self.at(now + 2_000, what);
+                        self.schedule(now + 2_000, what);
                     }
                 }
             }
@@ -295,7 +304,7 @@
                 id,
                 tries: tries + 1,
             };
-            self.at(self.now + retry_after_s.max(1) * 1_000, what);
+            self.schedule(self.now + retry_after_s.max(1) * 1_000, what);
         }
     }
 }
--- a/crates/simulator/src/world/views.rs
+++ b/crates/simulator/src/world/views.rs
@@ -1,8 +1,201 @@
-//! What tests look at in a world.
+//! What tests read from a world.
 
-use super::*;
+use super::events::RunningController;
+use super::World;
+use crate::availability::{lowest, ServiceLevel};
+use crate::rules::RuleChecker;
+use std::collections::{BTreeMap, BTreeSet, HashSet};
+use wire::users::JobRequest;
+use wire::workers::TaskState;
 
 impl World {
+    /// Puts and deletes that the state service has taken, and those it has refused for want of
+    /// budget.
+    pub fn writes(&self) -> (u64, u64) {
+        (self.state.taken, self.state.refused)
+    }
+
+    /// Machines recorded for a partition.
+    pub fn machines_of(&self, partition: u32) -> usize {
+        self.records()
+            .filter(|m| m.get(4).is_some_and(|p| *p == partition))
+            .count()
+    }
+
+    /// Takeovers of partitions whose records stood, and those of them whose holders lived.
+    pub fn early_failovers(&self) -> (u64, u64) {
+        let counts = |r: &RunningController| {
+            (
+                r.node.counters.early_takeovers,
+                r.node.counters.wrong_takeovers,
+            )
+        };
+        let living = self.nodes.iter().flatten().map(counts);
+        living.fold(self.early, |sum, n| (sum.0 + n.0, sum.1 + n.1))
+    }
+
+    /// All records of machines.
+    pub(super) fn records(&self) -> impl Iterator<Item = &serde_json::Value> {
+        let page = |n: u32| self.state.value(&format!("s/m/{n:04}"));
+        (0..)
+            .map_while(page)
+            .filter_map(|p| p.get("machines")?.as_array())
+            .flatten()
+    }
+
+    /// Machines that ended with tasks on them, and are recorded and not given up yet.
+    pub fn recorded_dead_machines(&self) -> usize {
+        let kept = self
+            .records()
+            .filter(|m| m.get(6).is_some_and(|leaving| *leaving == false));
+        let names = kept.filter_map(|m| m.get(0)?.as_str());
+        names
+            .filter(|name| {
+                self.workers
+                    .get(*name)
+                    .is_some_and(|w| w.crashed_with_tasks)
+            })
+            .count()
+    }
+
+    /// How much of what is due has been served, by kind of work and by team. What came within the last
+    /// `patience` ms need not be done.
+    pub fn service_levels(&self, patience: u64) -> Vec<ServiceLevel> {
+        let RuleChecker {
+            accepted,
+            cancel_requests,
+            done_confirmed,
+            ..
+        } = &self.rules;
+        let until = self.now.saturating_sub(patience);
+        let mut shares = self.service.availability().shares(
+            self.jobs.all(),
+            accepted,
+            cancel_requests,
+            done_confirmed,
+            until,
+        );
+        shares.extend(self.service.availability().largest(
+            self.jobs.all(),
+            accepted,
+            self.jobs.submission_times(),
+            cancel_requests,
+            self.now,
+        ));
+        shares
+    }
+
+    /// The class or team of which the least was served, see [`World::availability`].
+    pub fn lowest_service_level(&self, patience: u64) -> Option<(String, f64)> {
+        lowest(&self.service_levels(patience))
+    }
+
+    /// Names of the machines recorded for a partition that live.
+    pub(super) fn living_machines_of(&self, partition: u32) -> BTreeSet<String> {
+        let ours = self
+            .records()
+            .filter(|m| m.get(4).is_some_and(|p| *p == partition));
+        let names = ours.filter_map(|m| m.get(0)?.as_str());
+        let incarnations = |name: &&str| self.workers.get(*name).is_some_and(|w| !w.dead);
+        names.filter(incarnations).map(str::to_owned).collect()
+    }
+
+    /// Tasks of jobs that were confirmed as cancelled which are still on machines of a partition.
+    pub fn cancelled_tasks_present(&self, partition: u32) -> usize {
+        let machines = self.living_machines_of(partition);
+        let workers = machines.iter().filter_map(|name| self.workers.get(name));
+        let tasks = workers.flat_map(|w| w.tasks.iter().filter(|(_, held)| held.present()));
+        let cancelled = |task: &str| {
+            let id = task.split('/').next().unwrap_or_default();
+            self.rules.cancel_confirmed.contains_key(id)
+        };
+        tasks.filter(|((task, _), _)| cancelled(task)).count()
+    }
+
+    /// Machines that are up.
+    pub fn machines_up(&self) -> usize {
+        self.workers.values().filter(|w| !w.dead).count()
+    }
+
+    /// The node that holds a partition by its record.
+    pub fn leader(&self, partition: u32) -> Option<&str> {
+        self.state
+            .value(&format!("s/p/{partition}"))?
+            .get("holder")?
+            .as_str()
+    }
+
+    /// The term of a partition by its record.
+    pub fn term(&self, partition: u32) -> Option<u64> {
+        self.state
+            .value(&format!("s/p/{partition}"))?
+            .get("term")?
+            .as_u64()
+    }
+
+    /// Prints where a job's tasks are, for the eyes of whoever looks into a run.
+    pub fn dump(&self, id: &str) {
+        for worker in self.workers.values() {
+            for ((task, attempt), held) in &worker.tasks {
+                if task.starts_with(id) {
+                    println!(
+                        "{} dead={} {task} try {attempt} {held:?}",
+                        worker.name, worker.dead
+                    );
+                }
+            }
+        }
+        for running in self.nodes.iter().flatten() {
+            println!("{}", running.node.explain(id));
+        }
+    }
+
+    /// A job as it was submitted.
+    pub fn job(&self, id: &str) -> Option<&JobRequest> {
+        self.jobs.get(id)
+    }
+
+    /// Tasks that workers have killed since their lease had run out.
+    pub fn killed_by_lease(&self) -> u64 {
+        self.workers.values().map(|w| w.tasks_killed_by_lease).sum()
+    }
+
+    /// Tasks of jobs that were accepted, are not over and have nothing on any machine.
+    pub fn waiting(&self) -> u64 {
+        let placed: HashSet<&str> = self
+            .workers
+            .values()
+            .filter(|worker| !worker.dead)
+            .flat_map(|worker| worker.tasks.keys())
+            .filter_map(|(task, _)| task.split('/').next())
+            .collect();
+        let unplaced = self
+            .unfinished()
+            .into_iter()
+            .filter(|id| !placed.contains(id.as_str()));
+        unplaced
+            .filter_map(|id| Some(self.jobs.get(&id)?.tasks))
+            .sum()
+    }
+
+    /// Arrays of low priority that waited for too long although there was capacity for them.
+    pub fn starved_low_priority(&self) -> &[String] {
+        self.service.starved_low_priority()
+    }
+
+    /// Jobs that were accepted and are neither done nor cancelled by now.
+    pub fn unfinished(&self) -> Vec<String> {
+        self.rules
+            .accepted
+            .keys()
+            .filter(|id| {
+                !self.rules.done_confirmed.contains_key(*id)
+                    && !self.rules.cancel_confirmed.contains_key(*id)
+            })
+            .cloned()
+            .collect()
+    }
+
     /// Teams whose tasks on machines leave less than one CPU of their limit.
     pub fn teams_at_limit(&self) -> usize {
         let mut used: BTreeMap<&str, f64> = BTreeMap::new();
--- a/crates/simulator/tests/end_of_run.rs
+++ b/crates/simulator/tests/end_of_run.rs
@@ -230,7 +230,7 @@
         ..plan(1, 30, faults)
     });
     world.run();
-    assert_eq!(world.starved_low_priority, [""; 0]);
+    assert_eq!(world.starved_low_priority(), [""; 0]);
 }
 
 /// What a checker must tell.
