--- a/crates/controller/src/controller/job_archiver.rs
+++ b/crates/controller/src/controller/job_archiver.rs
@@ -95,7 +95,7 @@
         reply: StateReply,
     ) {
         let now = self.now;
-        let Some(leadership) = self.current(partition, term) else {
+        let Some(leadership) = self.leadership_in_term(partition, term) else {
             return;
         };
         let Some((_, archiver)) = leadership.partition_state_and_archiver() else {
@@ -116,7 +116,7 @@
     /// A job is over, and that is durable.
     pub(super) fn job_ended(&mut self, id: JobId, state: JobState) {
         let now = self.now;
-        self.cache_final_state(id, state);
+        self.job_status.record_terminal_state(id, state);
         for leadership in self.leaderships.values_mut() {
             leadership.forget_job(id, now);
         }
--- a/crates/controller/src/controller/membership.rs
+++ b/crates/controller/src/controller/membership.rs
@@ -4,6 +4,7 @@
 use super::leadership::PartitionLeadership;
 use super::standby::REPLICA_CATCH_UP_LIMIT;
 use super::{CallKind, Controller, PeerStatus};
+use crate::job_status_cache::TaskCounts;
 use crate::records::{partition_key, reclaim_key, PartitionRecord, ReclaimRecord, COUNTER};
 use crate::rejections::{MessageFault, MessageSource};
 use crate::request_budget::CallPriority;
@@ -85,9 +86,9 @@
     }
 
     pub(super) fn maintain_leadership(&mut self) {
-        if !self.synced
-            || !self.booted
-            || self.lease.is_none()
+        if !self.state_sync.is_synced()
+            || !self.registration.is_registered()
+            || self.lease.current().is_none()
             || !self.has_recent_state_read(Duration::from_secs(3))
         {
             return;
@@ -97,7 +98,7 @@
             if let Some(held) = self.cache.partitions.get(&partition) {
                 self.vacant_since.remove(&partition);
                 let ours = held.record.leader == *self.own_name()
-                    && held.record.incarnation == self.incarnation;
+                    && held.record.incarnation == self.registration.incarnation();
                 if ours && !self.leaderships.contains_key(&partition) {
                     self.partition_changed(partition);
                     self.renew_term(partition);
@@ -261,7 +262,7 @@
         tracing::warn!(%partition, "its workers do not reach us: giving a partition up");
         // From here on nobody is answered. The counter names us as the last taker, so whoever
         // takes it next counts our answers until we show that we know.
-        leadership.set_transferring(true);
+        leadership.begin_transfer();
         let key = partition_key(partition);
         let txn = Transaction::default()
             .when(&key, leadership.version().0)
@@ -304,10 +305,9 @@
             }
             // It may yet be applied.
             StateReply::Unknown => {
-                leadership.set_transferring(true);
-                leadership.transferring_until(self.now + Duration::from_secs(2));
+                leadership.await_transfer_outcome(self.now + Duration::from_secs(2));
             }
-            _ => leadership.set_transferring(false),
+            _ => leadership.abort_transfer(),
         }
     }
 
@@ -397,10 +397,12 @@
 
     /// Writes our name into a partition's record, which must still have this version (0: none).
     pub(super) fn acquire(&mut self, partition: PartitionId, version: u64) {
-        let Some(lease) = self.lease else { return };
+        let Some(lease) = self.lease.current() else {
+            return;
+        };
         let record = PartitionRecord {
             leader: self.own_name().clone(),
-            incarnation: self.incarnation,
+            incarnation: self.registration.incarnation(),
             term: self.cache.next_token(),
             // Those who may still answer, to be waited out by whoever comes after them.
             unconfirmed_predecessors: self.unconfirmed_predecessors_of(partition),
@@ -466,7 +468,9 @@
             return;
         };
         let record = held.record;
-        if record.leader != *self.own_name() || record.incarnation != self.incarnation {
+        if record.leader != *self.own_name()
+            || record.incarnation != self.registration.incarnation()
+        {
             if self.leaderships.remove(&partition).is_some() {
                 tracing::info!(%partition, leader = %record.leader, "a partition has moved on");
             }
@@ -525,7 +529,9 @@
             return;
         };
         let partition = PartitionId(number as u32);
-        let Some(lease) = self.lease else { return };
+        let Some(lease) = self.lease.current() else {
+            return;
+        };
         let Some(held) = self.cache.partitions.get(&partition) else {
             return;
         };
@@ -554,7 +560,7 @@
             self.reclaim_pending = true;
             let reclaim_request = ReclaimRecord {
                 node: self.own_name().clone(),
-                incarnation: self.incarnation,
+                incarnation: self.registration.incarnation(),
                 lease: lease.0,
             };
             let value = serde_json::to_value(reclaim_request).unwrap_or_default();
@@ -587,7 +593,7 @@
             let message = MeshMessage::ReclaimRequest {
                 partition: partition.0,
                 lease: lease.0,
-                incarnation: self.incarnation,
+                incarnation: self.registration.incarnation(),
             };
             self.mesh(&leader, message);
         }
@@ -612,12 +618,13 @@
             return;
         }
         // From here on nobody is answered, so the successor need not wait for us.
-        leadership.set_transferring(true);
+        leadership.begin_transfer();
         let version = leadership.version();
         // Should the outcome stay unknown, we may answer again before we know; so the successor
         // waits until we show that we do.
         let mut unconfirmed_predecessors = leadership.unconfirmed_predecessors().to_vec();
-        unconfirmed_predecessors.push((self.settings.name.clone(), self.incarnation));
+        unconfirmed_predecessors
+            .push((self.settings.name.clone(), self.registration.incarnation()));
         let record = PartitionRecord {
             leader: to.clone(),
             incarnation,
@@ -652,13 +659,12 @@
             // It may yet be applied.
             StateReply::Unknown => {
                 if let Some(leadership) = self.leaderships.get_mut(&partition) {
-                    leadership.set_transferring(true);
-                    leadership.transferring_until(self.now + Duration::from_secs(2));
+                    leadership.await_transfer_outcome(self.now + Duration::from_secs(2));
                 }
             }
             _ => {
                 if let Some(leadership) = self.leaderships.get_mut(&partition) {
-                    leadership.set_transferring(false);
+                    leadership.abort_transfer();
                 }
             }
         }
@@ -679,14 +685,15 @@
         });
         let message = MeshMessage::Heartbeat {
             peer_heartbeat_ages: peer_heartbeat_ages.collect(),
-            incarnation: self.incarnation,
-            revision: if self.synced {
+            incarnation: self.registration.incarnation(),
+            revision: if self.state_sync.is_synced() {
                 self.cache.revision.0
             } else {
                 0
             },
-            state_contact: self.synced && self.has_recent_state_read(Duration::from_secs(3)),
-            ready: self.synced && self.booted,
+            state_contact: self.state_sync.is_synced()
+                && self.has_recent_state_read(Duration::from_secs(3)),
+            ready: self.state_sync.is_synced() && self.registration.is_registered(),
         };
         self.broadcast(message);
     }
@@ -780,7 +787,8 @@
                 for (id, done, running) in jobs {
                     let id = model::JobId(id);
                     if self.cache.jobs.contains_key(&id) {
-                        self.progress.insert(id, (done, running));
+                        self.job_status
+                            .record_progress(id, TaskCounts { done, running });
                     }
                 }
             }
