--- a/crates/loadtest/src/state_service.rs
+++ b/crates/loadtest/src/state_service.rs
@@ -143,8 +143,8 @@
     fn figures(&self) -> std::collections::BTreeMap<String, f64> {
         let store = self.store.borrow();
         [
-            ("writes taken", store.taken),
-            ("writes refused (429)", store.refused),
+            ("writes taken", store.accepted_writes),
+            ("writes refused (429)", store.refused_writes),
             ("requests refused (429)", self.throttled.get()),
             ("requests refused (outage)", self.during_outage.get()),
         ]
--- a/crates/loadtest/src/workers.rs
+++ b/crates/loadtest/src/workers.rs
@@ -206,7 +206,7 @@
     fn new(site: Rc<Site>, machine: u32, up: &UpMachine) -> Self {
         let now = site.clock.now_ms();
         let mut worker = Worker::new(&up.name, &up.machine_type, &up.zone, up.spot, now);
-        worker.node = rand::rng().random_range(0..site.experiment.controllers.count) as usize;
+        worker.controller = rand::rng().random_range(0..site.experiment.controllers.count) as usize;
         let state = HollowState {
             worker,
             connection: None,
@@ -394,7 +394,7 @@
             worker.last_report = now;
             worker.next_report =
                 now + rand::rng().random_range(interval * 3 / 4..=interval * 5 / 4);
-            let node = worker.node as u32;
+            let node = worker.controller as u32;
             let connection = state.connection.take();
             let connection = connection.filter(|c| c.controller == node && c.usable());
             let body = serde_json::to_vec(&self.message(state)).unwrap_or_default();
@@ -483,7 +483,7 @@
         let now = self.site.clock.now_ms();
         let mut state = self.state.borrow_mut();
         state.worker.in_flight = None;
-        state.worker.node = (node % self.site.experiment.controllers.count) as usize;
+        state.worker.controller = (node % self.site.experiment.controllers.count) as usize;
         state.worker.next_report = now + pause_ms;
         state.not_before = now + pause_ms;
     }
--- a/crates/simulator/benches/scale.rs
+++ b/crates/simulator/benches/scale.rs
@@ -1,5 +1,5 @@
-//! What each kind of event costs the deciding code as the fleet grows: a share of so many
-//! machines, full of tasks, with a tenth as much work waiting.
+//! What each kind of event costs the deciding code as the fleet grows: a share of this many machines, full of
+//! tasks, with a tenth as much work waiting.
 //!
 //! `cargo bench -p simulator` (`-- tick` for one kind). Only the time inside `Controller::handle` and its
 //! like is measured, not that of the stand-ins.
@@ -25,8 +25,8 @@
 /// One turn of a measurement and what it cost.
 type Each = Box<dyn FnMut(&mut SingleController, u64) -> Duration>;
 
-/// A node: ticks, reports, takeovers.
-fn node(c: &mut Criterion) {
+/// A controller: ticks, heartbeats, failovers.
+fn controller(c: &mut Criterion) {
     let mut group = c.benchmark_group("node");
     group.sample_size(10);
     for size in SIZES {
@@ -102,7 +102,7 @@
 fn share(size: usize) -> PartitionState {
     let amounts = Resources::offered(1e6, 0.0, 0.0);
     let teams = [(TeamName::from("t"), Resources::default(), amounts)];
-    // Time goes on by seconds here without another report.
+    // Time goes on by seconds here without another heartbeat.
     let policy = Policy {
         heartbeat_grace: Duration::from_millis(u64::MAX / 2),
         ..Policy::default()
@@ -134,14 +134,14 @@
     share
 }
 
-/// Standing by: what a look at its hints costs a holder when nothing has changed, the whole copy for a
-/// new follower on both sides, and what a share makes of it.
+/// Standing by: what a look at its hints costs a leader when nothing has changed, the whole copy for a new
+/// follower on both sides, and what a share makes of it.
 fn standing_by(c: &mut Criterion) {
     let mut group = c.benchmark_group("standby");
     group.sample_size(10);
-    let (holder, follower) = (ControllerName::from("n0"), ControllerName::from("n1"));
+    let (leader, replica) = (ControllerName::from("n0"), ControllerName::from("n1"));
     let source = ReplicationSource {
-        leader: holder.clone(),
+        leader: leader.clone(),
         incarnation: 1,
         term: 5,
     };
@@ -154,7 +154,7 @@
         let mut share = share(size);
         let mut stream = ReplicationStream::default();
         stream.update(share.replication_records(Timestamp::from_millis(2)));
-        stream.subscribe(&follower, 0, Timestamp::from_millis(2));
+        stream.subscribe(&replica, 0, Timestamp::from_millis(2));
         group.bench_function(BenchmarkId::new("look", size), |b| {
             b.iter(|| {
                 stream.update(share.replication_records(Timestamp::from_millis(2)));
@@ -163,7 +163,7 @@
         });
         let mut clock = 10_000;
         let mut whole = |stream: &mut ReplicationStream| {
-            stream.subscribe(&follower, 0, Timestamp::from_millis(clock));
+            stream.subscribe(&replica, 0, Timestamp::from_millis(clock));
             let mut parts: Vec<ReplicationBatch> = Vec::new();
             while parts.last().is_none_or(|part| part.up_to < part.newest) {
                 clock += 1_000;
@@ -185,7 +185,7 @@
             let mut replicas = Replicas::default();
             replicas.subscribe(&wanted, Timestamp::from_millis(4));
             for part in &parts {
-                replicas.apply(&holder, part.clone(), Timestamp::from_millis(4));
+                replicas.apply(&leader, part.clone(), Timestamp::from_millis(4));
             }
             replicas
         };
@@ -301,5 +301,5 @@
     group.finish();
 }
 
-criterion_group!(benches, cycles, plans, node, standing_by);
+criterion_group!(benches, cycles, plans, controller, standing_by);
 criterion_main!(benches);
--- a/crates/simulator/examples/failovers.rs
+++ b/crates/simulator/examples/failovers.rs
@@ -1,4 +1,4 @@
-//! How long takeovers take, over many seeds in simulated time.
+//! How long failovers take, over many seeds in simulated time.
 //!
 //! `cargo run --release -p simulator --example failovers -- --size 107 --seeds 50`
 
@@ -8,7 +8,7 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::Mutex;
 
-/// Measures takeovers in the simulated world.
+/// Measures failovers in the simulated world.
 #[derive(Parser)]
 struct Arguments {
     /// How many times the smallest site: 107 has about 900 machines.
@@ -18,7 +18,7 @@
     seeds: u64,
     #[arg(long, default_value_t = 8)]
     threads: usize,
-    /// What happens to the holder.
+    /// What happens to the leader.
     #[arg(long, value_enum, default_value_t = Case::Ends)]
     case: Case,
     /// One JSON object instead of a table.
@@ -28,25 +28,25 @@
 
 #[derive(Clone, Copy, Debug, clap::ValueEnum)]
 enum Case {
-    /// The holder of a partition ends.
+    /// The leader of a partition ends.
     Ends,
     /// It stands still for 15 s.
     StandsStill,
-    /// It and the node that stands by for it end at once.
+    /// It and the controller that stands by for it end at once.
     TwoEnd,
     /// It ends with a tenth of the machines.
     WithMachines,
 }
 
-/// When a takeover came to a step.
+/// When a failover came to a step.
 type Step = fn(&Failover) -> Option<u64>;
 
-/// When the holder ends.
+/// When the leader ends.
 const AT: u64 = 60_000;
 
 fn failovers(seed: u64, size: u64, case: Case) -> (usize, Vec<Failover>, (u64, u64)) {
-    let back = 8_000;
-    // Work waits when the holder ends, so that the first launch shows when it decides.
+    let restart_after_ms = 8_000;
+    // Work waits when the leader ends, so that the first launch shows when it decides.
     let burst = |at, jobs| {
         (
             at,
@@ -57,22 +57,46 @@
     };
     let mut faults = vec![burst(1_000, 8), burst(AT - 6_000, 4)];
     faults.extend(match case {
-        Case::Ends => vec![(AT, Fault::CrashController { node: 1, back })],
+        Case::Ends => vec![(
+            AT,
+            Fault::CrashController {
+                controller: 1,
+                restart_after_ms,
+            },
+        )],
         Case::StandsStill => vec![(
             AT,
             Fault::PauseController {
-                node: 1,
+                controller: 1,
                 ms: 15_000,
             },
         )],
         Case::TwoEnd => {
             vec![
-                (AT, Fault::CrashController { node: 1, back }),
-                (AT, Fault::CrashController { node: 2, back }),
+                (
+                    AT,
+                    Fault::CrashController {
+                        controller: 1,
+                        restart_after_ms,
+                    },
+                ),
+                (
+                    AT,
+                    Fault::CrashController {
+                        controller: 2,
+                        restart_after_ms,
+                    },
+                ),
             ]
         }
         Case::WithMachines => vec![
-            (AT, Fault::CrashController { node: 1, back }),
+            (
+                AT,
+                Fault::CrashController {
+                    controller: 1,
+                    restart_after_ms,
+                },
+            ),
             (
                 AT + 1,
                 Fault::CrashMachines {
--- a/crates/simulator/src/availability.rs
+++ b/crates/simulator/src/availability.rs
@@ -1,13 +1,13 @@
-//! How much of what was accepted has been served, by team and by kind of work.
+//! Service levels: how much of the accepted work has been served, by team and by kind of work.
 
 use crate::worker::Worker;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use wire::users::{JobKind, JobRequest};
 use wire::workers::TaskState;
 
-/// A service counts from so long after its acceptance on.
+/// A service counts from this time after its acceptance on, in ms.
 const SERVICE_START_GRACE_MS: u64 = 20_000;
-/// Time between two looks.
+/// Interval between two observations, in ms.
 const OBSERVATION_INTERVAL_MS: u64 = 1_000;
 
 /// Seconds of replicas that were due and were up, by job.
@@ -20,7 +20,7 @@
     begun: BTreeMap<String, u64>,
 }
 
-/// One class of work: a team's, or a kind of jobs.
+/// The service level of one class of work: of a team or of a kind of jobs.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ServiceLevel {
     pub of: String,
@@ -29,16 +29,16 @@
 }
 
 impl ServiceLevel {
-    /// Part of what was due that was served.
+    /// The share of the due work that was served.
     pub fn ratio(&self) -> f64 {
         self.served as f64 / self.due.max(1) as f64
     }
 }
 
-/// Within this time the largest jobs are to begin, too.
+/// The largest jobs have to start within this time, in ms.
 const LARGE_JOB_START_DEADLINE_MS: u64 = 240_000;
 
-/// Of each kind, the largest jobs are those of the largest size and one in so many.
+/// The largest jobs of a kind are those of the largest size, and one in this many.
 const LARGEST_FRACTION: usize = 10;
 
 impl Availability {
@@ -106,7 +106,7 @@
         shares
     }
 
-    /// Looks at the replicas of all services that should be up.
+    /// Counts the replicas of all services that should be up.
     pub fn observe(
         &mut self,
         workers: &BTreeMap<String, Worker>,
--- a/crates/simulator/src/cloud.rs
+++ b/crates/simulator/src/cloud.rs
@@ -47,7 +47,7 @@
 }
 
 impl Cloud {
-    /// A cloud with one small type, so many ordinary and cheap ones in each zone.
+    /// A cloud with one small type, this many ordinary and spot ones in each zone.
     pub fn new(zones: &[&str], ordinary: u32, cheap: u32) -> Self {
         let mut capacity = BTreeMap::new();
         for zone in zones {
--- a/crates/simulator/src/failovers.rs
+++ b/crates/simulator/src/failovers.rs
@@ -1,41 +1,42 @@
-//! What a takeover takes: from the end of a holder to each step of its successor.
+//! Timelines of failovers: from the stop of a leader to each step of its successor.
 
 use std::collections::BTreeSet;
 
-/// One takeover of a partition, in ms of simulated time.
+/// One failover of a partition, in ms of simulated time.
 #[derive(Debug, Clone)]
 pub struct Failover {
     pub partition: u32,
-    /// The node that had it.
+    /// The leader before.
     pub before: String,
-    /// When that node ended or stood still; for a partition handed over, when that was written.
+    /// When the previous leader crashed or was paused; for a leadership transfer, when its record was
+    /// written.
     pub leader_stopped_at: u64,
-    /// The holder was well and handed it over.
+    /// Whether a healthy leader transferred its leadership.
     pub transferred: bool,
-    /// When the record of the new holder was written, and its term.
+    /// When the record of the new leader was written, and its term.
     pub acquired_at: Option<u64>,
     pub term: u64,
-    /// When the first and the last of the machines that lived then had heard from the new holder: an
-    /// answer to a report, or a direct call.
+    /// When the first and the last of the machines that were up had received a heartbeat reply or a direct
+    /// call of the new leader.
     pub first_contact_at: Option<u64>,
     pub last_contact_at: Option<u64>,
-    /// When the first task was launched by it.
+    /// When the new leader launched its first task.
     pub first_launch_at: Option<u64>,
-    /// Machines that lived when it was taken.
+    /// Machines that were up when the new leader acquired the partition.
     pub machines: usize,
     waiting: BTreeSet<String>,
 }
 
-/// All takeovers of a run.
+/// All failovers of a run, in the order in which they began.
 #[derive(Debug, Default)]
 pub struct FailoverTimeline {
     pub list: Vec<Failover>,
 }
 
 impl FailoverTimeline {
-    /// The holder of a partition ends or stands still.
-    pub fn record_leader_stop(&mut self, partition: u32, holder: &str, now: u64) {
-        self.open(partition, holder, now, false);
+    /// The leader of a partition crashes or is paused.
+    pub fn record_leader_stop(&mut self, partition: u32, leader: &str, now: u64) {
+        self.open(partition, leader, now, false);
     }
 
     fn open(&mut self, partition: u32, before: &str, leader_stopped_at: u64, transferred: bool) {
@@ -54,7 +55,7 @@
         });
     }
 
-    /// A record has been written. `living` are the machines of the partition that live.
+    /// A partition record has been written. `living` are the partition's machines that are up.
     pub fn record_acquisition(
         &mut self,
         partition: u32,
@@ -63,7 +64,7 @@
         living: BTreeSet<String>,
         now: u64,
     ) {
-        // What the predecessor's machines had not heard by now they hear from another.
+        // Machines that had not heard from the predecessor will hear from its successor.
         for old in self.list.iter_mut().filter(|t| t.partition == partition) {
             old.waiting.clear();
         }
@@ -80,7 +81,7 @@
         }
     }
 
-    /// A machine has heard from whoever has this token; `launches` if it was told to start something.
+    /// A machine has received a message with this fencing token; `launches` if it contained a start command.
     pub fn record_contact(&mut self, machine: &str, token: u64, launches: bool, now: u64) {
         for failover in &mut self.list {
             if failover.acquired_at.is_none() || token < failover.term {
@@ -100,7 +101,7 @@
         }
     }
 
-    /// A machine is gone: nobody waits for it.
+    /// A machine is gone: its first contact is no longer expected.
     pub fn record_machine_loss(&mut self, machine: &str, now: u64) {
         for failover in &mut self.list {
             if failover.waiting.remove(machine) && failover.waiting.is_empty() {
--- a/crates/simulator/src/fingerprint/message.rs
+++ b/crates/simulator/src/fingerprint/message.rs
@@ -15,7 +15,7 @@
 const UNPROCESSABLE: u16 = 422;
 const UNAVAILABLE: u16 = 503;
 
-/// Pause in seconds that a worker is told when its report is not taken.
+/// Pause in seconds that a worker is told when its heartbeat is not taken.
 const REPORT_RETRY_S: u64 = 1;
 
 /// A message that leaves a controller.
@@ -29,7 +29,7 @@
 }
 
 impl Outgoing {
-    /// What leaves a node by an effect. `reporter` is the machine whose report is answered.
+    /// What leaves a controller by an effect. `reporter` is the machine whose heartbeat is answered.
     pub fn of(sender: usize, effect: &Effect, reporter: Option<&str>) -> Self {
         match effect {
             Effect::State { request, .. } => Self::call("state".into(), &request.into()),
@@ -140,9 +140,9 @@
 fn heartbeat_reply(reply: &HeartbeatReply) -> Answer {
     match reply {
         HeartbeatReply::Answer(answer) => Answer::json(OK, answer),
-        HeartbeatReply::Redirect(node) => {
+        HeartbeatReply::Redirect(controller) => {
             let redirect = Redirect {
-                report_to: node.as_ref().map(ControllerName::to_string),
+                report_to: controller.as_ref().map(ControllerName::to_string),
             };
             Answer::json(MISDIRECTED, &redirect)
         }
--- a/crates/simulator/src/fingerprint/recorder.rs
+++ b/crates/simulator/src/fingerprint/recorder.rs
@@ -28,7 +28,7 @@
         }
     }
 
-    /// Adds a message that a node sends at a simulated time.
+    /// Adds a message that a controller sends at a simulated time.
     pub(crate) fn add(&mut self, at_ms: u64, sender: usize, message: &Outgoing) {
         let received = self.received.entry(message.recipient.clone()).or_default();
         received.messages += 1;
--- a/crates/simulator/src/fingerprint/runs.rs
+++ b/crates/simulator/src/fingerprint/runs.rs
@@ -13,7 +13,7 @@
 /// When a single fault begins, and how long it lasts.
 const FAULT_AT_MS: u64 = 40_000;
 const FAULT_MS: u64 = 16_000;
-/// Pause between two rounds of operators' requests.
+/// Pause between two commits of operators' requests.
 const ADMIN_INTERVAL_MS: u64 = 20_000;
 /// How many times the smallest site a grown one and a fleet are.
 const LARGE_SITE_SIZE: u64 = 20;
@@ -85,16 +85,16 @@
     }
 }
 
-/// Operators ask every node for every view from time to time, and change the settings.
+/// Operators ask every controller for every view from time to time, and change the settings.
 fn administer(world: &mut World, until_ms: u64) {
     for (round, at_ms) in (ADMIN_INTERVAL_MS..until_ms)
         .step_by(ADMIN_INTERVAL_MS as usize)
         .enumerate()
     {
         world.run_to(at_ms);
-        for node in 0..CONTROLLERS {
+        for controller in 0..CONTROLLERS {
             for request in views(world) {
-                world.administer(node, request);
+                world.administer(controller, request);
             }
         }
         world.administer(round % CONTROLLERS, change_of_settings(round));
@@ -163,8 +163,8 @@
 fn quiet_runs() -> Vec<Run> {
     let quiet = |seed| Run::new(format!("quiet_{seed}"), small_plan(seed, Vec::new()));
     let crash = Fault::CrashController {
-        node: 0,
-        back: 4_000,
+        controller: 0,
+        restart_after_ms: 4_000,
     };
     let administration = Run {
         administration: true,
@@ -173,7 +173,7 @@
     vec![quiet(1), quiet(2), administration]
 }
 
-/// A fault of each kind, once among short and once among long tasks. A node ends while it lasts.
+/// A fault of each kind, once among short and once among long tasks. A controller ends while it lasts.
 fn single_faults() -> Vec<Run> {
     let kinds = controller_faults()
         .into_iter()
@@ -188,8 +188,8 @@
 fn single_fault(index: usize, name: &str, fault: &Fault) -> [Run; 2] {
     let seed = 100 + index as u64;
     let crash = Fault::CrashController {
-        node: (index + 1) % CONTROLLERS,
-        back: 300,
+        controller: (index + 1) % CONTROLLERS,
+        restart_after_ms: 300,
     };
     let faults = vec![
         (FAULT_AT_MS, fault.clone()),
@@ -215,30 +215,54 @@
         (
             "crash",
             Fault::CrashController {
-                node: 0,
-                back: 6_000,
+                controller: 0,
+                restart_after_ms: 6_000,
             },
         ),
-        ("crash_at", Fault::CrashBeforeEffect { node: 0, nth: 9 }),
-        ("cut_state", Fault::DisconnectStateService { node: 1, ms }),
+        (
+            "crash_at",
+            Fault::CrashBeforeEffect {
+                controller: 0,
+                nth: 9,
+            },
+        ),
+        (
+            "cut_state",
+            Fault::DisconnectStateService { controller: 1, ms },
+        ),
         (
             "refuse_one",
-            Fault::RefuseStateRequests { node: Some(2), ms },
+            Fault::RefuseStateRequests {
+                controller: Some(2),
+                ms,
+            },
+        ),
+        (
+            "refuse_all",
+            Fault::RefuseStateRequests {
+                controller: None,
+                ms,
+            },
         ),
-        ("refuse_all", Fault::RefuseStateRequests { node: None, ms }),
         ("slow_state", Fault::SlowStateService { times: 30, ms }),
-        ("cut_workers", Fault::DisconnectWorkers { node: 0, ms }),
-        ("cut_mesh", Fault::DisconnectMesh { node: 1, ms }),
-        ("freeze", Fault::PauseController { node: 2, ms }),
+        (
+            "cut_workers",
+            Fault::DisconnectWorkers { controller: 0, ms },
+        ),
+        ("cut_mesh", Fault::DisconnectMesh { controller: 1, ms }),
+        ("freeze", Fault::PauseController { controller: 2, ms }),
         (
             "freeze_briefly",
-            Fault::PauseController { node: 0, ms: 2_500 },
+            Fault::PauseController {
+                controller: 0,
+                ms: 2_500,
+            },
         ),
-        ("isolate", Fault::IsolateController { node: 1, ms }),
+        ("isolate", Fault::IsolateController { controller: 1, ms }),
         (
             "blind",
             Fault::DisconnectStateAndMesh {
-                node: 2,
+                controller: 2,
                 ms,
                 refused: false,
             },
@@ -246,7 +270,7 @@
         (
             "blind_refused",
             Fault::DisconnectStateAndMesh {
-                node: 0,
+                controller: 0,
                 ms,
                 refused: true,
             },
@@ -301,28 +325,28 @@
         (
             "boots_early",
             Fault::ChangeBootBehavior {
-                how: BootBehavior::Early,
+                behavior: BootBehavior::Early,
                 ms,
             },
         ),
         (
             "boots_late",
             Fault::ChangeBootBehavior {
-                how: BootBehavior::Late,
+                behavior: BootBehavior::Late,
                 ms,
             },
         ),
         (
             "boots_never",
             Fault::ChangeBootBehavior {
-                how: BootBehavior::Never,
+                behavior: BootBehavior::Never,
                 ms,
             },
         ),
         (
             "boots_quick",
             Fault::ChangeBootBehavior {
-                how: BootBehavior::Quick,
+                behavior: BootBehavior::Quick,
                 ms,
             },
         ),
@@ -357,9 +381,17 @@
 }
 
 fn several_faults() -> Vec<Run> {
-    let crash = |at, node, back| (at, Fault::CrashController { node, back });
+    let crash = |at, controller, restart_after_ms| {
+        (
+            at,
+            Fault::CrashController {
+                controller,
+                restart_after_ms,
+            },
+        )
+    };
     let all_end = (0..CONTROLLERS)
-        .map(|node| crash(45_000, node, 6_000))
+        .map(|controller| crash(45_000, controller, 6_000))
         .collect();
     let rolled = (0..CONTROLLERS)
         .map(|n| crash(35_000 + 12_000 * n as u64, n, 5_000))
@@ -369,22 +401,28 @@
         (
             30_000,
             Fault::PauseController {
-                node: 0,
+                controller: 0,
                 ms: 20_000,
             },
         ),
-        (36_000, Fault::PauseController { node: 1, ms: 5_000 }),
+        (
+            36_000,
+            Fault::PauseController {
+                controller: 1,
+                ms: 5_000,
+            },
+        ),
         (
             70_000,
             Fault::PauseController {
-                node: 1,
+                controller: 1,
                 ms: 14_000,
             },
         ),
         (
             70_000,
             Fault::PauseController {
-                node: 2,
+                controller: 2,
                 ms: 12_000,
             },
         ),
@@ -462,21 +500,28 @@
         (
             40_000,
             Fault::CrashController {
-                node: 1,
-                back: 6_000,
+                controller: 1,
+                restart_after_ms: 6_000,
             },
         ),
         (55_000, Fault::CrashMachines { count: 20 }),
         (
             60_000,
             Fault::RefuseStateRequests {
-                node: None,
+                controller: None,
                 ms: 12_000,
             },
         ),
     ];
-    let all_end =
-        (0..CONTROLLERS).map(|node| (46_000, Fault::CrashController { node, back: 8_000 }));
+    let all_end = (0..CONTROLLERS).map(|controller| {
+        (
+            46_000,
+            Fault::CrashController {
+                controller,
+                restart_after_ms: 8_000,
+            },
+        )
+    });
     let fleet_all_end: Vec<_> = [(1_000, Fault::JobBurst { jobs: 900 })]
         .into_iter()
         .chain(all_end)
@@ -486,8 +531,8 @@
         (
             40_000,
             Fault::CrashController {
-                node: 1,
-                back: 4_000,
+                controller: 1,
+                restart_after_ms: 4_000,
             },
         ),
         (44_000, Fault::CrashMachines { count: 100 }),
--- a/crates/simulator/src/history.rs
+++ b/crates/simulator/src/history.rs
@@ -1,13 +1,13 @@
-//! The history of each job as users see it, checked against real-time order: an answer may not be older
-//! than anything that was confirmed to anybody before its question was sent.
+//! A history checker: replies about each job are checked against real-time order. A reply may not be older
+//! than anything that was confirmed to any user before its request was sent.
 
 use std::collections::HashMap;
 use wire::users::JobState;
 
-/// A question counts as close to a confirmation if it was sent at most so many ms after it.
+/// A request counts as close to a confirmation if it was sent at most this many ms after it.
 const CLOSE_ANSWER_MS: u64 = 100;
 
-/// A point in the total order of all questions and answers.
+/// A point in the total order of all requests and replies.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct HistoryTime {
     order: u64,
@@ -56,7 +56,7 @@
     cancel_requested: Option<HistoryTime>,
 }
 
-/// Answers whose questions were sent within milliseconds of a confirmation about the same job.
+/// Answers whose status requests were sent within milliseconds of a confirmation about the same job.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct CloseAnswers {
     pub after_accepted: u64,
@@ -113,8 +113,8 @@
         Some(self.jobs.get(id)?.cancel_requested?.ms)
     }
 
-    /// Judges an answer, which comes now, by what had been confirmed when its question was sent, and keeps what
-    /// it confirms.
+    /// Checks a reply that arrives now against what had been confirmed when its request was sent, and records
+    /// what it confirms.
     pub fn record(
         &mut self,
         id: &str,
@@ -163,7 +163,7 @@
                 let Some((finished, at)) = self.finished else {
                     return Ok(());
                 };
-                // Two final states contradict each other whenever they are told.
+                // Two terminal states contradict each other in any order.
                 let is_final = matches!(state, JobState::Done | JobState::Cancelled);
                 if state != finished && (is_final || at < sent) {
                     let what = format!("{id} was {finished:?} at {}, then {state:?}", at.ms);
--- a/crates/simulator/src/lib.rs
+++ b/crates/simulator/src/lib.rs
@@ -1,8 +1,8 @@
-//! A simulated world for controller nodes: state service, cloud, workers, users and a network
-//! that delays, cuts and holds messages back, all in simulated time from one seed. The rules
-//! are checked after every step.
+//! A deterministic simulation of a site: real controllers with stand-ins of the state service, the cloud,
+//! workers, users and the network, in simulated time from one seed, with fault injection. The rules are
+//! checked after every step.
 //!
-//! The stand-ins are written from the protocols, not from the controllers.
+//! The stand-ins implement the protocols independently of the controllers' code.
 
 pub mod availability;
 pub mod cloud;
@@ -23,7 +23,7 @@
 pub use single_controller::SingleController;
 pub use world::{Fault, FaultCoverage, Mutation, Plan, World};
 
-/// Runs something for each seed from 1 on, on all cores.
+/// Runs a function for each seed from 1 to `seeds`, on all cores.
 pub fn for_seeds(seeds: u64, run: impl Fn(u64) + Sync) {
     let next = std::sync::atomic::AtomicU64::new(1);
     let cores = std::thread::available_parallelism().map_or(4, usize::from);
--- a/crates/simulator/src/rules.rs
+++ b/crates/simulator/src/rules.rs
@@ -1,11 +1,11 @@
-//! The rules of the protocols, checked from what workers do and users are told.
+//! The rules of the protocols, checked against what workers do and what replies users get.
 
 use crate::history::{Answer, History, HistoryTime, HistoryViolation};
 use crate::worker::Worker;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use wire::users::{JobRequest, JobState};
 
-/// A broken rule.
+/// A violation of a rule.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Violation {
     pub rule: &'static str,
@@ -13,7 +13,7 @@
     pub at: u64,
 }
 
-/// What users were told and what has run.
+/// Checks rules from replies to users and from what has run.
 #[derive(Debug, Default)]
 pub struct RuleChecker {
     /// Time for a cancellation, in ms.
@@ -25,7 +25,7 @@
     pub cancel_confirmed: BTreeMap<String, u64>,
     pub cancel_requests: BTreeSet<String>,
     pub done_tasks: BTreeSet<String>,
-    /// What users were told of each job, in real-time order.
+    /// Replies to users about each job, in real-time order.
     pub history: History,
     /// Starts of tasks whose jobs were confirmed as cancelled before, and the longest time between both, in ms.
     pub started_after_cancel: u64,
@@ -33,7 +33,7 @@
 }
 
 impl RuleChecker {
-    /// Nothing has happened yet; a cancelled job's tasks must be gone after so many ms.
+    /// A checker for a new run; tasks of a cancelled job must be gone after `cancel` ms.
     pub fn new(cancel: u64) -> Self {
         RuleChecker {
             cancel,
@@ -41,7 +41,7 @@
         }
     }
 
-    /// Notes a broken rule.
+    /// Records a violation.
     pub fn record_violation(&mut self, rule: &'static str, what: impl Into<String>, at: u64) {
         self.violations.push(Violation {
             rule,
@@ -50,6 +50,13 @@
         });
     }
 
+    /// Whether one of these rules was violated.
+    pub fn has_violation_of(&self, rules: &[&str]) -> bool {
+        self.violations
+            .iter()
+            .any(|violation| rules.contains(&violation.rule))
+    }
+
     /// A task got its image on a machine.
     pub fn started(
         &mut self,
@@ -116,7 +123,7 @@
         }
     }
 
-    /// What must hold at every moment.
+    /// Checks quotas and cancellation deadlines, which must hold at every moment.
     pub fn check(
         &mut self,
         workers: &BTreeMap<String, Worker>,
@@ -144,7 +151,7 @@
         }
     }
 
-    /// A user whose question was sent at `sent` was given a status.
+    /// Records a status in reply to a request that was sent at `sent`.
     pub fn record_status(
         &mut self,
         id: &str,
@@ -173,7 +180,8 @@
         }
     }
 
-    /// A user whose question was sent at `sent` was told that there is no such job, or was refused for good.
+    /// Records a reply that there is no such job or that the submission is invalid, to a request sent at
+    /// `sent`.
     pub fn record_missing(&mut self, id: &str, answer: Answer, sent: HistoryTime, now: u64) {
         self.judge(id, sent, answer, now);
     }
--- a/crates/simulator/src/single_controller.rs
+++ b/crates/simulator/src/single_controller.rs
@@ -1,5 +1,5 @@
-//! One node alone, with machines and work at a size of choice and a state service that answers at
-//! once: what each kind of event costs it.
+//! A single controller with a given number of machines, work, and a state service that replies at once, to
+//! measure the cost of each kind of event.
 
 use crate::state::StateService;
 use crate::worker::Worker;
@@ -22,10 +22,10 @@
 /// fed.
 const LEASE_MS: u64 = 600_000;
 
-/// The node and what surrounds it.
+/// The controller and the stand-ins around it.
 pub struct SingleController {
     settings: Settings,
-    node: Controller,
+    controller: Controller,
     state: StateService,
     now: u64,
     workers: Vec<Worker>,
@@ -36,7 +36,7 @@
     tickets: u64,
     answered: usize,
     machines: usize,
-    /// Another machine that stands at all addresses: it answers direct calls with this report.
+    /// If set, another machine answers direct calls at all addresses with this heartbeat.
     impostor: Option<Heartbeat>,
     report_replies: Vec<HeartbeatReply>,
     user_replies: Vec<UserReply>,
@@ -81,14 +81,14 @@
     }
 }
 
-/// The worker of a machine: every other one is in zone b, every third is cheap.
+/// The worker of a machine: every other one is in zone b, every third is a spot machine.
 pub fn worker(nth: usize) -> Worker {
     let zone = if nth.is_multiple_of(2) { "a" } else { "b" };
     let name = format!("host-{nth:06}");
     Worker::new(&name, &machine_type().name, zone, nth.is_multiple_of(3), 0)
 }
 
-/// A job of small tasks: replicas of high priority, or an array that may use cheap machines.
+/// A job of small tasks: replicas of high priority, or an array that may use spot machines.
 pub fn job(number: u64, kind: JobKind, tasks: u64) -> JobRequest {
     let service = kind == JobKind::Service;
     JobRequest {
@@ -120,12 +120,12 @@
 }
 
 impl SingleController {
-    /// A node that holds so many machines, all of them idle and known to it.
+    /// A controller that leads a partition with this many machines, all idle and known.
     pub fn new(machines: usize) -> Self {
         SingleController::with_settings(machines, settings(machines, ""))
     }
 
-    /// The same beside a peer, n1, that says nothing of its own.
+    /// The same with a peer, n1, that sends nothing.
     pub fn with_silent_peer(machines: usize) -> Self {
         let peer = "[[peers]]\nmember = \"n1\"\nzone = \"b\"\nendpoint = \"10.0.0.2:81\"\n";
         SingleController::with_settings(machines, settings(machines, peer))
@@ -156,7 +156,7 @@
             );
         }
         let mut single_controller = SingleController {
-            node: Controller::new(settings.clone(), 1 << 20),
+            controller: Controller::new(settings.clone(), 1 << 20),
             settings,
             state,
             now: 10,
@@ -176,7 +176,7 @@
         single_controller
     }
 
-    /// Ticks until the node holds its partition, and has every machine report.
+    /// Ticks until the controller holds its partition, and has every machine heartbeat.
     fn wait_for_all_heartbeats(&mut self) {
         for _ in 0..200 {
             self.tick(20);
@@ -207,7 +207,7 @@
             self.submit(JobKind::Array, tasks);
             left -= tasks;
         }
-        // Workers report every 5 s, and a silent machine is given nothing.
+        // Workers heartbeat every 5 s, and a silent machine is given nothing.
         let each = self.machines.div_ceil(50);
         for round in 0..1_000 {
             self.tick(70);
@@ -255,7 +255,7 @@
         cost
     }
 
-    /// A report of a machine; returns what it cost.
+    /// A heartbeat of a machine; returns what it cost.
     pub fn report(&mut self, nth: usize) -> Duration {
         let report = self.workers[nth].report();
         self.now += 1;
@@ -266,7 +266,7 @@
         })
     }
 
-    /// A report of a machine on which one array task has just completed; what it cost.
+    /// A heartbeat of a machine on which one array task has just completed; what it cost.
     pub fn report_done(&mut self, nth: usize) -> Duration {
         let jobs = &self.jobs;
         let array = |task: &str| {
@@ -295,8 +295,8 @@
         }
     }
 
-    /// Another incarnation of the node starts on the same state: what all its events cost until
-    /// it has answered the first report with its partition read.
+    /// Another incarnation of the controller starts on the same state: what all its events cost until it has
+    /// answered the first heartbeat with its partition read.
     pub fn fail_over(&mut self) -> Duration {
         self.restart();
         let mut all = Duration::ZERO;
@@ -314,22 +314,24 @@
         all
     }
 
-    /// Another incarnation of the node starts on the same state, after the lease of this one.
+    /// Another incarnation of the controller starts on the same state, after the lease of this one.
     pub fn restart(&mut self) {
-        self.node = Controller::new(self.settings.clone(), (2 + self.now) << 20);
+        self.controller = Controller::new(self.settings.clone(), (2 + self.now) << 20);
         self.watch = None;
         self.events.clear();
         self.now += 10_000;
         self.state.expire(self.now);
     }
 
-    /// Feeds an event and all that follows from it; returns what the node itself took.
+    /// Feeds an event and all that follows from it; returns what the controller itself took.
     fn handle_event(&mut self, event: Event) -> Duration {
         let mut spent = Duration::ZERO;
         self.events.push_back(event);
         while let Some(event) = self.events.pop_front() {
             let start = Instant::now();
-            let effects = self.node.handle(Timestamp::from_millis(self.now), event);
+            let effects = self
+                .controller
+                .handle(Timestamp::from_millis(self.now), event);
             spent += start.elapsed();
             for effect in effects {
                 self.apply_effect(effect);
@@ -431,7 +433,7 @@
         });
     }
 
-    /// Hands a report to the node as it is.
+    /// Hands a heartbeat to the controller as it is.
     pub fn send_report(&mut self, report: Heartbeat) {
         self.tickets += 1;
         self.handle_event(Event::Heartbeat {
@@ -447,15 +449,15 @@
             .execute(self.now, &StateRequest::Transaction(txn));
     }
 
-    /// From now on another machine stands at all addresses: it executes no direct call and answers with
-    /// this report. None: each machine answers for itself.
+    /// From now on another machine stands at all addresses: it executes no direct call and answers with this
+    /// heartbeat. None: each machine answers for itself.
     pub fn answer_direct_calls_with(&mut self, report: Option<Heartbeat>) {
         self.impostor = report;
     }
 
-    /// The node.
-    pub fn node(&mut self) -> &mut Controller {
-        &mut self.node
+    /// The controller.
+    pub fn controller(&mut self) -> &mut Controller {
+        &mut self.controller
     }
 
     /// The machines' workers.
@@ -463,7 +465,7 @@
         &mut self.workers
     }
 
-    /// Answers to reports since this was asked last.
+    /// Answers to heartbeats since this was asked last.
     pub fn take_report_replies(&mut self) -> Vec<HeartbeatReply> {
         std::mem::take(&mut self.report_replies)
     }
--- a/crates/simulator/src/starvation.rs
+++ b/crates/simulator/src/starvation.rs
@@ -1,26 +1,26 @@
-//! Jobs that wait although there is room for them.
+//! Starvation: jobs that wait although there is capacity for them.
 
 use crate::worker::{Worker, FAILING_CLASS};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use wire::users::{JobKind, JobRequest};
 use wire::workers::TaskState;
 
-/// Once all troubles are over, no job waits for so long while a machine that fits has room and its team is
-/// under its limit.
+/// Once all faults are over, no job may wait for this time, in ms, while a fitting machine has free capacity
+/// and its team is below its limit.
 const STARVATION_LIMIT_MS: u64 = 90_000;
-/// Time between two looks.
+/// Interval between two observations, in ms.
 const OBSERVATION_INTERVAL_MS: u64 = 1_000;
 /// CPUs of a machine.
 const MACHINE_CPUS: f64 = 4.0;
 
-/// Since when jobs have been waiting although there was room.
+/// Since when jobs have been waiting although there was capacity.
 #[derive(Debug, Default)]
 pub struct StarvationChecker {
     last_observed_at: u64,
     since: BTreeMap<String, u64>,
 }
 
-/// What machines have free, what teams use, and which jobs have tasks on machines.
+/// Free capacity of machines, usage of teams, and jobs with tasks on machines.
 struct CapacitySnapshot<'a> {
     free: Vec<(&'a Worker, f64)>,
     used: HashMap<&'a str, f64>,
@@ -89,8 +89,7 @@
 }
 
 impl StarvationChecker {
-    /// Looks at the jobs that wait, all troubles being over. Returns those that have done so for too long;
-    /// each is named once.
+    /// Observes the waiting jobs. Returns those that have starved for too long, each once.
     pub fn observe<'a>(
         &mut self,
         workers: &BTreeMap<String, Worker>,
--- a/crates/simulator/src/state.rs
+++ b/crates/simulator/src/state.rs
@@ -23,8 +23,8 @@
     filled_at: u64,
     write_rps: f64,
     /// Puts and deletes taken, and refused for want of budget.
-    pub taken: u64,
-    pub refused: u64,
+    pub accepted_writes: u64,
+    pub refused_writes: u64,
     /// Changes that are kept for watches.
     pub keep: usize,
 }
@@ -87,12 +87,12 @@
         }
     }
 
-    /// What is stored under a key, for the eyes of a test.
+    /// The value under a key, for tests.
     pub fn value(&self, key: &str) -> Option<&serde_json::Value> {
         self.keys.get(key).map(|stored| &stored.value)
     }
 
-    /// Loses what is stored under a prefix without anybody noticing: a broken store.
+    /// Empties all values under a prefix without a change event: a defective store.
     pub fn lose(&mut self, prefix: &str) {
         for (_, stored) in self
             .keys
@@ -116,10 +116,10 @@
         self.filled_at = now.max(self.filled_at);
         self.budget = (self.budget + passed * self.write_rps).min(self.write_rps);
         if self.budget < writes as f64 {
-            self.refused += writes as u64;
+            self.refused_writes += writes as u64;
             return true;
         }
-        self.taken += writes as u64;
+        self.accepted_writes += writes as u64;
         self.budget -= writes as f64;
         false
     }
--- a/crates/simulator/src/unanswered.rs
+++ b/crates/simulator/src/unanswered.rs
@@ -1,28 +1,28 @@
-//! Whether accepted jobs stay known: job by job, not on average.
+//! Accepted jobs about which status requests are not answered, job by job.
 
 use std::collections::BTreeMap;
 
-/// Once all troubles are over, a job about which no question is answered for so long is forgotten.
+/// Once all faults are over, a job counts as lost if no request about it is answered for this time, in ms.
 const ANSWER_DEADLINE_MS: u64 = 75_000;
 
-/// Since when questions about jobs have been without an answer.
+/// Since when requests about jobs have been without a reply.
 #[derive(Debug, Default)]
 pub struct UnansweredJobs {
     unanswered: BTreeMap<String, u64>,
 }
 
 impl UnansweredJobs {
-    /// Somebody asks about a job.
+    /// A request about a job is sent.
     pub fn record_query(&mut self, id: &str, now: u64) {
         self.unanswered.entry(id.to_owned()).or_insert(now);
     }
 
-    /// A question about it was answered.
+    /// A request about a job was answered.
     pub fn record_answer(&mut self, id: &str) {
         self.unanswered.remove(id);
     }
 
-    /// Jobs that count as forgotten from now on; each is named once.
+    /// Jobs that count as lost from now on, each once.
     pub fn take_overdue(&mut self, now: u64) -> Vec<String> {
         let over = |at: &u64| now >= *at + ANSWER_DEADLINE_MS;
         if !self.unanswered.values().any(over) {
--- a/crates/simulator/src/worker.rs
+++ b/crates/simulator/src/worker.rs
@@ -47,10 +47,10 @@
     pub token: u64,
     pub tasks: BTreeMap<Key, WorkerTask>,
     images: BTreeSet<String>,
-    /// Sending time of the last answered report, or the begin of the session.
+    /// Sending time of the last answered heartbeat, or the begin of the session.
     lease_from: u64,
-    pub node: usize,
-    /// The report in flight: its number, its sending time, its session.
+    pub controller: usize,
+    /// The heartbeat in flight: its number, its sending time, its session.
     pub in_flight: Option<(u64, u64, u64)>,
     pub next_report: u64,
     pub last_report: u64,
@@ -84,7 +84,7 @@
             tasks: BTreeMap::new(),
             images: BTreeSet::new(),
             lease_from: now,
-            node: 0,
+            controller: 0,
             in_flight: None,
             next_report: now,
             last_report: 0,
@@ -128,7 +128,7 @@
         }
     }
 
-    /// Whether something newer than this report has been sent.
+    /// Whether something newer than this heartbeat has been sent.
     pub fn has_sent_newer(&self, report: &Heartbeat) -> bool {
         (report.session, report.seq) < (self.session, self.seq)
     }
@@ -146,7 +146,7 @@
         }
     }
 
-    /// An answer to the report numbered `number`. False if it is dropped.
+    /// An answer to the heartbeat numbered `number`. False if it is dropped.
     pub fn answered(
         &mut self,
         number: u64,
@@ -172,7 +172,7 @@
         true
     }
 
-    /// Keeps the lease up without an answer to a report, as no worker may.
+    /// Keeps the lease up without an answer to a heartbeat, as no worker may.
     pub fn renew_without_reply(&mut self, now: u64) {
         self.lease_from = now;
     }
@@ -379,7 +379,7 @@
         }
     }
 
-    /// Whether a report is due.
+    /// Whether a heartbeat is due.
     pub fn report_due(&self, now: u64) -> bool {
         self.in_flight.is_none()
             && (now >= self.next_report || (self.changed && now >= self.last_report + 500))
--- a/crates/simulator/src/world/cancellations.rs
+++ b/crates/simulator/src/world/cancellations.rs
@@ -1,5 +1,5 @@
-//! Cancellations that meet something: all jobs at once, running jobs whose machines hang, the end of a job's last
-//! task.
+//! Cancellations at critical moments: of all jobs at once, of running jobs whose machines hang, around the
+//! completion of a job's last task.
 
 use super::events::ScheduledEvent;
 use super::network::ActiveFault;
@@ -11,24 +11,24 @@
 use std::collections::{BTreeMap, BTreeSet};
 use wire::workers::TaskState;
 
-/// Within this time the users of one wave cancel, in ms.
+/// Cancellations of one burst are spread over this time, in ms.
 const CANCEL_BURST_MS: u64 = 200;
-/// A job has long to go if a task of it runs for at least so many ms more.
+/// Running jobs are chosen if a task of theirs runs for at least this many ms more.
 const MIN_REMAINING_MS: u64 = 10_000;
-/// At most so many machines of cancelled jobs hang.
+/// At most this many machines of cancelled jobs hang.
 const MAX_HUNG_MACHINES: usize = 8;
-/// A cancellation at the end of a job comes within this time of it, in ms: the controllers hear of the
-/// end, write it and tell it meanwhile.
+/// A cancellation around a job's completion is sent within this time of it, in ms: meanwhile the controllers
+/// learn of the completion, write it and report it.
 const COMPLETION_WINDOW_MS: u64 = 1_500;
 
 impl World {
-    /// Notes that the user of a job has asked to cancel it.
+    /// Records that a user has requested the cancellation of a job.
     pub(super) fn record_cancel_request(&mut self, id: &str) {
         self.rules.cancel_requests.insert(id.to_owned());
         self.rules.history.cancel_requested(id, self.now);
     }
 
-    /// Users cancel every job that is accepted and not over, all through one node.
+    /// Users cancel every accepted job that is not in a terminal state, all through one controller.
     pub(super) fn cancel_all(&mut self, through: usize) {
         let RuleChecker {
             accepted,
@@ -52,12 +52,12 @@
         }
     }
 
-    /// Users cancel some of the running jobs that have long to go, and machines of these hang.
+    /// Cancels some of the running jobs with much remaining run time, and lets machines of these hang.
     pub(super) fn cancel_now(&mut self, count: usize, hang_ms: u64) {
         let running = self.long_running();
         let ids: Vec<String> = running.keys().cloned().collect();
         let mut hanging: BTreeSet<String> = BTreeSet::new();
-        for id in self.some(&ids, count) {
+        for id in self.random_choice(&ids, count) {
             self.coverage.cancelled_running += 1;
             hanging.extend(running[&id].iter().cloned());
             let at = self.now + self.rng.random_range(0..CANCEL_BURST_MS);
@@ -71,7 +71,8 @@
         }
     }
 
-    /// Machines of the running jobs that have long to go and that nobody has cancelled, by job.
+    /// Machines of the running jobs with much remaining run time whose cancellation was not requested, by
+    /// job.
     fn long_running(&self) -> BTreeMap<String, BTreeSet<String>> {
         let mut found: BTreeMap<String, BTreeSet<String>> = BTreeMap::new();
         for worker in self.workers.values().filter(|worker| !worker.dead) {
@@ -94,12 +95,12 @@
         found
     }
 
-    /// A task has completed. A share of the jobs is cancelled, and asked about at every node, around the
-    /// end of the last task.
+    /// A task has completed. A share of the jobs is cancelled around the completion of its last task, with
+    /// follow-up requests at every controller.
     pub(super) fn task_done(&mut self, task: String) {
         let id = task.split('/').next().unwrap_or_default().to_owned();
         let fresh = self.rules.done_tasks.insert(task);
-        let percent = self.network.find_active(|cut| match cut {
+        let percent = self.network.find_active(|fault| match fault {
             ActiveFault::CancelAtCompletion(percent) => Some(*percent),
             _ => None,
         });
--- a/crates/simulator/src/world/controllers.rs
+++ b/crates/simulator/src/world/controllers.rs
@@ -15,15 +15,15 @@
 use wire::state::{StateReply, StateRequest};
 
 impl World {
-    pub(super) fn is_running(&self, node: usize, incarnation: u64) -> bool {
-        self.nodes[node]
+    pub(super) fn is_running(&self, controller: usize, incarnation: u64) -> bool {
+        self.controllers[controller]
             .as_ref()
             .is_some_and(|r| r.incarnation == incarnation)
     }
 
-    pub(super) fn handle_event(&mut self, node: usize, event: Event) {
+    pub(super) fn handle_event(&mut self, controller: usize, event: Event) {
         let now = self.now;
-        let Some(running) = self.nodes[node].as_mut() else {
+        let Some(running) = self.controllers[controller].as_mut() else {
             return;
         };
         if let Some(paused) = running.paused.as_mut().filter(|paused| paused.handled) {
@@ -31,31 +31,37 @@
             return;
         }
         let local = Timestamp::from_millis(((now - running.since) as f64 * running.rate) as u64);
-        let effects = running.node.handle(local, event);
+        let effects = running.controller.handle(local, event);
         let incarnation = running.incarnation;
         if let Some(paused) = running.paused.as_mut() {
             paused.handled = true;
             paused.decided = effects;
             return;
         }
-        let next = running.node.next_tick();
+        let next = running.controller.next_tick();
         let at = running.since + (next.as_millis() as f64 / running.rate).ceil() as u64;
         if running.ticking <= now || at < running.ticking {
             running.ticking = at.max(now + 1);
             let at = running.ticking;
-            self.schedule(at, ScheduledEvent::Tick { node, incarnation });
+            self.schedule(
+                at,
+                ScheduledEvent::Tick {
+                    controller,
+                    incarnation,
+                },
+            );
         }
         for effect in effects {
-            if self.crashes_here(node, &effect) {
+            if self.crashes_here(controller, &effect) {
                 return;
             }
-            self.apply_effect(node, incarnation, effect);
+            self.apply_effect(controller, incarnation, effect);
         }
     }
 
-    /// Ends a node that has come to the deed at which it is to end.
-    pub(super) fn crashes_here(&mut self, node: usize, effect: &Effect) -> bool {
-        if !self.crash_points.is_set(node) {
+    /// Crashes a controller that has reached its crash point.
+    pub(super) fn crashes_here(&mut self, controller: usize, effect: &Effect) -> bool {
+        if !self.crash_points.is_set(controller) {
             return false;
         }
         let changes = match effect {
@@ -66,15 +72,18 @@
             Effect::User { .. } => true,
             Effect::Heartbeat { .. } | Effect::Admin { .. } => false,
         };
-        if !changes || !self.crash_points.reaches_crash(node) {
+        if !changes || !self.crash_points.reaches_crash(controller) {
             return false;
         }
-        self.fault(Fault::CrashController { node, back: 6_000 });
+        self.fault(Fault::CrashController {
+            controller,
+            restart_after_ms: 6_000,
+        });
         true
     }
 
-    pub(super) fn apply_effect(&mut self, node: usize, incarnation: u64, effect: Effect) {
-        self.record(node, incarnation, &effect);
+    pub(super) fn apply_effect(&mut self, controller: usize, incarnation: u64, effect: Effect) {
+        self.record(controller, incarnation, &effect);
         match effect {
             Effect::State {
                 call,
@@ -82,7 +91,7 @@
                 timeout,
             } => {
                 self.open_requests.add_call(CallKey {
-                    node,
+                    controller,
                     incarnation,
                     call,
                 });
@@ -90,18 +99,18 @@
                     call,
                     reply: StateReply::Unknown,
                 };
-                self.time_out(timeout.whole_millis(), node, incarnation, call, event);
+                self.time_out(timeout.whole_millis(), controller, incarnation, call, event);
                 let message = Message::State {
-                    node,
+                    controller,
                     incarnation,
                     call,
                     request,
                 };
-                self.send(Endpoint::Controller(node), Endpoint::State, message);
+                self.send(Endpoint::Controller(controller), Endpoint::State, message);
             }
             Effect::Cloud { call, request } => {
                 self.open_requests.add_call(CallKey {
-                    node,
+                    controller,
                     incarnation,
                     call,
                 });
@@ -109,14 +118,14 @@
                     call,
                     reply: CloudReply::Unknown,
                 };
-                self.time_out(4_000, node, incarnation, call, event);
+                self.time_out(4_000, controller, incarnation, call, event);
                 let message = Message::Cloud {
-                    node,
+                    controller,
                     incarnation,
                     call,
                     request,
                 };
-                self.send(Endpoint::Controller(node), Endpoint::Cloud, message);
+                self.send(Endpoint::Controller(controller), Endpoint::Cloud, message);
             }
             Effect::Worker {
                 call,
@@ -125,7 +134,7 @@
                 timeout,
             } => {
                 self.open_requests.add_call(CallKey {
-                    node,
+                    controller,
                     incarnation,
                     call,
                 });
@@ -133,28 +142,28 @@
                     call,
                     reply: DirectReply::Unknown,
                 };
-                self.time_out(timeout.whole_millis(), node, incarnation, call, event);
+                self.time_out(timeout.whole_millis(), controller, incarnation, call, event);
                 let machine = address.trim_end_matches(":9000").to_owned();
                 let to = self.machine(&machine);
                 let message = Message::Direct {
-                    node,
+                    controller,
                     incarnation,
                     call,
                     machine,
                     body,
                 };
-                self.send(Endpoint::Controller(node), to, message);
+                self.send(Endpoint::Controller(controller), to, message);
             }
             Effect::Mesh { to, message } => {
                 let Some(other) = to.as_str().trim_start_matches('n').parse::<usize>().ok() else {
                     return;
                 };
-                self.send_mesh(node, other, message);
+                self.send_mesh(controller, other, message);
             }
             Effect::Admin { .. } => {}
             Effect::User { ticket, reply } => {
                 if let Some(asked) = self.open_requests.take_user_request(TicketKey {
-                    node,
+                    controller,
                     incarnation,
                     ticket,
                 }) {
@@ -164,7 +173,7 @@
             Effect::Heartbeat { ticket, reply } => {
                 if let Some(ReceivedHeartbeat { machine, number }) =
                     self.open_requests.take_heartbeat(TicketKey {
-                        node,
+                        controller,
                         incarnation,
                         ticket,
                     })
@@ -173,60 +182,63 @@
                     let message = Message::HeartbeatResponse {
                         machine,
                         number,
-                        node,
+                        controller,
                         reply,
                     };
-                    self.send(Endpoint::Controller(node), to, message);
+                    self.send(Endpoint::Controller(controller), to, message);
                 }
             }
         }
     }
 
-    pub(super) fn start_controller(&mut self, node: usize) {
+    pub(super) fn start_controller(&mut self, controller: usize) {
         self.incarnations += 1;
-        let text = settings(node, self.plan.mutation, self.plan.size);
+        let text = settings(controller, self.plan.mutation, self.plan.size);
         let Ok(settings) = Settings::parse(&text) else {
             panic!("settings of the world")
         };
         let rate = 1.0 + self.rng.random_range(-0.0005..0.0005);
         let seed = self.rng.random();
-        self.nodes[node] = Some(RunningController {
-            node: Controller::new(settings, seed),
+        self.controllers[controller] = Some(RunningController {
+            controller: Controller::new(settings, seed),
             incarnation: self.incarnations,
             since: self.now,
             rate,
             ticking: 0,
             paused: None,
         });
-        self.handle_event(node, Event::Tick);
+        self.handle_event(controller, Event::Tick);
     }
 
-    /// A node goes on: what it had decided is sent, and what has come meanwhile reaches it in any
-    /// order, its own timers among it.
-    pub(super) fn resume_controller(&mut self, node: usize, incarnation: u64) {
-        if !self.is_running(node, incarnation) {
+    /// Resumes a paused controller: its last effects are applied, and the events that arrived meanwhile are
+    /// delivered in random order, its own timer among them.
+    pub(super) fn resume_controller(&mut self, controller: usize, incarnation: u64) {
+        if !self.is_running(controller, incarnation) {
             return;
         }
-        let Some(paused) = self.nodes[node].as_mut().and_then(|r| r.paused.take()) else {
+        let Some(paused) = self.controllers[controller]
+            .as_mut()
+            .and_then(|r| r.paused.take())
+        else {
             return;
         };
         for effect in paused.decided {
-            self.apply_effect(node, incarnation, effect);
+            self.apply_effect(controller, incarnation, effect);
         }
         let mut waiting = paused.waiting;
         waiting.push(Event::Tick);
         waiting.shuffle(&mut self.rng);
-        if let Some(running) = self.nodes[node].as_mut() {
+        if let Some(running) = self.controllers[controller].as_mut() {
             running.ticking = 0;
         }
         for event in waiting {
-            self.handle_event(node, event);
+            self.handle_event(controller, event);
         }
     }
 
-    /// A holder ends or stands still: its partitions are to be taken over.
-    pub(super) fn record_leader_stop(&mut self, node: usize) {
-        let name = format!("n{node}");
+    /// A controller crashes or is paused: failovers of its partitions begin.
+    pub(super) fn record_leader_stop(&mut self, controller: usize) {
+        let name = format!("n{controller}");
         for partition in 0..CONTROLLERS as u32 {
             if self.leader(partition) == Some(&name) {
                 self.failovers
--- a/crates/simulator/src/world/events.rs
+++ b/crates/simulator/src/world/events.rs
@@ -1,4 +1,4 @@
-//! What happens, and what is on its way.
+//! Scheduled events and messages in transit.
 
 use super::network::ActiveFault;
 use super::scenario::Fault;
@@ -12,24 +12,24 @@
 #[derive(Debug, Clone)]
 pub(super) enum Message {
     State {
-        node: usize,
+        controller: usize,
         incarnation: u64,
         call: CallId,
         request: StateRequest,
     },
     Cloud {
-        node: usize,
+        controller: usize,
         incarnation: u64,
         call: CallId,
         request: CloudRequest,
     },
     Controller {
-        node: usize,
+        controller: usize,
         incarnation: u64,
         event: Event,
     },
     Heartbeat {
-        node: usize,
+        controller: usize,
         machine: String,
         number: u64,
         report: Box<Heartbeat>,
@@ -37,11 +37,11 @@
     HeartbeatResponse {
         machine: String,
         number: u64,
-        node: usize,
+        controller: usize,
         reply: HeartbeatReply,
     },
     Direct {
-        node: usize,
+        controller: usize,
         incarnation: u64,
         call: CallId,
         machine: String,
@@ -60,18 +60,18 @@
 #[derive(Debug)]
 pub(super) enum ScheduledEvent {
     Tick {
-        node: usize,
+        controller: usize,
         incarnation: u64,
     },
     Deliver(Box<Message>),
     Timeout {
-        node: usize,
+        controller: usize,
         incarnation: u64,
         call: CallId,
         event: Box<Event>,
     },
     WatchTimeout {
-        node: usize,
+        controller: usize,
         incarnation: u64,
         call: CallId,
     },
@@ -84,37 +84,37 @@
         id: String,
     },
     StartController {
-        node: usize,
+        controller: usize,
     },
     StartFault(Fault),
     EndFault(ActiveFault),
     ReleaseHeldMessages,
-    /// A copy of something that was sent before comes.
+    /// A duplicate of a message is delivered.
     DeliverDuplicate(Box<Message>),
-    /// A transaction is carried out at last, of which its node has heard nothing.
+    /// A delayed transaction is applied; its controller got no reply.
     ApplyDelayedTransaction {
-        node: usize,
+        controller: usize,
         incarnation: u64,
-        /// Transactions of the node that had been carried out when it was sent.
+        /// Transactions of the controller that had been applied when it was sent.
         newer_than: u64,
         txn: Transaction,
     },
-    /// A direct command comes late.
+    /// A delayed direct command is delivered.
     DeliverDelayedCommand(Box<Message>),
-    /// A report that was held back comes to the holder that has begun meanwhile.
+    /// A held heartbeat is delivered to the new leader.
     DeliverHeldHeartbeat(Box<Message>),
-    /// Something that a node has told another before comes again.
+    /// A duplicate of a mesh message is delivered.
     DeliverMeshDuplicate {
         to: usize,
         event: Event,
     },
-    /// Every accepted job is asked about.
+    /// Status requests about all accepted jobs are sent.
     QueryAllJobs,
     ResumeController {
-        node: usize,
+        controller: usize,
         incarnation: u64,
     },
-    /// What stood under a key stands there again.
+    /// A corrupted value is restored.
     RestoreValue {
         key: String,
         value: serde_json::Value,
@@ -124,9 +124,9 @@
         id: String,
         tries: u32,
     },
-    /// A question to one node that isn't repeated.
+    /// A request to one controller that is not retried.
     SendFollowUp {
-        node: usize,
+        controller: usize,
         request: UserRequest,
         id: String,
     },
@@ -135,7 +135,7 @@
 }
 
 pub(super) struct RunningController {
-    pub(super) node: Controller,
+    pub(super) controller: Controller,
     pub(super) incarnation: u64,
     pub(super) since: u64,
     pub(super) rate: f64,
@@ -143,10 +143,10 @@
     pub(super) paused: Option<PausedController>,
 }
 
-/// What waits while a node stands still.
+/// Effects and events that wait while a controller is paused.
 #[derive(Default)]
 pub(super) struct PausedController {
-    /// Decided, not sent.
+    /// Effects decided by the last event that was handled.
     pub(super) decided: Vec<Effect>,
     pub(super) handled: bool,
     pub(super) waiting: Vec<Event>,
--- a/crates/simulator/src/world/faults.rs
+++ b/crates/simulator/src/world/faults.rs
@@ -1,4 +1,4 @@
-//! Troubles at a time, and what is cut meanwhile.
+//! Injection of faults.
 
 use super::events::{PendingRequest, ScheduledEvent};
 use super::network::ActiveFault;
@@ -18,15 +18,19 @@
             .collect();
         let pick = |nth: usize| names.get(nth % names.len().max(1)).cloned();
         let (cut, ms) = match fault {
-            Fault::CrashController { node, back } => {
-                self.record_leader_stop(node);
-                if let Some(ended) = self.nodes[node].take() {
-                    self.early.0 += ended.node.counters.early_takeovers;
-                    self.early.1 += ended.node.counters.wrong_takeovers;
+            Fault::CrashController {
+                controller,
+                restart_after_ms,
+            } => {
+                self.record_leader_stop(controller);
+                if let Some(ended) = self.controllers[controller].take() {
+                    self.early.0 += ended.controller.counters.early_takeovers;
+                    self.early.1 += ended.controller.counters.wrong_takeovers;
                 }
-                self.watches.retain(|watch| watch.key.node != node);
-                // Users repeat what has not been answered.
-                for lost in self.open_requests.take_user_requests_to(node) {
+                self.watches
+                    .retain(|watch| watch.key.controller != controller);
+                // Users retry requests that have not been answered.
+                for lost in self.open_requests.take_user_requests_to(controller) {
                     let PendingRequest {
                         request, id, tries, ..
                     } = lost;
@@ -39,7 +43,10 @@
                         self.schedule(self.now + 1_000, what);
                     }
                 }
-                self.schedule(self.now + back, ScheduledEvent::StartController { node });
+                self.schedule(
+                    self.now + restart_after_ms,
+                    ScheduledEvent::StartController { controller },
+                );
                 return;
             }
             Fault::HangMachine { nth, ms } => {
@@ -50,7 +57,7 @@
             }
             Fault::CrashMachine { nth } => {
                 if let Some(name) = pick(nth) {
-                    self.end_machine(&name);
+                    self.crash_machine(&name);
                 }
                 return;
             }
@@ -65,49 +72,53 @@
                 return;
             }
             Fault::CrashMachines { count } => {
-                self.some(&names, count)
+                self.random_choice(&names, count)
                     .iter()
-                    .for_each(|name| self.end_machine(name));
+                    .for_each(|name| self.crash_machine(name));
                 return;
             }
             Fault::FailTasksOnMachines { count } => {
-                self.some(&names, count)
+                self.random_choice(&names, count)
                     .iter()
                     .for_each(|name| self.fail_all_tasks(name));
                 return;
             }
             Fault::HangMachines { count, ms } => {
-                for name in self.some(&names, count) {
+                for name in self.random_choice(&names, count) {
                     self.hang(name, ms);
                 }
                 return;
             }
             Fault::IsolateZone { ms } => {
-                self.cut(ActiveFault::UsersDisconnected(1), ms);
+                self.activate(ActiveFault::UsersDisconnected(1), ms);
                 (ActiveFault::ZoneIsolated, ms)
             }
             Fault::DropMessagesToMachines { count, ms } => {
-                for name in self.some(&names, count) {
-                    self.cut(ActiveFault::MachineUnreachable(name), ms);
+                for name in self.random_choice(&names, count) {
+                    self.activate(ActiveFault::MachineUnreachable(name), ms);
                 }
                 return;
             }
             Fault::DropMessagesToZone { ms } => (ActiveFault::ZoneUnreachable, ms),
             Fault::DuplicateMessages { ms } => (ActiveFault::DuplicatedMessages, ms),
-            Fault::DisconnectStateAndMesh { node, ms, refused } => {
-                self.cut(ActiveFault::MeshDisconnected(node), ms);
+            Fault::DisconnectStateAndMesh {
+                controller,
+                ms,
+                refused,
+            } => {
+                self.activate(ActiveFault::MeshDisconnected(controller), ms);
                 (
                     if refused {
-                        ActiveFault::StateRequestsRefused(Some(node))
+                        ActiveFault::StateRequestsRefused(Some(controller))
                     } else {
-                        ActiveFault::StateServiceDisconnected(node)
+                        ActiveFault::StateServiceDisconnected(controller)
                     },
                     ms,
                 )
             }
             Fault::SlowStateService { times, ms } => (ActiveFault::SlowStateService(times), ms),
-            Fault::CrashBeforeEffect { node, nth } => {
-                self.crash_points.set(node, nth);
+            Fault::CrashBeforeEffect { controller, nth } => {
+                self.crash_points.set(controller, nth);
                 return;
             }
             Fault::DelayTransactions { percent, ms } => {
@@ -126,56 +137,63 @@
                 }
                 return;
             }
-            Fault::DisconnectStateService { node, ms } => {
-                (ActiveFault::StateServiceDisconnected(node), ms)
+            Fault::DisconnectStateService { controller, ms } => {
+                (ActiveFault::StateServiceDisconnected(controller), ms)
             }
-            Fault::RefuseStateRequests { node, ms } => {
-                (ActiveFault::StateRequestsRefused(node), ms)
+            Fault::RefuseStateRequests { controller, ms } => {
+                (ActiveFault::StateRequestsRefused(controller), ms)
+            }
+            Fault::DisconnectWorkers { controller, ms } => {
+                (ActiveFault::WorkersDisconnected(controller), ms)
+            }
+            Fault::DisconnectMesh { controller, ms } => {
+                (ActiveFault::MeshDisconnected(controller), ms)
             }
-            Fault::DisconnectWorkers { node, ms } => (ActiveFault::WorkersDisconnected(node), ms),
-            Fault::DisconnectMesh { node, ms } => (ActiveFault::MeshDisconnected(node), ms),
             Fault::PartitionZones { ms } => (ActiveFault::ZonesPartitioned, ms),
             Fault::DisconnectMachine { nth, ms } => match pick(nth) {
                 Some(name) => (ActiveFault::MachineDisconnected(name), ms),
                 None => return,
             },
             Fault::CloudOutage { ms } => (ActiveFault::CloudOutage, ms),
-            Fault::PauseController { node, ms } => {
+            Fault::PauseController { controller, ms } => {
                 if ms >= 4_000 {
-                    self.record_leader_stop(node);
+                    self.record_leader_stop(controller);
                 }
-                if let Some(running) = self.nodes[node].as_mut() {
+                if let Some(running) = self.controllers[controller].as_mut() {
                     running.paused.get_or_insert_default();
                     let incarnation = running.incarnation;
                     self.schedule(
                         self.now + ms,
-                        ScheduledEvent::ResumeController { node, incarnation },
+                        ScheduledEvent::ResumeController {
+                            controller,
+                            incarnation,
+                        },
                     );
                 }
                 return;
             }
-            Fault::IsolateController { node, ms } => {
+            Fault::IsolateController { controller, ms } => {
                 for cut in [
-                    ActiveFault::StateServiceDisconnected(node),
-                    ActiveFault::WorkersDisconnected(node),
-                    ActiveFault::MeshDisconnected(node),
+                    ActiveFault::StateServiceDisconnected(controller),
+                    ActiveFault::WorkersDisconnected(controller),
+                    ActiveFault::MeshDisconnected(controller),
                 ] {
-                    self.cut(cut, ms);
+                    self.activate(cut, ms);
                 }
-                (ActiveFault::UsersDisconnected(node), ms)
+                (ActiveFault::UsersDisconnected(controller), ms)
             }
             Fault::GuestJobs { jobs } => {
                 (0..jobs).for_each(|_| self.guest_job());
                 return;
             }
-            Fault::ChangeBootBehavior { how, ms } => {
-                self.cloud.boots = how;
+            Fault::ChangeBootBehavior { behavior, ms } => {
+                self.cloud.boots = behavior;
                 (ActiveFault::ChangedBootBehavior, ms)
             }
             Fault::SkewedLoad { ms } => (ActiveFault::SkewedLoad, ms),
             Fault::RefuseMachineConnections { count, ms } => {
-                for name in self.some(&names, count) {
-                    self.cut(ActiveFault::MachineConnectionsRefused(name), ms);
+                for name in self.random_choice(&names, count) {
+                    self.activate(ActiveFault::MachineConnectionsRefused(name), ms);
                 }
                 return;
             }
@@ -213,10 +231,10 @@
                 return;
             }
         };
-        self.cut(cut, ms);
+        self.activate(cut, ms);
     }
 
-    /// Writes a value past everybody.
+    /// Writes a value without the controllers.
     pub(super) fn write_directly(&mut self, key: &str, value: serde_json::Value) {
         let txn = Transaction::default().write(Write::put(key, value));
         self.state
@@ -224,20 +242,20 @@
         self.answer_watches();
     }
 
-    /// Cuts something for a time.
-    pub(super) fn cut(&mut self, cut: ActiveFault, ms: u64) {
+    /// Activates a fault for a time.
+    pub(super) fn activate(&mut self, cut: ActiveFault, ms: u64) {
         self.network.activate(cut.clone());
         self.schedule(self.now + ms, ScheduledEvent::EndFault(cut));
     }
 
-    /// A machine hangs: what is sent to it meanwhile waits.
+    /// A machine hangs: messages to it are held back meanwhile.
     pub(super) fn hang(&mut self, name: String, ms: u64) {
         let until = self.now + ms;
         if let Some(worker) = self.workers.get_mut(&name) {
             worker.hangs_until = until;
             worker.ignores_stops = self.plan.mutation == Some(Mutation::HungMachinesIgnoreStops);
         }
-        self.cut(ActiveFault::MachineDisconnected(name), ms);
+        self.activate(ActiveFault::MachineDisconnected(name), ms);
     }
 
     /// A machine fails every task from now on.
@@ -247,15 +265,15 @@
         }
     }
 
-    /// Some of the machines, spread over all.
-    pub(super) fn some(&mut self, names: &[String], count: usize) -> Vec<String> {
+    /// A random choice of the names.
+    pub(super) fn random_choice(&mut self, names: &[String], count: usize) -> Vec<String> {
         let mut names = names.to_vec();
         names.shuffle(&mut self.rng);
         names.truncate(count);
         names
     }
 
-    pub(super) fn end_machine(&mut self, name: &str) {
+    pub(super) fn crash_machine(&mut self, name: &str) {
         if let Some(machine) = self.cloud.machines.get_mut(name) {
             machine.gone_at.get_or_insert(self.now);
         }
@@ -267,9 +285,9 @@
         self.failovers.record_machine_loss(name, self.now);
     }
 
-    pub(super) fn refuses(&self, node: usize) -> bool {
+    pub(super) fn refuses(&self, controller: usize) -> bool {
         self.network.any_active(
-            |c| matches!(c, ActiveFault::StateRequestsRefused(n) if n.is_none_or(|n| n == node)),
+            |c| matches!(c, ActiveFault::StateRequestsRefused(n) if n.is_none_or(|n| n == controller)),
         )
     }
 
--- a/crates/simulator/src/world/follow_ups.rs
+++ b/crates/simulator/src/world/follow_ups.rs
@@ -1,5 +1,5 @@
-//! Users who look closely: after each answer that confirms something about a job they ask every node again,
-//! within milliseconds and over parallel connections, and some cancel at once.
+//! Follow-up requests: after each reply that confirms something about a job, users send requests to every
+//! controller within milliseconds and over parallel connections, and some cancel at once.
 
 use super::events::ScheduledEvent;
 use super::network::ActiveFault;
@@ -11,14 +11,14 @@
 use rand::Rng;
 use std::collections::HashMap;
 
-/// Pauses between a confirmation and the looks that follow it, in ms.
+/// Delays between a confirmation and its follow-up requests, in ms.
 const FOLLOW_UP_DELAYS_MS: [u64; 4] = [0, 3, 15, 80];
-/// How often a confirmation of one kind is followed by looks, for each job.
+/// Rounds of follow-up requests per job and kind of confirmation.
 const MAX_FOLLOW_UP_ROUNDS: u32 = 3;
 /// Share of the jobs that are cancelled at the moment of their acceptance.
 const CANCEL_AT_ACCEPTANCE_PROBABILITY: f64 = 0.15;
 
-/// What an answer confirms.
+/// What a reply confirms.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub(super) enum Confirmation {
     Accepted,
@@ -26,8 +26,8 @@
     Cancelled,
 }
 
-/// What users send in one round of looks. A node that a round asks only questions has not been sent the job, and
-/// may still not know it when a later round repeats its submission there.
+/// What users send in one round. A controller that got only status requests has not received the job, and may
+/// still not know it when a later round repeats its submission there.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum FollowUpStyle {
     Questions,
@@ -35,11 +35,11 @@
     Both,
 }
 
-/// How often each kind of confirmation of a job has been followed by looks.
+/// Rounds of follow-up requests by job and kind of confirmation.
 pub(super) type FollowUpCounts = HashMap<(String, Confirmation), u32>;
 
 impl World {
-    /// Something was confirmed: looks follow if users look closely at present.
+    /// Something was confirmed: schedules follow-up requests, if that fault is active.
     pub(super) fn schedule_follow_ups(&mut self, id: &str, confirmed: Confirmation) {
         if !self.network.is_active(&ActiveFault::FollowUpRequests) {
             return;
@@ -68,17 +68,17 @@
             _ => FollowUpStyle::Both,
         };
         for pause in FOLLOW_UP_DELAYS_MS {
-            for node in 0..CONTROLLERS {
-                self.schedule_follow_up(node, id, confirmed, style, pause);
+            for controller in 0..CONTROLLERS {
+                self.schedule_follow_up(controller, id, confirmed, style, pause);
             }
         }
     }
 
-    /// One look of a kind that fits what was confirmed: a question, a repeated submission, a repeated
-    /// cancellation.
+    /// Schedules a follow-up that fits the confirmation: a status request, a repeated submission or a
+    /// repeated cancellation.
     fn schedule_follow_up(
         &mut self,
-        node: usize,
+        controller: usize,
         id: &str,
         confirmed: Confirmation,
         style: FollowUpStyle,
@@ -105,27 +105,33 @@
         self.schedule(
             at,
             ScheduledEvent::SendFollowUp {
-                node,
+                controller,
                 request,
                 id: id.to_owned(),
             },
         );
     }
 
-    /// A look at one node, over a connection of its own; it isn't repeated.
-    pub(super) fn send_follow_up(&mut self, node: usize, request: UserRequest, id: String) {
+    /// A follow-up request to one controller, over a connection of its own; it is not retried.
+    pub(super) fn send_follow_up(&mut self, controller: usize, request: UserRequest, id: String) {
         if !self
             .network
-            .is_active(&ActiveFault::UsersDisconnected(node))
+            .is_active(&ActiveFault::UsersDisconnected(controller))
         {
-            self.send_request_to(node, request, id, MAX_ATTEMPTS);
+            self.send_request_to(controller, request, id, MAX_ATTEMPTS);
         }
     }
 
-    /// Questions and repeated submissions at every node at the same moment.
+    /// Schedules status requests and repeated submissions at every controller at the same moment.
     pub(super) fn follow_up_everywhere(&mut self, id: &str, after: u64) {
-        for node in 0..CONTROLLERS {
-            self.schedule_follow_up(node, id, Confirmation::Done, FollowUpStyle::Both, after);
+        for controller in 0..CONTROLLERS {
+            self.schedule_follow_up(
+                controller,
+                id,
+                Confirmation::Done,
+                FollowUpStyle::Both,
+                after,
+            );
         }
     }
 }
--- a/crates/simulator/src/world/interceptor.rs
+++ b/crates/simulator/src/world/interceptor.rs
@@ -1,4 +1,4 @@
-//! Messages that come late, twice, on one way only or without an answer.
+//! Messages that are delayed, duplicated, lost in one direction or left without a reply.
 
 use super::events::{starts, Endpoint, Message, ScheduledEvent};
 use super::network::ActiveFault;
@@ -12,41 +12,43 @@
 use wire::state::{StateReply, StateRequest};
 use wire::workers::{Command, Heartbeat};
 
-/// Longest time from a holder's record to a copy that meets its begin, in ms.
+/// Replayed heartbeats arrive within this time of a new leader's record, in ms.
 const REPLAY_WINDOW_MS: u64 = 400;
 
-/// A machine that is up within this time has booted quickly, and is young for so long, in ms.
+/// A machine that boots within `FAST_BOOT_MS` counts as new for `NEW_MACHINE_MS`.
 const FAST_BOOT_MS: u64 = 2_000;
 const NEW_MACHINE_MS: u64 = 4_000;
 
-/// What is kept, and what is looked out for.
+/// Messages that wait for the next leader, and lost replies that have not been read.
 #[derive(Debug, Default)]
 pub(super) struct MessageInterceptor {
-    /// Copies of reports that wait for the next holder.
+    /// Heartbeats to be replayed to the next leader.
     copies: Vec<Message>,
-    /// Reports that are held back until the next holder has acted.
+    /// Heartbeats held back until the next leader has acted.
     reports: Vec<Message>,
-    /// Transactions whose answers were lost and that no other node has read: their nodes and revisions.
+    /// Transactions whose replies were lost and that no other controller has read: their controllers and
+    /// revisions.
     unread: Vec<(usize, u64)>,
 }
 
 impl World {
-    /// Draws whether one of so many per cent is meant. Nothing is drawn where there is no such trouble.
+    /// Draws whether an event is hit by a fault with a percentage. Nothing is drawn where no such fault is
+    /// active.
     fn draw_fault(&mut self, percent: impl Fn(&ActiveFault) -> Option<u64>) -> bool {
         let percent = self.network.find_active(percent);
         percent.is_some_and(|percent| self.rng.random_range(0..100) < percent)
     }
 
-    /// A message on its way, unless it is held up.
+    /// The message to send now, unless it is held back or delayed.
     pub(super) fn intercept(&mut self, message: Message) -> Option<Message> {
         let message = self.without_some_launches(message);
         match &message {
             Message::Heartbeat { .. } => {
-                let copied = |cut: &ActiveFault| match cut {
+                let copied = |fault: &ActiveFault| match fault {
                     ActiveFault::ReplayedHeartbeats(percent) => Some(*percent),
                     _ => None,
                 };
-                let held = |cut: &ActiveFault| match cut {
+                let held = |fault: &ActiveFault| match fault {
                     ActiveFault::HeldHeartbeats(percent) => Some(*percent),
                     _ => None,
                 };
@@ -59,7 +61,7 @@
                 }
             }
             Message::Direct { .. } => {
-                let late = |cut: &ActiveFault| match cut {
+                let late = |fault: &ActiveFault| match fault {
                     ActiveFault::DelayedCommands(percent) => Some(*percent),
                     _ => None,
                 };
@@ -77,8 +79,8 @@
         Some(message)
     }
 
-    /// A partition has a new holder by its record. What was kept for it comes: copies while it begins, to
-    /// every node; held reports once it has acted, there.
+    /// A partition record names a new leader: schedules recorded heartbeats to every controller at once, and
+    /// held ones to the new leader after its first actions.
     pub(super) fn deliver_to_new_leader(&mut self, machines: &BTreeSet<String>, partition: u32) {
         let leader = self
             .leader(partition)
@@ -97,11 +99,11 @@
                 report.seq += 1_000_000;
             }
             self.record_replayed_heartbeat(machines, &machine, &report);
-            for node in 0..CONTROLLERS {
+            for controller in 0..CONTROLLERS {
                 let (machine, report) = (machine.clone(), report.clone());
-                // Its answer goes to nobody.
+                // No worker waits for the reply.
                 let message = Message::Heartbeat {
-                    node,
+                    controller,
                     machine,
                     number: 0,
                     report,
@@ -127,7 +129,7 @@
                 report.seq += 1_000_000;
             }
             let message = Message::Heartbeat {
-                node: leader,
+                controller: leader,
                 machine,
                 number,
                 report,
@@ -140,7 +142,7 @@
         }
     }
 
-    /// Whether a kept copy is an old one of a machine whose holder begins.
+    /// Counts a replayed heartbeat if it is stale and its machine belongs to the new leader's partition.
     fn record_replayed_heartbeat(
         &mut self,
         machines: &BTreeSet<String>,
@@ -161,10 +163,10 @@
         self.deliver(message);
     }
 
-    /// A direct command comes late, and nobody hears of it.
+    /// Executes a delayed direct command; its reply is lost.
     pub(super) fn deliver_delayed_command(&mut self, message: Message) {
         let Message::Direct {
-            node,
+            controller,
             incarnation,
             machine,
             body,
@@ -174,14 +176,14 @@
             return;
         };
         let (now, lease) = (self.now, self.parameters.lease);
-        if self.is_cut(Endpoint::Controller(*node), self.machine(machine)) {
+        if self.is_disconnected(Endpoint::Controller(*controller), self.machine(machine)) {
             self.schedule(
                 now + 1_000,
                 ScheduledEvent::DeliverDelayedCommand(Box::new(message)),
             );
             return;
         }
-        let ended = !self.is_running(*node, *incarnation);
+        let ended = !self.is_running(*controller, *incarnation);
         let Some(worker) = self.workers.get_mut(machine).filter(|w| !w.dead) else {
             return;
         };
@@ -209,26 +211,25 @@
     /// Whether a machine's connections to controllers fail.
     pub(super) fn refuses_connections(&mut self, machine: &str) -> bool {
         let mute = self.network.any_active(
-            |cut| matches!(cut, ActiveFault::MachineConnectionsRefused(name) if name == machine),
+            |fault| matches!(fault, ActiveFault::MachineConnectionsRefused(name) if name == machine),
         );
         self.coverage.refused_connections += u64::from(mute);
         mute
     }
 
-    /// Something comes straight to a machine.
+    /// Counts a direct call to a machine whose own connections are refused.
     pub(super) fn record_direct_call(&mut self, machine: &str) {
         let mute = self.network.any_active(
-            |cut| matches!(cut, ActiveFault::MachineConnectionsRefused(name) if name == machine),
+            |fault| matches!(fault, ActiveFault::MachineConnectionsRefused(name) if name == machine),
         );
         self.coverage.direct_calls_while_refusing += u64::from(mute);
     }
 
-    /// A machine was given something to start, perhaps one that has come up quickly a moment ago, while
-    /// writes come late.
+    /// Counts a launch on a machine that has booted fast and just now, while transactions are delayed.
     pub(super) fn record_launch(&mut self, machine: &str, commands: &[Command]) {
         let lag = self
             .network
-            .any_active(|cut| matches!(cut, ActiveFault::DelayedTransactions(_)));
+            .any_active(|fault| matches!(fault, ActiveFault::DelayedTransactions(_)));
         let Some(rented) = self.cloud.machines.get(machine).filter(|_| lag) else {
             return;
         };
@@ -238,7 +239,7 @@
         self.coverage.launches_on_new_machines += u64::from(young);
     }
 
-    /// Whether what one node tells another is lost.
+    /// Whether a mesh message is lost.
     pub(super) fn is_lost_on_mesh(&mut self, from: Endpoint, to: Endpoint) -> bool {
         let (Endpoint::Controller(from), Endpoint::Controller(to)) = (from, to) else {
             return false;
@@ -250,9 +251,9 @@
         lost
     }
 
-    /// Has a copy of what a node is told come again, if there are such at present.
+    /// Schedules a duplicate of a mesh message, if that fault is active.
     pub(super) fn duplicate_mesh_event(&mut self, to: usize, event: &Event) {
-        let copied = |cut: &ActiveFault| match cut {
+        let copied = |fault: &ActiveFault| match fault {
             ActiveFault::DuplicatedMeshMessages(percent) => Some(*percent),
             _ => None,
         };
@@ -278,34 +279,34 @@
         );
     }
 
-    /// How many times slower a link is than usual.
+    /// Factor by which a link is slower than usual.
     pub(super) fn slowness(&self, from: Endpoint, to: Endpoint) -> u64 {
         let linked = |place| matches!(place, Endpoint::Controller(_) | Endpoint::Machine(_));
-        let slow = self.network.find_active(|cut| match cut {
+        let slow = self.network.find_active(|fault| match fault {
             ActiveFault::SlowLinks(times) => Some(*times),
             _ => None,
         });
         slow.filter(|_| linked(from) && linked(to)).unwrap_or(1)
     }
 
-    /// Whether a request is a transaction whose answer will be lost.
+    /// Whether a request is a transaction whose reply is lost.
     pub(super) fn loses_reply(&mut self, request: &StateRequest) -> bool {
-        let lost = |cut: &ActiveFault| match cut {
+        let lost = |fault: &ActiveFault| match fault {
             ActiveFault::LostTransactionReplies(percent) => Some(*percent),
             _ => None,
         };
         matches!(request, StateRequest::Transaction(_)) && self.draw_fault(lost)
     }
 
-    /// The answer to a transaction that was carried out is lost.
-    pub(super) fn record_lost_reply(&mut self, node: usize, reply: &StateReply) {
+    /// The reply to an applied transaction is lost.
+    pub(super) fn record_lost_reply(&mut self, controller: usize, reply: &StateReply) {
         if let StateReply::Committed { revision } = reply {
             self.coverage.lost_replies += 1;
-            self.interceptor.unread.push((node, *revision));
+            self.interceptor.unread.push((controller, *revision));
         }
     }
 
-    /// A node reads changes, perhaps those of a transaction whose own node knows nothing of it.
+    /// A controller reads changes: counts those of transactions whose replies were lost.
     pub(super) fn record_changes_read(&mut self, reader: usize, reply: &StateReply) {
         let StateReply::Changes(changes) = reply else {
             return;
--- a/crates/simulator/src/world/machines.rs
+++ b/crates/simulator/src/world/machines.rs
@@ -1,4 +1,4 @@
-//! Machines, their reports, tasks and gangs.
+//! Machines, their heartbeats, tasks and gangs.
 
 use super::events::{starts, Endpoint, Message};
 use super::jobs::SubmittedJobs;
@@ -15,7 +15,7 @@
 /// A gang's task: its machine, its name, its state and when it completes.
 type Member = (String, String, TaskState, Option<u64>);
 
-/// How long a task runs, or a gang. Some jobs' tasks run so many times as long.
+/// How long a task runs, or a gang. Some jobs' tasks run this many times as long.
 fn run_ms(seed: u64, jobs: &SubmittedJobs, name: &str) -> u64 {
     let sum: u64 = name.bytes().map(u64::from).sum();
     let usual = 2_000 + (sum * 7919 + seed * 31) % 9_000;
@@ -28,7 +28,7 @@
         &mut self,
         machine: &str,
         number: u64,
-        node: usize,
+        controller: usize,
         reply: HeartbeatReply,
     ) {
         let now = self.now;
@@ -41,7 +41,7 @@
         }
         worker.check_lease(now, self.parameters.lease);
         match reply {
-            // `Worker::answered` takes the report out of flight.
+            // `Worker::answered` takes the heartbeat out of flight.
             HeartbeatReply::Answer(mut answer) => {
                 if ignore_tokens {
                     answer.token = answer.token.max(worker.token);
@@ -61,11 +61,11 @@
             HeartbeatReply::Redirect(Some(to)) => {
                 worker.in_flight = None;
                 let to: usize = to.as_str().trim_start_matches('n').parse().unwrap_or(0);
-                if to == node {
-                    worker.node = (node + 1) % CONTROLLERS;
+                if to == controller {
+                    worker.controller = (controller + 1) % CONTROLLERS;
                     worker.next_report = now + 1_000;
                 } else {
-                    worker.node = to;
+                    worker.controller = to;
                     worker.next_report = now + self.rng.random_range(0..500);
                 }
             }
@@ -73,7 +73,7 @@
             | HeartbeatReply::Unavailable
             | HeartbeatReply::Malformed => {
                 worker.in_flight = None;
-                worker.node = (node + 1) % CONTROLLERS;
+                worker.controller = (controller + 1) % CONTROLLERS;
                 worker.next_report = now + 1_000;
             }
         }
@@ -98,7 +98,7 @@
             .collect();
         for (name, kind, zone, spot) in up {
             let mut worker = Worker::new(&name, &kind, &zone, spot, now);
-            worker.node = self.rng.random_range(0..CONTROLLERS);
+            worker.controller = self.rng.random_range(0..CONTROLLERS);
             self.workers.insert(name, worker);
         }
         let names: Vec<String> = self.workers.keys().cloned().collect();
@@ -150,7 +150,7 @@
         if let Some((_, sent, _)) = worker.in_flight {
             if now >= sent + 4_000 {
                 worker.in_flight = None;
-                worker.node = (worker.node + 1) % CONTROLLERS;
+                worker.controller = (worker.controller + 1) % CONTROLLERS;
                 worker.next_report = now + 1_000;
             }
             return;
@@ -163,26 +163,26 @@
         worker.changed = false;
         worker.last_report = now;
         worker.next_report = now + wait;
-        let node = worker.node;
+        let controller = worker.controller;
         let report = Box::new(worker.report());
         let mute = self.refuses_connections(name);
         let Some(worker) = self.workers.get_mut(name) else {
             return;
         };
-        if self.nodes[node].is_none() || mute {
+        if self.controllers[controller].is_none() || mute {
             // Refused at once.
             worker.in_flight = None;
-            worker.node = (node + 1) % CONTROLLERS;
+            worker.controller = (controller + 1) % CONTROLLERS;
             worker.next_report = now + 1_000;
             return;
         }
         let message = Message::Heartbeat {
-            node,
+            controller,
             machine: name.to_owned(),
             number,
             report,
         };
-        self.send(from, Endpoint::Controller(node), message);
+        self.send(from, Endpoint::Controller(controller), message);
     }
 
     /// Gangs start when all their tasks wait, end together, and notice lost members.
--- a/crates/simulator/src/world/mod.rs
+++ b/crates/simulator/src/world/mod.rs
@@ -1,4 +1,5 @@
-//! The world: a queue of events in simulated time, a network, and real [`Controller`]s.
+//! The simulated world: an event queue, a network, stand-ins of all services, and real
+//! [`controller::Controller`]s.
 
 mod cancellations;
 mod controllers;
@@ -60,10 +61,10 @@
     rng: SmallRng,
     now: u64,
     queue: EventQueue,
-    nodes: Vec<Option<RunningController>>,
+    controllers: Vec<Option<RunningController>>,
     incarnations: u64,
     state: StateService,
-    /// As it was some seconds ago, for those who are to read what is old.
+    /// A snapshot of some seconds ago, for stale reads.
     stale_state: StateService,
     watches: Vec<Watch>,
     cloud: Cloud,
@@ -72,31 +73,31 @@
     interceptor: MessageInterceptor,
     open_requests: OpenRequests,
     jobs: SubmittedJobs,
-    /// How often users have looked closely at each confirmation.
+    /// Rounds of follow-up requests by job and confirmation.
     follow_up_counts: FollowUpCounts,
     limits: BTreeMap<String, f64>,
-    /// Requests that the state service has had, and answers that turned a user away.
+    /// Requests that the state service has received, and replies that rejected a user's request for overload.
     pub requests: u64,
     pub rejected_busy: u64,
-    /// How long users waited for each acceptance.
+    /// Time from the first submission to the acceptance of each job, in ms.
     pub acceptance_latencies_ms: Vec<u64>,
     pub rules: RuleChecker,
     pub failovers: FailoverTimeline,
     service: ServiceChecks,
-    /// Transactions of each node that have been carried out.
+    /// Applied transactions of each controller.
     transactions_applied: [u64; CONTROLLERS],
     pub coverage: FaultCoverage,
     crash_points: CrashPoints,
-    /// Machines that lived when the controllers gave them back.
+    /// Machines that were up when the controllers returned them.
     pub machines_released_alive: u64,
-    /// Early takeovers, and those of them whose holders lived, of nodes that have ended.
+    /// Early failovers, and wrong ones of these, by controllers that have crashed.
     early: (u64, u64),
-    /// Records what leaves the controllers, if that is wanted.
+    /// Records the controllers' outgoing messages, if enabled.
     recorder: Option<Recorder>,
 }
 
 impl World {
-    /// A world in which nothing has happened yet.
+    /// A world at time 0, with all faults of the plan scheduled.
     pub fn new(plan: Plan) -> Self {
         let parameters = SiteParameters::of(plan.size);
         let last_fault_end = plan
@@ -109,7 +110,7 @@
             rng: SmallRng::seed_from_u64(plan.seed),
             now: 0,
             queue: EventQueue::default(),
-            nodes: (0..CONTROLLERS).map(|_| None).collect(),
+            controllers: (0..CONTROLLERS).map(|_| None).collect(),
             incarnations: 0,
             state: StateService::new(parameters.write_rps),
             stale_state: StateService::new(parameters.write_rps),
@@ -140,8 +141,8 @@
             plan,
         };
         world.pretend_large_machines();
-        for node in 0..CONTROLLERS {
-            world.schedule(0, ScheduledEvent::StartController { node });
+        for controller in 0..CONTROLLERS {
+            world.schedule(0, ScheduledEvent::StartController { controller });
         }
         world.schedule(0, ScheduledEvent::StepWorkers);
         world.schedule(1_500, ScheduledEvent::SubmitJob);
@@ -152,20 +153,20 @@
         world
     }
 
-    /// Runs to the end, or to the first broken rule.
+    /// Runs to the end of the plan, or to the first violation.
     pub fn run(&mut self) {
         self.run_to(self.plan.ms);
     }
 
-    /// Runs to a time, or to the first broken rule.
+    /// Runs to a simulated time in ms, or to the first violation.
     pub fn run_to(&mut self, ms: u64) {
         while self.rules.violations.is_empty() {
             let Some((at, event)) = self.queue.pop_due(ms) else {
                 break;
             };
             self.now = at;
-            // Where there is much to look at, it is looked at every time the workers move; every
-            // start is checked anyway.
+            // On large sites the rules are checked only when the workers advance, for speed; starts are
+            // always checked.
             let is_checked = self.plan.size == 1 || matches!(event, ScheduledEvent::StepWorkers);
             self.process_event(event);
             if !is_checked {
@@ -183,8 +184,8 @@
         }
     }
 
-    /// A trouble begins now, for tests that wait for the moment at which it meets another.
-    pub fn begin(&mut self, fault: Fault) {
+    /// Injects a fault now, for tests that wait for a certain state of the run.
+    pub fn inject(&mut self, fault: Fault) {
         self.fault(fault);
     }
 
@@ -194,14 +195,18 @@
 
     fn process_event(&mut self, what: ScheduledEvent) {
         match what {
-            ScheduledEvent::Tick { node, incarnation } => {
-                if self.is_running(node, incarnation) {
-                    self.handle_event(node, Event::Tick);
+            ScheduledEvent::Tick {
+                controller,
+                incarnation,
+            } => {
+                if self.is_running(controller, incarnation) {
+                    self.handle_event(controller, Event::Tick);
                 }
             }
-            ScheduledEvent::ResumeController { node, incarnation } => {
-                self.resume_controller(node, incarnation)
-            }
+            ScheduledEvent::ResumeController {
+                controller,
+                incarnation,
+            } => self.resume_controller(controller, incarnation),
             ScheduledEvent::RestoreValue { key, value } => self.write_directly(&key, value),
             ScheduledEvent::Deliver(message) => self.deliver(*message),
             ScheduledEvent::DeliverDuplicate(message) => {
@@ -209,12 +214,12 @@
                 self.deliver(*message);
             }
             ScheduledEvent::ApplyDelayedTransaction {
-                node,
+                controller,
                 incarnation,
                 newer_than,
                 txn,
             } => {
-                self.apply_delayed_transaction(node, incarnation, newer_than, txn);
+                self.apply_delayed_transaction(controller, incarnation, newer_than, txn);
             }
             ScheduledEvent::DeliverDelayedCommand(message) => {
                 self.deliver_delayed_command(*message)
@@ -226,41 +231,41 @@
             }
             ScheduledEvent::QueryAllJobs => self.query_all_jobs(),
             ScheduledEvent::Timeout {
-                node,
+                controller,
                 incarnation,
                 call,
                 event,
             } => {
-                if self.is_running(node, incarnation)
+                if self.is_running(controller, incarnation)
                     && self.open_requests.take_call(CallKey {
-                        node,
+                        controller,
                         incarnation,
                         call,
                     })
                 {
-                    self.handle_event(node, *event);
+                    self.handle_event(controller, *event);
                 }
             }
             ScheduledEvent::WatchTimeout {
-                node,
+                controller,
                 incarnation,
                 call,
             } => {
                 let waiting = self.watches.iter().position(|watch| {
                     watch.key
                         == CallKey {
-                            node,
+                            controller,
                             incarnation,
                             call,
                         }
                 });
                 if let Some(at) = waiting {
-                    if self.refuses(node) {
+                    if self.refuses(controller) {
                         return;
                     }
                     self.watches.remove(at);
                     let reply = self.state.no_changes();
-                    self.send_state_reply(node, incarnation, call, reply);
+                    self.send_state_reply(controller, incarnation, call, reply);
                 }
             }
             ScheduledEvent::StepWorkers => {
@@ -269,9 +274,11 @@
                     self.stale_state = self.state.clone();
                 }
                 self.step_workers();
-                for node in 0..CONTROLLERS {
-                    let healthy = self.nodes[node].as_ref().is_some_and(|r| r.node.healthy());
-                    self.service.record_health(node, healthy, self.now);
+                for controller in 0..CONTROLLERS {
+                    let healthy = self.controllers[controller]
+                        .as_ref()
+                        .is_some_and(|r| r.controller.healthy());
+                    self.service.record_health(controller, healthy, self.now);
                 }
                 self.service.observe(
                     &self.workers,
@@ -304,12 +311,14 @@
             ScheduledEvent::SendRequest { request, id, tries } => {
                 self.send_request(request, id, tries)
             }
-            ScheduledEvent::SendFollowUp { node, request, id } => {
-                self.send_follow_up(node, request, id)
-            }
+            ScheduledEvent::SendFollowUp {
+                controller,
+                request,
+                id,
+            } => self.send_follow_up(controller, request, id),
             ScheduledEvent::SendUnusualRequest => self.unusual_request(),
             ScheduledEvent::SubmitOneTaskJob => self.one_task_job(),
-            ScheduledEvent::StartController { node } => self.start_controller(node),
+            ScheduledEvent::StartController { controller } => self.start_controller(controller),
             ScheduledEvent::StartFault(fault) => self.fault(fault),
             ScheduledEvent::EndFault(cut) => {
                 self.network.deactivate(&cut);
--- a/crates/simulator/src/world/mutations.rs
+++ b/crates/simulator/src/world/mutations.rs
@@ -1,4 +1,4 @@
-//! Safety steps that are broken on purpose.
+//! Defects that are injected into messages, see [`Mutation`].
 
 use super::events::Message;
 use super::scenario::Mutation;
@@ -10,7 +10,7 @@
 use wire::workers::Command;
 
 impl World {
-    /// The cloud claims that its machines hold any task.
+    /// The cloud advertises machines that fit any task.
     pub(super) fn pretend_large_machines(&mut self) {
         if self.plan.mutation == Some(Mutation::UnschedulableJobsFit) {
             for kind in &mut self.cloud.types {
@@ -19,7 +19,7 @@
         }
     }
 
-    /// A message as followers get it: with lies, or in part.
+    /// A mesh message with false or missing replication records, or none if it is lost.
     pub(super) fn as_mutated(&mut self, message: MeshMessage) -> Option<MeshMessage> {
         let MeshMessage::Replication(mut part) = message else {
             return Some(message);
--- a/crates/simulator/src/world/open_requests.rs
+++ b/crates/simulator/src/world/open_requests.rs
@@ -7,7 +7,7 @@
 /// A call of one incarnation of a controller.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub(super) struct CallKey {
-    pub(super) node: usize,
+    pub(super) controller: usize,
     pub(super) incarnation: u64,
     pub(super) call: CallId,
 }
@@ -15,7 +15,7 @@
 /// A request to one incarnation of a controller.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub(super) struct TicketKey {
-    pub(super) node: usize,
+    pub(super) controller: usize,
     pub(super) incarnation: u64,
     pub(super) ticket: u64,
 }
@@ -64,10 +64,10 @@
     }
 
     /// All requests of users to a controller, in the order of their tickets.
-    pub(super) fn take_user_requests_to(&mut self, node: usize) -> Vec<PendingRequest> {
+    pub(super) fn take_user_requests_to(&mut self, controller: usize) -> Vec<PendingRequest> {
         let mut requests: Vec<_> = self
             .user_requests
-            .extract_if(|key, _| key.node == node)
+            .extract_if(|key, _| key.controller == controller)
             .collect();
         requests.sort_by_key(|(key, _)| key.ticket);
         requests.into_iter().map(|(_, request)| request).collect()
--- a/crates/simulator/src/world/recording.rs
+++ b/crates/simulator/src/world/recording.rs
@@ -1,4 +1,4 @@
-//! What leaves the controllers, recorded for fingerprints; and operators' requests.
+//! Recording of the controllers' outgoing messages for fingerprints; requests of operators.
 
 use super::open_requests::TicketKey;
 use super::World;
@@ -16,24 +16,28 @@
         self.recorder.take()
     }
 
-    /// An operator asks a node; the answer is recorded, and goes to nobody.
-    pub fn administer(&mut self, node: usize, request: AdminRequest) {
+    /// An operator asks a controller; the answer is recorded, and goes to nobody.
+    pub fn administer(&mut self, controller: usize, request: AdminRequest) {
         let ticket = self.open_requests.next_ticket();
-        self.handle_event(node, Event::Admin { ticket, request });
+        self.handle_event(controller, Event::Admin { ticket, request });
     }
 
-    pub(super) fn record(&mut self, node: usize, incarnation: u64, effect: &Effect) {
+    pub(super) fn record(&mut self, controller: usize, incarnation: u64, effect: &Effect) {
         let Some(recorder) = &mut self.recorder else {
             return;
         };
         let machine = match effect {
             Effect::Heartbeat { ticket, .. } => self.open_requests.heartbeat_machine(TicketKey {
-                node,
+                controller,
                 incarnation,
                 ticket: *ticket,
             }),
             _ => None,
         };
-        recorder.add(self.now, node, &Outgoing::of(node, effect, machine));
+        recorder.add(
+            self.now,
+            controller,
+            &Outgoing::of(controller, effect, machine),
+        );
     }
 }
--- a/crates/simulator/src/world/scenario.rs
+++ b/crates/simulator/src/world/scenario.rs
@@ -1,171 +1,178 @@
-//! What a run consists of.
+//! A simulated run: its seed, length, size and faults.
 
 use crate::cloud::BootBehavior;
 
-/// A trouble at a time.
+/// A fault to inject. Times and durations are in ms, machines are chosen by their position among those that
+/// are up.
 #[derive(Debug, Clone)]
 pub enum Fault {
-    /// Ends a node without a word; it is back after `back` ms.
-    CrashController { node: usize, back: u64 },
-    /// Cuts a node from the state service.
-    DisconnectStateService { node: usize, ms: u64 },
-    /// The state service refuses one node, or all.
-    RefuseStateRequests { node: Option<usize>, ms: u64 },
-    /// Cuts a node from workers.
-    DisconnectWorkers { node: usize, ms: u64 },
-    /// Cuts a node from the other nodes.
-    DisconnectMesh { node: usize, ms: u64 },
-    /// Cuts two zones from each other.
+    /// Crashes a controller; it restarts after `restart_after_ms` ms.
+    CrashController {
+        controller: usize,
+        restart_after_ms: u64,
+    },
+    /// Disconnects a controller from the state service.
+    DisconnectStateService { controller: usize, ms: u64 },
+    /// The state service refuses the requests of one controller, or of all.
+    RefuseStateRequests { controller: Option<usize>, ms: u64 },
+    /// Disconnects a controller from all workers.
+    DisconnectWorkers { controller: usize, ms: u64 },
+    /// Disconnects a controller from the other controllers.
+    DisconnectMesh { controller: usize, ms: u64 },
+    /// A network partition between two zones.
     PartitionZones { ms: u64 },
-    /// A machine loses the network.
+    /// Disconnects one machine from the network.
     DisconnectMachine { nth: usize, ms: u64 },
     /// A machine hangs.
     HangMachine { nth: usize, ms: u64 },
-    /// A machine ends.
+    /// A machine crashes for good.
     CrashMachine { nth: usize },
     /// A machine fails every task.
     FailTasksOnMachine { nth: usize },
-    /// The cloud's interface is down.
+    /// The cloud's API refuses all requests.
     CloudOutage { ms: u64 },
-    /// A node stands still while its clock runs on: what it has decided last is sent afterwards,
-    /// and all that has come meanwhile is there at once.
-    PauseController { node: usize, ms: u64 },
-    /// A node loses the network altogether; users' connections to it as well.
-    IsolateController { node: usize, ms: u64 },
-    /// Machines come up early, late or never.
-    ChangeBootBehavior { how: BootBehavior, ms: u64 },
-    /// Many jobs are submitted with a mistake, and cancelled much later.
+    /// Pauses a controller while its clock runs on: effects decided last are sent after the pause, and all
+    /// events that arrived meanwhile are delivered at once.
+    PauseController { controller: usize, ms: u64 },
+    /// Disconnects a controller from everything, users included.
+    IsolateController { controller: usize, ms: u64 },
+    /// Machines rented meanwhile boot early, late, fast or never.
+    ChangeBootBehavior { behavior: BootBehavior, ms: u64 },
+    /// Many jobs fail on every machine, and are cancelled much later.
     FailingJobs { ms: u64 },
-    /// Users ask many times as often.
+    /// Users poll the status of their jobs many times as often.
     StatusRequestStorm { ms: u64 },
-    /// A team without guarantee and limit submits so many arrays of low priority.
+    /// A team without quota submits this many arrays of low priority.
     GuestJobs { jobs: u64 },
     /// One team submits ten times as much as each of the others.
     SkewedLoad { ms: u64 },
-    /// So many jobs come at once.
+    /// This many jobs are submitted at once.
     JobBurst { jobs: usize },
-    /// So many machines end at once.
+    /// This many machines crash at once.
     CrashMachines { count: usize },
-    /// So many hang at once.
+    /// This many machines hang at once.
     HangMachines { count: usize, ms: u64 },
-    /// So many fail every task from one moment on.
+    /// This many machines fail every task from now on.
     FailTasksOnMachines { count: usize },
-    /// Zone b, its node and machines, is cut off from everything.
+    /// Disconnects zone b, its controller and its machines, from everything.
     IsolateZone { ms: u64 },
-    /// The state service answers so many times slower.
+    /// The state service is slower by this factor.
     SlowStateService { times: u64, ms: u64 },
-    /// Ends a node as it is about to do the nth thing that others would see: a write, an order, a
-    /// rental, a message, an answer. It is back after 6 s.
-    CrashBeforeEffect { node: usize, nth: u64 },
-    /// So many machines are heard and not reached: their reports arrive, answers and commands to them are
-    /// lost.
+    /// Crashes a controller before its nth effect that is visible to others: a write, a command, a cloud
+    /// request, a mesh message, a reply. It restarts after 6 s.
+    CrashBeforeEffect { controller: usize, nth: u64 },
+    /// Messages to this many machines are lost; their own heartbeats arrive.
     DropMessagesToMachines { count: usize, ms: u64 },
-    /// So are all machines of zone b.
+    /// Messages to all machines of zone b are lost.
     DropMessagesToZone { ms: u64 },
-    /// Copies of reports, commands, writes, rentals and releases come again, after a second to three
-    /// leases, reports to any node.
+    /// Heartbeats, commands, writes and cloud requests are duplicated; the duplicates arrive after one second
+    /// to three leases, those of heartbeats at any controller.
     DuplicateMessages { ms: u64 },
-    /// A node loses the state service and the other nodes, by cuts or refusals, but neither its workers
-    /// nor users.
-    DisconnectStateAndMesh { node: usize, ms: u64, refused: bool },
-    /// So many per cent of the transactions get no answer and are carried out 2 to 12 s later, after newer
-    /// ones of the same node.
+    /// A controller loses the state service and the other controllers, by disconnection or refusal, but
+    /// neither workers nor users.
+    DisconnectStateAndMesh {
+        controller: usize,
+        ms: u64,
+        refused: bool,
+    },
+    /// This percentage of the transactions gets no reply and is applied 2 to 12 s later, after newer ones of
+    /// the same controller.
     DelayTransactions { percent: u64, ms: u64 },
-    /// Jobs submitted meanwhile run so many times as long, every other of them with checkpoints.
+    /// Jobs submitted meanwhile run longer by this factor, every other one with checkpoints.
     LongTasks { times: u64, ms: u64 },
-    /// Users cancel every job that is accepted and not over, all through one node.
+    /// Users cancel every accepted job that is not in a terminal state, all through one controller.
     CancelAllJobs { through: usize },
-    /// Users ask every node again within milliseconds of each confirmation, and some cancel at once.
+    /// Users send follow-up requests to every controller within milliseconds of each confirmation, and some
+    /// cancel at once.
     FollowUpRequests { ms: u64 },
-    /// So many per cent of the jobs that end are cancelled around the end of their last task.
+    /// This percentage of the jobs is cancelled around the completion of its last task.
     CancelAtCompletion { percent: u64, ms: u64 },
-    /// So many running jobs with long to go are cancelled within a fifth of a second; up to eight of their
-    /// machines hang that long.
+    /// This many running jobs with much remaining run time are cancelled within 200 ms; up to eight of their
+    /// machines hang for `hang_ms`.
     CancelRunningJobs { count: usize, hang_ms: u64 },
-    /// Users repeat submissions, cancel jobs that are done, and send jobs that fit no machine or lack a field.
+    /// Users repeat submissions, cancel completed jobs, and submit jobs that fit no machine or lack a field.
     UnusualRequests { ms: u64 },
-    /// Jobs of one task come four a second, a quarter of them cancelled.
+    /// Four jobs of one task are submitted per second; a quarter is cancelled.
     OneTaskJobs { ms: u64 },
-    /// Garbage stands on a ledger page of a partition for a time.
+    /// A page of a partition's placement log is unreadable for a time.
     CorruptLogPage { partition: u32, ms: u64 },
-    /// So many machines reach no controller: their connections fail. Direct commands and questions reach
-    /// them.
+    /// The connections of this many machines to controllers fail. Direct commands and probes reach them.
     RefuseMachineConnections { count: usize, ms: u64 },
-    /// So many per cent of the transactions are carried out at once, and only their answers are lost.
+    /// This percentage of the transactions is applied at once, and only the reply is lost.
     DropTransactionReplies { percent: u64, ms: u64 },
-    /// Of so many per cent of the reports a copy is kept, which reaches every controller just as the next
-    /// holder of a partition begins.
+    /// This percentage of the heartbeats is recorded and replayed to every controller just after the next
+    /// leader of a partition has acquired it.
     ReplayHeartbeats { percent: u64, ms: u64 },
-    /// So many per cent of the reports are held back until the next holder of a partition has acted, and
-    /// arrive there.
+    /// This percentage of the heartbeats is held back and delivered to the next leader of a partition after
+    /// its first actions.
     HoldHeartbeats { percent: u64, ms: u64 },
-    /// So many per cent of the direct commands get no answer and are carried out once, 2 to 16 s later, if
-    /// token and session still match.
+    /// This percentage of the direct commands gets no reply and is executed 2 to 16 s later, if fencing token
+    /// and worker epoch still match.
     DelayCommands { percent: u64, ms: u64 },
-    /// What one node tells another is lost; what the other tells it arrives.
+    /// Mesh messages of one controller to another are lost; those in the other direction arrive.
     OneWayMeshPartition { from: usize, to: usize, ms: u64 },
-    /// Of so many per cent of what nodes tell each other a copy arrives again, a second to three leases
-    /// later, whoever lives there by then.
+    /// This percentage of the mesh messages is duplicated; the duplicate arrives one second to three leases
+    /// later, at whatever incarnation runs there by then.
     DuplicateMeshMessages { percent: u64, ms: u64 },
-    /// Links among nodes and to machines are so many times slower.
+    /// Links among controllers and to machines are slower by this factor.
     SlowLinks { times: u64, ms: u64 },
 }
 
-/// A safety step that is deliberately broken, to show that the checker would tell.
+/// A defect that is injected into the system under test, to show that the checks detect it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Mutation {
-    /// Rounds are reported as written but are not.
+    /// Commits of the placement log are reported as written but are not.
     LogCommitsNotWritten,
-    /// Conditions on the partition are ignored.
+    /// Transaction conditions on partition records and the placement log are ignored.
     NoFencing,
-    /// Controllers believe in leases much shorter than the workers'.
+    /// Controllers assume leases much shorter than the workers'.
     ShortLease,
-    /// Controllers believe that cancelling may take minutes.
+    /// Controllers assume a cancellation deadline of minutes.
     LongCancel,
-    /// Workers take answers that bear an old token.
+    /// Workers accept replies with an old fencing token.
     TokensIgnored,
-    /// The ends of jobs are told to whoever watches but are not kept.
+    /// Terminal states of jobs are sent to watches but are not kept.
     TerminalStatesNotWritten,
-    /// The ledger is often read as it was some seconds before.
+    /// The placement log is often read as it was some seconds before.
     StalePlacementLog,
-    /// Nobody records who held a partition before and may still answer its workers.
+    /// Unconfirmed predecessors are not recorded.
     PredecessorsForgotten,
-    /// Controllers tell their followers falsehoods: addresses and sessions of other machines, machines
-    /// that are gone, failures that never were.
+    /// Replication streams carry false records: addresses and epochs of other machines, machines that are
+    /// gone, failures that never happened.
     FalseReplicationRecords,
-    /// Parts of what followers are told are lost, held back or say less than they claim.
+    /// Parts of the replication streams are lost, misnumbered or truncated.
     LostReplicationRecords,
-    /// Late transactions are carried out whatever has changed since.
+    /// Delayed transactions are applied without their conditions.
     DelayedWritesUnconditional,
-    /// Answers to reports bear no halts.
+    /// Heartbeat replies carry no stop commands.
     RepliesWithoutKills,
-    /// Copies of reports pass for new ones.
+    /// Duplicated heartbeats look like new ones.
     DuplicatesTrusted,
-    /// Questions about every seventh job are not answered.
+    /// Status requests about every seventh job are not answered.
     SomeStatusRequestsUnanswered,
-    /// Late direct commands are carried out whatever token and session they bear.
+    /// Delayed direct commands are executed whatever their fencing token and worker epoch.
     DelayedCommandsTrusted,
-    /// Nothing of every seventh job is ever started.
+    /// No task of every seventh job is ever started.
     SomeJobsNeverStarted,
-    /// Workers take direct commands and questions for answers to reports: these keep their leases up.
+    /// Direct commands and probes renew the workers' leases.
     DirectCommandsRenewLease,
-    /// Late copies of signs of life claim to know all changes.
+    /// Duplicated mesh heartbeats claim to know all changes.
     MeshDuplicatesTrusted,
-    /// Transactions whose answers would be lost are called committed and are not carried out.
+    /// Transactions whose replies would be lost are reported as committed and not applied.
     LostRepliesNotApplied,
-    /// Reads of changes that are to be fresh tell nothing new.
+    /// Linearizable reads of changes return nothing new.
     StaleFreshReads,
-    /// Ends are written whatever has been cancelled since they were decided.
+    /// Terminal states are written without conditions on cancellations.
     TerminalStatesIgnoreCancellations,
-    /// Jobs that fit no machine seem to fit.
+    /// Jobs that fit no machine seem schedulable.
     UnschedulableJobsFit,
     /// Missing fields of submissions are filled in.
     MissingFieldsFilled,
-    /// Machines that have hung ignore commands that stop tasks.
+    /// Machines that have hung ignore stop commands.
     HungMachinesIgnoreStops,
 }
 
-/// What a run consists of.
+/// A simulated run: its seed, length, size and faults.
 #[derive(Debug, Clone)]
 pub struct Plan {
     pub seed: u64,
@@ -174,7 +181,7 @@
     pub mutation: Option<Mutation>,
     /// Users stop submitting after this time.
     pub submit_ms: u64,
-    /// How many times the smallest site this one is: teams, machines and jobs.
+    /// Factor of size over the smallest site, for teams, machines and jobs.
     pub size: u64,
 }
 
@@ -195,10 +202,12 @@
 }
 
 impl Fault {
-    /// How long it lasts, in ms.
+    /// How long the fault lasts, in ms.
     pub fn lasts(&self) -> u64 {
         match self {
-            Fault::CrashController { back, .. } => *back,
+            Fault::CrashController {
+                restart_after_ms, ..
+            } => *restart_after_ms,
             Fault::DisconnectStateService { ms, .. }
             | Fault::RefuseStateRequests { ms, .. }
             | Fault::DisconnectWorkers { ms, .. }
--- a/crates/simulator/src/world/service_checks.rs
+++ b/crates/simulator/src/world/service_checks.rs
@@ -57,14 +57,14 @@
     }
 
     /// Records whether a controller is healthy now.
-    pub(super) fn record_health(&mut self, node: usize, healthy: bool, now: u64) {
-        let since = self.healthy_since[node].filter(|_| healthy);
-        self.healthy_since[node] = since.or(healthy.then_some(now));
+    pub(super) fn record_health(&mut self, controller: usize, healthy: bool, now: u64) {
+        let since = self.healthy_since[controller].filter(|_| healthy);
+        self.healthy_since[controller] = since.or(healthy.then_some(now));
     }
 
     /// Whether a controller has been healthy without a break for so long.
-    pub(super) fn healthy_for(&self, node: usize, duration_ms: u64, now: u64) -> bool {
-        self.healthy_since[node].is_some_and(|since| now >= since + duration_ms)
+    pub(super) fn healthy_for(&self, controller: usize, duration_ms: u64, now: u64) -> bool {
+        self.healthy_since[controller].is_some_and(|since| now >= since + duration_ms)
     }
 
     /// Observes service levels, and records jobs that starve as violations.
--- a/crates/simulator/src/world/site.rs
+++ b/crates/simulator/src/world/site.rs
@@ -11,10 +11,10 @@
 
 const FLEET_WRITES_PER_SECOND: f64 = 70.0;
 
-/// From this size on a site has a fleet's allowances and times.
+/// From this size on a site has a fleet's rate limits and intervals.
 pub(super) const FLEET_SIZE: u64 = 100;
 
-/// Times of the workers, in ms, and what the state service takes a second.
+/// Intervals and deadlines of workers in ms, and rate limits of the state service per second.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct SiteParameters {
     pub(super) report: u64,
@@ -22,11 +22,11 @@
     pub(super) cancel: u64,
     pub(super) rps: f64,
     pub(super) write_rps: f64,
-    /// Time between two looks at the workers.
+    /// Interval at which workers advance.
     pub(super) step: u64,
-    /// How many times the shortest site's an array task's run is.
+    /// Factor of an array task's run time over that of a small site.
     pub(super) longer: u64,
-    /// Up to how many times as often jobs come, and as large arrays are.
+    /// Highest factors of submission rate and array size over those of a small site.
     pub(super) often: u64,
     pub(super) large: u64,
 }
@@ -46,7 +46,7 @@
         };
         match size {
             0..=1 => small,
-            // A grown site is allowed no more than a small one.
+            // A large site gets a lower write budget than a small one.
             2..FLEET_SIZE => SiteParameters {
                 write_rps: LARGE_SITE_WRITES_PER_SECOND,
                 ..small
@@ -66,10 +66,10 @@
     }
 }
 
-pub(super) fn settings(node: usize, mutation: Option<Mutation>, size: u64) -> String {
+pub(super) fn settings(controller: usize, mutation: Option<Mutation>, size: u64) -> String {
     let zone = |n: usize| if n == 1 { "b" } else { "a" };
     let peers: String = (0..CONTROLLERS)
-        .filter(|n| *n != node)
+        .filter(|n| *n != controller)
         .map(|n| {
             format!(
                 "[[peers]]\nmember = \"n{n}\"\nzone = \"{}\"\nendpoint = \"10.0.0.{n}:81\"\n",
@@ -106,13 +106,13 @@
         seconds(cancel)
     };
     format!(
-        "member = \"n{node}\"\nzone = \"{}\"\nserve_on = \"10.0.0.{node}:80\"\n\
-         mesh_addr = \"10.0.0.{node}:81\"\n{peers}\n\
+        "member = \"n{controller}\"\nzone = \"{}\"\nserve_on = \"10.0.0.{controller}:80\"\n\
+         mesh_addr = \"10.0.0.{controller}:81\"\n{peers}\n\
          [endpoints]\ncloud = \"10.1.0.1:1\"\nstate = \"10.1.0.2:1\"\n\
          {teams}\n[settings.workers]\nreport_s = {report:.1}\nlease_s = {lease:.1}\n\
          gang_wait_s = 45.0\ngang_peer_s = 8.0\ncancel_s = {cancel:.1}\n\
          [settings.state]\nrps = {rps:.1}\nwrite_rps = {write_rps:.1}\nvalue_kb = {value_kb}.0\ntxn_ops = 6\n\
          [settings.cloud]\nrps = 10.0\nlist_lag_s = 6.0\n",
-        zone(node)
+        zone(controller)
     )
 }
--- a/crates/simulator/src/world/state_service.rs
+++ b/crates/simulator/src/world/state_service.rs
@@ -1,4 +1,4 @@
-//! The state service's side of a request, and what is noticed on the way.
+//! Requests to the state service, with delays, lost replies and injected defects.
 
 use super::events::{Endpoint, Message, ScheduledEvent};
 use super::network::ActiveFault;
@@ -18,7 +18,7 @@
 }
 
 /// Partitions whose records a request writes, with the new terms.
-fn holders_written(request: &StateRequest) -> Vec<(u32, u64)> {
+fn leadership_changes(request: &StateRequest) -> Vec<(u32, u64)> {
     let StateRequest::Transaction(txn) = request else {
         return Vec::new();
     };
@@ -32,7 +32,7 @@
     txn.writes.iter().filter_map(record).collect()
 }
 
-/// Strikes out who may still answer the workers of a partition.
+/// Removes the unconfirmed predecessors from records.
 fn forget_predecessors(writes: &mut [Write]) {
     for write in writes {
         let Write::Put { put, value, .. } = write else {
@@ -50,7 +50,7 @@
     }
 }
 
-/// Whether final states of jobs are written.
+/// Whether terminal states of jobs are written.
 fn writes_end(writes: &[Write]) -> bool {
     writes
         .iter()
@@ -60,32 +60,32 @@
 impl World {
     pub(super) fn send_state_reply(
         &mut self,
-        node: usize,
+        controller: usize,
         incarnation: u64,
         call: CallId,
         reply: StateReply,
     ) {
-        self.record_changes_read(node, &reply);
+        self.record_changes_read(controller, &reply);
         let event = Event::State { call, reply };
         let message = Message::Controller {
-            node,
+            controller,
             incarnation,
             event,
         };
-        self.send(Endpoint::State, Endpoint::Controller(node), message);
+        self.send(Endpoint::State, Endpoint::Controller(controller), message);
     }
 
     pub(super) fn handle_state_request(
         &mut self,
-        node: usize,
+        controller: usize,
         incarnation: u64,
         call: CallId,
         mut request: StateRequest,
     ) {
         self.requests += 1;
-        if self.refuses(node) {
+        if self.refuses(controller) {
             self.send_state_reply(
-                node,
+                controller,
                 incarnation,
                 call,
                 StateReply::Refused { throttled: false },
@@ -103,15 +103,15 @@
                     revision: *after,
                     events: Vec::new(),
                 };
-                self.send_state_reply(node, incarnation, call, StateReply::Changes(nothing));
+                self.send_state_reply(controller, incarnation, call, StateReply::Changes(nothing));
                 return;
             }
             match self.state.changes(prefix, *after) {
-                Some(reply) => self.send_state_reply(node, incarnation, call, reply),
+                Some(reply) => self.send_state_reply(controller, incarnation, call, reply),
                 None => {
                     self.watches.push(Watch {
                         key: CallKey {
-                            node,
+                            controller,
                             incarnation,
                             call,
                         },
@@ -119,7 +119,7 @@
                         after: *after,
                     });
                     let what = ScheduledEvent::WatchTimeout {
-                        node,
+                        controller,
                         incarnation,
                         call,
                     };
@@ -128,7 +128,7 @@
             }
             return;
         }
-        if self.delays_transaction(node, incarnation, &request) {
+        if self.delays_transaction(controller, incarnation, &request) {
             return;
         }
         let lost = self.loses_reply(&request);
@@ -150,28 +150,28 @@
                 _ => {}
             }
         }
-        let reply = self.apply_state_request(node, &request, pretend);
+        let reply = self.apply_state_request(controller, &request, pretend);
         if self.plan.mutation == Some(Mutation::TerminalStatesNotWritten) {
             self.state.lose("f/");
             self.state.lose("s/e/");
         }
-        // Now and then the answer is lost, although the request was executed.
+        // A small share of the replies is lost although the request was applied.
         if lost && !pretend {
-            self.record_lost_reply(node, &reply);
+            self.record_lost_reply(controller, &reply);
         } else if !self.rng.random_bool(0.003) {
-            self.send_state_reply(node, incarnation, call, reply);
+            self.send_state_reply(controller, incarnation, call, reply);
         }
         self.answer_watches();
     }
 
-    /// Executes a request and notes which partitions it moves.
+    /// Applies a request and records which partitions change their leader.
     fn apply_state_request(
         &mut self,
-        node: usize,
+        controller: usize,
         request: &StateRequest,
         pretend: bool,
     ) -> StateReply {
-        let records = holders_written(request);
+        let records = leadership_changes(request);
         let before: Vec<Option<String>> = records
             .iter()
             .map(|(p, _)| self.leader(*p).map(str::to_owned))
@@ -185,7 +185,7 @@
         };
         if let StateReply::Committed { .. } = reply {
             for ((partition, term), before) in records.into_iter().zip(before) {
-                let living = self.living_machines_of(partition);
+                let living = self.machines_up_of(partition);
                 self.deliver_to_new_leader(&living, partition);
                 self.failovers.record_acquisition(
                     partition,
@@ -196,31 +196,31 @@
                 );
             }
             if matches!(request, StateRequest::Transaction(_)) {
-                self.transactions_applied[node] += 1;
+                self.transactions_applied[controller] += 1;
             }
         }
         reply
     }
 
-    /// Whether a transaction gets no answer and is carried out later, if there are such at present.
+    /// Whether a transaction is delayed without a reply. Nothing is drawn where no such fault is active.
     fn delays_transaction(
         &mut self,
-        node: usize,
+        controller: usize,
         incarnation: u64,
         request: &StateRequest,
     ) -> bool {
         let StateRequest::Transaction(txn) = request else {
             return false;
         };
-        let percent = self.network.find_active(|cut| match cut {
+        let percent = self.network.find_active(|fault| match fault {
             ActiveFault::DelayedTransactions(percent) => Some(*percent),
             _ => None,
         });
         let late = percent.is_some_and(|p| self.rng.random_range(0..100) < p);
         if late {
-            let newer_than = self.transactions_applied[node];
+            let newer_than = self.transactions_applied[controller];
             let what = ScheduledEvent::ApplyDelayedTransaction {
-                node,
+                controller,
                 incarnation,
                 newer_than,
                 txn: txn.clone(),
@@ -231,10 +231,10 @@
         late
     }
 
-    /// A late transaction is carried out.
+    /// Applies a delayed transaction.
     pub(super) fn apply_delayed_transaction(
         &mut self,
-        node: usize,
+        controller: usize,
         incarnation: u64,
         newer_than: u64,
         mut txn: Transaction,
@@ -245,25 +245,25 @@
         if self.plan.mutation == Some(Mutation::DelayedWritesUnconditional) {
             txn.conditions.clear();
         }
-        let newer = self.transactions_applied[node] > newer_than;
+        let newer = self.transactions_applied[controller] > newer_than;
         let writes = !txn.writes.is_empty();
-        let reply = self.apply_state_request(node, &StateRequest::Transaction(txn), false);
+        let reply = self.apply_state_request(controller, &StateRequest::Transaction(txn), false);
         if writes && matches!(reply, StateReply::Committed { .. }) {
             self.coverage.delayed_writes += 1;
             self.coverage.delayed_writes_after_newer += u64::from(newer);
             self.coverage.delayed_writes_of_crashed +=
-                u64::from(!self.is_running(node, incarnation));
+                u64::from(!self.is_running(controller, incarnation));
         } else if writes {
             self.coverage.delayed_writes_rejected += 1;
         }
         self.answer_watches();
     }
 
-    /// Whether a read of the ledger gets what was there some seconds before.
+    /// Whether a read of the placement log returns a state of some seconds ago.
     pub(super) fn reads_stale_log(&mut self, request: &StateRequest) -> bool {
-        let ledger =
+        let placement_log =
             matches!(request, StateRequest::List { prefix, .. } if prefix.starts_with("l/"));
-        ledger
+        placement_log
             && self.plan.mutation == Some(Mutation::StalePlacementLog)
             && self.rng.random_bool(0.7)
     }
@@ -272,13 +272,13 @@
         let watches = std::mem::take(&mut self.watches);
         for watch in watches {
             let CallKey {
-                node,
+                controller,
                 incarnation,
                 call,
             } = watch.key;
             match self.state.changes(&watch.prefix, watch.after) {
-                Some(reply) if !self.refuses(node) => {
-                    self.send_state_reply(node, incarnation, call, reply)
+                Some(reply) if !self.refuses(controller) => {
+                    self.send_state_reply(controller, incarnation, call, reply)
                 }
                 _ => self.watches.push(watch),
             }
--- a/crates/simulator/src/world/transport.rs
+++ b/crates/simulator/src/world/transport.rs
@@ -1,4 +1,4 @@
-//! The network: who reaches whom, delays, and messages that a cut holds back.
+//! Transport of messages: disconnections, losses, duplicates and delays.
 
 use super::events::{starts, Endpoint, Message, ScheduledEvent};
 use super::network::{ActiveFault, HeldMessage};
@@ -37,13 +37,13 @@
         }
     }
 
-    pub(super) fn is_cut(&self, from: Endpoint, to: Endpoint) -> bool {
+    pub(super) fn is_disconnected(&self, from: Endpoint, to: Endpoint) -> bool {
         let between = |a: Endpoint, b: Endpoint| (from, to) == (a, b) || (from, to) == (b, a);
         let node_machine = |n: usize| {
             matches!((from, to), (Endpoint::Controller(x), Endpoint::Machine(_))
                 | (Endpoint::Machine(_), Endpoint::Controller(x)) if x == n)
         };
-        self.network.any_active(|cut| match cut {
+        self.network.any_active(|fault| match fault {
             ActiveFault::StateServiceDisconnected(n) => {
                 between(Endpoint::Controller(*n), Endpoint::State)
             }
@@ -64,7 +64,7 @@
                 let inside = |place| self.zone_of(place).is_some_and(|zone| zone == "b");
                 inside(from) != inside(to)
             }
-            // What is lost on one way is not held back.
+            // Messages lost in one direction are not held back.
             ActiveFault::MachineUnreachable(_)
             | ActiveFault::ZoneUnreachable
             | ActiveFault::DuplicatedMessages => false,
@@ -97,14 +97,14 @@
         let (Endpoint::Controller(_), Endpoint::Machine(_)) = (from, to) else {
             return false;
         };
-        self.network.any_active(|cut| match cut {
+        self.network.any_active(|fault| match fault {
             ActiveFault::MachineUnreachable(name) => self.machine(name) == to,
             ActiveFault::ZoneUnreachable => self.zone_of(to).is_some_and(|zone| zone == "b"),
             _ => false,
         })
     }
 
-    /// Has copies of a message come later, if there are such at present.
+    /// Schedules duplicates of a message, if that fault is active.
     fn copy(&mut self, message: &Message) {
         let copied = match message {
             Message::Heartbeat { .. } | Message::Direct { .. } => true,
@@ -121,14 +121,14 @@
         for _ in 0..self.rng.random_range(1..4) {
             let mut copy = message.clone();
             if let Message::Heartbeat {
-                node,
+                controller,
                 number,
                 report,
                 ..
             } = &mut copy
             {
-                // Its answer goes to nobody.
-                (*node, *number) = (self.rng.random_range(0..CONTROLLERS), 0);
+                // No worker waits for the reply.
+                (*controller, *number) = (self.rng.random_range(0..CONTROLLERS), 0);
                 if self.plan.mutation == Some(Mutation::DuplicatesTrusted) {
                     report.seq += 1_000_000;
                 }
@@ -141,7 +141,7 @@
         }
     }
 
-    /// Whether a copy of a report is older than what its machine has said since.
+    /// Counts a duplicated heartbeat that is older than others of its machine.
     pub(super) fn record_duplicate(&mut self, message: &Message) {
         let Message::Heartbeat {
             machine, report, ..
@@ -156,7 +156,7 @@
         self.coverage.stale_sessions += u64::from(report.session < worker.session);
     }
 
-    /// Sends a message; a cut holds it back until it heals.
+    /// Sends a message; a disconnection holds it back until it ends.
     pub(super) fn send(&mut self, from: Endpoint, to: Endpoint, message: Message) {
         self.copy(&message);
         if self.is_lost_on_mesh(from, to) {
@@ -169,7 +169,7 @@
             self.coverage.dropped_messages += 1;
             return;
         }
-        if self.is_cut(from, to) {
+        if self.is_disconnected(from, to) {
             self.network.hold(HeldMessage { from, to, message });
             return;
         }
@@ -177,7 +177,7 @@
         if self.rng.random_bool(0.004) {
             delay += self.rng.random_range(50..600);
         }
-        let slow = self.network.find_active(|cut| match cut {
+        let slow = self.network.find_active(|fault| match fault {
             ActiveFault::SlowStateService(times) => Some(*times),
             _ => None,
         });
@@ -187,25 +187,25 @@
         self.schedule(self.now + delay, ScheduledEvent::Deliver(Box::new(message)));
     }
 
-    pub(super) fn send_mesh(&mut self, node: usize, other: usize, message: MeshMessage) {
-        let Some(incarnation) = self.nodes[other].as_ref().map(|r| r.incarnation) else {
+    pub(super) fn send_mesh(&mut self, controller: usize, other: usize, message: MeshMessage) {
+        let Some(incarnation) = self.controllers[other].as_ref().map(|r| r.incarnation) else {
             return;
         };
         let Some(message) = self.as_mutated(message) else {
             return;
         };
         let event = Event::Mesh {
-            from: ControllerName::from(format!("n{node}").as_str()),
+            from: ControllerName::from(format!("n{controller}").as_str()),
             message,
         };
         self.duplicate_mesh_event(other, &event);
         let message = Message::Controller {
-            node: other,
+            controller: other,
             incarnation,
             event,
         };
         self.send(
-            Endpoint::Controller(node),
+            Endpoint::Controller(controller),
             Endpoint::Controller(other),
             message,
         );
@@ -214,13 +214,13 @@
     pub(super) fn time_out(
         &mut self,
         after: u64,
-        node: usize,
+        controller: usize,
         incarnation: u64,
         call: CallId,
         event: Event,
     ) {
         let what = ScheduledEvent::Timeout {
-            node,
+            controller,
             incarnation,
             call,
             event: Box::new(event),
@@ -231,15 +231,15 @@
     pub(super) fn deliver(&mut self, message: Message) {
         match message {
             Message::State {
-                node,
+                controller,
                 incarnation,
                 call,
                 request,
             } => {
-                self.handle_state_request(node, incarnation, call, request);
+                self.handle_state_request(controller, incarnation, call, request);
             }
             Message::Cloud {
-                node,
+                controller,
                 incarnation,
                 call,
                 request,
@@ -251,56 +251,58 @@
                     for name in gone {
                         let lives = self.workers.get(&name).is_some_and(|w| !w.dead);
                         self.machines_released_alive += u64::from(lives);
-                        self.end_machine(&name);
+                        self.crash_machine(&name);
                     }
                     reply
                 };
-                // Now and then the answer is lost.
+                // A small share of the replies is lost.
                 if !self.rng.random_bool(0.02) {
                     let event = Event::Cloud { call, reply };
                     let message = Message::Controller {
-                        node,
+                        controller,
                         incarnation,
                         event,
                     };
-                    self.send(Endpoint::Cloud, Endpoint::Controller(node), message);
+                    self.send(Endpoint::Cloud, Endpoint::Controller(controller), message);
                 }
             }
             Message::Controller {
-                node,
+                controller,
                 incarnation,
                 event,
-            } => self.node_event(node, incarnation, event),
+            } => self.node_event(controller, incarnation, event),
             Message::Heartbeat {
-                node,
+                controller,
                 machine,
                 number,
                 report,
             } => {
-                let Some(incarnation) = self.nodes[node].as_ref().map(|r| r.incarnation) else {
+                let Some(incarnation) =
+                    self.controllers[controller].as_ref().map(|r| r.incarnation)
+                else {
                     return;
                 };
                 let ticket = self.open_requests.next_ticket();
                 self.open_requests.add_heartbeat(
                     TicketKey {
-                        node,
+                        controller,
                         incarnation,
                         ticket,
                     },
                     ReceivedHeartbeat { machine, number },
                 );
-                self.handle_event(node, Event::Heartbeat { ticket, report });
+                self.handle_event(controller, Event::Heartbeat { ticket, report });
             }
             Message::HeartbeatResponse {
                 machine,
                 number,
-                node,
+                controller,
                 reply,
             } => {
-                self.handle_heartbeat_reply(&machine, number, node, reply);
+                self.handle_heartbeat_reply(&machine, number, controller, reply);
             }
             Message::Direct {
-                node,
+                controller,
                 incarnation,
                 call,
                 machine,
@@ -342,9 +344,9 @@
                 };
                 self.send(
                     from,
-                    Endpoint::Controller(node),
+                    Endpoint::Controller(controller),
                     Message::Controller {
-                        node,
+                        controller,
                         incarnation,
                         event,
                     },
@@ -353,24 +355,24 @@
         }
     }
 
-    pub(super) fn node_event(&mut self, node: usize, incarnation: u64, event: Event) {
+    pub(super) fn node_event(&mut self, controller: usize, incarnation: u64, event: Event) {
         let call = match &event {
             Event::State { call, .. } | Event::Cloud { call, .. } | Event::Worker { call, .. } => {
                 Some(*call)
             }
             _ => None,
         };
-        if !self.is_running(node, incarnation) {
+        if !self.is_running(controller, incarnation) {
             return;
         }
         if call.is_none_or(|call| {
             self.open_requests.take_call(CallKey {
-                node,
+                controller,
                 incarnation,
                 call,
             })
         }) {
-            self.handle_event(node, event);
+            self.handle_event(controller, event);
         }
     }
 }
--- a/crates/simulator/src/world/unusual_requests.rs
+++ b/crates/simulator/src/world/unusual_requests.rs
@@ -1,5 +1,5 @@
-//! Requests that users rarely make: repeated submissions of unfinished jobs, cancellations of jobs that are done,
-//! jobs that can never run or that lack a field. And many jobs of one task each.
+//! Unusual requests: repeated submissions of unfinished jobs, cancellations of completed jobs, unschedulable
+//! jobs and jobs that lack a field. And many jobs of one task each.
 
 use super::events::{PendingRequest, ScheduledEvent};
 use super::network::ActiveFault;
@@ -20,7 +20,7 @@
 const ONE_TASK_CANCEL_PROBABILITY: f64 = 0.25;
 const ONE_TASK_CANCEL_DELAY_MS: std::ops::Range<u64> = 50..12_000;
 
-/// How an odd submission has to be refused.
+/// How an invalid submission has to be rejected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum ExpectedRejection {
     /// 400: a field is missing.
@@ -30,7 +30,7 @@
 }
 
 impl World {
-    /// One odd request, and the next one later.
+    /// Sends one unusual request and schedules the next one.
     pub(super) fn unusual_request(&mut self) {
         if !self.network.is_active(&ActiveFault::UnusualRequests) {
             return;
@@ -62,7 +62,7 @@
         self.send_request(UserRequest::Submit(Box::new(job)), id, MAX_ATTEMPTS);
     }
 
-    /// Nobody expects it to be called cancelled, so that it doesn't count as asked for.
+    /// It must stay done, so the cancellation is not recorded as requested.
     fn cancel_done(&mut self) {
         let done = self.rules.done_confirmed.keys().cloned().collect();
         let Some(id) = self.any_of(done) else { return };
@@ -107,12 +107,13 @@
             .expect_rejection(id.clone(), ExpectedRejection::Malformed);
         match serde_json::from_value(serde_json::Value::Object(body)) {
             Ok(job) => self.send_request(UserRequest::Submit(Box::new(job)), id, 0),
-            // The server answers 400 before any node sees it.
+            // The server answers 400 before any controller sees it.
             Err(_) => self.record_rejection_of_invalid_job(id, ExpectedRejection::Malformed),
         }
     }
 
-    /// An answer about an odd job: it has to be refused in the right way, and is unknown for ever.
+    /// Checks a reply about an invalid job: it has to be rejected with the expected status, and stays
+    /// unknown.
     pub(super) fn check_invalid_job_reply(
         &mut self,
         asked: PendingRequest,
@@ -154,16 +155,16 @@
         }
     }
 
-    /// What was refused is asked about at every node.
+    /// Schedules status requests about a rejected job at every controller.
     fn record_rejection_of_invalid_job(&mut self, id: String, refusal: ExpectedRejection) {
         match refusal {
             ExpectedRejection::Malformed => self.coverage.rejected_malformed += 1,
             ExpectedRejection::NeverRuns => self.coverage.rejected_unschedulable += 1,
         }
         let Some(job) = JobId::parse(&id) else { return };
-        for node in 0..CONTROLLERS {
+        for controller in 0..CONTROLLERS {
             let what = ScheduledEvent::SendFollowUp {
-                node,
+                controller,
                 request: UserRequest::Get(job),
                 id: id.clone(),
             };
@@ -176,7 +177,7 @@
         self.plain_array(team, 1)
     }
 
-    /// One job of one task, and the next one later.
+    /// Submits one job of one task and schedules the next one.
     pub(super) fn one_task_job(&mut self) {
         if !self.network.is_active(&ActiveFault::OneTaskJobs) {
             return;
@@ -225,7 +226,7 @@
         }
     }
 
-    /// Submits a job and asks about it from time to time.
+    /// Submits a job and polls its status.
     pub(super) fn submit_job(&mut self, job: JobRequest) {
         let id = job.id.clone();
         self.jobs.add(job.clone(), self.now);
--- a/crates/simulator/src/world/users.rs
+++ b/crates/simulator/src/world/users.rs
@@ -1,4 +1,4 @@
-//! Users: what they submit, ask and cancel, and what they make of the answers.
+//! Users: submissions, status requests, cancellations, retries, and the checks of replies.
 
 use super::events::{PendingRequest, ScheduledEvent};
 use super::follow_ups::Confirmation;
@@ -14,9 +14,9 @@
 use rand::Rng;
 use wire::users::{JobKind, JobRequest, JobState, Priority};
 
-/// How long a node must have been healthy before a load balancer counts on it.
+/// A load balancer sends requests to controllers that have been healthy for this time, in ms.
 const MIN_HEALTHY_MS: u64 = 3_000;
-/// Users give up after so many tries.
+/// Users give up after this many attempts.
 pub(super) const MAX_ATTEMPTS: u32 = 60;
 
 impl World {
@@ -47,7 +47,8 @@
         let together = zone.is_none() && self.rng.random_bool(0.2);
         let mistaken =
             self.network.is_active(&ActiveFault::FailingJobs) && self.rng.random_bool(0.4);
-        // One of six teams, or two thirds of all for one of them: ten times what each other has.
+        // One of six teams at random, or two thirds of all jobs for one team: ten times the load of each
+        // other.
         let heavy =
             self.network.is_active(&ActiveFault::SkewedLoad) && self.rng.random_range(0..15) < 9;
         let team = if heavy {
@@ -86,7 +87,7 @@
             deadline_s: None,
         };
         let mut job = job;
-        let long = self.network.find_active(|cut| match cut {
+        let long = self.network.find_active(|fault| match fault {
             ActiveFault::LongTasks(times) => Some(*times),
             _ => None,
         });
@@ -142,7 +143,8 @@
 
     pub(super) fn send_request(&mut self, request: UserRequest, id: String, tries: u32) {
         let reached = |n: &usize| {
-            self.nodes[*n].is_some() && !self.network.is_active(&ActiveFault::UsersDisconnected(*n))
+            self.controllers[*n].is_some()
+                && !self.network.is_active(&ActiveFault::UsersDisconnected(*n))
         };
         let alive: Vec<usize> = (0..CONTROLLERS).filter(reached).collect();
         if alive.is_empty() {
@@ -156,18 +158,18 @@
             }
             return;
         }
-        let node = alive[self.rng.random_range(0..alive.len())];
-        self.send_request_to(node, request, id, tries);
+        let controller = alive[self.rng.random_range(0..alive.len())];
+        self.send_request_to(controller, request, id, tries);
     }
 
     pub(super) fn send_request_to(
         &mut self,
-        node: usize,
+        controller: usize,
         request: UserRequest,
         id: String,
         tries: u32,
     ) {
-        let Some(incarnation) = self.nodes[node].as_ref().map(|r| r.incarnation) else {
+        let Some(incarnation) = self.controllers[controller].as_ref().map(|r| r.incarnation) else {
             return;
         };
         let ticket = self.open_requests.next_ticket();
@@ -180,27 +182,27 @@
         };
         self.open_requests.add_user_request(
             TicketKey {
-                node,
+                controller,
                 incarnation,
                 ticket,
             },
             pending_request,
         );
-        self.handle_event(node, Event::User { ticket, request });
+        self.handle_event(controller, Event::User { ticket, request });
     }
 
-    /// Asks about every accepted job, also those long over, by a question or by submitting it again,
-    /// through nodes that a load balancer would choose.
+    /// Queries every accepted job, also those in a terminal state, by a status request or a repeated
+    /// submission, through controllers that a load balancer would choose.
     pub(super) fn query_all_jobs(&mut self) {
         let ids: Vec<String> = self.rules.accepted.keys().cloned().collect();
-        // A large site is asked more slowly.
+        // Large sites are queried at a lower rate.
         let pause = if ids.len() > 300 { 20_000 } else { 5_000 };
         let serves = |n: &usize| {
             let long = self.service.healthy_for(*n, MIN_HEALTHY_MS, self.now);
-            long && self.nodes[*n].is_some()
+            long && self.controllers[*n].is_some()
                 && !self.network.is_active(&ActiveFault::UsersDisconnected(*n))
         };
-        let nodes: Vec<usize> = (0..CONTROLLERS).filter(serves).collect();
+        let controllers: Vec<usize> = (0..CONTROLLERS).filter(serves).collect();
         for (nth, id) in ids.into_iter().enumerate() {
             self.service.unanswered().record_query(&id, self.now);
             let (Some(job), Some(number)) = (self.jobs.get(&id).cloned(), JobId::parse(&id)) else {
@@ -211,11 +213,13 @@
             } else {
                 UserRequest::Get(number)
             };
-            let Some(node) = nodes.get(self.rng.random_range(0..nodes.len().max(1))) else {
+            let Some(controller) =
+                controllers.get(self.rng.random_range(0..controllers.len().max(1)))
+            else {
                 continue;
             };
-            // Not made again if refused: the next one comes soon.
-            self.send_request_to(*node, request, id, MAX_ATTEMPTS);
+            // Not retried if rejected: the next query follows soon.
+            self.send_request_to(*controller, request, id, MAX_ATTEMPTS);
         }
         self.schedule(self.now + pause, ScheduledEvent::QueryAllJobs);
     }
@@ -290,7 +294,7 @@
         }
     }
 
-    /// Repeats a refused request, unless it is a question or its user gives up.
+    /// Retries a rejected request, unless it is a status request or its user gives up.
     pub(super) fn retry_request(
         &mut self,
         request: UserRequest,
--- a/crates/simulator/src/world/views.rs
+++ b/crates/simulator/src/world/views.rs
@@ -12,7 +12,7 @@
     /// Puts and deletes that the state service has taken, and those it has refused for want of
     /// budget.
     pub fn writes(&self) -> (u64, u64) {
-        (self.state.taken, self.state.refused)
+        (self.state.accepted_writes, self.state.refused_writes)
     }
 
     /// Machines recorded for a partition.
@@ -22,15 +22,15 @@
             .count()
     }
 
-    /// Takeovers of partitions whose records stood, and those of them whose holders lived.
+    /// Failovers before lease expiry, and those of them whose leaders were alive.
     pub fn early_failovers(&self) -> (u64, u64) {
         let counts = |r: &RunningController| {
             (
-                r.node.counters.early_takeovers,
-                r.node.counters.wrong_takeovers,
+                r.controller.counters.early_takeovers,
+                r.controller.counters.wrong_takeovers,
             )
         };
-        let living = self.nodes.iter().flatten().map(counts);
+        let living = self.controllers.iter().flatten().map(counts);
         living.fold(self.early, |sum, n| (sum.0 + n.0, sum.1 + n.1))
     }
 
@@ -43,7 +43,7 @@
             .flatten()
     }
 
-    /// Machines that ended with tasks on them, and are recorded and not given up yet.
+    /// Machines that crashed with tasks and whose records are not marked as leaving yet.
     pub fn recorded_dead_machines(&self) -> usize {
         let kept = self
             .records()
@@ -58,8 +58,7 @@
             .count()
     }
 
-    /// How much of what is due has been served, by kind of work and by team. What came within the last
-    /// `patience` ms need not be done.
+    /// Service levels by kind of work and by team. Jobs accepted within the last `patience` ms are not due.
     pub fn service_levels(&self, patience: u64) -> Vec<ServiceLevel> {
         let RuleChecker {
             accepted,
@@ -85,13 +84,13 @@
         shares
     }
 
-    /// The class or team of which the least was served, see [`World::availability`].
+    /// The class or team with the lowest service level, see [`World::service_levels`].
     pub fn lowest_service_level(&self, patience: u64) -> Option<(String, f64)> {
         lowest(&self.service_levels(patience))
     }
 
-    /// Names of the machines recorded for a partition that live.
-    pub(super) fn living_machines_of(&self, partition: u32) -> BTreeSet<String> {
+    /// Names of the machines recorded for a partition that are up.
+    pub(super) fn machines_up_of(&self, partition: u32) -> BTreeSet<String> {
         let ours = self
             .records()
             .filter(|m| m.get(4).is_some_and(|p| *p == partition));
@@ -100,9 +99,9 @@
         names.filter(incarnations).map(str::to_owned).collect()
     }
 
-    /// Tasks of jobs that were confirmed as cancelled which are still on machines of a partition.
+    /// Tasks of jobs confirmed as cancelled that are still on machines of a partition.
     pub fn cancelled_tasks_present(&self, partition: u32) -> usize {
-        let machines = self.living_machines_of(partition);
+        let machines = self.machines_up_of(partition);
         let workers = machines.iter().filter_map(|name| self.workers.get(name));
         let tasks = workers.flat_map(|w| w.tasks.iter().filter(|(_, held)| held.present()));
         let cancelled = |task: &str| {
@@ -117,7 +116,7 @@
         self.workers.values().filter(|w| !w.dead).count()
     }
 
-    /// The node that holds a partition by its record.
+    /// The leader of a partition by its record.
     pub fn leader(&self, partition: u32) -> Option<&str> {
         self.state
             .value(&format!("s/p/{partition}"))?
@@ -133,7 +132,7 @@
             .as_u64()
     }
 
-    /// Prints where a job's tasks are, for the eyes of whoever looks into a run.
+    /// Prints where a job's tasks are, for debugging.
     pub fn dump(&self, id: &str) {
         for worker in self.workers.values() {
             for ((task, attempt), held) in &worker.tasks {
@@ -145,8 +144,8 @@
                 }
             }
         }
-        for running in self.nodes.iter().flatten() {
-            println!("{}", running.node.explain(id));
+        for running in self.controllers.iter().flatten() {
+            println!("{}", running.controller.explain(id));
         }
     }
 
@@ -155,12 +154,12 @@
         self.jobs.get(id)
     }
 
-    /// Tasks that workers have killed since their lease had run out.
+    /// Tasks killed by workers after lease expiry.
     pub fn killed_by_lease(&self) -> u64 {
         self.workers.values().map(|w| w.tasks_killed_by_lease).sum()
     }
 
-    /// Tasks of jobs that were accepted, are not over and have nothing on any machine.
+    /// Tasks of accepted, unfinished jobs without any task on a machine.
     pub fn waiting(&self) -> u64 {
         let placed: HashSet<&str> = self
             .workers
