--- a/crates/scheduler/src/best_effort.rs
+++ b/crates/scheduler/src/best_effort.rs
@@ -8,7 +8,7 @@
 use crate::machine::Machine;
 use crate::partition_state::PartitionState;
 use model::DurationExt;
-use model::{JobId, JobKind, Resources, TaskId, TeamName, Timestamp};
+use model::{JobId, Resources, TaskId, TeamName, Timestamp};
 use std::collections::HashMap;
 use std::time::Duration;
 
@@ -24,12 +24,12 @@
 impl PartitionState {
     /// Whether a machine is a place for the job as far as this goes: best-effort work does not
     /// keep ordinary machines alive that it could do without.
-    pub(crate) fn may_linger(&self, job: &Job, machine: &Machine) -> bool {
+    pub(crate) fn admits_best_effort(&self, job: &Job, machine: &Machine) -> bool {
         !job.is_best_effort()
             || !job.spec.spot
             || machine.spot
             || machine.pinned > 0
-            || (machine.regular() > 0 && leaves_soon(job))
+            || (machine.regular() > 0 && is_soon_gone(job))
             || job.stranded && job.placed.len() < MIN_TEAM_PLACES
     }
 
@@ -42,7 +42,12 @@
 
     /// Whether a machine's room is left to other jobs, which found none lately and back off: if
     /// best-effort tasks took it meanwhile they would only be stopped again.
-    pub(crate) fn left_to_others(&self, job: &Job, machine: &Machine, now: Timestamp) -> bool {
+    pub(crate) fn is_left_to_unplaced_jobs(
+        &self,
+        job: &Job,
+        machine: &Machine,
+        now: Timestamp,
+    ) -> bool {
         if !job.is_best_effort() {
             return false;
         }
@@ -54,7 +59,7 @@
     }
 
     /// Whether stopping a best-effort task for other work costs little.
-    pub(crate) fn stops_cheaply(
+    pub(crate) fn is_cheap_to_preempt(
         &self,
         victim: &Job,
         placement: &Placement,
@@ -94,7 +99,7 @@
     }
 
     /// Whether a best-effort task is gone within seconds when its place is wanted.
-    fn gives_way(&self, job: &Job, placement: &Placement, now: Timestamp) -> bool {
+    fn is_soon_reclaimable(&self, job: &Job, placement: &Placement, now: Timestamp) -> bool {
         let ran = now.duration_since(placement.placed_at);
         !job.guaranteed
             && (job.spec.checkpoint > Duration::ZERO
@@ -102,7 +107,7 @@
     }
 
     /// What best-effort tasks would leave to other work within seconds.
-    pub(crate) fn clearable(&self, machine: &Machine, now: Timestamp) -> Resources {
+    pub(crate) fn reclaimable_resources(&self, machine: &Machine, now: Timestamp) -> Resources {
         let mut sum = Resources::default();
         if machine.best_effort == 0 {
             return sum;
@@ -114,7 +119,7 @@
             if job
                 .placed
                 .get(&task.index)
-                .is_some_and(|p| self.gives_way(job, p, now))
+                .is_some_and(|p| self.is_soon_reclaimable(job, p, now))
             {
                 sum += job.spec.needs;
             }
@@ -123,7 +128,7 @@
     }
 
     /// Whether all that runs on a machine is best-effort work that is soon gone when asked.
-    pub(crate) fn only_best_effort(&self, machine: &Machine, now: Timestamp) -> bool {
+    pub(crate) fn runs_only_best_effort(&self, machine: &Machine, now: Timestamp) -> bool {
         !machine.tasks.is_empty()
             && machine.regular() == 0
             && machine.tasks.iter().all(|task| {
@@ -133,12 +138,12 @@
                 let Some(placement) = job.placed.get(&task.index) else {
                     return false;
                 };
-                self.gives_way(job, placement, now)
+                self.is_soon_reclaimable(job, placement, now)
             })
     }
 
     /// Stops the best-effort tasks of a machine that save; the others run out.
-    pub(crate) fn clear_best_effort(&mut self, tasks: Vec<TaskId>, now: Timestamp) {
+    pub(crate) fn stop_best_effort_tasks(&mut self, tasks: Vec<TaskId>, now: Timestamp) {
         for task in tasks {
             let saves = self.jobs.get(&task.job).is_some_and(|job| {
                 job.spec.is_best_effort()
@@ -199,20 +204,12 @@
             .filter(|m| now.duration_since(m.regular_left_at) > EVICTION_DELAY)
             .flat_map(|m| m.tasks.iter().filter(leaves).copied())
             .collect();
-        self.clear_best_effort(tasks, now);
-    }
-
-    /// Whether a job may have tasks stopped for it, and if so only cheap best-effort ones.
-    pub(crate) fn stops_for(&self, job: &Job) -> Option<bool> {
-        if job.spec.priority >= model::Priority::High || job.guaranteed {
-            return Some(false);
-        }
-        (job.spec.kind == JobKind::Array && !job.spec.is_best_effort()).then_some(true)
+        self.stop_best_effort_tasks(tasks, now);
     }
 }
 
 /// Whether tasks of the job are gone within seconds when a machine is wanted: beside arrays, which
 /// end sooner than they do, others would remain alone.
-fn leaves_soon(job: &Job) -> bool {
+fn is_soon_gone(job: &Job) -> bool {
     job.spec.checkpoint > Duration::ZERO || job.spec.estimate < NEAR_END
 }
--- a/crates/scheduler/src/capacity_index.rs
+++ b/crates/scheduler/src/capacity_index.rs
@@ -160,7 +160,7 @@
     }
 
     /// Machines that have the image.
-    pub(crate) fn holders(&self, image: &str) -> impl Iterator<Item = &MachineName> {
+    pub(crate) fn machines_with_image(&self, image: &str) -> impl Iterator<Item = &MachineName> {
         self.by_image
             .get(image)
             .into_iter()
@@ -168,7 +168,7 @@
     }
 
     /// Machines with so many CPUs and GPUs free that a job of these needs may run on.
-    pub(crate) fn with_room<'a>(
+    pub(crate) fn with_capacity<'a>(
         &'a self,
         spec: &'a JobSpec,
     ) -> impl Iterator<Item = &'a MachineName> {
--- a/crates/scheduler/src/colocation.rs
+++ b/crates/scheduler/src/colocation.rs
@@ -19,13 +19,13 @@
 const NEAR_END: Duration = Duration::from_secs(3);
 
 /// Whether tasks of a job run on a machine only beside GPU work.
-pub(crate) fn beside(machine: &Machine, job: &Job) -> bool {
+pub(crate) fn is_colocated(machine: &Machine, job: &Job) -> bool {
     job.only_beside && machine.capacity.milli_gpus > 0
 }
 
 /// How many tasks of a job a room on a machine takes, if free GPUs keep their part of it.
 pub(crate) fn colocation_capacity(job: &Job, machine: &Machine, room: Resources) -> u64 {
-    if !beside(machine, job) {
+    if !is_colocated(machine, job) {
         return room.how_many_fit(&job.spec.needs);
     }
     if machine.used.milli_gpus == 0 {
--- a/crates/scheduler/src/consolidation.rs
+++ b/crates/scheduler/src/consolidation.rs
@@ -41,7 +41,7 @@
         let found = sources
             .into_iter()
             .take(LOOKED_AT)
-            .find_map(|source| Some((source.name.clone(), self.better_places(source, now)?)));
+            .find_map(|source| Some((source.name.clone(), self.find_move_targets(source, now)?)));
         let Some((source, moves)) = found else { return };
         tracing::debug!(machine = %source, replicas = moves.len(), "moving replicas together");
         if let Some(machine) = self.machines.get_mut(&source) {
@@ -51,7 +51,7 @@
             .machines
             .get(&source)
             .map(|m| m.tasks.iter().copied().collect());
-        self.clear_best_effort(rest.unwrap_or_default(), now);
+        self.stop_best_effort_tasks(rest.unwrap_or_default(), now);
         for (task, target, needs) in moves {
             let limit_of = self.jobs.get(&task.job).map(|job| job.spec.team.clone());
             let reservation = Reservation {
@@ -88,7 +88,7 @@
     }
 
     /// Places for all replicas of a machine on fuller ones that have their images, or none.
-    fn better_places(
+    fn find_move_targets(
         &self,
         source: &Machine,
         now: Timestamp,
--- a/crates/scheduler/src/cycle.rs
+++ b/crates/scheduler/src/cycle.rs
@@ -1,4 +1,5 @@
-//! The scheduling cycle: one entry of the queue is tried on the share's machines.
+//! The scheduling cycle: takes one entry of the queue and places it on the best machine, or finds out why
+//! that is not possible.
 
 use crate::capacity_index::MAX_RANKED_REPLICAS;
 use crate::colocation::colocation_capacity;
@@ -7,34 +8,55 @@
 use crate::partition_state::PartitionState;
 use crate::queue_entry::EntryKey;
 use model::DurationExt;
-use model::{JobId, JobKind, MachineName, TaskId, Timestamp, ZoneName};
+use model::{JobId, JobKind, TaskId, Timestamp, ZoneName};
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::time::Duration;
 
-/// How long freed room is left to a job that found none: its backoff lasts as long at most.
+/// How long free capacity is left to a job that found none: its backoff lasts as long at most.
 const UNPLACED_PRECEDENCE: Duration = Duration::from_millis(1_500);
 
-/// Time between two looks at which machines take anything at all.
+/// Time between two checks of which machines are usable and belong into the capacity index.
 const INDEX_REFRESH_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Fetches that take less are not worth stopping a task elsewhere for.
+/// Image fetches that take less are not worth preempting a task elsewhere for.
 const MIN_FETCH_TIME_SAVED: Duration = Duration::from_millis(500);
 
-/// Why an entry found no place.
+/// How many times a job's estimate its waiting tasks are expected to run: estimates are often wrong by half.
+const ESTIMATE_SAFETY_FACTOR: u64 = 2;
+
+/// The shortest run time on which the turnover of machines is based (ms).
+const MIN_ESTIMATE_MS: u64 = 1_000;
+
+/// A job avoids machines on which its tasks failed until it has failed on so many.
+const MAX_AVOIDED_MACHINES: usize = 4;
+
+/// The least fetch rate that is assumed (GB per second).
+const MIN_FETCH_GB_PER_S: f64 = 0.01;
+
+/// Why an entry was not placed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum PlacementFailure {
     /// The team's limit is reached.
     Quota,
-    /// No usable machine has room.
+    /// No usable machine has the free capacity.
     Room,
-    /// Room there is, but machines with the image will have some before it could be fetched.
+    /// There is free capacity, but machines that have the image will have some before it could be fetched.
     Image,
 }
 
+/// What the cycles of one run have found out about jobs. Tasks of a job are alike: where one was not
+/// placed, the next will not be either.
+#[derive(Debug, Default)]
+struct FailedJobs {
+    unplaced: HashMap<JobId, PlacementFailure>,
+    /// Jobs for which preemption does not help.
+    not_helped_by_preemption: HashSet<JobId>,
+}
+
 impl PartitionState {
-    /// Runs both flushes and then cycles until the active heap is empty or `most` entries
-    /// have been tried. True if entries are left.
-    pub fn run_cycles(&mut self, now: Timestamp, most: usize) -> bool {
+    /// Runs cycles until the active queue is empty or `max_cycles` entries have been tried. Returns whether
+    /// entries are left in it.
+    pub fn run_cycles(&mut self, now: Timestamp, max_cycles: usize) -> bool {
         self.refresh_capacity_index(now);
         let preempt = self.policy.preempt && self.update_inventory_known(now);
         self.refresh_guarantees();
@@ -46,48 +68,69 @@
         self.renew_reservations(now);
         self.update_waiting_gangs();
         self.update_reserved_limits();
-        // Tasks of one job are alike: where one has found no place just now, the next will not.
-        let mut placeless: HashMap<JobId, PlacementFailure> = HashMap::new();
-        let mut helpless: HashSet<JobId> = HashSet::new();
-        for _ in 0..most {
+        let mut failed_jobs = FailedJobs::default();
+        for _ in 0..max_cycles {
             let Some(entry) = self.queue.pop() else {
                 return false;
             };
-            let placed = match (entry, placeless.get(&entry.job())) {
-                (EntryKey::Task(_), Some(why)) if !self.reservations.contains_key(&entry) => {
-                    Err(*why)
-                }
-                (EntryKey::Task(task), _) => self.try_task(task, now),
-                (EntryKey::Gang(job), _) => self.try_gang(job, now),
-            };
-            match placed {
+            match self.try_entry(entry, &failed_jobs, now) {
                 Ok(()) => {
                     self.queue.scheduled(entry);
                     self.cancel_reservation(&entry);
                     self.enqueue(entry.job());
                 }
-                Err(why) => {
-                    if let EntryKey::Gang(job) = entry {
-                        self.reserve_for_gang(job, why, preempt, now);
-                    }
-                    if placeless.insert(entry.job(), why).is_none() {
-                        tracing::debug!(job = %entry.job(), ?why, "no place");
-                    }
-                    if why == PlacementFailure::Room {
-                        self.record_unplaced(entry.job(), now);
-                    }
-                    let tried = helpless.contains(&entry.job()) || why == PlacementFailure::Image;
-                    if preempt && !tried && !self.preempt_for(entry, why, now) {
-                        helpless.insert(entry.job());
-                    }
-                    self.queue.failed(entry, now);
+                Err(failure) => {
+                    self.handle_failure(entry, failure, preempt, &mut failed_jobs, now);
                 }
             }
         }
         self.queue.has_active()
     }
 
-    /// Takes machines out of the index that take nothing at present, and others in.
+    fn try_entry(
+        &mut self,
+        entry: EntryKey,
+        failed_jobs: &FailedJobs,
+        now: Timestamp,
+    ) -> Result<(), PlacementFailure> {
+        match (entry, failed_jobs.unplaced.get(&entry.job())) {
+            (EntryKey::Task(_), Some(failure)) if !self.reservations.contains_key(&entry) => {
+                Err(*failure)
+            }
+            (EntryKey::Task(task), _) => self.try_task(task, now),
+            (EntryKey::Gang(job), _) => self.try_gang(job, now),
+        }
+    }
+
+    /// Reserves machines for a gang or preempts tasks for a task, and has the entry back off.
+    fn handle_failure(
+        &mut self,
+        entry: EntryKey,
+        failure: PlacementFailure,
+        preempt: bool,
+        failed_jobs: &mut FailedJobs,
+        now: Timestamp,
+    ) {
+        let job = entry.job();
+        if let EntryKey::Gang(job) = entry {
+            self.reserve_for_gang(job, failure, preempt, now);
+        }
+        if failed_jobs.unplaced.insert(job, failure).is_none() {
+            tracing::debug!(%job, reason = ?failure, "placement failed");
+        }
+        if failure == PlacementFailure::Room {
+            self.record_unplaced(job, now);
+        }
+        let may_help = failure != PlacementFailure::Image
+            && !failed_jobs.not_helped_by_preemption.contains(&job);
+        if preempt && may_help && !self.preempt_for(entry, failure, now) {
+            failed_jobs.not_helped_by_preemption.insert(job);
+        }
+        self.queue.failed(entry, now);
+    }
+
+    /// Removes machines that are not usable at present from the capacity index, and adds those that are
+    /// usable again.
     fn refresh_capacity_index(&mut self, now: Timestamp) {
         if now.duration_since(self.sorted_at) < INDEX_REFRESH_INTERVAL {
             return;
@@ -114,29 +157,26 @@
         if !self.fits_limit(entry, job, 1) {
             return Err(PlacementFailure::Quota);
         }
-        let reserved = self.reserved_machine(entry, job, now).is_some();
+        let has_reservation = self.reserved_machine(entry, job, now).is_some();
         let machine = self
-            .place_for(entry, job, now)
+            .best_machine(entry, job, now)
             .ok_or(PlacementFailure::Room)?;
-        let fetch = fetch_time(job, machine);
+        let fetch_time = fetch_time(job, machine);
         let name = machine.name.clone();
-        if fetch > Duration::ZERO
+        if fetch_time > Duration::ZERO
             && job.spec.kind == JobKind::Array
-            && self.frees_up_sooner(job, fetch, now)
+            && self.frees_up_sooner(job, fetch_time, now)
         {
             return Err(PlacementFailure::Image);
         }
-        let stops = self.policy.preempt && self.inventory_known && self.stops_for(job).is_some();
-        if fetch >= MIN_FETCH_TIME_SAVED && !reserved && stops {
-            let stops = self.cheapest_preemption(
-                entry,
-                job,
-                PlacementFailure::Room,
-                Some(fetch.whole_millis()),
-                now,
-            );
-            if let Some(stops) = stops {
-                self.execute_preemption(entry, stops, PlacementFailure::Room, now);
+        let may_preempt =
+            self.policy.preempt && self.inventory_known && self.preemption_scope(job).is_some();
+        if fetch_time >= MIN_FETCH_TIME_SAVED && !has_reservation && may_preempt {
+            let max_cost_ms = Some(fetch_time.whole_millis());
+            let plan =
+                self.cheapest_preemption(entry, job, PlacementFailure::Room, max_cost_ms, now);
+            if let Some(plan) = plan {
+                self.execute_preemption(entry, plan, PlacementFailure::Room, now);
                 return Err(PlacementFailure::Room);
             }
         }
@@ -145,47 +185,56 @@
         Ok(())
     }
 
-    /// Where room is being made for an entry, if it may still go there.
+    /// The machine on which capacity is reserved for an entry, if the entry may still go there.
     fn reserved_machine(&self, entry: EntryKey, job: &Job, now: Timestamp) -> Option<&Machine> {
         let machine = self.machines.get(&self.reservations.get(&entry)?.machine)?;
         self.admits(job, machine, now).then_some(machine)
     }
 
-    /// The best machine with room for a task. Where room is being made for it, the task waits for
-    /// that, or takes another place with its image.
-    pub(crate) fn place_for(&self, entry: EntryKey, job: &Job, now: Timestamp) -> Option<&Machine> {
-        let zones = self.zones_of(job);
+    /// The best machine with free capacity for a task. If capacity is reserved for it, the task waits for
+    /// that, or takes another machine that has its image.
+    pub(crate) fn best_machine(
+        &self,
+        entry: EntryKey,
+        job: &Job,
+        now: Timestamp,
+    ) -> Option<&Machine> {
+        let zones = self.tasks_by_zone(job);
         let reserved = self.reserved_machine(entry, job, now);
-        let before = self.gangs_with_precedence(job, now);
-        let fit = |m: &Machine| {
-            colocation_capacity(job, m, self.free_capacity_for(entry, m)) > 0
-                && self.admits(job, m, now)
-                && zone_allowed(job, &m.zone, &zones)
-                && !self.is_reserved_from(job, m, now)
-                && !self.is_left_to_gangs(&before, m, now)
-                && !self.left_to_others(job, m, now)
+        let gangs = self.gangs_with_precedence(job, now);
+        let is_suitable = |machine: &Machine| {
+            colocation_capacity(job, machine, self.free_capacity_for(entry, machine)) > 0
+                && self.admits(job, machine, now)
+                && zone_allowed(job, &machine.zone, &zones)
+                && !self.is_reserved_from(job, machine, now)
+                && !self.is_left_to_gangs(&gangs, machine, now)
+                && !self.is_left_to_unplaced_jobs(job, machine, now)
         };
-        let find = |name: &MachineName| self.machines.get(name);
-        let best = self
-            .capacity_index
-            .best(&job.spec, reserved.is_some(), find, fit, |m| score(job, m));
-        best.or(reserved.filter(|m| fit(m)))
+        let with_image_only = reserved.is_some();
+        let best = self.capacity_index.best(
+            &job.spec,
+            with_image_only,
+            |name| self.machines.get(name),
+            is_suitable,
+            |machine| score(job, machine),
+        );
+        best.or(reserved.filter(|machine| is_suitable(machine)))
     }
 
-    /// Whether running tasks will leave room for all that waits of an array on machines that
-    /// have its image before another machine could have fetched it.
-    fn frees_up_sooner(&self, job: &Job, fetch: Duration, now: Timestamp) -> bool {
-        let mut turns_over = 0;
-        let holders = self.capacity_index.holders(&job.spec.image);
-        for machine in holders.filter_map(|name| self.machines.get(name)) {
+    /// Whether running tasks will leave room for all waiting tasks of an array on machines that have its
+    /// image before another machine could have fetched it.
+    fn frees_up_sooner(&self, job: &Job, fetch_time: Duration, now: Timestamp) -> bool {
+        let mut ending_tasks = 0;
+        let with_image = self.capacity_index.machines_with_image(&job.spec.image);
+        for machine in with_image.filter_map(|name| self.machines.get(name)) {
             if self.admits(job, machine, now) {
                 // Best-effort tasks may run for minutes: they leave when stopped, not by themselves.
-                turns_over += machine.regular() - machine.pinned;
+                ending_tasks += machine.regular() - machine.pinned;
             }
         }
-        // Estimates are often wrong by half.
-        job.waiting() * job.spec.estimate.whole_millis().max(1_000) * 2
-            < turns_over * fetch.whole_millis()
+        let estimate_ms = job.spec.estimate.whole_millis().max(MIN_ESTIMATE_MS);
+        job.waiting() * estimate_ms * ESTIMATE_SAFETY_FACTOR
+            < ending_tasks * fetch_time.whole_millis()
     }
 
     /// Whether the team's limit leaves room for so many more tasks of the job.
@@ -195,19 +244,19 @@
             .is_some_and(|team| (team.used + job.spec.needs.times(tasks)).fits_quota(&team.limit))
     }
 
-    /// Filters that do not depend on the room left.
+    /// Whether a job may run on a machine, apart from the free capacity there.
     pub(crate) fn admits(&self, job: &Job, machine: &Machine, now: Timestamp) -> bool {
         machine.usable(now, self.heartbeat_timeout())
             && job
                 .spec
                 .allows(&machine.machine_type, &machine.zone, machine.spot)
             && !(job.failed_on.contains(&machine.name)
-                && job.failed_on.len() < self.machines.len().min(4))
-            && self.may_linger(job, machine)
+                && job.failed_on.len() < self.machines.len().min(MAX_AVOIDED_MACHINES))
+            && self.admits_best_effort(job, machine)
     }
 
-    /// How many of a job's tasks each zone holds, gone or not proven gone.
-    pub(crate) fn zones_of(&self, job: &Job) -> BTreeMap<ZoneName, u32> {
+    /// How many of a job's tasks are placed in each zone; empty if the job's zones do not matter.
+    pub(crate) fn tasks_by_zone(&self, job: &Job) -> BTreeMap<ZoneName, u32> {
         let mut zones = BTreeMap::new();
         if job.spec.one_zone || job.spec.spread {
             for placement in job.placed.values() {
@@ -220,14 +269,16 @@
     }
 }
 
-/// `together` and `spread`, given where the job's other tasks are.
+/// Whether a task of a job may run in a zone by the job's `one_zone` and `spread`, given its tasks in each
+/// zone.
 pub(crate) fn zone_allowed(job: &Job, zone: &ZoneName, zones: &BTreeMap<ZoneName, u32>) -> bool {
-    let together = !job.spec.one_zone || zones.keys().all(|used| used == zone);
-    let spread = !job.spec.spread || zones.get(zone).copied().unwrap_or(0) < job.spec.zone_limit();
-    together && spread
+    let one_zone_allows = !job.spec.one_zone || zones.keys().all(|used| used == zone);
+    let spread_allows =
+        !job.spec.spread || zones.get(zone).copied().unwrap_or(0) < job.spec.zone_limit();
+    one_zone_allows && spread_allows
 }
 
-/// How long the machine would have to fetch the job's image.
+/// How long the machine would fetch the job's image; zero if it has it.
 pub(crate) fn fetch_time(job: &Job, machine: &Machine) -> Duration {
     if machine.has_image(&job.spec.image) {
         return Duration::ZERO;
@@ -237,24 +288,39 @@
 
 /// How long the machine takes to fetch the job's image if it lacks it.
 pub(crate) fn image_fetch_time(job: &Job, machine: &Machine) -> Duration {
-    Duration::from_millis((job.spec.image_gb / machine.fetch_gb_per_s.max(0.01) * 1000.0) as u64)
+    let seconds = job.spec.image_gb / machine.fetch_gb_per_s.max(MIN_FETCH_GB_PER_S);
+    Duration::from_millis((seconds * 1000.0) as u64)
 }
 
-/// The least score is taken: first the shortest image fetch, then cheap machines for work that
-/// may use them. Replicas stay long and pin their machine, so they go where most replicas are;
-/// arrays fill the gaps beside them, so that machines without replicas fall idle and can be
-/// returned. Last, the fullest machine.
-pub(crate) fn score(job: &Job, machine: &Machine) -> (u64, bool, u64, u64, u64) {
+/// How well a machine suits a task. The least score is the best; fields are compared in their order.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+pub(crate) struct Score {
+    /// Time to fetch the image.
+    fetch_ms: u64,
+    /// Spot machines come first for work that may use them, as they are cheap.
+    is_on_demand: bool,
+    /// Machines with the most replicas come first, see [`score`].
+    replicas_below_max: u64,
+    /// GPUs and CPUs that would be left free: the fullest machine comes first.
+    milli_gpus_left: u64,
+    milli_cpus_left: u64,
+}
+
+/// The score of a machine for a task of a job.
+///
+/// Replicas stay long and keep their machine from being returned, so they go where most replicas are. Tasks
+/// of arrays fill the gaps beside them, so that machines without replicas become idle and can be returned.
+pub(crate) fn score(job: &Job, machine: &Machine) -> Score {
     let left = machine.free().saturating_sub(&job.spec.needs);
-    let service = job.spec.kind == JobKind::Service;
-    let replicas = machine
-        .pinned
-        .min(if service { MAX_RANKED_REPLICAS } else { 1 });
-    (
-        fetch_time(job, machine).whole_millis(),
-        !machine.spot,
-        MAX_RANKED_REPLICAS - replicas,
-        left.milli_gpus,
-        left.milli_cpus,
-    )
+    let max_replicas = match job.spec.kind {
+        JobKind::Service => MAX_RANKED_REPLICAS,
+        JobKind::Array | JobKind::Gang => 1,
+    };
+    Score {
+        fetch_ms: fetch_time(job, machine).whole_millis(),
+        is_on_demand: !machine.spot,
+        replicas_below_max: MAX_RANKED_REPLICAS - machine.pinned.min(max_replicas),
+        milli_gpus_left: left.milli_gpus,
+        milli_cpus_left: left.milli_cpus,
+    }
 }
--- a/crates/scheduler/src/demand.rs
+++ b/crates/scheduler/src/demand.rs
@@ -7,6 +7,7 @@
 use crate::job::Job;
 use crate::machine::Machine;
 use crate::partition_state::PartitionState;
+use crate::preempt::PreemptionScope;
 use crate::queue_entry::EntryKey;
 use model::DurationExt;
 use model::{JobId, JobKind, Priority, Resources, TeamName, Timestamp, ZoneName};
@@ -78,7 +79,7 @@
     /// Allots usage of lower priority to tasks of a job, the lowest first, and returns how many tasks
     /// that makes room for.
     fn allot(&mut self, partition: &PartitionState, job: &Job, tasks: u64) -> u64 {
-        if tasks == 0 || partition.stops_for(job) != Some(false) {
+        if tasks == 0 || partition.preemption_scope(job) != Some(PreemptionScope::All) {
             return 0;
         }
         let needs = quota_needs(job);
@@ -126,7 +127,7 @@
             .map(|machine| FreeCapacity {
                 machine,
                 free: machine.free(),
-                reclaimable: partition.clearable(machine, now),
+                reclaimable: partition.reclaimable_resources(machine, now),
             })
             .filter(|capacity| (capacity.free + capacity.reclaimable).milli_cpus >= min_milli_cpus)
             .collect();
@@ -201,7 +202,7 @@
     fn place_waiting_tasks(&mut self, job: &Job, tasks: u64) -> WaitingPlacement {
         let (partition, now) = (self.partition, self.now);
         let zone_constrained = job.spec.one_zone || job.spec.spread;
-        let mut zones = partition.zones_of(job);
+        let mut zones = partition.tasks_by_zone(job);
         if job.spec.one_zone && zones.is_empty() {
             zones.extend(self.choose_zone(job).map(|zone| (zone, 0)));
         }
--- a/crates/scheduler/src/gang_reservation_choice.rs
+++ b/crates/scheduler/src/gang_reservation_choice.rs
@@ -84,7 +84,7 @@
                 continue;
             }
             let tasks = colocation_capacity(job, machine, machine.capacity);
-            if tasks == 0 || machine.held_for.is_some_and(ranks_before) {
+            if tasks == 0 || machine.reserved_for_gang.is_some_and(ranks_before) {
                 continue;
             }
             let Some(ready_at) = self.ready_for_gang_at(job, machine, now) else {
@@ -127,7 +127,7 @@
             let placement = job.placed.get(&task.index)?;
             let at = if placement.stop.is_some() {
                 now + job.spec.save
-            } else if self.may_stop(gang, job, placement) {
+            } else if self.may_preempt(gang, job, placement) {
                 self.estimated_end(job, placement, now)
                     .min(now + PREEMPTION_ALLOWANCE)
             } else if job.spec.kind == JobKind::Service {
--- a/crates/scheduler/src/gang_reservations.rs
+++ b/crates/scheduler/src/gang_reservations.rs
@@ -52,7 +52,7 @@
     /// its room or ends there before the gang can start.
     pub(crate) fn is_reserved_from(&self, job: &Job, machine: &Machine, now: Timestamp) -> bool {
         let Some(reservation) = machine
-            .held_for
+            .reserved_for_gang
             .and_then(|gang| self.gang_reservations.get(&gang))
         else {
             return false;
@@ -98,8 +98,8 @@
         };
         for name in reservation.machines.into_keys() {
             if let Some(machine) = self.machines.get_mut(&name) {
-                if machine.held_for == Some(id) {
-                    machine.held_for = None;
+                if machine.reserved_for_gang == Some(id) {
+                    machine.reserved_for_gang = None;
                 }
             }
         }
@@ -150,7 +150,7 @@
             let Some(gang) = self.jobs.get(&reservation.job) else {
                 return false;
             };
-            machine.held_for == Some(reservation.job) && self.admits(gang, machine, now)
+            machine.reserved_for_gang == Some(reservation.job) && self.admits(gang, machine, now)
         };
         now < reservation.chosen_at + RESERVATION_REVIEW_INTERVAL
             && self.is_queued_gang(reservation.job)
@@ -202,14 +202,14 @@
         let displaced: BTreeSet<JobId> = reservation
             .machines
             .keys()
-            .filter_map(|name| self.machines.get(name)?.held_for)
+            .filter_map(|name| self.machines.get(name)?.reserved_for_gang)
             .collect();
         for gang in displaced {
             self.release_reservation(gang);
         }
         for name in reservation.machines.keys() {
             if let Some(machine) = self.machines.get_mut(name) {
-                machine.held_for = Some(id);
+                machine.reserved_for_gang = Some(id);
             }
         }
         let ready_in_ms = reservation.ready_at.duration_since(now).whole_millis();
@@ -263,7 +263,7 @@
             let ends_at = self.estimated_end(job, placement, now);
             if placement.stop.is_some() || ends_at <= ready_at + NEAR_RESERVATION {
                 free += job.spec.needs;
-            } else if self.may_stop(gang, job, placement) {
+            } else if self.may_preempt(gang, job, placement) {
                 candidates.push(Victim {
                     lost_work_ms: self.lost_work(job, placement, false, now),
                     task: *task,
--- a/crates/scheduler/src/gangs.rs
+++ b/crates/scheduler/src/gangs.rs
@@ -83,7 +83,7 @@
         let mut zones: BTreeMap<&ZoneName, Vec<FittingMachine>> = BTreeMap::new();
         let roomy = self
             .capacity_index
-            .with_room(&job.spec)
+            .with_capacity(&job.spec)
             .filter_map(|name| self.machines.get(name));
         for machine in roomy {
             if !self.admits(job, machine, now) || self.is_reserved_from(job, machine, now) {
--- a/crates/scheduler/src/machine.rs
+++ b/crates/scheduler/src/machine.rs
@@ -79,7 +79,7 @@
     /// Capacity reserved for entries of the queue.
     pub(crate) reserved: Resources,
     /// The gang for which the machine is reserved.
-    pub(crate) held_for: Option<JobId>,
+    pub(crate) reserved_for_gang: Option<JobId>,
     /// Since when a machine with GPUs has had no GPU work.
     pub(crate) no_gpu_work_since: Option<Timestamp>,
     /// Its position in the capacity index; none if it accepts no tasks.
@@ -204,7 +204,7 @@
             fetch_gb_per_s: kind.fetch_gb_per_s,
             used: Resources::default(),
             reserved: Resources::default(),
-            held_for: None,
+            reserved_for_gang: None,
             no_gpu_work_since: None,
             place: None,
             tasks: BTreeSet::new(),
--- a/crates/scheduler/src/preempt.rs
+++ b/crates/scheduler/src/preempt.rs
@@ -1,9 +1,9 @@
-//! Stopping tasks to make room.
+//! Preemption: stopping tasks to make room for others.
 //!
-//! A job of higher priority may stop lower work. Work inside its team's guarantee may also
-//! stop work of any priority that another team runs beyond its own guarantee.
+//! A job of higher priority may preempt work of lower priority. Work inside its team's guarantee may also
+//! preempt work of any priority that another team runs beyond its own guarantee.
 
-use crate::colocation::beside;
+use crate::colocation::is_colocated;
 use crate::cycle::{fetch_time, zone_allowed, PlacementFailure};
 use crate::job::{Job, Placement};
 use crate::machine::Machine;
@@ -16,53 +16,106 @@
 use std::collections::{BTreeMap, HashSet};
 use std::time::Duration;
 
-/// How long freed room is kept for the entry that asked for it.
+/// How long capacity that preemption frees is reserved for the entry.
 const RESERVATION_TIMEOUT: Duration = Duration::from_secs(15);
-/// Entries for which room may be under way at a time before work that is not urgent has to wait.
+/// Number of reservations from which on [`PreemptionScope::CheapBestEffort`] allows no more preemption.
 const MAX_RESERVATIONS: usize = 24;
 
-/// Tasks on one machine that could be stopped, and what that costs in milliseconds.
+/// Added to the time that a task needs to save, for the way of the command (ms).
+const SAVE_ALLOWANCE_MS: u64 = 1_000;
+/// Added to the cost for each victim, so that of equal costs the plan with the fewest victims is the cheapest.
+const VICTIM_COST_MS: u64 = 1;
+
+/// Which tasks may be preempted for a job.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub(crate) enum PreemptionScope {
+    /// Best-effort tasks that are cheap to preempt.
+    CheapBestEffort,
+    /// All tasks that [`PartitionState::may_preempt`] allows.
+    All,
+}
+
+/// Tasks whose preemption lets an entry in on a machine.
 #[derive(Debug)]
 pub(crate) struct PreemptionPlan {
-    pub cost: u64,
+    /// Work that is lost, and the fetch of the image if it is missing (ms).
+    pub cost_ms: u64,
     pub victims: Vec<TaskId>,
+    /// The machine on which capacity is reserved for the entry.
     pub machine: MachineName,
 }
 
-/// What a search for stops is for.
+/// A search for tasks to preempt.
 struct Search<'a> {
     entry: EntryKey,
     job: &'a Job,
-    why: PlacementFailure,
-    only_cheap: bool,
+    failure: PlacementFailure,
+    scope: PreemptionScope,
     zones: BTreeMap<ZoneName, u32>,
+    /// Plans that cost as much or more are of no use.
+    max_cost_ms: Option<u64>,
     now: Timestamp,
 }
 
+/// A task that could be preempted. Victims are chosen in the order of these keys.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+struct Victim {
+    lost_work_ms: u64,
+    task: TaskId,
+}
+
+/// What decides whether work of one team may preempt work of another: the lower rank is preempted. Fields
+/// are compared in their order.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+struct PreemptionRank {
+    strictly_guaranteed: bool,
+    priority: Priority,
+    guaranteed: bool,
+}
+
+impl PreemptionRank {
+    fn of(job: &Job) -> Self {
+        PreemptionRank {
+            strictly_guaranteed: job.strictly_guaranteed,
+            priority: job.spec.priority,
+            guaranteed: job.guaranteed,
+        }
+    }
+}
+
 impl PartitionState {
-    /// Whether `victim` may be stopped for the sake of `job`. No chain of such stops leads back to where
-    /// it began: within a team they go down in priority, between teams down in `standing`. When
-    /// guarantee and priority each let one stop the other, thousands of tasks were stopped in turn
-    /// (`incidents/2026-12-01-stopped-in-turn.md`).
-    pub(crate) fn may_stop(&self, job: &Job, victim: &Job, placement: &Placement) -> bool {
+    /// Which tasks may be preempted for a job, or `None` if no tasks may.
+    pub(crate) fn preemption_scope(&self, job: &Job) -> Option<PreemptionScope> {
+        if job.spec.priority >= Priority::High || job.guaranteed {
+            return Some(PreemptionScope::All);
+        }
+        let is_regular_array = job.spec.kind == JobKind::Array && !job.spec.is_best_effort();
+        is_regular_array.then_some(PreemptionScope::CheapBestEffort)
+    }
+
+    /// Whether a task of `victim` may be preempted for `job`. No chain of preemptions leads back to its
+    /// beginning: within a team they go down in priority, between teams down in [`PreemptionRank`]. If
+    /// guarantee and priority could each let one job preempt the other, tasks would preempt each other in
+    /// turn without end (`incidents/2026-12-01-stopped-in-turn.md`).
+    pub(crate) fn may_preempt(&self, job: &Job, victim: &Job, placement: &Placement) -> bool {
         if placement.stop.is_some() || victim.spec.kind == JobKind::Gang {
             return false;
         }
-        let lower = victim.spec.priority < job.spec.priority;
+        let is_lower = victim.spec.priority < job.spec.priority;
         if victim.spec.team == job.spec.team {
-            return lower;
+            return is_lower;
         }
         let team = self.teams.get(&victim.spec.team);
-        let beyond = || team.is_some_and(|t| !t.used.fits_quota(&t.guarantee));
-        standing(victim) < standing(job) && (lower || beyond())
+        let is_beyond_guarantee = || team.is_some_and(exceeds_guarantee);
+        PreemptionRank::of(victim) < PreemptionRank::of(job) && (is_lower || is_beyond_guarantee())
     }
 
-    /// After a failed cycle: stops the cheapest set of tasks on one machine that lets the
-    /// entry in, and keeps the room for it. False if that would not help entries like it.
+    /// After a failed cycle: preempts the cheapest set of tasks on one machine that lets the entry in, and
+    /// reserves the capacity for it. Returns false if that would not help entries like it.
     pub(crate) fn preempt_for(
         &mut self,
         entry: EntryKey,
-        why: PlacementFailure,
+        failure: PlacementFailure,
         now: Timestamp,
     ) -> bool {
         let EntryKey::Task(task) = entry else {
@@ -74,132 +127,150 @@
         if self.reservations.contains_key(&entry) {
             return true;
         }
-        let stops = match why {
+        let plan = match failure {
             PlacementFailure::Quota => self.cheapest_preemption_for_limit(entry, job, now),
             PlacementFailure::Room | PlacementFailure::Image => None,
         };
-        let stops = stops.or_else(|| self.cheapest_preemption(entry, job, why, None, now));
-        let Some(stops) = stops else { return false };
-        self.execute_preemption(entry, stops, why, now);
+        let plan = plan.or_else(|| self.cheapest_preemption(entry, job, failure, None, now));
+        let Some(plan) = plan else {
+            return false;
+        };
+        self.execute_preemption(entry, plan, failure, now);
         true
     }
 
-    /// Whether anything that runs could be stopped for the sake of a job at all.
-    fn may_stop_any(&self, job: &Job) -> bool {
-        let over = |team: &TeamUsage| !team.used.fits_quota(&team.guarantee);
+    /// Whether any running task could be preempted for a job at all.
+    fn may_preempt_any(&self, job: &Job) -> bool {
         self.preemption_candidates.any_below(job.spec.priority)
-            || (job.guaranteed && self.teams.values().any(over))
+            || (job.guaranteed && self.teams.values().any(exceeds_guarantee))
     }
 
-    /// The set of tasks on one machine that costs least to stop for the sake of an entry: the
-    /// work that is lost, and the fetch of its image where that is missing. None if that costs
-    /// `below` or more.
+    /// The set of tasks on one machine that costs least to preempt for an entry: the work that is lost, and
+    /// the fetch of its image if it is missing. `None` if that costs `max_cost_ms` or more.
     pub(crate) fn cheapest_preemption(
         &self,
         entry: EntryKey,
         job: &Job,
-        why: PlacementFailure,
-        below: Option<u64>,
+        failure: PlacementFailure,
+        max_cost_ms: Option<u64>,
         now: Timestamp,
     ) -> Option<PreemptionPlan> {
-        let only_cheap = self.stops_for(job)?;
-        if only_cheap && self.reservations.len() >= MAX_RESERVATIONS || !self.may_stop_any(job) {
+        let scope = self.preemption_scope(job)?;
+        let too_many = scope == PreemptionScope::CheapBestEffort
+            && self.reservations.len() >= MAX_RESERVATIONS;
+        if too_many || !self.may_preempt_any(job) {
             return None;
         }
         let search = Search {
             entry,
             job,
-            why,
-            only_cheap,
-            zones: self.zones_of(job),
+            failure,
+            scope,
+            zones: self.tasks_by_zone(job),
+            max_cost_ms,
             now,
         };
         let mut best: Option<PreemptionPlan> = None;
-        let mut seen: HashSet<&MachineName> = HashSet::new();
-        let mut look = |task: TaskId, best: &mut Option<PreemptionPlan>| {
-            let victim = self.jobs.get(&task.job)?;
-            let placement = victim.placed.get(&task.index)?;
-            if !self.may_go(&search, victim, placement) || !seen.insert(&placement.machine) {
-                return None;
-            }
-            let stops = self.preemption_on(&search, self.machines.get(&placement.machine)?)?;
-            let cheap = below.is_none_or(|below| stops.cost < below);
-            let better = best
-                .as_ref()
-                .is_none_or(|least| (stops.cost, &stops.machine) < (least.cost, &least.machine));
-            if cheap && better {
-                *best = Some(stops);
-            }
-            Some(())
-        };
+        let mut checked: HashSet<&MachineName> = HashSet::new();
         for (placed_at, task) in self.preemption_candidates.newest() {
-            // A machine on which this is the newest costs more than this.
-            let ran = now.duration_since(placed_at).whole_millis();
-            let most = best
-                .as_ref()
-                .map(|least| least.cost)
-                .into_iter()
-                .chain(below)
-                .min();
-            if most.is_some_and(|most| ran >= most) {
+            // Candidates come in the order of the work that is lost: the others cost more than this.
+            let ran_ms = now.duration_since(placed_at).whole_millis();
+            let best_cost_ms = best.as_ref().map(|plan| plan.cost_ms);
+            let limit = best_cost_ms.into_iter().chain(max_cost_ms).min();
+            if limit.is_some_and(|limit| ran_ms >= limit) {
                 break;
             }
-            look(task, &mut best);
+            self.check_candidate(&search, task, &mut checked, &mut best);
         }
         for task in self.preemption_candidates.saving() {
-            look(task, &mut best);
+            self.check_candidate(&search, task, &mut checked, &mut best);
         }
         best
     }
 
-    /// Where a machine has room and only the team's limit is in the way: the team's own tasks of lower
-    /// priority that cost least to stop, wherever they run.
+    /// Keeps the cheapest plan for the machine of a candidate if it is better than the best so far.
+    fn check_candidate<'a>(
+        &'a self,
+        search: &Search<'_>,
+        task: TaskId,
+        checked: &mut HashSet<&'a MachineName>,
+        best: &mut Option<PreemptionPlan>,
+    ) {
+        let Some(victim) = self.jobs.get(&task.job) else {
+            return;
+        };
+        let Some(placement) = victim.placed.get(&task.index) else {
+            return;
+        };
+        if !self.is_victim(search, victim, placement) || !checked.insert(&placement.machine) {
+            return;
+        }
+        let plan = self
+            .machines
+            .get(&placement.machine)
+            .and_then(|machine| self.cheapest_preemption_on(search, machine));
+        let Some(plan) = plan else {
+            return;
+        };
+        let is_cheap = search
+            .max_cost_ms
+            .is_none_or(|max_cost_ms| plan.cost_ms < max_cost_ms);
+        let is_better = best
+            .as_ref()
+            .is_none_or(|best| (plan.cost_ms, &plan.machine) < (best.cost_ms, &best.machine));
+        if is_cheap && is_better {
+            *best = Some(plan);
+        }
+    }
+
+    /// If a machine has free capacity and only the team's limit is in the way: the team's own tasks of lower
+    /// priority that cost least to preempt, on whatever machines.
     fn cheapest_preemption_for_limit(
         &self,
         entry: EntryKey,
         job: &Job,
         now: Timestamp,
     ) -> Option<PreemptionPlan> {
-        if self.stops_for(job)? {
+        if self.preemption_scope(job)? == PreemptionScope::CheapBestEffort {
             return None;
         }
-        let machine = self.place_for(entry, job, now)?.name.clone();
+        let machine = self.best_machine(entry, job, now)?.name.clone();
         let team = self.teams.get(&job.spec.team)?;
         let wanted = team.used + team.reserved + job.spec.needs;
-        let mut stops = PreemptionPlan {
-            cost: 0,
+        let mut plan = PreemptionPlan {
+            cost_ms: 0,
             victims: Vec::new(),
             machine,
         };
-        // What is being stopped for others is counted with what is kept for them.
-        let mut freed = self.being_stopped(&job.spec.team);
-        let tasks = self
+        // What is being stopped for other entries is counted with what is reserved for them.
+        let mut freed = self.resources_being_stopped(&job.spec.team);
+        let candidates = self
             .preemption_candidates
             .newest()
             .map(|(_, task)| task)
             .chain(self.preemption_candidates.saving());
-        for task in tasks {
+        for task in candidates {
             let Some(victim) = self.jobs.get(&task.job) else {
                 continue;
             };
             let Some(placement) = victim.placed.get(&task.index) else {
                 continue;
             };
-            if victim.spec.team != job.spec.team || !self.may_stop(job, victim, placement) {
+            if victim.spec.team != job.spec.team || !self.may_preempt(job, victim, placement) {
                 continue;
             }
-            stops.cost += self.lost_work(victim, placement, true, now) + 1;
-            stops.victims.push(task);
+            plan.cost_ms += self.lost_work(victim, placement, true, now) + VICTIM_COST_MS;
+            plan.victims.push(task);
             freed += victim.spec.needs;
             if wanted.saturating_sub(&freed).fits_quota(&team.limit) {
-                return Some(stops);
+                return Some(plan);
             }
         }
         None
     }
 
-    /// What a team's tasks take that have been told to stop.
-    fn being_stopped(&self, team: &TeamName) -> Resources {
+    /// What a team's tasks that are being stopped still use.
+    fn resources_being_stopped(&self, team: &TeamName) -> Resources {
         let mut sum = Resources::default();
         for job in self.jobs.values().filter(|job| job.spec.team == *team) {
             let stopping = job
@@ -211,100 +282,114 @@
         sum
     }
 
-    /// Whether a task may be stopped in this search.
-    fn may_go(&self, search: &Search<'_>, victim: &Job, placement: &Placement) -> bool {
+    /// Whether a task may be preempted in this search.
+    fn is_victim(&self, search: &Search<'_>, victim: &Job, placement: &Placement) -> bool {
         // Against the team's own limit only the team's own tasks help.
         let helps =
-            search.why == PlacementFailure::Room || victim.spec.team == search.job.spec.team;
-        let cheap = || !search.only_cheap || self.stops_cheaply(victim, placement, search.now);
-        helps && self.may_stop(search.job, victim, placement) && cheap()
+            search.failure == PlacementFailure::Room || victim.spec.team == search.job.spec.team;
+        let in_scope = || match search.scope {
+            PreemptionScope::All => true,
+            PreemptionScope::CheapBestEffort => {
+                self.is_cheap_to_preempt(victim, placement, search.now)
+            }
+        };
+        helps && self.may_preempt(search.job, victim, placement) && in_scope()
     }
 
-    /// The cheapest stops on a machine that let the entry in, if there are any.
-    fn preemption_on(&self, search: &Search<'_>, machine: &Machine) -> Option<PreemptionPlan> {
-        let Search {
-            entry,
-            job,
-            why,
-            now,
-            ..
-        } = *search;
-        if !self.admits(job, machine, now)
+    /// The tasks on a machine that cost least to preempt and let the entry in, if there are any.
+    fn cheapest_preemption_on(
+        &self,
+        search: &Search<'_>,
+        machine: &Machine,
+    ) -> Option<PreemptionPlan> {
+        let job = search.job;
+        if !self.admits(job, machine, search.now)
             || !zone_allowed(job, &machine.zone, &search.zones)
-            || self.is_reserved_from(job, machine, now)
-            || beside(machine, job)
+            || self.is_reserved_from(job, machine, search.now)
+            || is_colocated(machine, job)
         {
             return None;
         }
-        let mut victims: Vec<(u64, TaskId, Resources)> = machine
-            .tasks
-            .iter()
-            .filter_map(|id| {
-                let victim = self.jobs.get(&id.job)?;
-                let placement = victim.placed.get(&id.index)?;
-                let may = self.may_go(search, victim, placement);
-                let lost = self.lost_work(victim, placement, !search.only_cheap, now);
-                may.then_some((lost, *id, victim.spec.needs))
-            })
-            .collect();
-        // The work that is lost is what they have run so far.
-        victims.sort_unstable_by_key(|(lost, id, _)| (*lost, *id));
-        let mut room = self.free_capacity_for(entry, machine);
+        let mut free = self.free_capacity_for(search.entry, machine);
         let mut freed = Resources::default();
-        let mut cost = fetch_time(job, machine).whole_millis();
-        let mut chosen = Vec::new();
-        let quota = |freed: &Resources| {
-            why == PlacementFailure::Room
-                || self.teams.get(&job.spec.team).is_some_and(|team| {
-                    (team.used.saturating_sub(freed) + job.spec.needs).fits_quota(&team.limit)
-                })
+        let mut plan = PreemptionPlan {
+            cost_ms: fetch_time(job, machine).whole_millis(),
+            victims: Vec::new(),
+            machine: machine.name.clone(),
         };
-        for (lost, id, needs) in victims {
-            if job.spec.needs.fits(&room) && quota(&freed) {
+        let is_enough = |free: &Resources, freed: &Resources| {
+            job.spec.needs.fits(free) && self.limit_allows(search, freed)
+        };
+        for Victim { lost_work_ms, task } in self.victims_on(search, machine) {
+            if is_enough(&free, &freed) {
                 break;
             }
-            room += needs;
-            freed += needs;
-            cost += lost + 1;
-            chosen.push(id);
+            let Some(victim) = self.jobs.get(&task.job) else {
+                continue;
+            };
+            free += victim.spec.needs;
+            freed += victim.spec.needs;
+            plan.cost_ms += lost_work_ms + VICTIM_COST_MS;
+            plan.victims.push(task);
         }
-        let enough = !chosen.is_empty() && job.spec.needs.fits(&room) && quota(&freed);
-        enough.then(|| PreemptionPlan {
-            cost,
-            victims: chosen,
-            machine: machine.name.clone(),
-        })
+        (!plan.victims.is_empty() && is_enough(&free, &freed)).then_some(plan)
+    }
+
+    /// The tasks on a machine that may be preempted in this search, those first that lose the least work.
+    fn victims_on(&self, search: &Search<'_>, machine: &Machine) -> Vec<Victim> {
+        let at_once = search.scope == PreemptionScope::All;
+        let mut victims: Vec<Victim> = machine
+            .tasks
+            .iter()
+            .filter_map(|task| {
+                let victim = self.jobs.get(&task.job)?;
+                let placement = victim.placed.get(&task.index)?;
+                self.is_victim(search, victim, placement).then(|| Victim {
+                    lost_work_ms: self.lost_work(victim, placement, at_once, search.now),
+                    task: *task,
+                })
+            })
+            .collect();
+        victims.sort_unstable();
+        victims
+    }
+
+    /// Whether the team's limit is not in the way of the entry once `freed` is free.
+    fn limit_allows(&self, search: &Search<'_>, freed: &Resources) -> bool {
+        let spec = &search.job.spec;
+        search.failure == PlacementFailure::Room
+            || self.teams.get(&spec.team).is_some_and(|team| {
+                (team.used.saturating_sub(freed) + spec.needs).fits_quota(&team.limit)
+            })
     }
 
-    /// Stops the tasks and keeps their room for the entry.
+    /// Stops the tasks of a plan and reserves their capacity for the entry.
     pub(crate) fn execute_preemption(
         &mut self,
         entry: EntryKey,
-        stops: PreemptionPlan,
-        why: PlacementFailure,
+        plan: PreemptionPlan,
+        failure: PlacementFailure,
         now: Timestamp,
     ) {
         let Some(job) = self.jobs.get(&entry.job()) else {
             return;
         };
-        let needs = job.spec.needs;
-        let urgent_machines = self.stops_for(job) == Some(false);
-        let limit_of = (why == PlacementFailure::Quota).then(|| job.spec.team.clone());
+        let is_urgent = self.preemption_scope(job) == Some(PreemptionScope::All);
         let reservation = Reservation {
-            machine: stops.machine,
-            needs,
+            machine: plan.machine,
+            needs: job.spec.needs,
             until: now + RESERVATION_TIMEOUT,
-            limit_of,
+            limit_of: (failure == PlacementFailure::Quota).then(|| job.spec.team.clone()),
         };
         self.reserve(entry, reservation);
-        for victim in stops.victims {
-            tracing::debug!(job = %entry.job(), %victim, "stopping a task to make room");
-            // Replicas and guaranteed work do not wait for best-effort work to save.
-            let best_effort = self
+        for victim in plan.victims {
+            tracing::debug!(job = %entry.job(), %victim, "preempting a task");
+            let is_best_effort = self
                 .jobs
                 .get(&victim.job)
-                .is_some_and(|j| j.spec.is_best_effort());
-            let grace = if urgent_machines && best_effort {
+                .is_some_and(|job| job.spec.is_best_effort());
+            // Replicas and guaranteed work do not wait for best-effort work to save a checkpoint.
+            let grace = if is_urgent && is_best_effort {
                 0
             } else {
                 self.grace_period(victim)
@@ -313,11 +398,11 @@
         }
     }
 
-    /// Grace that lets a task save, 0 if it never does.
+    /// The grace period in which a task can save a checkpoint, in ms; 0 if it has none.
     pub(crate) fn grace_period(&self, task: TaskId) -> u64 {
         self.jobs.get(&task.job).map_or(0, |job| {
             if job.spec.checkpoint > Duration::ZERO {
-                job.spec.save.whole_millis() + 1_000
+                job.spec.save.whole_millis() + SAVE_ALLOWANCE_MS
             } else {
                 0
             }
@@ -325,7 +410,6 @@
     }
 }
 
-/// What of two teams' work goes before the other's.
-fn standing(job: &Job) -> (bool, Priority, bool) {
-    (job.strictly_guaranteed, job.spec.priority, job.guaranteed)
+fn exceeds_guarantee(team: &TeamUsage) -> bool {
+    !team.used.fits_quota(&team.guarantee)
 }
--- a/crates/scheduler/src/transfers.rs
+++ b/crates/scheduler/src/transfers.rs
@@ -1,7 +1,7 @@
 //! Transfers of machines to other partitions, and the machine statuses from which the fleet planner
 //! decides on them.
 
-use crate::colocation::beside;
+use crate::colocation::is_colocated;
 use crate::job::Job;
 use crate::machine::{Machine, PendingTransfer};
 use crate::partition_state::PartitionState;
@@ -127,7 +127,7 @@
             });
             if !candidate.waits_for_tasks {
                 let tasks = machine.tasks.iter().copied().collect();
-                self.clear_best_effort(tasks, now);
+                self.stop_best_effort_tasks(tasks, now);
             }
         }
     }
@@ -152,7 +152,7 @@
             .values()
             .filter(suits)
             .map(|machine| TransferCandidate {
-                waits_for_tasks: !self.only_best_effort(machine, now),
+                waits_for_tasks: !self.runs_only_best_effort(machine, now),
                 empty_in: self.remaining_time(machine, now),
                 machine: machine.name.clone(),
             })
@@ -173,7 +173,7 @@
             .iter()
             .filter_map(|task| {
                 let job = self.jobs.get(&task.job)?;
-                if beside(machine, job) {
+                if is_colocated(machine, job) {
                     return None;
                 }
                 let placement = job.placed.get(&task.index)?;
@@ -217,7 +217,7 @@
                 quarantined: machine.quarantined,
                 since_heartbeat_ms: self.time_since_heartbeat(machine, now).whole_millis(),
                 transferable: self.is_transferable(machine, &spare_gpu_machines, now),
-                best_effort: self.only_best_effort(machine, now),
+                best_effort: self.runs_only_best_effort(machine, now),
                 transfer_to: machine.pending_transfer.map(|transfer| transfer.to.0),
             })
             .collect()
