--- a/crates/scheduler/src/best_effort.rs
+++ b/crates/scheduler/src/best_effort.rs
@@ -1,8 +1,8 @@
-//! Best-effort work: arrays of low priority, done with what others leave.
+//! Best-effort work: arrays of low priority that run on spare capacity.
 //!
-//! It fills cheap machines and the gaps beside other work, gives way to everything else, and
-//! does not keep an expensive machine from falling idle. A team whose work finds no such place
-//! for long may take a few anywhere, so that none waits for ever.
+//! It fills spot machines and the gaps beside other work, is preempted by everything else, and does not
+//! keep an expensive machine from becoming idle. A team whose best-effort work finds no such place for long
+//! may run a few tasks on any machine, so that no team starves.
 
 use crate::job::{Job, Placement};
 use crate::machine::Machine;
@@ -12,18 +12,37 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-/// Tasks that end within this time are not stopped to make room: waiting costs less.
+/// Tasks that end within this time are not preempted: waiting costs less.
 const NEAR_END: Duration = Duration::from_secs(8);
-/// How long a machine is left to the best-effort tasks that remain on it.
+/// How long best-effort tasks may stay on a machine on which nothing else is left.
 const EVICTION_DELAY: Duration = Duration::from_secs(10);
-/// How long a team's best-effort work may have hardly any place before it may take a few anywhere.
+/// How long a team's best-effort work may have hardly any place before it may run on any machine.
 const STARVATION_TIMEOUT: Duration = Duration::from_secs(120);
-/// So many.
+/// Number of best-effort tasks that each team may run on any machine.
 const MIN_TEAM_PLACES: usize = 8;
+/// A task without checkpoints is cheap to preempt while it has run for less than its estimate divided by this.
+const CHEAP_PROGRESS_DIVISOR: u64 = 4;
+/// Added to the time that a task needs to save, for the way of the command (ms).
+const SAVE_ALLOWANCE_MS: u64 = 1_000;
+
+/// The best-effort work of a team.
+#[derive(Debug, Default)]
+struct TeamBestEffort {
+    placed: usize,
+    /// Its waiting job that was submitted first.
+    first_waiting: Option<WaitingJob>,
+}
+
+/// A waiting job, in the order of submission.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+struct WaitingJob {
+    submission_order: u64,
+    job: JobId,
+}
 
 impl PartitionState {
-    /// Whether a machine is a place for the job as far as this goes: best-effort work does not
-    /// keep ordinary machines alive that it could do without.
+    /// Whether a machine may run a job as far as best-effort work is concerned: such work does not keep
+    /// on-demand machines in use that it could do without.
     pub(crate) fn admits_best_effort(&self, job: &Job, machine: &Machine) -> bool {
         !job.is_best_effort()
             || !job.spec.spot
@@ -33,15 +52,15 @@
             || job.stranded && job.placed.len() < MIN_TEAM_PLACES
     }
 
-    /// A job found no room just now.
+    /// Records that a job found no free capacity.
     pub(crate) fn record_unplaced(&mut self, id: JobId, now: Timestamp) {
         if self.jobs.get(&id).is_some_and(|job| !job.is_best_effort()) {
             self.unplaced_since.insert(id, now);
         }
     }
 
-    /// Whether a machine's room is left to other jobs, which found none lately and back off: if
-    /// best-effort tasks took it meanwhile they would only be stopped again.
+    /// Whether a machine's free capacity is left to other jobs, which found none lately and back off. If
+    /// best-effort tasks took it meanwhile they would be preempted soon.
     pub(crate) fn is_left_to_unplaced_jobs(
         &self,
         job: &Job,
@@ -58,7 +77,7 @@
             .any(|other| other.spec.needs.fits(&free) && self.admits(other, machine, now))
     }
 
-    /// Whether stopping a best-effort task for other work costs little.
+    /// Whether preempting a best-effort task for other work loses little.
     pub(crate) fn is_cheap_to_preempt(
         &self,
         victim: &Job,
@@ -76,11 +95,12 @@
         victim.spec.is_best_effort()
             && left > NEAR_END
             && (victim.spec.checkpoint > Duration::ZERO
-                || ran.whole_millis() * 4 < victim.spec.estimate.whole_millis())
+                || ran.whole_millis() * CHEAP_PROGRESS_DIVISOR
+                    < victim.spec.estimate.whole_millis())
     }
 
-    /// Work that is lost when a task is stopped, in ms: what it has done, the time to save it, or,
-    /// where there is no time to, what it has done since it last saved by itself.
+    /// Work that is lost when a task is stopped, in ms: all that it has done, or the time to save a
+    /// checkpoint, or, if best-effort work is stopped `at_once`, what it has done since its last checkpoint.
     pub(crate) fn lost_work(
         &self,
         victim: &Job,
@@ -94,11 +114,12 @@
         } else if at_once && victim.spec.is_best_effort() {
             ran % victim.spec.checkpoint.whole_millis()
         } else {
-            ran.min(victim.spec.save.whole_millis() + 1_000)
+            ran.min(victim.spec.save.whole_millis() + SAVE_ALLOWANCE_MS)
         }
     }
 
-    /// Whether a best-effort task is gone within seconds when its place is wanted.
+    /// Whether a best-effort task is gone within seconds when its resources are needed: it can save a
+    /// checkpoint, or is about to end.
     fn is_soon_reclaimable(&self, job: &Job, placement: &Placement, now: Timestamp) -> bool {
         let ran = now.duration_since(placement.placed_at);
         !job.guaranteed
@@ -106,20 +127,24 @@
                 || job.spec.estimate.whole_millis() < ran.whole_millis() + NEAR_END.whole_millis())
     }
 
-    /// What best-effort tasks would leave to other work within seconds.
+    /// What best-effort tasks on a machine would free for other work within seconds.
     pub(crate) fn reclaimable_resources(&self, machine: &Machine, now: Timestamp) -> Resources {
         let mut sum = Resources::default();
         if machine.best_effort == 0 {
             return sum;
         }
         for task in &machine.tasks {
-            let Some(job) = self.jobs.get(&task.job).filter(|j| j.spec.is_best_effort()) else {
+            let Some(job) = self
+                .jobs
+                .get(&task.job)
+                .filter(|job| job.spec.is_best_effort())
+            else {
                 continue;
             };
             if job
                 .placed
                 .get(&task.index)
-                .is_some_and(|p| self.is_soon_reclaimable(job, p, now))
+                .is_some_and(|placement| self.is_soon_reclaimable(job, placement, now))
             {
                 sum += job.spec.needs;
             }
@@ -127,7 +152,8 @@
         sum
     }
 
-    /// Whether all that runs on a machine is best-effort work that is soon gone when asked.
+    /// Whether all tasks on a machine are best-effort tasks that can be stopped within seconds; false if it
+    /// has none.
     pub(crate) fn runs_only_best_effort(&self, machine: &Machine, now: Timestamp) -> bool {
         !machine.tasks.is_empty()
             && machine.regular() == 0
@@ -142,7 +168,7 @@
             })
     }
 
-    /// Stops the best-effort tasks of a machine that save; the others run out.
+    /// Stops those of the tasks that are best-effort and save checkpoints; the others run to their end.
     pub(crate) fn stop_best_effort_tasks(&mut self, tasks: Vec<TaskId>, now: Timestamp) {
         for task in tasks {
             let saves = self.jobs.get(&task.job).is_some_and(|job| {
@@ -151,7 +177,7 @@
                     && job
                         .placed
                         .get(&task.index)
-                        .is_some_and(|p| p.stop.is_none())
+                        .is_some_and(|placement| placement.stop.is_none())
             });
             if saves {
                 let grace = self.grace_period(task);
@@ -160,56 +186,78 @@
         }
     }
 
-    /// Sends best-effort work away from ordinary machines on which nothing else is left, and
-    /// notes which jobs have found no place for long.
+    /// Stops best-effort work on on-demand machines on which nothing else is left, and marks the jobs that
+    /// have found no place for long as stranded.
     pub fn evict_best_effort(&mut self, now: Timestamp) {
-        // By team: places taken, and the job that waits longest.
-        let mut teams: HashMap<TeamName, (usize, Option<(u64, JobId)>)> = HashMap::new();
-        for job in self
-            .jobs
-            .values_mut()
-            .filter(|job| job.spec.is_best_effort())
-        {
-            job.stranded = false;
-            let (placed, first) = teams.entry(job.spec.team.clone()).or_default();
-            *placed += job.placed.len();
+        let teams = self.best_effort_by_team();
+        self.update_stranded_jobs(&teams, now);
+        let is_evicted = |task: &&TaskId| {
+            self.jobs.get(&task.job).is_some_and(|job| {
+                let placed = teams.get(&job.spec.team).map_or(0, |team| team.placed);
+                job.spec.spot && !job.guaranteed && placed > MIN_TEAM_PLACES
+            })
+        };
+        let tasks: Vec<TaskId> = self
+            .machines
+            .values()
+            .filter(|machine| !machine.spot && machine.best_effort > 0 && machine.regular() == 0)
+            .filter(|machine| now.duration_since(machine.regular_left_at) > EVICTION_DELAY)
+            .flat_map(|machine| machine.tasks.iter().filter(is_evicted).copied())
+            .collect();
+        self.stop_best_effort_tasks(tasks, now);
+    }
+
+    fn best_effort_by_team(&self) -> HashMap<TeamName, TeamBestEffort> {
+        let mut teams: HashMap<TeamName, TeamBestEffort> = HashMap::new();
+        for job in self.jobs.values() {
+            if !job.spec.is_best_effort() {
+                continue;
+            }
+            let team = teams.entry(job.spec.team.clone()).or_default();
+            team.placed += job.placed.len();
             if !job.cancelled && job.waiting() > 0 {
-                let this = (job.order, job.spec.id);
-                *first = Some(first.map_or(this, |other| other.min(this)));
+                let waiting = WaitingJob {
+                    submission_order: job.order,
+                    job: job.spec.id,
+                };
+                team.first_waiting = Some(
+                    team.first_waiting
+                        .map_or(waiting, |first| first.min(waiting)),
+                );
+            }
+        }
+        teams
+    }
+
+    /// Of each team whose best-effort work has had hardly any place for long, the first waiting job is
+    /// stranded.
+    fn update_stranded_jobs(&mut self, teams: &HashMap<TeamName, TeamBestEffort>, now: Timestamp) {
+        for job in self.jobs.values_mut() {
+            if job.spec.is_best_effort() {
+                job.stranded = false;
             }
         }
-        for (name, (placed, first)) in &teams {
+        for (name, best_effort) in teams {
             let Some(team) = self.teams.get_mut(name) else {
                 continue;
             };
-            let (false, Some((_, id))) = (*placed >= MIN_TEAM_PLACES, first) else {
+            let first_waiting = best_effort
+                .first_waiting
+                .filter(|_| best_effort.placed < MIN_TEAM_PLACES);
+            let Some(first_waiting) = first_waiting else {
                 team.thin_since = None;
                 continue;
             };
             let since = *team.thin_since.get_or_insert(now);
-            if let Some(job) = self.jobs.get_mut(id) {
+            if let Some(job) = self.jobs.get_mut(&first_waiting.job) {
                 job.stranded = now.duration_since(since) > STARVATION_TIMEOUT;
             }
         }
-        let leaves = |task: &&TaskId| {
-            self.jobs.get(&task.job).is_some_and(|job| {
-                let placed = teams.get(&job.spec.team).map_or(0, |(placed, _)| *placed);
-                job.spec.spot && !job.guaranteed && placed > MIN_TEAM_PLACES
-            })
-        };
-        let tasks: Vec<TaskId> = self
-            .machines
-            .values()
-            .filter(|m| !m.spot && m.best_effort > 0 && m.regular() == 0)
-            .filter(|m| now.duration_since(m.regular_left_at) > EVICTION_DELAY)
-            .flat_map(|m| m.tasks.iter().filter(leaves).copied())
-            .collect();
-        self.stop_best_effort_tasks(tasks, now);
     }
 }
 
-/// Whether tasks of the job are gone within seconds when a machine is wanted: beside arrays, which
-/// end sooner than they do, others would remain alone.
+/// Whether tasks of the job are gone within seconds when a machine is to become idle. Others would remain
+/// there alone after the array tasks beside them have ended.
 fn is_soon_gone(job: &Job) -> bool {
     job.spec.checkpoint > Duration::ZERO || job.spec.estimate < NEAR_END
 }
--- a/crates/scheduler/src/consolidation.rs
+++ b/crates/scheduler/src/consolidation.rs
@@ -1,8 +1,8 @@
-//! Moving replicas together.
+//! Consolidation: moving replicas of services to fewer machines.
 //!
-//! Replicas stay for minutes and pin the machines they happened to start on. When the share
-//! has quietened down, or waits for whole machines, those on the emptiest machines are moved
-//! beside others that have their image, so that the machines they leave can be used or returned.
+//! Replicas run for minutes and keep the machines on which they happened to start. When no entry of the
+//! queue is ready to be tried, replicas on the emptiest machines are moved to fuller ones that have their
+//! image, so that the machines they leave can be used otherwise or returned.
 
 use crate::machine::Machine;
 use crate::partition_state::PartitionState;
@@ -12,14 +12,43 @@
 use std::time::Duration;
 use wire::workers::TaskState;
 
-/// A replica stays where it is for so long at least: a start that is undone sooner was none.
+/// The least time between the placement of a replica and its move.
 const MIN_REPLICA_AGE: Duration = Duration::from_secs(45);
-/// Time between two machines that are emptied, so that few replicas are down at a time.
+/// Time between the moves of two machines' replicas, so that few replicas are down at a time.
 const MOVE_INTERVAL: Duration = Duration::from_millis(1_500);
-/// How long a machine is kept free for being emptied, and room for those that move.
-const PATIENCE: Duration = Duration::from_secs(10);
-/// Emptiest machines that are looked at.
-const LOOKED_AT: usize = 6;
+/// How long the machine that is being emptied takes no tasks, and capacity is reserved for its replicas.
+const MOVE_TIMEOUT: Duration = Duration::from_secs(10);
+/// How many of the emptiest machines are checked.
+const MAX_SOURCES: usize = 6;
+
+/// The move of a replica to another machine.
+struct ReplicaMove {
+    task: TaskId,
+    target: MachineName,
+    needs: Resources,
+}
+
+/// What a machine's regular tasks use. Machines are emptied in this order; no two are equal, so that no two
+/// machines exchange their replicas.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+struct Fullness<'a> {
+    milli_gpus: u64,
+    milli_cpus: u64,
+    memory_mb: u64,
+    machine: &'a MachineName,
+}
+
+impl<'a> Fullness<'a> {
+    fn of(machine: &'a Machine) -> Self {
+        let used = machine.used.saturating_sub(&machine.best_effort_used);
+        Fullness {
+            milli_gpus: used.milli_gpus,
+            milli_cpus: used.milli_cpus,
+            memory_mb: used.memory_mb,
+            machine: &machine.name,
+        }
+    }
+}
 
 impl PartitionState {
     /// Starts to empty one machine if its replicas have better places.
@@ -35,29 +64,38 @@
         let mut sources: Vec<&Machine> = self
             .machines
             .values()
-            .filter(|m| self.may_empty(m, now))
+            .filter(|machine| self.may_empty(machine, now))
             .collect();
-        sources.sort_unstable_by_key(|m| fullness(m));
-        let found = sources
-            .into_iter()
-            .take(LOOKED_AT)
-            .find_map(|source| Some((source.name.clone(), self.find_move_targets(source, now)?)));
-        let Some((source, moves)) = found else { return };
-        tracing::debug!(machine = %source, replicas = moves.len(), "moving replicas together");
-        if let Some(machine) = self.machines.get_mut(&source) {
-            machine.emptied_until = Some(now + PATIENCE);
+        sources.sort_unstable_by_key(|machine| Fullness::of(machine));
+        let found = sources.into_iter().take(MAX_SOURCES).find_map(|source| {
+            let moves = self.find_move_targets(source, now)?;
+            Some((source.name.clone(), moves))
+        });
+        if let Some((source, moves)) = found {
+            self.move_replicas(&source, moves, now);
         }
-        let rest = self
-            .machines
-            .get(&source)
-            .map(|m| m.tasks.iter().copied().collect());
-        self.stop_best_effort_tasks(rest.unwrap_or_default(), now);
-        for (task, target, needs) in moves {
+    }
+
+    /// Stops the tasks of a machine and reserves capacity for its replicas elsewhere.
+    fn move_replicas(&mut self, source: &MachineName, moves: Vec<ReplicaMove>, now: Timestamp) {
+        tracing::debug!(machine = %source, replicas = moves.len(), "consolidating replicas");
+        let Some(machine) = self.machines.get_mut(source) else {
+            return;
+        };
+        machine.emptied_until = Some(now + MOVE_TIMEOUT);
+        let tasks = machine.tasks.iter().copied().collect();
+        self.stop_best_effort_tasks(tasks, now);
+        for ReplicaMove {
+            task,
+            target,
+            needs,
+        } in moves
+        {
             let limit_of = self.jobs.get(&task.job).map(|job| job.spec.team.clone());
             let reservation = Reservation {
                 machine: target,
                 needs,
-                until: now + PATIENCE,
+                until: now + MOVE_TIMEOUT,
                 limit_of,
             };
             self.reserve(EntryKey::Task(task), reservation);
@@ -66,7 +104,7 @@
         }
     }
 
-    /// Whether only settled replicas run on the machine.
+    /// Whether a machine runs replicas that may be moved, and best-effort tasks at most.
     fn may_empty(&self, machine: &Machine, now: Timestamp) -> bool {
         machine.pinned > 0
             && machine.pinned == machine.regular()
@@ -78,58 +116,50 @@
                 if job.spec.is_best_effort() {
                     return true;
                 }
-                let free = !job.spec.one_zone && !job.spec.spread && !job.cancelled;
-                free && job.placed.get(&task.index).is_some_and(|p| {
-                    p.stop.is_none()
-                        && p.last_status == Some(TaskState::Running)
-                        && now.duration_since(p.placed_at) >= MIN_REPLICA_AGE
-                })
+                let is_movable = !job.spec.one_zone && !job.spec.spread && !job.cancelled;
+                is_movable
+                    && job.placed.get(&task.index).is_some_and(|placement| {
+                        placement.stop.is_none()
+                            && placement.last_status == Some(TaskState::Running)
+                            && now.duration_since(placement.placed_at) >= MIN_REPLICA_AGE
+                    })
             })
     }
 
-    /// Places for all replicas of a machine on fuller ones that have their images, or none.
-    fn find_move_targets(
-        &self,
-        source: &Machine,
-        now: Timestamp,
-    ) -> Option<Vec<(TaskId, MachineName, Resources)>> {
-        let mut taken: Vec<(MachineName, Resources)> = Vec::new();
-        let mut moves = Vec::new();
+    /// Targets for all replicas of a machine: fuller machines that have their images. `None` if one of the
+    /// replicas has none.
+    fn find_move_targets(&self, source: &Machine, now: Timestamp) -> Option<Vec<ReplicaMove>> {
+        let mut moves: Vec<ReplicaMove> = Vec::new();
         for task in &source.tasks {
             let job = self.jobs.get(&task.job)?;
             if job.spec.is_best_effort() {
                 continue;
             }
             let entry = EntryKey::Task(*task);
-            let room = |m: &Machine| {
-                let mut room = self.free_capacity_for(entry, m);
-                for (_, needs) in taken.iter().filter(|(name, _)| *name == m.name) {
-                    room -= *needs;
+            let fits = |machine: &Machine| {
+                let mut free = self.free_capacity_for(entry, machine);
+                for planned in moves.iter().filter(|other| other.target == machine.name) {
+                    free -= planned.needs;
                 }
-                room
+                job.spec.needs.fits(&free)
             };
             let target = self
                 .machines
                 .values()
-                .filter(|m| m.pinned > 0 && fullness(m) > fullness(source))
-                .filter(|m| m.has_image(&job.spec.image) && self.admits(job, m, now))
-                .filter(|m| job.spec.kind == JobKind::Service && job.spec.needs.fits(&room(m)))
-                .max_by_key(|m| fullness(m))?;
-            taken.push((target.name.clone(), job.spec.needs));
-            moves.push((*task, target.name.clone(), job.spec.needs));
+                .filter(|machine| {
+                    machine.pinned > 0 && Fullness::of(machine) > Fullness::of(source)
+                })
+                .filter(|machine| {
+                    machine.has_image(&job.spec.image) && self.admits(job, machine, now)
+                })
+                .filter(|machine| job.spec.kind == JobKind::Service && fits(machine))
+                .max_by_key(|machine| Fullness::of(machine))?;
+            moves.push(ReplicaMove {
+                task: *task,
+                target: target.name.clone(),
+                needs: job.spec.needs,
+            });
         }
         Some(moves)
     }
 }
-
-/// Machines in the order in which they are emptied; no two are alike, so that no two swap
-/// their replicas.
-fn fullness(machine: &Machine) -> (u64, u64, u64, &MachineName) {
-    let used = machine.used.saturating_sub(&machine.best_effort_used);
-    (
-        used.milli_gpus,
-        used.milli_cpus,
-        used.memory_mb,
-        &machine.name,
-    )
-}
--- a/crates/scheduler/src/preemption_candidates.rs
+++ b/crates/scheduler/src/preemption_candidates.rs
@@ -1,8 +1,8 @@
-//! Placements that could be stopped to make room, those that have run least first.
+//! Placements that could be preempted, those that have run least first.
 //!
-//! What is lost by stopping a task that does not save is the time it has run, so whoever looks
-//! for the cheapest stops begins with the newest and may end as soon as what is left has run for
-//! longer than the best that was found costs.
+//! A task without checkpoints that is preempted loses the time that it has run. So a search for the cheapest
+//! preemption begins with the newest placements, and ends as soon as the others have run for longer than the
+//! best plan costs.
 
 use crate::job::Placement;
 use model::{JobKind, JobSpec, Priority, TaskId, Timestamp};
@@ -10,54 +10,74 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// The placements that run or are about to and have not been told to stop. Gangs are not stopped
-/// for others.
+/// A placement of a task without checkpoints, the newest first.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+struct NewestFirst {
+    placed_at: Reverse<Timestamp>,
+    task: TaskId,
+}
+
+impl NewestFirst {
+    fn new(placed_at: Timestamp, task: TaskId) -> Self {
+        NewestFirst {
+            placed_at: Reverse(placed_at),
+            task,
+        }
+    }
+}
+
+/// The placements that are not being stopped, except those of gangs, which are never preempted.
 #[derive(Debug, Default)]
 pub(crate) struct PreemptionCandidates {
-    newest: BTreeSet<(Reverse<Timestamp>, TaskId)>,
-    /// Those that save: what they lose does not grow with their time.
+    newest: BTreeSet<NewestFirst>,
+    /// Tasks with checkpoints: the work that they lose does not grow with their run time.
     saving: BTreeSet<TaskId>,
     by_priority: BTreeMap<Priority, usize>,
 }
 
 impl PreemptionCandidates {
-    /// A task has been placed.
+    /// Adds a placement, unless it cannot be preempted.
     pub(crate) fn add(&mut self, task: TaskId, spec: &JobSpec, placement: &Placement) {
         if spec.kind == JobKind::Gang || placement.stop.is_some() {
             return;
         }
-        let new = if spec.checkpoint > Duration::ZERO {
+        let is_new = if spec.checkpoint > Duration::ZERO {
             self.saving.insert(task)
         } else {
-            self.newest.insert((Reverse(placement.placed_at), task))
+            self.newest
+                .insert(NewestFirst::new(placement.placed_at, task))
         };
-        if new {
+        if is_new {
             *self.by_priority.entry(spec.priority).or_default() += 1;
         }
     }
 
-    /// A task is gone, or has been told to stop.
+    /// Removes a task that is gone or is being stopped.
     pub(crate) fn remove(&mut self, task: TaskId, priority: Priority, placed_at: Timestamp) {
-        if self.newest.remove(&(Reverse(placed_at), task)) || self.saving.remove(&task) {
+        let is_removed =
+            self.newest.remove(&NewestFirst::new(placed_at, task)) || self.saving.remove(&task);
+        if is_removed {
             if let Some(count) = self.by_priority.get_mut(&priority) {
                 *count -= 1;
             }
         }
     }
 
-    /// Whether any is of lower priority.
+    /// Whether any candidate has a lower priority.
     pub(crate) fn any_below(&self, priority: Priority) -> bool {
         self.by_priority
             .range(..priority)
             .any(|(_, count)| *count > 0)
     }
 
-    /// Those that do not save, with the time of their placement, newest first.
+    /// Tasks without checkpoints with the time of their placement, the newest first.
     pub(crate) fn newest(&self) -> impl Iterator<Item = (Timestamp, TaskId)> + '_ {
-        self.newest.iter().map(|(Reverse(at), task)| (*at, *task))
+        self.newest
+            .iter()
+            .map(|candidate| (candidate.placed_at.0, candidate.task))
     }
 
-    /// Those that save.
+    /// Tasks with checkpoints.
     pub(crate) fn saving(&self) -> impl Iterator<Item = TaskId> + '_ {
         self.saving.iter().copied()
     }
--- a/crates/scheduler/src/reservations.rs
+++ b/crates/scheduler/src/reservations.rs
@@ -1,7 +1,8 @@
-//! Room, and of a team's limit, that is kept for entries of the queue while tasks are being stopped for them.
+//! Reservations of free capacity, and of a team's limit, for queue entries while tasks are being preempted
+//! for them.
 //!
-//! Each machine carries the sum of what is promised on it, so that a look at its room costs the
-//! same however many promises there are.
+//! Each machine and team has the sum of its reservations, so that the cost of a check does not grow with
+//! their number.
 
 use crate::job::Job;
 use crate::machine::Machine;
@@ -11,7 +12,7 @@
 use model::{JobId, JobKind, MachineName, Resources, Timestamp};
 
 impl PartitionState {
-    /// Keeps room on a machine for an entry, instead of what was kept for it before.
+    /// Reserves capacity on a machine for an entry, in place of its previous reservation.
     pub(crate) fn reserve(&mut self, entry: EntryKey, reservation: Reservation) {
         self.cancel_reservation(&entry);
         if let Some(machine) = self.machines.get_mut(&reservation.machine) {
@@ -27,52 +28,56 @@
         }
     }
 
-    /// Gives up what is kept for an entry.
+    /// Cancels the reservation of an entry, if it has one.
     pub(crate) fn cancel_reservation(&mut self, entry: &EntryKey) {
-        if let Some(old) = self.reservations.remove(entry) {
-            if let Some(machine) = self.machines.get_mut(&old.machine) {
-                machine.reserved -= old.needs;
+        if let Some(reservation) = self.reservations.remove(entry) {
+            if let Some(machine) = self.machines.get_mut(&reservation.machine) {
+                machine.reserved -= reservation.needs;
             }
-            let team = old
+            let team = reservation
                 .limit_of
                 .as_ref()
                 .and_then(|team| self.teams.get_mut(team));
             if let Some(team) = team {
-                team.reserved -= old.needs;
+                team.reserved -= reservation.needs;
             }
         }
     }
 
-    fn cancel_reservations_where(&mut self, ended: impl Fn(&EntryKey, &Reservation) -> bool) {
+    fn cancel_reservations_where(
+        &mut self,
+        is_cancelled: impl Fn(&EntryKey, &Reservation) -> bool,
+    ) {
         let entries: Vec<EntryKey> = self
             .reservations
             .iter()
-            .filter(|(e, p)| ended(e, p))
-            .map(|(e, _)| *e)
+            .filter(|(entry, reservation)| is_cancelled(entry, reservation))
+            .map(|(entry, _)| *entry)
             .collect();
         for entry in entries {
             self.cancel_reservation(&entry);
         }
     }
 
-    /// Gives up promises whose time is over.
+    /// Cancels reservations that have expired.
     pub(crate) fn expire_reservations(&mut self, now: Timestamp) {
         self.cancel_reservations_where(|_, reservation| reservation.until <= now);
     }
 
-    /// Gives up what is kept for a job.
+    /// Cancels the reservations of a job's entries.
     pub(crate) fn cancel_reservations_of_job(&mut self, id: JobId) {
         self.cancel_reservations_where(|entry, _| entry.job() == id);
     }
 
-    /// Gives up what is kept on a machine that leaves.
+    /// Cancels the reservations on a machine that leaves the partition.
     pub(crate) fn cancel_reservations_on_machine(&mut self, name: &MachineName) {
         self.cancel_reservations_where(|_, reservation| reservation.machine == *name);
     }
 
-    /// Whether the team's limit leaves room for so many tasks of an entry's job, less what is kept of it
-    /// for other entries. Without that, tasks of the team's own that go first in the order take each
-    /// freed slice of the limit, and a replica for which they were stopped never starts.
+    /// Whether the team's limit, less what is reserved of it for other entries, leaves room for so many
+    /// tasks of an entry's job. Without reservations, tasks of the same team with a better rank would take
+    /// each part of the limit that becomes free, and a replica for which they were preempted would never
+    /// start.
     pub(crate) fn fits_limit(&self, entry: EntryKey, job: &Job, tasks: u64) -> bool {
         let own = self
             .reservations
@@ -80,16 +85,16 @@
             .filter(|reservation| reservation.limit_of.is_some());
         let own = own.map_or(Resources::default(), |reservation| reservation.needs);
         self.teams.get(&job.spec.team).is_some_and(|team| {
-            let held = match entry {
+            let reserved_for_gangs = match entry {
                 EntryKey::Task(_) if job.spec.kind == JobKind::Array => team.held,
                 _ => Resources::default(),
             };
-            let kept = team.reserved.saturating_sub(&own) + held;
-            (team.used + kept + job.spec.needs.times(tasks)).fits_quota(&team.limit)
+            let reserved = team.reserved.saturating_sub(&own) + reserved_for_gangs;
+            (team.used + reserved + job.spec.needs.times(tasks)).fits_quota(&team.limit)
         })
     }
 
-    /// Room on a machine, less what is promised to other entries.
+    /// Free capacity of a machine, less what is reserved for other entries.
     pub(crate) fn free_capacity_for(&self, entry: EntryKey, machine: &Machine) -> Resources {
         let free = machine.free();
         if machine.reserved == Resources::default() {
--- a/crates/scheduler/tests/gangs.rs
+++ b/crates/scheduler/tests/gangs.rs
@@ -1,4 +1,4 @@
-//! Gangs, machines with GPUs and work beside it, on a share of three types of machines.
+//! Gang scheduling, machines with GPUs and co-location, on a partition with three types of machines.
 
 use model::{FencingToken, JobId, JobSpec, MachineName, Resources, TeamName, Timestamp, ZoneName};
 use scheduler::{CommandRoute, Machine, PartitionState, Policy, StatusSource};
@@ -8,7 +8,7 @@
 use wire::users::{JobKind, JobRequest, Priority};
 use wire::workers::{Command, Heartbeat, TaskState, TaskStatus};
 
-fn kind(name: &str, cpus: f64, gpus: f64) -> MachineType {
+fn machine_type(name: &str, cpus: f64, gpus: f64) -> MachineType {
     MachineType {
         name: name.into(),
         cpus,
@@ -23,96 +23,107 @@
     }
 }
 
-fn types() -> Vec<MachineType> {
+fn machine_types() -> Vec<MachineType> {
     vec![
-        kind("small", 4.0, 0.0),
-        kind("large", 20.0, 0.0),
-        kind("graphics", 24.0, 4.0),
+        machine_type("small", 4.0, 0.0),
+        machine_type("large", 20.0, 0.0),
+        machine_type("graphics", 24.0, 4.0),
     ]
 }
 
-/// A share whose team may use so many CPUs.
-fn share(cpus: f64) -> PartitionState {
-    let limit = Resources::offered(cpus, 100.0, 0.0);
+/// An empty partition whose only team has a limit of so many CPUs.
+fn new_partition(cpu_limit: f64) -> PartitionState {
+    let limit = Resources::offered(cpu_limit, 100.0, 0.0);
     let teams = [(TeamName::from("t"), Resources::default(), limit)];
-    // Machines report rarely here.
+    // In these tests machines send heartbeats rarely.
     let policy = Policy {
         heartbeat_grace: Duration::from_secs(60),
         ..Policy::default()
     };
-    let mut share = PartitionState::new(
+    let mut partition = PartitionState::new(
         teams,
         Duration::from_secs(20),
         policy,
         QueueConfig::default(),
         FencingToken(5),
     );
-    share.set_machine_types(&types());
-    share.gang_wait = Duration::from_secs(30);
-    share
+    partition.set_machine_types(&machine_types());
+    partition.gang_wait = Duration::from_secs(30);
+    partition
 }
 
-fn name(n: u32) -> MachineName {
-    MachineName::from(format!("host-{n:06}").as_str())
+fn machine_name(number: u32) -> MachineName {
+    MachineName::from(format!("host-{number:06}").as_str())
 }
 
-fn add(share: &mut PartitionState, n: u32, machine_type: &str, zone: &str) {
-    let kind = types()
+fn add_machine(partition: &mut PartitionState, number: u32, type_name: &str, zone: &str) {
+    let machine_type = machine_types()
         .into_iter()
-        .find(|t| t.name == machine_type)
-        .expect("a type");
-    let zone = ZoneName::from(zone);
-    share.add_machine(
-        Machine::new(name(n), &kind, zone, false, FencingToken(5)),
-        Timestamp::from_millis(0),
+        .find(|machine_type| machine_type.name == type_name)
+        .expect("a known type");
+    let machine = Machine::new(
+        machine_name(number),
+        &machine_type,
+        ZoneName::from(zone),
+        false,
+        FencingToken(5),
     );
-    hear(share, n, 1, Vec::new(), Timestamp::from_millis(0));
+    partition.add_machine(machine, Timestamp::from_millis(0));
+    send_heartbeat(partition, number, 1, Vec::new(), Timestamp::from_millis(0));
 }
 
-fn hear(share: &mut PartitionState, n: u32, seq: u64, tasks: Vec<TaskStatus>, now: Timestamp) {
-    let report = Heartbeat {
-        machine: name(n).to_string(),
-        address: format!("10.1.0.{n}:9000"),
+fn send_heartbeat(
+    partition: &mut PartitionState,
+    number: u32,
+    sequence_number: u64,
+    tasks: Vec<TaskStatus>,
+    now: Timestamp,
+) {
+    let heartbeat = Heartbeat {
+        machine: machine_name(number).to_string(),
+        address: format!("10.1.0.{number}:9000"),
         machine_type: "any".into(),
         zone: "any".into(),
         spot: false,
         session: 1,
-        seq,
+        seq: sequence_number,
         token: 5,
         notice_s: None,
         tasks,
     };
-    share.reconcile(&report, StatusSource::Heartbeat, now);
+    partition.reconcile(&heartbeat, StatusSource::Heartbeat, now);
 }
 
-/// All machines report what they have been given as running.
-fn all_report(share: &mut PartitionState, seq: u64, now: Timestamp) {
-    let tasks: Vec<(u32, Vec<TaskStatus>)> = share
-        .machines
-        .values()
-        .map(|m| {
-            let n = m
-                .name
-                .as_str()
-                .trim_start_matches("host-")
-                .parse()
-                .expect("a number");
-            let entry = |task: &model::TaskId| {
-                let attempt = share.jobs[&task.job].placed[&task.index].attempt.0;
-                let (task, state) = (task.to_string(), TaskState::Running);
-                TaskStatus {
-                    task,
-                    attempt,
-                    state,
-                    why: None,
-                    saved: None,
-                }
-            };
-            (n, m.tasks.iter().map(entry).collect())
-        })
-        .collect();
-    for (n, tasks) in tasks {
-        hear(share, n, seq, tasks, now);
+/// A task as a worker reports it.
+fn task_status(task: String, attempt: u64, state: TaskState) -> TaskStatus {
+    TaskStatus {
+        task,
+        attempt,
+        state,
+        why: None,
+        saved: None,
+    }
+}
+
+/// All machines report the tasks that are placed on them as running.
+fn report_all_running(partition: &mut PartitionState, sequence_number: u64, now: Timestamp) {
+    let names: Vec<MachineName> = partition.machines.keys().cloned().collect();
+    for name in names {
+        let status_of = |task: &model::TaskId| {
+            let attempt = partition.jobs[&task.job].placed[&task.index].attempt.0;
+            task_status(task.to_string(), attempt, TaskState::Running)
+        };
+        let tasks = partition.machines[&name]
+            .tasks
+            .iter()
+            .map(status_of)
+            .collect();
+        let number = name
+            .as_str()
+            .trim_start_matches("host-")
+            .parse()
+            .expect("a number");
+        send_heartbeat(partition, number, sequence_number, tasks, now);
     }
 }
 
@@ -145,260 +156,300 @@
     }
 }
 
-fn submit(share: &mut PartitionState, request: &JobRequest, now: Timestamp) -> JobId {
-    let spec = JobSpec::try_from(request).expect("a good job");
+fn submit(partition: &mut PartitionState, request: &JobRequest, now: Timestamp) -> JobId {
+    let spec = JobSpec::try_from(request).expect("a valid job");
     let id = spec.id;
-    share.add_job(spec, id.0, &[], now);
+    partition.add_job(spec, id.0, &[], now);
     id
 }
 
-fn placed(share: &PartitionState, id: JobId) -> usize {
-    share.jobs[&id].placed.len()
+fn placed_tasks(partition: &PartitionState, id: JobId) -> usize {
+    partition.jobs[&id].placed.len()
 }
 
-/// Cycles for some seconds, in which what backs off is tried again.
-fn cycle(share: &mut PartitionState, from: u64, until: u64) {
+/// Runs cycles every 100 ms; entries that back off are tried again at once.
+fn retry_all(partition: &mut PartitionState, from: u64, until: u64) {
     for at in (from..until).step_by(100) {
-        share.queue.move_all(Timestamp::from_millis(at));
-        share.run_cycles(Timestamp::from_millis(at), 1_000);
+        partition.queue.move_all(Timestamp::from_millis(at));
+        partition.run_cycles(Timestamp::from_millis(at), 1_000);
     }
 }
 
-fn make_durable(share: &mut PartitionState) {
-    let keys: Vec<_> = share.take_dirty().into_iter().map(|(key, _)| key).collect();
-    let written = share.changes_in(&keys);
-    share.confirm(&written);
+fn make_durable(partition: &mut PartitionState) {
+    let keys: Vec<_> = partition
+        .take_dirty()
+        .into_iter()
+        .map(|(key, _)| key)
+        .collect();
+    let written = partition.changes_in(&keys);
+    partition.confirm(&written);
 }
 
-/// Arrays filled each freed machine, and were stopped when a gang had enough of them: 5,791 lost tasks on
-/// one day of a site.
+/// Arrays that fill each machine that becomes free are preempted as soon as a gang has enough machines, and
+/// their work is lost.
 #[test]
-fn arrays_leave_the_machines_that_a_waiting_gang_needs_if_they_have_others() {
-    let mut share = share(1_000.0);
-    (1..=2).for_each(|n| add(&mut share, n, "large", "a"));
-    (3..=8).for_each(|n| add(&mut share, n, "small", "b"));
+fn array_leaves_machines_to_waiting_gang_when_other_types_fit() {
+    let mut partition = new_partition(1_000.0);
+    (1..=2).for_each(|n| add_machine(&mut partition, n, "large", "a"));
+    (3..=8).for_each(|n| add_machine(&mut partition, n, "small", "b"));
     let gang = submit(
-        &mut share,
+        &mut partition,
         &job(1, JobKind::Gang, 3, 18.0, 0.0),
         Timestamp::from_millis(0),
     );
-    cycle(&mut share, 0, 2_000);
+    retry_all(&mut partition, 0, 2_000);
     assert_eq!(
-        placed(&share, gang),
+        placed_tasks(&partition, gang),
         0,
-        "there are two machines for three tasks"
+        "only two machines for three tasks"
     );
     let array = submit(
-        &mut share,
+        &mut partition,
         &job(2, JobKind::Array, 40, 1.0, 0.0),
         Timestamp::from_millis(2_000),
     );
-    cycle(&mut share, 2_000, 3_500);
-    assert_eq!(placed(&share, array), 24, "the small machines");
-    all_report(&mut share, 2, Timestamp::from_millis(3_500));
-    add(&mut share, 9, "large", "a");
-    hear(&mut share, 9, 2, Vec::new(), Timestamp::from_millis(3_500));
-    cycle(&mut share, 3_600, 5_000);
-    assert_eq!(placed(&share, gang), 3);
+    retry_all(&mut partition, 2_000, 3_500);
+    assert_eq!(placed_tasks(&partition, array), 24, "on the small machines");
+    report_all_running(&mut partition, 2, Timestamp::from_millis(3_500));
+    add_machine(&mut partition, 9, "large", "a");
+    send_heartbeat(
+        &mut partition,
+        9,
+        2,
+        Vec::new(),
+        Timestamp::from_millis(3_500),
+    );
+    retry_all(&mut partition, 3_600, 5_000);
+    assert_eq!(placed_tasks(&partition, gang), 3);
 }
 
-/// Two gangs, each holding half of what the other needs, would wait for ever.
+/// Two gangs that each hold half of the machines that the other needs would deadlock.
 #[test]
-fn of_two_gangs_with_room_for_one_the_first_goes_and_then_the_other() {
-    let mut share = share(1_000.0);
-    (1..=4).for_each(|n| add(&mut share, n, "large", "a"));
-    let small = submit(
-        &mut share,
+fn two_gangs_competing_for_machines_start_one_after_the_other() {
+    let mut partition = new_partition(1_000.0);
+    (1..=4).for_each(|n| add_machine(&mut partition, n, "large", "a"));
+    let running = submit(
+        &mut partition,
         &job(1, JobKind::Gang, 1, 18.0, 0.0),
         Timestamp::from_millis(0),
     );
-    cycle(&mut share, 0, 500);
+    retry_all(&mut partition, 0, 500);
     let first = submit(
-        &mut share,
+        &mut partition,
         &job(2, JobKind::Gang, 4, 18.0, 0.0),
         Timestamp::from_millis(500),
     );
     let second = submit(
-        &mut share,
+        &mut partition,
         &job(3, JobKind::Gang, 4, 18.0, 0.0),
         Timestamp::from_millis(500),
     );
-    cycle(&mut share, 500, 2_500);
+    retry_all(&mut partition, 500, 2_500);
     let waiting = (
-        placed(&share, small),
-        placed(&share, first),
-        placed(&share, second),
+        placed_tasks(&partition, running),
+        placed_tasks(&partition, first),
+        placed_tasks(&partition, second),
     );
     assert_eq!(waiting, (1, 0, 0));
-    let why = share
+    let explanation = partition
         .explain(first, Timestamp::from_millis(2_500))
-        .expect("it is there");
-    assert!(why.contains("4 machines are kept for it"), "{why}");
-    share.cancel_job(small, Timestamp::from_millis(2_500));
-    cycle(&mut share, 2_500, 5_000);
-    assert_eq!((placed(&share, first), placed(&share, second)), (4, 0));
-    share.cancel_job(first, Timestamp::from_millis(5_000));
-    cycle(&mut share, 5_000, 8_000);
-    assert_eq!(placed(&share, second), 4);
+        .expect("a known job");
+    assert!(
+        explanation.contains("4 machines are kept for it"),
+        "{explanation}"
+    );
+    partition.cancel_job(running, Timestamp::from_millis(2_500));
+    retry_all(&mut partition, 2_500, 5_000);
+    assert_eq!(
+        (
+            placed_tasks(&partition, first),
+            placed_tasks(&partition, second)
+        ),
+        (4, 0)
+    );
+    partition.cancel_job(first, Timestamp::from_millis(5_000));
+    retry_all(&mut partition, 5_000, 8_000);
+    assert_eq!(placed_tasks(&partition, second), 4);
 }
 
-/// What is kept is given up with the first machine that is of no use any more.
+/// A reservation is released as soon as one of its machines is of no use any more.
 #[test]
-fn a_gang_whose_kept_machines_are_lost_takes_another_zone() {
-    let mut share = share(1_000.0);
-    (1..=2).for_each(|n| add(&mut share, n, "large", "a"));
+fn gang_reservation_moves_to_another_zone_when_a_machine_is_removed() {
+    let mut partition = new_partition(1_000.0);
+    (1..=2).for_each(|n| add_machine(&mut partition, n, "large", "a"));
     let gang = submit(
-        &mut share,
+        &mut partition,
         &job(1, JobKind::Gang, 3, 18.0, 0.0),
         Timestamp::from_millis(0),
     );
-    cycle(&mut share, 0, 1_000);
-    share.remove_machine(&name(1), Timestamp::from_millis(1_000));
-    (3..=5).for_each(|n| add(&mut share, n, "large", "b"));
-    (2..=5).for_each(|n| hear(&mut share, n, 2, Vec::new(), Timestamp::from_millis(1_000)));
-    cycle(&mut share, 1_000, 3_000);
-    let zones: Vec<_> = share.jobs[&gang]
+    retry_all(&mut partition, 0, 1_000);
+    partition.remove_machine(&machine_name(1), Timestamp::from_millis(1_000));
+    (3..=5).for_each(|n| add_machine(&mut partition, n, "large", "b"));
+    (2..=5).for_each(|n| {
+        send_heartbeat(
+            &mut partition,
+            n,
+            2,
+            Vec::new(),
+            Timestamp::from_millis(1_000),
+        )
+    });
+    retry_all(&mut partition, 1_000, 3_000);
+    let zones: Vec<_> = partition.jobs[&gang]
         .placed
         .values()
-        .map(|p| share.machines[&p.machine].zone.to_string())
+        .map(|placement| partition.machines[&placement.machine].zone.to_string())
         .collect();
     assert_eq!(zones, ["b", "b", "b"]);
 }
 
-/// A gang of 8 with large images began anew eight times: those that had the image waited for longer than
-/// tasks of a gang wait for each other.
+/// A task that is launched at once would wait for the others for longer than tasks of a gang may, and the gang
+/// would be restarted again and again.
 #[test]
-fn tasks_of_a_gang_that_have_their_image_are_launched_with_those_that_fetch_it() {
-    let mut share = share(1_000.0);
-    add(&mut share, 1, "large", "a");
+fn gang_task_with_cached_image_is_launched_after_fetches_of_the_others() {
+    let mut partition = new_partition(1_000.0);
+    add_machine(&mut partition, 1, "large", "a");
     let image = |request: JobRequest| JobRequest {
         image_gb: 8.0,
         ..request
     };
     let before = submit(
-        &mut share,
+        &mut partition,
         &image(job(1, JobKind::Array, 1, 1.0, 0.0)),
         Timestamp::from_millis(0),
     );
-    cycle(&mut share, 0, 300);
-    all_report(&mut share, 2, Timestamp::from_millis(300));
-    share.cancel_job(before, Timestamp::from_millis(300));
-    hear(&mut share, 1, 3, Vec::new(), Timestamp::from_millis(400));
-    add(&mut share, 2, "large", "a");
+    retry_all(&mut partition, 0, 300);
+    report_all_running(&mut partition, 2, Timestamp::from_millis(300));
+    partition.cancel_job(before, Timestamp::from_millis(300));
+    send_heartbeat(
+        &mut partition,
+        1,
+        3,
+        Vec::new(),
+        Timestamp::from_millis(400),
+    );
+    add_machine(&mut partition, 2, "large", "a");
     let gang = submit(
-        &mut share,
+        &mut partition,
         &image(job(2, JobKind::Gang, 2, 18.0, 0.0)),
         Timestamp::from_millis(400),
     );
-    cycle(&mut share, 400, 1_000);
-    assert_eq!(placed(&share, gang), 2);
-    make_durable(&mut share);
-    let launches = |share: &mut PartitionState, n: u32| {
-        let commands = share.commands_for(
-            &name(n),
+    retry_all(&mut partition, 400, 1_000);
+    assert_eq!(placed_tasks(&partition, gang), 2);
+    make_durable(&mut partition);
+    let launches = |partition: &mut PartitionState, n: u32| {
+        let commands = partition.commands_for(
+            &machine_name(n),
             CommandRoute::Answer,
             Timestamp::from_millis(1_000),
         );
         commands
             .iter()
-            .filter(|c| matches!(c, Command::Start { .. }))
+            .filter(|command| matches!(command, Command::Start { .. }))
             .count()
     };
-    assert_eq!(launches(&mut share, 1), 0, "it has the image");
-    assert_eq!(launches(&mut share, 2), 1, "it fetches for 40 s");
-    let (index, placement) = share.jobs[&gang]
+    assert_eq!(
+        launches(&mut partition, 1),
+        0,
+        "it waits for the fetch of the other task"
+    );
+    assert_eq!(launches(&mut partition, 2), 1, "it fetches for 40 s");
+    let (index, placement) = partition.jobs[&gang]
         .placed
         .iter()
-        .find(|(_, p)| p.machine == name(2))
+        .find(|(_, placement)| placement.machine == machine_name(2))
         .expect("one there");
     let (task, attempt) = (format!("{gang}/{index}"), placement.attempt.0);
-    let entry = TaskStatus {
-        task,
-        attempt,
-        state: TaskState::Waiting,
-        why: None,
-        saved: None,
-    };
-    hear(
-        &mut share,
+    let status = task_status(task, attempt, TaskState::Waiting);
+    send_heartbeat(
+        &mut partition,
         2,
         3,
-        vec![entry],
+        vec![status],
         Timestamp::from_millis(41_000),
     );
-    assert!(share.take_urgent_machines().contains(&name(1)));
-    assert_eq!(launches(&mut share, 1), 1);
+    assert!(partition.take_urgent_machines().contains(&machine_name(1)));
+    assert_eq!(launches(&mut partition, 1), 1);
 }
 
-/// Of a machine with four GPUs and 24 CPUs each free GPU keeps its six.
+/// On a machine with four GPUs and 24 CPUs each free GPU keeps its six CPUs.
 #[test]
-fn work_without_gpus_takes_what_gpu_work_leaves_and_keeps_no_machine() {
-    let mut share = share(1_000.0);
-    add(&mut share, 1, "graphics", "a");
-    let plain = submit(
-        &mut share,
+fn colocated_tasks_use_what_gpu_work_leaves_and_are_evicted_after_it() {
+    let mut partition = new_partition(1_000.0);
+    add_machine(&mut partition, 1, "graphics", "a");
+    let cpu_array = submit(
+        &mut partition,
         &job(1, JobKind::Array, 30, 1.0, 0.0),
         Timestamp::from_millis(0),
     );
-    cycle(&mut share, 0, 1_000);
-    assert_eq!(placed(&share, plain), 0, "no GPU work is there");
-    let clips = submit(
-        &mut share,
+    retry_all(&mut partition, 0, 1_000);
+    assert_eq!(
+        placed_tasks(&partition, cpu_array),
+        0,
+        "no GPU work runs there"
+    );
+    let gpu_array = submit(
+        &mut partition,
         &job(2, JobKind::Array, 2, 4.0, 1.0),
         Timestamp::from_millis(1_000),
     );
-    cycle(&mut share, 1_000, 2_000);
-    assert_eq!(placed(&share, clips), 2);
-    assert_eq!(placed(&share, plain), 4, "two beside each of two");
+    retry_all(&mut partition, 1_000, 2_000);
+    assert_eq!(placed_tasks(&partition, gpu_array), 2);
+    assert_eq!(
+        placed_tasks(&partition, cpu_array),
+        4,
+        "two for each of two GPUs in use"
+    );
     let more = submit(
-        &mut share,
+        &mut partition,
         &job(3, JobKind::Array, 2, 6.0, 1.0),
         Timestamp::from_millis(2_000),
     );
-    cycle(&mut share, 2_000, 2_200);
-    assert_eq!(placed(&share, more), 2, "the free GPUs had kept theirs");
-    make_durable(&mut share);
-    share.commands_for(
-        &name(1),
+    retry_all(&mut partition, 2_000, 2_200);
+    assert_eq!(
+        placed_tasks(&partition, more),
+        2,
+        "the free GPUs have kept their CPUs"
+    );
+    make_durable(&mut partition);
+    partition.commands_for(
+        &machine_name(1),
         CommandRoute::Answer,
         Timestamp::from_millis(2_200),
     );
-    all_report(&mut share, 2, Timestamp::from_millis(2_200));
-    share.cancel_job(clips, Timestamp::from_millis(2_300));
-    share.cancel_job(more, Timestamp::from_millis(2_300));
-    let left = |share: &PartitionState| {
-        share.jobs[&plain]
+    report_all_running(&mut partition, 2, Timestamp::from_millis(2_200));
+    partition.cancel_job(gpu_array, Timestamp::from_millis(2_300));
+    partition.cancel_job(more, Timestamp::from_millis(2_300));
+    let not_stopping = |partition: &PartitionState| {
+        partition.jobs[&cpu_array]
             .placed
             .values()
-            .filter(|p| p.stop.is_none())
+            .filter(|placement| placement.stop.is_none())
             .count()
     };
-    share.evict_colocated(Timestamp::from_millis(2_300));
-    assert_eq!(left(&share), 4);
-    let running: Vec<TaskStatus> = share.jobs[&plain]
+    partition.evict_colocated(Timestamp::from_millis(2_300));
+    assert_eq!(not_stopping(&partition), 4);
+    let running: Vec<TaskStatus> = partition.jobs[&cpu_array]
         .placed
         .iter()
-        .map(|(index, p)| TaskStatus {
-            task: format!("{plain}/{index}"),
-            attempt: p.attempt.0,
-            state: TaskState::Running,
-            why: None,
-            saved: None,
+        .map(|(index, placement)| {
+            let task = format!("{cpu_array}/{index}");
+            task_status(task, placement.attempt.0, TaskState::Running)
         })
         .collect();
-    hear(&mut share, 1, 3, running, Timestamp::from_millis(2_400));
-    share.evict_colocated(Timestamp::from_millis(2_500));
-    share.evict_colocated(Timestamp::from_millis(6_000));
+    send_heartbeat(&mut partition, 1, 3, running, Timestamp::from_millis(2_400));
+    partition.evict_colocated(Timestamp::from_millis(2_500));
+    partition.evict_colocated(Timestamp::from_millis(6_000));
     assert_eq!(
-        left(&share),
+        not_stopping(&partition),
         0,
-        "no GPU work is left, so the machine is to be free"
+        "no GPU work is left on the machine"
     );
 }
 
-/// It waited for cheap machines, 553 s at the median, and none of it was in time.
+/// As best-effort work it would wait for spot machines and miss its deadline.
 #[test]
-fn low_arrays_with_a_deadline_are_not_best_effort() {
+fn low_priority_array_with_deadline_is_not_best_effort() {
     let low = JobRequest {
         priority: Priority::Low,
         ..job(1, JobKind::Array, 4, 2.0, 1.0)
@@ -409,28 +460,28 @@
     };
     let best_effort = |request| {
         JobSpec::try_from(request)
-            .expect("a good job")
+            .expect("a valid job")
             .is_best_effort()
     };
     assert_eq!((best_effort(&low), best_effort(&due)), (true, false));
-    let mut share = share(1_000.0);
-    add(&mut share, 1, "graphics", "a");
+    let mut partition = new_partition(1_000.0);
+    add_machine(&mut partition, 1, "graphics", "a");
     let due = submit(
-        &mut share,
+        &mut partition,
         &JobRequest { spot: true, ..due },
         Timestamp::from_millis(0),
     );
-    cycle(&mut share, 0, 500);
-    assert_eq!(placed(&share, due), 4, "on an ordinary machine");
+    retry_all(&mut partition, 0, 500);
+    assert_eq!(placed_tasks(&partition, due), 4, "on an on-demand machine");
 }
 
-/// A job that only such machines hold is not kept from them.
+/// A job that fits on machines with GPUs only may use them without GPU work.
 #[test]
-fn work_without_gpus_that_fits_no_other_machine_runs_on_those_with_gpus() {
-    let mut share = share(1_000.0);
-    add(&mut share, 1, "graphics", "a");
+fn cpu_job_runs_on_gpu_machine_when_no_other_type_fits() {
+    let mut partition = new_partition(1_000.0);
+    add_machine(&mut partition, 1, "graphics", "a");
     let large = submit(
-        &mut share,
+        &mut partition,
         &job(1, JobKind::Array, 1, 22.0, 0.0),
         Timestamp::from_millis(0),
     );
@@ -438,174 +489,189 @@
         types: Some(vec!["graphics".into()]),
         ..job(2, JobKind::Array, 1, 1.0, 0.0)
     };
-    let named = submit(&mut share, &named, Timestamp::from_millis(0));
-    cycle(&mut share, 0, 1_000);
-    assert_eq!((placed(&share, large), placed(&share, named)), (1, 1));
+    let named = submit(&mut partition, &named, Timestamp::from_millis(0));
+    retry_all(&mut partition, 0, 1_000);
+    assert_eq!(
+        (
+            placed_tasks(&partition, large),
+            placed_tasks(&partition, named)
+        ),
+        (1, 1)
+    );
 }
 
-/// Arrays took each freed part of the limit, and the gang waited for all of it at one time.
+/// If arrays took each part of the limit that becomes free, the gang would never have all of its part.
 #[test]
-fn arrays_leave_a_gang_its_part_of_the_limit() {
-    let mut share = share(80.0);
-    (1..=3).for_each(|n| add(&mut share, n, "large", "a"));
-    (4..=20).for_each(|n| add(&mut share, n, "small", "b"));
+fn array_leaves_team_limit_reserved_for_waiting_gang() {
+    let mut partition = new_partition(80.0);
+    (1..=3).for_each(|n| add_machine(&mut partition, n, "large", "a"));
+    (4..=20).for_each(|n| add_machine(&mut partition, n, "small", "b"));
     let first = submit(
-        &mut share,
+        &mut partition,
         &job(1, JobKind::Gang, 1, 18.0, 0.0),
         Timestamp::from_millis(0),
     );
-    cycle(&mut share, 0, 500);
-    assert_eq!(placed(&share, first), 1);
+    retry_all(&mut partition, 0, 500);
+    assert_eq!(placed_tasks(&partition, first), 1);
     let gang = submit(
-        &mut share,
+        &mut partition,
         &job(2, JobKind::Gang, 3, 18.0, 0.0),
         Timestamp::from_millis(500),
     );
-    cycle(&mut share, 500, 2_000);
+    retry_all(&mut partition, 500, 2_000);
     let array = submit(
-        &mut share,
+        &mut partition,
         &job(3, JobKind::Array, 60, 1.0, 0.0),
         Timestamp::from_millis(2_000),
     );
-    cycle(&mut share, 2_000, 3_000);
-    assert_eq!(placed(&share, array), 26, "80 less 18 in use and 36 kept");
-    share.cancel_job(first, Timestamp::from_millis(3_000));
-    cycle(&mut share, 3_000, 4_000);
-    assert_eq!(placed(&share, gang), 3);
+    retry_all(&mut partition, 2_000, 3_000);
+    assert_eq!(
+        placed_tasks(&partition, array),
+        26,
+        "80 less 18 in use and 36 reserved"
+    );
+    partition.cancel_job(first, Timestamp::from_millis(3_000));
+    retry_all(&mut partition, 3_000, 4_000);
+    assert_eq!(placed_tasks(&partition, gang), 3);
 }
 
-/// Cycles as the node runs them: what backs off waits for its time.
-fn cycle_at_pace(share: &mut PartitionState, from: u64, until: u64) {
+/// Runs cycles every 100 ms; entries back off as in production.
+fn run_cycles(partition: &mut PartitionState, from: u64, until: u64) {
     for at in (from..until).step_by(100) {
-        share.run_cycles(Timestamp::from_millis(at), 1_000);
+        partition.run_cycles(Timestamp::from_millis(at), 1_000);
     }
 }
 
-/// After how many seconds the machines that are kept for a gang should be free.
-fn seconds_until_free(share: &PartitionState, gang: JobId, now: Timestamp) -> u64 {
-    let why = share.explain(gang, now).expect("it is there");
-    let (_, rest) = why
+/// In how many seconds the machines reserved for a gang should be free, from the job's explanation.
+fn seconds_until_ready(partition: &PartitionState, gang: JobId, now: Timestamp) -> u64 {
+    let explanation = partition.explain(gang, now).expect("a known job");
+    let (_, rest) = explanation
         .split_once("free in ")
-        .unwrap_or_else(|| panic!("nothing is kept: {why}"));
+        .unwrap_or_else(|| panic!("nothing is reserved: {explanation}"));
     rest.split(' ')
         .next()
         .and_then(|seconds| seconds.parse().ok())
         .expect("a number")
 }
 
-/// Machines were given up after a minute and chosen anew at the gang's next try. What came in between took
-/// those that were free already.
+/// If reservations were released before they are chosen again, entries tried in between would take the
+/// machines that are free already.
 #[test]
-fn what_is_kept_for_a_gang_is_chosen_anew_without_a_gap() {
-    let mut share = share(1_000.0);
-    (1..=3).for_each(|n| add(&mut share, n, "large", "a"));
+fn gang_reservation_is_renewed_without_a_gap() {
+    let mut partition = new_partition(1_000.0);
+    (1..=3).for_each(|n| add_machine(&mut partition, n, "large", "a"));
     let lasting = JobRequest {
         estimate_s: 200.0,
         ..job(1, JobKind::Gang, 1, 18.0, 0.0)
     };
-    let lasting = submit(&mut share, &lasting, Timestamp::from_millis(0));
-    cycle_at_pace(&mut share, 0, 500);
-    assert_eq!(placed(&share, lasting), 1);
+    let lasting = submit(&mut partition, &lasting, Timestamp::from_millis(0));
+    run_cycles(&mut partition, 0, 500);
+    assert_eq!(placed_tasks(&partition, lasting), 1);
     let gang = submit(
-        &mut share,
+        &mut partition,
         &job(2, JobKind::Gang, 3, 18.0, 0.0),
         Timestamp::from_millis(500),
     );
-    cycle(&mut share, 500, 4_000);
+    retry_all(&mut partition, 500, 4_000);
     for (id, at) in (3..).zip((4_000..80_000).step_by(500)) {
-        all_report(&mut share, id, Timestamp::from_millis(at));
+        report_all_running(&mut partition, id, Timestamp::from_millis(at));
         let later = JobRequest {
             estimate_s: 300.0,
             ..job(id, JobKind::Gang, 1, 18.0, 0.0)
         };
-        let later = submit(&mut share, &later, Timestamp::from_millis(at));
-        cycle_at_pace(&mut share, at, at + 500);
-        assert_eq!(placed(&share, later), 0, "after {at} ms");
-        share.cancel_job(later, Timestamp::from_millis(at + 499));
+        let later = submit(&mut partition, &later, Timestamp::from_millis(at));
+        run_cycles(&mut partition, at, at + 500);
+        assert_eq!(placed_tasks(&partition, later), 0, "after {at} ms");
+        partition.cancel_job(later, Timestamp::from_millis(at + 499));
     }
-    share.cancel_job(lasting, Timestamp::from_millis(80_000));
-    hear_empty(&mut share, 1_000, Timestamp::from_millis(80_000));
-    cycle_at_pace(&mut share, 80_000, 82_000);
-    assert_eq!(placed(&share, gang), 3);
+    partition.cancel_job(lasting, Timestamp::from_millis(80_000));
+    report_all_empty(&mut partition, 1_000, Timestamp::from_millis(80_000));
+    run_cycles(&mut partition, 80_000, 82_000);
+    assert_eq!(placed_tasks(&partition, gang), 3);
 }
 
 /// All machines report that nothing runs on them.
-fn hear_empty(share: &mut PartitionState, seq: u64, now: Timestamp) {
-    for n in 1..=share.machines.len() as u32 {
-        hear(share, n, seq, Vec::new(), now);
+fn report_all_empty(partition: &mut PartitionState, seq: u64, now: Timestamp) {
+    for n in 1..=partition.machines.len() as u32 {
+        send_heartbeat(partition, n, seq, Vec::new(), now);
     }
 }
 
-/// Fetches were taken to be five times as fast as they are, and what had outrun its estimate to end at once:
-/// gangs waited for the machines that were free last.
+/// With too short estimates a gang would wait for the machines that are free last.
 #[test]
-fn tasks_are_expected_to_fetch_first_and_to_outrun_their_estimates() {
-    let mut share = share(1_000.0);
-    add(&mut share, 1, "large", "a");
+fn estimated_end_includes_fetch_time_and_overrun() {
+    let mut partition = new_partition(1_000.0);
+    add_machine(&mut partition, 1, "large", "a");
     let before = JobRequest {
         image_gb: 8.0,
         ..job(1, JobKind::Gang, 1, 18.0, 0.0)
     };
-    submit(&mut share, &before, Timestamp::from_millis(0));
-    cycle(&mut share, 0, 500);
+    submit(&mut partition, &before, Timestamp::from_millis(0));
+    retry_all(&mut partition, 0, 500);
     let gang = submit(
-        &mut share,
+        &mut partition,
         &job(2, JobKind::Gang, 1, 18.0, 0.0),
         Timestamp::from_millis(500),
     );
-    cycle(&mut share, 500, 3_000);
-    let expected = seconds_until_free(&share, gang, Timestamp::from_millis(3_000));
+    retry_all(&mut partition, 500, 3_000);
+    let expected = seconds_until_ready(&partition, gang, Timestamp::from_millis(3_000));
     assert!(
         (95..=98).contains(&expected),
         "40 s of fetch and 60 of its estimate: {expected}"
     );
-    all_report(&mut share, 2, Timestamp::from_millis(40_000));
-    cycle(&mut share, 40_000, 43_000);
+    report_all_running(&mut partition, 2, Timestamp::from_millis(40_000));
+    retry_all(&mut partition, 40_000, 43_000);
     assert_eq!(
-        seconds_until_free(&share, gang, Timestamp::from_millis(43_000)),
+        seconds_until_ready(&partition, gang, Timestamp::from_millis(43_000)),
         57,
-        "it began after 40 s"
+        "it started after 40 s"
     );
-    all_report(&mut share, 3, Timestamp::from_millis(90_000));
-    all_report(&mut share, 4, Timestamp::from_millis(140_000));
-    cycle(&mut share, 140_000, 143_000);
-    let expected = seconds_until_free(&share, gang, Timestamp::from_millis(143_000));
+    report_all_running(&mut partition, 3, Timestamp::from_millis(90_000));
+    report_all_running(&mut partition, 4, Timestamp::from_millis(140_000));
+    retry_all(&mut partition, 140_000, 143_000);
+    let expected = seconds_until_ready(&partition, gang, Timestamp::from_millis(143_000));
     assert!(
         (24..=26).contains(&expected),
         "a quarter of 102 s once more: {expected}"
     );
 }
 
-/// What was free already stood idle until the last of a gang's machines was free, though others ended then.
+/// A machine that is free already would be idle until the last of the gang's machines is free.
 #[test]
-fn of_the_machines_that_are_free_in_time_the_last_are_kept() {
-    let mut share = share(1_000.0);
-    (1..=3).for_each(|n| add(&mut share, n, "large", "a"));
+fn gang_reservation_prefers_machines_that_become_free_last() {
+    let mut partition = new_partition(1_000.0);
+    (1..=3).for_each(|n| add_machine(&mut partition, n, "large", "a"));
     let running = submit(
-        &mut share,
+        &mut partition,
         &job(1, JobKind::Gang, 2, 18.0, 0.0),
         Timestamp::from_millis(0),
     );
-    cycle(&mut share, 0, 500);
+    retry_all(&mut partition, 0, 500);
     let gang = submit(
-        &mut share,
+        &mut partition,
         &job(2, JobKind::Gang, 2, 18.0, 0.0),
         Timestamp::from_millis(500),
     );
-    cycle(&mut share, 500, 3_000);
-    assert_eq!((placed(&share, running), placed(&share, gang)), (2, 0));
+    retry_all(&mut partition, 500, 3_000);
+    assert_eq!(
+        (
+            placed_tasks(&partition, running),
+            placed_tasks(&partition, gang)
+        ),
+        (2, 0)
+    );
     let lasting = JobRequest {
         estimate_s: 300.0,
         ..job(3, JobKind::Gang, 1, 18.0, 0.0)
     };
-    let lasting = submit(&mut share, &lasting, Timestamp::from_millis(3_000));
-    cycle(&mut share, 3_000, 4_000);
+    let lasting = submit(&mut partition, &lasting, Timestamp::from_millis(3_000));
+    retry_all(&mut partition, 3_000, 4_000);
     assert_eq!(
-        placed(&share, lasting),
+        placed_tasks(&partition, lasting),
         1,
-        "the two machines that are free together are kept"
+        "the two machines that become free together are reserved"
     );
-    share.cancel_job(running, Timestamp::from_millis(4_000));
-    cycle(&mut share, 4_000, 5_000);
-    assert_eq!(placed(&share, gang), 2);
+    partition.cancel_job(running, Timestamp::from_millis(4_000));
+    retry_all(&mut partition, 4_000, 5_000);
+    assert_eq!(placed_tasks(&partition, gang), 2);
 }
