--- a/crates/trackcrank/src/cli.rs
+++ b/crates/trackcrank/src/cli.rs
@@ -1,6 +1,8 @@
-//! The command line.
+//! The command line: serving, checking a settings file, and admin commands.
 
 use crate::clients::HttpClient;
+use crate::error::CliError;
+use crate::runtime::serve;
 use clap::{Parser, Subcommand};
 use hyper::Method;
 use model::Settings;
@@ -45,31 +47,32 @@
 enum Admin {
     /// Show the operators' settings and their version.
     Settings,
-    /// Change settings: a JSON object of the fields that are not to have their default.
+    /// Change settings: a JSON object of the fields that differ from their default.
     Set {
         /// The version that was read; a stale one is refused.
         #[arg(long)]
         version: u64,
         settings: String,
     },
-    /// Who holds which partition.
+    /// Show the leader of each partition.
     Partitions,
-    /// Who stands by for whom, and how far behind.
+    /// Show the standby of each partition and how far its replica is behind.
     Standby,
-    /// The machines and what runs on them.
+    /// Show the machines and their tasks.
     Machines,
-    /// The scheduling queues.
+    /// Show the scheduling queues.
     Queues,
-    /// Where a job stands and why it waits.
+    /// Show the state of a job and why its tasks wait.
     Job { id: String },
 }
 
-fn administer(node: &str, what: Admin) -> Result<(), String> {
-    let (method, path, body) = match what {
+/// Sends an admin command to a controller and prints the response.
+fn run_admin_command(node: &str, command: Admin) -> Result<(), CliError> {
+    let (method, path, body) = match command {
         Admin::Settings => (Method::GET, "settings".to_owned(), None),
         Admin::Set { version, settings } => {
             let settings: serde_json::Value =
-                serde_json::from_str(&settings).map_err(|e| format!("settings: {e}"))?;
+                serde_json::from_str(&settings).map_err(CliError::SettingsJson)?;
             let body = serde_json::json!({ "version": version, "settings": settings });
             (
                 Method::PUT,
@@ -86,21 +89,26 @@
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
-        .map_err(|e| format!("cannot start the runtime: {e}"))?;
+        .map_err(CliError::Runtime)?;
     let path = format!("/admin/v1/{path}");
     match runtime.block_on(HttpClient::new(None).plain(method, node, &path, body)) {
         Some((200, body)) => {
             println!("{body}");
             Ok(())
         }
-        Some((status, body)) => Err(format!("{status}: {body}")),
-        None => Err(format!("{node}: no answer")),
+        Some((status, body)) => Err(CliError::Status { status, body }),
+        None => Err(CliError::NoResponse {
+            node: node.to_owned(),
+        }),
     }
 }
 
-fn load(file: &Path) -> Result<Settings, String> {
-    let text = std::fs::read_to_string(file).map_err(|e| format!("{}: {e}", file.display()))?;
-    Settings::parse(&text).map_err(|e| e.to_string())
+fn load(file: &Path) -> Result<Settings, CliError> {
+    let text = std::fs::read_to_string(file).map_err(|source| CliError::ReadFile {
+        file: file.to_owned(),
+        source,
+    })?;
+    Ok(Settings::parse(&text)?)
 }
 
 fn start_logging() {
@@ -110,10 +118,11 @@
         Ok("warn") => LevelFilter::WARN,
         _ => LevelFilter::INFO,
     };
-    // The libraries' own debug lines would drown ours.
-    let quiet = |name: &str| name.starts_with("hyper") || name.starts_with("poem");
-    let ours = filter_fn(move |meta| {
-        *meta.level() <= level && (*meta.level() <= Level::INFO || !quiet(meta.target()))
+    // Debug lines of the HTTP libraries would hide those of this program.
+    let is_noisy = |name: &str| name.starts_with("hyper") || name.starts_with("poem");
+    let filter = filter_fn(move |metadata| {
+        *metadata.level() <= level
+            && (*metadata.level() <= Level::INFO || !is_noisy(metadata.target()))
     });
     let lines = tracing_subscriber::fmt::layer()
         .with_writer(std::io::stderr)
@@ -121,32 +130,32 @@
         .without_time()
         .with_target(false);
     tracing_subscriber::registry()
-        .with(lines.with_filter(ours))
+        .with(lines.with_filter(filter))
         .init();
 }
 
-fn outcome(result: Result<(), String>) -> ExitCode {
+fn exit_code(result: Result<(), CliError>) -> ExitCode {
     match result {
         Ok(()) => ExitCode::SUCCESS,
-        Err(problem) => {
-            eprintln!("trackcrank: {problem}");
+        Err(error) => {
+            eprintln!("trackcrank: {error}");
             ExitCode::FAILURE
         }
     }
 }
 
-/// Runs what the command line asks for.
+/// Parses the command line and runs it.
 pub fn run() -> ExitCode {
     let arguments = Arguments::parse();
     match (arguments.config, arguments.command) {
         (Some(file), None) => {
             start_logging();
-            outcome(load(&file).and_then(crate::runtime::serve))
+            exit_code(load(&file).and_then(|settings| Ok(serve(settings)?)))
         }
-        (_, Some(Command::Check { file })) => outcome(load(&file).map(|settings| {
+        (_, Some(Command::Check { file })) => exit_code(load(&file).map(|settings| {
             println!("{}: good, {} teams", settings.name, settings.teams.len());
         })),
-        (_, Some(Command::Admin { node, what })) => outcome(administer(&node, what)),
-        (None, None) => outcome(Err("nothing to do: see --help".into())),
+        (_, Some(Command::Admin { node, what })) => exit_code(run_admin_command(&node, what)),
+        (None, None) => exit_code(Err(CliError::NothingToDo)),
     }
 }
--- a/crates/trackcrank/src/clients.rs
+++ b/crates/trackcrank/src/clients.rs
@@ -18,12 +18,19 @@
 use wire::state::{LeaseResponse, StateReply, StateRequest, TransactionResponse};
 use wire::workers::{DirectCommands, Heartbeat};
 
-/// Largest answer that is read.
-const MAX_ANSWER: usize = 16 * 1024 * 1024;
+/// Largest response in bytes that is read.
+const MAX_RESPONSE_BYTES: usize = 16 * 1024 * 1024;
 
-/// Patience with the cloud.
+/// Timeout of a request to the cloud.
 const CLOUD_TIMEOUT: Duration = Duration::from_millis(4_000);
 
+/// Timeout of establishing a connection.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(1_200);
+/// Time after which an idle connection is closed.
+const IDLE_CONNECTION_TIMEOUT: Duration = Duration::from_secs(20);
+/// Timeout of a request of the command line.
+const COMMAND_LINE_TIMEOUT: Duration = Duration::from_secs(5);
+
 /// A client with pooled connections.
 #[derive(Clone)]
 pub struct HttpClient {
@@ -32,27 +39,27 @@
 }
 
 impl HttpClient {
-    /// A client that counts the answers that it cannot use.
+    /// A client that counts the responses that it cannot decode, if `rejected` is given.
     pub fn new(rejected: Option<RejectedMessages>) -> Self {
         let mut connector = HttpConnector::new();
         connector.set_nodelay(true);
-        connector.set_connect_timeout(Some(Duration::from_millis(1_200)));
+        connector.set_connect_timeout(Some(CONNECT_TIMEOUT));
         let client = Client::builder(TokioExecutor::new())
             .pool_timer(TokioTimer::new())
-            .pool_idle_timeout(Duration::from_secs(20))
+            .pool_idle_timeout(IDLE_CONNECTION_TIMEOUT)
             .build(connector);
         HttpClient { client, rejected }
     }
 
-    /// Counts an answer that cannot be used.
+    /// Counts a response that cannot be decoded.
     fn reject(&self, source: MessageSource) {
-        tracing::warn!(source = source.as_str(), "an answer cannot be read");
+        tracing::warn!(source = source.as_str(), "response rejected");
         if let Some(rejected) = &self.rejected {
             rejected.add(source, MessageFault::Malformed);
         }
     }
 
-    /// One call; none if there was no complete answer in time.
+    /// One request; `None` if there was no complete response in time.
     async fn call(
         &self,
         method: Method,
@@ -68,9 +75,9 @@
             .body(Full::new(Bytes::from(body.unwrap_or_default())))
             .ok()?;
         let exchange = async {
-            let answer = self.client.request(request).await.ok()?;
-            let status = answer.status();
-            let body = Limited::new(answer.into_body(), MAX_ANSWER)
+            let response = self.client.request(request).await.ok()?;
+            let status = response.status();
+            let body = Limited::new(response.into_body(), MAX_RESPONSE_BYTES)
                 .collect()
                 .await
                 .ok()?;
@@ -79,7 +86,7 @@
         tokio::time::timeout(timeout, exchange).await.ok().flatten()
     }
 
-    /// Sends a call as one of the interfaces has it.
+    /// Sends a request as one of the protocols defines it.
     async fn send(
         &self,
         to: &str,
@@ -94,7 +101,7 @@
         self.call(method, to, &call.path, call.body, timeout).await
     }
 
-    /// A call to the state service.
+    /// A request to the state service.
     pub async fn state(
         &self,
         to: SocketAddr,
@@ -110,7 +117,7 @@
         }
     }
 
-    /// A call to the cloud.
+    /// A request to the cloud.
     pub async fn cloud(&self, to: SocketAddr, request: &CloudRequest) -> CloudReply {
         let Some((status, body)) = self
             .send(&to.to_string(), request.into(), CLOUD_TIMEOUT)
@@ -119,9 +126,9 @@
             return CloudReply::Unknown;
         };
         if status != StatusCode::OK {
-            let short = matches!(request, CloudRequest::Rent(_))
+            let no_capacity = matches!(request, CloudRequest::Rent(_))
                 && String::from_utf8_lossy(&body).contains("no capacity");
-            return match (status.as_u16(), short) {
+            return match (status.as_u16(), no_capacity) {
                 (503, true) => CloudReply::NoCapacity,
                 (429 | 503 | 400, _) => CloudReply::Refused,
                 _ => CloudReply::Unknown,
@@ -141,18 +148,18 @@
         })
     }
 
-    /// Commands straight to a worker.
+    /// Commands sent to a worker directly.
     pub async fn worker(
         &self,
         to: &str,
         commands: &DirectCommands,
         timeout: Duration,
     ) -> DirectReply {
-        let answer = self.send(to, commands.into(), timeout).await;
-        match answer {
+        let response = self.send(to, commands.into(), timeout).await;
+        match response {
             Some((status, body)) if status == StatusCode::OK || status == StatusCode::CONFLICT => {
                 match decode::<Heartbeat>(&body) {
-                    Some(report) => DirectReply::Answered(Box::new(report)),
+                    Some(heartbeat) => DirectReply::Answered(Box::new(heartbeat)),
                     None => {
                         self.reject(MessageSource::Worker);
                         DirectReply::Unknown
@@ -163,7 +170,7 @@
         }
     }
 
-    /// A plain call for the operators' command line.
+    /// A request of the command line; returns the status and the body.
     pub async fn plain(
         &self,
         method: Method,
@@ -172,7 +179,7 @@
         body: Option<Vec<u8>>,
     ) -> Option<(u16, String)> {
         let (status, body) = self
-            .call(method, to, path, body, Duration::from_secs(5))
+            .call(method, to, path, body, COMMAND_LINE_TIMEOUT)
             .await?;
         Some((status.as_u16(), String::from_utf8_lossy(&body).into_owned()))
     }
@@ -182,17 +189,17 @@
     from_object(body).ok()
 }
 
-/// Reads an answer of the state service; none if its body is not what belongs to the call.
+/// Decodes a response of the state service; `None` if its body does not belong to the request.
 pub fn state_reply(request: &StateRequest, status: StatusCode, body: &[u8]) -> Option<StateReply> {
     let text = || String::from_utf8_lossy(body).into_owned();
-    let lease_call = matches!(
+    let is_lease_request = matches!(
         request,
         StateRequest::Renew { .. } | StateRequest::EndLease { .. }
     );
     match status.as_u16() {
         429 => return Some(StateReply::Refused { throttled: true }),
         503 => return Some(StateReply::Refused { throttled: false }),
-        404 if lease_call => return Some(StateReply::LeaseGone),
+        404 if is_lease_request => return Some(StateReply::LeaseGone),
         404 if matches!(request, StateRequest::Get { .. }) => return Some(StateReply::Missing),
         409 => {
             let TransactionResponse { failed, revision } = decode(body)?;
@@ -208,12 +215,12 @@
         StateRequest::Get { .. } => decode(body).map(StateReply::Item),
         StateRequest::List { .. } => decode(body).map(StateReply::List),
         StateRequest::Transaction(_) => {
-            decode::<TransactionResponse>(body).map(|answer| StateReply::Committed {
-                revision: answer.revision,
+            decode::<TransactionResponse>(body).map(|response| StateReply::Committed {
+                revision: response.revision,
             })
         }
         StateRequest::NewLease { .. } => {
-            decode::<LeaseResponse>(body).map(|answer| StateReply::Lease(answer.lease))
+            decode::<LeaseResponse>(body).map(|response| StateReply::Lease(response.lease))
         }
         StateRequest::Renew { .. } | StateRequest::EndLease { .. } => Some(StateReply::Ok),
         StateRequest::Watch { .. } => decode(body).map(StateReply::Changes),
--- a/crates/trackcrank/src/lib.rs
+++ b/crates/trackcrank/src/lib.rs
@@ -1,7 +1,8 @@
-//! trackcrank: one controller node, and the operators' command line.
+//! trackcrank: the controller process around [`controller::Controller`], and the command line.
 
 pub mod cli;
 pub mod clients;
+pub mod error;
 pub mod inbound;
 pub mod listen;
 pub mod mesh;
--- a/crates/trackcrank/src/main.rs
+++ b/crates/trackcrank/src/main.rs
@@ -1,4 +1,4 @@
-//! The executable; all that it does is in the library.
+//! The executable; its code is in the library.
 
 use std::process::ExitCode;
 
--- a/crates/trackcrank/src/mesh.rs
+++ b/crates/trackcrank/src/mesh.rs
@@ -1,4 +1,4 @@
-//! The mesh: length-delimited MessagePack frames between controller nodes.
+//! The mesh: length-delimited MessagePack frames between controllers.
 
 use crate::metrics::RejectedMessages;
 use bytes::Bytes;
@@ -15,26 +15,36 @@
 use tokio_util::codec::{Framed, LengthDelimitedCodec};
 use wire::mesh::{Frame, MeshMessage, MAX_FRAME, MESH_VERSION};
 
-/// Frames that may wait for a peer: a leader that returns many machines says so of each at once. When
-/// the peer cannot be reached the newest are dropped, since everything that is said is said again.
+/// Frames that may be queued for a peer: the fleet planner sends a message for each machine that is to
+/// be released, all at once. When the peer cannot be reached the newest are dropped, since every
+/// message is repeated while it matters.
 const MAX_QUEUED_FRAMES: usize = 8_192;
 
+/// Timeout of connecting and of sending a frame.
+const IO_TIMEOUT: Duration = Duration::from_millis(1_500);
+/// Pause between two attempts to connect.
+const RECONNECT_INTERVAL: Duration = Duration::from_millis(300);
+/// Pause after a failure to accept a connection, such as a lack of file descriptors.
+const ACCEPT_RETRY_INTERVAL: Duration = Duration::from_millis(200);
+/// A connection without a frame for this long is dead: peers send several a second.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(60);
+
 fn codec() -> LengthDelimitedCodec {
     LengthDelimitedCodec::builder()
         .max_frame_length(MAX_FRAME)
         .new_codec()
 }
 
-/// Keeps a connection to a peer and returns where to put messages for it.
-pub fn connect(me: ControllerName, peer: Peer) -> mpsc::Sender<MeshMessage> {
+/// Starts a task that keeps a connection to a peer; returns the queue of messages for it.
+pub fn connect(own_name: ControllerName, peer: Peer) -> mpsc::Sender<MeshMessage> {
     let (sender, mut queue) = mpsc::channel::<MeshMessage>(MAX_QUEUED_FRAMES);
+    // Detached: a peer that cannot be reached must not delay the event loop.
     tokio::spawn(async move {
-        let patience = Duration::from_millis(1_500);
         loop {
             let stream =
-                tokio::time::timeout(patience, TcpStream::connect(peer.mesh_address)).await;
+                tokio::time::timeout(IO_TIMEOUT, TcpStream::connect(peer.mesh_address)).await;
             let Ok(Ok(stream)) = stream else {
-                tokio::time::sleep(Duration::from_millis(300)).await;
+                tokio::time::sleep(RECONNECT_INTERVAL).await;
                 while queue.try_recv().is_ok() {}
                 continue;
             };
@@ -43,15 +53,15 @@
             while let Some(message) = queue.recv().await {
                 let frame = Frame {
                     version: MESH_VERSION,
-                    from: me.to_string(),
+                    from: own_name.to_string(),
                     message,
                 };
                 let Ok(bytes) = rmp_serde::to_vec(&frame) else {
                     continue;
                 };
-                let sent = tokio::time::timeout(patience, frames.send(Bytes::from(bytes))).await;
+                let sent = tokio::time::timeout(IO_TIMEOUT, frames.send(Bytes::from(bytes))).await;
                 if !matches!(sent, Ok(Ok(()))) {
-                    tracing::debug!(peer = %peer.name, "the connection to a peer has failed");
+                    tracing::debug!(peer = %peer.name, "mesh connection failed");
                     break;
                 }
             }
@@ -63,7 +73,8 @@
     sender
 }
 
-/// Listens for peers.
+/// Binds the mesh listener and starts to accept peers, for as long as the process runs. Each connection
+/// is read in a detached task, which ends with the connection.
 pub async fn listen(
     address: SocketAddr,
     events: mpsc::Sender<Event>,
@@ -77,8 +88,8 @@
                     tokio::spawn(read(stream, from, events.clone(), rejected.clone()));
                 }
                 Err(error) => {
-                    tracing::error!(%error, "the mesh cannot accept a connection");
-                    tokio::time::sleep(Duration::from_millis(200)).await;
+                    tracing::error!(%error, "cannot accept mesh connection");
+                    tokio::time::sleep(ACCEPT_RETRY_INTERVAL).await;
                 }
             }
         }
@@ -86,7 +97,7 @@
     Ok(())
 }
 
-/// Reads frames; garbage closes the connection.
+/// Reads frames until the connection ends; an invalid frame closes it.
 async fn read(
     stream: TcpStream,
     from: SocketAddr,
@@ -95,16 +106,15 @@
 ) {
     let mut frames = Framed::new(stream, codec());
     loop {
-        // Peers speak several times a second; a connection that has been silent for long is dead.
-        let next = tokio::time::timeout(Duration::from_secs(60), frames.next()).await;
+        let next = tokio::time::timeout(IDLE_TIMEOUT, frames.next()).await;
         let bytes = match next {
             Ok(Some(Ok(bytes))) => bytes,
             Ok(Some(Err(error))) if error.kind() != std::io::ErrorKind::InvalidData => {
-                tracing::debug!(%from, %error, "a peer's connection has ended");
+                tracing::debug!(%from, %error, "mesh connection closed");
                 return;
             }
             Ok(Some(Err(error))) => {
-                tracing::warn!(%from, %error, "garbage on the mesh");
+                tracing::warn!(%from, %error, "invalid frame on the mesh");
                 rejected.add(MessageSource::Peer, MessageFault::TooLarge);
                 return;
             }
@@ -125,7 +135,7 @@
                 }
             }
             Err(error) => {
-                tracing::warn!(%from, %error, "a mesh frame is not read");
+                tracing::warn!(%from, %error, "mesh frame rejected");
                 rejected.add(MessageSource::Peer, error.fault());
                 return;
             }
@@ -133,75 +143,34 @@
     }
 }
 
-/// Why a frame is not read.
+/// Why a frame is rejected.
 #[derive(Debug, thiserror::Error)]
-enum Unread {
-    /// A peer that runs another program: it is as good as silent, and both take over cold.
-    #[error("it is of version {0}, ours is {MESH_VERSION}")]
+enum FrameError {
+    /// The peer runs another version. It counts as unreachable, and a failover between the two is cold.
+    #[error("version {0}, expected {MESH_VERSION}")]
     Version(u16),
-    #[error("garbage: {0}")]
-    Garbage(#[from] rmp_serde::decode::Error),
+    /// The bytes are no frame.
+    #[error("malformed: {0}")]
+    Malformed(#[from] rmp_serde::decode::Error),
 }
 
-impl Unread {
+impl FrameError {
     fn fault(&self) -> MessageFault {
         match self {
-            Unread::Version(_) => MessageFault::Version,
-            Unread::Garbage(_) => MessageFault::Malformed,
+            FrameError::Version(_) => MessageFault::Version,
+            FrameError::Malformed(_) => MessageFault::Malformed,
         }
     }
 }
 
-/// Reads a frame. The version comes first, so it is told apart even where the rest has another shape.
-fn decode(bytes: &[u8]) -> Result<Frame, Unread> {
+/// Decodes a frame. The version comes first, so another one is recognised whatever follows it.
+fn decode(bytes: &[u8]) -> Result<Frame, FrameError> {
     let (version, ..): (u16, IgnoredAny, IgnoredAny) = rmp_serde::from_slice(bytes)?;
     if version != MESH_VERSION {
-        return Err(Unread::Version(version));
+        return Err(FrameError::Version(version));
     }
     Ok(rmp_serde::from_slice(bytes)?)
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-    use serde::Serialize;
-
-    /// A frame as an earlier version wrote it: signs of life had fewer fields, and there was a message
-    /// that is no more.
-    #[derive(Serialize)]
-    enum Earlier {
-        Alive { boot: u64, revision: u64 },
-        Gossip(Vec<u8>),
-    }
-
-    #[test]
-    fn frames_of_another_version_are_not_misread() {
-        let message = MeshMessage::Subscribe {
-            partition: 1,
-            incarnation: 2,
-            term: 3,
-            applied: 4,
-        };
-        let frame = Frame {
-            version: MESH_VERSION,
-            from: "n1".into(),
-            message,
-        };
-        let bytes = rmp_serde::to_vec(&frame).expect("a frame");
-        assert_eq!(decode(&bytes).expect("ours"), frame);
-        let alive = Earlier::Alive {
-            boot: 1,
-            revision: 2,
-        };
-        for earlier in [alive, Earlier::Gossip(vec![7; 40])] {
-            let frame = (MESH_VERSION - 1, "n1", earlier);
-            let bytes = rmp_serde::to_vec(&frame).expect("a frame");
-            assert!(matches!(decode(&bytes), Err(Unread::Version(v)) if v == MESH_VERSION - 1));
-        }
-        assert!(matches!(
-            decode(&bytes[..bytes.len() - 2]),
-            Err(Unread::Garbage(_))
-        ));
-        assert!(matches!(decode(b"GET / HTTP/1.1"), Err(Unread::Garbage(_))));
-    }
-}
+mod tests;
--- a/crates/trackcrank/src/metrics.rs
+++ b/crates/trackcrank/src/metrics.rs
@@ -1,4 +1,4 @@
-//! The metrics page, in Prometheus text.
+//! Metrics of the process, in the text format of Prometheus.
 
 use controller::rejections::{MessageFault, MessageSource};
 use prometheus::{
@@ -18,7 +18,7 @@
     rejected: RejectedMessages,
 }
 
-/// The counter of rejected messages, for whoever reads them. Clones count together.
+/// The counter of rejected messages. Clones share it.
 #[derive(Clone)]
 pub struct RejectedMessages(IntCounterVec);
 
@@ -106,12 +106,12 @@
         &self.rejected
     }
 
-    /// A task was placed after so many milliseconds.
+    /// Records the time in milliseconds after which a task was placed.
     pub fn observe_wait(&self, ms: u64) {
         self.waits.observe(ms as f64 / 1000.0);
     }
 
-    /// The page, from the node's numbers.
+    /// The page in the text format. `view` holds the current numbers of the controller.
     pub fn page(&self, view: &Value) -> Result<String, prometheus::Error> {
         let simple = [
             ("pending", &self.pending),
@@ -150,29 +150,4 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn the_page_shows_queues_and_latencies() {
-        let metrics = Metrics::new().expect("metrics");
-        metrics.observe_wait(1_500);
-        let view = serde_json::json!({
-            "pending": { "active": 3 },
-            "incoming": [["backoff", "failure", 7]],
-        });
-        let page = metrics.page(&view).expect("page");
-        assert!(
-            page.contains("trackcrank_pending_tasks{queue=\"active\"} 3"),
-            "{page}"
-        );
-        assert!(
-            page.contains("event=\"failure\",queue=\"backoff\"} 7"),
-            "{page}"
-        );
-        assert!(
-            page.contains("trackcrank_start_latency_seconds_bucket{le=\"2\"} 1"),
-            "{page}"
-        );
-    }
-}
+mod tests;
--- /dev/null
+++ b/crates/trackcrank/src/metrics/tests.rs
@@ -0,0 +1,24 @@
+use super::*;
+
+#[test]
+fn page_contains_queues_and_latencies() {
+    let metrics = Metrics::new().expect("metrics");
+    metrics.observe_wait(1_500);
+    let view = serde_json::json!({
+        "pending": { "active": 3 },
+        "incoming": [["backoff", "failure", 7]],
+    });
+    let page = metrics.page(&view).expect("page");
+    assert!(
+        page.contains("trackcrank_pending_tasks{queue=\"active\"} 3"),
+        "{page}"
+    );
+    assert!(
+        page.contains("event=\"failure\",queue=\"backoff\"} 7"),
+        "{page}"
+    );
+    assert!(
+        page.contains("trackcrank_start_latency_seconds_bucket{le=\"2\"} 1"),
+        "{page}"
+    );
+}
--- a/crates/trackcrank/src/runtime.rs
+++ b/crates/trackcrank/src/runtime.rs
@@ -1,6 +1,7 @@
-//! The process around the node: one loop that feeds it events and carries out its effects.
+//! The process around the controller: one event loop that passes events to it and executes its effects.
 
 use crate::clients::HttpClient;
+use crate::error::ServeError;
 use crate::inbound::{request_queue, Inbound, Shared};
 use crate::metrics::Metrics;
 use crate::{mesh, server};
@@ -16,34 +17,38 @@
 use tokio::time::Instant;
 use wire::mesh::MeshMessage;
 
-/// Serves until killed.
-pub fn serve(settings: Settings) -> Result<(), String> {
+/// Results of effects and mesh messages that may be queued for the event loop.
+const MAX_QUEUED_RESULTS: usize = 1024;
+
+/// Serves until the process is killed, or until the HTTP server fails.
+pub fn serve(settings: Settings) -> Result<(), ServeError> {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
-        .map_err(|e| format!("cannot start the runtime: {e}"))?;
+        .map_err(ServeError::Runtime)?;
     runtime.block_on(run(settings))
 }
 
-async fn run(settings: Settings) -> Result<(), String> {
+async fn run(settings: Settings) -> Result<(), ServeError> {
     let (inbound, requests) = request_queue();
-    let (events, results) = mpsc::channel::<Event>(1024);
-    let metrics = Arc::new(Metrics::new().map_err(|e| format!("metrics: {e}"))?);
+    let (events, results) = mpsc::channel::<Event>(MAX_QUEUED_RESULTS);
+    let metrics = Arc::new(Metrics::new()?);
     let client = HttpClient::new(Some(metrics.rejected().clone()));
-    mesh::listen(
-        settings.mesh_address,
-        events.clone(),
-        metrics.rejected().clone(),
-    )
-    .await
-    .map_err(|e| format!("mesh_addr {}: {e}", settings.mesh_address))?;
+    let mesh_address = settings.mesh_address;
+    mesh::listen(mesh_address, events.clone(), metrics.rejected().clone())
+        .await
+        .map_err(|source| ServeError::Mesh {
+            address: mesh_address,
+            source,
+        })?;
     let shared = Shared {
         inbound,
         healthy: Arc::new(AtomicBool::new(false)),
         metrics,
     };
-    let listen = settings.listen_address;
-    let server = tokio::spawn(server::run(listen, shared.clone()));
+    let address = settings.listen_address;
+    // A task of its own, so that requests are read while the event loop is busy; its end is awaited below.
+    let server = tokio::spawn(server::run(address, shared.clone()));
     let peers = settings
         .peers
         .iter()
@@ -62,35 +67,38 @@
         events,
         peers,
         users: HashMap::new(),
-        reports: HashMap::new(),
+        heartbeats: HashMap::new(),
         admins: HashMap::new(),
         next_ticket: 0,
     };
     tokio::select! {
         ended = server => Err(match ended {
-            Ok(Err(problem)) => format!("serve_on {listen}: {problem}"),
-            _ => "the server has ended".into(),
+            Ok(Err(source)) => ServeError::Http { address, source },
+            _ => ServeError::ServerEnded,
         }),
         () = process.run(Controller::new(settings, seed), requests, results, shared) => Ok(()),
     }
 }
 
+/// Connections and open requests of the process.
 struct Process {
     client: HttpClient,
     state: std::net::SocketAddr,
     cloud: std::net::SocketAddr,
     events: mpsc::Sender<Event>,
     peers: HashMap<ControllerName, mpsc::Sender<MeshMessage>>,
+    /// Senders of the replies to open requests, by ticket.
     users: HashMap<Ticket, oneshot::Sender<UserReply>>,
-    reports: HashMap<Ticket, oneshot::Sender<HeartbeatReply>>,
+    heartbeats: HashMap<Ticket, oneshot::Sender<HeartbeatReply>>,
     admins: HashMap<Ticket, oneshot::Sender<AdminReply>>,
     next_ticket: Ticket,
 }
 
 impl Process {
+    /// The event loop.
     async fn run(
         mut self,
-        mut node: Controller,
+        mut controller: Controller,
         mut requests: mpsc::Receiver<Inbound>,
         mut results: mpsc::Receiver<Event>,
         shared: Shared,
@@ -98,46 +106,51 @@
         let start = Instant::now();
         let now = || Timestamp::from_millis(start.elapsed().as_millis() as u64);
         loop {
-            let due = start + Duration::from_millis(node.next_tick().as_millis());
+            let next_tick = start + Duration::from_millis(controller.next_tick().as_millis());
             let event = tokio::select! {
                 biased;
                 Some(event) = results.recv() => event,
-                Some(request) = requests.recv() => self.admit(request),
-                () = tokio::time::sleep_until(due) => Event::Tick,
+                Some(request) = requests.recv() => self.register(request),
+                () = tokio::time::sleep_until(next_tick) => Event::Tick,
             };
-            for effect in node.handle(now(), event) {
-                self.carry_out(effect);
+            for effect in controller.handle(now(), event) {
+                self.execute(effect);
             }
-            shared.healthy.store(node.healthy(), Ordering::Relaxed);
-            for wait in node.counters.waits.drain(..) {
+            shared
+                .healthy
+                .store(controller.healthy(), Ordering::Relaxed);
+            for wait in controller.counters.waits.drain(..) {
                 shared.metrics.observe_wait(wait);
             }
-            for (source, fault, count) in node.counters.rejections.drain() {
+            for (source, fault, count) in controller.counters.rejections.drain() {
                 shared.metrics.rejected().add_many(source, fault, count);
             }
         }
     }
 
-    fn admit(&mut self, request: Inbound) -> Event {
+    /// Keeps the reply channel of a request under a new ticket, and makes the request an event.
+    fn register(&mut self, request: Inbound) -> Event {
         self.next_ticket += 1;
         let ticket = self.next_ticket;
         match request {
-            Inbound::User(request, answer) => {
-                self.users.insert(ticket, answer);
+            Inbound::User(request, reply) => {
+                self.users.insert(ticket, reply);
                 Event::User { ticket, request }
             }
-            Inbound::Admin(request, answer) => {
-                self.admins.insert(ticket, answer);
+            Inbound::Admin(request, reply) => {
+                self.admins.insert(ticket, reply);
                 Event::Admin { ticket, request }
             }
-            Inbound::Heartbeat(report, answer) => {
-                self.reports.insert(ticket, answer);
+            Inbound::Heartbeat(report, reply) => {
+                self.heartbeats.insert(ticket, reply);
                 Event::Heartbeat { ticket, report }
             }
         }
     }
 
-    fn carry_out(&mut self, effect: Effect) {
+    /// Executes an effect. Calls over HTTP run in a detached task each: every one has a timeout, and its
+    /// outcome comes back as an event.
+    fn execute(&mut self, effect: Effect) {
         let client = self.client.clone();
         let events = self.events.clone();
         match effect {
@@ -176,18 +189,18 @@
                 }
             }
             Effect::User { ticket, reply } => {
-                if let Some(answer) = self.users.remove(&ticket) {
-                    let _ = answer.send(reply);
+                if let Some(sender) = self.users.remove(&ticket) {
+                    let _ = sender.send(reply);
                 }
             }
             Effect::Admin { ticket, reply } => {
-                if let Some(answer) = self.admins.remove(&ticket) {
-                    let _ = answer.send(reply);
+                if let Some(sender) = self.admins.remove(&ticket) {
+                    let _ = sender.send(reply);
                 }
             }
             Effect::Heartbeat { ticket, reply } => {
-                if let Some(answer) = self.reports.remove(&ticket) {
-                    let _ = answer.send(reply);
+                if let Some(sender) = self.heartbeats.remove(&ticket) {
+                    let _ = sender.send(reply);
                 }
             }
         }
--- a/crates/trackcrank/src/server.rs
+++ b/crates/trackcrank/src/server.rs
@@ -18,8 +18,10 @@
 use wire::users::{ErrorBody, JobRequest};
 use wire::workers::{Heartbeat, Redirect};
 
-/// Largest request body.
+/// Largest request body in bytes.
 const MAX_BODY: usize = 64 * 1024;
+/// Seconds after which a client should retry while the event loop cannot take its request.
+const RETRY_AFTER_S: u64 = 1;
 
 /// Serves until the listener fails.
 pub async fn run(address: SocketAddr, shared: Shared) -> Result<(), std::io::Error> {
@@ -29,14 +31,14 @@
         .await
 }
 
-/// What is served under which path.
+/// All routes.
 pub fn routes(shared: Shared) -> impl IntoEndpoint {
     Route::new()
         .at("/healthz", get(health))
         .at("/v1/jobs", post(submit))
         .at("/v1/jobs/:id", get(poll_job))
         .at("/v1/jobs/:id/cancel", post(cancel))
-        .at("/hello", post(report))
+        .at("/hello", post(heartbeat))
         .at("/metrics", get(metrics))
         .at(
             "/admin/v1/settings",
@@ -50,27 +52,27 @@
         .data(shared)
 }
 
-/// Reads a body that holds one object of this kind; what is not one is counted and answered with 400.
+/// Decodes a body that must be one JSON object; anything else is counted and rejected with status 400.
 async fn read_object<T: DeserializeOwned>(
     body: Body,
     source: MessageSource,
     shared: &Shared,
 ) -> Result<T, Response> {
-    let refuse = |fault, error: String| {
+    let reject = |fault, error: String| {
         shared.metrics.rejected().add(source, fault);
         problem(StatusCode::BAD_REQUEST, error)
     };
     let bytes = match body.into_bytes_limit(MAX_BODY).await {
         Ok(bytes) => bytes,
         Err(ReadBodyError::PayloadTooLarge) => {
-            return Err(refuse(
+            return Err(reject(
                 MessageFault::TooLarge,
                 "the body is too large".into(),
             ))
         }
-        Err(error) => return Err(refuse(MessageFault::Malformed, error.to_string())),
+        Err(error) => return Err(reject(MessageFault::Malformed, error.to_string())),
     };
-    from_object(&bytes).map_err(|error| refuse(MessageFault::Malformed, error.to_string()))
+    from_object(&bytes).map_err(|error| reject(MessageFault::Malformed, error.to_string()))
 }
 
 fn json<T: Serialize>(status: StatusCode, body: &T) -> Response {
@@ -94,6 +96,7 @@
     )
 }
 
+/// Status 503: the client should retry after so many seconds.
 fn busy(retry_after_s: u64) -> Response {
     let mut response = problem(StatusCode::SERVICE_UNAVAILABLE, "come back later");
     response
@@ -111,33 +114,35 @@
     }
 }
 
-async fn ask(shared: &Shared, request: UserRequest) -> Response {
-    let (sender, answer) = oneshot::channel();
+async fn user_response(shared: &Shared, request: UserRequest) -> Response {
+    let (sender, reply) = oneshot::channel();
     if shared
         .inbound
         .try_send(Inbound::User(request, sender))
         .is_err()
     {
-        return busy(1);
+        return busy(RETRY_AFTER_S);
     }
-    match answer.await {
+    match reply.await {
         Ok(UserReply::Created(status)) => json(StatusCode::CREATED, &status),
         Ok(UserReply::Status(status)) => json(StatusCode::OK, &status),
         Ok(UserReply::NotFound) => problem(StatusCode::NOT_FOUND, "no such job"),
-        Ok(UserReply::Invalid(why)) => {
+        Ok(UserReply::Invalid(error)) => {
             shared
                 .metrics
                 .rejected()
                 .add(MessageSource::User, MessageFault::Malformed);
-            problem(StatusCode::BAD_REQUEST, why)
+            problem(StatusCode::BAD_REQUEST, error)
+        }
+        Ok(UserReply::Rejected(reason)) => {
+            problem(StatusCode::UNPROCESSABLE_ENTITY, reason.to_string())
         }
-        Ok(UserReply::Rejected(why)) => problem(StatusCode::UNPROCESSABLE_ENTITY, why.to_string()),
         Ok(UserReply::Busy { retry_after_s }) => busy(retry_after_s),
-        Err(_) => busy(1),
+        Err(_) => busy(RETRY_AFTER_S),
     }
 }
 
-/// An id that no job can have.
+/// Response to an id that no job can have.
 fn unknown_id(shared: &Shared) -> Response {
     shared
         .metrics
@@ -149,15 +154,15 @@
 #[handler]
 async fn submit(body: Body, shared: Data<&Shared>) -> Response {
     match read_object::<JobRequest>(body, MessageSource::User, &shared).await {
-        Ok(job) => ask(&shared, UserRequest::Submit(Box::new(job))).await,
-        Err(refused) => refused,
+        Ok(job) => user_response(&shared, UserRequest::Submit(Box::new(job))).await,
+        Err(rejection) => rejection,
     }
 }
 
 #[handler]
 async fn poll_job(Path(id): Path<String>, shared: Data<&Shared>) -> Response {
     match JobId::parse(&id) {
-        Some(id) => ask(&shared, UserRequest::Get(id)).await,
+        Some(id) => user_response(&shared, UserRequest::Get(id)).await,
         None => unknown_id(&shared),
     }
 }
@@ -165,50 +170,50 @@
 #[handler]
 async fn cancel(Path(id): Path<String>, shared: Data<&Shared>) -> Response {
     match JobId::parse(&id) {
-        Some(id) => ask(&shared, UserRequest::Cancel(id)).await,
+        Some(id) => user_response(&shared, UserRequest::Cancel(id)).await,
         None => unknown_id(&shared),
     }
 }
 
 #[handler]
-async fn report(body: Body, shared: Data<&Shared>) -> Response {
-    let report = match read_object::<Heartbeat>(body, MessageSource::Worker, &shared).await {
-        Ok(report) => report,
-        Err(refused) => return refused,
+async fn heartbeat(body: Body, shared: Data<&Shared>) -> Response {
+    let heartbeat = match read_object::<Heartbeat>(body, MessageSource::Worker, &shared).await {
+        Ok(heartbeat) => heartbeat,
+        Err(rejection) => return rejection,
     };
-    let (sender, answer) = oneshot::channel();
+    let (sender, reply) = oneshot::channel();
     if shared
         .inbound
-        .try_send(Inbound::Heartbeat(Box::new(report), sender))
+        .try_send(Inbound::Heartbeat(Box::new(heartbeat), sender))
         .is_err()
     {
-        return busy(1);
+        return busy(RETRY_AFTER_S);
     }
-    match answer.await {
-        Ok(HeartbeatReply::Answer(answer)) => json(StatusCode::OK, &answer),
-        Ok(HeartbeatReply::Redirect(node)) => json(
+    match reply.await {
+        Ok(HeartbeatReply::Answer(response)) => json(StatusCode::OK, &response),
+        Ok(HeartbeatReply::Redirect(controller)) => json(
             StatusCode::MISDIRECTED_REQUEST,
             &Redirect {
-                report_to: node.map(|n| n.to_string()),
+                report_to: controller.map(|name| name.to_string()),
             },
         ),
         Ok(HeartbeatReply::Malformed) => {
             problem(StatusCode::BAD_REQUEST, "the report is malformed")
         }
-        Ok(HeartbeatReply::Unavailable) | Err(_) => busy(1),
+        Ok(HeartbeatReply::Unavailable) | Err(_) => busy(RETRY_AFTER_S),
     }
 }
 
-/// Body of a change of the operators' settings.
+/// Body of a change of the operational settings.
 #[derive(serde::Deserialize)]
 struct ChangeSettings {
     version: u64,
     settings: serde_json::Value,
 }
 
-async fn administer(shared: &Shared, request: AdminRequest) -> AdminReply {
-    let (sender, answer) = oneshot::channel();
-    let refused = || AdminReply {
+async fn admin_reply(shared: &Shared, request: AdminRequest) -> AdminReply {
+    let (sender, reply) = oneshot::channel();
+    let unavailable = || AdminReply {
         status: 503,
         body: serde_json::json!({ "error": "come back later" }),
     };
@@ -217,13 +222,13 @@
         .try_send(Inbound::Admin(request, sender))
         .is_err()
     {
-        return refused();
+        return unavailable();
     }
-    answer.await.unwrap_or_else(|_| refused())
+    reply.await.unwrap_or_else(|_| unavailable())
 }
 
 async fn admin_response(shared: &Shared, request: AdminRequest) -> Response {
-    let reply = administer(shared, request).await;
+    let reply = admin_reply(shared, request).await;
     let status = StatusCode::from_u16(reply.status).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
     if status == StatusCode::BAD_REQUEST {
         shared
@@ -245,7 +250,7 @@
         Ok(ChangeSettings { version, settings }) => {
             admin_response(&shared, AdminRequest::ChangeSettings { version, settings }).await
         }
-        Err(refused) => refused,
+        Err(rejection) => rejection,
     }
 }
 
@@ -276,7 +281,7 @@
 
 #[handler]
 async fn metrics(shared: Data<&Shared>) -> Response {
-    let reply = administer(&shared, AdminRequest::Metrics).await;
+    let reply = admin_reply(&shared, AdminRequest::Metrics).await;
     match shared.metrics.page(&reply.body) {
         Ok(page) => Response::builder()
             .content_type("text/plain; version=0.0.4")
