--- a/crates/controller/src/controller/mod.rs
+++ b/crates/controller/src/controller/mod.rs
@@ -39,11 +39,11 @@
 use machine_records::MachineChanges;
 use model::{
     CallId, ControllerName, FencingToken, JobId, MachineName, PartitionId, RejectReason, Settings,
-    TaskId, Timestamp, ZoneName,
+    Timestamp, ZoneName,
 };
 use rand::rngs::SmallRng;
 use rand::SeedableRng;
-use scheduler::Policy;
+use scheduler::{Policy, TaskAttempt};
 use scheduling_queue::QueueConfig;
 use std::collections::{BTreeMap, HashMap, HashSet};
 use wire::cloud::{CloudReply, CloudRequest, RentRequest};
@@ -281,7 +281,7 @@
     Direct {
         partition: PartitionId,
         machine: MachineName,
-        launches: Vec<(TaskId, model::Attempt)>,
+        launches: Vec<TaskAttempt>,
     },
 }
 
@@ -358,8 +358,8 @@
     reacquisition_backoffs: BTreeMap<PartitionId, membership::ReacquisitionBackoff>,
     alive_at: Timestamp,
     load_at: Timestamp,
-    /// When we wrote what our partitions lack, and whether that was anything.
-    demand_at: HashMap<PartitionId, (Timestamp, bool)>,
+    /// The last writes of partitions' unmet demand.
+    demand_writes: HashMap<PartitionId, leadership::DemandWrite>,
     job_status: JobStatusCache,
     reads: LinearizableReads,
     admission: Admission,
@@ -411,7 +411,7 @@
             reacquisition_backoffs: BTreeMap::new(),
             alive_at: Timestamp::default(),
             load_at: Timestamp::default(),
-            demand_at: HashMap::new(),
+            demand_writes: HashMap::new(),
             job_status: JobStatusCache::default(),
             reads: LinearizableReads::default(),
             admission: Admission::default(),
