--- a/crates/autoscaler/tests/planning.rs
+++ b/crates/autoscaler/tests/planning.rs
@@ -8,7 +8,7 @@
 use wire::mesh::DemandShape;
 use wire::users::Priority;
 
-fn kind() -> MachineType {
+fn machine_type() -> MachineType {
     MachineType {
         name: "m4".into(),
         cpus: 4.0,
@@ -76,18 +76,19 @@
     }
 }
 
-fn ceded(actions: &[FleetAction]) -> Vec<(u32, u32, u32)> {
-    let cede = |a: &FleetAction| match a {
+/// The transfers that a plan requests of partition leaders: from, to, number of machines.
+fn requested_transfers(actions: &[FleetAction]) -> Vec<(u32, u32, u32)> {
+    let transfer = |action: &FleetAction| match action {
         FleetAction::TransferWhenEmpty {
             from, to, count, ..
         } => Some((from.0, to.0, *count)),
         _ => None,
     };
-    actions.iter().filter_map(cede).collect()
+    actions.iter().filter_map(transfer).collect()
 }
 
-/// Seen on a grown site: the partition planned for first rented all there was, and another's
-/// replicas waited for minutes while it ran arrays beyond its guarantee.
+/// Without transfers, a partition that has rented all machines there are would run arrays beyond its
+/// guarantee while replicas of another one wait.
 #[test]
 fn partitions_transfer_machines_when_none_can_be_rented() {
     let machines: Vec<FleetMachine> = (0..20).map(|n| machine(n, 0, n >= 4)).collect();
@@ -95,28 +96,31 @@
     let plan = |needs: &[PartitionNeed]| {
         plan(
             &FleetPolicy::default(),
-            &[kind()],
+            &[machine_type()],
             &machines,
             needs,
             &refused,
         )
     };
     assert_eq!(
-        ceded(&plan(&[need(0, 9, 0), need(1, 18, 18)])),
+        requested_transfers(&plan(&[need(0, 9, 0), need(1, 18, 18)])),
         [(0, 1, 16)]
     );
     assert_eq!(
-        ceded(&plan(&[need(0, 9, 0), need(1, 18, 0)])),
+        requested_transfers(&plan(&[need(0, 9, 0), need(1, 18, 0)])),
         [(0, 1, 7)],
-        "about an even part"
+        "about the same number in both"
+    );
+    assert_eq!(
+        requested_transfers(&plan(&[need(0, 9, 9), need(1, 0, 0)])),
+        []
     );
-    assert_eq!(ceded(&plan(&[need(0, 9, 9), need(1, 0, 0)])), []);
 }
 
-/// Guests' work of low priority would fill hundreds of ordinary machines otherwise, and hold
-/// the cheap ones while other partitions rent ordinary ones.
+/// Otherwise best-effort work would fill hundreds of on-demand machines, and keep the spot machines while
+/// other partitions rent on-demand ones.
 #[test]
-fn best_effort_work_gets_only_spot_machines_and_gives_them_up() {
+fn best_effort_work_rents_only_spot_machines_and_is_preempted_for_other_work() {
     let mut low = need(0, 40, 0);
     low.demand[0].priority = Priority::Low;
     low.demand[0].spot = true;
@@ -136,30 +140,34 @@
     };
     let actions = plan(
         &policy,
-        &[kind()],
+        &[machine_type()],
         &machines,
         &[low.clone(), normal],
         &refused,
     );
-    assert_eq!(ceded(&actions).last(), Some(&(0, 1, 2)), "{actions:?}");
-    let rents = |a: &&FleetAction| matches!(a, FleetAction::Rent { .. });
-    assert_eq!(actions.iter().filter(rents).count(), 0, "{actions:?}");
-    let cheap = plan(&policy, &[kind()], &[], &[low], &HashMap::new());
+    assert_eq!(
+        requested_transfers(&actions).last(),
+        Some(&(0, 1, 2)),
+        "{actions:?}"
+    );
+    let is_rental = |action: &&FleetAction| matches!(action, FleetAction::Rent { .. });
+    assert_eq!(actions.iter().filter(is_rental).count(), 0, "{actions:?}");
+    let rented = plan(&policy, &[machine_type()], &[], &[low], &HashMap::new());
     assert!(
         matches!(
-            cheap[..],
+            rented[..],
             [FleetAction::Rent {
                 spot: true,
                 count: 40,
                 ..
             }]
         ),
-        "{cheap:?}"
+        "{rented:?}"
     );
 }
 
-/// Found in the log of a grown site: machines were given back to the cloud on arriving in
-/// another partition, since they were old and its holder had not heard them yet.
+/// The age of a transferred machine is no evidence against it: its new partition leader has not had the time
+/// to receive a heartbeat.
 #[test]
 fn transferred_machine_is_not_returned_before_it_can_report() {
     let moved = FleetMachine {
@@ -173,14 +181,15 @@
         ..moved.clone()
     };
     let policy = FleetPolicy::default();
-    let plan = |m: FleetMachine| plan(&policy, &[kind()], &[m], &[], &HashMap::new());
+    let plan =
+        |machine: FleetMachine| plan(&policy, &[machine_type()], &[machine], &[], &HashMap::new());
     assert_eq!(plan(moved), []);
     assert_eq!(plan(lost).len(), 1);
 }
 
-/// What each partition rents, by type and zone.
-fn rents(actions: &[FleetAction]) -> Vec<(u32, String, String, u32)> {
-    let rent = |a: &FleetAction| match a {
+/// The rentals of a plan: partition, machine type, zone, number of machines.
+fn rentals(actions: &[FleetAction]) -> Vec<(u32, String, String, u32)> {
+    let rental = |action: &FleetAction| match action {
         FleetAction::Rent {
             machine_type,
             zone,
@@ -190,12 +199,12 @@
         } => Some((partition.0, machine_type.clone(), zone.to_string(), *count)),
         _ => None,
     };
-    actions.iter().filter_map(rent).collect()
+    actions.iter().filter_map(rental).collect()
 }
 
 fn three_types() -> Vec<MachineType> {
     let zones = || vec!["a".into(), "b".into()];
-    let of = |name: &str, cpus, gpus, price| MachineType {
+    let new_type = |name: &str, cpus, gpus, price| MachineType {
         name: name.into(),
         cpus,
         gpus,
@@ -203,12 +212,12 @@
         price,
         spot_price: price / 3.0,
         zones: zones(),
-        ..kind()
+        ..machine_type()
     };
     vec![
-        of("m4", 4.0, 0.0, 0.24),
-        of("m20", 20.0, 0.0, 1.2),
-        of("g24", 24.0, 4.0, 14.0),
+        new_type("m4", 4.0, 0.0, 0.24),
+        new_type("m20", 20.0, 0.0, 1.2),
+        new_type("g24", 24.0, 4.0, 14.0),
     ]
 }
 
@@ -225,7 +234,7 @@
     need
 }
 
-/// Seen on a site with three types: machines for gangs were asked for in one zone only, for minutes.
+/// A gang must not wait for the machines of one zone if it can have all of them in another.
 #[test]
 fn gang_moves_to_another_zone_as_a_whole_when_its_own_is_sold_out() {
     let types = three_types();
@@ -235,13 +244,13 @@
     need.demand[0].tasks = 1;
     let actions = plan(&policy, &types, &[], &[need.clone()], &HashMap::new());
     assert_eq!(
-        rents(&actions),
+        rentals(&actions),
         [(1, "m20".into(), "a".into(), 1)],
-        "one is missing there"
+        "one machine is missing there"
     );
     let actions = plan(&policy, &types, &[], &[need.clone()], &refused);
-    assert_eq!(rents(&actions), [(1, "m20".into(), "b".into(), 4)]);
-    let boots = |n| FleetMachine {
+    assert_eq!(rentals(&actions), [(1, "m20".into(), "b".into(), 4)]);
+    let booting = |n| FleetMachine {
         machine_type: "m20".into(),
         zone: ZoneName::from("b"),
         reporting: false,
@@ -249,15 +258,15 @@
         observable_for: Duration::from_secs(1),
         ..machine(n, 1, false)
     };
-    let coming: Vec<FleetMachine> = (0..4).map(boots).collect();
+    let incoming: Vec<FleetMachine> = (0..4).map(booting).collect();
     assert_eq!(
-        rents(&plan(&policy, &types, &coming, &[need], &refused)),
+        rentals(&plan(&policy, &types, &incoming, &[need], &refused)),
         [],
-        "they come"
+        "enough machines are booting"
     );
 }
 
-/// Machines with GPUs were rented for gangs that need none, at a hundred times the price.
+/// Machines with GPUs cost a hundred times as much as those without.
 #[test]
 fn gpu_machines_are_not_rented_for_cpu_work_and_gang_types_are_left_to_gangs() {
     let types = three_types();
@@ -265,36 +274,39 @@
         horizon: Duration::from_secs(1),
         ..FleetPolicy::default()
     };
-    let gone = |name: &str| {
-        let of = |zone: &str| (offer(name, zone, false), 0);
-        [of("a"), of("b")]
+    let sold_out = |name: &str| {
+        let refused_in = |zone: &str| (offer(name, zone, false), 0);
+        [refused_in("a"), refused_in("b")]
     };
-    let refused = HashMap::from_iter(gone("m20"));
-    assert_eq!(rents(&plan(&policy, &types, &[], &[gang(2)], &refused)), []);
+    let refused = HashMap::from_iter(sold_out("m20"));
+    assert_eq!(
+        rentals(&plan(&policy, &types, &[], &[gang(2)], &refused)),
+        []
+    );
     let small = need(0, 3, 0);
-    let refused = HashMap::from_iter(gone("m4"));
+    let refused = HashMap::from_iter(sold_out("m4"));
     let both = plan(&policy, &types, &[], &[small.clone(), gang(2)], &refused);
     assert_eq!(
-        rents(&both),
+        rentals(&both),
         [(1, "m20".into(), "a".into(), 2)],
-        "the array waits for small ones"
+        "the array waits for small machines"
     );
     let alone = plan(&policy, &types, &[], &[small], &refused);
-    assert_eq!(rents(&alone), [(0, "m20".into(), "a".into(), 1)]);
+    assert_eq!(rentals(&alone), [(0, "m20".into(), "a".into(), 1)]);
 }
 
 #[test]
-fn urgent_work_is_rented_first_and_the_rest_in_turn() {
+fn machines_are_rented_for_urgent_work_first_then_in_turn() {
     let refused = HashMap::new();
     let needs = [need(0, 30, 0), need(1, 30, 3)];
     let policy = FleetPolicy {
         horizon: Duration::from_secs(1),
         ..FleetPolicy::default()
     };
-    let actions = plan(&policy, &[kind()], &[], &needs, &refused);
+    let actions = plan(&policy, &[machine_type()], &[], &needs, &refused);
     let rented: Vec<(u32, u32)> = actions
         .iter()
-        .filter_map(|a| match a {
+        .filter_map(|action| match action {
             FleetAction::Rent {
                 partition, count, ..
             } => Some((partition.0, *count)),
@@ -304,10 +316,10 @@
     assert_eq!(rented, [(0, 30), (1, 30)]);
 }
 
-/// Seen while a site filled up: machines were rented for low replicas one after the other, and arrays
-/// inside the guarantee, planned for over the horizon, took each of them for 40 s.
+/// Guaranteed array work precedes replicas of low priority in the queue: if it were planned for over the
+/// horizon, it would take each machine that is rented for the replicas.
 #[test]
-fn what_goes_before_waiting_replicas_gets_room_at_once() {
+fn work_preceding_waiting_replicas_gets_machines_at_once() {
     let mut services = need(0, 1, 1);
     services.demand[0].estimate_ms = 0;
     services.demand[0].priority = Priority::Low;
@@ -320,20 +332,20 @@
         let needs = [need.clone()];
         let actions = plan(
             &FleetPolicy::default(),
-            &[kind()],
+            &[machine_type()],
             &[],
             &needs,
             &HashMap::new(),
         );
-        rents(&actions).iter().map(|rent| rent.3).sum::<u32>()
+        rentals(&actions).iter().map(|rent| rent.3).sum::<u32>()
     };
-    assert_eq!(rented(&arrays), 1, "worked off within the horizon");
+    assert_eq!(rented(&arrays), 1, "finished within the horizon");
     assert_eq!(rented(&both), 3, "two for the arrays, one for the replica");
     both.demand[0].priority = Priority::Low;
     both.demand[1].priority = Priority::High;
-    assert_eq!(rented(&both), 2, "the replica goes first");
+    assert_eq!(rented(&both), 2, "the replica precedes the arrays");
     both.demand[1].priority = Priority::Low;
     both.demand[1].zone = Some("b".into());
     both.demand[0].zone = Some("a".into());
-    assert_eq!(rented(&both), 1, "the replica waits elsewhere");
+    assert_eq!(rented(&both), 1, "the replica waits in another zone");
 }
