--- a/crates/model/src/lib.rs
+++ b/crates/model/src/lib.rs
@@ -1,5 +1,7 @@
 //! Identities, times, resources, jobs and settings of trackcrank.
 
+#![warn(missing_docs)]
+
 pub mod ids;
 pub mod job;
 pub mod resources;
--- a/crates/scheduler/src/queue_entry.rs
+++ b/crates/scheduler/src/queue_entry.rs
@@ -31,7 +31,7 @@
     /// Work within its team's guarantee precedes all other work.
     pub beyond_guarantee: bool,
     pub priority: Reverse<Priority>,
-    /// Submission time plus penalties, in milliseconds, see [`Job::scheduling_time_ms`].
+    /// Submission time plus penalties, in milliseconds, see `Job::scheduling_time_ms`.
     pub scheduling_time_ms: u64,
     /// Index of the task within its job; 0 for a gang.
     pub task_index: u32,
--- a/crates/scheduling-queue/src/lib.rs
+++ b/crates/scheduling-queue/src/lib.rs
@@ -5,6 +5,8 @@
 //! request came in the cycle in which it was tried or later: then it backs off, since the change
 //! that it missed may be the one that it needs.
 
+#![warn(missing_docs)]
+
 mod config;
 mod metrics;
 mod queue;
--- a/crates/simulator/src/worker.rs
+++ b/crates/simulator/src/worker.rs
@@ -299,7 +299,7 @@
         }
     }
 
-    /// Lets tasks go on. A gang's tasks start through [`Worker::start_gang`].
+    /// Lets tasks go on. A gang's tasks start through [`Worker::set_gang`].
     pub fn advance(
         &mut self,
         now: u64,
--- a/crates/trackcrank/src/lib.rs
+++ b/crates/trackcrank/src/lib.rs
@@ -1,5 +1,7 @@
 //! trackcrank: the controller process around [`controller::Controller`], and the command line.
 
+#![warn(missing_docs)]
+
 pub mod cli;
 pub mod clients;
 pub mod error;
