--- a/crates/simulator/src/cloud.rs
+++ b/crates/simulator/src/cloud.rs
@@ -5,6 +5,7 @@
 use std::collections::{BTreeMap, HashMap};
 use wire::cloud::{
     CloudReply, CloudRequest, ListedMachine, MachineList, MachineState, MachineType, MachineTypes,
+    RentRequest,
 };
 
 /// A rented machine.
@@ -95,89 +96,103 @@
                 }),
                 Vec::new(),
             ),
-            CloudRequest::Rent(rent) => {
-                if let Some(names) = self.requests.get(&rent.request) {
-                    return (CloudReply::Rented(names.clone()), Vec::new());
-                }
-                let limit = self
-                    .capacity
-                    .get(&(rent.zone.clone(), rent.spot))
-                    .copied()
-                    .unwrap_or(0);
-                let free = limit.saturating_sub(self.used(&rent.zone, rent.spot));
-                let count = free.min(rent.count);
-                if count == 0 {
-                    return (CloudReply::NoCapacity, Vec::new());
-                }
-                let names: Vec<String> = (0..count)
-                    .map(|_| {
-                        self.next += 1;
-                        let name = format!("host-{:06}", self.next);
-                        let never = rng.random_bool(match self.boots {
-                            BootBehavior::Never => 0.5,
-                            _ => 0.03,
-                        });
-                        let boot = match self.boots {
-                            BootBehavior::Early => 0,
-                            BootBehavior::Late => rng.random_range(15_000..60_000),
-                            BootBehavior::Quick => rng.random_range(1_500..2_000),
-                            _ => rng.random_range(2_000..8_000),
-                        };
-                        let machine = RentedMachine {
-                            machine_type: rent.machine_type.clone(),
-                            zone: rent.zone.clone(),
-                            spot: rent.spot,
-                            rented_at: now,
-                            up_at: (!never).then_some(now + boot),
-                            gone_at: None,
-                        };
-                        self.machines.insert(name.clone(), machine);
-                        name
-                    })
-                    .collect();
-                self.requests.insert(rent.request.clone(), names.clone());
-                (CloudReply::Rented(names), Vec::new())
+            CloudRequest::Rent(rent) => (self.rent(now, rent, rng), Vec::new()),
+            CloudRequest::Release(names) => (CloudReply::Released, self.release(now, names)),
+            CloudRequest::List { after, limit } => {
+                let seen_at = now.saturating_sub(rng.random_range(self.lag / 2..self.lag * 2));
+                (
+                    CloudReply::List(self.list(seen_at, after, *limit as usize)),
+                    Vec::new(),
+                )
             }
-            CloudRequest::Release(names) => {
-                let mut gone = Vec::new();
-                for name in names {
-                    if let Some(machine) = self.machines.get_mut(name) {
-                        if machine.gone_at.is_none() {
-                            machine.gone_at = Some(now);
-                            gone.push(name.clone());
-                        }
-                    }
+        }
+    }
+
+    /// Rents machines; a repeated request returns the same ones.
+    fn rent(&mut self, now: u64, rent: &RentRequest, rng: &mut SmallRng) -> CloudReply {
+        if let Some(names) = self.requests.get(&rent.request) {
+            return CloudReply::Rented(names.clone());
+        }
+        let limit = self
+            .capacity
+            .get(&(rent.zone.clone(), rent.spot))
+            .copied()
+            .unwrap_or(0);
+        let free = limit.saturating_sub(self.used(&rent.zone, rent.spot));
+        let count = free.min(rent.count);
+        if count == 0 {
+            return CloudReply::NoCapacity;
+        }
+        let names: Vec<String> = (0..count).map(|_| self.rent_one(now, rent, rng)).collect();
+        self.requests.insert(rent.request.clone(), names.clone());
+        CloudReply::Rented(names)
+    }
+
+    fn rent_one(&mut self, now: u64, rent: &RentRequest, rng: &mut SmallRng) -> String {
+        self.next += 1;
+        let name = format!("host-{:06}", self.next);
+        let never = rng.random_bool(match self.boots {
+            BootBehavior::Never => 0.5,
+            _ => 0.03,
+        });
+        let boot = match self.boots {
+            BootBehavior::Early => 0,
+            BootBehavior::Late => rng.random_range(15_000..60_000),
+            BootBehavior::Quick => rng.random_range(1_500..2_000),
+            _ => rng.random_range(2_000..8_000),
+        };
+        let machine = RentedMachine {
+            machine_type: rent.machine_type.clone(),
+            zone: rent.zone.clone(),
+            spot: rent.spot,
+            rented_at: now,
+            up_at: (!never).then_some(now + boot),
+            gone_at: None,
+        };
+        self.machines.insert(name.clone(), machine);
+        name
+    }
+
+    /// Releases machines; returns those that were not gone before.
+    fn release(&mut self, now: u64, names: &[String]) -> Vec<String> {
+        let mut gone = Vec::new();
+        for name in names {
+            if let Some(machine) = self.machines.get_mut(name) {
+                if machine.gone_at.is_none() {
+                    machine.gone_at = Some(now);
+                    gone.push(name.clone());
                 }
-                (CloudReply::Released, gone)
-            }
-            CloudRequest::List { after, limit } => {
-                let then = now.saturating_sub(rng.random_range(self.lag / 2..self.lag * 2));
-                let mut machines: Vec<ListedMachine> = self
-                    .machines
-                    .iter()
-                    .filter(|(name, m)| {
-                        name.as_str() > after.as_str()
-                            && m.rented_at <= then
-                            && m.gone_at.is_none_or(|at| at > then)
-                    })
-                    .map(|(name, m)| ListedMachine {
-                        id: name.clone(),
-                        address: format!("{name}:9000"),
-                        machine_type: m.machine_type.clone(),
-                        zone: m.zone.clone(),
-                        spot: m.spot,
-                        state: if m.up_at.is_some_and(|at| at <= then) {
-                            MachineState::Running
-                        } else {
-                            MachineState::Booting
-                        },
-                        age_s: (then - m.rented_at) as f64 / 1000.0,
-                    })
-                    .collect();
-                let more = machines.len() > *limit as usize;
-                machines.truncate(*limit as usize);
-                (CloudReply::List(MachineList { machines, more }), Vec::new())
             }
         }
+        gone
+    }
+
+    /// A page of the machines as they were at a time.
+    fn list(&self, seen_at: u64, after: &str, limit: usize) -> MachineList {
+        let mut machines: Vec<ListedMachine> = self
+            .machines
+            .iter()
+            .filter(|(name, m)| {
+                name.as_str() > after
+                    && m.rented_at <= seen_at
+                    && m.gone_at.is_none_or(|at| at > seen_at)
+            })
+            .map(|(name, m)| ListedMachine {
+                id: name.clone(),
+                address: format!("{name}:9000"),
+                machine_type: m.machine_type.clone(),
+                zone: m.zone.clone(),
+                spot: m.spot,
+                state: if m.up_at.is_some_and(|at| at <= seen_at) {
+                    MachineState::Running
+                } else {
+                    MachineState::Booting
+                },
+                age_s: (seen_at - m.rented_at) as f64 / 1000.0,
+            })
+            .collect();
+        let more = machines.len() > limit;
+        machines.truncate(limit);
+        MachineList { machines, more }
     }
 }
--- a/crates/simulator/src/worker.rs
+++ b/crates/simulator/src/worker.rs
@@ -205,60 +205,7 @@
 
     fn execute(&mut self, command: &Command, now: u64, jobs: &HashMap<String, JobRequest>) {
         match command {
-            Command::Start { task, attempt } => {
-                let key = (task.clone(), *attempt);
-                if self.tasks.contains_key(&key) {
-                    return;
-                }
-                self.changed = true;
-                let id = task.split('/').next().unwrap_or_default();
-                let exited = |why| WorkerTask {
-                    state: TaskState::Exited,
-                    why: Some(why),
-                    image_at: 0,
-                    done_at: None,
-                    saved_at: None,
-                };
-                let Some(job) = jobs.get(id) else {
-                    self.tasks.insert(key, exited(ExitCause::Unknown));
-                    return;
-                };
-                let busy = self
-                    .tasks
-                    .iter()
-                    .any(|((other, _), held)| other == task && held.state != TaskState::Exited);
-                if busy {
-                    self.tasks.insert(key, exited(ExitCause::Busy));
-                    return;
-                }
-                let live = self
-                    .tasks
-                    .iter()
-                    .filter(|(_, h)| h.state != TaskState::Exited);
-                let used: f64 = live
-                    .filter_map(|((other, _), _)| jobs.get(other.split('/').next()?))
-                    .map(|j| j.cpus)
-                    .sum();
-                if used + job.cpus > 4.0 {
-                    self.tasks.insert(key, exited(ExitCause::NoRoom));
-                    return;
-                }
-                let fetch = if self.images.contains(&job.image) {
-                    0
-                } else {
-                    (job.image_gb * 1000.0) as u64
-                };
-                self.tasks.insert(
-                    key,
-                    WorkerTask {
-                        state: TaskState::Fetching,
-                        why: None,
-                        image_at: now + fetch,
-                        done_at: None,
-                        saved_at: None,
-                    },
-                );
-            }
+            Command::Start { task, attempt } => self.start_task(task, *attempt, now, jobs),
             Command::Stop { .. } if self.ignores_stops => {}
             Command::Stop {
                 task,
@@ -266,25 +213,7 @@
                 grace_s,
             } => {
                 let job = jobs.get(task.split('/').next().unwrap_or_default());
-                let save_s = job.filter(|j| j.checkpoint_s > 0.0).map(|j| j.save_s);
-                if let Some(held) = self.tasks.get_mut(&(task.clone(), *attempt)) {
-                    let saves = save_s.filter(|s| s <= grace_s && *grace_s > 0.0);
-                    match (held.state, saves) {
-                        (TaskState::Exited, _) => {}
-                        // Only a second command without grace ends a task that is saving.
-                        (TaskState::Saving, _) if *grace_s > 0.0 => {}
-                        (TaskState::Running, Some(save_s)) => {
-                            held.state = TaskState::Saving;
-                            held.saved_at = Some(now + (save_s * 1_000.0) as u64);
-                            self.changed = true;
-                        }
-                        _ => {
-                            held.state = TaskState::Exited;
-                            held.why = Some(ExitCause::Stopped);
-                            self.changed = true;
-                        }
-                    }
-                }
+                self.stop_task(task, *attempt, *grace_s, job, now);
             }
             Command::Forget { task, attempt } => {
                 let key = (task.clone(), *attempt);
@@ -299,6 +228,96 @@
         }
     }
 
+    fn start_task(
+        &mut self,
+        task: &str,
+        attempt: u64,
+        now: u64,
+        jobs: &HashMap<String, JobRequest>,
+    ) {
+        let key = (task.to_owned(), attempt);
+        if self.tasks.contains_key(&key) {
+            return;
+        }
+        self.changed = true;
+        let id = task.split('/').next().unwrap_or_default();
+        let exited = |why| WorkerTask {
+            state: TaskState::Exited,
+            why: Some(why),
+            image_at: 0,
+            done_at: None,
+            saved_at: None,
+        };
+        let Some(job) = jobs.get(id) else {
+            self.tasks.insert(key, exited(ExitCause::Unknown));
+            return;
+        };
+        let busy = self
+            .tasks
+            .iter()
+            .any(|((other, _), held)| other == task && held.state != TaskState::Exited);
+        if busy {
+            self.tasks.insert(key, exited(ExitCause::Busy));
+            return;
+        }
+        let live = self
+            .tasks
+            .iter()
+            .filter(|(_, h)| h.state != TaskState::Exited);
+        let used: f64 = live
+            .filter_map(|((other, _), _)| jobs.get(other.split('/').next()?))
+            .map(|j| j.cpus)
+            .sum();
+        if used + job.cpus > 4.0 {
+            self.tasks.insert(key, exited(ExitCause::NoRoom));
+            return;
+        }
+        let fetch = if self.images.contains(&job.image) {
+            0
+        } else {
+            (job.image_gb * 1000.0) as u64
+        };
+        self.tasks.insert(
+            key,
+            WorkerTask {
+                state: TaskState::Fetching,
+                why: None,
+                image_at: now + fetch,
+                done_at: None,
+                saved_at: None,
+            },
+        );
+    }
+
+    fn stop_task(
+        &mut self,
+        task: &str,
+        attempt: u64,
+        grace_s: f64,
+        job: Option<&JobRequest>,
+        now: u64,
+    ) {
+        let save_s = job.filter(|j| j.checkpoint_s > 0.0).map(|j| j.save_s);
+        if let Some(held) = self.tasks.get_mut(&(task.to_owned(), attempt)) {
+            let saves = save_s.filter(|s| *s <= grace_s && grace_s > 0.0);
+            match (held.state, saves) {
+                (TaskState::Exited, _) => {}
+                // Only a second command without grace ends a task that is saving.
+                (TaskState::Saving, _) if grace_s > 0.0 => {}
+                (TaskState::Running, Some(save_s)) => {
+                    held.state = TaskState::Saving;
+                    held.saved_at = Some(now + (save_s * 1_000.0) as u64);
+                    self.changed = true;
+                }
+                _ => {
+                    held.state = TaskState::Exited;
+                    held.why = Some(ExitCause::Stopped);
+                    self.changed = true;
+                }
+            }
+        }
+    }
+
     /// Lets tasks go on. A gang's tasks start through [`Worker::start_gang`].
     pub fn advance(
         &mut self,
--- a/crates/simulator/src/world/cancellations.rs
+++ b/crates/simulator/src/world/cancellations.rs
@@ -79,12 +79,12 @@
             for ((task, _), held) in &worker.tasks {
                 let id = task.split('/').next().unwrap_or_default();
                 let runs = held.state == TaskState::Running;
-                let long = held
+                let is_long = held
                     .done_at
                     .is_none_or(|at| at >= self.now + MIN_REMAINING_MS);
                 let open = self.rules.accepted.contains_key(id)
                     && !self.rules.cancel_requests.contains(id);
-                if runs && long && open {
+                if runs && is_long && open {
                     found
                         .entry(id.to_owned())
                         .or_default()
--- a/crates/simulator/src/world/controllers.rs
+++ b/crates/simulator/src/world/controllers.rs
@@ -2,7 +2,7 @@
 
 use super::events::{Endpoint, Message, RunningController, ScheduledEvent};
 use super::open_requests::{CallKey, ReceivedHeartbeat, TicketKey};
-use super::scenario::Fault;
+use super::scenario::RESTART_AFTER_CRASH_POINT_MS;
 use super::site::{settings, CONTROLLERS};
 use super::World;
 use controller::controller::DirectReply;
@@ -13,6 +13,10 @@
 use wire::cloud::{CloudReply, CloudRequest};
 use wire::mesh::MeshMessage;
 use wire::state::{StateReply, StateRequest};
+use wire::workers::DirectCommands;
+
+/// Time after which a controller gives up a cloud request, in ms.
+const CLOUD_TIMEOUT_MS: u64 = 4_000;
 
 impl World {
     pub(super) fn is_running(&self, controller: usize, incarnation: u64) -> bool {
@@ -75,10 +79,7 @@
         if !changes || !self.crash_points.reaches_crash(controller) {
             return false;
         }
-        self.fault(Fault::CrashController {
-            controller,
-            restart_after_ms: 6_000,
-        });
+        self.crash_controller(controller, RESTART_AFTER_CRASH_POINT_MS);
         true
     }
 
@@ -90,42 +91,22 @@
                 request,
                 timeout,
             } => {
-                self.open_requests.add_call(CallKey {
+                let key = CallKey {
                     controller,
                     incarnation,
                     call,
-                });
-                let event = Event::State {
-                    call,
-                    reply: StateReply::Unknown,
                 };
-                self.time_out(timeout.whole_millis(), controller, incarnation, call, event);
-                let message = Message::State {
-                    controller,
-                    incarnation,
-                    call,
-                    request,
-                };
-                self.send(Endpoint::Controller(controller), Endpoint::State, message);
+                self.call_state_service(key, request, timeout.whole_millis());
             }
             Effect::Cloud { call, request } => {
-                self.open_requests.add_call(CallKey {
-                    controller,
-                    incarnation,
-                    call,
-                });
-                let event = Event::Cloud {
-                    call,
-                    reply: CloudReply::Unknown,
-                };
-                self.time_out(4_000, controller, incarnation, call, event);
-                let message = Message::Cloud {
-                    controller,
-                    incarnation,
-                    call,
+                self.call_cloud(
+                    CallKey {
+                        controller,
+                        incarnation,
+                        call,
+                    },
                     request,
-                };
-                self.send(Endpoint::Controller(controller), Endpoint::Cloud, message);
+                );
             }
             Effect::Worker {
                 call,
@@ -133,26 +114,13 @@
                 body,
                 timeout,
             } => {
-                self.open_requests.add_call(CallKey {
+                let key = CallKey {
                     controller,
                     incarnation,
                     call,
-                });
-                let event = Event::Worker {
-                    call,
-                    reply: DirectReply::Unknown,
                 };
-                self.time_out(timeout.whole_millis(), controller, incarnation, call, event);
                 let machine = address.trim_end_matches(":9000").to_owned();
-                let to = self.machine(&machine);
-                let message = Message::Direct {
-                    controller,
-                    incarnation,
-                    call,
-                    machine,
-                    body,
-                };
-                self.send(Endpoint::Controller(controller), to, message);
+                self.call_worker(key, machine, body, timeout.whole_millis());
             }
             Effect::Mesh { to, message } => {
                 let Some(other) = to.as_str().trim_start_matches('n').parse::<usize>().ok() else {
@@ -162,12 +130,12 @@
             }
             Effect::Admin { .. } => {}
             Effect::User { ticket, reply } => {
-                if let Some(asked) = self.open_requests.take_user_request(TicketKey {
+                if let Some(pending_request) = self.open_requests.take_user_request(TicketKey {
                     controller,
                     incarnation,
                     ticket,
                 }) {
-                    self.handle_user_reply(asked, reply);
+                    self.handle_user_reply(pending_request, reply);
                 }
             }
             Effect::Heartbeat { ticket, reply } => {
@@ -191,6 +159,77 @@
         }
     }
 
+    fn call_state_service(&mut self, key: CallKey, request: StateRequest, timeout_ms: u64) {
+        let CallKey {
+            controller,
+            incarnation,
+            call,
+        } = key;
+        self.open_requests.add_call(key);
+        let event = Event::State {
+            call,
+            reply: StateReply::Unknown,
+        };
+        self.time_out(timeout_ms, controller, incarnation, call, event);
+        let message = Message::State {
+            controller,
+            incarnation,
+            call,
+            request,
+        };
+        self.send(Endpoint::Controller(controller), Endpoint::State, message);
+    }
+
+    fn call_cloud(&mut self, key: CallKey, request: CloudRequest) {
+        let CallKey {
+            controller,
+            incarnation,
+            call,
+        } = key;
+        self.open_requests.add_call(key);
+        let event = Event::Cloud {
+            call,
+            reply: CloudReply::Unknown,
+        };
+        self.time_out(CLOUD_TIMEOUT_MS, controller, incarnation, call, event);
+        let message = Message::Cloud {
+            controller,
+            incarnation,
+            call,
+            request,
+        };
+        self.send(Endpoint::Controller(controller), Endpoint::Cloud, message);
+    }
+
+    fn call_worker(
+        &mut self,
+        key: CallKey,
+        machine: String,
+        body: DirectCommands,
+        timeout_ms: u64,
+    ) {
+        let CallKey {
+            controller,
+            incarnation,
+            call,
+        } = key;
+        self.open_requests.add_call(key);
+        let event = Event::Worker {
+            call,
+            reply: DirectReply::Unknown,
+        };
+        self.time_out(timeout_ms, controller, incarnation, call, event);
+        let to = self.machine(&machine);
+        let message = Message::Direct {
+            controller,
+            incarnation,
+            call,
+            machine,
+            body,
+        };
+        self.send(Endpoint::Controller(controller), to, message);
+    }
+
     pub(super) fn start_controller(&mut self, controller: usize) {
         self.incarnations += 1;
         let text = settings(controller, self.plan.mutation, self.plan.size);
--- a/crates/simulator/src/world/faults.rs
+++ b/crates/simulator/src/world/faults.rs
@@ -1,237 +1,251 @@
 //! Injection of faults.
 
-use super::events::{PendingRequest, ScheduledEvent};
+use super::events::ScheduledEvent;
 use super::network::ActiveFault;
 use super::scenario::{Fault, Mutation};
 use super::World;
+use crate::cloud::BootBehavior;
 use controller::UserRequest;
 use rand::seq::SliceRandom;
 use wire::state::{StateRequest, Transaction, Write};
 
+/// A pause of at least this length, in ms, counts as a stop of the partitions' leader.
+const LEADER_STOP_MS: u64 = 4_000;
+/// Time after which users retry requests to a controller that has crashed, in ms.
+const RETRY_AFTER_CRASH_MS: u64 = 1_000;
+
+/// The state that a fault keeps active for some time, with that time in ms; none for other faults.
+fn lasting_fault(fault: &Fault) -> Option<(ActiveFault, u64)> {
+    Some(match *fault {
+        Fault::DisconnectStateService { controller, ms } => {
+            (ActiveFault::StateServiceDisconnected(controller), ms)
+        }
+        Fault::RefuseStateRequests { controller, ms } => {
+            (ActiveFault::StateRequestsRefused(controller), ms)
+        }
+        Fault::DisconnectWorkers { controller, ms } => {
+            (ActiveFault::WorkersDisconnected(controller), ms)
+        }
+        Fault::DisconnectMesh { controller, ms } => (ActiveFault::MeshDisconnected(controller), ms),
+        Fault::PartitionZones { ms } => (ActiveFault::ZonesPartitioned, ms),
+        Fault::IsolateZone { ms } => (ActiveFault::ZoneIsolated, ms),
+        Fault::IsolateController { controller, ms } => {
+            (ActiveFault::UsersDisconnected(controller), ms)
+        }
+        Fault::DisconnectStateAndMesh {
+            controller,
+            ms,
+            refused: true,
+        } => (ActiveFault::StateRequestsRefused(Some(controller)), ms),
+        Fault::DisconnectStateAndMesh {
+            controller,
+            ms,
+            refused: false,
+        } => (ActiveFault::StateServiceDisconnected(controller), ms),
+        Fault::DropMessagesToZone { ms } => (ActiveFault::ZoneUnreachable, ms),
+        Fault::DuplicateMessages { ms } => (ActiveFault::DuplicatedMessages, ms),
+        Fault::SlowStateService { times, ms } => (ActiveFault::SlowStateService(times), ms),
+        Fault::DelayTransactions { percent, ms } => (ActiveFault::DelayedTransactions(percent), ms),
+        Fault::LongTasks { times, ms } => (ActiveFault::LongTasks(times), ms),
+        Fault::CloudOutage { ms } => (ActiveFault::CloudOutage, ms),
+        Fault::ChangeBootBehavior { ms, .. } => (ActiveFault::ChangedBootBehavior, ms),
+        Fault::SkewedLoad { ms } => (ActiveFault::SkewedLoad, ms),
+        Fault::DropTransactionReplies { percent, ms } => {
+            (ActiveFault::LostTransactionReplies(percent), ms)
+        }
+        Fault::ReplayHeartbeats { percent, ms } => (ActiveFault::ReplayedHeartbeats(percent), ms),
+        Fault::HoldHeartbeats { percent, ms } => (ActiveFault::HeldHeartbeats(percent), ms),
+        Fault::DelayCommands { percent, ms } => (ActiveFault::DelayedCommands(percent), ms),
+        Fault::OneWayMeshPartition { from, to, ms } => {
+            (ActiveFault::OneWayMeshPartition(from, to), ms)
+        }
+        Fault::DuplicateMeshMessages { percent, ms } => {
+            (ActiveFault::DuplicatedMeshMessages(percent), ms)
+        }
+        Fault::SlowLinks { times, ms } => (ActiveFault::SlowLinks(times), ms),
+        Fault::FailingJobs { ms } => (ActiveFault::FailingJobs, ms),
+        Fault::StatusRequestStorm { ms } => (ActiveFault::StatusRequestStorm, ms),
+        Fault::FollowUpRequests { ms } => (ActiveFault::FollowUpRequests, ms),
+        Fault::CancelAtCompletion { percent, ms } => (ActiveFault::CancelAtCompletion(percent), ms),
+        Fault::UnusualRequests { ms } => (ActiveFault::UnusualRequests, ms),
+        Fault::OneTaskJobs { ms } => (ActiveFault::OneTaskJobs, ms),
+        Fault::CrashController { .. }
+        | Fault::CrashBeforeEffect { .. }
+        | Fault::PauseController { .. }
+        | Fault::CorruptLogPage { .. }
+        | Fault::DisconnectMachine { .. }
+        | Fault::HangMachine { .. }
+        | Fault::HangMachines { .. }
+        | Fault::CrashMachine { .. }
+        | Fault::CrashMachines { .. }
+        | Fault::FailTasksOnMachine { .. }
+        | Fault::FailTasksOnMachines { .. }
+        | Fault::DropMessagesToMachines { .. }
+        | Fault::RefuseMachineConnections { .. }
+        | Fault::JobBurst { .. }
+        | Fault::GuestJobs { .. }
+        | Fault::CancelAllJobs { .. }
+        | Fault::CancelRunningJobs { .. } => return None,
+    })
+}
+
 impl World {
-    pub(super) fn fault(&mut self, fault: Fault) {
+    /// A fault begins.
+    pub(super) fn start_fault(&mut self, fault: Fault) {
+        let lasting = lasting_fault(&fault);
+        match fault {
+            Fault::CrashController {
+                controller,
+                restart_after_ms,
+            } => self.crash_controller(controller, restart_after_ms),
+            Fault::CrashBeforeEffect { controller, nth } => self.crash_points.set(controller, nth),
+            Fault::PauseController { controller, ms } => self.pause_controller(controller, ms),
+            Fault::CorruptLogPage { partition, ms } => self.corrupt_log_page(partition, ms),
+            Fault::IsolateZone { ms } => self.activate(ActiveFault::UsersDisconnected(1), ms),
+            Fault::DisconnectStateAndMesh { controller, ms, .. } => {
+                self.activate(ActiveFault::MeshDisconnected(controller), ms)
+            }
+            Fault::IsolateController { controller, ms } => {
+                self.activate(ActiveFault::StateServiceDisconnected(controller), ms);
+                self.activate(ActiveFault::WorkersDisconnected(controller), ms);
+                self.activate(ActiveFault::MeshDisconnected(controller), ms);
+            }
+            Fault::ChangeBootBehavior { behavior, .. } => self.cloud.boots = behavior,
+            Fault::JobBurst { jobs } => (0..jobs).for_each(|_| self.new_job()),
+            Fault::GuestJobs { jobs } => (0..jobs).for_each(|_| self.guest_job()),
+            Fault::CancelAllJobs { through } => self.cancel_all(through),
+            Fault::CancelRunningJobs { count, hang_ms } => self.cancel_now(count, hang_ms),
+            Fault::UnusualRequests { .. } => {
+                self.schedule(self.now + 1, ScheduledEvent::SendUnusualRequest)
+            }
+            Fault::OneTaskJobs { .. } => {
+                self.schedule(self.now + 1, ScheduledEvent::SubmitOneTaskJob)
+            }
+            other => self.start_machine_fault(other),
+        }
+        if let Some((active, ms)) = lasting {
+            self.activate(active, ms);
+        }
+    }
+
+    /// A fault of machines begins; other faults are ignored.
+    fn start_machine_fault(&mut self, fault: Fault) {
         let names: Vec<String> = self
             .workers
             .values()
-            .filter(|w| !w.dead)
-            .map(|w| w.name.clone())
+            .filter(|worker| !worker.dead)
+            .map(|worker| worker.name.clone())
             .collect();
         let pick = |nth: usize| names.get(nth % names.len().max(1)).cloned();
-        let (cut, ms) = match fault {
-            Fault::CrashController {
-                controller,
-                restart_after_ms,
-            } => {
-                self.record_leader_stop(controller);
-                if let Some(ended) = self.controllers[controller].take() {
-                    self.early.0 += ended.controller.counters.early_takeovers;
-                    self.early.1 += ended.controller.counters.wrong_takeovers;
-                }
-                self.watches
-                    .retain(|watch| watch.key.controller != controller);
-                // Users retry requests that have not been answered.
-                for lost in self.open_requests.take_user_requests_to(controller) {
-                    let PendingRequest {
-                        request, id, tries, ..
-                    } = lost;
-                    if !matches!(request, UserRequest::Get(_)) {
-                        let what = ScheduledEvent::SendRequest {
-                            request,
-                            id,
-                            tries: tries + 1,
-                        };
-                        self.schedule(self.now + 1_000, what);
-                    }
+        match fault {
+            Fault::DisconnectMachine { nth, ms } => {
+                if let Some(name) = pick(nth) {
+                    self.activate(ActiveFault::MachineDisconnected(name), ms);
                 }
-                self.schedule(
-                    self.now + restart_after_ms,
-                    ScheduledEvent::StartController { controller },
-                );
-                return;
             }
             Fault::HangMachine { nth, ms } => {
                 if let Some(name) = pick(nth) {
                     self.hang(name, ms);
                 }
-                return;
             }
             Fault::CrashMachine { nth } => {
                 if let Some(name) = pick(nth) {
                     self.crash_machine(&name);
                 }
-                return;
             }
             Fault::FailTasksOnMachine { nth } => {
                 if let Some(name) = pick(nth) {
                     self.fail_all_tasks(&name);
                 }
-                return;
-            }
-            Fault::JobBurst { jobs } => {
-                (0..jobs).for_each(|_| self.new_job());
-                return;
             }
             Fault::CrashMachines { count } => {
-                self.random_choice(&names, count)
-                    .iter()
-                    .for_each(|name| self.crash_machine(name));
-                return;
+                for name in self.random_choice(&names, count) {
+                    self.crash_machine(&name);
+                }
             }
             Fault::FailTasksOnMachines { count } => {
-                self.random_choice(&names, count)
-                    .iter()
-                    .for_each(|name| self.fail_all_tasks(name));
-                return;
+                for name in self.random_choice(&names, count) {
+                    self.fail_all_tasks(&name);
+                }
             }
             Fault::HangMachines { count, ms } => {
                 for name in self.random_choice(&names, count) {
                     self.hang(name, ms);
                 }
-                return;
-            }
-            Fault::IsolateZone { ms } => {
-                self.activate(ActiveFault::UsersDisconnected(1), ms);
-                (ActiveFault::ZoneIsolated, ms)
             }
             Fault::DropMessagesToMachines { count, ms } => {
                 for name in self.random_choice(&names, count) {
                     self.activate(ActiveFault::MachineUnreachable(name), ms);
                 }
-                return;
-            }
-            Fault::DropMessagesToZone { ms } => (ActiveFault::ZoneUnreachable, ms),
-            Fault::DuplicateMessages { ms } => (ActiveFault::DuplicatedMessages, ms),
-            Fault::DisconnectStateAndMesh {
-                controller,
-                ms,
-                refused,
-            } => {
-                self.activate(ActiveFault::MeshDisconnected(controller), ms);
-                (
-                    if refused {
-                        ActiveFault::StateRequestsRefused(Some(controller))
-                    } else {
-                        ActiveFault::StateServiceDisconnected(controller)
-                    },
-                    ms,
-                )
-            }
-            Fault::SlowStateService { times, ms } => (ActiveFault::SlowStateService(times), ms),
-            Fault::CrashBeforeEffect { controller, nth } => {
-                self.crash_points.set(controller, nth);
-                return;
-            }
-            Fault::DelayTransactions { percent, ms } => {
-                (ActiveFault::DelayedTransactions(percent), ms)
-            }
-            Fault::LongTasks { times, ms } => (ActiveFault::LongTasks(times), ms),
-            Fault::CancelAllJobs { through } => {
-                self.cancel_all(through);
-                return;
-            }
-            Fault::CorruptLogPage { partition, ms } => {
-                let key = format!("l/{partition}/0000");
-                if let Some(value) = self.state.value(&key).cloned() {
-                    self.write_directly(&key, serde_json::json!({ "round": "garbage" }));
-                    self.schedule(self.now + ms, ScheduledEvent::RestoreValue { key, value });
-                }
-                return;
-            }
-            Fault::DisconnectStateService { controller, ms } => {
-                (ActiveFault::StateServiceDisconnected(controller), ms)
-            }
-            Fault::RefuseStateRequests { controller, ms } => {
-                (ActiveFault::StateRequestsRefused(controller), ms)
-            }
-            Fault::DisconnectWorkers { controller, ms } => {
-                (ActiveFault::WorkersDisconnected(controller), ms)
-            }
-            Fault::DisconnectMesh { controller, ms } => {
-                (ActiveFault::MeshDisconnected(controller), ms)
-            }
-            Fault::PartitionZones { ms } => (ActiveFault::ZonesPartitioned, ms),
-            Fault::DisconnectMachine { nth, ms } => match pick(nth) {
-                Some(name) => (ActiveFault::MachineDisconnected(name), ms),
-                None => return,
-            },
-            Fault::CloudOutage { ms } => (ActiveFault::CloudOutage, ms),
-            Fault::PauseController { controller, ms } => {
-                if ms >= 4_000 {
-                    self.record_leader_stop(controller);
-                }
-                if let Some(running) = self.controllers[controller].as_mut() {
-                    running.paused.get_or_insert_default();
-                    let incarnation = running.incarnation;
-                    self.schedule(
-                        self.now + ms,
-                        ScheduledEvent::ResumeController {
-                            controller,
-                            incarnation,
-                        },
-                    );
-                }
-                return;
-            }
-            Fault::IsolateController { controller, ms } => {
-                for cut in [
-                    ActiveFault::StateServiceDisconnected(controller),
-                    ActiveFault::WorkersDisconnected(controller),
-                    ActiveFault::MeshDisconnected(controller),
-                ] {
-                    self.activate(cut, ms);
-                }
-                (ActiveFault::UsersDisconnected(controller), ms)
-            }
-            Fault::GuestJobs { jobs } => {
-                (0..jobs).for_each(|_| self.guest_job());
-                return;
             }
-            Fault::ChangeBootBehavior { behavior, ms } => {
-                self.cloud.boots = behavior;
-                (ActiveFault::ChangedBootBehavior, ms)
-            }
-            Fault::SkewedLoad { ms } => (ActiveFault::SkewedLoad, ms),
             Fault::RefuseMachineConnections { count, ms } => {
                 for name in self.random_choice(&names, count) {
                     self.activate(ActiveFault::MachineConnectionsRefused(name), ms);
                 }
-                return;
-            }
-            Fault::DropTransactionReplies { percent, ms } => {
-                (ActiveFault::LostTransactionReplies(percent), ms)
-            }
-            Fault::ReplayHeartbeats { percent, ms } => {
-                (ActiveFault::ReplayedHeartbeats(percent), ms)
-            }
-            Fault::HoldHeartbeats { percent, ms } => (ActiveFault::HeldHeartbeats(percent), ms),
-            Fault::DelayCommands { percent, ms } => (ActiveFault::DelayedCommands(percent), ms),
-            Fault::OneWayMeshPartition { from, to, ms } => {
-                (ActiveFault::OneWayMeshPartition(from, to), ms)
-            }
-            Fault::DuplicateMeshMessages { percent, ms } => {
-                (ActiveFault::DuplicatedMeshMessages(percent), ms)
-            }
-            Fault::SlowLinks { times, ms } => (ActiveFault::SlowLinks(times), ms),
-            Fault::FailingJobs { ms } => (ActiveFault::FailingJobs, ms),
-            Fault::StatusRequestStorm { ms } => (ActiveFault::StatusRequestStorm, ms),
-            Fault::FollowUpRequests { ms } => (ActiveFault::FollowUpRequests, ms),
-            Fault::CancelAtCompletion { percent, ms } => {
-                (ActiveFault::CancelAtCompletion(percent), ms)
-            }
-            Fault::UnusualRequests { ms } => {
-                self.schedule(self.now + 1, ScheduledEvent::SendUnusualRequest);
-                (ActiveFault::UnusualRequests, ms)
-            }
-            Fault::OneTaskJobs { ms } => {
-                self.schedule(self.now + 1, ScheduledEvent::SubmitOneTaskJob);
-                (ActiveFault::OneTaskJobs, ms)
-            }
-            Fault::CancelRunningJobs { count, hang_ms } => {
-                self.cancel_now(count, hang_ms);
-                return;
             }
+            _ => {}
+        }
+    }
+
+    /// Crashes a controller; users retry their unanswered requests.
+    pub(super) fn crash_controller(&mut self, controller: usize, restart_after_ms: u64) {
+        self.record_leader_stop(controller);
+        if let Some(crashed) = self.controllers[controller].take() {
+            self.early.0 += crashed.controller.counters.early_takeovers;
+            self.early.1 += crashed.controller.counters.wrong_takeovers;
+        }
+        self.watches
+            .retain(|watch| watch.key.controller != controller);
+        for lost in self.open_requests.take_user_requests_to(controller) {
+            if matches!(lost.request, UserRequest::Get(_)) {
+                continue;
+            }
+            let retry = ScheduledEvent::SendRequest {
+                request: lost.request,
+                id: lost.id,
+                tries: lost.tries + 1,
+            };
+            self.schedule(self.now + RETRY_AFTER_CRASH_MS, retry);
+        }
+        let restart = ScheduledEvent::StartController { controller };
+        self.schedule(self.now + restart_after_ms, restart);
+    }
+
+    fn pause_controller(&mut self, controller: usize, ms: u64) {
+        if ms >= LEADER_STOP_MS {
+            self.record_leader_stop(controller);
+        }
+        let Some(running) = self.controllers[controller].as_mut() else {
+            return;
+        };
+        running.paused.get_or_insert_default();
+        let incarnation = running.incarnation;
+        let resume = ScheduledEvent::ResumeController {
+            controller,
+            incarnation,
+        };
+        self.schedule(self.now + ms, resume);
+    }
+
+    fn corrupt_log_page(&mut self, partition: u32, ms: u64) {
+        let key = format!("l/{partition}/0000");
+        let Some(value) = self.state.value(&key).cloned() else {
+            return;
         };
-        self.activate(cut, ms);
+        self.write_directly(&key, serde_json::json!({ "round": "garbage" }));
+        self.schedule(self.now + ms, ScheduledEvent::RestoreValue { key, value });
+    }
+
+    /// A fault ends.
+    pub(super) fn end_fault(&mut self, fault: &ActiveFault) {
+        self.network.deactivate(fault);
+        if *fault == ActiveFault::StateRequestsRefused(None) {
+            self.state.refresh_leases(self.now);
+        }
+        if *fault == ActiveFault::ChangedBootBehavior {
+            self.cloud.boots = BootBehavior::Usual;
+        }
+        self.schedule(self.now + 1, ScheduledEvent::ReleaseHeldMessages);
     }
 
     /// Writes a value without the controllers.
@@ -243,9 +257,9 @@
     }
 
     /// Activates a fault for a time.
-    pub(super) fn activate(&mut self, cut: ActiveFault, ms: u64) {
-        self.network.activate(cut.clone());
-        self.schedule(self.now + ms, ScheduledEvent::EndFault(cut));
+    pub(super) fn activate(&mut self, fault: ActiveFault, ms: u64) {
+        self.network.activate(fault.clone());
+        self.schedule(self.now + ms, ScheduledEvent::EndFault(fault));
     }
 
     /// A machine hangs: messages to it are held back meanwhile.
--- a/crates/simulator/src/world/mod.rs
+++ b/crates/simulator/src/world/mod.rs
@@ -28,7 +28,7 @@
 pub use coverage::FaultCoverage;
 pub use scenario::{Fault, Mutation, Plan};
 
-use crate::cloud::{BootBehavior, Cloud};
+use crate::cloud::Cloud;
 use crate::failovers::FailoverTimeline;
 use crate::fingerprint::Recorder;
 use crate::rules::RuleChecker;
@@ -42,7 +42,7 @@
 use interceptor::MessageInterceptor;
 use jobs::SubmittedJobs;
 use model::JobId;
-use network::{ActiveFault, Network};
+use network::Network;
 use open_requests::{CallKey, OpenRequests};
 use rand::rngs::SmallRng;
 use rand::SeedableRng;
@@ -186,7 +186,7 @@
 
     /// Injects a fault now, for tests that wait for a certain state of the run.
     pub fn inject(&mut self, fault: Fault) {
-        self.fault(fault);
+        self.start_fault(fault);
     }
 
     fn schedule(&mut self, at: u64, event: ScheduledEvent) {
@@ -236,13 +236,12 @@
                 call,
                 event,
             } => {
-                if self.is_running(controller, incarnation)
-                    && self.open_requests.take_call(CallKey {
-                        controller,
-                        incarnation,
-                        call,
-                    })
-                {
+                let key = CallKey {
+                    controller,
+                    incarnation,
+                    call,
+                };
+                if self.is_running(controller, incarnation) && self.open_requests.take_call(key) {
                     self.handle_event(controller, *event);
                 }
             }
@@ -251,57 +250,15 @@
                 incarnation,
                 call,
             } => {
-                let waiting = self.watches.iter().position(|watch| {
-                    watch.key
-                        == CallKey {
-                            controller,
-                            incarnation,
-                            call,
-                        }
+                self.end_watch(CallKey {
+                    controller,
+                    incarnation,
+                    call,
                 });
-                if let Some(at) = waiting {
-                    if self.refuses(controller) {
-                        return;
-                    }
-                    self.watches.remove(at);
-                    let reply = self.state.no_changes();
-                    self.send_state_reply(controller, incarnation, call, reply);
-                }
-            }
-            ScheduledEvent::StepWorkers => {
-                let keeps = self.plan.mutation == Some(Mutation::StalePlacementLog);
-                if keeps && self.now % 6_000 < self.parameters.step {
-                    self.stale_state = self.state.clone();
-                }
-                self.step_workers();
-                for controller in 0..CONTROLLERS {
-                    let healthy = self.controllers[controller]
-                        .as_ref()
-                        .is_some_and(|r| r.controller.healthy());
-                    self.service.record_health(controller, healthy, self.now);
-                }
-                self.service.observe(
-                    &self.workers,
-                    self.jobs.all(),
-                    &self.limits,
-                    &mut self.rules,
-                    self.now,
-                );
-                self.schedule(self.now + self.parameters.step, ScheduledEvent::StepWorkers);
             }
+            ScheduledEvent::StepWorkers => self.step(),
             ScheduledEvent::SubmitJob => self.submit(),
-            ScheduledEvent::PollStatus { id } => {
-                if !self.jobs.is_settled(&id) {
-                    if let Some(job) = JobId::parse(&id) {
-                        self.send_request(UserRequest::Get(job), id.clone(), 0);
-                    }
-                    let often = self.network.is_active(&ActiveFault::StatusRequestStorm);
-                    self.schedule(
-                        self.now + if often { 300 } else { 5_000 },
-                        ScheduledEvent::PollStatus { id },
-                    );
-                }
-            }
+            ScheduledEvent::PollStatus { id } => self.poll_status(id),
             ScheduledEvent::CancelJob { id } => {
                 self.record_cancel_request(&id);
                 if let Some(job) = JobId::parse(&id) {
@@ -319,17 +276,8 @@
             ScheduledEvent::SendUnusualRequest => self.unusual_request(),
             ScheduledEvent::SubmitOneTaskJob => self.one_task_job(),
             ScheduledEvent::StartController { controller } => self.start_controller(controller),
-            ScheduledEvent::StartFault(fault) => self.fault(fault),
-            ScheduledEvent::EndFault(cut) => {
-                self.network.deactivate(&cut);
-                if let ActiveFault::StateRequestsRefused(None) = cut {
-                    self.state.refresh_leases(self.now);
-                }
-                if cut == ActiveFault::ChangedBootBehavior {
-                    self.cloud.boots = BootBehavior::Usual;
-                }
-                self.schedule(self.now + 1, ScheduledEvent::ReleaseHeldMessages);
-            }
+            ScheduledEvent::StartFault(fault) => self.start_fault(fault),
+            ScheduledEvent::EndFault(fault) => self.end_fault(&fault),
             ScheduledEvent::ReleaseHeldMessages => {
                 for held in self.network.take_held() {
                     self.send(held.from, held.to, held.message);
@@ -337,4 +285,27 @@
             }
         }
     }
+
+    /// Advances all workers, and observes the service.
+    fn step(&mut self) {
+        let keeps = self.plan.mutation == Some(Mutation::StalePlacementLog);
+        if keeps && self.now % 6_000 < self.parameters.step {
+            self.stale_state = self.state.clone();
+        }
+        self.step_workers();
+        for controller in 0..CONTROLLERS {
+            let healthy = self.controllers[controller]
+                .as_ref()
+                .is_some_and(|r| r.controller.healthy());
+            self.service.record_health(controller, healthy, self.now);
+        }
+        self.service.observe(
+            &self.workers,
+            self.jobs.all(),
+            &self.limits,
+            &mut self.rules,
+            self.now,
+        );
+        self.schedule(self.now + self.parameters.step, ScheduledEvent::StepWorkers);
+    }
 }
--- a/crates/simulator/src/world/mutations.rs
+++ b/crates/simulator/src/world/mutations.rs
@@ -27,8 +27,8 @@
         match self.plan.mutation {
             Some(Mutation::FalseReplicationRecords) => {
                 let names: Vec<String> = self.cloud.machines.keys().cloned().collect();
-                for hint in &mut part.records {
-                    self.lie(hint, &names);
+                for record in &mut part.records {
+                    self.falsify(record, &names);
                 }
             }
             Some(Mutation::LostReplicationRecords) => match self.rng.random_range(0..6) {
@@ -66,26 +66,28 @@
         message
     }
 
-    pub(super) fn lie(&mut self, hint: &mut ReplicatedRecord, names: &[String]) {
+    pub(super) fn falsify(&mut self, record: &mut ReplicatedRecord, names: &[String]) {
         let Some(other) = names.get(self.rng.random_range(0..names.len().max(1))) else {
             return;
         };
-        match hint {
-            ReplicatedRecord::Machine(hint) => match self.rng.random_range(0..9) {
-                0 => hint.address = format!("{other}:9000"),
-                1 => hint.session += 1,
-                2 => hint.session = hint.session.saturating_sub(1),
-                3 => hint.machine = other.clone(),
-                4 => hint.reporting = !hint.reporting,
-                5 => hint.quarantined = self.rng.random_bool(0.2),
-                6 => hint.images = vec![(format!("img-{}", self.rng.random_range(0..3)), f64::NAN)],
-                7 => hint.idle_at = Some(u64::MAX),
+        match record {
+            ReplicatedRecord::Machine(record) => match self.rng.random_range(0..9) {
+                0 => record.address = format!("{other}:9000"),
+                1 => record.session += 1,
+                2 => record.session = record.session.saturating_sub(1),
+                3 => record.machine = other.clone(),
+                4 => record.reporting = !record.reporting,
+                5 => record.quarantined = self.rng.random_bool(0.2),
+                6 => {
+                    record.images = vec![(format!("img-{}", self.rng.random_range(0..3)), f64::NAN)]
+                }
+                7 => record.idle_at = Some(u64::MAX),
                 _ => {}
             },
-            ReplicatedRecord::Job(hint) => {
-                hint.failures = vec![(0, u32::MAX), (u32::MAX, 1)];
-                hint.failed_on = names.iter().take(4).cloned().collect();
-                hint.fails_within_ms = u64::MAX;
+            ReplicatedRecord::Job(record) => {
+                record.failures = vec![(0, u32::MAX), (u32::MAX, 1)];
+                record.failed_on = names.iter().take(4).cloned().collect();
+                record.fails_within_ms = u64::MAX;
             }
             ReplicatedRecord::Removed(_) => {}
         }
--- a/crates/simulator/src/world/scenario.rs
+++ b/crates/simulator/src/world/scenario.rs
@@ -2,6 +2,9 @@
 
 use crate::cloud::BootBehavior;
 
+/// Time from a crash before an effect to the restart, in ms.
+pub(super) const RESTART_AFTER_CRASH_POINT_MS: u64 = 6_000;
+
 /// A fault to inject. Times and durations are in ms, machines are chosen by their position among those that
 /// are up.
 #[derive(Debug, Clone)]
@@ -244,7 +247,7 @@
             | Fault::OneWayMeshPartition { ms, .. }
             | Fault::DuplicateMeshMessages { ms, .. }
             | Fault::SlowLinks { ms, .. } => *ms,
-            Fault::CrashBeforeEffect { .. } => 6_000,
+            Fault::CrashBeforeEffect { .. } => RESTART_AFTER_CRASH_POINT_MS,
             Fault::CrashMachine { .. }
             | Fault::FailTasksOnMachine { .. }
             | Fault::GuestJobs { .. }
--- a/crates/simulator/src/world/state_service.rs
+++ b/crates/simulator/src/world/state_service.rs
@@ -268,6 +268,19 @@
             && self.rng.random_bool(0.7)
     }
 
+    /// A watch times out without changes. During a refusal it stays without a reply.
+    pub(super) fn end_watch(&mut self, key: CallKey) {
+        let Some(index) = self.watches.iter().position(|watch| watch.key == key) else {
+            return;
+        };
+        if self.refuses(key.controller) {
+            return;
+        }
+        self.watches.remove(index);
+        let reply = self.state.no_changes();
+        self.send_state_reply(key.controller, key.incarnation, key.call, reply);
+    }
+
     pub(super) fn answer_watches(&mut self) {
         let watches = std::mem::take(&mut self.watches);
         for watch in watches {
--- a/crates/simulator/src/world/transport.rs
+++ b/crates/simulator/src/world/transport.rs
@@ -13,6 +13,7 @@
 use wire::cloud::{CloudReply, CloudRequest};
 use wire::mesh::MeshMessage;
 use wire::state::StateRequest;
+use wire::workers::DirectCommands;
 
 impl World {
     pub(super) fn machine(&self, name: &str) -> Endpoint {
@@ -244,33 +245,20 @@
                 call,
                 request,
             } => {
-                let reply = if self.network.is_active(&ActiveFault::CloudOutage) {
-                    CloudReply::Refused
-                } else {
-                    let (reply, gone) = self.cloud.execute(self.now, &request, &mut self.rng);
-                    for name in gone {
-                        let lives = self.workers.get(&name).is_some_and(|w| !w.dead);
-                        self.machines_released_alive += u64::from(lives);
-                        self.crash_machine(&name);
-                    }
-                    reply
-                };
-                // A small share of the replies is lost.
-                if !self.rng.random_bool(0.02) {
-                    let event = Event::Cloud { call, reply };
-                    let message = Message::Controller {
+                self.handle_cloud_request(
+                    CallKey {
                         controller,
                         incarnation,
-                        event,
-                    };
-                    self.send(Endpoint::Cloud, Endpoint::Controller(controller), message);
-                }
+                        call,
+                    },
+                    &request,
+                );
             }
             Message::Controller {
                 controller,
                 incarnation,
                 event,
-            } => self.node_event(controller, incarnation, event),
+            } => self.deliver_to_controller(controller, incarnation, event),
             Message::Heartbeat {
                 controller,
                 machine,
@@ -308,54 +296,101 @@
                 machine,
                 body,
             } => {
-                let now = self.now;
-                let from = self.machine(&machine);
-                self.record_direct_call(&machine);
-                let Some(worker) = self.workers.get_mut(&machine) else {
-                    return;
-                };
-                if worker.dead {
-                    return;
-                }
-                worker.check_lease(now, self.parameters.lease);
-                if self.plan.mutation == Some(Mutation::DirectCommandsRenewLease) {
-                    worker.renew_without_reply(now);
-                }
-                let executed = worker.direct(
-                    body.token,
-                    body.session,
-                    &body.commands,
-                    now,
-                    self.jobs.all(),
-                );
-                let report = Box::new(worker.report());
-                if executed {
-                    self.failovers.record_contact(
-                        &machine,
-                        body.token,
-                        starts(&body.commands),
-                        now,
-                    );
-                    self.record_launch(&machine, &body.commands);
-                }
-                let event = Event::Worker {
-                    call,
-                    reply: DirectReply::Answered(report),
-                };
-                self.send(
-                    from,
-                    Endpoint::Controller(controller),
-                    Message::Controller {
+                self.handle_direct_call(
+                    CallKey {
                         controller,
                         incarnation,
-                        event,
+                        call,
                     },
+                    machine,
+                    body,
                 );
             }
         }
     }
 
-    pub(super) fn node_event(&mut self, controller: usize, incarnation: u64, event: Event) {
+    fn handle_cloud_request(&mut self, key: CallKey, request: &CloudRequest) {
+        let CallKey {
+            controller,
+            incarnation,
+            call,
+        } = key;
+        let reply = if self.network.is_active(&ActiveFault::CloudOutage) {
+            CloudReply::Refused
+        } else {
+            let (reply, released) = self.cloud.execute(self.now, request, &mut self.rng);
+            for name in released {
+                let was_up = self.workers.get(&name).is_some_and(|w| !w.dead);
+                self.machines_released_alive += u64::from(was_up);
+                self.crash_machine(&name);
+            }
+            reply
+        };
+        // A small share of the replies is lost.
+        if !self.rng.random_bool(0.02) {
+            let event = Event::Cloud { call, reply };
+            let message = Message::Controller {
+                controller,
+                incarnation,
+                event,
+            };
+            self.send(Endpoint::Cloud, Endpoint::Controller(controller), message);
+        }
+    }
+
+    fn handle_direct_call(&mut self, key: CallKey, machine: String, body: DirectCommands) {
+        let CallKey {
+            controller,
+            incarnation,
+            call,
+        } = key;
+        let now = self.now;
+        let from = self.machine(&machine);
+        self.record_direct_call(&machine);
+        let Some(worker) = self.workers.get_mut(&machine) else {
+            return;
+        };
+        if worker.dead {
+            return;
+        }
+        worker.check_lease(now, self.parameters.lease);
+        if self.plan.mutation == Some(Mutation::DirectCommandsRenewLease) {
+            worker.renew_without_reply(now);
+        }
+        let executed = worker.direct(
+            body.token,
+            body.session,
+            &body.commands,
+            now,
+            self.jobs.all(),
+        );
+        let report = Box::new(worker.report());
+        if executed {
+            self.failovers
+                .record_contact(&machine, body.token, starts(&body.commands), now);
+            self.record_launch(&machine, &body.commands);
+        }
+        let event = Event::Worker {
+            call,
+            reply: DirectReply::Answered(report),
+        };
+        self.send(
+            from,
+            Endpoint::Controller(controller),
+            Message::Controller {
+                controller,
+                incarnation,
+                event,
+            },
+        );
+    }
+
+    pub(super) fn deliver_to_controller(
+        &mut self,
+        controller: usize,
+        incarnation: u64,
+        event: Event,
+    ) {
         let call = match &event {
             Event::State { call, .. } | Event::Cloud { call, .. } | Event::Worker { call, .. } => {
                 Some(*call)
--- a/crates/simulator/src/world/unusual_requests.rs
+++ b/crates/simulator/src/world/unusual_requests.rs
@@ -116,13 +116,13 @@
     /// unknown.
     pub(super) fn check_invalid_job_reply(
         &mut self,
-        asked: PendingRequest,
+        pending_request: PendingRequest,
         expected: ExpectedRejection,
         reply: UserReply,
     ) {
         let PendingRequest {
             request, id, tries, ..
-        } = asked;
+        } = pending_request;
         match reply {
             UserReply::Created(_) | UserReply::Status(_) => {
                 let what = format!("{id}, {expected:?}: {reply:?}");
--- a/crates/simulator/src/world/users.rs
+++ b/crates/simulator/src/world/users.rs
@@ -29,7 +29,50 @@
         self.schedule(self.now + pause, ScheduledEvent::SubmitJob);
     }
 
+    /// Submits a random job.
     pub(super) fn new_job(&mut self) {
+        let mut job = self.random_job();
+        let id = job.id.clone();
+        let factor = self.network.find_active(|fault| match fault {
+            ActiveFault::LongTasks(times) => Some(*times),
+            _ => None,
+        });
+        if let Some(factor) = factor {
+            self.jobs.set_run_time_factor(id.clone(), factor);
+            job.estimate_s *= factor as f64;
+            if job.kind != JobKind::Service && self.jobs.count().is_multiple_of(2) {
+                (job.checkpoint_s, job.save_s) = (5.0, 3.0);
+            }
+        }
+        self.jobs.add(job.clone(), self.now);
+        if job.kind == JobKind::Service || job.class == FAILING_CLASS || self.rng.random_bool(0.1) {
+            let after = self.rng.random_range(10_000..50_000);
+            self.schedule(
+                self.now + after,
+                ScheduledEvent::CancelJob { id: id.clone() },
+            );
+        }
+        self.send_request(UserRequest::Submit(Box::new(job.clone())), id.clone(), 0);
+        if self.rng.random_bool(0.1) {
+            // A retry may arrive at any later time.
+            let after = self.rng.random_range(500..40_000);
+            let request = UserRequest::Submit(Box::new(job));
+            self.schedule(
+                self.now + after,
+                ScheduledEvent::SendRequest {
+                    request,
+                    id: id.clone(),
+                    tries: 50,
+                },
+            );
+        }
+        if self.rng.random_bool(0.05) {
+            self.send_request(UserRequest::Get(JobId(900_001)), "j-900001".into(), 0);
+        }
+        self.schedule(self.now + 4_000, ScheduledEvent::PollStatus { id });
+    }
+
+    fn random_job(&mut self) -> JobRequest {
         let id = self.jobs.next_id();
         let kind = match self.rng.random_range(0..10) {
             0..=2 => JobKind::Service,
@@ -56,8 +99,8 @@
         } else {
             self.rng.random_range(0..6)
         };
-        let job = JobRequest {
-            id: id.clone(),
+        JobRequest {
+            id,
             class: if mistaken { FAILING_CLASS } else { "c" }.into(),
             team: format!("t{team}"),
             kind,
@@ -85,45 +128,21 @@
             checkpoint_s: 0.0,
             save_s: 0.0,
             deadline_s: None,
-        };
-        let mut job = job;
-        let long = self.network.find_active(|fault| match fault {
-            ActiveFault::LongTasks(times) => Some(*times),
-            _ => None,
-        });
-        if let Some(times) = long {
-            self.jobs.set_run_time_factor(id.clone(), times);
-            job.estimate_s *= times as f64;
-            if kind != JobKind::Service && self.jobs.count().is_multiple_of(2) {
-                (job.checkpoint_s, job.save_s) = (5.0, 3.0);
-            }
         }
-        self.jobs.add(job.clone(), self.now);
-        if kind == JobKind::Service || mistaken || self.rng.random_bool(0.1) {
-            let after = self.rng.random_range(10_000..50_000);
-            self.schedule(
-                self.now + after,
-                ScheduledEvent::CancelJob { id: id.clone() },
-            );
-        }
-        self.send_request(UserRequest::Submit(Box::new(job.clone())), id.clone(), 0);
-        if self.rng.random_bool(0.1) {
-            // A retry may arrive at any later time.
-            let after = self.rng.random_range(500..40_000);
-            let request = UserRequest::Submit(Box::new(job));
+    }
+
+    /// Polls the status of a job until its user knows its terminal state.
+    pub(super) fn poll_status(&mut self, id: String) {
+        if !self.jobs.is_settled(&id) {
+            if let Some(job) = JobId::parse(&id) {
+                self.send_request(UserRequest::Get(job), id.clone(), 0);
+            }
+            let often = self.network.is_active(&ActiveFault::StatusRequestStorm);
             self.schedule(
-                self.now + after,
-                ScheduledEvent::SendRequest {
-                    request,
-                    id: id.clone(),
-                    tries: 50,
-                },
+                self.now + if often { 300 } else { 5_000 },
+                ScheduledEvent::PollStatus { id },
             );
         }
-        if self.rng.random_bool(0.05) {
-            self.send_request(UserRequest::Get(JobId(900_001)), "j-900001".into(), 0);
-        }
-        self.schedule(self.now + 4_000, ScheduledEvent::PollStatus { id });
     }
 
     pub(super) fn guest_job(&mut self) {
