--- a/crates/controller/src/controller/admin.rs
+++ b/crates/controller/src/controller/admin.rs
@@ -1,5 +1,6 @@
 //! Operators' requests: settings and views.
 
+use super::call_kind::RecordCall;
 use super::{CallKind, Controller, Ticket, Tuning};
 use crate::records::TUNING;
 use crate::request_budget::CallPriority;
@@ -215,7 +216,7 @@
         let txn = Transaction::default()
             .when(TUNING, version)
             .write(Write::put(TUNING, value));
-        let purpose = CallKind::TuningWrite { ticket };
+        let purpose = CallKind::Record(RecordCall::Tuning { ticket });
         self.state(CallPriority::Rest, StateRequest::Transaction(txn), purpose);
         Ok(())
     }
--- a/crates/controller/src/controller/admission.rs
+++ b/crates/controller/src/controller/admission.rs
@@ -1,5 +1,6 @@
 //! Admission of submissions: what waits is written together, many jobs to a write.
 
+use super::call_kind::JobCall;
 use super::{CallKind, Controller, PendingRequest, RequestKind, Ticket, UserReply};
 use crate::records::{
     accepted_jobs_key, final_key, packed_size, page_capacity, AcceptedJobsPage, PackedJob,
@@ -213,7 +214,7 @@
             self.state(
                 CallPriority::Accept,
                 StateRequest::Transaction(batch.txn),
-                CallKind::Accept,
+                CallKind::Job(JobCall::Accept),
             );
         }
     }
@@ -320,7 +321,7 @@
                     Duration::from_millis(200),
                     CallPriority::Accept,
                     request,
-                    CallKind::Accept,
+                    CallKind::Job(JobCall::Accept),
                 );
             }
             Outcome::Nothing => {}
--- a/crates/controller/src/controller/cancellations.rs
+++ b/crates/controller/src/controller/cancellations.rs
@@ -1,5 +1,6 @@
 //! Cancellations by users: those that wait are recorded together.
 
+use super::call_kind::JobCall;
 use super::{CallKind, Controller, PendingRequest, RequestKind};
 use crate::records::{cancellations_key, CancellationsRecord};
 use crate::request_budget::CallPriority;
@@ -71,7 +72,7 @@
         self.state(
             CallPriority::Accept,
             StateRequest::Transaction(txn),
-            CallKind::Cancel,
+            CallKind::Job(JobCall::Cancel),
         );
     }
 
@@ -108,7 +109,7 @@
                     Duration::from_millis(200),
                     CallPriority::Accept,
                     request,
-                    CallKind::Cancel,
+                    CallKind::Job(JobCall::Cancel),
                 );
             }
             Outcome::Nothing => {}
--- a/crates/controller/src/controller/crash_loop.rs
+++ b/crates/controller/src/controller/crash_loop.rs
@@ -26,7 +26,7 @@
         self.state(
             CallPriority::Lease,
             StateRequest::Transaction(transaction),
-            CallKind::Boot,
+            CallKind::Registration,
         );
     }
 
--- a/crates/controller/src/controller/fleet_planner.rs
+++ b/crates/controller/src/controller/fleet_planner.rs
@@ -1,5 +1,6 @@
 //! The leader: whoever holds the first partition makes the calls to the cloud.
 
+use super::call_kind::{FleetCall, RecordCall};
 use super::machine_records::MachineChange;
 use super::{CallKind, Controller, FLEET_PLANNER_PARTITION};
 use crate::records::{DemandRecord, MachineRecord, TYPES};
@@ -222,9 +223,9 @@
             };
             self.cloud(
                 request,
-                CallKind::CloudList {
+                CallKind::Fleet(FleetCall::ListMachines {
                     gathered: Vec::new(),
-                },
+                }),
             );
         }
         let now = self.now;
@@ -254,7 +255,7 @@
             .is_none_or(|at| self.now.duration_since(at) >= pause);
         if due && self.fleet_planner.calls.take(self.now, 1.0, 0.0) {
             self.fleet_planner.types_at = Some(self.now);
-            self.cloud(CloudRequest::Types, CallKind::Types);
+            self.cloud(CloudRequest::Types, CallKind::Fleet(FleetCall::ListTypes));
         }
     }
 
@@ -296,7 +297,7 @@
             self.fleet_planner.releasing.insert(name.clone(), now);
         }
         let request = CloudRequest::Release(names.iter().map(|n| n.to_string()).collect());
-        self.cloud(request, CallKind::Release(names));
+        self.cloud(request, CallKind::Fleet(FleetCall::Release(names)));
     }
 
     fn delete_record(&mut self, name: MachineName) {
@@ -305,10 +306,10 @@
     }
 
     fn rent(&mut self, request: RentRequest, partition: PartitionId) {
-        let purpose = CallKind::Rent {
+        let purpose = CallKind::Fleet(FleetCall::Rent {
             request: request.clone(),
             partition,
-        };
+        });
         let call = self.cloud(CloudRequest::Rent(request.clone()), purpose);
         self.fleet_planner
             .renting
@@ -326,16 +327,16 @@
             self.counters.cloud_refused += 1;
         }
         match purpose {
-            CallKind::Types => {
+            CallKind::Fleet(FleetCall::ListTypes) => {
                 if let CloudReply::Types(types) = reply {
                     self.take_types(types);
                 }
             }
-            CallKind::Rent { request, partition } => {
+            CallKind::Fleet(FleetCall::Rent { request, partition }) => {
                 self.fleet_planner.renting.remove(&call);
                 self.handle_rental_reply(request, partition, reply);
             }
-            CallKind::Release(names) => {
+            CallKind::Fleet(FleetCall::Release(names)) => {
                 for name in names {
                     match reply {
                         CloudReply::Released => self.delete_record(name),
@@ -347,7 +348,9 @@
                     }
                 }
             }
-            CallKind::CloudList { gathered } => self.handle_machine_list(gathered, reply),
+            CallKind::Fleet(FleetCall::ListMachines { gathered }) => {
+                self.handle_machine_list(gathered, reply)
+            }
             _ => {}
         }
     }
@@ -373,7 +376,7 @@
             self.state(
                 CallPriority::Lease,
                 StateRequest::Transaction(txn),
-                CallKind::TypesWrite,
+                CallKind::Record(RecordCall::MachineTypes),
             );
         }
     }
@@ -451,7 +454,7 @@
         if let (true, Some(after)) = (list.more, after) {
             self.cloud(
                 CloudRequest::List { after, limit: 500 },
-                CallKind::CloudList { gathered },
+                CallKind::Fleet(FleetCall::ListMachines { gathered }),
             );
             return;
         }
--- a/crates/controller/src/controller/heartbeats.rs
+++ b/crates/controller/src/controller/heartbeats.rs
@@ -1,5 +1,6 @@
 //! Reports of workers and direct calls to them.
 
+use super::call_kind::WorkerCall;
 use super::heartbeat_checks::{check_answer, check_report, HeartbeatFault};
 use super::leadership::HeartbeatOutcome;
 use super::{
@@ -169,11 +170,11 @@
                     _ => None,
                 })
                 .collect();
-            let call = self.calls.register(CallKind::Direct {
+            let call = self.calls.register(CallKind::Worker(WorkerCall::Commands {
                 partition,
                 machine,
                 launches,
-            });
+            }));
             let body = DirectCommands {
                 token: token.0,
                 session: session.0,
@@ -256,22 +257,22 @@
 
     pub(super) fn handle_worker_reply(&mut self, call: CallId, reply: DirectReply) {
         match self.calls.complete(call) {
-            Some(CallKind::Direct {
+            Some(CallKind::Worker(WorkerCall::Commands {
                 partition,
                 machine,
                 launches,
-            }) => {
+            })) => {
                 let reply = self.checked_answer(&machine, reply);
                 self.handle_command_reply(partition, &machine, &launches, reply);
             }
-            Some(CallKind::Probe { partition, machine }) => {
+            Some(CallKind::Worker(WorkerCall::ReachabilityProbe { partition, machine })) => {
                 let reply = self.checked_answer(&machine, reply);
                 self.handle_reachability_reply(
                     partition,
                     matches!(reply, DirectReply::Answered(_)),
                 );
             }
-            Some(CallKind::Ask { partition, machine }) => {
+            Some(CallKind::Worker(WorkerCall::LivenessProbe { partition, machine })) => {
                 let reply = self.checked_answer(&machine, reply);
                 self.handle_probe_reply(partition, &machine, reply);
             }
--- a/crates/controller/src/controller/job_archiver.rs
+++ b/crates/controller/src/controller/job_archiver.rs
@@ -6,6 +6,7 @@
 //! leaves its page when it is filed and no page of accepted jobs shows the job any more; the
 //! job cannot come back then, since acceptances are conditional on there being no final state.
 
+use super::call_kind::JobCall;
 use super::{CallKind, Controller};
 use crate::records::{
     cancellations_key, final_key, page_capacity, partition_key, terminal_jobs_key, FinalRecord,
@@ -75,7 +76,7 @@
             return;
         };
         archiver.pipe.send((), txn.clone(), now, WRITE_INTERVAL);
-        let purpose = CallKind::Ends { partition, term };
+        let purpose = CallKind::Job(JobCall::Archive { partition, term });
         self.state(
             CallPriority::Accept,
             StateRequest::Transaction(txn),
@@ -103,7 +104,7 @@
         };
         // Whatever came of it, the mirror shows: what is not over by then is written anew.
         if let Outcome::Again(txn) = archiver.pipe.answered(reply, now) {
-            let purpose = CallKind::Ends { partition, term };
+            let purpose = CallKind::Job(JobCall::Archive { partition, term });
             self.retry_later(
                 Duration::from_millis(200),
                 CallPriority::Accept,
--- a/crates/controller/src/controller/leadership.rs
+++ b/crates/controller/src/controller/leadership.rs
@@ -1,5 +1,6 @@
 //! Holding a partition: scheduling, writing rounds, ending jobs.
 
+use super::call_kind::{LeadershipCall, LogCall, RecordCall, WorkerCall};
 use super::job_archiver::JobArchiver;
 use super::machine_records::MachineChange;
 use super::{CallKind, Controller};
@@ -534,7 +535,7 @@
         let txn = round.txn.clone();
         loaded.writing = Some(Writing { round, written });
         leadership.committed_at = now;
-        let purpose = CallKind::LedgerWrite { partition, term };
+        let purpose = CallKind::Log(LogCall::Commit { partition, term });
         self.state(
             CallPriority::Placement,
             StateRequest::Transaction(txn),
@@ -568,11 +569,11 @@
             // Either an earlier copy of this very round was applied, or the right is lost.
             StateReply::Conflict { .. } => {
                 if let Some((key, id)) = loaded.ledger.proof(&writing.round) {
-                    let purpose = CallKind::LedgerProof {
+                    let purpose = CallKind::Log(LogCall::Prove {
                         partition,
                         term,
                         id,
-                    };
+                    });
                     self.state(CallPriority::Placement, StateRequest::Get { key }, purpose);
                 }
             }
@@ -587,7 +588,7 @@
                     StateReply::Refused { throttled: true } => Duration::from_millis(80),
                     _ => Duration::from_millis(200),
                 };
-                let purpose = CallKind::LedgerWrite { partition, term };
+                let purpose = CallKind::Log(LogCall::Commit { partition, term });
                 self.retry_later(after, CallPriority::Placement, request, purpose);
             }
         }
@@ -618,11 +619,11 @@
             StateReply::Item(_) | StateReply::Missing => self.reload_partition(partition),
             _ => {
                 if let Some((key, id)) = loaded.ledger.proof(&writing.round) {
-                    let purpose = CallKind::LedgerProof {
+                    let purpose = CallKind::Log(LogCall::Prove {
                         partition,
                         term,
                         id,
-                    };
+                    });
                     let request = StateRequest::Get { key };
                     self.retry_later(
                         Duration::from_millis(150),
@@ -686,7 +687,7 @@
                 token,
                 session,
             } = question;
-            let purpose = CallKind::Ask { partition, machine };
+            let purpose = CallKind::Worker(WorkerCall::LivenessProbe { partition, machine });
             self.send_probe(address, token, session, purpose, PROBE_TIMEOUT);
         }
     }
@@ -783,11 +784,11 @@
             .when(partition_key(partition), version)
             .when(COUNTER, self.cache.counter_version())
             .write(Write::put(COUNTER, value));
-        let purpose = CallKind::RaiseAll {
+        let purpose = CallKind::Leadership(LeadershipCall::RaiseToken {
             partition,
             term,
             token,
-        };
+        });
         self.state(
             CallPriority::Placement,
             StateRequest::Transaction(txn),
@@ -939,7 +940,7 @@
         self.state(
             CallPriority::Placement,
             StateRequest::Transaction(txn),
-            CallKind::Demand,
+            CallKind::Record(RecordCall::Demand),
         );
     }
 
--- a/crates/controller/src/controller/linearizable_reads.rs
+++ b/crates/controller/src/controller/linearizable_reads.rs
@@ -4,6 +4,7 @@
 //! of many jobs have no final state. Reads keep a pace, so that users who ask many times as often
 //! leave the budget to submissions and placements.
 
+use super::call_kind::ReadCall;
 use super::user_requests::status;
 use super::{CallKind, Controller, PendingRequest, RequestKind, UserReply};
 use crate::records::{final_key, FinalRecord};
@@ -64,7 +65,11 @@
             reads.read_next = now + pace;
             let requests = std::mem::take(&mut reads.queued);
             let read = watch_request(self.cache.revision, Duration::ZERO);
-            self.state(CallPriority::Accept, read, CallKind::ReadChanges(requests));
+            self.state(
+                CallPriority::Accept,
+                read,
+                CallKind::Read(ReadCall::Changes(requests)),
+            );
         }
         let reads = &mut self.reads;
         if !reads.not_open.is_empty() && !reads.comparing && now >= reads.compare_next {
@@ -88,7 +93,7 @@
             self.state(
                 CallPriority::Accept,
                 StateRequest::Transaction(txn),
-                CallKind::CompareFinals(requests),
+                CallKind::Read(ReadCall::TerminalStates(requests)),
             );
         }
     }
@@ -162,7 +167,11 @@
                     let key = final_key(request.id);
                     if failed.contains(&key) {
                         let read = StateRequest::Get { key };
-                        self.state(CallPriority::Accept, read, CallKind::FinalRead { request });
+                        self.state(
+                            CallPriority::Accept,
+                            read,
+                            CallKind::Read(ReadCall::TerminalRecord { request }),
+                        );
                     } else {
                         self.handle_final_state_read(request, StateReply::Missing);
                     }
--- a/crates/controller/src/controller/load_partition.rs
+++ b/crates/controller/src/controller/load_partition.rs
@@ -1,6 +1,7 @@
 //! Taking a partition on: reading its ledger, the checks before the first decision, building the share.
 //! A warm start and a cold one differ only in what [`Controller::apply_replica`] has to give.
 
+use super::call_kind::LogCall;
 use super::job_archiver::JobArchiver;
 use super::leadership::LoadedPartition;
 use super::{CallKind, Controller, MAX_LAUNCH_READ_AGE};
@@ -37,7 +38,10 @@
             after,
             limit: 100,
         };
-        Some((request, CallKind::LedgerList { partition, term }))
+        Some((
+            request,
+            CallKind::Log(LogCall::ReadPage { partition, term }),
+        ))
     }
 
     fn list_log_pages(&mut self, partition: PartitionId, after: String) {
--- a/crates/controller/src/controller/machine_records.rs
+++ b/crates/controller/src/controller/machine_records.rs
@@ -1,6 +1,7 @@
 //! Changes of machines' records: what is wanted is gathered and written together, many
 //! machines to a put.
 
+use super::call_kind::RecordCall;
 use super::{CallKind, Controller, FLEET_PLANNER_PARTITION};
 use crate::records::{
     machines_key, page_capacity, partition_key, MachineRecord, MachinesPage, PackedMachine, COUNTER,
@@ -131,7 +132,7 @@
         self.state(
             CallPriority::Placement,
             StateRequest::Transaction(txn),
-            CallKind::Machines,
+            CallKind::Record(RecordCall::Machines),
         );
     }
 
@@ -266,7 +267,7 @@
                 Duration::from_millis(200),
                 CallPriority::Placement,
                 request,
-                CallKind::Machines,
+                CallKind::Record(RecordCall::Machines),
             );
         }
     }
--- a/crates/controller/src/controller/membership.rs
+++ b/crates/controller/src/controller/membership.rs
@@ -1,5 +1,6 @@
 //! Who holds which partition: taking vacant ones, handing them home, word from peers.
 
+use super::call_kind::{LeadershipCall, WorkerCall};
 use super::heartbeats::WORKER_TIMEOUT;
 use super::leadership::PartitionLeadership;
 use super::standby::REPLICA_CATCH_UP_LIMIT;
@@ -203,7 +204,7 @@
             }
         }
         for (partition, (machine, address)) in due {
-            let purpose = CallKind::Probe { partition, machine };
+            let purpose = CallKind::Worker(WorkerCall::ReachabilityProbe { partition, machine });
             self.send_probe(
                 address,
                 FencingToken(0),
@@ -288,7 +289,7 @@
         self.state(
             CallPriority::Lease,
             StateRequest::Transaction(txn),
-            CallKind::GiveUp(partition),
+            CallKind::Leadership(LeadershipCall::Resign(partition)),
         );
     }
 
@@ -413,7 +414,7 @@
         self.state(
             CallPriority::Lease,
             StateRequest::Transaction(txn),
-            CallKind::Acquire(partition),
+            CallKind::Leadership(LeadershipCall::Acquire(partition)),
         );
     }
 
@@ -579,7 +580,7 @@
             self.state(
                 CallPriority::Lease,
                 StateRequest::Transaction(txn),
-                CallKind::Wish,
+                CallKind::Leadership(LeadershipCall::Reclaim),
             );
         }
         let Some(held) = self.cache.partitions.get(&partition) else {
@@ -636,10 +637,10 @@
         if self.cache.reclaim_requests.contains_key(&partition) {
             txn = txn.write(Write::delete(reclaim_key(partition)));
         }
-        let purpose = CallKind::HandOver {
+        let purpose = CallKind::Leadership(LeadershipCall::Transfer {
             partition,
             to: to.clone(),
-        };
+        });
         self.state(CallPriority::Lease, StateRequest::Transaction(txn), purpose);
     }
 
--- a/crates/controller/src/controller/mod.rs
+++ b/crates/controller/src/controller/mod.rs
@@ -4,6 +4,7 @@
 use std::time::Duration;
 pub mod admin;
 mod admission;
+mod call_kind;
 mod cancellations;
 mod crash_loop;
 mod fleet_planner;
@@ -16,37 +17,38 @@
 mod machine_records;
 mod membership;
 mod standby;
+mod state_replies;
 mod state_sync;
 mod user_requests;
 
-use crate::controller_lease::{ControllerLease, LeaseCall};
+use crate::controller_lease::ControllerLease;
 use crate::job_status_cache::JobStatusCache;
 use crate::pending_calls::PendingCalls;
-use crate::placement_log::CommitId;
 use crate::registration::Registration;
 use crate::rejections::RejectionCounts;
 use crate::request_budget::CallPriority;
 use crate::state_cache::StateCache;
 use crate::state_client::{QueuedCall, StateClient};
-use crate::state_sync::{StateSync, SyncCall};
+use crate::state_sync::StateSync;
 use admin::{AdminReply, AdminRequest};
 use admission::Admission;
 use autoscaler::FleetPolicy;
+use call_kind::CallKind;
 use cancellations::Cancellations;
 use fleet_planner::FleetPlanner;
 use leadership::PartitionLeadership;
 use linearizable_reads::LinearizableReads;
 use machine_records::MachineChanges;
 use model::{
-    CallId, ControllerName, FencingToken, JobId, MachineName, PartitionId, RejectReason, Settings,
-    TaskId, Timestamp, ZoneName,
+    CallId, ControllerName, FencingToken, JobId, PartitionId, RejectReason, Settings, Timestamp,
+    ZoneName,
 };
 use rand::rngs::SmallRng;
 use rand::SeedableRng;
 use scheduler::Policy;
 use scheduling_queue::QueueConfig;
 use std::collections::{BTreeMap, HashMap, HashSet};
-use wire::cloud::{CloudReply, CloudRequest, RentRequest};
+use wire::cloud::{CloudReply, CloudRequest};
 use wire::mesh::MeshMessage;
 use wire::state::{StateReply, StateRequest};
 use wire::users::{JobRequest, JobStatus};
@@ -199,92 +201,6 @@
     Accepted,
 }
 
-/// Why a call was made.
-#[derive(Debug)]
-pub(crate) enum CallKind {
-    /// A read that keeps the state cache up to date.
-    Sync(SyncCall),
-    /// A read of changes that answers these requests.
-    ReadChanges(Vec<PendingRequest>),
-    /// Creation or renewal of the controller's lease.
-    Lease(LeaseCall),
-    /// Registration of this incarnation.
-    Boot,
-    Acquire(PartitionId),
-    HandOver {
-        partition: PartitionId,
-        to: ControllerName,
-    },
-    /// A higher token for all machines of a partition.
-    RaiseAll {
-        partition: PartitionId,
-        term: u64,
-        token: u64,
-    },
-    /// A wish for our home partition.
-    Wish,
-    /// What a partition lacks.
-    Demand,
-    /// A partition given up.
-    GiveUp(PartitionId),
-    /// A call to a worker of a partition that we gave up: does it reach us again?
-    Probe {
-        partition: PartitionId,
-        machine: MachineName,
-    },
-    /// A question to a machine that has been quiet: is it there?
-    Ask {
-        partition: PartitionId,
-        machine: MachineName,
-    },
-    LedgerList {
-        partition: PartitionId,
-        term: u64,
-    },
-    LedgerWrite {
-        partition: PartitionId,
-        term: u64,
-    },
-    LedgerProof {
-        partition: PartitionId,
-        term: u64,
-        id: CommitId,
-    },
-    /// A write of accepted jobs.
-    Accept,
-    /// A write of cancellations.
-    Cancel,
-    FinalRead {
-        request: PendingRequest,
-    },
-    /// Whether these jobs have no final state.
-    CompareFinals(Vec<PendingRequest>),
-    Ends {
-        partition: PartitionId,
-        term: u64,
-    },
-    /// Changes of machines' records.
-    Machines,
-    TypesWrite,
-    TuningWrite {
-        ticket: Ticket,
-    },
-    Types,
-    Rent {
-        request: RentRequest,
-        partition: PartitionId,
-    },
-    Release(Vec<MachineName>),
-    CloudList {
-        gathered: Vec<wire::cloud::ListedMachine>,
-    },
-    Direct {
-        partition: PartitionId,
-        machine: MachineName,
-        launches: Vec<(TaskId, model::Attempt)>,
-    },
-}
-
 /// What a peer said last.
 #[derive(Debug, Clone)]
 pub(crate) struct PeerStatus {
--- a/crates/controller/src/controller/state_sync.rs
+++ b/crates/controller/src/controller/state_sync.rs
@@ -1,14 +1,12 @@
-//! Keeping the state cache and the controller's lease up to date, and routing of the replies of the
-//! state service.
+//! Keeping the state cache and the controller's lease up to date.
 
 use super::{CallKind, Controller, MAX_WATCH_WAIT};
 use crate::controller_lease::LeaseCall;
 use crate::rejections::{MessageFault, MessageSource};
 use crate::request_budget::CallPriority;
 use crate::state_cache::CacheEvent;
-use crate::state_client::Budget;
 use crate::state_sync::{watch_request, FullRead, FullReadStep, SyncCall, SyncRequest, WatchStep};
-use model::{CallId, Timestamp};
+use model::Timestamp;
 use std::time::Duration;
 use wire::state::{Changes, StateReply};
 
@@ -60,86 +58,29 @@
         }
     }
 
-    /// An answer of the state service.
-    pub(super) fn handle_state_reply(&mut self, call: CallId, reply: StateReply) {
-        let sent = self.state_client.complete(call).unwrap_or(self.now);
-        let Some(purpose) = self.calls.complete(call) else {
-            self.counters
-                .rejections
-                .add(MessageSource::State, MessageFault::Stale);
-            return;
-        };
-        if let StateReply::Refused { throttled } = reply {
-            self.counters.state_refused += 1;
-            // What changes something may have met either limit; the rest only that of requests.
-            match purpose {
-                _ if !throttled => {}
-                CallKind::Sync(_)
-                | CallKind::ReadChanges(_)
-                | CallKind::Lease(_)
-                | CallKind::LedgerList { .. }
-                | CallKind::LedgerProof { .. }
-                | CallKind::FinalRead { .. }
-                | CallKind::CompareFinals(_) => self
-                    .state_client
-                    .handle_throttled(self.now, Budget::Requests),
-                _ => self.state_client.handle_throttled(self.now, Budget::Writes),
-            }
+    /// Handles the reply to a read of a full read's page or to a watch.
+    pub(super) fn handle_sync_reply(
+        &mut self,
+        call: SyncCall,
+        reply: StateReply,
+        sent_at: Timestamp,
+    ) {
+        match call {
+            SyncCall::FullReadPage => self.handle_full_read_page(reply),
+            SyncCall::Watch => self.handle_watch_reply(&reply, sent_at),
         }
-        match purpose {
-            CallKind::Sync(SyncCall::FullReadPage) => self.handle_full_read_page(reply),
-            CallKind::Sync(SyncCall::Watch) => self.handle_watch_reply(&reply, sent),
-            CallKind::ReadChanges(requests) => self.handle_changes_read(requests, reply, sent),
-            CallKind::Lease(LeaseCall::Create) => self.lease.handle_creation(&reply, self.now),
-            CallKind::Lease(LeaseCall::Renew(lease)) => {
-                self.lease.handle_renewal(lease, &reply, sent, self.now)
-            }
-            CallKind::Boot => self.registration.handle_written(),
-            CallKind::Acquire(partition) => self.handle_acquisition_reply(partition, &reply),
-            CallKind::HandOver { partition, to } => {
-                self.handle_transfer_reply(partition, to, reply)
-            }
-            CallKind::Wish => self.reclaim_pending = false,
-            CallKind::Demand => {}
-            CallKind::GiveUp(partition) => self.handle_resignation_reply(partition, reply),
-            CallKind::RaiseAll {
-                partition,
-                term,
-                token,
-            } => {
-                self.handle_token_raised(partition, term, token, reply);
-            }
-            CallKind::LedgerList { partition, term } => {
-                self.handle_log_page(partition, term, reply)
-            }
-            CallKind::LedgerWrite { partition, term } => {
-                self.handle_commit_reply(partition, term, reply)
-            }
-            CallKind::LedgerProof {
-                partition,
-                term,
-                id,
-            } => {
-                self.handle_commit_proof(partition, term, id, reply);
-            }
-            CallKind::Accept => self.handle_acceptance_written(reply),
-            CallKind::Cancel => self.handle_cancellation_written(reply),
-            CallKind::CompareFinals(requests) => self.handle_final_states_compared(requests, reply),
-            CallKind::FinalRead { request } => self.handle_final_state_read(request, reply),
-            CallKind::Ends { partition, term } => {
-                self.handle_terminal_jobs_written(partition, term, reply)
-            }
-            CallKind::Machines => self.handle_machine_records_written(reply),
-            CallKind::TypesWrite => self.fleet_planner.types_pending = false,
-            CallKind::TuningWrite { ticket } => self.handle_settings_written(ticket, reply),
-            // These go to the cloud or to workers.
-            CallKind::Types
-            | CallKind::Rent { .. }
-            | CallKind::Release(_)
-            | CallKind::CloudList { .. }
-            | CallKind::Probe { .. }
-            | CallKind::Ask { .. }
-            | CallKind::Direct { .. } => {}
+    }
+
+    /// Handles the reply to a call of the controller's lease.
+    pub(super) fn handle_lease_reply(
+        &mut self,
+        call: LeaseCall,
+        reply: &StateReply,
+        sent_at: Timestamp,
+    ) {
+        match call {
+            LeaseCall::Create => self.lease.handle_creation(reply, self.now),
+            LeaseCall::Renew(lease) => self.lease.handle_renewal(lease, reply, sent_at, self.now),
         }
     }
 
