--- a/crates/controller/src/controller/admission.rs
+++ b/crates/controller/src/controller/admission.rs
@@ -6,7 +6,7 @@
     accepted_jobs_key, final_key, packed_size, page_capacity, AcceptedJobsPage, PackedJob,
 };
 use crate::request_budget::CallPriority;
-use crate::serial_writer::{Outcome, SerialWriter};
+use crate::serial_writer::{SerialWriter, WriteOutcome};
 use model::{JobId, Revision, Timestamp};
 use std::collections::{HashSet, VecDeque};
 use std::time::Duration;
@@ -271,8 +271,8 @@
     }
 
     pub(super) fn handle_acceptance_written(&mut self, reply: StateReply) {
-        match self.admission.writes.answered(reply, self.now) {
-            Outcome::CommittedChanges(batch) => {
+        match self.admission.writes.handle_reply(reply, self.now) {
+            WriteOutcome::Committed(batch) => {
                 let since = self.now;
                 let requests = batch
                     .into_iter()
@@ -281,7 +281,7 @@
                 self.admission.unconfirmed.extend(requests);
                 self.confirm_accepted();
             }
-            Outcome::Conflict(batch, failed) => {
+            WriteOutcome::Conflict(batch, failed) => {
                 for submission in batch.into_iter().rev() {
                     if failed.contains(&final_key(submission.id)) {
                         // It is finished already: this is a late retry.
@@ -293,7 +293,7 @@
                     }
                 }
             }
-            Outcome::Refused {
+            WriteOutcome::Refused {
                 what,
                 throttled: true,
             } => {
@@ -301,7 +301,7 @@
                     self.admission.pending.push_front(submission);
                 }
             }
-            Outcome::Refused {
+            WriteOutcome::Refused {
                 what,
                 throttled: false,
             } => {
@@ -310,9 +310,9 @@
                     self.busy(submission.ticket, 1);
                 }
             }
-            Outcome::Again(txn) => {
+            WriteOutcome::Unknown(txn) => {
                 // Whether these are written is open; their users' retries will find out.
-                let batch = self.admission.writes.under_way().map(std::mem::take);
+                let batch = self.admission.writes.in_flight_mut().map(std::mem::take);
                 for submission in batch.into_iter().flatten() {
                     self.busy(submission.ticket, 1);
                 }
@@ -324,7 +324,7 @@
                     CallKind::Job(JobCall::Accept),
                 );
             }
-            Outcome::Nothing => {}
+            WriteOutcome::NotInFlight => {}
         }
     }
 }
--- a/crates/controller/src/controller/cancellations.rs
+++ b/crates/controller/src/controller/cancellations.rs
@@ -4,7 +4,7 @@
 use super::{CallKind, Controller, PendingRequest, RequestKind};
 use crate::records::{cancellations_key, CancellationsRecord};
 use crate::request_budget::CallPriority;
-use crate::serial_writer::{Outcome, SerialWriter};
+use crate::serial_writer::{SerialWriter, WriteOutcome};
 use std::time::Duration;
 use wire::mesh::MeshMessage;
 use wire::state::{StateReply, StateRequest, Transaction, Write};
@@ -77,16 +77,16 @@
     }
 
     pub(super) fn handle_cancellation_written(&mut self, reply: StateReply) {
-        match self.cancellations.writes.answered(reply, self.now) {
+        match self.cancellations.writes.handle_reply(reply, self.now) {
             // The job may have finished before: a read that begins now tells which came first.
-            Outcome::CommittedChanges(requests) => {
+            WriteOutcome::Committed(requests) => {
                 // The leader of its partition may be without the state service.
                 let jobs = requests.iter().map(|request| request.id.0).collect();
                 self.broadcast(MeshMessage::JobsCancelled { jobs });
                 self.reads.enqueue_all(requests);
             }
-            Outcome::Conflict(requests, _)
-            | Outcome::Refused {
+            WriteOutcome::Conflict(requests, _)
+            | WriteOutcome::Refused {
                 what: requests,
                 throttled: true,
             } => {
@@ -100,9 +100,13 @@
                     }
                 }
             }
-            Outcome::Refused { what, .. } => self.refuse_all(what),
-            Outcome::Again(txn) => {
-                let requests = self.cancellations.writes.under_way().map(std::mem::take);
+            WriteOutcome::Refused { what, .. } => self.refuse_all(what),
+            WriteOutcome::Unknown(txn) => {
+                let requests = self
+                    .cancellations
+                    .writes
+                    .in_flight_mut()
+                    .map(std::mem::take);
                 self.refuse_all(requests.unwrap_or_default());
                 let request = StateRequest::Transaction(txn);
                 self.retry_later(
@@ -112,7 +116,7 @@
                     CallKind::Job(JobCall::Cancel),
                 );
             }
-            Outcome::Nothing => {}
+            WriteOutcome::NotInFlight => {}
         }
     }
 }
--- a/crates/controller/src/controller/job_archiver.rs
+++ b/crates/controller/src/controller/job_archiver.rs
@@ -13,7 +13,7 @@
     TerminalJobsPage,
 };
 use crate::request_budget::CallPriority;
-use crate::serial_writer::{Outcome, SerialWriter};
+use crate::serial_writer::{SerialWriter, WriteOutcome};
 use crate::state_cache::StateCache;
 use model::{ControllerName, JobId, JobState, PartitionId, ZoneName};
 use std::collections::BTreeSet;
@@ -103,7 +103,7 @@
             return;
         };
         // Whatever came of it, the mirror shows: what is not over by then is written anew.
-        if let Outcome::Again(txn) = archiver.pipe.answered(reply, now) {
+        if let WriteOutcome::Unknown(txn) = archiver.pipe.handle_reply(reply, now) {
             let purpose = CallKind::Job(JobCall::Archive { partition, term });
             self.retry_later(
                 Duration::from_millis(200),
--- a/crates/controller/src/controller/machine_records.rs
+++ b/crates/controller/src/controller/machine_records.rs
@@ -7,7 +7,7 @@
     machines_key, page_capacity, partition_key, MachineRecord, MachinesPage, PackedMachine, COUNTER,
 };
 use crate::request_budget::CallPriority;
-use crate::serial_writer::{Outcome, SerialWriter};
+use crate::serial_writer::{SerialWriter, WriteOutcome};
 use model::{MachineName, PartitionId, Timestamp};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -261,7 +261,8 @@
 
     pub(super) fn handle_machine_records_written(&mut self, reply: StateReply) {
         // What is still wanted is made up anew when the mirror has caught up.
-        if let Outcome::Again(txn) = self.machine_changes.pipe.answered(reply, self.now) {
+        if let WriteOutcome::Unknown(txn) = self.machine_changes.pipe.handle_reply(reply, self.now)
+        {
             let request = StateRequest::Transaction(txn);
             self.retry_later(
                 Duration::from_millis(200),
--- /dev/null
+++ b/crates/controller/src/serial_writer/tests.rs
@@ -0,0 +1,52 @@
+//! Serialised writes: what may be sent when, by the replies.
+
+use super::*;
+
+#[test]
+fn next_write_waits_for_the_cache_to_show_the_last() {
+    let mut writer = SerialWriter::default();
+    let now = Timestamp::from_millis(10);
+    assert!(writer.ready(now, Revision(3)));
+    writer.send("a", Transaction::default(), now, Duration::ZERO);
+    assert!(!writer.ready(now, Revision(3)));
+    let outcome = writer.handle_reply(StateReply::Unknown, now);
+    assert!(matches!(outcome, WriteOutcome::Unknown(_)), "{outcome:?}");
+    assert!(!writer.ready(now, Revision(3)), "the outcome is open");
+    let outcome = writer.handle_reply(StateReply::Committed { revision: 5 }, now);
+    assert!(
+        matches!(outcome, WriteOutcome::Committed("a")),
+        "{outcome:?}"
+    );
+    assert!(
+        !writer.ready(now, Revision(4)),
+        "the cache does not show it yet"
+    );
+    assert!(writer.ready(now, Revision(5)));
+}
+
+#[test]
+fn refused_write_returns_its_contents_and_delays_the_next() {
+    let mut writer = SerialWriter::default();
+    writer.send(
+        "a",
+        Transaction::default(),
+        Timestamp::from_millis(0),
+        Duration::ZERO,
+    );
+    let outcome = writer.handle_reply(
+        StateReply::Refused { throttled: true },
+        Timestamp::from_millis(5),
+    );
+    assert!(
+        matches!(
+            outcome,
+            WriteOutcome::Refused {
+                what: "a",
+                throttled: true
+            }
+        ),
+        "{outcome:?}"
+    );
+    assert!(!writer.ready(Timestamp::from_millis(50), Revision(0)));
+    assert!(writer.ready(Timestamp::from_millis(85), Revision(0)));
+}
--- /dev/null
+++ b/crates/controller/src/state_cache/mod.rs
@@ -0,0 +1,139 @@
+//! This controller's cache of the watched records of the state service.
+//!
+//! `apply` decodes changes, `pages` applies those of packed pages. Records that cannot be decoded are
+//! counted and leave what was known before in place.
+
+mod apply;
+mod pages;
+mod reference_counts;
+
+use crate::records::{
+    DemandRecord, IncarnationRecord, MachineRecord, PackedJob, PartitionRecord, ReclaimRecord,
+    TerminalJobsPage, TokenCounterRecord,
+};
+use model::{
+    ControllerName, JobId, JobSpec, JobState, MachineName, PartitionId, Revision, Version,
+};
+use reference_counts::ReferenceCounts;
+use serde_json::Value;
+use std::collections::{BTreeMap, BTreeSet};
+use std::sync::Arc;
+use wire::cloud::MachineTypes;
+
+/// A job that is accepted and not in a terminal state, as recorded.
+#[derive(Debug, Clone)]
+pub struct OpenJob {
+    pub packed: Arc<PackedJob>,
+    /// Bytes that it takes on its page.
+    pub size: usize,
+    pub spec: Arc<JobSpec>,
+}
+
+impl OpenJob {
+    /// Time of submission (ms) by the controllers' logical clock.
+    pub fn order(&self) -> u64 {
+        self.packed.0
+    }
+}
+
+/// A record with its version.
+#[derive(Debug, Clone, PartialEq)]
+pub struct Versioned<T> {
+    pub record: T,
+    pub version: Version,
+}
+
+/// A machine's record and the page that holds it.
+#[derive(Debug, Clone, PartialEq)]
+pub struct CachedMachine {
+    pub record: MachineRecord,
+    pub page: u32,
+    /// Upper bound of the bytes that it may take there.
+    pub size: usize,
+}
+
+/// A page of machines' records.
+#[derive(Debug, Clone, Default, PartialEq)]
+pub struct MachinePage {
+    pub names: BTreeSet<MachineName>,
+    /// Upper bound of the bytes that its machines may take.
+    pub filled: usize,
+}
+
+/// A change of the cache, for the components that act on it.
+#[derive(Debug, Clone, PartialEq)]
+pub enum CacheEvent {
+    /// A job was accepted or cancelled.
+    Job(JobId),
+    /// A job is in a terminal state.
+    Ended(JobId, JobState),
+    Partition(PartitionId),
+    /// A leader has written the capacity that its partition lacks.
+    Demand(PartitionId, DemandRecord),
+    Machine(MachineName),
+    Boot(ControllerName),
+    Types,
+    Tuning,
+}
+
+/// The watched records, as of [`StateCache::revision`].
+#[derive(Debug, Default)]
+pub struct StateCache {
+    /// Jobs that are accepted and not in a terminal state.
+    pub jobs: BTreeMap<JobId, OpenJob>,
+    /// The jobs on each page of accepted jobs, by key, whether in a terminal state or not.
+    pub intake: BTreeMap<String, Versioned<Vec<JobId>>>,
+    pub cancels: BTreeMap<ControllerName, Versioned<BTreeSet<JobId>>>,
+    pub ends: BTreeMap<(PartitionId, u32), Versioned<TerminalJobsPage>>,
+    /// Jobs in a terminal state, with the number of pages that name them. This and the next are
+    /// counted as pages change, since collecting them from all pages at each completion of a job is
+    /// expensive with a thousand machines.
+    terminal: ReferenceCounts,
+    /// Jobs on pages of accepted jobs, whether in a terminal state or not.
+    registered: ReferenceCounts,
+    pub partitions: BTreeMap<PartitionId, Versioned<PartitionRecord>>,
+    pub reclaim_requests: BTreeMap<PartitionId, Versioned<ReclaimRecord>>,
+    /// Versions of the demand records that leaders have written.
+    pub demands: BTreeMap<PartitionId, Version>,
+    pub machines: BTreeMap<MachineName, CachedMachine>,
+    pub machine_pages: BTreeMap<u32, Versioned<MachinePage>>,
+    pub incarnations: BTreeMap<ControllerName, Versioned<IncarnationRecord>>,
+    pub counter: Option<Versioned<TokenCounterRecord>>,
+    pub types: Option<Versioned<MachineTypes>>,
+    pub tuning: Option<Versioned<Value>>,
+    /// All changes up to here have been applied.
+    pub revision: Revision,
+    /// Number of unusable records and entries since it was taken last.
+    rejected: u64,
+}
+
+impl StateCache {
+    /// Version of the token counter, 0 if there is none.
+    pub fn counter_version(&self) -> u64 {
+        self.counter.as_ref().map_or(0, |counter| counter.version.0)
+    }
+
+    /// The next fencing token.
+    pub fn next_token(&self) -> u64 {
+        self.counter
+            .as_ref()
+            .map_or(1, |counter| counter.record.next)
+    }
+
+    /// Whether a user has cancelled the job.
+    pub fn is_cancelled(&self, id: JobId) -> bool {
+        self.cancels
+            .values()
+            .any(|cancelled| cancelled.record.contains(&id))
+    }
+
+    /// Whether a job is on any page of accepted jobs, whether in a terminal state or not.
+    pub fn is_registered(&self, id: JobId) -> bool {
+        self.registered.contains(id)
+    }
+
+    /// Takes the number of records and entries that could not be used since the last call.
+    pub fn take_rejected(&mut self) -> u64 {
+        std::mem::take(&mut self.rejected)
+    }
+}
--- /dev/null
+++ b/crates/controller/src/state_cache/pages.rs
@@ -0,0 +1,151 @@
+//! Application of the packed pages: accepted jobs, terminal jobs and machines.
+
+use super::apply::{number, page_number};
+use super::{CacheEvent, CachedMachine, MachinePage, OpenJob, StateCache, Versioned};
+use crate::records::{
+    machines_key, packed_size, AcceptedJobsPage, MachinesPage, PackedJob, PackedMachine,
+    TerminalJobsPage,
+};
+use model::{JobId, JobSpec, MachineName, PartitionId, Version};
+use serde_json::Value;
+use std::sync::Arc;
+
+impl StateCache {
+    pub(super) fn apply_accepted_jobs_page(
+        &mut self,
+        key: &str,
+        value: &Value,
+        version: Version,
+        changed: &mut Vec<CacheEvent>,
+    ) {
+        let number = key.rsplit_once('/').and_then(|(_, page)| page_number(page));
+        let read = self.decode_numbered::<_, AcceptedJobsPage>(key, number, value);
+        let Some((_, page)) = read else { return };
+        let mut ids = Vec::new();
+        for entry in &page.jobs {
+            let Some(id) = entry.get(1).and_then(Value::as_str).and_then(JobId::parse) else {
+                self.reject(key, &"an entry has no job id");
+                continue;
+            };
+            ids.push(id);
+            // Two controllers may have accepted the same job, and a terminal job stays on its page
+            // until that is written again.
+            if self.jobs.contains_key(&id) || self.terminal.contains(id) {
+                continue;
+            }
+            let Some(packed) = self.decode::<PackedJob>(key, entry) else {
+                continue;
+            };
+            let spec = match JobSpec::try_from(&packed.request()) {
+                Ok(spec) => spec,
+                Err(error) => {
+                    self.reject(key, &error);
+                    continue;
+                }
+            };
+            let size = packed_size(&packed);
+            let job = OpenJob {
+                packed: Arc::new(packed),
+                size,
+                spec: Arc::new(spec),
+            };
+            self.jobs.insert(id, job);
+            changed.push(CacheEvent::Job(id));
+        }
+        for id in &ids {
+            self.registered.add(*id);
+        }
+        let old = self.intake.insert(
+            key.to_owned(),
+            Versioned {
+                record: ids,
+                version,
+            },
+        );
+        for id in old.into_iter().flat_map(|page| page.record) {
+            self.registered.remove(id);
+        }
+    }
+
+    pub(super) fn apply_terminal_jobs_page(
+        &mut self,
+        key: &str,
+        name: &str,
+        value: &Value,
+        version: Version,
+        changed: &mut Vec<CacheEvent>,
+    ) {
+        let place = name.split_once('/').and_then(|(partition, page)| {
+            Some((PartitionId(number(partition)?), page_number(page)?))
+        });
+        let read = self.decode_numbered::<_, TerminalJobsPage>(key, place, value);
+        let Some((place, record)) = read else { return };
+        for (id, state) in record.jobs() {
+            if self.terminal.add(id) {
+                self.jobs.remove(&id);
+                changed.push(CacheEvent::Ended(id, state));
+            }
+        }
+        // A page drops a job only once no page of accepted jobs names it any more.
+        let old = self.ends.insert(place, Versioned { record, version });
+        for (id, _) in old.iter().flat_map(|page| page.record.jobs()) {
+            self.terminal.remove(id);
+        }
+    }
+
+    pub(super) fn apply_machines_page(
+        &mut self,
+        page: u32,
+        record: MachinesPage,
+        version: Version,
+        changed: &mut Vec<CacheEvent>,
+    ) {
+        let mut new = MachinePage::default();
+        for packed in record.machines {
+            if packed.0.is_empty() {
+                self.reject(&machines_key(page), &"a machine has no name");
+                continue;
+            }
+            let name = MachineName::from(packed.0.as_str());
+            let record = packed.record();
+            let size = match self.machines.get(&name) {
+                Some(known) if known.record == record && known.page == page => known.size,
+                _ => {
+                    let size = PackedMachine::max_packed_size(&name, &record);
+                    self.machines
+                        .insert(name.clone(), CachedMachine { record, page, size });
+                    changed.push(CacheEvent::Machine(name.clone()));
+                    size
+                }
+            };
+            if new.names.insert(name) {
+                new.filled += size;
+            }
+        }
+        let old = self.machine_pages.get(&page).map(|old| &old.record.names);
+        let gone: Vec<MachineName> = old
+            .into_iter()
+            .flat_map(|old| old.difference(&new.names))
+            .cloned()
+            .collect();
+        self.machine_pages.insert(
+            page,
+            Versioned {
+                record: new,
+                version,
+            },
+        );
+        for name in gone {
+            if self
+                .machines
+                .get(&name)
+                .is_some_and(|known| known.page != page)
+            {
+                // It was moved to another page meanwhile.
+                continue;
+            }
+            self.machines.remove(&name);
+            changed.push(CacheEvent::Machine(name));
+        }
+    }
+}
