--- a/crates/controller/src/controller/admin.rs
+++ b/crates/controller/src/controller/admin.rs
@@ -217,7 +217,7 @@
             .when(TUNING, version)
             .write(Write::put(TUNING, value));
         let purpose = CallKind::Record(RecordCall::Tuning { ticket });
-        self.state(CallPriority::Rest, StateRequest::Transaction(txn), purpose);
+        self.queue_state_request(CallPriority::Rest, StateRequest::Transaction(txn), purpose);
         Ok(())
     }
 
--- a/crates/controller/src/controller/admission.rs
+++ b/crates/controller/src/controller/admission.rs
@@ -81,7 +81,7 @@
     /// Takes a checked submission in, or refuses it at once.
     pub(super) fn admit(&mut self, ticket: Ticket, id: JobId, job: JobRequest) {
         if self.admission.pending.len() >= MAX_PENDING {
-            self.busy(ticket, 1);
+            self.reply_busy(ticket, 1);
             return;
         }
         if packed_size(&PackedJob::new(u64::MAX, job.clone()))
@@ -123,7 +123,7 @@
             }
             let ticket = first.ticket;
             self.admission.pending.pop_front();
-            self.busy(ticket, 1);
+            self.reply_busy(ticket, 1);
         }
     }
 
@@ -211,7 +211,7 @@
                 self.now,
                 Duration::ZERO,
             );
-            self.state(
+            self.queue_state_request(
                 CallPriority::Accept,
                 StateRequest::Transaction(batch.txn),
                 CallKind::Job(JobCall::Accept),
@@ -307,14 +307,14 @@
             } => {
                 let pending = std::mem::take(&mut self.admission.pending);
                 for submission in what.into_iter().chain(pending) {
-                    self.busy(submission.ticket, 1);
+                    self.reply_busy(submission.ticket, 1);
                 }
             }
             WriteOutcome::Unknown(txn) => {
                 // Whether these are written is open; their users' retries will find out.
                 let batch = self.admission.writes.in_flight_mut().map(std::mem::take);
                 for submission in batch.into_iter().flatten() {
-                    self.busy(submission.ticket, 1);
+                    self.reply_busy(submission.ticket, 1);
                 }
                 let request = StateRequest::Transaction(txn);
                 self.retry_later(
--- a/crates/controller/src/controller/cancellations.rs
+++ b/crates/controller/src/controller/cancellations.rs
@@ -54,7 +54,7 @@
         let mut batch = Vec::new();
         for request in std::mem::take(&mut self.cancellations.pending) {
             if jobs.len() >= room {
-                self.busy(request.ticket, 1);
+                self.reply_busy(request.ticket, 1);
                 continue;
             }
             if !jobs.contains(&request.id.0) {
@@ -69,7 +69,7 @@
         self.cancellations
             .writes
             .send(batch, txn.clone(), self.now, Duration::ZERO);
-        self.state(
+        self.queue_state_request(
             CallPriority::Accept,
             StateRequest::Transaction(txn),
             CallKind::Job(JobCall::Cancel),
@@ -96,7 +96,7 @@
                             *conflicts += 1;
                             self.reads.enqueue(request);
                         }
-                        _ => self.busy(request.ticket, 1),
+                        _ => self.reply_busy(request.ticket, 1),
                     }
                 }
             }
--- a/crates/controller/src/controller/crash_loop.rs
+++ b/crates/controller/src/controller/crash_loop.rs
@@ -23,7 +23,7 @@
         let transaction = Transaction::default()
             .when(&key, version)
             .write(Write::put(&key, value));
-        self.state(
+        self.queue_state_request(
             CallPriority::Lease,
             StateRequest::Transaction(transaction),
             CallKind::Registration,
--- a/crates/controller/src/controller/fleet_planner.rs
+++ b/crates/controller/src/controller/fleet_planner.rs
@@ -221,7 +221,7 @@
                 after: String::new(),
                 limit: 500,
             };
-            self.cloud(
+            self.send_cloud_request(
                 request,
                 CallKind::Fleet(FleetCall::ListMachines {
                     gathered: Vec::new(),
@@ -255,7 +255,7 @@
             .is_none_or(|at| self.now.duration_since(at) >= pause);
         if due && self.fleet_planner.calls.take(self.now, 1.0, 0.0) {
             self.fleet_planner.types_at = Some(self.now);
-            self.cloud(CloudRequest::Types, CallKind::Fleet(FleetCall::ListTypes));
+            self.send_cloud_request(CloudRequest::Types, CallKind::Fleet(FleetCall::ListTypes));
         }
     }
 
@@ -297,7 +297,7 @@
             self.fleet_planner.releasing.insert(name.clone(), now);
         }
         let request = CloudRequest::Release(names.iter().map(|n| n.to_string()).collect());
-        self.cloud(request, CallKind::Fleet(FleetCall::Release(names)));
+        self.send_cloud_request(request, CallKind::Fleet(FleetCall::Release(names)));
     }
 
     fn delete_record(&mut self, name: MachineName) {
@@ -310,7 +310,7 @@
             request: request.clone(),
             partition,
         });
-        let call = self.cloud(CloudRequest::Rent(request.clone()), purpose);
+        let call = self.send_cloud_request(CloudRequest::Rent(request.clone()), purpose);
         self.fleet_planner
             .renting
             .insert(call, (request, partition));
@@ -373,7 +373,7 @@
             let txn = Transaction::default()
                 .when(TYPES, version)
                 .write(Write::put(TYPES, value));
-            self.state(
+            self.queue_state_request(
                 CallPriority::Lease,
                 StateRequest::Transaction(txn),
                 CallKind::Record(RecordCall::MachineTypes),
@@ -452,7 +452,7 @@
         }
         gathered.extend(list.machines);
         if let (true, Some(after)) = (list.more, after) {
-            self.cloud(
+            self.send_cloud_request(
                 CloudRequest::List { after, limit: 500 },
                 CallKind::Fleet(FleetCall::ListMachines { gathered }),
             );
@@ -702,7 +702,7 @@
         if leader == *self.own_name() {
             self.handle_release_request(machine.as_str(), to);
         } else {
-            self.mesh(
+            self.send_to_peer(
                 &leader,
                 MeshMessage::ReleaseMachine {
                     machine: machine.to_string(),
@@ -724,7 +724,7 @@
         if leader == *self.own_name() {
             self.handle_transfer_request(&message);
         } else {
-            self.mesh(&leader, message);
+            self.send_to_peer(&leader, message);
         }
     }
 }
--- a/crates/controller/src/controller/heartbeat_checks.rs
+++ b/crates/controller/src/controller/heartbeat_checks.rs
@@ -1,24 +1,24 @@
-//! Whether a worker's report can be relied on at all, before anything is concluded from it.
+//! Validation of workers' heartbeats, before anything is concluded from them.
 
 use model::{MachineName, TaskId};
 use wire::workers::Heartbeat;
 
-/// Longest name of a machine, a type or a zone, and longest address.
+/// Maximum length (bytes) of an address and of the name of a machine, a type or a zone.
 const MAX_NAME_LENGTH: usize = 255;
 
-/// Why a report proves nothing.
+/// Why a heartbeat is rejected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum HeartbeatFault {
-    /// A name or an address that no worker has.
+    /// A name or an address is malformed.
     Name,
-    /// A task that cannot be read: whether one of ours is there is not known then.
+    /// A task id is malformed, so it is unknown which tasks the machine runs.
     Task,
-    /// It comes from another machine than the one that was asked: addresses are used again.
+    /// It comes from another machine than the one that was called: addresses are used again.
     OtherMachine,
 }
 
-/// Checks what a report must hold for its list of tasks to be complete and its address to be used.
-pub(super) fn check_report(report: &Heartbeat) -> Result<(), HeartbeatFault> {
+/// Checks that the list of tasks is complete and that the address can be used.
+pub(super) fn check_heartbeat(report: &Heartbeat) -> Result<(), HeartbeatFault> {
     let names = [&report.machine, &report.machine_type, &report.zone];
     if names
         .iter()
@@ -39,16 +39,16 @@
     Ok(())
 }
 
-/// Checks the answer to a direct call to `asked`.
-pub(super) fn check_answer(report: &Heartbeat, asked: &MachineName) -> Result<(), HeartbeatFault> {
-    check_report(report)?;
-    if report.machine != asked.as_str() {
+/// Checks the reply to a direct call to `called`.
+pub(super) fn check_reply(report: &Heartbeat, called: &MachineName) -> Result<(), HeartbeatFault> {
+    check_heartbeat(report)?;
+    if report.machine != called.as_str() {
         return Err(HeartbeatFault::OtherMachine);
     }
     Ok(())
 }
 
-/// Whether the text can be the authority of a URL, and nothing besides.
+/// Whether the text can be the authority of a URL and nothing else.
 fn is_address(text: &str) -> bool {
     let allowed = |byte: u8| byte.is_ascii_alphanumeric() || b".:-_[]%".contains(&byte);
     !text.is_empty() && text.len() <= MAX_NAME_LENGTH && text.bytes().all(allowed)
--- a/crates/controller/src/controller/heartbeats.rs
+++ b/crates/controller/src/controller/heartbeats.rs
@@ -1,7 +1,7 @@
-//! Reports of workers and direct calls to them.
+//! Heartbeats of workers, and direct calls to them.
 
 use super::call_kind::WorkerCall;
-use super::heartbeat_checks::{check_answer, check_report, HeartbeatFault};
+use super::heartbeat_checks::{check_heartbeat, check_reply, HeartbeatFault};
 use super::leadership::HeartbeatOutcome;
 use super::{
     CallKind, Controller, DirectReply, Effect, HeartbeatReply, Ticket, MAX_LAUNCH_READ_AGE,
@@ -13,15 +13,16 @@
 use std::time::Duration;
 use wire::workers::{Command, DirectCommands, Heartbeat, HeartbeatResponse, TaskState, TaskStatus};
 
-/// Patience with a direct call that carries commands, and with one to a partition given up.
+/// Timeout of a direct call that carries commands, and of a reachability probe.
 pub(super) const WORKER_TIMEOUT: Duration = Duration::from_millis(2_500);
 
 impl Controller {
+    /// Replies to a heartbeat of a worker.
     pub(super) fn handle_heartbeat(&mut self, ticket: Ticket, report: Heartbeat) {
-        let reply = match check_report(&report) {
+        let reply = match check_heartbeat(&report) {
             Ok(()) => self.heartbeat_reply(&report),
             Err(fault) => {
-                tracing::warn!(machine = report.machine, ?fault, "a report is rejected");
+                tracing::warn!(machine = report.machine, ?fault, "heartbeat rejected");
                 self.counters
                     .rejections
                     .add(MessageSource::Worker, MessageFault::Malformed);
@@ -46,16 +47,16 @@
         };
         let partition = record.record.partition;
         let recorded = FencingToken(record.record.token);
-        // Without a confirmed read of changes within the span that `cancel_s` leaves, nobody
-        // may keep a worker's lease alive: a cancelled task could live on.
-        let entitled = self.has_recent_state_read(self.settings.lease_validity());
+        // Without a confirmed read of changes within the time that `cancel_s` leaves, no controller may
+        // renew a worker's lease: a cancelled task could run on.
+        let may_renew_lease = self.has_recent_state_read(self.settings.lease_validity());
         let launches = self.has_recent_state_read(self.launch_validity());
         let Some(leadership) = self.leaderships.get_mut(&partition) else {
             let leader = self
                 .cache
                 .partitions
                 .get(&partition)
-                .map(|p| p.record.leader.clone());
+                .map(|partition| partition.record.leader.clone());
             return match leader {
                 Some(leader) if leader != self.settings.name => {
                     self.record_worker_contact(partition, &name);
@@ -67,17 +68,17 @@
         if let Some(successor) = leadership.successor() {
             return HeartbeatReply::Redirect(Some(successor.clone()));
         }
-        if !entitled || leadership.is_transferring() {
+        if !may_renew_lease || leadership.is_transferring() {
             return HeartbeatReply::Unavailable;
         }
         let token = leadership.token().max(recorded);
         if FencingToken(report.token) > token {
-            // Someone with a newer right has spoken to it.
+            // A leader with a newer token has reached the worker.
             return HeartbeatReply::Redirect(None);
         }
-        let halts = || halts_of_cancelled(&self.cache, report);
+        let stops = || stops_of_cancelled_tasks(&self.cache, report);
         let commands = match leadership
-            .handle_heartbeat(&name, report, token, launches, halts, self.now)
+            .handle_heartbeat(&name, report, token, launches, stops, self.now)
         {
             HeartbeatOutcome::Answered(commands) => commands,
             HeartbeatOutcome::Stale(commands) => {
@@ -87,7 +88,7 @@
                 commands
             }
             HeartbeatOutcome::Withheld => {
-                tracing::warn!(machine = %name, "not answered: a launch of a cancelled task may come yet");
+                tracing::warn!(machine = %name, "heartbeat reply withheld: a launch of a cancelled task may still arrive");
                 self.counters.answers_withheld += 1;
                 return HeartbeatReply::Unavailable;
             }
@@ -98,7 +99,7 @@
         })
     }
 
-    /// For how long workers may be answered if no further read of changes succeeds.
+    /// For how long heartbeats may be answered if no further read of changes succeeds.
     pub(super) fn remaining_lease_validity(&self) -> Duration {
         let until = self
             .state_sync
@@ -107,13 +108,13 @@
         until.unwrap_or_default().duration_since(self.now)
     }
 
-    /// How old a read of changes may be for launches: within the span in which a successor counts us as
-    /// one who may still answer, since it waits for no launch that is sent later.
+    /// Maximum age of a read of changes for launches. It lies within the time for which a successor expects
+    /// this controller to answer workers, since the successor waits for no launch that is sent later.
     fn launch_validity(&self) -> Duration {
         MAX_LAUNCH_READ_AGE.min(self.settings.lease_validity())
     }
 
-    /// A machine without a record: the leader takes it in.
+    /// Replies to a machine without a record: the fleet planner registers it.
     fn handle_unregistered_heartbeat(
         &mut self,
         name: &MachineName,
@@ -135,7 +136,7 @@
         }
     }
 
-    /// Sends commands straight to machines for which something has become urgent.
+    /// Sends commands directly to machines that have urgent ones, without waiting for a heartbeat.
     pub(super) fn send_direct(&mut self, partition: PartitionId) {
         if !self.has_recent_state_read(self.launch_validity()) {
             return;
@@ -150,17 +151,17 @@
         let mut calls = Vec::new();
         if let Some(partition_state) = leadership.partition_state_mut() {
             for name in partition_state.take_urgent_machines() {
-                let Some((address, token, session)) = partition_state.direct_call_target(&name)
+                let Some((address, token, epoch)) = partition_state.direct_call_target(&name)
                 else {
                     continue;
                 };
                 let commands = partition_state.commands_for(&name, CommandRoute::Direct, now);
                 if !commands.is_empty() {
-                    calls.push((name, address, token, session, commands));
+                    calls.push((name, address, token, epoch, commands));
                 }
             }
         }
-        for (machine, address, token, session, commands) in calls {
+        for (machine, address, token, epoch, commands) in calls {
             let launches = commands
                 .iter()
                 .filter_map(|command| match command {
@@ -177,7 +178,7 @@
             }));
             let body = DirectCommands {
                 token: token.0,
-                session: session.0,
+                session: epoch.0,
                 commands,
             };
             self.effects.push(Effect::Worker {
@@ -189,20 +190,20 @@
         }
     }
 
-    /// Asks a worker for a report. Nothing is executed, since there are no commands; a token that is
-    /// not 0 is raised where the session is the one named.
+    /// Requests a heartbeat from a worker. No command is sent; a token other than 0 raises the worker's
+    /// fencing token if its epoch is the one given.
     pub(super) fn send_probe(
         &mut self,
         address: String,
         token: FencingToken,
-        session: WorkerEpoch,
-        purpose: CallKind,
+        epoch: WorkerEpoch,
+        kind: CallKind,
         timeout: Duration,
     ) {
-        let call = self.calls.register(purpose);
+        let call = self.calls.register(kind);
         let body = DirectCommands {
             token: token.0,
-            session: session.0,
+            session: epoch.0,
             commands: Vec::new(),
         };
         self.effects.push(Effect::Worker {
@@ -213,7 +214,7 @@
         });
     }
 
-    /// A machine was asked whether it is there.
+    /// Handles the reply to a liveness probe.
     fn handle_probe_reply(
         &mut self,
         partition: PartitionId,
@@ -224,7 +225,7 @@
         let partition_state = self
             .leaderships
             .get_mut(&partition)
-            .and_then(|h| h.partition_state_mut());
+            .and_then(|leadership| leadership.partition_state_mut());
         let Some(partition_state) = partition_state else {
             return;
         };
@@ -237,16 +238,16 @@
         }
     }
 
-    /// An answer that proves nothing about the machine that was asked counts as none: what was sent
-    /// there may yet be executed.
-    fn checked_answer(&mut self, asked: &MachineName, reply: DirectReply) -> DirectReply {
+    /// Turns a reply that proves nothing about the called machine into none: the commands sent there may
+    /// be executed later.
+    fn validate_reply(&mut self, called: &MachineName, reply: DirectReply) -> DirectReply {
         let DirectReply::Answered(report) = &reply else {
             return reply;
         };
-        let Err(fault) = check_answer(report, asked) else {
+        let Err(fault) = check_reply(report, called) else {
             return reply;
         };
-        tracing::warn!(%asked, by = report.machine, ?fault, "a worker's answer is rejected");
+        tracing::warn!(%called, machine = report.machine, ?fault, "worker reply rejected");
         let fault = match fault {
             HeartbeatFault::OtherMachine => MessageFault::Misrouted,
             HeartbeatFault::Name | HeartbeatFault::Task => MessageFault::Malformed,
@@ -255,6 +256,7 @@
         DirectReply::Unknown
     }
 
+    /// Handles the reply to a direct call.
     pub(super) fn handle_worker_reply(&mut self, call: CallId, reply: DirectReply) {
         match self.calls.complete(call) {
             Some(CallKind::Worker(WorkerCall::Commands {
@@ -262,18 +264,18 @@
                 machine,
                 launches,
             })) => {
-                let reply = self.checked_answer(&machine, reply);
+                let reply = self.validate_reply(&machine, reply);
                 self.handle_command_reply(partition, &machine, &launches, reply);
             }
             Some(CallKind::Worker(WorkerCall::ReachabilityProbe { partition, machine })) => {
-                let reply = self.checked_answer(&machine, reply);
+                let reply = self.validate_reply(&machine, reply);
                 self.handle_reachability_reply(
                     partition,
                     matches!(reply, DirectReply::Answered(_)),
                 );
             }
             Some(CallKind::Worker(WorkerCall::LivenessProbe { partition, machine })) => {
-                let reply = self.checked_answer(&machine, reply);
+                let reply = self.validate_reply(&machine, reply);
                 self.handle_probe_reply(partition, &machine, reply);
             }
             _ => self
@@ -283,7 +285,7 @@
         }
     }
 
-    /// What came of commands that were sent straight to a machine.
+    /// Handles the reply to commands that were sent directly to a machine.
     fn handle_command_reply(
         &mut self,
         partition: PartitionId,
@@ -295,7 +297,7 @@
         let Some(partition_state) = self
             .leaderships
             .get_mut(&partition)
-            .and_then(|h| h.partition_state_mut())
+            .and_then(|leadership| leadership.partition_state_mut())
         else {
             return;
         };
@@ -309,20 +311,20 @@
     }
 }
 
-/// Halts for the tasks in a report whose jobs are cancelled, by the records alone. Whoever answers keeps a
-/// lease up for a whole length after the contact by which it answers, and has to know for each cancelled
-/// task that it ends; who has not read its ledger knows of them by the report. The halt shares the fate of
-/// the answer: where one is lost, so is the other.
-fn halts_of_cancelled(cache: &StateCache, report: &Heartbeat) -> Vec<Command> {
-    let halt = |entry: &TaskStatus| {
+/// Immediate stops of the tasks in a heartbeat whose jobs are cancelled according to the records alone. A
+/// reply renews the worker's lease for its full length, so the controller has to be sure that each
+/// cancelled task ends; before it has loaded the placement log, it knows the tasks from the heartbeat only.
+/// The stop is part of the reply: if one is lost, so is the other.
+fn stops_of_cancelled_tasks(cache: &StateCache, report: &Heartbeat) -> Vec<Command> {
+    let stop = |entry: &TaskStatus| {
         let task = TaskId::parse(&entry.task)?;
-        let there = entry.state != TaskState::Exited && cache.is_cancelled(task.job);
+        let needs_stop = entry.state != TaskState::Exited && cache.is_cancelled(task.job);
         let (task, attempt) = (entry.task.clone(), entry.attempt);
-        there.then_some(Command::Stop {
+        needs_stop.then_some(Command::Stop {
             task,
             attempt,
             grace_s: 0.0,
         })
     };
-    report.tasks.iter().filter_map(halt).collect()
+    report.tasks.iter().filter_map(stop).collect()
 }
--- a/crates/controller/src/controller/job_archiver.rs
+++ b/crates/controller/src/controller/job_archiver.rs
@@ -77,7 +77,7 @@
         };
         archiver.pipe.send((), txn.clone(), now, WRITE_INTERVAL);
         let purpose = CallKind::Job(JobCall::Archive { partition, term });
-        self.state(
+        self.queue_state_request(
             CallPriority::Accept,
             StateRequest::Transaction(txn),
             purpose,
--- a/crates/controller/src/controller/leadership.rs
+++ b/crates/controller/src/controller/leadership.rs
@@ -536,7 +536,7 @@
         loaded.writing = Some(Writing { round, written });
         leadership.committed_at = now;
         let purpose = CallKind::Log(LogCall::Commit { partition, term });
-        self.state(
+        self.queue_state_request(
             CallPriority::Placement,
             StateRequest::Transaction(txn),
             purpose,
@@ -574,7 +574,11 @@
                         term,
                         id,
                     });
-                    self.state(CallPriority::Placement, StateRequest::Get { key }, purpose);
+                    self.queue_state_request(
+                        CallPriority::Placement,
+                        StateRequest::Get { key },
+                        purpose,
+                    );
                 }
             }
             StateReply::Invalid(problem) => {
@@ -789,7 +793,7 @@
             term,
             token,
         });
-        self.state(
+        self.queue_state_request(
             CallPriority::Placement,
             StateRequest::Transaction(txn),
             purpose,
@@ -937,7 +941,7 @@
             .when(partition_key(partition), right)
             .when(&key, version)
             .write(Write::put(&key, value));
-        self.state(
+        self.queue_state_request(
             CallPriority::Placement,
             StateRequest::Transaction(txn),
             CallKind::Record(RecordCall::Demand),
@@ -1002,7 +1006,7 @@
                 }
                 Some(name) => {
                     let name = name.clone();
-                    self.mesh(&name, MeshMessage::PartitionStatus(load));
+                    self.send_to_peer(&name, MeshMessage::PartitionStatus(load));
                 }
                 None => {}
             }
--- a/crates/controller/src/controller/linearizable_reads.rs
+++ b/crates/controller/src/controller/linearizable_reads.rs
@@ -65,7 +65,7 @@
             reads.read_next = now + pace;
             let requests = std::mem::take(&mut reads.queued);
             let read = watch_request(self.cache.revision, Duration::ZERO);
-            self.state(
+            self.queue_state_request(
                 CallPriority::Accept,
                 read,
                 CallKind::Read(ReadCall::Changes(requests)),
@@ -90,7 +90,7 @@
             let txn = ids.iter().fold(Transaction::default(), |txn, id| {
                 txn.when(final_key(*id), 0)
             });
-            self.state(
+            self.queue_state_request(
                 CallPriority::Accept,
                 StateRequest::Transaction(txn),
                 CallKind::Read(ReadCall::TerminalStates(requests)),
@@ -145,7 +145,7 @@
 
     pub(super) fn refuse_all(&mut self, requests: Vec<PendingRequest>) {
         for request in requests {
-            self.busy(request.ticket, 1);
+            self.reply_busy(request.ticket, 1);
         }
     }
 
@@ -167,7 +167,7 @@
                     let key = final_key(request.id);
                     if failed.contains(&key) {
                         let read = StateRequest::Get { key };
-                        self.state(
+                        self.queue_state_request(
                             CallPriority::Accept,
                             read,
                             CallKind::Read(ReadCall::TerminalRecord { request }),
@@ -230,7 +230,7 @@
                     let answer = status(request.id, record.state);
                     self.reply_user(request.ticket, UserReply::Status(answer));
                 }
-                Err(_) => self.busy(request.ticket, 5),
+                Err(_) => self.reply_busy(request.ticket, 5),
             },
             StateReply::Missing => match request.kind {
                 RequestKind::Resubmit {
@@ -239,13 +239,13 @@
                     self.reply_user(request.ticket, UserReply::Rejected(reason));
                 }
                 RequestKind::Resubmit { reject: None } | RequestKind::Accepted => {
-                    self.busy(request.ticket, 1)
+                    self.reply_busy(request.ticket, 1)
                 }
                 RequestKind::Get | RequestKind::Cancel { .. } => {
                     self.reply_user(request.ticket, UserReply::NotFound)
                 }
             },
-            _ => self.busy(request.ticket, 1),
+            _ => self.reply_busy(request.ticket, 1),
         }
     }
 }
--- a/crates/controller/src/controller/load_partition.rs
+++ b/crates/controller/src/controller/load_partition.rs
@@ -48,7 +48,7 @@
         let Some((request, purpose)) = self.log_page_request(partition, after) else {
             return;
         };
-        self.state(CallPriority::Lease, request, purpose);
+        self.queue_state_request(CallPriority::Lease, request, purpose);
     }
 
     fn restart_log_read(&mut self, partition: PartitionId, after: Duration) {
--- a/crates/controller/src/controller/machine_records.rs
+++ b/crates/controller/src/controller/machine_records.rs
@@ -129,7 +129,7 @@
         self.machine_changes
             .pipe
             .send((), txn.clone(), now, WRITE_INTERVAL);
-        self.state(
+        self.queue_state_request(
             CallPriority::Placement,
             StateRequest::Transaction(txn),
             CallKind::Record(RecordCall::Machines),
--- a/crates/controller/src/controller/membership.rs
+++ b/crates/controller/src/controller/membership.rs
@@ -286,7 +286,7 @@
         self.broadcast(MeshMessage::LeadershipResigned {
             partition: partition.0,
         });
-        self.state(
+        self.queue_state_request(
             CallPriority::Lease,
             StateRequest::Transaction(txn),
             CallKind::Leadership(LeadershipCall::Resign(partition)),
@@ -411,7 +411,7 @@
         };
         let txn = self.partition_txn(partition, version, &record, lease.0);
         self.acquiring.insert(partition);
-        self.state(
+        self.queue_state_request(
             CallPriority::Lease,
             StateRequest::Transaction(txn),
             CallKind::Leadership(LeadershipCall::Acquire(partition)),
@@ -577,7 +577,7 @@
                 .when(reclaim_key(partition), version)
                 .when(partition_key(partition), held.version.0)
                 .write(write);
-            self.state(
+            self.queue_state_request(
                 CallPriority::Lease,
                 StateRequest::Transaction(txn),
                 CallKind::Leadership(LeadershipCall::Reclaim),
@@ -597,7 +597,7 @@
                 lease: lease.0,
                 incarnation: self.registration.incarnation(),
             };
-            self.mesh(&leader, message);
+            self.send_to_peer(&leader, message);
         }
     }
 
@@ -641,7 +641,7 @@
             partition,
             to: to.clone(),
         });
-        self.state(CallPriority::Lease, StateRequest::Transaction(txn), purpose);
+        self.queue_state_request(CallPriority::Lease, StateRequest::Transaction(txn), purpose);
     }
 
     pub(super) fn handle_transfer_reply(
--- a/crates/controller/src/controller/mod.rs
+++ b/crates/controller/src/controller/mod.rs
@@ -1,12 +1,15 @@
-//! The node: its state, its events and its effects.
+//! The controller: it routes events to its components and orders their work.
+//!
+//! Components own their state. [`Controller::handle`] passes an event to the component that it is for
+//! and then lets all of them advance, in a fixed order, and returns their effects.
 
-use model::DurationExt;
-use std::time::Duration;
 pub mod admin;
 mod admission;
 mod call_kind;
 mod cancellations;
+mod counters;
 mod crash_loop;
+mod events;
 mod fleet_planner;
 mod heartbeat_checks;
 mod heartbeats;
@@ -25,14 +28,11 @@
 use crate::job_status_cache::JobStatusCache;
 use crate::pending_calls::PendingCalls;
 use crate::registration::Registration;
-use crate::rejections::RejectionCounts;
 use crate::request_budget::CallPriority;
 use crate::state_cache::StateCache;
 use crate::state_client::{QueuedCall, StateClient};
 use crate::state_sync::StateSync;
-use admin::{AdminReply, AdminRequest};
 use admission::Admission;
-use autoscaler::FleetPolicy;
 use call_kind::CallKind;
 use cancellations::Cancellations;
 use fleet_planner::FleetPlanner;
@@ -40,166 +40,21 @@
 use linearizable_reads::LinearizableReads;
 use machine_records::MachineChanges;
 use model::{
-    CallId, ControllerName, FencingToken, JobId, PartitionId, RejectReason, Settings, Timestamp,
-    ZoneName,
+    CallId, ControllerName, DurationExt, FencingToken, PartitionId, Settings, Timestamp, ZoneName,
 };
 use rand::rngs::SmallRng;
 use rand::SeedableRng;
-use scheduler::Policy;
-use scheduling_queue::QueueConfig;
 use std::collections::{BTreeMap, HashMap, HashSet};
-use wire::cloud::{CloudReply, CloudRequest};
+use std::time::Duration;
+use wire::cloud::CloudRequest;
 use wire::mesh::MeshMessage;
-use wire::state::{StateReply, StateRequest};
-use wire::users::{JobRequest, JobStatus};
-use wire::workers::{DirectCommands, Heartbeat, HeartbeatResponse};
-
-/// What operators may change at run time. Nothing here can loosen a rule.
-#[derive(Debug, Clone, PartialEq, Default)]
-pub struct Tuning {
-    pub queue: QueueConfig,
-    pub policy: Policy,
-    pub fleet: FleetPolicy,
-}
-
-/// Identifies a request that waits for its answer.
-pub type Ticket = u64;
-
-/// A user's request, its body already read.
-#[derive(Debug, Clone)]
-pub enum UserRequest {
-    Submit(Box<JobRequest>),
-    Get(JobId),
-    Cancel(JobId),
-}
-
-/// An answer to a user.
-#[derive(Debug, Clone, PartialEq)]
-pub enum UserReply {
-    Created(JobStatus),
-    Status(JobStatus),
-    NotFound,
-    Invalid(String),
-    Rejected(RejectReason),
-    /// Refused at once; come back after so many seconds.
-    Busy {
-        retry_after_s: u64,
-    },
-}
-
-/// An answer to a worker's report.
-#[derive(Debug, Clone, PartialEq)]
-pub enum HeartbeatReply {
-    Answer(HeartbeatResponse),
-    Redirect(Option<ControllerName>),
-    Unavailable,
-    /// 400: nothing was concluded from it.
-    Malformed,
-}
-
-/// How a direct call to a worker ended.
-#[derive(Debug, Clone)]
-pub enum DirectReply {
-    /// Executed, or refused as a whole; either way it will not be executed later.
-    Answered(Box<Heartbeat>),
-    /// No usable answer: it may yet be executed.
-    Unknown,
-}
-
-/// What happens to the node.
-#[derive(Debug, Clone)]
-pub enum Event {
-    Tick,
-    State {
-        call: CallId,
-        reply: StateReply,
-    },
-    Cloud {
-        call: CallId,
-        reply: CloudReply,
-    },
-    Worker {
-        call: CallId,
-        reply: DirectReply,
-    },
-    Mesh {
-        from: ControllerName,
-        message: MeshMessage,
-    },
-    User {
-        ticket: Ticket,
-        request: UserRequest,
-    },
-    Heartbeat {
-        ticket: Ticket,
-        report: Box<Heartbeat>,
-    },
-    Admin {
-        ticket: Ticket,
-        request: AdminRequest,
-    },
-}
+use wire::state::StateRequest;
 
-/// What the node wants done.
-#[derive(Debug, Clone)]
-pub enum Effect {
-    State {
-        call: CallId,
-        request: StateRequest,
-        timeout: Duration,
-    },
-    Cloud {
-        call: CallId,
-        request: CloudRequest,
-    },
-    Worker {
-        call: CallId,
-        address: String,
-        body: DirectCommands,
-        timeout: Duration,
-    },
-    Mesh {
-        to: ControllerName,
-        message: MeshMessage,
-    },
-    User {
-        ticket: Ticket,
-        reply: UserReply,
-    },
-    Heartbeat {
-        ticket: Ticket,
-        reply: HeartbeatReply,
-    },
-    Admin {
-        ticket: Ticket,
-        reply: AdminReply,
-    },
-}
-
-/// A user's request that waits for a read of the state service.
-#[derive(Debug, Clone)]
-pub(crate) struct PendingRequest {
-    ticket: Ticket,
-    kind: RequestKind,
-    id: JobId,
-    since: Timestamp,
-}
-
-/// What a user's request asks for.
-#[derive(Debug, Clone)]
-pub(crate) enum RequestKind {
-    Get,
-    Cancel {
-        /// How often its write has met a conflict.
-        conflicts: u32,
-    },
-    /// A submission of a job that may be known already; if it is not, it is rejected.
-    Resubmit {
-        reject: Option<RejectReason>,
-    },
-    /// A submission that this node has accepted durably.
-    Accepted,
-}
+pub use counters::Counters;
+pub use events::{
+    DirectReply, Effect, Event, HeartbeatReply, Ticket, Tuning, UserReply, UserRequest,
+};
+pub(crate) use user_requests::{PendingRequest, RequestKind};
 
 /// What a peer said last.
 #[derive(Debug, Clone)]
@@ -212,32 +67,7 @@
     peer_heartbeat_ages: Vec<(ControllerName, Duration)>,
 }
 
-/// Counts for the metrics.
-#[derive(Debug, Clone, Default)]
-pub struct Counters {
-    pub takeovers: u64,
-    pub hand_overs: u64,
-    /// Partitions taken from holders whose records stood, and those of them whose holders lived.
-    pub early_takeovers: u64,
-    pub wrong_takeovers: u64,
-    pub stood_still: u64,
-    /// Jobs that were stopped by another node's word, before the record of their cancellation was read.
-    pub cancelled_by_word: u64,
-    /// Reports that were not answered since a launch of a cancelled task could still have come.
-    pub answers_withheld: u64,
-    pub state_calls: u64,
-    pub state_writes: u64,
-    pub state_refused: u64,
-    pub cloud_calls: u64,
-    pub cloud_refused: u64,
-    pub refusals: BTreeMap<&'static str, u64>,
-    /// Messages that changed nothing, to be drained by the metrics.
-    pub rejections: RejectionCounts,
-    /// Waits from first sight to placement (ms), to be drained by the metrics.
-    pub waits: Vec<u64>,
-}
-
-/// A controller node.
+/// One controller process.
 pub struct Controller {
     settings: Settings,
     tuning: Tuning,
@@ -247,34 +77,34 @@
     nodes: Vec<(ControllerName, ZoneName)>,
     cache: StateCache,
     state_sync: StateSync,
-    /// Since when we have been running without a stop: what we have not heard before that, we may
-    /// have been unable to hear.
+    /// Start of the process or end of its last pause: a message that did not arrive before then may
+    /// have been missed.
     running_since: Timestamp,
-    /// How far the nodes' common clock is ahead of ours.
+    /// How far the controllers' logical clock is ahead of this one's steady clock.
     logical_clock_offset: Duration,
     lease: ControllerLease,
     calls: PendingCalls<CallKind>,
     state_client: StateClient,
     leaderships: BTreeMap<PartitionId, PartitionLeadership>,
-    /// Terms under which partitions were handed over: they are not taken up again.
+    /// Terms under which partitions were transferred: they are not resumed.
     relinquished_terms: HashMap<PartitionId, FencingToken>,
-    /// Partitions of ours that are to be taken anew, under a term of their own: our idea of them was wrong.
-    /// The term that was wrong, and when a new one was tried for.
+    /// Led partitions whose in-memory state was found wrong, so that they have to be acquired again under a
+    /// new term: the term that was wrong, and when a new one was last tried for.
     renewed: HashMap<PartitionId, (FencingToken, Timestamp)>,
     acquiring: HashSet<PartitionId>,
     vacant_since: HashMap<PartitionId, Timestamp>,
     peers: BTreeMap<ControllerName, PeerStatus>,
     reclaim_requested_at: Option<Timestamp>,
-    /// Since when another node holds our home partition while we could.
+    /// Since when another controller leads the preferred partition although this one could.
     displaced_since: Option<Timestamp>,
     reclaim_pending: bool,
-    /// When others told us that they gave a partition up.
+    /// When other controllers announced that they resigned from a partition.
     resigned_at: HashMap<PartitionId, HashMap<ControllerName, Timestamp>>,
-    /// Partitions given up since their workers do not reach us.
+    /// Partitions resigned from because their workers could not reach this controller.
     reacquisition_backoffs: BTreeMap<PartitionId, membership::ReacquisitionBackoff>,
     alive_at: Timestamp,
     load_at: Timestamp,
-    /// When we wrote what our partitions lack, and whether that was anything.
+    /// When each led partition's demand was written, and whether there was any.
     demand_at: HashMap<PartitionId, (Timestamp, bool)>,
     job_status: JobStatusCache,
     reads: LinearizableReads,
@@ -287,17 +117,17 @@
     pub counters: Counters,
 }
 
-/// The loop turns ten times a second; after a longer pause we must have stood still.
+/// The loop runs ten times a second; a gap longer than this means that the process was paused.
 const PAUSE_THRESHOLD: Duration = Duration::from_secs(1);
 /// Longest wait of the watch.
 const MAX_WATCH_WAIT: Duration = Duration::from_millis(1_500);
-/// Launches need changes read not longer ago than this.
+/// Maximum age of the last read of changes for launches.
 const MAX_LAUNCH_READ_AGE: Duration = Duration::from_millis(4_500);
-/// The partition whose holder is the leader.
+/// The partition whose leader is the fleet planner.
 pub(crate) const FLEET_PLANNER_PARTITION: PartitionId = PartitionId(0);
 
 impl Controller {
-    /// A node that has just started. `seed` must be random, it names the incarnation.
+    /// A controller that has just started. `seed` must be random: it determines the incarnation.
     pub fn new(settings: Settings, seed: u64) -> Self {
         let nodes = settings.nodes();
         let state_client = StateClient::new(&settings.state_limits, nodes.len());
@@ -341,7 +171,7 @@
         }
     }
 
-    /// Takes in an event at a steady time and returns what is to be done.
+    /// Handles an event at a time since the start of the process and returns its effects.
     pub fn handle(&mut self, now: Timestamp, event: Event) -> Vec<Effect> {
         if now.duration_since(self.now) >= PAUSE_THRESHOLD {
             self.handle_pause(now);
@@ -361,15 +191,15 @@
         std::mem::take(&mut self.effects)
     }
 
-    /// We stood still while clocks ran on. Rights are judged by when their evidence was sent, so
-    /// nothing changes for them; but the silence of others was our own.
+    /// The process was paused while clocks ran on. The validity of leases counts from when their evidence
+    /// was sent, so a pause does not affect it; but missing messages prove nothing about their senders.
     fn handle_pause(&mut self, now: Timestamp) {
-        let stood = now.duration_since(self.now);
-        tracing::warn!(stood_ms = stood.whole_millis(), "stood still");
+        let pause = now.duration_since(self.now);
+        tracing::warn!(pause_ms = pause.whole_millis(), "process was paused");
         self.counters.stood_still += 1;
         self.running_since = now;
         for peer in self.peers.values_mut() {
-            peer.last_seen_at += stood;
+            peer.last_seen_at += pause;
         }
         for since in self.vacant_since.values_mut() {
             *since = now;
@@ -381,7 +211,7 @@
         }
     }
 
-    /// The loops that work out the difference between what is wanted and what is.
+    /// Advances all components. The order is part of the controller's behaviour.
     fn step(&mut self) {
         self.drive_state_sync();
         self.maintain_lease();
@@ -414,32 +244,35 @@
         next.max(self.now + Duration::from_millis(2))
     }
 
-    /// Whether users may be sent here.
+    /// Whether user requests may be routed to this controller.
     pub fn healthy(&self) -> bool {
         let is_synced = self.state_sync.is_synced();
         if is_synced && self.has_recent_state_read(Duration::from_secs(4)) {
             return true;
         }
-        // When nobody has contact, going unhealthy helps nobody and costs time afterwards. Who hears none
-        // of the others either is cut off itself: they may serve.
-        let sends_heartbeats =
-            |p: &&PeerStatus| self.now.duration_since(p.last_seen_at) <= Duration::from_secs(2);
+        // If no controller reaches the state service, reporting unhealthy helps no user and delays
+        // recovery. A controller that hears from no peer either is itself cut off: the others may serve.
+        let sends_heartbeats = |peer: &&PeerStatus| {
+            self.now.duration_since(peer.last_seen_at) <= Duration::from_secs(2)
+        };
         let peer_serves = self
             .peers
             .values()
             .filter(sends_heartbeats)
-            .any(|p| p.state_contact);
-        let alone = !self.peers.is_empty() && !self.peers.values().any(|p| sends_heartbeats(&p));
+            .any(|peer| peer.state_contact);
+        let alone =
+            !self.peers.is_empty() && !self.peers.values().any(|peer| sends_heartbeats(&peer));
         is_synced && !peer_serves && !alone
     }
 
+    /// Whether a confirmed read of changes was sent at most `max_age` ago.
     fn has_recent_state_read(&self, max_age: Duration) -> bool {
         self.state_sync.has_recent_read(self.now, max_age)
     }
 
-    /// Now on a clock that all nodes share: each reads its steady clock and goes ahead as far as
-    /// the records that it sees (a Lamport clock in ms). It orders submissions across restarts and
-    /// takeovers; no right or proof hangs on it.
+    /// Time (ms) on the controllers' logical clock: the steady clock, moved ahead to the records that
+    /// were seen (a Lamport clock). It orders submissions across restarts and failovers; no safety rule
+    /// depends on it.
     fn logical_time(&self) -> u64 {
         self.now
             .as_millis()
@@ -451,35 +284,43 @@
     }
 
     /// Queues a call to the state service.
-    fn state(&mut self, priority: CallPriority, request: StateRequest, kind: CallKind) {
+    fn queue_state_request(
+        &mut self,
+        priority: CallPriority,
+        request: StateRequest,
+        kind: CallKind,
+    ) {
         let call = self.calls.register(kind);
         self.state_client
             .enqueue(priority, QueuedCall { call, request });
     }
 
-    fn cloud(&mut self, request: CloudRequest, purpose: CallKind) -> CallId {
-        let call = self.calls.register(purpose);
+    /// Sends a request to the cloud.
+    fn send_cloud_request(&mut self, request: CloudRequest, kind: CallKind) -> CallId {
+        let call = self.calls.register(kind);
         self.counters.cloud_calls += 1;
         self.effects.push(Effect::Cloud { call, request });
         call
     }
 
-    fn mesh(&mut self, to: &ControllerName, message: MeshMessage) {
+    /// Sends a message to a peer.
+    fn send_to_peer(&mut self, to: &ControllerName, message: MeshMessage) {
         self.effects.push(Effect::Mesh {
             to: to.clone(),
             message,
         });
     }
 
+    /// Sends a message to all peers.
     fn broadcast(&mut self, message: MeshMessage) {
         for peer in self
             .settings
             .peers
             .iter()
-            .map(|p| p.name.clone())
+            .map(|peer| peer.name.clone())
             .collect::<Vec<_>>()
         {
-            self.mesh(&peer, message.clone());
+            self.send_to_peer(&peer, message.clone());
         }
     }
 
@@ -519,6 +360,7 @@
         }
     }
 
+    /// Sends a reply to a user.
     fn reply_user(&mut self, ticket: Ticket, reply: UserReply) {
         if let UserReply::Busy { .. } = reply {
             *self.counters.refusals.entry("busy").or_default() += 1;
--- a/crates/controller/src/controller/standby.rs
+++ b/crates/controller/src/controller/standby.rs
@@ -98,7 +98,7 @@
         let wanted = self.followed(&standbys);
         self.standby.assigned.extend(standbys);
         for (to, message) in self.standby.replicas.subscribe(&wanted, now) {
-            self.mesh(&to, message);
+            self.send_to_peer(&to, message);
         }
         let mut parts = Vec::new();
         self.standby
@@ -127,7 +127,7 @@
             parts.extend(stream.due_parts(&header, now));
         }
         for (to, part) in parts {
-            self.mesh(&to, MeshMessage::Replication(part));
+            self.send_to_peer(&to, MeshMessage::Replication(part));
         }
     }
 
@@ -165,7 +165,7 @@
     ) {
         let now = self.now;
         if let Some(answer) = self.standby.replicas.apply(from, part, now) {
-            self.mesh(from, answer);
+            self.send_to_peer(from, answer);
         }
     }
 
--- a/crates/controller/src/controller/state_sync.rs
+++ b/crates/controller/src/controller/state_sync.rs
@@ -26,7 +26,7 @@
     }
 
     fn send_sync_read(&mut self, read: SyncRequest) {
-        self.state(CallPriority::Lease, read.request, CallKind::Sync(read.call));
+        self.queue_state_request(CallPriority::Lease, read.request, CallKind::Sync(read.call));
     }
 
     fn retry_sync_read(&mut self, read: SyncRequest) {
@@ -54,7 +54,7 @@
             return;
         }
         if let Some(call) = self.lease.begin_call(self.now) {
-            self.state(CallPriority::Lease, call.request(), CallKind::Lease(call));
+            self.queue_state_request(CallPriority::Lease, call.request(), CallKind::Lease(call));
         }
     }
 
--- a/crates/controller/src/controller/user_requests.rs
+++ b/crates/controller/src/controller/user_requests.rs
@@ -1,11 +1,37 @@
-//! Answers to users. Done and cancelled are said only once they are durable; anything else
-//! only after a read of the state service that began after the question.
+//! Requests of users. A terminal state is reported only once it is durable; any other state only
+//! after a read of the state service that began after the request arrived.
 
-use super::{Controller, PendingRequest, RequestKind, Ticket, UserReply, UserRequest};
-use model::{JobId, JobSpec, JobState};
+use super::{Controller, Ticket, UserReply, UserRequest};
+use model::{JobId, JobSpec, JobState, RejectReason, Timestamp};
 use std::time::Duration;
 use wire::users::{JobRequest, JobStatus};
 
+/// A user's request that waits for a read of the state service.
+#[derive(Debug, Clone)]
+pub(crate) struct PendingRequest {
+    pub(super) ticket: Ticket,
+    pub(super) kind: RequestKind,
+    pub(super) id: JobId,
+    pub(super) since: Timestamp,
+}
+
+/// What a waiting request needs.
+#[derive(Debug, Clone)]
+pub(crate) enum RequestKind {
+    Get,
+    Cancel {
+        /// Number of conflicts of its write so far.
+        conflicts: u32,
+    },
+    /// A submission of a job that may have been accepted before; if it was not, it is rejected.
+    Resubmit {
+        reject: Option<RejectReason>,
+    },
+    /// A submission that this controller has accepted durably.
+    Accepted,
+}
+
+/// The status of a job in a state that needs no numbers of tasks.
 pub(super) fn status(id: JobId, state: JobState) -> JobStatus {
     JobStatus {
         id: id.to_string(),
@@ -16,28 +42,30 @@
 }
 
 impl Controller {
+    /// Handles a request of a user; its reply is an [`Effect`](super::Effect), now or later.
     pub(super) fn handle_user_request(&mut self, ticket: Ticket, request: UserRequest) {
         match request {
             UserRequest::Submit(job) => self.handle_submission(ticket, *job),
-            UserRequest::Get(id) => self.read_for(ticket, id, RequestKind::Get),
+            UserRequest::Get(id) => self.read_then_reply(ticket, id, RequestKind::Get),
             UserRequest::Cancel(id) => {
-                self.read_for(ticket, id, RequestKind::Cancel { conflicts: 0 })
+                self.read_then_reply(ticket, id, RequestKind::Cancel { conflicts: 0 })
             }
         }
     }
 
-    pub(super) fn busy(&mut self, ticket: Ticket, retry_after_s: u64) {
+    /// Tells a user to send the request again later.
+    pub(super) fn reply_busy(&mut self, ticket: Ticket, retry_after_s: u64) {
         self.reply_user(ticket, UserReply::Busy { retry_after_s });
     }
 
-    fn read_for(&mut self, ticket: Ticket, id: JobId, kind: RequestKind) {
+    fn read_then_reply(&mut self, ticket: Ticket, id: JobId, kind: RequestKind) {
         if let Some(state) = self.job_status.terminal_state(id) {
             let answer = status(id, state);
             self.reply_user(ticket, UserReply::Status(answer));
             return;
         }
         if !self.state_sync.is_synced() {
-            self.busy(ticket, 1);
+            self.reply_busy(ticket, 1);
             return;
         }
         self.reads.enqueue(PendingRequest {
@@ -58,20 +86,20 @@
         };
         let id = spec.id;
         if !self.state_sync.is_synced() {
-            self.busy(ticket, 1);
+            self.reply_busy(ticket, 1);
             return;
         }
         if self.job_status.is_terminal(id) || self.cache.jobs.contains_key(&id) {
-            self.read_for(ticket, id, RequestKind::Resubmit { reject: None });
+            self.read_then_reply(ticket, id, RequestKind::Resubmit { reject: None });
             return;
         }
         let Some(types) = &self.cache.types else {
-            self.busy(ticket, 1);
+            self.reply_busy(ticket, 1);
             return;
         };
         if let Err(reason) = spec.check(&self.settings, &types.record.types) {
             // A job that was accepted once must never be rejected later.
-            self.read_for(
+            self.read_then_reply(
                 ticket,
                 id,
                 RequestKind::Resubmit {
@@ -81,29 +109,30 @@
             return;
         }
         if !self.has_recent_state_read(Duration::from_secs(6)) {
-            self.busy(ticket, 1);
+            self.reply_busy(ticket, 1);
             return;
         }
         self.admit(ticket, id, job);
     }
 
-    /// Where a job stands and why it waits, for operators.
+    /// The state of a job and why it waits, for operators.
     pub fn explain(&self, id: &str) -> String {
         let Some(id) = JobId::parse(id) else {
             return "no such job".into();
         };
-        let held = self
-            .leaderships
-            .values()
-            .find_map(|h| h.partition_state().and_then(|s| s.explain(id, self.now)));
-        match held {
+        let explanation = self.leaderships.values().find_map(|leadership| {
+            leadership
+                .partition_state()
+                .and_then(|partition| partition.explain(id, self.now))
+        });
+        match explanation {
             Some(text) => text,
             None if self.cache.jobs.contains_key(&id) => "open, held by another node".into(),
             None => "not open".into(),
         }
     }
 
-    /// Status of a job that is not over.
+    /// Status of a job that is not in a terminal state.
     pub(super) fn open_status(&self, id: JobId) -> JobStatus {
         let own = self
             .leaderships
--- a/crates/controller/src/lib.rs
+++ b/crates/controller/src/lib.rs
@@ -1,5 +1,5 @@
-//! One controller node as a pure state machine: partitions and terms, takeover and
-//! hand-over, records in the state service, answers to users and workers.
+//! A controller as a pure state machine: leadership of partitions and failover, records in the state
+//! service, replies to users and workers.
 //!
 //! [`Controller::handle`] takes events and a steady time and returns effects; it does no I/O.
 
--- a/crates/controller/src/rejections.rs
+++ b/crates/controller/src/rejections.rs
@@ -1,15 +1,15 @@
-//! Messages from outside that are rejected: they change nothing and are counted by sender and fault.
+//! Counts of rejected messages, by sender and fault. A rejected message changes nothing.
 
 use std::collections::BTreeMap;
 
-/// Who sent a message.
+/// The sender of a message.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum MessageSource {
     User,
     Worker,
-    /// Another controller node.
+    /// Another controller.
     Peer,
-    /// The state service: its answers and the records that it keeps.
+    /// The state service: its replies and the records that it keeps.
     State,
     Cloud,
     Operator,
@@ -32,16 +32,16 @@
 /// Why a message was rejected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum MessageFault {
-    /// It does not parse, or a value lies outside of what its field may hold.
+    /// It cannot be decoded, or a value is out of range.
     Malformed,
     TooLarge,
-    /// It is of another version of the protocol.
+    /// It has another version of the protocol.
     Version,
-    /// Its sender is no node of the site.
+    /// Its sender is no controller of the site.
     UnknownSender,
-    /// It is about something that its sender, or this node, has no part in.
+    /// It concerns something for which its sender or this controller is not responsible.
     Misrouted,
-    /// Something newer is known, or it was meant for an earlier incarnation of this node.
+    /// Something newer is known, or it was sent to an earlier incarnation of this controller.
     Stale,
 }
 
@@ -59,7 +59,7 @@
     }
 }
 
-/// Counts of rejected messages. Empty, and so without cost, as long as none is rejected.
+/// Numbers of rejected messages; empty as long as none is rejected.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct RejectionCounts(BTreeMap<(MessageSource, MessageFault), u64>);
 
@@ -69,19 +69,19 @@
         self.add_many(source, fault, 1);
     }
 
-    /// Counts several messages of one kind.
+    /// Counts several messages with the same sender and fault.
     pub fn add_many(&mut self, source: MessageSource, fault: MessageFault, count: u64) {
         if count > 0 {
             *self.0.entry((source, fault)).or_default() += count;
         }
     }
 
-    /// How many of this kind were rejected since the counts were last drained.
+    /// Number of messages with this sender and fault since the counts were last drained.
     pub fn get(&self, source: MessageSource, fault: MessageFault) -> u64 {
         self.0.get(&(source, fault)).copied().unwrap_or(0)
     }
 
-    /// Hands the counts out and starts anew.
+    /// Takes the counts and resets them.
     pub fn drain(&mut self) -> impl Iterator<Item = (MessageSource, MessageFault, u64)> {
         let counts = std::mem::take(&mut self.0);
         counts
