--- a/crates/controller/src/controller/call_kind.rs
+++ b/crates/controller/src/controller/call_kind.rs
@@ -5,7 +5,8 @@
 use crate::placement_log::CommitId;
 use crate::state_client::Budget;
 use crate::state_sync::SyncCall;
-use model::{Attempt, ControllerName, MachineName, PartitionId, TaskId};
+use model::{ControllerName, MachineName, PartitionId};
+use scheduler::TaskAttempt;
 use wire::cloud::{ListedMachine, RentRequest};
 
 /// The purpose of a call, by the component that handles the reply.
@@ -143,7 +144,7 @@
     Commands {
         partition: PartitionId,
         machine: MachineName,
-        launches: Vec<(TaskId, Attempt)>,
+        launches: Vec<TaskAttempt>,
     },
     /// A call to a worker of a partition that was given up: can it be reached again?
     ReachabilityProbe {
--- a/crates/controller/src/controller/mod.rs
+++ b/crates/controller/src/controller/mod.rs
@@ -104,8 +104,8 @@
     reacquisition_backoffs: BTreeMap<PartitionId, membership::ReacquisitionBackoff>,
     alive_at: Timestamp,
     load_at: Timestamp,
-    /// When each led partition's demand was written, and whether there was any.
-    demand_at: HashMap<PartitionId, (Timestamp, bool)>,
+    /// The last writes of partitions' unmet demand.
+    demand_writes: HashMap<PartitionId, leadership::DemandWrite>,
     job_status: JobStatusCache,
     reads: LinearizableReads,
     admission: Admission,
@@ -157,7 +157,7 @@
             reacquisition_backoffs: BTreeMap::new(),
             alive_at: Timestamp::default(),
             load_at: Timestamp::default(),
-            demand_at: HashMap::new(),
+            demand_writes: HashMap::new(),
             job_status: JobStatusCache::default(),
             reads: LinearizableReads::default(),
             admission: Admission::default(),
--- a/crates/controller/src/controller/standby.rs
+++ b/crates/controller/src/controller/standby.rs
@@ -124,7 +124,7 @@
                 at_ms: now.as_millis(),
                 ..ReplicationBatch::default()
             };
-            parts.extend(stream.due_parts(&header, now));
+            parts.extend(stream.due_batches(&header, now));
         }
         for (to, part) in parts {
             self.send_to_peer(&to, MeshMessage::Replication(part));
@@ -181,7 +181,7 @@
             replica
                 .machines
                 .get(machine)
-                .is_some_and(|machine| machine.hint.reporting)
+                .is_some_and(|machine| machine.snapshot.reporting)
         };
         if self.standby.replicas.get(partition).is_some_and(reports) {
             self.standby
@@ -281,7 +281,7 @@
             return 0;
         };
         for machine in replica.machines.values() {
-            partition_state.apply_machine_snapshot(&machine.hint, machine.idle_since);
+            partition_state.apply_machine_snapshot(&machine.snapshot, machine.idle_since);
         }
         for hint in replica.jobs.values() {
             partition_state.apply_job_snapshot(hint, self.now);
@@ -313,7 +313,7 @@
                     Vec::new()
                 };
                 let leadership = self.leaderships.get(partition);
-                let failed_checks = leadership.map(|h| format!("{:?}", h.failed_checks));
+                let failed_checks = leadership.map(|leadership| format!("{:?}", leadership.failed_checks()));
                 json!({
                     "waits_for": failed_checks,
                     "partition": partition.0, "holder": held.record.leader, "term": held.record.term,
