--- a/crates/simulator/src/availability.rs
+++ b/crates/simulator/src/availability.rs
@@ -1,13 +1,13 @@
-//! How much of what was accepted has been served, by team and by kind of work.
+//! Service levels: how much of the accepted work has been served, by team and by kind of work.
 
 use crate::worker::Worker;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use wire::users::{JobKind, JobRequest};
 use wire::workers::TaskState;
 
-/// A service counts from so long after its acceptance on.
+/// A service counts from this time after its acceptance on, in ms.
 const SERVICE_START_GRACE_MS: u64 = 20_000;
-/// Time between two looks.
+/// Interval between two observations, in ms.
 const OBSERVATION_INTERVAL_MS: u64 = 1_000;
 
 /// Seconds of replicas that were due and were up, by job.
@@ -20,7 +20,7 @@
     begun: BTreeMap<String, u64>,
 }
 
-/// One class of work: a team's, or a kind of jobs.
+/// The service level of one class of work: of a team or of a kind of jobs.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ServiceLevel {
     pub of: String,
@@ -29,16 +29,16 @@
 }
 
 impl ServiceLevel {
-    /// Part of what was due that was served.
+    /// The share of the due work that was served.
     pub fn ratio(&self) -> f64 {
         self.served as f64 / self.due.max(1) as f64
     }
 }
 
-/// Within this time the largest jobs are to begin, too.
+/// The largest jobs have to start within this time, in ms.
 const LARGE_JOB_START_DEADLINE_MS: u64 = 240_000;
 
-/// Of each kind, the largest jobs are those of the largest size and one in so many.
+/// The largest jobs of a kind are those of the largest size, and one in this many.
 const LARGEST_FRACTION: usize = 10;
 
 impl Availability {
@@ -106,7 +106,7 @@
         shares
     }
 
-    /// Looks at the replicas of all services that should be up.
+    /// Counts the replicas of all services that should be up.
     pub fn observe(
         &mut self,
         workers: &BTreeMap<String, Worker>,
@@ -195,39 +195,4 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    /// Ten small gangs begin at once, one of eight tasks never does.
-    #[test]
-    fn largest_job_without_start_is_reported_despite_started_small_jobs() {
-        let mut served = Availability::default();
-        let (mut jobs, mut accepted) = (HashMap::new(), BTreeMap::new());
-        let mut submitted = HashMap::new();
-        for n in 0..11 {
-            let tasks = if n == 0 { 8 } else { 1 };
-            let job = crate::single_controller::job(n, JobKind::Gang, tasks);
-            let seen = if n == 0 { 7 } else { 1 };
-            (0..seen).for_each(|i| served.started(&format!("{}/{i}", job.id), &job, 100.0, 1_000));
-            accepted.insert(job.id.clone(), 900);
-            submitted.insert(job.id.clone(), 0);
-            jobs.insert(job.id.clone(), job);
-        }
-        let largest = |served: &Availability, now| {
-            served.largest(&jobs, &accepted, &submitted, &BTreeSet::new(), now)
-        };
-        let part = |due, served| ServiceLevel {
-            of: "largest gangs".into(),
-            due,
-            served,
-        };
-        assert_eq!(
-            largest(&served, 239_000),
-            [part(1, 1)],
-            "its time is not over"
-        );
-        assert_eq!(largest(&served, 240_000), [part(2, 1)]);
-        served.started("j-000000/7", &jobs["j-000000"], 100.0, 250_000);
-        assert_eq!(largest(&served, 260_000), [part(2, 1)], "too late");
-    }
-}
+mod tests;
--- a/crates/simulator/src/world/unusual_requests.rs
+++ b/crates/simulator/src/world/unusual_requests.rs
@@ -1,7 +1,16 @@
-//! Requests that users rarely make: repeated submissions of unfinished jobs, cancellations of jobs that are done,
-//! jobs that can never run or that lack a field. And many jobs of one task each.
-
-use super::*;
+//! Unusual requests: repeated submissions of unfinished jobs, cancellations of completed jobs, unschedulable
+//! jobs and jobs that lack a field. And many jobs of one task each.
+
+use super::events::{PendingRequest, ScheduledEvent};
+use super::network::ActiveFault;
+use super::scenario::Mutation;
+use super::site::CONTROLLERS;
+use super::users::MAX_ATTEMPTS;
+use super::World;
+use controller::{UserReply, UserRequest};
+use model::JobId;
+use rand::Rng;
+use wire::users::{JobKind, JobRequest, Priority};
 
 /// Pause between two odd requests, in ms.
 const UNUSUAL_REQUEST_INTERVAL_MS: std::ops::Range<u64> = 100..500;
@@ -11,7 +20,7 @@
 const ONE_TASK_CANCEL_PROBABILITY: f64 = 0.25;
 const ONE_TASK_CANCEL_DELAY_MS: std::ops::Range<u64> = 50..12_000;
 
-/// How an odd submission has to be refused.
+/// How an invalid submission has to be rejected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum ExpectedRejection {
     /// 400: a field is missing.
@@ -21,9 +30,9 @@
 }
 
 impl World {
-    /// One odd request, and the next one later.
+    /// Sends one unusual request and schedules the next one.
     pub(super) fn unusual_request(&mut self) {
-        if !self.active_faults.contains(&ActiveFault::UnusualRequests) {
+        if !self.network.is_active(&ActiveFault::UnusualRequests) {
             return;
         }
         match self.rng.random_range(0..4) {
@@ -33,7 +42,7 @@
             _ => self.submit_incomplete(),
         }
         let pause = self.rng.random_range(UNUSUAL_REQUEST_INTERVAL_MS);
-        self.at(self.now + pause, ScheduledEvent::SendUnusualRequest);
+        self.schedule(self.now + pause, ScheduledEvent::SendUnusualRequest);
     }
 
     fn any_of(&mut self, ids: Vec<String>) -> Option<String> {
@@ -53,7 +62,7 @@
         self.send_request(UserRequest::Submit(Box::new(job)), id, MAX_ATTEMPTS);
     }
 
-    /// Nobody expects it to be called cancelled, so that it doesn't count as asked for.
+    /// It must stay done, so the cancellation is not recorded as requested.
     fn cancel_done(&mut self) {
         let done = self.rules.done_confirmed.keys().cloned().collect();
         let Some(id) = self.any_of(done) else { return };
@@ -73,8 +82,8 @@
             5 => (job.kind, job.tasks) = (JobKind::Gang, 1_000 * self.plan.size),
             _ => (job.kind, job.tasks) = (JobKind::Service, 1_000 * self.plan.size),
         }
-        self.invalid_jobs
-            .insert(job.id.clone(), ExpectedRejection::NeverRuns);
+        self.jobs
+            .expect_rejection(job.id.clone(), ExpectedRejection::NeverRuns);
         let id = job.id.clone();
         self.send_request(UserRequest::Submit(Box::new(job)), id, 0);
     }
@@ -94,16 +103,17 @@
         if self.plan.mutation == Some(Mutation::MissingFieldsFilled) {
             body.extend(removed.map(|value| (field, value)));
         }
-        self.invalid_jobs
-            .insert(id.clone(), ExpectedRejection::Malformed);
+        self.jobs
+            .expect_rejection(id.clone(), ExpectedRejection::Malformed);
         match serde_json::from_value(serde_json::Value::Object(body)) {
             Ok(job) => self.send_request(UserRequest::Submit(Box::new(job)), id, 0),
-            // The server answers 400 before any node sees it.
+            // The server answers 400 before any controller sees it.
             Err(_) => self.record_rejection_of_invalid_job(id, ExpectedRejection::Malformed),
         }
     }
 
-    /// An answer about an odd job: it has to be refused in the right way, and is unknown for ever.
+    /// Checks a reply about an invalid job: it has to be rejected with the expected status, and stays
+    /// unknown.
     pub(super) fn check_invalid_job_reply(
         &mut self,
         asked: PendingRequest,
@@ -145,20 +155,20 @@
         }
     }
 
-    /// What was refused is asked about at every node.
+    /// Schedules status requests about a rejected job at every controller.
     fn record_rejection_of_invalid_job(&mut self, id: String, refusal: ExpectedRejection) {
         match refusal {
             ExpectedRejection::Malformed => self.coverage.rejected_malformed += 1,
             ExpectedRejection::NeverRuns => self.coverage.rejected_unschedulable += 1,
         }
         let Some(job) = JobId::parse(&id) else { return };
-        for node in 0..CONTROLLERS {
+        for controller in 0..CONTROLLERS {
             let what = ScheduledEvent::SendFollowUp {
-                node,
+                controller,
                 request: UserRequest::Get(job),
                 id: id.clone(),
             };
-            self.at(self.now + 3, what);
+            self.schedule(self.now + 3, what);
         }
     }
 
@@ -167,9 +177,9 @@
         self.plain_array(team, 1)
     }
 
-    /// One job of one task, and the next one later.
+    /// Submits one job of one task and schedules the next one.
     pub(super) fn one_task_job(&mut self) {
-        if !self.active_faults.contains(&ActiveFault::OneTaskJobs) {
+        if !self.network.is_active(&ActiveFault::OneTaskJobs) {
             return;
         }
         let job = self.one_task();
@@ -178,9 +188,9 @@
         self.submit_job(job);
         if self.rng.random_bool(ONE_TASK_CANCEL_PROBABILITY) {
             let after = self.rng.random_range(ONE_TASK_CANCEL_DELAY_MS);
-            self.at(self.now + after, ScheduledEvent::CancelJob { id });
+            self.schedule(self.now + after, ScheduledEvent::CancelJob { id });
         }
-        self.at(
+        self.schedule(
             self.now + ONE_TASK_JOB_INTERVAL_MS,
             ScheduledEvent::SubmitOneTaskJob,
         );
@@ -192,9 +202,8 @@
 
     /// A new array that any machine may run.
     pub(super) fn plain_array(&mut self, team: String, tasks: u64) -> JobRequest {
-        self.next_job += 1;
         JobRequest {
-            id: format!("j-{:06}", self.next_job * 7),
+            id: self.jobs.next_id(),
             class: "c".into(),
             team,
             kind: JobKind::Array,
@@ -217,12 +226,11 @@
         }
     }
 
-    /// Submits a job and asks about it from time to time.
+    /// Submits a job and polls its status.
     pub(super) fn submit_job(&mut self, job: JobRequest) {
         let id = job.id.clone();
-        self.jobs.insert(id.clone(), job.clone());
-        self.submitted.insert(id.clone(), self.now);
+        self.jobs.add(job.clone(), self.now);
         self.send_request(UserRequest::Submit(Box::new(job)), id.clone(), 0);
-        self.at(self.now + 4_000, ScheduledEvent::PollStatus { id });
+        self.schedule(self.now + 4_000, ScheduledEvent::PollStatus { id });
     }
 }
