--- a/crates/controller/src/controller/load_partition.rs
+++ b/crates/controller/src/controller/load_partition.rs
@@ -1,6 +1,7 @@
 //! Taking a partition on: reading its ledger, the checks before the first decision, building the share.
 //! A warm start and a cold one differ only in what [`Controller::apply_replica`] has to give.
 
+use super::call_kind::LogCall;
 use super::leadership::{LogPageOutcome, PartitionLeadership, ReadLog};
 use super::{CallKind, Controller, MAX_LAUNCH_READ_AGE};
 use crate::placement_log::PlacementLog;
@@ -37,14 +38,17 @@
             after,
             limit: 100,
         };
-        Some((request, CallKind::LedgerList { partition, term }))
+        Some((
+            request,
+            CallKind::Log(LogCall::ReadPage { partition, term }),
+        ))
     }
 
     fn list_log_pages(&mut self, partition: PartitionId, after: String) {
         let Some((request, purpose)) = self.log_page_request(partition, after) else {
             return;
         };
-        self.state(CallPriority::Lease, request, purpose);
+        self.queue_state_request(CallPriority::Lease, request, purpose);
     }
 
     fn restart_log_read(&mut self, partition: PartitionId, after: Duration) {
--- a/crates/controller/src/controller/membership.rs
+++ b/crates/controller/src/controller/membership.rs
@@ -1,5 +1,6 @@
 //! Who holds which partition: taking vacant ones, handing them home, word from peers.
 
+use super::call_kind::{LeadershipCall, WorkerCall};
 use super::heartbeats::WORKER_TIMEOUT;
 use super::leadership::PartitionLeadership;
 use super::standby::REPLICA_CATCH_UP_LIMIT;
@@ -203,7 +204,7 @@
             }
         }
         for (partition, (machine, address)) in due {
-            let purpose = CallKind::Probe { partition, machine };
+            let purpose = CallKind::Worker(WorkerCall::ReachabilityProbe { partition, machine });
             self.send_probe(
                 address,
                 FencingToken(0),
@@ -285,10 +286,10 @@
         self.broadcast(MeshMessage::LeadershipResigned {
             partition: partition.0,
         });
-        self.state(
+        self.queue_state_request(
             CallPriority::Lease,
             StateRequest::Transaction(txn),
-            CallKind::GiveUp(partition),
+            CallKind::Leadership(LeadershipCall::Resign(partition)),
         );
     }
 
@@ -409,10 +410,10 @@
         };
         let txn = self.partition_txn(partition, version, &record, lease.0);
         self.acquiring.insert(partition);
-        self.state(
+        self.queue_state_request(
             CallPriority::Lease,
             StateRequest::Transaction(txn),
-            CallKind::Acquire(partition),
+            CallKind::Leadership(LeadershipCall::Acquire(partition)),
         );
     }
 
@@ -575,10 +576,10 @@
                 .when(reclaim_key(partition), version)
                 .when(partition_key(partition), held.version.0)
                 .write(write);
-            self.state(
+            self.queue_state_request(
                 CallPriority::Lease,
                 StateRequest::Transaction(txn),
-                CallKind::Wish,
+                CallKind::Leadership(LeadershipCall::Reclaim),
             );
         }
         let Some(held) = self.cache.partitions.get(&partition) else {
@@ -595,7 +596,7 @@
                 lease: lease.0,
                 incarnation: self.registration.incarnation(),
             };
-            self.mesh(&leader, message);
+            self.send_to_peer(&leader, message);
         }
     }
 
@@ -635,11 +636,11 @@
         if self.cache.reclaim_requests.contains_key(&partition) {
             txn = txn.write(Write::delete(reclaim_key(partition)));
         }
-        let purpose = CallKind::HandOver {
+        let purpose = CallKind::Leadership(LeadershipCall::Transfer {
             partition,
             to: to.clone(),
-        };
-        self.state(CallPriority::Lease, StateRequest::Transaction(txn), purpose);
+        });
+        self.queue_state_request(CallPriority::Lease, StateRequest::Transaction(txn), purpose);
     }
 
     pub(super) fn handle_transfer_reply(
