--- /dev/null
+++ b/crates/controller/src/placement_log/mod.rs
@@ -0,0 +1,278 @@
+//! The placement log of a partition: placements and progress of its jobs, packed into pages.
+//!
+//! Each commit writes one page (more when much has changed): those entries of the page that are
+//! still the newest, and all that changed since. An entry's newest copy is the one on the page with
+//! the highest commit number; older copies stay behind on other pages until those are written again.
+//! An entry that has become empty is kept until every page that may hold an older copy of it has
+//! been rewritten.
+
+mod commit;
+mod stored;
+
+pub use commit::{CommitId, LogCommit};
+
+use commit::CommitBuilder;
+use model::{JobId, PartitionId, Version};
+use scheduler::{ChunkKey, TaskChunk};
+use serde::Deserialize;
+use std::collections::{BTreeMap, BTreeSet};
+use stored::{page_number, read_page, StoredPage};
+use wire::state::Item;
+
+/// Pages that a partition starts with.
+const INITIAL_PAGES: usize = 4;
+/// Most pages that one commit writes.
+const MAX_PAGES_PER_COMMIT: usize = 4;
+/// Conditions and writes that a commit spends on each page.
+const TXN_OPS_PER_PAGE: usize = 2;
+/// Bytes of a page that are kept free for its frame.
+const PAGE_FRAME_BYTES: usize = 128;
+/// Estimated bytes of an entry or of one of its placements, besides their texts.
+const ENTRY_FRAME_BYTES: usize = 32;
+
+/// What is known of a page.
+#[derive(Debug, Clone, Default)]
+struct Page {
+    version: Version,
+    commit_number: u64,
+    /// Entries whose newest copies it holds.
+    entries: BTreeSet<ChunkKey>,
+}
+
+/// A chunk with its estimated size in bytes.
+#[derive(Debug, Clone)]
+struct SizedChunk {
+    chunk: TaskChunk,
+    size: usize,
+}
+
+impl SizedChunk {
+    fn new(chunk: TaskChunk) -> Self {
+        let placed: usize = chunk
+            .placed
+            .iter()
+            .map(|task| task.machine.len() + ENTRY_FRAME_BYTES)
+            .sum();
+        let size = ENTRY_FRAME_BYTES + chunk.done.len() + placed;
+        SizedChunk { chunk, size }
+    }
+}
+
+/// An entry's newest copy, which is as new as the page that holds it.
+#[derive(Debug, Clone)]
+struct LogEntry {
+    page: usize,
+    content: SizedChunk,
+}
+
+/// The placement log of a partition, as far as its commits are known to be durable.
+#[derive(Debug)]
+pub struct PlacementLog {
+    partition: PartitionId,
+    page_capacity: usize,
+    max_pages_per_commit: usize,
+    pages: Vec<Page>,
+    entries: BTreeMap<ChunkKey, LogEntry>,
+    /// The page that the next commit writes first.
+    cursor: usize,
+    commit_number: u64,
+    unreadable: Vec<String>,
+}
+
+impl PlacementLog {
+    /// Key of a page.
+    fn page_key(&self, page: usize) -> String {
+        format!("{}{page:04}", crate::records::log_prefix(self.partition))
+    }
+
+    /// Builds the log from its pages. `value_bytes` bounds a page, `txn_ops` a commit.
+    pub fn load(
+        partition: PartitionId,
+        items: &[Item],
+        value_bytes: usize,
+        txn_ops: usize,
+    ) -> Self {
+        let mut log = PlacementLog {
+            partition,
+            page_capacity: value_bytes.saturating_sub(PAGE_FRAME_BYTES),
+            max_pages_per_commit: (txn_ops / TXN_OPS_PER_PAGE).clamp(1, MAX_PAGES_PER_COMMIT),
+            pages: vec![Page::default(); INITIAL_PAGES],
+            entries: BTreeMap::new(),
+            cursor: 0,
+            commit_number: 0,
+            unreadable: Vec::new(),
+        };
+        for item in items {
+            let Some(number) = page_number(&item.key) else {
+                continue;
+            };
+            match read_page(&item.value) {
+                Ok(page) => log.add_page(number, Version(item.version), page),
+                Err(error) => {
+                    tracing::error!(key = %item.key, %error, "placement log page unreadable");
+                    log.unreadable.push(item.key.clone());
+                }
+            }
+        }
+        log
+    }
+
+    /// Adds a page that has been read.
+    fn add_page(&mut self, number: usize, version: Version, stored: StoredPage) {
+        let page = self.page_mut(number);
+        page.version = version;
+        page.commit_number = stored.commit_number;
+        if stored.commit_number >= self.commit_number {
+            self.commit_number = stored.commit_number;
+            self.cursor = number + 1;
+        }
+        for entry in stored.entries {
+            let key = entry.key();
+            let is_newest = self
+                .commit_number_of(&key)
+                .is_none_or(|known| known < stored.commit_number);
+            if is_newest {
+                let content = SizedChunk::new(entry.chunk);
+                let page = number;
+                self.insert(key, LogEntry { page, content });
+            }
+        }
+    }
+
+    /// A page, which is added if it does not exist yet.
+    fn page_mut(&mut self, number: usize) -> &mut Page {
+        if self.pages.len() <= number {
+            self.pages.resize(number + 1, Page::default());
+        }
+        &mut self.pages[number]
+    }
+
+    /// Number of the commit that wrote an entry's newest copy.
+    fn commit_number_of(&self, key: &ChunkKey) -> Option<u64> {
+        let entry = self.entries.get(key)?;
+        Some(self.pages[entry.page].commit_number)
+    }
+
+    fn oldest_commit_number(&self) -> u64 {
+        self.pages
+            .iter()
+            .map(|page| page.commit_number)
+            .min()
+            .unwrap_or(0)
+    }
+
+    /// Keys of pages that could not be read: their entries are not known.
+    pub fn unreadable(&self) -> &[String] {
+        &self.unreadable
+    }
+
+    /// The chunks of a job, with their numbers.
+    pub fn chunks_of(&self, job: JobId) -> Vec<(u32, TaskChunk)> {
+        self.entries
+            .range(ChunkKey::all_of(job))
+            .map(|(key, entry)| (key.chunk, entry.content.chunk.clone()))
+            .collect()
+    }
+
+    /// All jobs with entries.
+    pub fn jobs(&self) -> Vec<JobId> {
+        let mut jobs: Vec<JobId> = self.entries.keys().map(|key| key.job).collect();
+        jobs.dedup();
+        jobs
+    }
+
+    /// Removes the entries of a job that has reached a terminal state.
+    pub fn forget_job(&mut self, job: JobId) {
+        let keys: Vec<ChunkKey> = self
+            .entries
+            .range(ChunkKey::all_of(job))
+            .map(|(key, _)| *key)
+            .collect();
+        for key in keys {
+            self.remove(&key);
+        }
+    }
+
+    fn remove(&mut self, key: &ChunkKey) {
+        if let Some(entry) = self.entries.remove(key) {
+            self.pages[entry.page].entries.remove(key);
+        }
+    }
+
+    fn insert(&mut self, key: ChunkKey, entry: LogEntry) {
+        self.remove(&key);
+        self.pages[entry.page].entries.insert(key);
+        self.entries.insert(key, entry);
+    }
+
+    /// Prepares a commit of these changes; returns it with the keys of those that found no room.
+    pub fn prepare(
+        &self,
+        partition_version: Version,
+        changes: Vec<(ChunkKey, TaskChunk)>,
+    ) -> (LogCommit, Vec<ChunkKey>) {
+        let mut builder = CommitBuilder::new(self, partition_version, changes);
+        for step in 0..self.max_pages_per_commit {
+            if step > 0 && builder.is_complete() {
+                break;
+            }
+            if !builder.add_page(self, step) {
+                break;
+            }
+        }
+        builder.finish()
+    }
+
+    /// Entries of a page that a rewrite keeps: also the old copy of a change that finds no room in
+    /// the commit, since dropping it would lose what is durable.
+    fn kept_entries(
+        &self,
+        page: usize,
+        written: &BTreeSet<ChunkKey>,
+    ) -> BTreeMap<ChunkKey, SizedChunk> {
+        let keys = self
+            .pages
+            .get(page)
+            .into_iter()
+            .flat_map(|page| &page.entries);
+        keys.filter(|key| !written.contains(*key))
+            .filter_map(|key| Some((*key, self.entries.get(key)?.content.clone())))
+            .collect()
+    }
+
+    /// The commit is durable at this revision.
+    pub fn commit(&mut self, commit: &LogCommit, revision: u64) {
+        for written in &commit.pages {
+            let page = self.page_mut(written.page);
+            page.version = Version(revision);
+            page.commit_number = written.commit_number;
+            self.commit_number = self.commit_number.max(written.commit_number);
+            self.cursor = written.page + 1;
+        }
+        for key in &commit.dropped {
+            self.remove(key);
+        }
+        for committed in &commit.entries {
+            self.insert(committed.key, committed.entry.clone());
+        }
+        if self.cursor >= self.pages.len() {
+            self.cursor = 0;
+        }
+    }
+
+    /// Key of a page that the commit writes, and the identity by which the page read back shows
+    /// whether the commit was applied.
+    pub fn proof(&self, commit: &LogCommit) -> Option<(String, CommitId)> {
+        let written = commit.pages.first()?;
+        let id = CommitId {
+            number: written.commit_number,
+            partition_version: commit.partition_version,
+        };
+        Some((self.page_key(written.page), id))
+    }
+
+    /// Whether a page read back was written by this commit.
+    pub fn proves(value: &serde_json::Value, id: CommitId) -> bool {
+        StoredPage::deserialize(value).is_ok_and(|page| page.commit_id() == id)
+    }
+}
--- /dev/null
+++ b/crates/controller/src/placement_log/stored.rs
@@ -0,0 +1,104 @@
+//! Stored forms of the placement log's pages, and their validation.
+
+use super::CommitId;
+use model::job::MAX_TASKS;
+use model::{JobId, Version};
+use scheduler::{ChunkKey, TaskChunk, CHUNK};
+use serde::{Deserialize, Serialize};
+
+/// Highest number of a page: far more than a partition fills.
+const MAX_PAGE_NUMBER: usize = 100_000;
+/// Commit numbers at or above this are never reached, and would leave no room to count on.
+const MAX_COMMIT_NUMBER: u64 = 1 << 62;
+/// Chunks that the largest job has.
+const MAX_CHUNKS: u32 = (MAX_TASKS as u32).div_ceil(CHUNK);
+/// An entry as it is stored: a JSON array of the job, the number of the chunk, and the chunk.
+#[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
+#[serde(from = "(u64, u32, TaskChunk)", into = "(u64, u32, TaskChunk)")]
+pub(super) struct StoredEntry {
+    pub job: u64,
+    pub chunk_number: u32,
+    pub chunk: TaskChunk,
+}
+
+impl From<(u64, u32, TaskChunk)> for StoredEntry {
+    fn from((job, chunk_number, chunk): (u64, u32, TaskChunk)) -> Self {
+        StoredEntry {
+            job,
+            chunk_number,
+            chunk,
+        }
+    }
+}
+
+impl From<StoredEntry> for (u64, u32, TaskChunk) {
+    fn from(entry: StoredEntry) -> Self {
+        (entry.job, entry.chunk_number, entry.chunk)
+    }
+}
+
+impl StoredEntry {
+    pub(super) fn key(&self) -> ChunkKey {
+        ChunkKey {
+            job: JobId(self.job),
+            chunk: self.chunk_number,
+        }
+    }
+
+    fn is_sound(&self) -> bool {
+        self.chunk_number < MAX_CHUNKS && self.chunk.is_sound()
+    }
+}
+
+/// A page as it is stored.
+#[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
+pub(super) struct StoredPage {
+    #[serde(rename = "round")]
+    pub commit_number: u64,
+    /// Version of the partition's record on which the commit depends.
+    #[serde(rename = "right", default)]
+    pub partition_version: u64,
+    #[serde(rename = "items")]
+    pub entries: Vec<StoredEntry>,
+}
+
+impl StoredPage {
+    pub(super) fn commit_id(&self) -> CommitId {
+        CommitId {
+            number: self.commit_number,
+            partition_version: Version(self.partition_version),
+        }
+    }
+}
+
+/// Why a page of the log is not used.
+#[derive(Debug, thiserror::Error)]
+pub(super) enum PageError {
+    #[error(transparent)]
+    Unreadable(#[from] serde_json::Error),
+    #[error("commit number {0} leaves no room to count on")]
+    CommitNumber(u64),
+    #[error("entry of chunk {chunk_number} of job {job} is not sound")]
+    Entry { job: u64, chunk_number: u32 },
+}
+
+/// Reads a page, and checks that all of it can be used: a part left out would be work done twice.
+pub(super) fn read_page(value: &serde_json::Value) -> Result<StoredPage, PageError> {
+    let page = StoredPage::deserialize(value)?;
+    if page.commit_number >= MAX_COMMIT_NUMBER {
+        return Err(PageError::CommitNumber(page.commit_number));
+    }
+    match page.entries.iter().find(|entry| !entry.is_sound()) {
+        Some(entry) => Err(PageError::Entry {
+            job: entry.job,
+            chunk_number: entry.chunk_number,
+        }),
+        None => Ok(page),
+    }
+}
+
+/// The number of a page, from its key.
+pub(super) fn page_number(key: &str) -> Option<usize> {
+    let number: usize = key.rsplit('/').next()?.parse().ok()?;
+    (number <= MAX_PAGE_NUMBER).then_some(number)
+}
