--- a/crates/controller/src/controller/crash_loop.rs
+++ b/crates/controller/src/controller/crash_loop.rs
@@ -42,8 +42,9 @@
     /// crash loop, each acquires its own partition as usual.
     pub(super) fn defers_to_peers(&self) -> bool {
         self.is_crash_looping(self.own_name())
-            && self.peers.iter().any(|(name, peer)| {
-                peer.ready && self.peer_is_alive(name) && !self.is_crash_looping(name)
-            })
+            && self
+                .peers
+                .ready_peers(self.now)
+                .any(|name| !self.is_crash_looping(name))
     }
 }
--- a/crates/controller/src/controller/load_partition.rs
+++ b/crates/controller/src/controller/load_partition.rs
@@ -9,7 +9,7 @@
 use crate::request_budget::CallPriority;
 use crate::state_cache::Versioned;
 use failover::readiness::{failed_checks, LeadershipFacts, ReadinessCheck};
-use model::{FencingToken, MachineName, PartitionId, Timestamp, ZoneName};
+use model::{FencingToken, MachineName, PartitionId, ZoneName};
 use scheduler::{Machine, PartitionState, StatusSource};
 use std::time::Duration;
 use wire::state::{StateReply, StateRequest};
@@ -17,8 +17,6 @@
 /// Pause before the ledger is read again that could not be, and before one is that is not sound.
 const LOG_READ_RETRY_INTERVAL: Duration = Duration::from_millis(150);
 const UNREADABLE_LOG_RETRY_INTERVAL: Duration = Duration::from_secs(2);
-/// Time between two tries to take a partition of our own anew.
-const TERM_RENEWAL_INTERVAL: Duration = Duration::from_secs(2);
 
 impl Controller {
     pub(super) fn read_placement_log(&mut self, partition: PartitionId) {
@@ -282,39 +280,4 @@
         machine.idle_since = self.now;
         Some(machine)
     }
-
-    /// Our idea of the partition is wrong: it is taken anew. Under the same term attempts would be
-    /// numbered like those already launched, and what we have sent would be executed still.
-    pub(super) fn reload_partition(&mut self, partition: PartitionId) {
-        let Some(leadership) = self.leaderships.remove(&partition) else {
-            return;
-        };
-        tracing::warn!(%partition, term = %leadership.term(), "taking the partition anew");
-        // Not taken up again under this term.
-        self.relinquished_terms.insert(partition, leadership.term());
-        self.renewed
-            .insert(partition, (leadership.term(), Timestamp::default()));
-        self.renew_term(partition);
-    }
-
-    /// Takes a partition whose record names us under the next term.
-    pub(super) fn renew_term(&mut self, partition: PartitionId) {
-        let Some((wrong, tried)) = self.renewed.get(&partition).copied() else {
-            return;
-        };
-        let Some(held) = self.cache.partitions.get(&partition) else {
-            return;
-        };
-        let version = held.version.0;
-        if FencingToken(held.record.term) != wrong {
-            self.renewed.remove(&partition);
-            return;
-        }
-        let soon =
-            tried > Timestamp::default() && self.now.duration_since(tried) < TERM_RENEWAL_INTERVAL;
-        if !soon && !self.acquiring.contains(&partition) {
-            self.renewed.insert(partition, (wrong, self.now));
-            self.acquire(partition, version);
-        }
-    }
 }
--- /dev/null
+++ b/crates/controller/src/controller/membership/acquisition.rs
@@ -0,0 +1,367 @@
+//! Acquisition of partitions: vacant ones in an order among the controllers, and those whose leader
+//! is known or suspected to have crashed while its record still stands.
+
+use super::resignation::UNCLAIMED_AFTER;
+use crate::controller::{CallKind, Controller};
+use crate::records::{partition_key, PartitionRecord, COUNTER};
+use crate::request_budget::CallPriority;
+use failover::failure_detector::HEARTBEAT_TIMEOUT;
+use model::DurationExt;
+use model::{ControllerName, FencingToken, PartitionId, Timestamp};
+use std::collections::{HashMap, HashSet};
+use std::time::Duration;
+use wire::state::{StateReply, StateRequest, Transaction, Write};
+
+/// How long a vacant partition is left to its preferred leader while that seems alive.
+const PREFERRED_LEADER_GRACE: Duration = Duration::from_millis(600);
+/// How long a vacant partition is left to a preferred leader that has not been seen yet.
+const STARTUP_GRACE: Duration = Duration::from_millis(1_500);
+/// For so long after its own start a controller expects others to start as well.
+const STARTUP_PERIOD: Duration = Duration::from_secs(3);
+/// How long a controller in a crash loop leaves its vacant preferred partition to others.
+const CRASH_LOOP_GRACE: Duration = Duration::from_millis(1_500);
+/// How long a vacant partition is left to each controller that ranks before this one.
+const RANK_DELAY: Duration = Duration::from_millis(250);
+/// Time between two attempts to acquire a partition whose record stands.
+const FAILOVER_ATTEMPT_INTERVAL: Duration = Duration::from_millis(300);
+/// Time between two attempts to renew the term of a partition that this controller leads.
+const TERM_RENEWAL_INTERVAL: Duration = Duration::from_secs(2);
+
+/// Acquisitions that are open, and what decides about the next ones.
+#[derive(Debug, Default)]
+pub(super) struct Acquisitions {
+    /// Partitions with an acquisition whose reply is awaited.
+    pending: HashSet<PartitionId>,
+    vacant_since: HashMap<PartitionId, Timestamp>,
+    /// Terms that this controller has given up: it does not lead under them again.
+    relinquished_terms: HashMap<PartitionId, FencingToken>,
+    term_renewals: HashMap<PartitionId, TermRenewal>,
+}
+
+/// A partition that this controller is to lead under a new term, since its state under the old one
+/// was wrong.
+#[derive(Debug, Clone, Copy)]
+struct TermRenewal {
+    old_term: FencingToken,
+    attempted_at: Option<Timestamp>,
+}
+
+impl TermRenewal {
+    fn is_due(&self, now: Timestamp) -> bool {
+        self.attempted_at
+            .is_none_or(|at| now.duration_since(at) >= TERM_RENEWAL_INTERVAL)
+    }
+}
+
+impl Acquisitions {
+    pub(super) fn is_pending(&self, partition: PartitionId) -> bool {
+        self.pending.contains(&partition)
+    }
+
+    /// Since when a partition has been vacant, from now on if it was not.
+    fn vacant_since(&mut self, partition: PartitionId, now: Timestamp) -> Timestamp {
+        *self.vacant_since.entry(partition).or_insert(now)
+    }
+
+    pub(super) fn end_vacancy(&mut self, partition: PartitionId) {
+        self.vacant_since.remove(&partition);
+    }
+
+    pub(super) fn restart_vacancies(&mut self, now: Timestamp) {
+        for since in self.vacant_since.values_mut() {
+            *since = now;
+        }
+    }
+
+    /// This controller leads a partition no more under this term, whatever the cache still shows.
+    pub(super) fn relinquish(&mut self, partition: PartitionId, term: FencingToken) {
+        self.relinquished_terms.insert(partition, term);
+    }
+
+    pub(super) fn is_relinquished(&self, partition: PartitionId, term: FencingToken) -> bool {
+        self.relinquished_terms.get(&partition) == Some(&term)
+    }
+}
+
+impl Controller {
+    /// Acquires a vacant partition once it is this controller's turn.
+    pub(super) fn try_acquire_vacant(&mut self, partition: PartitionId) {
+        let now = self.now;
+        let vacant_since = self.membership.acquisitions.vacant_since(partition, now);
+        let backs_off = self.is_backing_off_from(partition) && now < vacant_since + UNCLAIMED_AFTER;
+        let waits = now < vacant_since + self.acquisition_delay(partition);
+        if self.membership.acquisitions.is_pending(partition) || waits || backs_off {
+            return;
+        }
+        self.acquire(partition, 0);
+    }
+
+    /// Acquires a partition whose record stands, if its leader's incarnation is known to have exited
+    /// or suspected to have crashed.
+    pub(super) fn try_early_failover(&mut self, partition: PartitionId) {
+        let Some(held) = self.cache.partitions.get(&partition) else {
+            return;
+        };
+        let leader = held.record.leader.clone();
+        let incarnation = held.record.incarnation;
+        let version = held.version.0;
+        let attempted_recently =
+            self.now.duration_since(self.standby.tried_at) < FAILOVER_ATTEMPT_INTERVAL;
+        if self.membership.acquisitions.is_pending(partition)
+            || self.is_backing_off_from(partition)
+            || attempted_recently
+        {
+            return;
+        }
+        if self.incarnation_is_over(&(leader.clone(), incarnation)) {
+            if self.may_replace_exited_leader(partition) {
+                self.standby.tried_at = self.now;
+                self.acquire(partition, version);
+            }
+            return;
+        }
+        // The most frequent blocker first: this is checked at each event.
+        if self
+            .peers
+            .heartbeat_age(&leader, self.now)
+            .is_some_and(|age| age < HEARTBEAT_TIMEOUT)
+        {
+            return;
+        }
+        if self.is_standby_of(partition) && self.failover_blockers(partition).is_empty() {
+            tracing::info!(%partition, %leader, "leader suspected to have crashed, acquiring partition");
+            self.standby.tried_at = self.now;
+            self.record_early_failover(partition, leader, incarnation);
+            self.acquire(partition, version);
+        }
+    }
+
+    /// A later incarnation of the leader has started. Its preferred partition is left to it; others go
+    /// to their preferred leader or to the standby.
+    fn may_replace_exited_leader(&self, partition: PartitionId) -> bool {
+        let is_preferred = self.preferred_leader(partition) == Some(self.own_name());
+        is_preferred && !self.defers_to_peers()
+            || self.is_standby_of(partition) && !self.preferred_leader_is_stable(partition)
+    }
+
+    fn is_standby_of(&self, partition: PartitionId) -> bool {
+        self.standbys().get(&partition) == Some(self.own_name())
+    }
+
+    /// How long a vacant partition is left to others: first its preferred leader, then its last
+    /// standby, then the controllers with the fewest partitions.
+    fn acquisition_delay(&self, partition: PartitionId) -> Duration {
+        let Some(preferred) = self.preferred_leader(partition) else {
+            return Duration::ZERO;
+        };
+        if preferred == self.own_name() {
+            return if self.defers_to_peers() {
+                CRASH_LOOP_GRACE
+            } else {
+                Duration::ZERO
+            };
+        }
+        let own_rank = self.acquisition_rank(partition, self.own_name());
+        let ranked_before = self
+            .nodes
+            .iter()
+            .filter(|(name, _)| {
+                name != self.own_name()
+                    && name != preferred
+                    && self.peer_is_alive(name)
+                    && self.acquisition_rank(partition, name) < own_rank
+            })
+            .count() as u64;
+        self.preferred_leader_delay(partition, preferred)
+            + RANK_DELAY.saturating_times(ranked_before)
+    }
+
+    /// How long a vacant partition is left to its preferred leader.
+    fn preferred_leader_delay(
+        &self,
+        partition: PartitionId,
+        preferred: &ControllerName,
+    ) -> Duration {
+        let has_just_started = self.now < Timestamp::default() + STARTUP_PERIOD;
+        if !self.peers.is_known(preferred) && has_just_started {
+            STARTUP_GRACE
+        } else if self.preferred_leader_is_stable(partition) && !self.was_resigned(partition) {
+            PREFERRED_LEADER_GRACE
+        } else {
+            Duration::ZERO
+        }
+    }
+
+    /// The rank of a controller for a vacant partition; the lowest acquires it first.
+    fn acquisition_rank<'a>(
+        &self,
+        partition: PartitionId,
+        controller: &'a ControllerName,
+    ) -> AcquisitionRank<'a> {
+        let led_partitions = self
+            .cache
+            .partitions
+            .values()
+            .filter(|held| held.record.leader == *controller)
+            .count();
+        AcquisitionRank {
+            is_not_standby: self.standby.assigned.get(&partition) != Some(controller),
+            led_partitions,
+            controller,
+        }
+    }
+
+    /// A transaction that writes a partition's record under the next term and under its new leader's
+    /// lease, together with the counter.
+    pub(super) fn partition_txn(
+        &self,
+        partition: PartitionId,
+        version: u64,
+        record: &PartitionRecord,
+        lease: u64,
+    ) -> Transaction {
+        let mut counter = self
+            .cache
+            .counter
+            .as_ref()
+            .map(|counter| counter.record.clone())
+            .unwrap_or_default();
+        counter.next = record.term + 1;
+        counter
+            .takers
+            .insert(partition.0, (record.leader.clone(), record.incarnation));
+        counter
+            .unconfirmed_predecessors
+            .insert(partition.0, record.unconfirmed_predecessors.clone());
+        let key = partition_key(partition);
+        let value = serde_json::to_value(record).unwrap_or_default();
+        let counter = serde_json::to_value(counter).unwrap_or_default();
+        Transaction::default()
+            .when(&key, version)
+            .when(COUNTER, self.cache.counter_version())
+            .write(Write::put_leased(&key, value, lease))
+            .write(Write::put(COUNTER, counter))
+    }
+
+    /// Writes this controller into a partition's record, which must still have this version (0: none).
+    fn acquire(&mut self, partition: PartitionId, version: u64) {
+        let Some(lease) = self.lease.current() else {
+            return;
+        };
+        let record = PartitionRecord {
+            leader: self.own_name().clone(),
+            incarnation: self.registration.incarnation(),
+            term: self.cache.next_token(),
+            // They may still answer workers; every later leader has to wait for them as well.
+            unconfirmed_predecessors: self.unconfirmed_predecessors_of(partition),
+        };
+        let txn = self.partition_txn(partition, version, &record, lease.0);
+        self.membership.acquisitions.pending.insert(partition);
+        self.state(
+            CallPriority::Lease,
+            StateRequest::Transaction(txn),
+            CallKind::Acquire(partition),
+        );
+    }
+
+    /// Former leaders of a partition that may not know yet that they lost it.
+    fn unconfirmed_predecessors_of(&self, partition: PartitionId) -> Vec<(ControllerName, u64)> {
+        let Some(counter) = &self.cache.counter else {
+            return Vec::new();
+        };
+        let mut predecessors: Vec<(ControllerName, u64)> = counter
+            .record
+            .unconfirmed_predecessors
+            .get(&partition.0)
+            .cloned()
+            .unwrap_or_default();
+        predecessors.extend(counter.record.takers.get(&partition.0).cloned());
+        // This controller has stopped to answer with the loss of its own leadership.
+        predecessors.retain(|predecessor| {
+            !self.incarnation_is_over(predecessor) && predecessor.0 != *self.own_name()
+        });
+        predecessors.dedup();
+        predecessors
+    }
+
+    /// Whether an incarnation is known to have exited: a later one has been recorded.
+    pub(in crate::controller) fn incarnation_is_over(
+        &self,
+        (name, incarnation): &(ControllerName, u64),
+    ) -> bool {
+        self.cache
+            .incarnations
+            .get(name)
+            .is_some_and(|recorded| recorded.record.incarnation != *incarnation)
+    }
+
+    /// Handles the reply to an acquisition. Whatever it was, the watch brings the partition's record,
+    /// and the leadership begins with that.
+    pub(in crate::controller) fn handle_acquisition_reply(
+        &mut self,
+        partition: PartitionId,
+        reply: &StateReply,
+    ) {
+        let acquisitions = &mut self.membership.acquisitions;
+        acquisitions.pending.remove(&partition);
+        match reply {
+            StateReply::Committed { .. } => {
+                self.counters.takeovers += 1;
+                acquisitions.vacant_since.remove(&partition);
+            }
+            _ => {
+                acquisitions.vacant_since.insert(partition, self.now);
+            }
+        }
+    }
+
+    /// The state of a partition is wrong: it is acquired again under a new term. Under the same term,
+    /// attempts would be numbered like those already launched, and commands that were sent would still
+    /// be executed.
+    pub(in crate::controller) fn reload_partition(&mut self, partition: PartitionId) {
+        let Some(leadership) = self.leaderships.remove(&partition) else {
+            return;
+        };
+        let term = leadership.term();
+        tracing::warn!(%partition, %term, "reloading partition under a new term");
+        let acquisitions = &mut self.membership.acquisitions;
+        acquisitions.relinquish(partition, term);
+        let renewal = TermRenewal {
+            old_term: term,
+            attempted_at: None,
+        };
+        acquisitions.term_renewals.insert(partition, renewal);
+        self.renew_term(partition);
+    }
+
+    /// Acquires a partition whose record names this controller under the next term.
+    pub(super) fn renew_term(&mut self, partition: PartitionId) {
+        let Some(held) = self.cache.partitions.get(&partition) else {
+            return;
+        };
+        let version = held.version.0;
+        let term = FencingToken(held.record.term);
+        let acquisitions = &mut self.membership.acquisitions;
+        let is_pending = acquisitions.is_pending(partition);
+        let Some(renewal) = acquisitions.term_renewals.get_mut(&partition) else {
+            return;
+        };
+        if term != renewal.old_term {
+            acquisitions.term_renewals.remove(&partition);
+            return;
+        }
+        if renewal.is_due(self.now) && !is_pending {
+            renewal.attempted_at = Some(self.now);
+            self.acquire(partition, version);
+        }
+    }
+}
+
+/// Order of the controllers for a vacant partition, by the fields from first to last.
+#[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
+struct AcquisitionRank<'a> {
+    /// The last standby knows most of the partition.
+    is_not_standby: bool,
+    led_partitions: usize,
+    controller: &'a ControllerName,
+}
--- /dev/null
+++ b/crates/controller/src/controller/membership/mod.rs
@@ -0,0 +1,108 @@
+//! Which controller leads which partition: acquisition of vacant ones, failover, resignation, and the
+//! return of a partition to its preferred leader.
+
+mod acquisition;
+mod reacquisition;
+mod reclaim;
+mod record_changes;
+mod resignation;
+mod transfer;
+
+use super::Controller;
+use acquisition::Acquisitions;
+use model::{ControllerName, PartitionId, Timestamp};
+use reacquisition::ReacquisitionBackoffs;
+use reclaim::Reclaim;
+use resignation::PeerResignations;
+use std::time::Duration;
+
+/// A controller acquires and transfers partitions only while its last read of changes is not older.
+const MAX_STATE_READ_AGE: Duration = Duration::from_secs(3);
+/// How long a transaction that ends a leadership may be applied after its outcome became unknown.
+const UNKNOWN_OUTCOME_TIMEOUT: Duration = Duration::from_secs(2);
+
+/// What a controller remembers for its decisions about leaderships.
+#[derive(Debug, Default)]
+pub(super) struct Membership {
+    acquisitions: Acquisitions,
+    backoffs: ReacquisitionBackoffs,
+    resignations: PeerResignations,
+    reclaim: Reclaim,
+}
+
+impl Membership {
+    /// This controller was paused until now: vacancies count from here on.
+    pub(super) fn restart_vacancies(&mut self, now: Timestamp) {
+        self.acquisitions.restart_vacancies(now);
+    }
+
+    /// The write of a reclaim record has been answered.
+    pub(super) fn finish_reclaim_write(&mut self) {
+        self.reclaim.finish_write();
+    }
+}
+
+impl Controller {
+    /// Number of partitions: one for each controller of the settings.
+    pub(super) fn partition_count(&self) -> u32 {
+        self.nodes.len() as u32
+    }
+
+    /// The controller to which a partition returns when it can lead it.
+    pub(super) fn preferred_leader(&self, partition: PartitionId) -> Option<&ControllerName> {
+        self.nodes.get(partition.0 as usize).map(|(name, _)| name)
+    }
+
+    /// Whether a peer's last heartbeat is recent.
+    pub(super) fn peer_is_alive(&self, name: &ControllerName) -> bool {
+        self.peers.is_alive(name, self.now)
+    }
+
+    /// Whether a peer receives the heartbeats of this controller.
+    pub(super) fn is_reached_by(&self, peer: &ControllerName) -> bool {
+        self.peers.is_receiving_from(peer, self.own_name())
+    }
+
+    /// Acquires partitions that this controller should lead, and returns those that it should not.
+    pub(super) fn maintain_leadership(&mut self) {
+        if !self.state_sync.is_synced()
+            || !self.registration.is_registered()
+            || self.lease.current().is_none()
+            || !self.has_recent_state_read(MAX_STATE_READ_AGE)
+        {
+            return;
+        }
+        for number in 0..self.partition_count() {
+            self.maintain_partition(PartitionId(number));
+        }
+        self.probe_workers();
+        self.reclaim_preferred_partition();
+        self.grant_reclaim_requests();
+    }
+
+    fn maintain_partition(&mut self, partition: PartitionId) {
+        let Some(held) = self.cache.partitions.get(&partition) else {
+            self.try_acquire_vacant(partition);
+            return;
+        };
+        self.membership.acquisitions.end_vacancy(partition);
+        let is_own = held.record.leader == *self.own_name()
+            && held.record.incarnation == self.registration.incarnation();
+        if !is_own {
+            self.try_early_failover(partition);
+        } else if !self.leaderships.contains_key(&partition) {
+            self.partition_changed(partition);
+            self.renew_term(partition);
+        }
+    }
+
+    /// Whether a partition's preferred leader is alive and not in a crash loop.
+    fn preferred_leader_is_stable(&self, partition: PartitionId) -> bool {
+        self.preferred_leader(partition)
+            .is_some_and(|leader| self.peer_is_alive(leader) && !self.is_crash_looping(leader))
+    }
+
+    fn is_backing_off_from(&self, partition: PartitionId) -> bool {
+        self.membership.backoffs.is_active(partition, self.now)
+    }
+}
--- /dev/null
+++ b/crates/controller/src/controller/membership/reclaim.rs
@@ -0,0 +1,166 @@
+//! Reclaim requests: a preferred leader asks for its partition back, over the mesh or, where the two
+//! controllers do not reach each other, through the state service.
+
+use crate::controller::standby::REPLICA_CATCH_UP_LIMIT;
+use crate::controller::{CallKind, Controller};
+use crate::records::{partition_key, reclaim_key, ReclaimRecord};
+use crate::request_budget::CallPriority;
+use model::{ControllerName, LeaseId, PartitionId, Timestamp};
+use std::time::Duration;
+use wire::mesh::MeshMessage;
+use wire::state::{StateRequest, Transaction, Write};
+
+/// How long another controller may lead the preferred partition before it is asked through the state
+/// service as well.
+const RECLAIM_AFTER: Duration = Duration::from_secs(2);
+/// Time between two reclaim requests over the mesh.
+const RECLAIM_REQUEST_INTERVAL: Duration = Duration::from_secs(1);
+
+/// The preferred partition of this controller, while another one leads it.
+#[derive(Debug, Default)]
+pub(super) struct Reclaim {
+    /// Since when another controller has led it while this one could.
+    displaced_since: Option<Timestamp>,
+    /// When it was requested last over the mesh.
+    requested_at: Option<Timestamp>,
+    /// Whether the write of a reclaim record is open.
+    write_pending: bool,
+}
+
+impl Reclaim {
+    /// How long the partition has been displaced, counted from now on if it was not.
+    fn displaced_for(&mut self, now: Timestamp) -> Duration {
+        now.duration_since(*self.displaced_since.get_or_insert(now))
+    }
+
+    fn is_request_due(&self, now: Timestamp) -> bool {
+        self.requested_at
+            .is_none_or(|at| now.duration_since(at) >= RECLAIM_REQUEST_INTERVAL)
+    }
+
+    pub(super) fn finish_write(&mut self) {
+        self.write_pending = false;
+    }
+}
+
+impl Controller {
+    /// The partition that this controller is the preferred leader of.
+    fn preferred_partition(&self) -> Option<PartitionId> {
+        let number = self
+            .nodes
+            .iter()
+            .position(|(name, _)| name == self.own_name())?;
+        Some(PartitionId(number as u32))
+    }
+
+    /// Asks the leader of this controller's preferred partition to transfer it.
+    pub(super) fn reclaim_preferred_partition(&mut self) {
+        let Some(partition) = self.preferred_partition() else {
+            return;
+        };
+        let Some(lease) = self.lease.current() else {
+            return;
+        };
+        let Some(held) = self.cache.partitions.get(&partition) else {
+            return;
+        };
+        let leader = held.record.leader.clone();
+        if leader == *self.own_name() || self.membership.acquisitions.is_pending(partition) {
+            self.membership.reclaim.displaced_since = None;
+            return;
+        }
+        if self.is_backing_off_from(partition)
+            || self.cache.types.is_none()
+            || self.defers_to_peers()
+        {
+            return;
+        }
+        let displaced_for = self.membership.reclaim.displaced_for(self.now);
+        self.write_reclaim_record(partition, &leader, lease, displaced_for);
+        self.send_reclaim_request(partition, &leader, lease, displaced_for);
+    }
+
+    /// Writes a reclaim record, if the mesh does not help: a leader that receives requests transfers
+    /// the partition once this controller's replica is in sync.
+    fn write_reclaim_record(
+        &mut self,
+        partition: PartitionId,
+        leader: &ControllerName,
+        lease: LeaseId,
+        displaced_for: Duration,
+    ) {
+        let mesh_does_not_help =
+            !self.peer_is_alive(leader) || displaced_for >= RECLAIM_AFTER + REPLICA_CATCH_UP_LIMIT;
+        if displaced_for < RECLAIM_AFTER
+            || !mesh_does_not_help
+            || self.membership.reclaim.write_pending
+        {
+            return;
+        }
+        let recorded = self.cache.reclaim_requests.get(&partition);
+        if recorded.is_some_and(|request| request.record.lease == lease.0) {
+            return;
+        }
+        let reclaim_version = recorded.map_or(0, |request| request.version.0);
+        let partition_version = self
+            .cache
+            .partitions
+            .get(&partition)
+            .map_or(0, |held| held.version.0);
+        let record = ReclaimRecord {
+            node: self.own_name().clone(),
+            incarnation: self.registration.incarnation(),
+            lease: lease.0,
+        };
+        let value = serde_json::to_value(record).unwrap_or_default();
+        // Without the conditions a late write would ask again for what has been granted, and may have
+        // moved on since.
+        let txn = Transaction::default()
+            .when(reclaim_key(partition), reclaim_version)
+            .when(partition_key(partition), partition_version)
+            .write(Write::put_leased(reclaim_key(partition), value, lease.0));
+        self.membership.reclaim.write_pending = true;
+        self.state(
+            CallPriority::Lease,
+            StateRequest::Transaction(txn),
+            CallKind::Wish,
+        );
+    }
+
+    fn send_reclaim_request(
+        &mut self,
+        partition: PartitionId,
+        leader: &ControllerName,
+        lease: LeaseId,
+        displaced_for: Duration,
+    ) {
+        if !self.membership.reclaim.is_request_due(self.now)
+            || !self.peer_is_alive(leader)
+            || !self.is_warm(partition, displaced_for)
+        {
+            return;
+        }
+        self.membership.reclaim.requested_at = Some(self.now);
+        let message = MeshMessage::ReclaimRequest {
+            partition: partition.0,
+            lease: lease.0,
+            incarnation: self.registration.incarnation(),
+        };
+        self.mesh(leader, message);
+    }
+
+    /// Grants the reclaim requests that preferred leaders have written to the state service.
+    pub(super) fn grant_reclaim_requests(&mut self) {
+        let requests: Vec<(PartitionId, ReclaimRecord)> = self
+            .cache
+            .reclaim_requests
+            .iter()
+            .filter(|(partition, _)| self.leaderships.contains_key(partition))
+            .filter(|(_, request)| request.record.node != *self.own_name())
+            .map(|(partition, request)| (*partition, request.record.clone()))
+            .collect();
+        for (partition, request) in requests {
+            self.transfer_leadership(partition, &request.node, request.lease, request.incarnation);
+        }
+    }
+}
--- /dev/null
+++ b/crates/controller/src/controller/membership/transfer.rs
@@ -0,0 +1,86 @@
+//! Transfer of a leadership to the partition's preferred leader, in one transaction.
+
+use super::{MAX_STATE_READ_AGE, UNKNOWN_OUTCOME_TIMEOUT};
+use crate::controller::{CallKind, Controller};
+use crate::records::{reclaim_key, PartitionRecord};
+use crate::request_budget::CallPriority;
+use model::{ControllerName, PartitionId};
+use wire::state::{StateReply, StateRequest, Write};
+
+impl Controller {
+    /// Transfers a partition to its preferred leader, under that controller's lease.
+    pub(in crate::controller) fn transfer_leadership(
+        &mut self,
+        partition: PartitionId,
+        to: &ControllerName,
+        lease: u64,
+        incarnation: u64,
+    ) {
+        if self.preferred_leader(partition) != Some(to)
+            || !self.has_recent_state_read(MAX_STATE_READ_AGE)
+        {
+            return;
+        }
+        let Some(leadership) = self.leaderships.get_mut(&partition) else {
+            return;
+        };
+        if !leadership.may_transfer() {
+            return;
+        }
+        // No worker is answered from here on, so the successor need not wait for this controller.
+        leadership.begin_transfer();
+        let version = leadership.version();
+        // If the outcome stays unknown, this controller may answer again before it learns of it; so the
+        // successor waits until this controller shows that it has read the change.
+        let mut unconfirmed_predecessors = leadership.unconfirmed_predecessors().to_vec();
+        unconfirmed_predecessors
+            .push((self.settings.name.clone(), self.registration.incarnation()));
+        let record = PartitionRecord {
+            leader: to.clone(),
+            incarnation,
+            term: self.cache.next_token(),
+            unconfirmed_predecessors,
+        };
+        let mut txn = self.partition_txn(partition, version.0, &record, lease);
+        if self.cache.reclaim_requests.contains_key(&partition) {
+            txn = txn.write(Write::delete(reclaim_key(partition)));
+        }
+        let purpose = CallKind::HandOver {
+            partition,
+            to: to.clone(),
+        };
+        self.state(CallPriority::Lease, StateRequest::Transaction(txn), purpose);
+    }
+
+    /// Handles the reply to a transfer's transaction.
+    pub(in crate::controller) fn handle_transfer_reply(
+        &mut self,
+        partition: PartitionId,
+        to: ControllerName,
+        reply: StateReply,
+    ) {
+        let leadership = self.leaderships.get_mut(&partition);
+        match reply {
+            StateReply::Committed { .. } => {
+                let term = leadership.map(|leadership| leadership.term());
+                tracing::info!(%partition, %to, "partition leadership transferred");
+                self.counters.hand_overs += 1;
+                if let Some(term) = term {
+                    self.leaderships.remove(&partition);
+                    self.membership.acquisitions.relinquish(partition, term);
+                }
+            }
+            // It may yet be applied.
+            StateReply::Unknown => {
+                if let Some(leadership) = leadership {
+                    leadership.await_transfer_outcome(self.now + UNKNOWN_OUTCOME_TIMEOUT);
+                }
+            }
+            _ => {
+                if let Some(leadership) = leadership {
+                    leadership.abort_transfer();
+                }
+            }
+        }
+    }
+}
--- a/crates/controller/src/controller/mod.rs
+++ b/crates/controller/src/controller/mod.rs
@@ -15,6 +15,8 @@
 mod load_partition;
 mod machine_records;
 mod membership;
+mod mesh_messages;
+mod peers;
 mod standby;
 mod state_sync;
 mod user_requests;
@@ -37,15 +39,17 @@
 use leadership::PartitionLeadership;
 use linearizable_reads::LinearizableReads;
 use machine_records::MachineChanges;
+use membership::Membership;
 use model::{
-    CallId, ControllerName, FencingToken, JobId, MachineName, PartitionId, RejectReason, Settings,
-    Timestamp, ZoneName,
+    CallId, ControllerName, JobId, MachineName, PartitionId, RejectReason, Settings, Timestamp,
+    ZoneName,
 };
+use peers::PeerRegistry;
 use rand::rngs::SmallRng;
 use rand::SeedableRng;
 use scheduler::{Policy, TaskAttempt};
 use scheduling_queue::QueueConfig;
-use std::collections::{BTreeMap, HashMap, HashSet};
+use std::collections::{BTreeMap, HashMap};
 use wire::cloud::{CloudReply, CloudRequest, RentRequest};
 use wire::mesh::MeshMessage;
 use wire::state::{StateReply, StateRequest};
@@ -285,17 +289,6 @@
     },
 }
 
-/// What a peer said last.
-#[derive(Debug, Clone)]
-pub(crate) struct PeerStatus {
-    last_seen_at: Timestamp,
-    incarnation: u64,
-    state_contact: bool,
-    ready: bool,
-    /// How long before that it had heard others.
-    peer_heartbeat_ages: Vec<(ControllerName, Duration)>,
-}
-
 /// Counts for the metrics.
 #[derive(Debug, Clone, Default)]
 pub struct Counters {
@@ -340,23 +333,8 @@
     calls: PendingCalls<CallKind>,
     state_client: StateClient,
     leaderships: BTreeMap<PartitionId, PartitionLeadership>,
-    /// Terms under which partitions were handed over: they are not taken up again.
-    relinquished_terms: HashMap<PartitionId, FencingToken>,
-    /// Partitions of ours that are to be taken anew, under a term of their own: our idea of them was wrong.
-    /// The term that was wrong, and when a new one was tried for.
-    renewed: HashMap<PartitionId, (FencingToken, Timestamp)>,
-    acquiring: HashSet<PartitionId>,
-    vacant_since: HashMap<PartitionId, Timestamp>,
-    peers: BTreeMap<ControllerName, PeerStatus>,
-    reclaim_requested_at: Option<Timestamp>,
-    /// Since when another node holds our home partition while we could.
-    displaced_since: Option<Timestamp>,
-    reclaim_pending: bool,
-    /// When others told us that they gave a partition up.
-    resigned_at: HashMap<PartitionId, HashMap<ControllerName, Timestamp>>,
-    /// Partitions given up since their workers do not reach us.
-    reacquisition_backoffs: BTreeMap<PartitionId, membership::ReacquisitionBackoff>,
-    alive_at: Timestamp,
+    membership: Membership,
+    peers: PeerRegistry,
     load_at: Timestamp,
     /// The last writes of partitions' unmet demand.
     demand_writes: HashMap<PartitionId, leadership::DemandWrite>,
@@ -373,6 +351,8 @@
 
 /// The loop turns ten times a second; after a longer pause we must have stood still.
 const PAUSE_THRESHOLD: Duration = Duration::from_secs(1);
+/// A peer without a heartbeat for longer does not serve users.
+const MAX_PEER_SILENCE: Duration = Duration::from_secs(2);
 /// Longest wait of the watch.
 const MAX_WATCH_WAIT: Duration = Duration::from_millis(1_500);
 /// Launches need changes read not longer ago than this.
@@ -399,17 +379,8 @@
             calls: PendingCalls::default(),
             state_client,
             leaderships: BTreeMap::new(),
-            relinquished_terms: HashMap::new(),
-            renewed: HashMap::new(),
-            acquiring: HashSet::new(),
-            vacant_since: HashMap::new(),
-            peers: BTreeMap::new(),
-            reclaim_requested_at: None,
-            displaced_since: None,
-            reclaim_pending: false,
-            resigned_at: HashMap::new(),
-            reacquisition_backoffs: BTreeMap::new(),
-            alive_at: Timestamp::default(),
+            membership: Membership::default(),
+            peers: PeerRegistry::default(),
             load_at: Timestamp::default(),
             demand_writes: HashMap::new(),
             job_status: JobStatusCache::default(),
@@ -452,12 +423,8 @@
         tracing::warn!(stood_ms = stood.whole_millis(), "stood still");
         self.counters.stood_still += 1;
         self.running_since = now;
-        for peer in self.peers.values_mut() {
-            peer.last_seen_at += stood;
-        }
-        for since in self.vacant_since.values_mut() {
-            *since = now;
-        }
+        self.peers.shift_heartbeats(stood);
+        self.membership.restart_vacancies(now);
         for leadership in self.leaderships.values_mut() {
             if let Some(partition_state) = leadership.partition_state_mut() {
                 partition_state.running_since = now;
@@ -506,14 +473,8 @@
         }
         // When nobody has contact, going unhealthy helps nobody and costs time afterwards. Who hears none
         // of the others either is cut off itself: they may serve.
-        let sends_heartbeats =
-            |p: &&PeerStatus| self.now.duration_since(p.last_seen_at) <= Duration::from_secs(2);
-        let peer_serves = self
-            .peers
-            .values()
-            .filter(sends_heartbeats)
-            .any(|p| p.state_contact);
-        let alone = !self.peers.is_empty() && !self.peers.values().any(|p| sends_heartbeats(&p));
+        let peer_serves = self.peers.any_has_state_contact(MAX_PEER_SILENCE, self.now);
+        let alone = self.peers.are_all_silent(MAX_PEER_SILENCE, self.now);
         is_synced && !peer_serves && !alone
     }
 
--- a/crates/controller/src/controller/standby.rs
+++ b/crates/controller/src/controller/standby.rs
@@ -53,8 +53,7 @@
             .map(|(id, p)| (*id, p.record.leader.clone()))
             .collect();
         let live = |name: &ControllerName| {
-            name == self.own_name()
-                || (self.peer_is_alive(name) && self.peers.get(name).is_some_and(|p| p.ready))
+            name == self.own_name() || (self.peer_is_alive(name) && self.peers.is_ready(name))
         };
         assign(&names, live, &leaders)
     }
@@ -201,27 +200,14 @@
             replica.source().incarnation == incarnation && replica.source().term == term
         };
         let replica = self.standby.replicas.get(partition).filter(is_current);
-        let view = self
+        let leader_status = self
             .peers
-            .get(leader)
+            .status(leader)
             .filter(|peer| peer.incarnation == incarnation);
-        let others = self
-            .peers
-            .iter()
-            .filter(|(name, _)| *name != leader && self.peer_is_alive(name));
-        let peer_heartbeat_age = others
-            .filter_map(|(_, peer)| {
-                let said = peer
-                    .peer_heartbeat_ages
-                    .iter()
-                    .find(|(name, _)| name == leader)?;
-                Some(said.1 + self.now.duration_since(peer.last_seen_at))
-            })
-            .min();
         let evidence = Evidence {
             now: self.now,
-            last_heartbeat: view.map(|peer| peer.last_seen_at),
-            peer_heartbeat_age,
+            last_heartbeat: leader_status.map(|peer| peer.last_seen_at),
+            peer_heartbeat_age: self.peers.latest_heartbeat_age(leader, self.now),
             reporting_machines: replica.map_or(0, PartitionReplica::reporting_machines),
             replica_complete: replica.is_some_and(PartitionReplica::is_complete),
             last_state_read: self.state_sync.last_read_at(),
--- a/crates/controller/src/controller/state_sync.rs
+++ b/crates/controller/src/controller/state_sync.rs
@@ -99,7 +99,7 @@
             CallKind::HandOver { partition, to } => {
                 self.handle_transfer_reply(partition, to, reply)
             }
-            CallKind::Wish => self.reclaim_pending = false,
+            CallKind::Wish => self.membership.finish_reclaim_write(),
             CallKind::Demand => {}
             CallKind::GiveUp(partition) => self.handle_resignation_reply(partition, reply),
             CallKind::RaiseAll {
