--- a/crates/controller/src/controller/load_partition.rs
+++ b/crates/controller/src/controller/load_partition.rs
@@ -1,5 +1,6 @@
-//! Taking a partition on: reading its ledger, the checks before the first decision, building the share.
-//! A warm start and a cold one differ only in what [`Controller::apply_replica`] has to give.
+//! Loading of a partition by its new leader: reads of the placement log, readiness checks, and the
+//! construction of the partition's state. With and without a replica of the former leader's state the
+//! way is the same; they differ only in what [`Controller::apply_replica`] adds.
 
 use super::leadership::{LogPageOutcome, PartitionLeadership, ReadLog};
 use super::{CallKind, Controller, MAX_LAUNCH_READ_AGE};
@@ -14,16 +15,20 @@
 use std::time::Duration;
 use wire::state::{StateReply, StateRequest};
 
-/// Pause before the ledger is read again that could not be, and before one is that is not sound.
+/// Pause before the placement log is read again after a read that failed.
 const LOG_READ_RETRY_INTERVAL: Duration = Duration::from_millis(150);
+/// Pause before the placement log is read again after a read of unreadable pages.
 const UNREADABLE_LOG_RETRY_INTERVAL: Duration = Duration::from_secs(2);
+/// Pages of the placement log in one read.
+const LOG_READ_LIMIT: u32 = 100;
 
 impl Controller {
+    /// Begins to read a partition's placement log.
     pub(super) fn read_placement_log(&mut self, partition: PartitionId) {
         self.list_log_pages(partition, String::new());
     }
 
-    /// A read of the ledger's pages after a key, and why it is made.
+    /// A read of the placement log's pages after a key, with the kind of its call.
     fn log_page_request(
         &self,
         partition: PartitionId,
@@ -33,7 +38,7 @@
         let request = StateRequest::List {
             prefix: log_prefix(partition),
             after,
-            limit: 100,
+            limit: LOG_READ_LIMIT,
         };
         Some((request, CallKind::LedgerList { partition, term }))
     }
@@ -243,22 +248,23 @@
         }
     }
 
-    /// Zones in which machines can be had, that of the partition's home node first.
+    /// Zones in which machines can be rented, that of the partition's preferred leader first.
     pub(super) fn zones_near(&self, partition: PartitionId) -> Vec<ZoneName> {
         let mut zones: Vec<ZoneName> = Vec::new();
         if let Some(types) = &self.cache.types {
             let named = types.record.types.iter().flat_map(|t| &t.zones);
             zones.extend(named.map(|zone| ZoneName::from(zone.as_str())));
         }
-        let home = self
+        let preferred = self
             .nodes
             .get(partition.0 as usize)
             .map(|(_, zone)| zone.clone());
-        zones.sort_by_key(|zone| (Some(zone) != home.as_ref(), zone.clone()));
+        zones.sort_by_key(|zone| (Some(zone) != preferred.as_ref(), zone.clone()));
         zones.dedup();
         zones
     }
 
+    /// The state of a recorded machine, unless its type is not known.
     pub(super) fn machine_from(
         &self,
         name: &MachineName,
--- a/crates/controller/src/controller/membership/acquisition.rs
+++ b/crates/controller/src/controller/membership/acquisition.rs
@@ -105,8 +105,9 @@
         let leader = held.record.leader.clone();
         let incarnation = held.record.incarnation;
         let version = held.version.0;
-        let attempted_recently =
-            self.now.duration_since(self.standby.tried_at) < FAILOVER_ATTEMPT_INTERVAL;
+        let attempted_recently = self
+            .standby
+            .has_attempted_failover(FAILOVER_ATTEMPT_INTERVAL, self.now);
         if self.membership.acquisitions.is_pending(partition)
             || self.is_backing_off_from(partition)
             || attempted_recently
@@ -115,7 +116,7 @@
         }
         if self.incarnation_is_over(&(leader.clone(), incarnation)) {
             if self.may_replace_exited_leader(partition) {
-                self.standby.tried_at = self.now;
+                self.standby.record_failover_attempt(self.now);
                 self.acquire(partition, version);
             }
             return;
@@ -130,7 +131,7 @@
         }
         if self.is_standby_of(partition) && self.failover_blockers(partition).is_empty() {
             tracing::info!(%partition, %leader, "leader suspected to have crashed, acquiring partition");
-            self.standby.tried_at = self.now;
+            self.standby.record_failover_attempt(self.now);
             self.record_early_failover(partition, leader, incarnation);
             self.acquire(partition, version);
         }
@@ -205,7 +206,7 @@
             .filter(|held| held.record.leader == *controller)
             .count();
         AcquisitionRank {
-            is_not_standby: self.standby.assigned.get(&partition) != Some(controller),
+            is_not_standby: self.standby.last_standby_of(partition) != Some(controller),
             led_partitions,
             controller,
         }
