--- a/crates/simulator/src/starvation.rs
+++ b/crates/simulator/src/starvation.rs
@@ -1,26 +1,26 @@
-//! Jobs that wait although there is room for them.
+//! Starvation: jobs that wait although there is capacity for them.
 
 use crate::worker::{Worker, FAILING_CLASS};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use wire::users::{JobKind, JobRequest};
 use wire::workers::TaskState;
 
-/// Once all troubles are over, no job waits for so long while a machine that fits has room and its team is
-/// under its limit.
+/// Once all faults are over, no job may wait for this time, in ms, while a fitting machine has free capacity
+/// and its team is below its limit.
 const STARVATION_LIMIT_MS: u64 = 90_000;
-/// Time between two looks.
+/// Interval between two observations, in ms.
 const OBSERVATION_INTERVAL_MS: u64 = 1_000;
 /// CPUs of a machine.
 const MACHINE_CPUS: f64 = 4.0;
 
-/// Since when jobs have been waiting although there was room.
+/// Since when jobs have been waiting although there was capacity.
 #[derive(Debug, Default)]
 pub struct StarvationChecker {
     last_observed_at: u64,
     since: BTreeMap<String, u64>,
 }
 
-/// What machines have free, what teams use, and which jobs have tasks on machines.
+/// Free capacity of machines, usage of teams, and jobs with tasks on machines.
 struct CapacitySnapshot<'a> {
     free: Vec<(&'a Worker, f64)>,
     used: HashMap<&'a str, f64>,
@@ -89,8 +89,7 @@
 }
 
 impl StarvationChecker {
-    /// Looks at the jobs that wait, all troubles being over. Returns those that have done so for too long;
-    /// each is named once.
+    /// Observes the waiting jobs. Returns those that have starved for too long, each once.
     pub fn observe<'a>(
         &mut self,
         workers: &BTreeMap<String, Worker>,
@@ -127,44 +126,4 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    /// Looks for two minutes; `limit` is the team's.
-    fn starved(job: &JobRequest, limit: f64) -> Vec<String> {
-        let worker = Worker::new("host-000001", "m4", "a", false, 0);
-        let workers = BTreeMap::from([(worker.name.clone(), worker)]);
-        let jobs = HashMap::from([(job.id.clone(), job.clone())]);
-        let limits = BTreeMap::from([(job.team.clone(), limit)]);
-        let mut checker = StarvationChecker::default();
-        let looks = (1..=120).map(|second| second * 1_000);
-        looks
-            .flat_map(|now| checker.observe(&workers, &jobs, jobs.keys(), &limits, now))
-            .collect()
-    }
-
-    #[test]
-    fn job_waiting_beside_empty_machine_is_reported_once() {
-        let job = crate::single_controller::job(1, JobKind::Array, 3);
-        assert_eq!(starved(&job, 100.0), [job.id]);
-    }
-
-    #[test]
-    fn job_without_capacity_or_quota_is_not_reported() {
-        let job = crate::single_controller::job(1, JobKind::Array, 3);
-        assert_eq!(starved(&job, 0.5), [""; 0], "over its limit");
-        let elsewhere = JobRequest {
-            zone: Some("b".into()),
-            ..job.clone()
-        };
-        assert_eq!(
-            starved(&elsewhere, 100.0),
-            [""; 0],
-            "no machine in its zone"
-        );
-        let gang = crate::single_controller::job(2, JobKind::Gang, 5);
-        assert_eq!(starved(&gang, 100.0), [""; 0], "four of five tasks fit");
-        let gang = crate::single_controller::job(2, JobKind::Gang, 4);
-        assert_eq!(starved(&gang, 100.0), [gang.id]);
-    }
-}
+mod tests;
