--- a/crates/controller/src/controller/leadership/commits.rs
+++ b/crates/controller/src/controller/leadership/commits.rs
@@ -14,7 +14,7 @@
 const THROTTLED_RETRY_DELAY: Duration = Duration::from_millis(80);
 /// Pause before a commit is sent again whose outcome is unknown.
 const COMMIT_RETRY_DELAY: Duration = Duration::from_millis(200);
-/// Pause before a page is read again that tells whether a commit was applied.
+/// Pause before a page is read again that shows whether a commit was applied.
 const PROOF_RETRY_DELAY: Duration = Duration::from_millis(150);
 
 impl LoadedPartition {
@@ -72,7 +72,7 @@
         self.loaded()?.pending_commit.as_ref()
     }
 
-    /// Key of a page by which the outcome of the open commit can be told.
+    /// Key of a page that shows whether the open commit was applied.
     fn commit_proof(&self) -> Option<(String, CommitId)> {
         let loaded = self.loaded()?;
         loaded.log.proof(&loaded.pending_commit.as_ref()?.commit)
@@ -166,7 +166,7 @@
         }
     }
 
-    /// Handles the page that tells whether a commit was applied.
+    /// Handles the page that shows whether a commit was applied.
     pub(in crate::controller) fn handle_commit_proof(
         &mut self,
         partition: PartitionId,
--- a/crates/controller/src/controller/leadership/mod.rs
+++ b/crates/controller/src/controller/leadership/mod.rs
@@ -1,7 +1,7 @@
 //! Leadership of a partition: its state from the acquisition to the loss of the partition's record.
 //!
 //! [`PartitionLeadership`] keeps what a leader knows under one term. The submodules drive it, one
-//! concern each: scheduling cycles ([`advance`](self)), commits of the placement log, machines that
+//! concern each: scheduling cycles, commits of the placement log, machines that
 //! have stopped responding, fencing tokens, transfers of machines, changes of records, and the
 //! statuses that the fleet planner receives.
 
--- a/crates/controller/src/controller/membership/reclaim.rs
+++ b/crates/controller/src/controller/membership/reclaim.rs
@@ -1,4 +1,4 @@
-//! Reclaim requests: a preferred leader asks for its partition back, over the mesh or, where the two
+//! Reclaim requests: a preferred leader requests its partition, over the mesh or, where the two
 //! controllers do not reach each other, through the state service.
 
 use crate::controller::standby::REPLICA_CATCH_UP_LIMIT;
@@ -10,7 +10,7 @@
 use wire::mesh::MeshMessage;
 use wire::state::{StateRequest, Transaction, Write};
 
-/// How long another controller may lead the preferred partition before it is asked through the state
+/// How long another controller may lead the preferred partition before a request goes through the state
 /// service as well.
 const RECLAIM_AFTER: Duration = Duration::from_secs(2);
 /// Time between two reclaim requests over the mesh.
--- a/crates/controller/src/controller/mesh_messages.rs
+++ b/crates/controller/src/controller/mesh_messages.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 use wire::mesh::MeshMessage;
 
-/// A controller whose last read of changes is older tells its peers that it has no contact with the
+/// With an older last read of changes a controller's heartbeats say that it has no contact with the
 /// state service.
 const STATE_CONTACT_MAX_AGE: Duration = Duration::from_secs(3);
 
