--- a/crates/controller/src/controller/job_archiver.rs
+++ b/crates/controller/src/controller/job_archiver.rs
@@ -6,13 +6,14 @@
 //! leaves its page when it is filed and no page of accepted jobs shows the job any more; the
 //! job cannot come back then, since acceptances are conditional on there being no final state.
 
+use super::call_kind::JobCall;
 use super::{CallKind, Controller};
 use crate::records::{
     cancellations_key, final_key, page_capacity, partition_key, terminal_jobs_key, FinalRecord,
     TerminalJobsPage,
 };
 use crate::request_budget::CallPriority;
-use crate::serial_writer::{Outcome, SerialWriter};
+use crate::serial_writer::{SerialWriter, WriteOutcome};
 use crate::state_cache::StateCache;
 use model::{ControllerName, JobId, JobState, PartitionId, ZoneName};
 use std::collections::BTreeSet;
@@ -75,8 +76,8 @@
             return;
         };
         archiver.pipe.send((), txn.clone(), now, WRITE_INTERVAL);
-        let purpose = CallKind::Ends { partition, term };
-        self.state(
+        let purpose = CallKind::Job(JobCall::Archive { partition, term });
+        self.queue_state_request(
             CallPriority::Accept,
             StateRequest::Transaction(txn),
             purpose,
@@ -102,8 +103,8 @@
             return;
         };
         // Whatever came of it, the mirror shows: what is not over by then is written anew.
-        if let Outcome::Again(txn) = archiver.pipe.answered(reply, now) {
-            let purpose = CallKind::Ends { partition, term };
+        if let WriteOutcome::Unknown(txn) = archiver.pipe.handle_reply(reply, now) {
+            let purpose = CallKind::Job(JobCall::Archive { partition, term });
             self.retry_later(
                 Duration::from_millis(200),
                 CallPriority::Accept,
--- a/crates/controller/src/controller/linearizable_reads.rs
+++ b/crates/controller/src/controller/linearizable_reads.rs
@@ -4,6 +4,7 @@
 //! of many jobs have no final state. Reads keep a pace, so that users who ask many times as often
 //! leave the budget to submissions and placements.
 
+use super::call_kind::ReadCall;
 use super::user_requests::status;
 use super::{CallKind, Controller, PendingRequest, RequestKind, UserReply};
 use crate::records::{final_key, FinalRecord};
@@ -64,7 +65,11 @@
             reads.read_next = now + pace;
             let requests = std::mem::take(&mut reads.queued);
             let read = watch_request(self.cache.revision, Duration::ZERO);
-            self.state(CallPriority::Accept, read, CallKind::ReadChanges(requests));
+            self.queue_state_request(
+                CallPriority::Accept,
+                read,
+                CallKind::Read(ReadCall::Changes(requests)),
+            );
         }
         let reads = &mut self.reads;
         if !reads.not_open.is_empty() && !reads.comparing && now >= reads.compare_next {
@@ -85,10 +90,10 @@
             let txn = ids.iter().fold(Transaction::default(), |txn, id| {
                 txn.when(final_key(*id), 0)
             });
-            self.state(
+            self.queue_state_request(
                 CallPriority::Accept,
                 StateRequest::Transaction(txn),
-                CallKind::CompareFinals(requests),
+                CallKind::Read(ReadCall::TerminalStates(requests)),
             );
         }
     }
@@ -140,7 +145,7 @@
 
     pub(super) fn refuse_all(&mut self, requests: Vec<PendingRequest>) {
         for request in requests {
-            self.busy(request.ticket, 1);
+            self.reply_busy(request.ticket, 1);
         }
     }
 
@@ -162,7 +167,11 @@
                     let key = final_key(request.id);
                     if failed.contains(&key) {
                         let read = StateRequest::Get { key };
-                        self.state(CallPriority::Accept, read, CallKind::FinalRead { request });
+                        self.queue_state_request(
+                            CallPriority::Accept,
+                            read,
+                            CallKind::Read(ReadCall::TerminalRecord { request }),
+                        );
                     } else {
                         self.handle_final_state_read(request, StateReply::Missing);
                     }
@@ -221,7 +230,7 @@
                     let answer = status(request.id, record.state);
                     self.reply_user(request.ticket, UserReply::Status(answer));
                 }
-                Err(_) => self.busy(request.ticket, 5),
+                Err(_) => self.reply_busy(request.ticket, 5),
             },
             StateReply::Missing => match request.kind {
                 RequestKind::Resubmit {
@@ -230,13 +239,13 @@
                     self.reply_user(request.ticket, UserReply::Rejected(reason));
                 }
                 RequestKind::Resubmit { reject: None } | RequestKind::Accepted => {
-                    self.busy(request.ticket, 1)
+                    self.reply_busy(request.ticket, 1)
                 }
                 RequestKind::Get | RequestKind::Cancel { .. } => {
                     self.reply_user(request.ticket, UserReply::NotFound)
                 }
             },
-            _ => self.busy(request.ticket, 1),
+            _ => self.reply_busy(request.ticket, 1),
         }
     }
 }
--- a/crates/controller/src/controller/load_partition.rs
+++ b/crates/controller/src/controller/load_partition.rs
@@ -2,6 +2,7 @@
 //! construction of the partition's state. With and without a replica of the former leader's state the
 //! way is the same; they differ only in what [`Controller::apply_replica`] adds.
 
+use super::call_kind::LogCall;
 use super::leadership::{LogPageOutcome, PartitionLeadership, ReadLog};
 use super::{CallKind, Controller, MAX_LAUNCH_READ_AGE};
 use crate::placement_log::PlacementLog;
@@ -40,14 +41,17 @@
             after,
             limit: LOG_READ_LIMIT,
         };
-        Some((request, CallKind::LedgerList { partition, term }))
+        Some((
+            request,
+            CallKind::Log(LogCall::ReadPage { partition, term }),
+        ))
     }
 
     fn list_log_pages(&mut self, partition: PartitionId, after: String) {
         let Some((request, purpose)) = self.log_page_request(partition, after) else {
             return;
         };
-        self.state(CallPriority::Lease, request, purpose);
+        self.queue_state_request(CallPriority::Lease, request, purpose);
     }
 
     fn restart_log_read(&mut self, partition: PartitionId, after: Duration) {
--- a/crates/controller/src/controller/machine_records.rs
+++ b/crates/controller/src/controller/machine_records.rs
@@ -1,12 +1,13 @@
 //! Changes of machines' records: what is wanted is gathered and written together, many
 //! machines to a put.
 
+use super::call_kind::RecordCall;
 use super::{CallKind, Controller, FLEET_PLANNER_PARTITION};
 use crate::records::{
     machines_key, page_capacity, partition_key, MachineRecord, MachinesPage, PackedMachine, COUNTER,
 };
 use crate::request_budget::CallPriority;
-use crate::serial_writer::{Outcome, SerialWriter};
+use crate::serial_writer::{SerialWriter, WriteOutcome};
 use model::{MachineName, PartitionId, Timestamp};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -128,10 +129,10 @@
         self.machine_changes
             .pipe
             .send((), txn.clone(), now, WRITE_INTERVAL);
-        self.state(
+        self.queue_state_request(
             CallPriority::Placement,
             StateRequest::Transaction(txn),
-            CallKind::Machines,
+            CallKind::Record(RecordCall::Machines),
         );
     }
 
@@ -260,13 +261,14 @@
 
     pub(super) fn handle_machine_records_written(&mut self, reply: StateReply) {
         // What is still wanted is made up anew when the mirror has caught up.
-        if let Outcome::Again(txn) = self.machine_changes.pipe.answered(reply, self.now) {
+        if let WriteOutcome::Unknown(txn) = self.machine_changes.pipe.handle_reply(reply, self.now)
+        {
             let request = StateRequest::Transaction(txn);
             self.retry_later(
                 Duration::from_millis(200),
                 CallPriority::Placement,
                 request,
-                CallKind::Machines,
+                CallKind::Record(RecordCall::Machines),
             );
         }
     }
--- a/crates/controller/src/controller/membership/acquisition.rs
+++ b/crates/controller/src/controller/membership/acquisition.rs
@@ -2,6 +2,7 @@
 //! is known or suspected to have crashed while its record still stands.
 
 use super::resignation::UNCLAIMED_AFTER;
+use crate::controller::call_kind::LeadershipCall;
 use crate::controller::{CallKind, Controller};
 use crate::records::{partition_key, PartitionRecord, COUNTER};
 use crate::request_budget::CallPriority;
@@ -258,10 +259,10 @@
         };
         let txn = self.partition_txn(partition, version, &record, lease.0);
         self.membership.acquisitions.pending.insert(partition);
-        self.state(
+        self.queue_state_request(
             CallPriority::Lease,
             StateRequest::Transaction(txn),
-            CallKind::Acquire(partition),
+            CallKind::Leadership(LeadershipCall::Acquire(partition)),
         );
     }
 
--- a/crates/controller/src/controller/membership/reacquisition.rs
+++ b/crates/controller/src/controller/membership/reacquisition.rs
@@ -1,5 +1,6 @@
 //! Backoff before a partition is acquired again whose workers did not reach this controller.
 
+use crate::controller::call_kind::WorkerCall;
 use crate::controller::heartbeats::WORKER_TIMEOUT;
 use crate::controller::{CallKind, Controller};
 use model::DurationExt;
@@ -105,7 +106,7 @@
     /// do not reach this controller would cost their leases.
     pub(super) fn probe_workers(&mut self) {
         for (partition, (machine, address)) in self.membership.backoffs.take_due_probes(self.now) {
-            let purpose = CallKind::Probe { partition, machine };
+            let purpose = CallKind::Worker(WorkerCall::ReachabilityProbe { partition, machine });
             self.send_probe(
                 address,
                 FencingToken(0),
--- a/crates/controller/src/controller/membership/reclaim.rs
+++ b/crates/controller/src/controller/membership/reclaim.rs
@@ -1,6 +1,7 @@
 //! Reclaim requests: a preferred leader requests its partition, over the mesh or, where the two
 //! controllers do not reach each other, through the state service.
 
+use crate::controller::call_kind::LeadershipCall;
 use crate::controller::standby::REPLICA_CATCH_UP_LIMIT;
 use crate::controller::{CallKind, Controller};
 use crate::records::{partition_key, reclaim_key, ReclaimRecord};
@@ -120,10 +121,10 @@
             .when(partition_key(partition), partition_version)
             .write(Write::put_leased(reclaim_key(partition), value, lease.0));
         self.membership.reclaim.write_pending = true;
-        self.state(
+        self.queue_state_request(
             CallPriority::Lease,
             StateRequest::Transaction(txn),
-            CallKind::Wish,
+            CallKind::Leadership(LeadershipCall::Reclaim),
         );
     }
 
@@ -146,7 +147,7 @@
             lease: lease.0,
             incarnation: self.registration.incarnation(),
         };
-        self.mesh(leader, message);
+        self.send_to_peer(leader, message);
     }
 
     /// Grants the reclaim requests that preferred leaders have written to the state service.
--- a/crates/controller/src/controller/membership/resignation.rs
+++ b/crates/controller/src/controller/membership/resignation.rs
@@ -2,6 +2,7 @@
 
 use super::reacquisition::MAX_REACQUISITION_BACKOFF;
 use super::UNKNOWN_OUTCOME_TIMEOUT;
+use crate::controller::call_kind::LeadershipCall;
 use crate::controller::{CallKind, Controller};
 use crate::records::partition_key;
 use crate::request_budget::CallPriority;
@@ -106,10 +107,10 @@
         self.broadcast(MeshMessage::LeadershipResigned {
             partition: partition.0,
         });
-        self.state(
+        self.queue_state_request(
             CallPriority::Lease,
             StateRequest::Transaction(txn),
-            CallKind::GiveUp(partition),
+            CallKind::Leadership(LeadershipCall::Resign(partition)),
         );
     }
 
--- a/crates/controller/src/controller/membership/transfer.rs
+++ b/crates/controller/src/controller/membership/transfer.rs
@@ -1,6 +1,7 @@
 //! Transfer of a leadership to the partition's preferred leader, in one transaction.
 
 use super::{MAX_STATE_READ_AGE, UNKNOWN_OUTCOME_TIMEOUT};
+use crate::controller::call_kind::LeadershipCall;
 use crate::controller::{CallKind, Controller};
 use crate::records::{reclaim_key, PartitionRecord};
 use crate::request_budget::CallPriority;
@@ -45,11 +46,11 @@
         if self.cache.reclaim_requests.contains_key(&partition) {
             txn = txn.write(Write::delete(reclaim_key(partition)));
         }
-        let purpose = CallKind::HandOver {
+        let purpose = CallKind::Leadership(LeadershipCall::Transfer {
             partition,
             to: to.clone(),
-        };
-        self.state(CallPriority::Lease, StateRequest::Transaction(txn), purpose);
+        });
+        self.queue_state_request(CallPriority::Lease, StateRequest::Transaction(txn), purpose);
     }
 
     /// Handles the reply to a transfer's transaction.
--- a/crates/controller/src/controller/standby/mod.rs
+++ b/crates/controller/src/controller/standby/mod.rs
@@ -117,7 +117,7 @@
         let sources = self.replication_sources(&standbys);
         self.standby.assigned.extend(standbys);
         for (to, message) in self.standby.replicas.subscribe(&sources, self.now) {
-            self.mesh(&to, message);
+            self.send_to_peer(&to, message);
         }
         self.send_replication_batches();
     }
@@ -151,7 +151,7 @@
             batches.extend(stream.due_batches(&header, now));
         }
         for (to, batch) in batches {
-            self.mesh(&to, MeshMessage::Replication(batch));
+            self.send_to_peer(&to, MeshMessage::Replication(batch));
         }
     }
 
@@ -195,7 +195,7 @@
     ) {
         let now = self.now;
         if let Some(answer) = self.standby.replicas.apply(from, batch, now) {
-            self.mesh(from, answer);
+            self.send_to_peer(from, answer);
         }
     }
 
