--- a/crates/controller/src/controller/load_partition.rs
+++ b/crates/controller/src/controller/load_partition.rs
@@ -1,5 +1,6 @@
-//! Taking a partition on: reading its ledger, the checks before the first decision, building the share.
-//! A warm start and a cold one differ only in what [`Controller::apply_replica`] has to give.
+//! Loading of a partition by its new leader: reads of the placement log, readiness checks, and the
+//! construction of the partition's state. With and without a replica of the former leader's state the
+//! way is the same; they differ only in what [`Controller::apply_replica`] adds.
 
 use super::call_kind::LogCall;
 use super::leadership::{LogPageOutcome, PartitionLeadership, ReadLog};
@@ -10,23 +11,25 @@
 use crate::request_budget::CallPriority;
 use crate::state_cache::Versioned;
 use failover::readiness::{failed_checks, LeadershipFacts, ReadinessCheck};
-use model::{FencingToken, MachineName, PartitionId, Timestamp, ZoneName};
+use model::{FencingToken, MachineName, PartitionId, ZoneName};
 use scheduler::{Machine, PartitionState, StatusSource};
 use std::time::Duration;
 use wire::state::{StateReply, StateRequest};
 
-/// Pause before the ledger is read again that could not be, and before one is that is not sound.
+/// Pause before the placement log is read again after a read that failed.
 const LOG_READ_RETRY_INTERVAL: Duration = Duration::from_millis(150);
+/// Pause before the placement log is read again after a read of unreadable pages.
 const UNREADABLE_LOG_RETRY_INTERVAL: Duration = Duration::from_secs(2);
-/// Time between two tries to take a partition of our own anew.
-const TERM_RENEWAL_INTERVAL: Duration = Duration::from_secs(2);
+/// Pages of the placement log in one read.
+const LOG_READ_LIMIT: u32 = 100;
 
 impl Controller {
+    /// Begins to read a partition's placement log.
     pub(super) fn read_placement_log(&mut self, partition: PartitionId) {
         self.list_log_pages(partition, String::new());
     }
 
-    /// A read of the ledger's pages after a key, and why it is made.
+    /// A read of the placement log's pages after a key, with the kind of its call.
     fn log_page_request(
         &self,
         partition: PartitionId,
@@ -36,7 +39,7 @@
         let request = StateRequest::List {
             prefix: log_prefix(partition),
             after,
-            limit: 100,
+            limit: LOG_READ_LIMIT,
         };
         Some((
             request,
@@ -249,22 +252,23 @@
         }
     }
 
-    /// Zones in which machines can be had, that of the partition's home node first.
+    /// Zones in which machines can be rented, that of the partition's preferred leader first.
     pub(super) fn zones_near(&self, partition: PartitionId) -> Vec<ZoneName> {
         let mut zones: Vec<ZoneName> = Vec::new();
         if let Some(types) = &self.cache.types {
             let named = types.record.types.iter().flat_map(|t| &t.zones);
             zones.extend(named.map(|zone| ZoneName::from(zone.as_str())));
         }
-        let home = self
+        let preferred = self
             .nodes
             .get(partition.0 as usize)
             .map(|(_, zone)| zone.clone());
-        zones.sort_by_key(|zone| (Some(zone) != home.as_ref(), zone.clone()));
+        zones.sort_by_key(|zone| (Some(zone) != preferred.as_ref(), zone.clone()));
         zones.dedup();
         zones
     }
 
+    /// The state of a recorded machine, unless its type is not known.
     pub(super) fn machine_from(
         &self,
         name: &MachineName,
@@ -286,39 +290,4 @@
         machine.idle_since = self.now;
         Some(machine)
     }
-
-    /// Our idea of the partition is wrong: it is taken anew. Under the same term attempts would be
-    /// numbered like those already launched, and what we have sent would be executed still.
-    pub(super) fn reload_partition(&mut self, partition: PartitionId) {
-        let Some(leadership) = self.leaderships.remove(&partition) else {
-            return;
-        };
-        tracing::warn!(%partition, term = %leadership.term(), "taking the partition anew");
-        // Not taken up again under this term.
-        self.relinquished_terms.insert(partition, leadership.term());
-        self.renewed
-            .insert(partition, (leadership.term(), Timestamp::default()));
-        self.renew_term(partition);
-    }
-
-    /// Takes a partition whose record names us under the next term.
-    pub(super) fn renew_term(&mut self, partition: PartitionId) {
-        let Some((wrong, tried)) = self.renewed.get(&partition).copied() else {
-            return;
-        };
-        let Some(held) = self.cache.partitions.get(&partition) else {
-            return;
-        };
-        let version = held.version.0;
-        if FencingToken(held.record.term) != wrong {
-            self.renewed.remove(&partition);
-            return;
-        }
-        let soon =
-            tried > Timestamp::default() && self.now.duration_since(tried) < TERM_RENEWAL_INTERVAL;
-        if !soon && !self.acquiring.contains(&partition) {
-            self.renewed.insert(partition, (wrong, self.now));
-            self.acquire(partition, version);
-        }
-    }
 }
