--- a/crates/controller/src/controller/leadership/commits.rs
+++ b/crates/controller/src/controller/leadership/commits.rs
@@ -1,6 +1,7 @@
 //! Commits of the placement log, one at a time.
 
 use super::{LoadedPartition, PartitionLeadership, PendingCommit, PLACEMENT_COMMIT_INTERVAL};
+use crate::controller::call_kind::LogCall;
 use crate::controller::{CallKind, Controller};
 use crate::placement_log::{CommitId, PlacementLog};
 use crate::request_budget::CallPriority;
@@ -14,7 +15,7 @@
 const THROTTLED_RETRY_DELAY: Duration = Duration::from_millis(80);
 /// Pause before a commit is sent again whose outcome is unknown.
 const COMMIT_RETRY_DELAY: Duration = Duration::from_millis(200);
-/// Pause before a page is read again that tells whether a commit was applied.
+/// Pause before a page is read again that shows whether a commit was applied.
 const PROOF_RETRY_DELAY: Duration = Duration::from_millis(150);
 
 impl LoadedPartition {
@@ -72,7 +73,7 @@
         self.loaded()?.pending_commit.as_ref()
     }
 
-    /// Key of a page by which the outcome of the open commit can be told.
+    /// Key of a page that shows whether the open commit was applied.
     fn commit_proof(&self) -> Option<(String, CommitId)> {
         let loaded = self.loaded()?;
         loaded.log.proof(&loaded.pending_commit.as_ref()?.commit)
@@ -100,10 +101,10 @@
             return;
         };
         let term = leadership.term.0;
-        self.state(
+        self.queue_state_request(
             CallPriority::Placement,
             StateRequest::Transaction(txn),
-            CallKind::LedgerWrite { partition, term },
+            CallKind::Log(LogCall::Commit { partition, term }),
         );
     }
 
@@ -139,7 +140,7 @@
                     StateReply::Refused { throttled: true } => THROTTLED_RETRY_DELAY,
                     _ => COMMIT_RETRY_DELAY,
                 };
-                let purpose = CallKind::LedgerWrite { partition, term };
+                let purpose = CallKind::Log(LogCall::Commit { partition, term });
                 self.retry_later(delay, CallPriority::Placement, request, purpose);
             }
         }
@@ -155,18 +156,18 @@
             return;
         };
         let request = StateRequest::Get { key };
-        let purpose = CallKind::LedgerProof {
+        let purpose = CallKind::Log(LogCall::Prove {
             partition,
             term,
             id,
-        };
+        });
         match delay {
-            None => self.state(CallPriority::Placement, request, purpose),
+            None => self.queue_state_request(CallPriority::Placement, request, purpose),
             Some(delay) => self.retry_later(delay, CallPriority::Placement, request, purpose),
         }
     }
 
-    /// Handles the page that tells whether a commit was applied.
+    /// Handles the page that shows whether a commit was applied.
     pub(in crate::controller) fn handle_commit_proof(
         &mut self,
         partition: PartitionId,
