--- a/crates/autoscaler/src/offers.rs
+++ b/crates/autoscaler/src/offers.rs
@@ -3,7 +3,7 @@
 use crate::capacity::{capacity_of, IncomingMachine};
 use crate::machine::Offer;
 use crate::pending::PendingWork;
-use crate::planner::Planner;
+use crate::planner::{Planner, Rental};
 use model::ZoneName;
 use wire::cloud::MachineType;
 
@@ -74,7 +74,7 @@
             for (zone, spot) in machine_type
                 .zones
                 .iter()
-                .flat_map(|z| [(z, true), (z, false)])
+                .flat_map(|zone| [(zone, true), (zone, false)])
             {
                 if !work.suits(&machine_type.name, zone, spot)
                     || (spot_only && !spot)
@@ -119,7 +119,13 @@
         let machine = self.cheapest_offer(work, spot_only)?;
         let offer = machine.offer();
         *self.rented.entry(offer.clone()).or_default() += 1;
-        *self.rentals.entry((work.need, offer)).or_default() += 1;
+        *self
+            .rentals
+            .entry(Rental {
+                need: work.need,
+                offer,
+            })
+            .or_default() += 1;
         Some(IncomingMachine::new(
             machine.machine_type,
             machine.zone,
--- a/crates/autoscaler/src/planner.rs
+++ b/crates/autoscaler/src/planner.rs
@@ -25,7 +25,22 @@
     pub(crate) spot: bool,
 }
 
-/// A plan in the making.
+/// The direction of transfers.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+pub(crate) struct TransferRoute {
+    pub(crate) from: PartitionId,
+    pub(crate) to: PartitionId,
+}
+
+/// Machines of one kind that are rented for one partition.
+#[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
+pub(crate) struct Rental {
+    /// Index of the partition's need in [`Planner::needs`].
+    pub(crate) need: usize,
+    pub(crate) offer: Offer,
+}
+
+/// The state of a plan while it is made.
 pub(crate) struct Planner<'a> {
     pub(crate) policy: &'a FleetPolicy,
     pub(crate) machine_types: &'a [MachineType],
@@ -38,13 +53,13 @@
     /// Machines with best-effort work only that are not planned for yet.
     pub(crate) best_effort: Vec<&'a FleetMachine>,
     /// Machines to be transferred from one partition to another as they become empty, in all.
-    pub(crate) requested_transfers: BTreeMap<(PartitionId, PartitionId), u32>,
+    pub(crate) requested_transfers: BTreeMap<TransferRoute, u32>,
     /// Number of idle machines transferred by this plan.
     pub(crate) idle_transfers: usize,
     /// Machines rented by this plan, by offer.
     pub(crate) rented: BTreeMap<Offer, u32>,
-    /// Machines rented by this plan, by index of the partition's need and by offer.
-    pub(crate) rentals: BTreeMap<(usize, Offer), u32>,
+    /// Number of machines rented by this plan, by partition and offer.
+    pub(crate) rentals: BTreeMap<Rental, u32>,
     /// Machine types that gangs wait for: work that can run on others leaves them to the gangs,
     /// in whatever zone they are.
     pub(crate) gang_types: Vec<GangMachineType<'a>>,
@@ -124,7 +139,9 @@
         }
         // Work that few kinds of machines suit goes first: more flexible work would take them.
         pending.sort_by_key(PendingWork::choices);
-        for equally_flexible in pending.chunk_by_mut(|a, b| a.choices() == b.choices()) {
+        for equally_flexible in
+            pending.chunk_by_mut(|left, right| left.choices() == right.choices())
+        {
             self.add_machines_in_turn(equally_flexible, tier);
         }
         if tier != Tier::BestEffort {
@@ -230,7 +247,7 @@
 
     fn into_actions(self) -> Vec<FleetAction> {
         let mut actions = self.actions;
-        for ((need, offer), count) in self.rentals {
+        for (Rental { need, offer }, count) in self.rentals {
             let Offer {
                 machine_type,
                 zone,
--- a/crates/autoscaler/src/policy.rs
+++ b/crates/autoscaler/src/policy.rs
@@ -1,4 +1,5 @@
 //! Settings of the fleet planner.
+
 use std::time::Duration;
 
 /// Thresholds that operators may tune.
--- a/crates/autoscaler/src/rebalance.rs
+++ b/crates/autoscaler/src/rebalance.rs
@@ -11,9 +11,16 @@
 /// a quarter: a transferred machine is idle for a few seconds.
 const TOLERATED_DIFFERENCE: i64 = 3;
 
-/// Machines that partitions gave away by earlier transfers of the same plan (received, if
-/// negative), by machine types: many small machines do not make up for a large one.
-type Given<'w> = BTreeMap<(&'w [&'w str], PartitionId), i64>;
+/// A partition and the machine types that it gave away: many small machines do not make up for a large one.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+struct Donation<'w> {
+    machine_types: &'w [&'w str],
+    partition: PartitionId,
+}
+
+/// Number of machines that partitions gave away by earlier transfers of the same plan (received, if
+/// negative).
+type Donations<'w> = BTreeMap<Donation<'w>, i64>;
 
 /// Machines suitable for some work that run nothing guaranteed.
 struct Unguaranteed {
@@ -44,13 +51,13 @@
     /// Has other partitions transfer machines for work that no machine can be rented for. For
     /// urgent work they give all they can, otherwise until the partitions are about even.
     pub(crate) fn rebalance(&mut self, pending: &[PendingWork<'_>], urgent: bool) {
-        let mut given = Given::new();
+        let mut donations = Donations::new();
         for work in pending
             .iter()
             .filter(|work| work.unavailable && work.waiting > 0)
         {
             let to = self.needs[work.need].partition;
-            let donors = self.choose_donors(work, pending, urgent, &mut given);
+            let donors = self.choose_donors(work, pending, urgent, &mut donations);
             for (from, count) in donors {
                 self.request_transfer(from, to, work.planned_shape(), count);
             }
@@ -63,11 +70,11 @@
         work: &'w PendingWork<'w>,
         pending: &[PendingWork<'_>],
         urgent: bool,
-        given: &mut Given<'w>,
+        donations: &mut Donations<'w>,
     ) -> BTreeMap<PartitionId, u32> {
         let to = self.needs[work.need].partition;
         let slots = self.slots_per_machine(work);
-        let mut unguaranteed = self.count_unguaranteed(work, given);
+        let mut unguaranteed = self.count_unguaranteed(work, donations);
         let mut donors: BTreeMap<PartitionId, u32> = BTreeMap::new();
         let missing = work
             .waiting
@@ -88,8 +95,11 @@
             *unguaranteed.transferable.entry(from).or_default() -= 1;
             let mut record = |partition, count: i64| {
                 *unguaranteed.counts.entry(partition).or_default() -= count;
-                *given
-                    .entry((&work.machine_types[..], partition))
+                *donations
+                    .entry(Donation {
+                        machine_types: &work.machine_types,
+                        partition,
+                    })
                     .or_default() += count;
             };
             record(from, 1);
@@ -102,7 +112,11 @@
     }
 
     /// Counts the machines suitable for the work that run nothing guaranteed.
-    fn count_unguaranteed(&self, work: &PendingWork<'_>, given: &Given<'_>) -> Unguaranteed {
+    fn count_unguaranteed(
+        &self,
+        work: &PendingWork<'_>,
+        donations: &Donations<'_>,
+    ) -> Unguaranteed {
         let to = self.needs[work.need].partition;
         let mut counts: BTreeMap<PartitionId, i64> =
             self.needs.iter().map(|need| (need.partition, 0)).collect();
@@ -119,8 +133,11 @@
             }
         }
         for (partition, count) in &mut counts {
-            *count -= given
-                .get(&(&work.machine_types[..], *partition))
+            *count -= donations
+                .get(&Donation {
+                    machine_types: &work.machine_types,
+                    partition: *partition,
+                })
                 .copied()
                 .unwrap_or(0);
         }
--- a/crates/autoscaler/src/transfers.rs
+++ b/crates/autoscaler/src/transfers.rs
@@ -3,7 +3,7 @@
 use crate::capacity::IncomingMachine;
 use crate::machine::{FleetAction, FleetMachine};
 use crate::pending::{PendingWork, Tier};
-use crate::planner::Planner;
+use crate::planner::{Planner, TransferRoute};
 use model::PartitionId;
 use wire::mesh::DemandShape;
 
@@ -106,11 +106,12 @@
         shape: DemandShape,
         more: u32,
     ) {
-        let under_way = |m: &&FleetMachine| m.partition == from && m.transfer_to == Some(to);
-        let already_requested = || self.machines.iter().filter(under_way).count() as u32;
+        let is_pending =
+            |machine: &&FleetMachine| machine.partition == from && machine.transfer_to == Some(to);
+        let already_requested = || self.machines.iter().filter(is_pending).count() as u32;
         let total = self
             .requested_transfers
-            .entry((from, to))
+            .entry(TransferRoute { from, to })
             .or_insert_with(already_requested);
         *total += more;
         let count = *total;
