--- /dev/null
+++ b/crates/scheduler/tests/partition_state/main.rs
@@ -0,0 +1,11 @@
+//! Tests of a partition's state on its own.
+
+mod best_effort;
+mod builders;
+mod commands;
+mod failure_attribution;
+mod leases;
+mod liveness;
+mod preemption;
+mod quotas;
+mod reconciliation;
--- a/crates/simulator/tests/rules.rs
+++ b/crates/simulator/tests/rules.rs
@@ -485,7 +485,7 @@
     assert_eq!(world.rules.violations, []);
 }
 
-/// Found by a sweep: see `a_gang_that_is_done_counts_until_its_last_member_is_gone`.
+/// Found by a sweep: see `completed_gang_counts_until_last_member_is_gone`.
 #[test]
 fn gang_with_unwritten_outcome_counts_against_quota() {
     let faults = vec![
