--- a/crates/controller/src/controller/admission.rs
+++ b/crates/controller/src/controller/admission.rs
@@ -156,7 +156,7 @@
         let mut next = 0;
         let prefix = accepted_jobs_key(self.own_name(), 0);
         let prefix = &prefix[..prefix.len() - 4];
-        for (key, page) in self.cache.intake.range(prefix.to_owned()..) {
+        for (key, page) in self.cache.accepted_job_pages.range(prefix.to_owned()..) {
             let Some(number) = key.strip_prefix(prefix).and_then(|n| n.parse::<u32>().ok()) else {
                 break;
             };
@@ -224,7 +224,7 @@
         let key = accepted_jobs_key(self.own_name(), page.number);
         let kept = self
             .cache
-            .intake
+            .accepted_job_pages
             .get(&key)
             .into_iter()
             .flat_map(|p| &p.record);
--- a/crates/controller/src/controller/cancellations.rs
+++ b/crates/controller/src/controller/cancellations.rs
@@ -42,7 +42,7 @@
 
     fn write_cancellations(&mut self) {
         let key = cancellations_key(self.own_name());
-        let old = self.cache.cancels.get(self.own_name());
+        let old = self.cache.cancellations.get(self.own_name());
         let version = old.map_or(0, |c| c.version.0);
         // Those of finished jobs have served.
         let open = old.into_iter().flat_map(|c| &c.record);
--- a/crates/controller/src/controller/job_archiver.rs
+++ b/crates/controller/src/controller/job_archiver.rs
@@ -134,7 +134,7 @@
 ) -> Transaction {
     let mut number = 0;
     let (page_version, mut page) = loop {
-        let Some(old) = cache.ends.get(&(partition, number)) else {
+        let Some(old) = cache.terminal_job_pages.get(&(partition, number)) else {
             break (0, TerminalJobsPage::default());
         };
         let mut page = old.record.clone();
@@ -161,7 +161,7 @@
     for (node, _) in nodes {
         txn = txn.when(
             cancellations_key(node),
-            cache.cancels.get(node).map_or(0, |c| c.version.0),
+            cache.cancellations.get(node).map_or(0, |c| c.version.0),
         );
     }
     txn.write(Write::put(
@@ -172,7 +172,9 @@
 
 /// Files as many final states as a transaction takes.
 fn file_ends(cache: &StateCache, partition: PartitionId, most: usize) -> Option<Transaction> {
-    let pages = cache.ends.range((partition, 0)..=(partition, u32::MAX));
+    let pages = cache
+        .terminal_job_pages
+        .range((partition, 0)..=(partition, u32::MAX));
     let ((_, number), old) =
         pages.max_by_key(|(_, page)| page.record.done.len() + page.record.cancelled.len())?;
     let mut page = old.record.clone();
--- a/crates/controller/src/controller/state_sync.rs
+++ b/crates/controller/src/controller/state_sync.rs
@@ -135,13 +135,13 @@
         for change in changed {
             match change {
                 CacheEvent::Job(id) => self.job_changed(id),
-                CacheEvent::Ended(id, state) => self.job_ended(id, state),
+                CacheEvent::JobTerminated(id, state) => self.job_ended(id, state),
                 CacheEvent::Demand(id, record) => self.demand_written(id, record),
                 CacheEvent::Partition(id) => self.partition_changed(id),
                 CacheEvent::Machine(name) => self.machine_changed(&name),
                 CacheEvent::Types => self.types_changed(),
                 CacheEvent::Tuning => self.tuning_changed(),
-                CacheEvent::Boot(_) => {}
+                CacheEvent::Incarnation(_) => {}
             }
         }
     }
--- a/crates/controller/src/state_cache/apply.rs
+++ b/crates/controller/src/state_cache/apply.rs
@@ -85,6 +85,7 @@
         self.counter = Some(Versioned { record, version });
     }
 
+    /// Applies a record by the kind in its key.
     fn put(&mut self, key: &str, value: &Value, version: u64, changed: &mut Vec<CacheEvent>) {
         let version = Version(version);
         let Some((kind, name)) = parts(key) else {
@@ -99,12 +100,13 @@
                 };
                 let record: BTreeSet<JobId> = record.jobs.into_iter().map(JobId).collect();
                 let name = ControllerName::from(name);
-                let before = self.cancels.get(&name).map(|c| &c.record);
+                let before = self.cancellations.get(&name).map(|known| &known.record);
                 let new = record
                     .iter()
                     .filter(|id| before.is_none_or(|old| !old.contains(id)));
                 changed.extend(new.map(|id| CacheEvent::Job(*id)));
-                self.cancels.insert(name, Versioned { record, version });
+                self.cancellations
+                    .insert(name, Versioned { record, version });
             }
             "e" => self.apply_terminal_jobs_page(key, name, value, version, changed),
             "p" => {
@@ -143,7 +145,7 @@
                 let name = ControllerName::from(name);
                 self.incarnations
                     .insert(name.clone(), Versioned { record, version });
-                changed.push(CacheEvent::Boot(name));
+                changed.push(CacheEvent::Incarnation(name));
             }
             "t" => self.apply_counter(key, value, version),
             "k" => {
--- a/crates/controller/src/state_cache/mod.rs
+++ b/crates/controller/src/state_cache/mod.rs
@@ -66,12 +66,12 @@
     /// A job was accepted or cancelled.
     Job(JobId),
     /// A job is in a terminal state.
-    Ended(JobId, JobState),
+    JobTerminated(JobId, JobState),
     Partition(PartitionId),
     /// A leader has written the capacity that its partition lacks.
     Demand(PartitionId, DemandRecord),
     Machine(MachineName),
-    Boot(ControllerName),
+    Incarnation(ControllerName),
     Types,
     Tuning,
 }
@@ -82,9 +82,11 @@
     /// Jobs that are accepted and not in a terminal state.
     pub jobs: BTreeMap<JobId, OpenJob>,
     /// The jobs on each page of accepted jobs, by key, whether in a terminal state or not.
-    pub intake: BTreeMap<String, Versioned<Vec<JobId>>>,
-    pub cancels: BTreeMap<ControllerName, Versioned<BTreeSet<JobId>>>,
-    pub ends: BTreeMap<(PartitionId, u32), Versioned<TerminalJobsPage>>,
+    pub accepted_job_pages: BTreeMap<String, Versioned<Vec<JobId>>>,
+    /// Cancelled jobs by the controller that accepted the cancellation.
+    pub cancellations: BTreeMap<ControllerName, Versioned<BTreeSet<JobId>>>,
+    /// Pages of terminal jobs by partition and number.
+    pub terminal_job_pages: BTreeMap<(PartitionId, u32), Versioned<TerminalJobsPage>>,
     /// Jobs in a terminal state, with the number of pages that name them. This and the next are
     /// counted as pages change, since collecting them from all pages at each completion of a job is
     /// expensive with a thousand machines.
@@ -122,7 +124,7 @@
 
     /// Whether a user has cancelled the job.
     pub fn is_cancelled(&self, id: JobId) -> bool {
-        self.cancels
+        self.cancellations
             .values()
             .any(|cancelled| cancelled.record.contains(&id))
     }
--- a/crates/controller/src/state_cache/pages.rs
+++ b/crates/controller/src/state_cache/pages.rs
@@ -55,7 +55,7 @@
         for id in &ids {
             self.registered.add(*id);
         }
-        let old = self.intake.insert(
+        let old = self.accepted_job_pages.insert(
             key.to_owned(),
             Versioned {
                 record: ids,
@@ -83,11 +83,13 @@
         for (id, state) in record.jobs() {
             if self.terminal.add(id) {
                 self.jobs.remove(&id);
-                changed.push(CacheEvent::Ended(id, state));
+                changed.push(CacheEvent::JobTerminated(id, state));
             }
         }
         // A page drops a job only once no page of accepted jobs names it any more.
-        let old = self.ends.insert(place, Versioned { record, version });
+        let old = self
+            .terminal_job_pages
+            .insert(place, Versioned { record, version });
         for (id, _) in old.iter().flat_map(|page| page.record.jobs()) {
             self.terminal.remove(id);
         }
--- a/crates/controller/tests/foreign_records.rs
+++ b/crates/controller/tests/foreign_records.rs
@@ -94,7 +94,7 @@
             .incarnation,
         1
     );
-    assert!(cache.machine_pages.is_empty() && cache.intake.is_empty());
+    assert!(cache.machine_pages.is_empty() && cache.accepted_job_pages.is_empty());
 }
 
 #[test]
--- a/crates/controller/tests/state_client.rs
+++ b/crates/controller/tests/state_client.rs
@@ -28,7 +28,7 @@
 
 fn write(call: u64, writes: usize) -> QueuedCall {
     let transaction = (0..writes).fold(Transaction::default(), |transaction, index| {
-        transaction.write(Write::put(&format!("k/{index}"), serde_json::Value::Null))
+        transaction.write(Write::put(format!("k/{index}"), serde_json::Value::Null))
     });
     QueuedCall {
         call: CallId(call),
