--- a/crates/controller/src/controller/admission.rs
+++ b/crates/controller/src/controller/admission.rs
@@ -1,11 +1,12 @@
 //! Admission of submissions: what waits is written together, many jobs to a write.
 
+use super::call_kind::JobCall;
 use super::{CallKind, Controller, PendingRequest, RequestKind, Ticket, UserReply};
 use crate::records::{
     accepted_jobs_key, final_key, packed_size, page_capacity, AcceptedJobsPage, PackedJob,
 };
 use crate::request_budget::CallPriority;
-use crate::serial_writer::{Outcome, SerialWriter};
+use crate::serial_writer::{SerialWriter, WriteOutcome};
 use model::{JobId, Revision, Timestamp};
 use std::collections::{HashSet, VecDeque};
 use std::time::Duration;
@@ -80,7 +81,7 @@
     /// Takes a checked submission in, or refuses it at once.
     pub(super) fn admit(&mut self, ticket: Ticket, id: JobId, job: JobRequest) {
         if self.admission.pending.len() >= MAX_PENDING {
-            self.busy(ticket, 1);
+            self.reply_busy(ticket, 1);
             return;
         }
         if packed_size(&PackedJob::new(u64::MAX, job.clone()))
@@ -122,7 +123,7 @@
             }
             let ticket = first.ticket;
             self.admission.pending.pop_front();
-            self.busy(ticket, 1);
+            self.reply_busy(ticket, 1);
         }
     }
 
@@ -155,7 +156,7 @@
         let mut next = 0;
         let prefix = accepted_jobs_key(self.own_name(), 0);
         let prefix = &prefix[..prefix.len() - 4];
-        for (key, page) in self.cache.intake.range(prefix.to_owned()..) {
+        for (key, page) in self.cache.accepted_job_pages.range(prefix.to_owned()..) {
             let Some(number) = key.strip_prefix(prefix).and_then(|n| n.parse::<u32>().ok()) else {
                 break;
             };
@@ -210,10 +211,10 @@
                 self.now,
                 Duration::ZERO,
             );
-            self.state(
+            self.queue_state_request(
                 CallPriority::Accept,
                 StateRequest::Transaction(batch.txn),
-                CallKind::Accept,
+                CallKind::Job(JobCall::Accept),
             );
         }
     }
@@ -223,7 +224,7 @@
         let key = accepted_jobs_key(self.own_name(), page.number);
         let kept = self
             .cache
-            .intake
+            .accepted_job_pages
             .get(&key)
             .into_iter()
             .flat_map(|p| &p.record);
@@ -270,8 +271,8 @@
     }
 
     pub(super) fn handle_acceptance_written(&mut self, reply: StateReply) {
-        match self.admission.writes.answered(reply, self.now) {
-            Outcome::CommittedChanges(batch) => {
+        match self.admission.writes.handle_reply(reply, self.now) {
+            WriteOutcome::Committed(batch) => {
                 let since = self.now;
                 let requests = batch
                     .into_iter()
@@ -280,7 +281,7 @@
                 self.admission.unconfirmed.extend(requests);
                 self.confirm_accepted();
             }
-            Outcome::Conflict(batch, failed) => {
+            WriteOutcome::Conflict(batch, failed) => {
                 for submission in batch.into_iter().rev() {
                     if failed.contains(&final_key(submission.id)) {
                         // It is finished already: this is a late retry.
@@ -292,7 +293,7 @@
                     }
                 }
             }
-            Outcome::Refused {
+            WriteOutcome::Refused {
                 what,
                 throttled: true,
             } => {
@@ -300,30 +301,30 @@
                     self.admission.pending.push_front(submission);
                 }
             }
-            Outcome::Refused {
+            WriteOutcome::Refused {
                 what,
                 throttled: false,
             } => {
                 let pending = std::mem::take(&mut self.admission.pending);
                 for submission in what.into_iter().chain(pending) {
-                    self.busy(submission.ticket, 1);
+                    self.reply_busy(submission.ticket, 1);
                 }
             }
-            Outcome::Again(txn) => {
+            WriteOutcome::Unknown(txn) => {
                 // Whether these are written is open; their users' retries will find out.
-                let batch = self.admission.writes.under_way().map(std::mem::take);
+                let batch = self.admission.writes.in_flight_mut().map(std::mem::take);
                 for submission in batch.into_iter().flatten() {
-                    self.busy(submission.ticket, 1);
+                    self.reply_busy(submission.ticket, 1);
                 }
                 let request = StateRequest::Transaction(txn);
                 self.retry_later(
                     Duration::from_millis(200),
                     CallPriority::Accept,
                     request,
-                    CallKind::Accept,
+                    CallKind::Job(JobCall::Accept),
                 );
             }
-            Outcome::Nothing => {}
+            WriteOutcome::NotInFlight => {}
         }
     }
 }
--- a/crates/simulator/src/worker.rs
+++ b/crates/simulator/src/worker.rs
@@ -47,10 +47,10 @@
     pub token: u64,
     pub tasks: BTreeMap<Key, WorkerTask>,
     images: BTreeSet<String>,
-    /// Sending time of the last answered report, or the begin of the session.
+    /// Sending time of the last answered heartbeat, or the begin of the session.
     lease_from: u64,
-    pub node: usize,
-    /// The report in flight: its number, its sending time, its session.
+    pub controller: usize,
+    /// The heartbeat in flight: its number, its sending time, its session.
     pub in_flight: Option<(u64, u64, u64)>,
     pub next_report: u64,
     pub last_report: u64,
@@ -84,7 +84,7 @@
             tasks: BTreeMap::new(),
             images: BTreeSet::new(),
             lease_from: now,
-            node: 0,
+            controller: 0,
             in_flight: None,
             next_report: now,
             last_report: 0,
@@ -128,7 +128,7 @@
         }
     }
 
-    /// Whether something newer than this report has been sent.
+    /// Whether something newer than this heartbeat has been sent.
     pub fn has_sent_newer(&self, report: &Heartbeat) -> bool {
         (report.session, report.seq) < (self.session, self.seq)
     }
@@ -146,7 +146,7 @@
         }
     }
 
-    /// An answer to the report numbered `number`. False if it is dropped.
+    /// An answer to the heartbeat numbered `number`. False if it is dropped.
     pub fn answered(
         &mut self,
         number: u64,
@@ -172,7 +172,7 @@
         true
     }
 
-    /// Keeps the lease up without an answer to a report, as no worker may.
+    /// Keeps the lease up without an answer to a heartbeat, as no worker may.
     pub fn renew_without_reply(&mut self, now: u64) {
         self.lease_from = now;
     }
@@ -205,60 +205,7 @@
 
     fn execute(&mut self, command: &Command, now: u64, jobs: &HashMap<String, JobRequest>) {
         match command {
-            Command::Start { task, attempt } => {
-                let key = (task.clone(), *attempt);
-                if self.tasks.contains_key(&key) {
-                    return;
-                }
-                self.changed = true;
-                let id = task.split('/').next().unwrap_or_default();
-                let exited = |why| WorkerTask {
-                    state: TaskState::Exited,
-                    why: Some(why),
-                    image_at: 0,
-                    done_at: None,
-                    saved_at: None,
-                };
-                let Some(job) = jobs.get(id) else {
-                    self.tasks.insert(key, exited(ExitCause::Unknown));
-                    return;
-                };
-                let busy = self
-                    .tasks
-                    .iter()
-                    .any(|((other, _), held)| other == task && held.state != TaskState::Exited);
-                if busy {
-                    self.tasks.insert(key, exited(ExitCause::Busy));
-                    return;
-                }
-                let live = self
-                    .tasks
-                    .iter()
-                    .filter(|(_, h)| h.state != TaskState::Exited);
-                let used: f64 = live
-                    .filter_map(|((other, _), _)| jobs.get(other.split('/').next()?))
-                    .map(|j| j.cpus)
-                    .sum();
-                if used + job.cpus > 4.0 {
-                    self.tasks.insert(key, exited(ExitCause::NoRoom));
-                    return;
-                }
-                let fetch = if self.images.contains(&job.image) {
-                    0
-                } else {
-                    (job.image_gb * 1000.0) as u64
-                };
-                self.tasks.insert(
-                    key,
-                    WorkerTask {
-                        state: TaskState::Fetching,
-                        why: None,
-                        image_at: now + fetch,
-                        done_at: None,
-                        saved_at: None,
-                    },
-                );
-            }
+            Command::Start { task, attempt } => self.start_task(task, *attempt, now, jobs),
             Command::Stop { .. } if self.ignores_stops => {}
             Command::Stop {
                 task,
@@ -266,25 +213,7 @@
                 grace_s,
             } => {
                 let job = jobs.get(task.split('/').next().unwrap_or_default());
-                let save_s = job.filter(|j| j.checkpoint_s > 0.0).map(|j| j.save_s);
-                if let Some(held) = self.tasks.get_mut(&(task.clone(), *attempt)) {
-                    let saves = save_s.filter(|s| s <= grace_s && *grace_s > 0.0);
-                    match (held.state, saves) {
-                        (TaskState::Exited, _) => {}
-                        // Only a second command without grace ends a task that is saving.
-                        (TaskState::Saving, _) if *grace_s > 0.0 => {}
-                        (TaskState::Running, Some(save_s)) => {
-                            held.state = TaskState::Saving;
-                            held.saved_at = Some(now + (save_s * 1_000.0) as u64);
-                            self.changed = true;
-                        }
-                        _ => {
-                            held.state = TaskState::Exited;
-                            held.why = Some(ExitCause::Stopped);
-                            self.changed = true;
-                        }
-                    }
-                }
+                self.stop_task(task, *attempt, *grace_s, job, now);
             }
             Command::Forget { task, attempt } => {
                 let key = (task.clone(), *attempt);
@@ -299,7 +228,97 @@
         }
     }
 
-    /// Lets tasks go on. A gang's tasks start through [`Worker::start_gang`].
+    fn start_task(
+        &mut self,
+        task: &str,
+        attempt: u64,
+        now: u64,
+        jobs: &HashMap<String, JobRequest>,
+    ) {
+        let key = (task.to_owned(), attempt);
+        if self.tasks.contains_key(&key) {
+            return;
+        }
+        self.changed = true;
+        let id = task.split('/').next().unwrap_or_default();
+        let exited = |why| WorkerTask {
+            state: TaskState::Exited,
+            why: Some(why),
+            image_at: 0,
+            done_at: None,
+            saved_at: None,
+        };
+        let Some(job) = jobs.get(id) else {
+            self.tasks.insert(key, exited(ExitCause::Unknown));
+            return;
+        };
+        let busy = self
+            .tasks
+            .iter()
+            .any(|((other, _), held)| other == task && held.state != TaskState::Exited);
+        if busy {
+            self.tasks.insert(key, exited(ExitCause::Busy));
+            return;
+        }
+        let live = self
+            .tasks
+            .iter()
+            .filter(|(_, h)| h.state != TaskState::Exited);
+        let used: f64 = live
+            .filter_map(|((other, _), _)| jobs.get(other.split('/').next()?))
+            .map(|j| j.cpus)
+            .sum();
+        if used + job.cpus > 4.0 {
+            self.tasks.insert(key, exited(ExitCause::NoRoom));
+            return;
+        }
+        let fetch = if self.images.contains(&job.image) {
+            0
+        } else {
+            (job.image_gb * 1000.0) as u64
+        };
+        self.tasks.insert(
+            key,
+            WorkerTask {
+                state: TaskState::Fetching,
+                why: None,
+                image_at: now + fetch,
+                done_at: None,
+                saved_at: None,
+            },
+        );
+    }
+
+    fn stop_task(
+        &mut self,
+        task: &str,
+        attempt: u64,
+        grace_s: f64,
+        job: Option<&JobRequest>,
+        now: u64,
+    ) {
+        let save_s = job.filter(|j| j.checkpoint_s > 0.0).map(|j| j.save_s);
+        if let Some(held) = self.tasks.get_mut(&(task.to_owned(), attempt)) {
+            let saves = save_s.filter(|s| *s <= grace_s && grace_s > 0.0);
+            match (held.state, saves) {
+                (TaskState::Exited, _) => {}
+                // Only a second command without grace ends a task that is saving.
+                (TaskState::Saving, _) if grace_s > 0.0 => {}
+                (TaskState::Running, Some(save_s)) => {
+                    held.state = TaskState::Saving;
+                    held.saved_at = Some(now + (save_s * 1_000.0) as u64);
+                    self.changed = true;
+                }
+                _ => {
+                    held.state = TaskState::Exited;
+                    held.why = Some(ExitCause::Stopped);
+                    self.changed = true;
+                }
+            }
+        }
+    }
+
+    /// Lets tasks go on. A gang's tasks start through [`Worker::set_gang`].
     pub fn advance(
         &mut self,
         now: u64,
@@ -379,7 +398,7 @@
         }
     }
 
-    /// Whether a report is due.
+    /// Whether a heartbeat is due.
     pub fn report_due(&self, now: u64) -> bool {
         self.in_flight.is_none()
             && (now >= self.next_report || (self.changed && now >= self.last_report + 500))
--- a/crates/simulator/src/world/users.rs
+++ b/crates/simulator/src/world/users.rs
@@ -1,11 +1,22 @@
-//! Users: what they submit, ask and cancel, and what they make of the answers.
+//! Users: submissions, status requests, cancellations, retries, and the checks of replies.
 
-use super::*;
+use super::events::{PendingRequest, ScheduledEvent};
+use super::follow_ups::Confirmation;
+use super::network::ActiveFault;
+use super::open_requests::TicketKey;
+use super::scenario::Mutation;
+use super::site::CONTROLLERS;
+use super::World;
 use crate::history::Answer;
+use crate::worker::FAILING_CLASS;
+use controller::{Event, UserReply, UserRequest};
+use model::JobId;
+use rand::Rng;
+use wire::users::{JobKind, JobRequest, JobState, Priority};
 
-/// How long a node must have been healthy before a load balancer counts on it.
+/// A load balancer sends requests to controllers that have been healthy for this time, in ms.
 const MIN_HEALTHY_MS: u64 = 3_000;
-/// Users give up after so many tries.
+/// Users give up after this many attempts.
 pub(super) const MAX_ATTEMPTS: u32 = 60;
 
 impl World {
@@ -15,12 +26,54 @@
         }
         self.new_job();
         let pause = self.rng.random_range(700..2_800) / self.plan.size.min(self.parameters.often);
-        self.at(self.now + pause, ScheduledEvent::SubmitJob);
+        self.schedule(self.now + pause, ScheduledEvent::SubmitJob);
     }
 
+    /// Submits a random job.
     pub(super) fn new_job(&mut self) {
-        self.next_job += 1;
-        let id = format!("j-{:06}", self.next_job * 7);
+        let mut job = self.random_job();
+        let id = job.id.clone();
+        let factor = self.network.find_active(|fault| match fault {
+            ActiveFault::LongTasks(times) => Some(*times),
+            _ => None,
+        });
+        if let Some(factor) = factor {
+            self.jobs.set_run_time_factor(id.clone(), factor);
+            job.estimate_s *= factor as f64;
+            if job.kind != JobKind::Service && self.jobs.count().is_multiple_of(2) {
+                (job.checkpoint_s, job.save_s) = (5.0, 3.0);
+            }
+        }
+        self.jobs.add(job.clone(), self.now);
+        if job.kind == JobKind::Service || job.class == FAILING_CLASS || self.rng.random_bool(0.1) {
+            let after = self.rng.random_range(10_000..50_000);
+            self.schedule(
+                self.now + after,
+                ScheduledEvent::CancelJob { id: id.clone() },
+            );
+        }
+        self.send_request(UserRequest::Submit(Box::new(job.clone())), id.clone(), 0);
+        if self.rng.random_bool(0.1) {
+            // A retry may arrive at any later time.
+            let after = self.rng.random_range(500..40_000);
+            let request = UserRequest::Submit(Box::new(job));
+            self.schedule(
+                self.now + after,
+                ScheduledEvent::SendRequest {
+                    request,
+                    id: id.clone(),
+                    tries: 50,
+                },
+            );
+        }
+        if self.rng.random_bool(0.05) {
+            self.send_request(UserRequest::Get(JobId(900_001)), "j-900001".into(), 0);
+        }
+        self.schedule(self.now + 4_000, ScheduledEvent::PollStatus { id });
+    }
+
+    fn random_job(&mut self) -> JobRequest {
+        let id = self.jobs.next_id();
         let kind = match self.rng.random_range(0..10) {
             0..=2 => JobKind::Service,
             3..=4 => JobKind::Gang,
@@ -36,17 +89,18 @@
         let zone = self.rng.random_bool(0.15).then(|| "a".to_owned());
         let together = zone.is_none() && self.rng.random_bool(0.2);
         let mistaken =
-            self.active_faults.contains(&ActiveFault::FailingJobs) && self.rng.random_bool(0.4);
-        // One of six teams, or two thirds of all for one of them: ten times what each other has.
-        let heavy = self.active_faults.contains(&ActiveFault::SkewedLoad)
-            && self.rng.random_range(0..15) < 9;
+            self.network.is_active(&ActiveFault::FailingJobs) && self.rng.random_bool(0.4);
+        // One of six teams at random, or two thirds of all jobs for one team: ten times the load of each
+        // other.
+        let heavy =
+            self.network.is_active(&ActiveFault::SkewedLoad) && self.rng.random_range(0..15) < 9;
         let team = if heavy {
             0
         } else {
             self.rng.random_range(0..6)
         };
-        let job = JobRequest {
-            id: id.clone(),
+        JobRequest {
+            id,
             class: if mistaken { FAILING_CLASS } else { "c" }.into(),
             team: format!("t{team}"),
             kind,
@@ -74,46 +128,21 @@
             checkpoint_s: 0.0,
             save_s: 0.0,
             deadline_s: None,
-        };
-        let mut job = job;
-        let long = self.active_faults.iter().find_map(|cut| match cut {
-            ActiveFault::LongTasks(times) => Some(*times),
-            _ => None,
-        });
-        if let Some(times) = long {
-            self.long.insert(id.clone(), times);
-            job.estimate_s *= times as f64;
-            if kind != JobKind::Service && self.next_job.is_multiple_of(2) {
-                (job.checkpoint_s, job.save_s) = (5.0, 3.0);
-            }
         }
-        self.jobs.insert(id.clone(), job.clone());
-        self.submitted.insert(id.clone(), self.now);
-        if kind == JobKind::Service || mistaken || self.rng.random_bool(0.1) {
-            let after = self.rng.random_range(10_000..50_000);
-            self.at(
-                self.now + after,
-                ScheduledEvent::CancelJob { id: id.clone() },
-            );
-        }
-        self.send_request(UserRequest::Submit(Box::new(job.clone())), id.clone(), 0);
-        if self.rng.random_bool(0.1) {
-            // A retry may arrive at any later time.
-            let after = self.rng.random_range(500..40_000);
-            let request = UserRequest::Submit(Box::new(job));
-            self.at(
-                self.now + after,
-                ScheduledEvent::SendRequest {
-                    request,
-                    id: id.clone(),
-                    tries: 50,
-                },
+    }
+
+    /// Polls the status of a job until its user knows its terminal state.
+    pub(super) fn poll_status(&mut self, id: String) {
+        if !self.jobs.is_settled(&id) {
+            if let Some(job) = JobId::parse(&id) {
+                self.send_request(UserRequest::Get(job), id.clone(), 0);
+            }
+            let often = self.network.is_active(&ActiveFault::StatusRequestStorm);
+            self.schedule(
+                self.now + if often { 300 } else { 5_000 },
+                ScheduledEvent::PollStatus { id },
             );
         }
-        if self.rng.random_bool(0.05) {
-            self.send_request(UserRequest::Get(JobId(900_001)), "j-900001".into(), 0);
-        }
-        self.at(self.now + 4_000, ScheduledEvent::PollStatus { id });
     }
 
     pub(super) fn guest_job(&mut self) {
@@ -133,10 +162,8 @@
 
     pub(super) fn send_request(&mut self, request: UserRequest, id: String, tries: u32) {
         let reached = |n: &usize| {
-            self.nodes[*n].is_some()
-                && !self
-                    .active_faults
-                    .contains(&ActiveFault::UsersDisconnected(*n))
+            self.controllers[*n].is_some()
+                && !self.network.is_active(&ActiveFault::UsersDisconnected(*n))
         };
         let alive: Vec<usize> = (0..CONTROLLERS).filter(reached).collect();
         if alive.is_empty() {
@@ -146,26 +173,25 @@
                     id,
                     tries: tries + 1,
                 };
-                self.at(self.now + 1_000, what);
+                self.schedule(self.now + 1_000, what);
             }
             return;
         }
-        let node = alive[self.rng.random_range(0..alive.len())];
-        self.send_request_to(node, request, id, tries);
+        let controller = alive[self.rng.random_range(0..alive.len())];
+        self.send_request_to(controller, request, id, tries);
     }
 
     pub(super) fn send_request_to(
         &mut self,
-        node: usize,
+        controller: usize,
         request: UserRequest,
         id: String,
         tries: u32,
     ) {
-        let Some(incarnation) = self.nodes[node].as_ref().map(|r| r.incarnation) else {
+        let Some(incarnation) = self.controllers[controller].as_ref().map(|r| r.incarnation) else {
             return;
         };
-        self.next_ticket += 1;
-        let ticket = self.next_ticket;
+        let ticket = self.open_requests.next_ticket();
         let sent = self.rules.history.next_time(self.now);
         let pending_request = PendingRequest {
             request: request.clone(),
@@ -173,27 +199,31 @@
             tries,
             sent,
         };
-        self.user_requests
-            .insert((node, incarnation, ticket), pending_request);
-        self.handle_event(node, Event::User { ticket, request });
+        self.open_requests.add_user_request(
+            TicketKey {
+                controller,
+                incarnation,
+                ticket,
+            },
+            pending_request,
+        );
+        self.handle_event(controller, Event::User { ticket, request });
     }
 
-    /// Asks about every accepted job, also those long over, by a question or by submitting it again,
-    /// through nodes that a load balancer would choose.
+    /// Queries every accepted job, also those in a terminal state, by a status request or a repeated
+    /// submission, through controllers that a load balancer would choose.
     pub(super) fn query_all_jobs(&mut self) {
         let ids: Vec<String> = self.rules.accepted.keys().cloned().collect();
-        // A large site is asked more slowly.
+        // Large sites are queried at a lower rate.
         let pause = if ids.len() > 300 { 20_000 } else { 5_000 };
         let serves = |n: &usize| {
-            let long = self.healthy_since[*n].is_some_and(|at| self.now >= at + MIN_HEALTHY_MS);
-            long && self.nodes[*n].is_some()
-                && !self
-                    .active_faults
-                    .contains(&ActiveFault::UsersDisconnected(*n))
+            let long = self.service.healthy_for(*n, MIN_HEALTHY_MS, self.now);
+            long && self.controllers[*n].is_some()
+                && !self.network.is_active(&ActiveFault::UsersDisconnected(*n))
         };
-        let nodes: Vec<usize> = (0..CONTROLLERS).filter(serves).collect();
+        let controllers: Vec<usize> = (0..CONTROLLERS).filter(serves).collect();
         for (nth, id) in ids.into_iter().enumerate() {
-            self.unanswered.record_query(&id, self.now);
+            self.service.unanswered().record_query(&id, self.now);
             let (Some(job), Some(number)) = (self.jobs.get(&id).cloned(), JobId::parse(&id)) else {
                 continue;
             };
@@ -202,17 +232,19 @@
             } else {
                 UserRequest::Get(number)
             };
-            let Some(node) = nodes.get(self.rng.random_range(0..nodes.len().max(1))) else {
+            let Some(controller) =
+                controllers.get(self.rng.random_range(0..controllers.len().max(1)))
+            else {
                 continue;
             };
-            // Not made again if refused: the next one comes soon.
-            self.send_request_to(*node, request, id, MAX_ATTEMPTS);
+            // Not retried if rejected: the next query follows soon.
+            self.send_request_to(*controller, request, id, MAX_ATTEMPTS);
         }
-        self.at(self.now + pause, ScheduledEvent::QueryAllJobs);
+        self.schedule(self.now + pause, ScheduledEvent::QueryAllJobs);
     }
 
     pub(super) fn handle_user_reply(&mut self, pending_request: PendingRequest, reply: UserReply) {
-        if let Some(expected) = self.invalid_jobs.get(&pending_request.id).copied() {
+        if let Some(expected) = self.jobs.expected_rejection(&pending_request.id) {
             self.check_invalid_job_reply(pending_request, expected, reply);
             return;
         }
@@ -226,15 +258,15 @@
         let unanswered = self.plan.mutation == Some(Mutation::SomeStatusRequestsUnanswered)
             && JobId::parse(&id).is_some_and(|job| job.0 % 49 == 0);
         if matches!(reply, UserReply::Status(_)) && !unanswered {
-            self.unanswered.record_answer(&id);
+            self.service.unanswered().record_answer(&id);
         }
         match reply {
             UserReply::Created(_) => {
-                let first = self.submitted.get(&id).copied().unwrap_or(now);
+                let first = self.jobs.submitted_at(&id).unwrap_or(now);
                 self.acceptance_latencies_ms.push(now - first);
                 self.rules.accepted.entry(id.clone()).or_insert(now);
                 self.rules
-                    .record_status(&id, JobState::Queued, &self.jobs, sent, now);
+                    .record_status(&id, JobState::Queued, self.jobs.all(), sent, now);
                 self.schedule_follow_ups(&id, Confirmation::Accepted);
             }
             UserReply::Status(status) => {
@@ -242,10 +274,10 @@
                     self.rules.accepted.entry(id.clone()).or_insert(now);
                 }
                 if matches!(status.state, JobState::Done | JobState::Cancelled) {
-                    self.settled.insert(id.clone());
+                    self.jobs.settle(id.clone());
                 }
                 self.rules
-                    .record_status(&id, status.state, &self.jobs, sent, now);
+                    .record_status(&id, status.state, self.jobs.all(), sent, now);
                 match (status.state, &request) {
                     (JobState::Done, _) => self.schedule_follow_ups(&id, Confirmation::Done),
                     (JobState::Cancelled, _) => {
@@ -267,7 +299,7 @@
                         tries: tries + 1,
                     };
                     if tries < 30 {
-                        self.at(now + 2_000, what);
+                        self.schedule(now + 2_000, what);
                     }
                 }
             }
@@ -281,7 +313,7 @@
         }
     }
 
-    /// Repeats a refused request, unless it is a question or its user gives up.
+    /// Retries a rejected request, unless it is a status request or its user gives up.
     pub(super) fn retry_request(
         &mut self,
         request: UserRequest,
@@ -295,7 +327,7 @@
                 id,
                 tries: tries + 1,
             };
-            self.at(self.now + retry_after_s.max(1) * 1_000, what);
+            self.schedule(self.now + retry_after_s.max(1) * 1_000, what);
         }
     }
 }
