--- a/crates/failover/tests/stream.rs
+++ b/crates/failover/tests/stream.rs
@@ -1,4 +1,4 @@
-//! Seeded runs of one holder and its followers over a mesh that loses, repeats and delays: after each
+//! Seeded runs of one leader and its subscribers over a mesh that loses, repeats and delays: after each
 //! step a copy shows nothing that its source never sent, and once the mesh is well it is equal.
 
 use failover::{Replicas, ReplicationSource, ReplicationStream};
@@ -36,7 +36,7 @@
     })
 }
 
-/// The holder's side, its incarnation and its truth.
+/// The leader's side: its incarnation and its current records.
 struct Holder {
     stream: ReplicationStream,
     incarnation: u64,
@@ -189,8 +189,8 @@
     }
 }
 
-/// Nothing of an earlier holder, of another partition or from a third node is taken for the source's
-/// word, and what a copy holds stays until the new holder speaks.
+/// Batches of a former leader, of another partition or from a third controller are ignored, and a
+/// replica keeps its records until the first batch of the new leader.
 #[test]
 fn batches_of_other_leaders_or_terms_are_ignored() {
     let (old, new) = (ControllerName::from("n0"), ControllerName::from("n1"));
@@ -233,7 +233,7 @@
     );
     assert!(
         !replicas.is_in_sync(P, Timestamp::from_millis(30)),
-        "the new holder has sent nothing yet"
+        "the new leader has sent nothing yet"
     );
     replicas.apply(&old, batch(5, 3, 12), Timestamp::from_millis(40));
     replicas.apply(&old, batch(6, 4, 13), Timestamp::from_millis(40));
