--- a/crates/controller/src/controller/mod.rs
+++ b/crates/controller/src/controller/mod.rs
@@ -19,6 +19,8 @@
 mod load_partition;
 mod machine_records;
 mod membership;
+mod mesh_messages;
+mod peers;
 mod standby;
 mod state_replies;
 mod state_sync;
@@ -39,12 +41,12 @@
 use leadership::PartitionLeadership;
 use linearizable_reads::LinearizableReads;
 use machine_records::MachineChanges;
-use model::{
-    CallId, ControllerName, DurationExt, FencingToken, PartitionId, Settings, Timestamp, ZoneName,
-};
+use membership::Membership;
+use model::{CallId, ControllerName, DurationExt, PartitionId, Settings, Timestamp, ZoneName};
+use peers::PeerRegistry;
 use rand::rngs::SmallRng;
 use rand::SeedableRng;
-use std::collections::{BTreeMap, HashMap, HashSet};
+use std::collections::{BTreeMap, HashMap};
 use std::time::Duration;
 use wire::cloud::CloudRequest;
 use wire::mesh::MeshMessage;
@@ -56,17 +58,6 @@
 };
 pub(crate) use user_requests::{PendingRequest, RequestKind};
 
-/// What a peer said last.
-#[derive(Debug, Clone)]
-pub(crate) struct PeerStatus {
-    last_seen_at: Timestamp,
-    incarnation: u64,
-    state_contact: bool,
-    ready: bool,
-    /// How long before that it had heard others.
-    peer_heartbeat_ages: Vec<(ControllerName, Duration)>,
-}
-
 /// One controller process.
 pub struct Controller {
     settings: Settings,
@@ -86,23 +77,8 @@
     calls: PendingCalls<CallKind>,
     state_client: StateClient,
     leaderships: BTreeMap<PartitionId, PartitionLeadership>,
-    /// Terms under which partitions were transferred: they are not resumed.
-    relinquished_terms: HashMap<PartitionId, FencingToken>,
-    /// Led partitions whose in-memory state was found wrong, so that they have to be acquired again under a
-    /// new term: the term that was wrong, and when a new one was last tried for.
-    renewed: HashMap<PartitionId, (FencingToken, Timestamp)>,
-    acquiring: HashSet<PartitionId>,
-    vacant_since: HashMap<PartitionId, Timestamp>,
-    peers: BTreeMap<ControllerName, PeerStatus>,
-    reclaim_requested_at: Option<Timestamp>,
-    /// Since when another controller leads the preferred partition although this one could.
-    displaced_since: Option<Timestamp>,
-    reclaim_pending: bool,
-    /// When other controllers announced that they resigned from a partition.
-    resigned_at: HashMap<PartitionId, HashMap<ControllerName, Timestamp>>,
-    /// Partitions resigned from because their workers could not reach this controller.
-    reacquisition_backoffs: BTreeMap<PartitionId, membership::ReacquisitionBackoff>,
-    alive_at: Timestamp,
+    membership: Membership,
+    peers: PeerRegistry,
     load_at: Timestamp,
     /// The last writes of partitions' unmet demand.
     demand_writes: HashMap<PartitionId, leadership::DemandWrite>,
@@ -119,6 +95,8 @@
 
 /// The loop runs ten times a second; a gap longer than this means that the process was paused.
 const PAUSE_THRESHOLD: Duration = Duration::from_secs(1);
+/// A peer without a heartbeat for longer does not serve users.
+const MAX_PEER_SILENCE: Duration = Duration::from_secs(2);
 /// Longest wait of the watch.
 const MAX_WATCH_WAIT: Duration = Duration::from_millis(1_500);
 /// Maximum age of the last read of changes for launches.
@@ -145,17 +123,8 @@
             calls: PendingCalls::default(),
             state_client,
             leaderships: BTreeMap::new(),
-            relinquished_terms: HashMap::new(),
-            renewed: HashMap::new(),
-            acquiring: HashSet::new(),
-            vacant_since: HashMap::new(),
-            peers: BTreeMap::new(),
-            reclaim_requested_at: None,
-            displaced_since: None,
-            reclaim_pending: false,
-            resigned_at: HashMap::new(),
-            reacquisition_backoffs: BTreeMap::new(),
-            alive_at: Timestamp::default(),
+            membership: Membership::default(),
+            peers: PeerRegistry::default(),
             load_at: Timestamp::default(),
             demand_writes: HashMap::new(),
             job_status: JobStatusCache::default(),
@@ -198,12 +167,8 @@
         tracing::warn!(pause_ms = pause.whole_millis(), "process was paused");
         self.counters.stood_still += 1;
         self.running_since = now;
-        for peer in self.peers.values_mut() {
-            peer.last_seen_at += pause;
-        }
-        for since in self.vacant_since.values_mut() {
-            *since = now;
-        }
+        self.peers.shift_heartbeats(pause);
+        self.membership.restart_vacancies(now);
         for leadership in self.leaderships.values_mut() {
             if let Some(partition_state) = leadership.partition_state_mut() {
                 partition_state.running_since = now;
@@ -252,16 +217,8 @@
         }
         // If no controller reaches the state service, reporting unhealthy helps no user and delays
         // recovery. A controller that hears from no peer either is itself cut off: the others may serve.
-        let sends_heartbeats = |peer: &&PeerStatus| {
-            self.now.duration_since(peer.last_seen_at) <= Duration::from_secs(2)
-        };
-        let peer_serves = self
-            .peers
-            .values()
-            .filter(sends_heartbeats)
-            .any(|peer| peer.state_contact);
-        let alone =
-            !self.peers.is_empty() && !self.peers.values().any(|peer| sends_heartbeats(&peer));
+        let peer_serves = self.peers.any_has_state_contact(MAX_PEER_SILENCE, self.now);
+        let alone = self.peers.are_all_silent(MAX_PEER_SILENCE, self.now);
         is_synced && !peer_serves && !alone
     }
 
--- a/crates/controller/src/controller/state_replies.rs
+++ b/crates/controller/src/controller/state_replies.rs
@@ -58,7 +58,7 @@
                 term,
                 token,
             } => self.handle_token_raised(partition, term, token, reply),
-            LeadershipCall::Reclaim => self.reclaim_pending = false,
+            LeadershipCall::Reclaim => self.membership.finish_reclaim_write(),
             LeadershipCall::Resign(partition) => self.handle_resignation_reply(partition, reply),
         }
     }
