--- a/crates/controller/src/controller/leadership/machine_failures.rs
+++ b/crates/controller/src/controller/leadership/machine_failures.rs
@@ -1,6 +1,7 @@
 //! Machines that have stopped responding: liveness probes, release, and a partition whose workers do
 //! not reach this controller at all.
 
+use crate::controller::call_kind::WorkerCall;
 use crate::controller::machine_records::MachineChange;
 use crate::controller::{CallKind, Controller, MAX_LAUNCH_READ_AGE};
 use model::{DurationExt, PartitionId};
@@ -89,7 +90,7 @@
                 token,
                 session,
             } = probe;
-            let purpose = CallKind::Ask { partition, machine };
+            let purpose = CallKind::Worker(WorkerCall::LivenessProbe { partition, machine });
             self.send_probe(address, token, session, purpose, PROBE_TIMEOUT);
         }
     }
--- a/crates/controller/src/controller/leadership/partition_status.rs
+++ b/crates/controller/src/controller/leadership/partition_status.rs
@@ -2,6 +2,7 @@
 //! planner, progress of jobs for all peers.
 
 use super::{LoadedPartition, PartitionLeadership};
+use crate::controller::call_kind::RecordCall;
 use crate::controller::{CallKind, Controller};
 use crate::records::{demand_key, partition_key, DemandRecord};
 use crate::request_budget::CallPriority;
@@ -62,10 +63,10 @@
         };
         self.demand_writes.insert(partition, write);
         let txn = self.demand_txn(partition, status);
-        self.state(
+        self.queue_state_request(
             CallPriority::Placement,
             StateRequest::Transaction(txn),
-            CallKind::Demand,
+            CallKind::Record(RecordCall::Demand),
         );
     }
 
@@ -155,7 +156,7 @@
         } else if !self.peer_is_alive(&fleet_planner) || !self.is_reached_by(&fleet_planner) {
             self.write_demand(status);
         } else {
-            self.mesh(&fleet_planner, MeshMessage::PartitionStatus(status));
+            self.send_to_peer(&fleet_planner, MeshMessage::PartitionStatus(status));
         }
     }
 }
