--- a/crates/autoscaler/src/machine.rs
+++ b/crates/autoscaler/src/machine.rs
@@ -52,7 +52,7 @@
 #[derive(Debug, Clone)]
 pub struct PartitionNeed {
     pub partition: PartitionId,
-    pub home_zone: ZoneName,
+    pub preferred_zone: ZoneName,
     pub demand: Vec<DemandShape>,
 }
 
--- a/crates/autoscaler/src/offers.rs
+++ b/crates/autoscaler/src/offers.rs
@@ -46,11 +46,11 @@
         work: &PendingWork<'_>,
         spot_only: bool,
     ) -> Option<RentableMachine<'a>> {
-        let home = &self.needs[work.need].home_zone;
+        let preferred_zone = &self.needs[work.need].preferred_zone;
         let mut cheapest: Option<(f64, RentableMachine<'a>)> = None;
         for machine in self.rentable_machines(work, spot_only) {
             let slots = capacity_of(machine.machine_type).how_many_fit(&work.task_size);
-            let distance = if machine.zone == *home {
+            let distance = if machine.zone == *preferred_zone {
                 1.0
             } else {
                 OTHER_ZONE_FACTOR
--- a/crates/autoscaler/src/zones.rs
+++ b/crates/autoscaler/src/zones.rs
@@ -48,8 +48,8 @@
             .filter(|zone| Some(*zone) != work.zone.as_ref())
             .cloned()
             .collect();
-        let home = self.needs[work.need].home_zone.as_str();
-        others.sort_by_key(|zone| (zone != home, zone.clone()));
+        let preferred_zone = self.needs[work.need].preferred_zone.as_str();
+        others.sort_by_key(|zone| (zone != preferred_zone, zone.clone()));
         others.dedup();
         others
     }
--- a/crates/autoscaler/tests/planning.rs
+++ b/crates/autoscaler/tests/planning.rs
@@ -63,7 +63,7 @@
     let demand = if tasks > 0 { vec![shape] } else { Vec::new() };
     PartitionNeed {
         partition: PartitionId(partition),
-        home_zone: ZoneName::from("a"),
+        preferred_zone: ZoneName::from("a"),
         demand,
     }
 }
--- a/crates/controller/src/controller/fleet_planner.rs
+++ b/crates/controller/src/controller/fleet_planner.rs
@@ -603,13 +603,13 @@
             if now.duration_since(*at) > Duration::from_millis(2_500) {
                 continue;
             }
-            let home_zone = self
+            let preferred_zone = self
                 .nodes
                 .get(number as usize)
                 .map_or_else(|| self.settings.zone.clone(), |(_, zone)| zone.clone());
             needs.push(PartitionNeed {
                 partition,
-                home_zone,
+                preferred_zone,
                 demand: load.demand.clone(),
             });
         }
--- a/crates/loadtest/src/cloud.rs
+++ b/crates/loadtest/src/cloud.rs
@@ -4,7 +4,7 @@
 use crate::config::Experiment;
 use crate::http::{serve, Answer, Call, Client, SharedTally};
 use crate::limits::RateLimit;
-use crate::role::{say, Context, RoleMessage, RoleReport};
+use crate::role::{send_message, Context, RoleMessage, RoleReport};
 use crate::site::{machine_number, Clock, Net};
 use hyper::Method;
 use rand::rngs::SmallRng;
@@ -20,13 +20,13 @@
 use wire::cloud::{CloudReply, CloudRequest, MachineNames, RentRequest};
 
 /// How often machines that have come up are announced.
-const ANNOUNCE_EVERY: Duration = Duration::from_millis(50);
+const ANNOUNCEMENT_INTERVAL: Duration = Duration::from_millis(50);
 /// Bursts that the cloud allows.
 const BURST_S: f64 = 2.0;
 /// Most machines of one rental, of one return and of one page.
-const MOST_RENTED: u32 = 50;
-const MOST_RELEASED: usize = 100;
-const MOST_LISTED: u32 = 500;
+const MAX_RENTED: u32 = 50;
+const MAX_RELEASED: usize = 100;
+const MAX_LISTED: u32 = 500;
 
 /// A machine that has come up.
 #[derive(Debug, Clone, Serialize, Deserialize)]
@@ -67,7 +67,7 @@
     }
     tokio::task::spawn_local(announce(service.clone()));
     tokio::task::spawn_local(crate::http::clear_at(clock, warmup, tally.clone()));
-    say(&RoleMessage::Ready);
+    send_message(&RoleMessage::Ready);
     let _ = stop.await;
     let traffic = tally.borrow().clone();
     Ok(RoleReport {
@@ -80,13 +80,13 @@
 /// Tells the workers' processes of machines that have come up.
 async fn announce(service: Rc<Service>) {
     loop {
-        tokio::time::sleep(ANNOUNCE_EVERY).await;
+        tokio::time::sleep(ANNOUNCEMENT_INTERVAL).await;
         for process in 0..service.links.len() {
             let mut link = service.links[process].lock().await;
             let up = service.come_up(process as u32);
             if !up.is_empty() {
                 service
-                    .tell(
+                    .announce_changes(
                         &mut link,
                         process,
                         MachineChanges {
@@ -188,7 +188,12 @@
     }
 
     /// Sends changes to a process and waits until it has carried them out.
-    async fn tell(&self, link: &mut Option<Client>, process: usize, changes: MachineChanges) {
+    async fn announce_changes(
+        &self,
+        link: &mut Option<Client>,
+        process: usize,
+        changes: MachineChanges,
+    ) {
         let Ok(body) = serde_json::to_vec(&changes) else {
             return;
         };
@@ -217,7 +222,7 @@
         }
         for (process, gone) in by_process {
             let mut link = self.links[process].lock().await;
-            self.tell(
+            self.announce_changes(
                 &mut link,
                 process,
                 MachineChanges {
@@ -271,16 +276,16 @@
         (Method::GET, "/machine_types") => Some(("machine types", CloudRequest::Types)),
         (Method::POST, "/hosts") => {
             let rent: RentRequest = serde_json::from_slice(&call.body).ok()?;
-            (rent.count <= MOST_RENTED).then_some(("rent", CloudRequest::Rent(rent)))
+            (rent.count <= MAX_RENTED).then_some(("rent", CloudRequest::Rent(rent)))
         }
         (Method::POST, "/hosts/release") => {
             let names: MachineNames = serde_json::from_slice(&call.body).ok()?;
-            let fits = names.machines.len() <= MOST_RELEASED;
+            let fits = names.machines.len() <= MAX_RELEASED;
             fits.then_some(("release", CloudRequest::Release(names.machines)))
         }
         (Method::GET, "/hosts") => {
             let query: ListQuery = serde_urlencoded::from_str(&call.query).ok()?;
-            let limit = query.limit.unwrap_or(MOST_LISTED).min(MOST_LISTED);
+            let limit = query.limit.unwrap_or(MAX_LISTED).min(MAX_LISTED);
             Some((
                 "list machines",
                 CloudRequest::List {
--- a/crates/loadtest/src/config.rs
+++ b/crates/loadtest/src/config.rs
@@ -6,11 +6,11 @@
 use wire::users::Priority;
 
 /// Longest experiment.
-pub const LONGEST_S: f64 = 1_800.0;
+pub const MAX_DURATION_S: f64 = 1_800.0;
 /// Most workers that an experiment may ask for.
-pub const MOST_WORKERS: u32 = 30_000;
+pub const MAX_WORKERS: u32 = 30_000;
 /// Most classes of jobs.
-pub const MOST_CLASSES: usize = 15;
+pub const MAX_CLASSES: usize = 15;
 /// CPUs of every hollow machine, see [`simulator::Cloud::new`](simulator::cloud::Cloud::new).
 pub const MACHINE_CPUS: f64 = 4.0;
 
@@ -236,7 +236,7 @@
         if self.name.is_empty() {
             return bad("name", "must not be empty");
         }
-        within("duration_s", self.duration_s, 1.0, LONGEST_S)?;
+        within("duration_s", self.duration_s, 1.0, MAX_DURATION_S)?;
         within("warmup_s", self.warmup_s, 0.0, self.duration_s - 1.0)?;
         self.check_controllers()?;
         self.check_allowances()?;
@@ -292,7 +292,7 @@
             "workers.count",
             f64::from(workers.count),
             1.0,
-            f64::from(MOST_WORKERS),
+            f64::from(MAX_WORKERS),
         )?;
         within(
             "workers.per_process",
@@ -311,8 +311,8 @@
     }
 
     fn check_classes(&self) -> Result<(), ConfigError> {
-        if self.classes.len() > MOST_CLASSES {
-            return bad("classes", format!("more than {MOST_CLASSES}"));
+        if self.classes.len() > MAX_CLASSES {
+            return bad("classes", format!("more than {MAX_CLASSES}"));
         }
         for (at, class) in self.classes.iter().enumerate() {
             let field = |name: &str| format!("classes[{at}].{name}");
--- a/crates/loadtest/src/controllers.rs
+++ b/crates/loadtest/src/controllers.rs
@@ -1,7 +1,7 @@
 //! Starts the real controllers, kills them when the experiment says so, and ends them with itself.
 
 use crate::config::{Experiment, Fault};
-use crate::role::{say, Context, RoleMessage, RoleReport};
+use crate::role::{send_message, Context, RoleMessage, RoleReport};
 use crate::site::{controller_name, Net};
 use std::fs::File;
 use std::io;
@@ -10,7 +10,7 @@
 use std::time::Duration;
 
 /// How often the controllers are looked at.
-const LOOK_EVERY: Duration = Duration::from_millis(50);
+const SUPERVISION_INTERVAL: Duration = Duration::from_millis(50);
 /// Pause before a controller that ended by itself is started again.
 const RESTART_MS: u64 = 2_000;
 
@@ -26,10 +26,10 @@
         std::env::temp_dir().join(format!("trackcrank-loadtest-{}", std::process::id()));
     std::fs::create_dir_all(&directory)?;
     let mut supervisor = Supervisor::new(program, directory, &experiment, net)?;
-    say(&RoleMessage::Ready);
+    send_message(&RoleMessage::Ready);
     loop {
-        supervisor.look(clock.now_ms())?;
-        let stopped = tokio::time::timeout(LOOK_EVERY, &mut stop).await;
+        supervisor.supervise(clock.now_ms())?;
+        let stopped = tokio::time::timeout(SUPERVISION_INTERVAL, &mut stop).await;
         if stopped.is_ok() {
             break;
         }
@@ -87,10 +87,10 @@
     }
 
     /// Kills, starts and notices ends, as far as due.
-    fn look(&mut self, now: u64) -> io::Result<()> {
+    fn supervise(&mut self, now: u64) -> io::Result<()> {
         for number in 0..self.controllers.len() {
             self.kill_if_due(number, now);
-            self.notice_end(number, now)?;
+            self.detect_exit(number, now)?;
             let controller = &self.controllers[number];
             if controller.child.is_none() && controller.start_at <= now {
                 self.start(number as u32)?;
@@ -112,7 +112,7 @@
             .stderr(File::create(self.directory.join(log))?)
             .spawn()
             .map_err(|e| io::Error::new(e.kind(), format!("{}: {e}", self.program.display())))?;
-        say(&RoleMessage::Controller {
+        send_message(&RoleMessage::Controller {
             controller: number,
             pid: child.id(),
         });
@@ -144,14 +144,14 @@
         }
     }
 
-    fn notice_end(&mut self, number: usize, now: u64) -> io::Result<()> {
+    fn detect_exit(&mut self, number: usize, now: u64) -> io::Result<()> {
         let controller = &mut self.controllers[number];
         let Some(child) = &mut controller.child else {
             return Ok(());
         };
         if let Some(status) = child.try_wait()? {
             let status = format!("{status}, logs in {}", self.directory.display());
-            say(&RoleMessage::ControllerEnded {
+            send_message(&RoleMessage::ControllerEnded {
                 controller: number as u32,
                 status,
             });
--- a/crates/loadtest/src/experiment.rs
+++ b/crates/loadtest/src/experiment.rs
@@ -15,9 +15,9 @@
 use std::time::Duration;
 
 /// How often the processes are measured.
-const SAMPLE_EVERY: Duration = Duration::from_secs(1);
+const SAMPLE_INTERVAL: Duration = Duration::from_secs(1);
 /// Seconds between two lines of progress.
-const PROGRESS_EVERY_S: u64 = 5;
+const PROGRESS_INTERVAL_S: u64 = 5;
 /// Blocks of loopback addresses that runs use: `127.FIRST.0.0/16` and up.
 const FIRST_NET: u8 = 32;
 const LAST_NET: u8 = 250;
@@ -30,11 +30,11 @@
     pub loadtest: PathBuf,
 }
 
-/// Runs an experiment; `tell` is given lines of progress.
+/// Runs an experiment; `report_progress` is given lines of progress.
 pub fn run(
     experiment: &Experiment,
     programs: &Programs,
-    tell: &mut dyn FnMut(&str),
+    report_progress: &mut dyn FnMut(&str),
 ) -> Result<Report, String> {
     let machine = Machine::read().map_err(|e| e.to_string())?;
     machine
@@ -50,7 +50,7 @@
     let started_us = epoch_us();
     let mut run = Run::new(experiment, machine, started_us);
     run.start(programs, net, started_us)?;
-    let ended = run.watch(tell);
+    let ended = run.watch(report_progress);
     run.finish(ended)
 }
 
@@ -134,13 +134,13 @@
     }
 
     /// Follows the run to its end; returns how it ended.
-    fn watch(&mut self, tell: &mut dyn FnMut(&str)) -> String {
+    fn watch(&mut self, report_progress: &mut dyn FnMut(&str)) -> String {
         let warmup_ms = (self.experiment.warmup_s * 1_000.0) as u64;
         let end_ms = (self.experiment.duration_s * 1_000.0) as u64;
         let last_ms = end_ms + (GRACE_S * 1_000.0) as u64;
         let mut told_s = 0;
         loop {
-            std::thread::sleep(SAMPLE_EVERY);
+            std::thread::sleep(SAMPLE_INTERVAL);
             let now = self.clock.now_ms();
             self.take_messages();
             let in_window = (warmup_ms..end_ms).contains(&now);
@@ -150,9 +150,9 @@
             if in_window {
                 self.sum(&figures);
             }
-            if now / 1_000 >= told_s + PROGRESS_EVERY_S {
+            if now / 1_000 >= told_s + PROGRESS_INTERVAL_S {
                 told_s = now / 1_000;
-                tell(&progress_line(now, &figures, used));
+                report_progress(&progress_line(now, &figures, used));
             }
             if let Err(limit) = self.machine.check_memory(used) {
                 return limit.to_string();
--- a/crates/loadtest/src/http.rs
+++ b/crates/loadtest/src/http.rs
@@ -21,7 +21,7 @@
 use tokio::net::{TcpListener, TcpSocket, TcpStream};
 
 /// Largest body that is read.
-const MOST_BODY: usize = 16 * 1024 * 1024;
+const MAX_BODY: usize = 16 * 1024 * 1024;
 
 /// Messages of one kind and the bytes they took on the wire, heads included.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize, Deserialize)]
@@ -239,7 +239,7 @@
 {
     meter.settle();
     let (head, body) = request.into_parts();
-    let answer = match Limited::new(body, MOST_BODY).collect().await {
+    let answer = match Limited::new(body, MAX_BODY).collect().await {
         Ok(body) => {
             let call = Call {
                 method: head.method,
@@ -334,9 +334,7 @@
         let status = response.status().as_u16();
         let retry = response.headers().get("retry-after");
         let retry = retry.and_then(|value| value.to_str().ok()?.parse().ok());
-        let body = Limited::new(response.into_body(), MOST_BODY)
-            .collect()
-            .await;
+        let body = Limited::new(response.into_body(), MAX_BODY).collect().await;
         Ok((status, retry, body.map_err(io::Error::other)?.to_bytes()))
     }
 
--- a/crates/loadtest/src/limits.rs
+++ b/crates/loadtest/src/limits.rs
@@ -5,9 +5,9 @@
 use thiserror::Error;
 
 /// Most memory of all processes of an experiment; also under half of the machine's.
-pub const MOST_MEMORY: u64 = 12 * 1024 * 1024 * 1024;
+pub const MAX_MEMORY: u64 = 12 * 1024 * 1024 * 1024;
 /// Fewer processes than this.
-pub const MOST_PROCESSES: usize = 300;
+pub const MAX_PROCESSES: usize = 300;
 /// Time beyond an experiment's duration after which it is stopped in any case.
 pub const GRACE_S: f64 = 90.0;
 
@@ -39,7 +39,7 @@
     },
     #[error("{used} MiB in use by the experiment, {allowed} MiB allowed: stopped")]
     Memory { used: u64, allowed: u64 },
-    #[error("field `workers.per_process`: {0} processes, fewer than {MOST_PROCESSES} are allowed")]
+    #[error("field `workers.per_process`: {0} processes, fewer than {MAX_PROCESSES} are allowed")]
     Processes(usize),
     #[error("{0} is not readable: the limits are not known")]
     Unreadable(&'static str),
@@ -103,7 +103,7 @@
 
     /// Memory that an experiment may use.
     pub fn allowed_memory(&self) -> u64 {
-        MOST_MEMORY.min(self.memory / 2)
+        MAX_MEMORY.min(self.memory / 2)
     }
 
     /// Whether an experiment fits, by what is expected of it.
@@ -176,7 +176,7 @@
 
 /// Whether there are fewer processes than allowed.
 pub fn check_processes(count: usize) -> Result<(), LimitError> {
-    if count < MOST_PROCESSES {
+    if count < MAX_PROCESSES {
         return Ok(());
     }
     Err(LimitError::Processes(count))
--- a/crates/loadtest/src/processes.rs
+++ b/crates/loadtest/src/processes.rs
@@ -107,13 +107,13 @@
     }
 
     /// Tells it to stop, without waiting.
-    pub fn tell_to_stop(&mut self) {
+    pub fn request_stop(&mut self) {
         self.settings_pipe = None;
     }
 
     /// Waits for its report and its end; kills it if it takes too long.
     pub fn stop(&mut self) -> Result<RoleReport, String> {
-        self.tell_to_stop();
+        self.request_stop();
         let until = Instant::now() + STOP_TIMEOUT;
         while self.report.is_none() {
             let left = until.saturating_duration_since(Instant::now());
@@ -137,7 +137,7 @@
     /// An experiment that fails leaves nothing behind: the pipe's end stops the role, which ends what it
     /// has started.
     fn drop(&mut self) {
-        self.tell_to_stop();
+        self.request_stop();
         let until = Instant::now() + Duration::from_secs(5);
         while Instant::now() < until {
             if matches!(self.child.try_wait(), Ok(Some(_))) {
--- a/crates/loadtest/src/report.rs
+++ b/crates/loadtest/src/report.rs
@@ -15,7 +15,7 @@
     service, cloud, workers and users are stand-ins, no tasks are run";
 /// Digits that histograms keep, and the longest latency that they tell apart.
 const DIGITS: u8 = 3;
-const LONGEST_US: u64 = 3_600_000_000;
+const MAX_LATENCY_US: u64 = 3_600_000_000;
 
 /// What a run measured.
 #[derive(Debug, Clone, Serialize, Deserialize)]
@@ -119,7 +119,7 @@
 
 impl Distribution {
     fn new() -> Result<Self, String> {
-        let histogram = Histogram::new_with_bounds(1, LONGEST_US, DIGITS);
+        let histogram = Histogram::new_with_bounds(1, MAX_LATENCY_US, DIGITS);
         histogram.map(Distribution).map_err(|e| e.to_string())
     }
 
--- a/crates/loadtest/src/role.rs
+++ b/crates/loadtest/src/role.rs
@@ -76,7 +76,7 @@
 }
 
 /// Says something to whoever started the process.
-pub fn say(message: &RoleMessage) {
+pub fn send_message(message: &RoleMessage) {
     if let Ok(line) = serde_json::to_string(message) {
         let mut out = std::io::stdout().lock();
         let _ = writeln!(out, "{line}").and_then(|()| out.flush());
@@ -154,6 +154,6 @@
     let report = tokio::task::LocalSet::new()
         .block_on(&runtime, running)
         .map_err(|e| format!("{name}: {e}"))?;
-    say(&RoleMessage::Report(Box::new(report)));
+    send_message(&RoleMessage::Report(Box::new(report)));
     Ok(())
 }
--- a/crates/loadtest/src/rules.rs
+++ b/crates/loadtest/src/rules.rs
@@ -13,7 +13,7 @@
 use wire::users::{JobRequest, JobState};
 
 /// Most broken rules that are listed.
-const MOST_LISTED: usize = 50;
+const MAX_LISTED: usize = 50;
 /// Rounding of sums of CPUs.
 const CPU_ROUNDING: f64 = 1e-6;
 
@@ -63,7 +63,7 @@
         }
     }
     replay.finish(end_us);
-    let broken = replay.rules.violations.iter().take(MOST_LISTED);
+    let broken = replay.rules.violations.iter().take(MAX_LISTED);
     verdict.broken = broken
         .map(|b| BrokenRule {
             rule: b.rule.to_owned(),
--- a/crates/loadtest/src/state_service.rs
+++ b/crates/loadtest/src/state_service.rs
@@ -3,7 +3,7 @@
 use crate::config::{Experiment, Fault};
 use crate::http::{serve, Answer, Call, SharedTally};
 use crate::limits::RateLimit;
-use crate::role::{say, Context, RoleMessage, RoleReport};
+use crate::role::{send_message, Context, RoleMessage, RoleReport};
 use crate::site::Clock;
 use hyper::Method;
 use serde::Deserialize;
@@ -18,14 +18,14 @@
 };
 
 /// How often leases are looked at; one may end 100 ms late.
-const LEASES_EVERY: Duration = Duration::from_millis(50);
+const LEASE_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 /// Largest page of a list.
 const PAGE_BYTES: usize = 512 * 1024;
 const PAGE_ITEMS: u32 = 1_000;
 /// Largest transaction.
 const TXN_BYTES: usize = 64 * 1024;
 /// Longest watch.
-const LONGEST_WATCH_MS: u64 = 60_000;
+const MAX_WATCH_MS: u64 = 60_000;
 
 /// Runs the state service until it is told to stop.
 pub async fn run(context: Context) -> std::io::Result<RoleReport> {
@@ -50,7 +50,7 @@
     }
     tokio::task::spawn_local(watch_leases(service.clone()));
     tokio::task::spawn_local(crate::http::clear_at(clock, warmup, tally.clone()));
-    say(&RoleMessage::Ready);
+    send_message(&RoleMessage::Ready);
     let mut before = service.figures();
     tokio::select! {
         () = clock.sleep_until_ms(warmup) => {
@@ -75,7 +75,7 @@
 async fn watch_leases(service: Rc<Service>) {
     let mut was_out = false;
     loop {
-        tokio::time::sleep(LEASES_EVERY).await;
+        tokio::time::sleep(LEASE_CHECK_INTERVAL).await;
         let now = service.clock.now_ms();
         let out = service.outage();
         if was_out && !out {
@@ -189,7 +189,7 @@
 
     /// Waits for a change; during an outage nothing is told.
     async fn watch(&self, prefix: &str, after: u64, wait_ms: u64) -> StateReply {
-        let until = self.clock.now_ms() + wait_ms.min(LONGEST_WATCH_MS);
+        let until = self.clock.now_ms() + wait_ms.min(MAX_WATCH_MS);
         let mut changes = self.changes.subscribe();
         loop {
             if !self.outage() {
--- a/crates/loadtest/src/users.rs
+++ b/crates/loadtest/src/users.rs
@@ -4,7 +4,7 @@
 use crate::config::Experiment;
 use crate::http::{Client, SharedTally};
 use crate::observations::{UserAnswer, UserEvent};
-use crate::role::{say, Context, RoleMessage, RoleReport};
+use crate::role::{send_message, Context, RoleMessage, RoleReport};
 use crate::site::{class_job, job_id, service_job, Clock, Net};
 use bytes::Bytes;
 use hyper::Method;
@@ -21,17 +21,17 @@
 const POLL_TIMEOUT: Duration = Duration::from_secs(2);
 /// Pause between two tries, the longest, and for how long a submission is tried.
 const RETRY_S: u64 = 1;
-const LONGEST_RETRY_S: u64 = 30;
-const GIVE_UP_MS: u64 = 60_000;
+const MAX_RETRY_S: u64 = 30;
+const REQUEST_DEADLINE_MS: u64 = 60_000;
 /// Pause between two polls.
 const POLL_MS: u64 = 5_000;
 /// Health checks: how often, their timeout, and failures in a row that count.
-const PROBE_EVERY: Duration = Duration::from_secs(1);
+const PROBE_INTERVAL: Duration = Duration::from_secs(1);
 const PROBE_TIMEOUT: Duration = Duration::from_secs(1);
 const PROBE_FAILURES: u32 = 2;
 /// Questions at once, and tries of each, when every accepted job is asked about at the end.
-const LAST_QUESTIONS: usize = 50;
-const LAST_TRIES: u32 = 4;
+const CONCURRENT_FINAL_POLLS: usize = 50;
+const MAX_FINAL_POLL_ATTEMPTS: u32 = 4;
 
 /// Runs the users to the end of the experiment, or until they are told to stop.
 pub async fn run(context: Context) -> std::io::Result<RoleReport> {
@@ -44,7 +44,7 @@
     let end_ms = (experiment.duration_s * 1_000.0) as u64;
     let warmup = (experiment.warmup_s * 1_000.0) as u64;
     let users = Rc::new(Users::new(experiment, net, clock));
-    say(&RoleMessage::Ready);
+    send_message(&RoleMessage::Ready);
     for controller in 0..users.experiment.controllers.count {
         tokio::task::spawn_local(users.clone().probe(controller));
     }
@@ -60,7 +60,7 @@
     users.ending.set(true);
     let traffic = users.tally.borrow().clone();
     let unanswered = if whole {
-        users.clone().ask_about_all().await
+        users.clone().poll_all_jobs().await
     } else {
         0
     };
@@ -136,7 +136,7 @@
                 let healthy = &mut self.healthy.borrow_mut()[controller as usize];
                 *healthy = failures == 0 || (*healthy && failures < PROBE_FAILURES);
             }
-            tokio::time::sleep(PROBE_EVERY).await;
+            tokio::time::sleep(PROBE_INTERVAL).await;
         }
     }
 
@@ -173,7 +173,7 @@
     }
 
     /// One request through a healthy controller.
-    async fn ask(
+    async fn request(
         &self,
         method: Method,
         path: &str,
@@ -281,7 +281,7 @@
         loop {
             let asked = self.clock.now_us();
             let answer = self
-                .ask(
+                .request(
                     Method::POST,
                     "/v1/jobs",
                     body.clone(),
@@ -301,7 +301,7 @@
                     return false;
                 }
                 answer => {
-                    if self.clock.now_ms() > begun + GIVE_UP_MS || self.ending.get() {
+                    if self.clock.now_ms() > begun + REQUEST_DEADLINE_MS || self.ending.get() {
                         self.given_up.set(self.given_up.get() + 1);
                         return false;
                     }
@@ -316,7 +316,7 @@
         let path = format!("/v1/jobs/{}", job_id(number));
         let asked = self.clock.now_us();
         match self
-            .ask(Method::GET, &path, Vec::new(), "poll", POLL_TIMEOUT)
+            .request(Method::GET, &path, Vec::new(), "poll", POLL_TIMEOUT)
             .await?
         {
             (200, _, body) => self.note_state(number, asked, &body),
@@ -335,7 +335,7 @@
         while !self.ending.get() {
             let asked = self.clock.now_us();
             let answer = self
-                .ask(Method::POST, &path, Vec::new(), "cancel", SUBMIT_TIMEOUT)
+                .request(Method::POST, &path, Vec::new(), "cancel", SUBMIT_TIMEOUT)
                 .await;
             match answer {
                 Some((200, _, body)) => {
@@ -356,26 +356,26 @@
     }
 
     /// Asks once more about every accepted job; returns how many had no answer.
-    async fn ask_about_all(self: Rc<Self>) -> u64 {
-        let places = Rc::new(Semaphore::new(LAST_QUESTIONS));
+    async fn poll_all_jobs(self: Rc<Self>) -> u64 {
+        let places = Rc::new(Semaphore::new(CONCURRENT_FINAL_POLLS));
         let numbers = self.accepted.borrow().clone();
-        let mut questions = Vec::new();
+        let mut polls = Vec::new();
         for number in numbers {
             let (users, places) = (self.clone(), places.clone());
-            questions.push(tokio::task::spawn_local(async move {
+            polls.push(tokio::task::spawn_local(async move {
                 let _place = places.acquire().await;
-                users.ask_until_answered(number).await
+                users.poll_until_answered(number).await
             }));
         }
         let mut unanswered = 0;
-        for question in questions {
-            unanswered += u64::from(!question.await.unwrap_or(false));
+        for poll in polls {
+            unanswered += u64::from(!poll.await.unwrap_or(false));
         }
         unanswered
     }
 
-    async fn ask_until_answered(&self, number: u64) -> bool {
-        for _ in 0..LAST_TRIES {
+    async fn poll_until_answered(&self, number: u64) -> bool {
+        for _ in 0..MAX_FINAL_POLL_ATTEMPTS {
             if self.poll(number).await.is_some() {
                 return true;
             }
@@ -390,8 +390,6 @@
 }
 
 async fn pause(retry_after_s: Option<u64>) {
-    let wait = retry_after_s
-        .unwrap_or(RETRY_S)
-        .clamp(RETRY_S, LONGEST_RETRY_S);
+    let wait = retry_after_s.unwrap_or(RETRY_S).clamp(RETRY_S, MAX_RETRY_S);
     tokio::time::sleep(Duration::from_secs(wait)).await;
 }
--- a/crates/loadtest/src/workers.rs
+++ b/crates/loadtest/src/workers.rs
@@ -5,7 +5,7 @@
 use crate::config::{Experiment, Fault};
 use crate::http::{serve, Answer, Call, Client, SharedTally};
 use crate::observations::{TaskChange, TaskEvent};
-use crate::role::{say, Context, RoleMessage, RoleReport};
+use crate::role::{send_message, Context, RoleMessage, RoleReport};
 use crate::site::{controller_number, job_number, machine_number, Clock, Net};
 use hyper::Method;
 use rand::Rng;
@@ -23,13 +23,13 @@
 /// How long a report waits for its answer.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(4_000);
 /// Pause before the next controller is tried.
-const NEXT_NODE_MS: u64 = 1_000;
+const NEXT_CONTROLLER_PAUSE_MS: u64 = 1_000;
 /// Longest pause after a redirection.
 const REDIRECT_MS: u64 = 500;
 /// Shortest time between two reports.
-const BETWEEN_REPORTS_MS: u64 = 500;
+const MIN_HEARTBEAT_INTERVAL_MS: u64 = 500;
 /// Longest sleep of a worker, so that faults are noticed.
-const LONGEST_SLEEP_MS: u64 = 1_000;
+const MAX_SLEEP_MS: u64 = 1_000;
 /// Who sends direct commands is not known: they are counted under this number.
 pub const ANY_CONTROLLER: u32 = u32::MAX;
 
@@ -53,8 +53,8 @@
     };
     tokio::task::spawn_local(serve(listener, 0, SharedTally::default(), handler));
     tokio::task::spawn_local(crate::http::clear_at(clock, warmup, site.tally.clone()));
-    tokio::task::spawn_local(tell_progress(site.clone()));
-    say(&RoleMessage::Ready);
+    tokio::task::spawn_local(report_progress(site.clone()));
+    send_message(&RoleMessage::Ready);
     let _ = stop.await;
     let traffic = site.tally.borrow().clone();
     let tasks = std::mem::take(&mut *site.events.borrow_mut());
@@ -68,7 +68,7 @@
     })
 }
 
-async fn tell_progress(site: Rc<Site>) {
+async fn report_progress(site: Rc<Site>) {
     loop {
         tokio::time::sleep(Duration::from_secs(1)).await;
         let workers = site.workers.borrow();
@@ -84,7 +84,7 @@
             ("tasks", tasks),
         ];
         let figures = figures.map(|(name, value)| (name.to_owned(), value as f64));
-        say(&RoleMessage::Progress(figures.into()));
+        send_message(&RoleMessage::Progress(figures.into()));
     }
 }
 
@@ -304,12 +304,12 @@
         let worker = &state.worker;
         let mut due = vec![
             state.lease_from + self.site.lease_ms + 1,
-            now + LONGEST_SLEEP_MS,
+            now + MAX_SLEEP_MS,
         ];
         if worker.in_flight.is_none() && !silent {
             due.push(worker.next_report.max(state.not_before));
             if worker.changed {
-                due.push((worker.last_report + BETWEEN_REPORTS_MS).max(state.not_before));
+                due.push((worker.last_report + MIN_HEARTBEAT_INTERVAL_MS).max(state.not_before));
             }
         }
         for held in worker.tasks.values() {
@@ -448,7 +448,7 @@
                 self.state.borrow_mut().connection = Some(client);
                 match serde_json::from_slice::<HeartbeatResponse>(&body) {
                     Ok(answer) => self.obey(number, sent, &answer),
-                    Err(_) => self.try_node(node + 1, NEXT_NODE_MS),
+                    Err(_) => self.try_node(node + 1, NEXT_CONTROLLER_PAUSE_MS),
                 }
             }
             Some((421, body, _)) => {
@@ -457,10 +457,10 @@
                 let known = |to: &u32| *to != node && *to < self.site.experiment.controllers.count;
                 match to.filter(known) {
                     Some(to) => self.try_node(to, rand::rng().random_range(0..REDIRECT_MS)),
-                    None => self.try_node(node + 1, NEXT_NODE_MS),
+                    None => self.try_node(node + 1, NEXT_CONTROLLER_PAUSE_MS),
                 }
             }
-            _ => self.try_node(node + 1, NEXT_NODE_MS),
+            _ => self.try_node(node + 1, NEXT_CONTROLLER_PAUSE_MS),
         }
     }
 
--- a/crates/loadtest/tests/config.rs
+++ b/crates/loadtest/tests/config.rs
@@ -1,7 +1,7 @@
 //! Experiment files: what is wrong is named by its field, before anything is started.
 
 use loadtest::config::Experiment;
-use loadtest::limits::{check_processes, Machine, MOST_PROCESSES};
+use loadtest::limits::{check_processes, Machine, MAX_PROCESSES};
 
 const SMALL: &str = include_str!("../experiments/small.toml");
 
@@ -86,5 +86,5 @@
     let memory = checked(&["workers.count=5000"], small).expect_err("too little memory");
     assert!(memory.contains("MiB"), "{memory}");
     assert!(small.check_memory((1 << 28) + (1 << 20)).is_err());
-    assert!(check_processes(MOST_PROCESSES).is_err());
+    assert!(check_processes(MAX_PROCESSES).is_err());
 }
--- a/crates/simulator/benches/scale.rs
+++ b/crates/simulator/benches/scale.rs
@@ -281,7 +281,7 @@
         let needs: Vec<PartitionNeed> = (0..3)
             .map(|partition| PartitionNeed {
                 partition: PartitionId(partition),
-                home_zone: ZoneName::from("a"),
+                preferred_zone: ZoneName::from("a"),
                 demand: (0..3).map(shape).collect(),
             })
             .collect();
