--- a/crates/controller/src/controller/admin.rs
+++ b/crates/controller/src/controller/admin.rs
@@ -1,7 +1,7 @@
 //! Operators' requests: settings and views.
 
 use super::{CallKind, Controller, Ticket, Tuning};
-use crate::records::TUNING;
+use crate::records::SETTINGS_KEY;
 use crate::request_budget::CallPriority;
 use autoscaler::FleetPolicy;
 use model::duration_from_secs;
@@ -211,8 +211,8 @@
         let value =
             serde_json::to_value(record).map_err(|e| AdminReply::error(400, e.to_string()))?;
         let txn = Transaction::default()
-            .when(TUNING, version)
-            .write(Write::put(TUNING, value));
+            .when(SETTINGS_KEY, version)
+            .write(Write::put(SETTINGS_KEY, value));
         let purpose = CallKind::TuningWrite { ticket };
         self.state(CallPriority::Rest, StateRequest::Transaction(txn), purpose);
         Ok(())
--- a/crates/controller/src/controller/admission.rs
+++ b/crates/controller/src/controller/admission.rs
@@ -2,7 +2,7 @@
 
 use super::{CallKind, Controller, PendingRequest, RequestKind, Ticket, UserReply};
 use crate::records::{
-    accepted_jobs_key, final_key, packed_size, page_capacity, AcceptedJobsPage, PackedJob,
+    accepted_jobs_key, final_state_key, packed_size, page_capacity, AcceptedJobsPage, PackedJob,
 };
 use crate::request_budget::CallPriority;
 use crate::serial_writer::{Outcome, SerialWriter};
@@ -252,7 +252,7 @@
             free_bytes -= size;
             jobs.push(serde_json::to_value(&packed).unwrap_or_default());
             batch.ids.insert(next.id);
-            batch.txn = std::mem::take(&mut batch.txn).when(final_key(next.id), 0);
+            batch.txn = std::mem::take(&mut batch.txn).when(final_state_key(next.id), 0);
             batch.submissions.push(next);
         }
         if batch.submissions.len() == before {
@@ -278,7 +278,7 @@
             }
             Outcome::Conflict(batch, failed) => {
                 for submission in batch.into_iter().rev() {
-                    if failed.contains(&final_key(submission.id)) {
+                    if failed.contains(&final_state_key(submission.id)) {
                         // It is finished already: this is a late retry.
                         let since = submission.since;
                         let kind = RequestKind::Resubmit { reject: None };
--- a/crates/controller/src/controller/crash_loop.rs
+++ b/crates/controller/src/controller/crash_loop.rs
@@ -30,17 +30,17 @@
             .as_ref()
             .is_some_and(|record| record.incarnation == self.incarnation);
         if !known {
-            let before = before.map_or(0, |record| record.short_lives);
+            let before = before.map_or(0, |record| record.short_runs);
             self.write_boot(before.saturating_add(1));
         } else if self.now >= Timestamp::default() + STABLE_AFTER
-            && before.is_some_and(|b| b.short_lives > 0)
+            && before.is_some_and(|b| b.short_runs > 0)
         {
             self.write_boot(0);
         }
         known
     }
 
-    fn write_boot(&mut self, short_lives: u32) {
+    fn write_boot(&mut self, short_runs: u32) {
         if self.calls.values().any(|p| matches!(p, CallKind::Boot)) {
             return;
         }
@@ -52,7 +52,7 @@
             .map_or(0, |b| b.version.0);
         let record = IncarnationRecord {
             incarnation: self.incarnation,
-            short_lives,
+            short_runs,
         };
         let value = serde_json::to_value(record).unwrap_or_default();
         let txn = Transaction::default()
@@ -70,7 +70,7 @@
         self.cache
             .incarnations
             .get(node)
-            .is_some_and(|b| b.record.short_lives >= CRASH_LOOP_THRESHOLD)
+            .is_some_and(|b| b.record.short_runs >= CRASH_LOOP_THRESHOLD)
     }
 
     /// Whether we leave even our home to others for now. Where all are restless everybody takes what is
--- a/crates/controller/src/controller/fleet_planner.rs
+++ b/crates/controller/src/controller/fleet_planner.rs
@@ -2,7 +2,7 @@
 
 use super::machine_records::MachineChange;
 use super::{CallKind, Controller, FLEET_PLANNER_PARTITION};
-use crate::records::{DemandRecord, MachineRecord, TYPES};
+use crate::records::{DemandRecord, MachineRecord, MACHINE_TYPES_KEY};
 use crate::rejections::{MessageFault, MessageSource};
 use crate::request_budget::{CallPriority, TokenBucket};
 use autoscaler::{FleetAction, FleetMachine, Offer, PartitionNeed};
@@ -368,8 +368,8 @@
             let version = self.cache.types.as_ref().map_or(0, |t| t.version.0);
             let value = serde_json::to_value(types).unwrap_or_default();
             let txn = Transaction::default()
-                .when(TYPES, version)
-                .write(Write::put(TYPES, value));
+                .when(MACHINE_TYPES_KEY, version)
+                .write(Write::put(MACHINE_TYPES_KEY, value));
             self.state(
                 CallPriority::Lease,
                 StateRequest::Transaction(txn),
--- a/crates/controller/src/controller/job_archiver.rs
+++ b/crates/controller/src/controller/job_archiver.rs
@@ -8,8 +8,8 @@
 
 use super::{CallKind, Controller};
 use crate::records::{
-    cancellations_key, final_key, page_capacity, partition_key, terminal_jobs_key, FinalRecord,
-    TerminalJobsPage,
+    cancellations_key, final_state_key, page_capacity, partition_key, terminal_jobs_key,
+    FinalStateRecord, TerminalJobsPage,
 };
 use crate::request_budget::CallPriority;
 use crate::serial_writer::{Outcome, SerialWriter};
@@ -176,7 +176,7 @@
         pages.max_by_key(|(_, page)| page.record.done.len() + page.record.cancelled.len())?;
     let mut page = old.record.clone();
     page.drop_unregistered(|id| cache.is_registered(id));
-    let filed = page.file(most);
+    let filed = page.archive(most);
     // A few are not worth a put of the page.
     if filed.len() < most {
         return None;
@@ -184,8 +184,8 @@
     let key = terminal_jobs_key(partition, *number);
     let mut txn = Transaction::default().when(&key, old.version.0);
     for (id, state) in filed {
-        let value = serde_json::to_value(FinalRecord { state }).unwrap_or_default();
-        txn = txn.write(Write::put(final_key(id), value));
+        let value = serde_json::to_value(FinalStateRecord { state }).unwrap_or_default();
+        txn = txn.write(Write::put(final_state_key(id), value));
     }
     Some(txn.write(Write::put(
         &key,
--- a/crates/controller/src/controller/leadership.rs
+++ b/crates/controller/src/controller/leadership.rs
@@ -4,7 +4,7 @@
 use super::machine_records::MachineChange;
 use super::{CallKind, Controller};
 use crate::placement_log::{CommitId, LogCommit, PlacementLog};
-use crate::records::{demand_key, partition_key, DemandRecord, COUNTER};
+use crate::records::{demand_key, partition_key, DemandRecord, TOKEN_COUNTER_KEY};
 use crate::rejections::{MessageFault, MessageSource};
 use crate::request_budget::CallPriority;
 use failover::readiness::ReadinessCheck;
@@ -774,8 +774,8 @@
         let value = serde_json::to_value(counter).unwrap_or_default();
         let txn = Transaction::default()
             .when(partition_key(partition), version)
-            .when(COUNTER, self.cache.counter_version())
-            .write(Write::put(COUNTER, value));
+            .when(TOKEN_COUNTER_KEY, self.cache.counter_version())
+            .write(Write::put(TOKEN_COUNTER_KEY, value));
         let purpose = CallKind::RaiseAll {
             partition,
             term,
--- a/crates/controller/src/controller/linearizable_reads.rs
+++ b/crates/controller/src/controller/linearizable_reads.rs
@@ -6,7 +6,7 @@
 
 use super::user_requests::status;
 use super::{CallKind, Controller, PendingRequest, RequestKind, UserReply};
-use crate::records::{final_key, FinalRecord};
+use crate::records::{final_state_key, FinalStateRecord};
 use crate::request_budget::CallPriority;
 use model::{JobId, JobState, Timestamp};
 use serde::Deserialize;
@@ -82,7 +82,7 @@
                 .extract_if(.., |request| ids.contains(&request.id))
                 .collect();
             let txn = ids.iter().fold(Transaction::default(), |txn, id| {
-                txn.when(final_key(*id), 0)
+                txn.when(final_state_key(*id), 0)
             });
             self.state(
                 CallPriority::Accept,
@@ -158,7 +158,7 @@
             }
             StateReply::Conflict { failed, .. } => {
                 for request in requests {
-                    let key = final_key(request.id);
+                    let key = final_state_key(request.id);
                     if failed.contains(&key) {
                         let read = StateRequest::Get { key };
                         self.state(CallPriority::Accept, read, CallKind::FinalRead { request });
@@ -213,7 +213,7 @@
             return;
         }
         match reply {
-            StateReply::Item(item) => match FinalRecord::deserialize(&item.value) {
+            StateReply::Item(item) => match FinalStateRecord::deserialize(&item.value) {
                 Ok(record) => {
                     self.cache_final_state(request.id, record.state);
                     let answer = status(request.id, record.state);
--- a/crates/controller/src/controller/machine_records.rs
+++ b/crates/controller/src/controller/machine_records.rs
@@ -3,7 +3,8 @@
 
 use super::{CallKind, Controller, FLEET_PLANNER_PARTITION};
 use crate::records::{
-    machines_key, page_capacity, partition_key, MachineRecord, MachinesPage, PackedMachine, COUNTER,
+    machines_key, page_capacity, partition_key, MachineRecord, MachinesPage, PackedMachine,
+    TOKEN_COUNTER_KEY,
 };
 use crate::request_budget::CallPriority;
 use crate::serial_writer::{Outcome, SerialWriter};
@@ -231,8 +232,8 @@
             counter.next = token + 1;
             let value = serde_json::to_value(counter).unwrap_or_default();
             txn = txn
-                .when(COUNTER, self.cache.counter_version())
-                .write(Write::put(COUNTER, value));
+                .when(TOKEN_COUNTER_KEY, self.cache.counter_version())
+                .write(Write::put(TOKEN_COUNTER_KEY, value));
         }
         txn
     }
--- a/crates/controller/src/controller/membership.rs
+++ b/crates/controller/src/controller/membership.rs
@@ -4,7 +4,9 @@
 use super::leadership::PartitionLeadership;
 use super::standby::REPLICA_CATCH_UP_LIMIT;
 use super::{CallKind, Controller, PeerStatus};
-use crate::records::{partition_key, reclaim_key, PartitionRecord, ReclaimRecord, COUNTER};
+use crate::records::{
+    partition_key, reclaim_key, PartitionRecord, ReclaimRecord, TOKEN_COUNTER_KEY,
+};
 use crate::rejections::{MessageFault, MessageSource};
 use crate::request_budget::CallPriority;
 use failover::failure_detector::HEARTBEAT_TIMEOUT;
@@ -223,13 +225,13 @@
             .reclaim_requests
             .iter()
             .filter(|(partition, _)| self.leaderships.contains_key(partition))
-            .filter(|(_, reclaim_request)| reclaim_request.record.node != *self.own_name())
+            .filter(|(_, reclaim_request)| reclaim_request.record.controller != *self.own_name())
             .map(|(partition, reclaim_request)| (*partition, reclaim_request.record.clone()))
             .collect();
         for (partition, reclaim_request) in reclaim_requests {
             self.transfer_leadership(
                 partition,
-                &reclaim_request.node,
+                &reclaim_request.controller,
                 reclaim_request.lease,
                 reclaim_request.incarnation,
             );
@@ -377,7 +379,7 @@
             .unwrap_or_default();
         counter.next = record.term + 1;
         counter
-            .takers
+            .last_leaders
             .insert(partition.0, (record.leader.clone(), record.incarnation));
         counter
             .unconfirmed_predecessors
@@ -387,9 +389,9 @@
         let count = serde_json::to_value(counter).unwrap_or_default();
         Transaction::default()
             .when(&key, version)
-            .when(COUNTER, self.cache.counter_version())
+            .when(TOKEN_COUNTER_KEY, self.cache.counter_version())
             .write(Write::put_leased(&key, value, lease))
-            .write(Write::put(COUNTER, count))
+            .write(Write::put(TOKEN_COUNTER_KEY, count))
     }
 
     /// Writes our name into a partition's record, which must still have this version (0: none).
@@ -422,7 +424,7 @@
             .get(&partition.0)
             .cloned()
             .unwrap_or_default();
-        unconfirmed_predecessors.extend(counter.record.takers.get(&partition.0).cloned());
+        unconfirmed_predecessors.extend(counter.record.last_leaders.get(&partition.0).cloned());
         // What we answered ourselves ended when we lost it.
         unconfirmed_predecessors.retain(|predecessor| {
             !self.incarnation_is_over(predecessor) && predecessor.0 != *self.own_name()
@@ -550,7 +552,7 @@
         if displaced_for >= RECLAIM_AFTER && unheard && !known && !self.reclaim_pending {
             self.reclaim_pending = true;
             let reclaim_request = ReclaimRecord {
-                node: self.own_name().clone(),
+                controller: self.own_name().clone(),
                 incarnation: self.incarnation,
                 lease: lease.0,
             };
--- a/crates/controller/src/controller/state_sync.rs
+++ b/crates/controller/src/controller/state_sync.rs
@@ -1,7 +1,7 @@
 //! Keeping the mirror: full read, watch, lease, and where answers of the state service go.
 
 use super::{CallKind, Controller, LEASE_DURATION, LEASE_RENEWAL_INTERVAL, MAX_WATCH_WAIT};
-use crate::records::WATCHED;
+use crate::records::WATCHED_PREFIX;
 use crate::rejections::{MessageFault, MessageSource};
 use crate::request_budget::CallPriority;
 use crate::state_cache::CacheEvent;
@@ -20,7 +20,7 @@
 /// One page of the full read.
 fn list_request(after: String) -> StateRequest {
     StateRequest::List {
-        prefix: WATCHED.into(),
+        prefix: WATCHED_PREFIX.into(),
         after,
         limit: 500,
     }
@@ -47,7 +47,7 @@
     /// A read of what has changed since the mirror's revision.
     pub(super) fn watch_request(&self, wait: Duration) -> StateRequest {
         StateRequest::Watch {
-            prefix: WATCHED.into(),
+            prefix: WATCHED_PREFIX.into(),
             after: self.cache.revision.0,
             wait_ms: wait.whole_millis(),
         }
@@ -179,7 +179,7 @@
                     return;
                 };
                 let last = listing.items.last().map_or("", |item| item.key.as_str());
-                if !page.follows(WATCHED, last) {
+                if !page.follows(WATCHED_PREFIX, last) {
                     tracing::error!(
                         last,
                         "a page of the full read does not follow the one before"
--- /dev/null
+++ b/crates/controller/src/records/packed_job.rs
@@ -0,0 +1,136 @@
+//! The stored form of an accepted job.
+
+use serde::{Deserialize, Serialize};
+use wire::users::{JobKind, JobRequest, Priority};
+
+/// An accepted job on its page, stored as an array without field names since many jobs share a
+/// value.
+#[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
+#[serde(from = "PackedJobFields", into = "PackedJobFields")]
+pub struct PackedJob {
+    /// When the job was submitted, in ms on the controllers' common clock
+    /// (`Controller::logical_time`). Jobs are queued and counted against quotas in this order,
+    /// whichever controller leads their partition.
+    pub submitted_at_ms: u64,
+    /// The submission as the user sent it.
+    pub request: JobRequest,
+}
+
+impl PackedJob {
+    /// Packs a submission.
+    pub fn new(submitted_at_ms: u64, request: JobRequest) -> Self {
+        PackedJob {
+            submitted_at_ms,
+            request,
+        }
+    }
+
+    /// The job's id as the user wrote it.
+    pub fn id(&self) -> &str {
+        &self.request.id
+    }
+}
+
+/// The array as it is stored. The order of the elements is the stored form.
+#[derive(Serialize, Deserialize)]
+struct PackedJobFields(
+    /// `submitted_at_ms`
+    u64,
+    /// `id`
+    String,
+    /// `class`
+    String,
+    /// `team`
+    String,
+    JobKind,
+    Priority,
+    /// `tasks`
+    u64,
+    /// `cpus`, `gpus`, `memory_gb`
+    [f64; 3],
+    /// `image`
+    String,
+    /// `image_gb`
+    f64,
+    /// `one_zone`, `spread`, `spot`
+    [bool; 3],
+    /// `estimate_s`, `checkpoint_s`, `save_s`
+    [f64; 3],
+    /// `deadline_s`
+    Option<f64>,
+    /// `zone`
+    Option<String>,
+    /// `types`
+    Option<Vec<String>>,
+);
+
+impl From<PackedJob> for PackedJobFields {
+    fn from(packed: PackedJob) -> Self {
+        let job = packed.request;
+        PackedJobFields(
+            packed.submitted_at_ms,
+            job.id,
+            job.class,
+            job.team,
+            job.kind,
+            job.priority,
+            job.tasks,
+            [job.cpus, job.gpus, job.memory_gb],
+            job.image,
+            job.image_gb,
+            [job.one_zone, job.spread, job.spot],
+            [job.estimate_s, job.checkpoint_s, job.save_s],
+            job.deadline_s,
+            job.zone,
+            job.types,
+        )
+    }
+}
+
+impl From<PackedJobFields> for PackedJob {
+    fn from(fields: PackedJobFields) -> Self {
+        let PackedJobFields(
+            submitted_at_ms,
+            id,
+            class,
+            team,
+            kind,
+            priority,
+            tasks,
+            [cpus, gpus, memory_gb],
+            image,
+            image_gb,
+            [one_zone, spread, spot],
+            [estimate_s, checkpoint_s, save_s],
+            deadline_s,
+            zone,
+            types,
+        ) = fields;
+        let request = JobRequest {
+            id,
+            class,
+            team,
+            kind,
+            priority,
+            tasks,
+            cpus,
+            gpus,
+            memory_gb,
+            image,
+            image_gb,
+            types,
+            zone,
+            one_zone,
+            spread,
+            spot,
+            estimate_s,
+            checkpoint_s,
+            save_s,
+            deadline_s,
+        };
+        PackedJob {
+            submitted_at_ms,
+            request,
+        }
+    }
+}
--- /dev/null
+++ b/crates/controller/src/records/packed_machine.rs
@@ -0,0 +1,97 @@
+//! The stored form of a machine's record.
+
+use super::packed_size;
+use model::{MachineName, PartitionId};
+use serde::{Deserialize, Serialize};
+
+/// A rented machine and the partition that it belongs to.
+#[derive(Debug, Clone, PartialEq, Eq)]
+pub struct MachineRecord {
+    pub machine_type: String,
+    pub zone: String,
+    pub spot: bool,
+    pub partition: PartitionId,
+    /// The fencing token for commands to the machine.
+    pub token: u64,
+    /// Given up by its partition leader: the fleet planner is to release it.
+    pub leaving: bool,
+}
+
+/// A machine on its page, stored as an array without field names since many machines share a value.
+#[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
+#[serde(from = "PackedMachineFields", into = "PackedMachineFields")]
+pub struct PackedMachine {
+    /// The machine's name as stored; an empty one is invalid.
+    pub name: String,
+    pub record: MachineRecord,
+}
+
+impl PackedMachine {
+    /// Packs a record.
+    pub fn new(name: &MachineName, record: &MachineRecord) -> Self {
+        PackedMachine {
+            name: name.to_string(),
+            record: record.clone(),
+        }
+    }
+
+    /// Most bytes that the machine can take on its page. Its token and its partition change while
+    /// it stays there, and a page that outgrows the limit could not be written any more.
+    pub fn max_packed_size(name: &MachineName, record: &MachineRecord) -> usize {
+        let widest = MachineRecord {
+            partition: PartitionId(u32::MAX),
+            token: u64::MAX,
+            leaving: false,
+            ..record.clone()
+        };
+        packed_size(&PackedMachine::new(name, &widest))
+    }
+}
+
+/// The array as it is stored. The order of the elements is the stored form.
+#[derive(Serialize, Deserialize)]
+struct PackedMachineFields(
+    /// `name`
+    String,
+    /// `machine_type`
+    String,
+    /// `zone`
+    String,
+    /// `spot`
+    bool,
+    PartitionId,
+    /// `token`
+    u64,
+    /// `leaving`
+    bool,
+);
+
+impl From<PackedMachine> for PackedMachineFields {
+    fn from(packed: PackedMachine) -> Self {
+        let record = packed.record;
+        PackedMachineFields(
+            packed.name,
+            record.machine_type,
+            record.zone,
+            record.spot,
+            record.partition,
+            record.token,
+            record.leaving,
+        )
+    }
+}
+
+impl From<PackedMachineFields> for PackedMachine {
+    fn from(fields: PackedMachineFields) -> Self {
+        let PackedMachineFields(name, machine_type, zone, spot, partition, token, leaving) = fields;
+        let record = MachineRecord {
+            machine_type,
+            zone,
+            spot,
+            partition,
+            token,
+            leaving,
+        };
+        PackedMachine { name, record }
+    }
+}
--- /dev/null
+++ b/crates/controller/src/records/tests.rs
@@ -0,0 +1,59 @@
+//! Packing of jobs and machines into pages.
+
+use super::*;
+use model::{MachineName, PartitionId};
+use wire::users::{JobKind, JobRequest, Priority};
+
+/// Tokens and partitions of machines grow in place: a page filled with machines under token 0 must
+/// stay writable under the widest token.
+#[test]
+fn full_machines_page_stays_within_capacity_under_widest_token() {
+    let capacity = page_capacity(4096);
+    let record = |token, partition| MachineRecord {
+        machine_type: "m4".into(),
+        zone: "north".into(),
+        spot: true,
+        partition: PartitionId(partition),
+        token,
+        leaving: token > 0,
+    };
+    let name = |number: usize| MachineName::from(format!("host-{number:06}").as_str());
+    let machine_size = PackedMachine::max_packed_size(&name(1), &record(0, 0));
+    let page = |token, partition| MachinesPage {
+        machines: (0..capacity / machine_size)
+            .map(|number| PackedMachine::new(&name(number), &record(token, partition)))
+            .collect(),
+    };
+    assert!(page(0, 0).machines.len() > 40);
+    assert!(packed_size(&page(u64::MAX, u32::MAX)) <= 4096);
+}
+
+#[test]
+fn packed_job_round_trips() {
+    let job = JobRequest {
+        id: "j-000412".into(),
+        class: "train".into(),
+        team: "vision".into(),
+        kind: JobKind::Gang,
+        priority: Priority::High,
+        tasks: 16,
+        cpus: 8.0,
+        gpus: 1.0,
+        memory_gb: 64.0,
+        image: "img-07".into(),
+        image_gb: 6.2,
+        types: Some(vec!["g8".into()]),
+        zone: Some("a".into()),
+        one_zone: true,
+        spread: false,
+        spot: true,
+        estimate_s: 240.0,
+        checkpoint_s: 30.0,
+        save_s: 4.0,
+        deadline_s: Some(900.0),
+    };
+    let packed = PackedJob::new(7, job.clone());
+    let value = serde_json::to_value(&packed).expect("it can be packed");
+    let read: PackedJob = serde_json::from_value(value).expect("it can be read");
+    assert_eq!(read.request, job);
+}
--- a/crates/controller/src/state_cache.rs
+++ b/crates/controller/src/state_cache.rs
@@ -23,7 +23,7 @@
 impl OpenJob {
     /// When it was submitted, on the nodes' common clock.
     pub fn order(&self) -> u64 {
-        self.packed.0
+        self.packed.submitted_at_ms
     }
 }
 
@@ -150,7 +150,7 @@
 
 /// `s/KIND/NAME` as its two parts.
 fn parts(key: &str) -> Option<(&str, &str)> {
-    let rest = key.strip_prefix(WATCHED)?;
+    let rest = key.strip_prefix(WATCHED_PREFIX)?;
     Some(rest.split_once('/').unwrap_or((rest, "")))
 }
 
@@ -330,7 +330,7 @@
             let Some(packed) = self.decode::<PackedJob>(key, entry) else {
                 continue;
             };
-            let spec = match JobSpec::try_from(&packed.request()) {
+            let spec = match JobSpec::try_from(&packed.request) {
                 Ok(spec) => spec,
                 Err(error) => {
                     self.reject(key, &error);
@@ -396,12 +396,12 @@
     ) {
         let mut new = MachinePage::default();
         for packed in record.machines {
-            if packed.0.is_empty() {
+            if packed.name.is_empty() {
                 self.reject(&machines_key(page), &"a machine has no name");
                 continue;
             }
-            let name = MachineName::from(packed.0.as_str());
-            let record = packed.record();
+            let name = MachineName::from(packed.name.as_str());
+            let record = packed.record;
             let size = match self.machines.get(&name) {
                 Some(known) if known.record == record && known.page == page => known.size,
                 _ => {
--- a/crates/controller/tests/foreign_records.rs
+++ b/crates/controller/tests/foreign_records.rs
@@ -1,5 +1,5 @@
-//! Records of the state service that no node has written: they are counted, what was known stays, and
-//! nothing panics.
+//! Records of the state service that no controller has written: they are counted as rejected, the
+//! cached records stay, and nothing panics.
 
 use controller::placement_log::PlacementLog;
 use controller::records::{MachineRecord, MachinesPage, PackedMachine, TokenCounterRecord};
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn record_that_cannot_be_read_leaves_what_was_known() {
+fn undecodable_record_keeps_cached_record() {
     let mut cache = StateCache::default();
     apply(&mut cache, "s/t", json!({ "next": 41 }));
     apply(&mut cache, "s/k", json!({ "rigs": [] }));
@@ -98,7 +98,7 @@
 }
 
 #[test]
-fn tokens_only_rise_whatever_is_written() {
+fn next_token_never_falls() {
     let mut cache = StateCache::default();
     apply(&mut cache, "s/t", json!({ "next": 41 }));
     apply(&mut cache, "s/t", json!({ "next": 7 }));
@@ -122,7 +122,7 @@
 }
 
 #[test]
-fn machine_on_another_page_meanwhile_is_not_dropped_with_its_old_one() {
+fn machine_moved_to_another_page_survives_rewrite_of_its_old_page() {
     let mut cache = StateCache::default();
     let record = MachineRecord {
         machine_type: "m4".into(),
@@ -154,7 +154,7 @@
         .contains_key(&MachineName::from("host-000001")));
 }
 
-fn ledger_page(key: &str, value: Value) -> Item {
+fn log_page(key: &str, value: Value) -> Item {
     Item {
         key: key.into(),
         value,
@@ -163,9 +163,9 @@
     }
 }
 
-/// What a page says that cannot be taken over is not known: the partition decides nothing on it.
+/// The contents of an invalid page are unknown: the partition decides nothing on it.
 #[test]
-fn ledger_pages_that_are_not_sound_count_as_unreadable() {
+fn invalid_placement_log_pages_are_unreadable() {
     let pages = [
         json!({ "round": 1, "items": [[412, 0, { "d": "xyz" }]] }),
         json!({ "round": 1, "items": [[412, 0, { "p": [[64, 1, "host-000001"]] }]] }),
@@ -178,14 +178,14 @@
         json!([]),
     ];
     for page in pages {
-        let items = [ledger_page("l/0/0002", page.clone())];
-        let ledger = PlacementLog::load(PartitionId(0), &items, 4096, 8);
-        assert_eq!(ledger.unreadable(), ["l/0/0002"], "{page}");
+        let items = [log_page("l/0/0002", page.clone())];
+        let log = PlacementLog::load(PartitionId(0), &items, 4096, 8);
+        assert_eq!(log.unreadable(), ["l/0/0002"], "{page}");
     }
-    let sound = json!({ "round": 1, "items": [[412, 1562, { "d": "ffff", "p": [[63, 1, "h"]] }]] });
-    let ledger = PlacementLog::load(PartitionId(0), &[ledger_page("l/0/0002", sound)], 4096, 8);
-    assert!(ledger.unreadable().is_empty());
-    assert_eq!(ledger.jobs(), [JobId(412)]);
+    let valid = json!({ "round": 1, "items": [[412, 1562, { "d": "ffff", "p": [[63, 1, "h"]] }]] });
+    let log = PlacementLog::load(PartitionId(0), &[log_page("l/0/0002", valid)], 4096, 8);
+    assert!(log.unreadable().is_empty());
+    assert_eq!(log.jobs(), [JobId(412)]);
 }
 
 fn any_json() -> impl Strategy<Value = Value> {
@@ -206,7 +206,12 @@
         prop_oneof![
             vec(inner.clone(), 0..5).prop_map(Value::from),
             vec((field.clone(), inner), 0..5).prop_map(|fields| {
-                Value::Object(fields.into_iter().map(|(k, v)| (k.to_owned(), v)).collect())
+                Value::Object(
+                    fields
+                        .into_iter()
+                        .map(|(name, value)| (name.to_owned(), value))
+                        .collect(),
+                )
             }),
         ]
     })
@@ -221,8 +226,8 @@
     ) {
         let mut cache = StateCache::default();
         let mut items = Vec::new();
-        for (at, (key, value, deleted)) in events.into_iter().enumerate() {
-            let version = at as u64 + 1;
+        for (index, (key, value, deleted)) in events.into_iter().enumerate() {
+            let version = index as u64 + 1;
             let change = if deleted {
                 Change { put: None, delete: Some(key), value: None, version, lease: None }
             } else {
@@ -238,17 +243,17 @@
     }
 
     #[test]
-    fn random_ledger_pages_are_rejected_or_read(
+    fn random_placement_log_pages_are_rejected_or_read(
         pages in vec(("l/0/[0-9]{1,6}", any_json()), 1..6),
     ) {
         let items: Vec<Item> =
-            pages.into_iter().map(|(key, value)| ledger_page(&key, value)).collect();
-        let ledger = PlacementLog::load(PartitionId(0), &items, 4096, 8);
-        for job in ledger.jobs() {
-            ledger.chunks_of(job);
+            pages.into_iter().map(|(key, value)| log_page(&key, value)).collect();
+        let log = PlacementLog::load(PartitionId(0), &items, 4096, 8);
+        for job in log.jobs() {
+            log.chunks_of(job);
         }
-        let (round, _) = ledger.prepare(Version(3), Vec::new());
-        let mut after = ledger;
-        after.commit(&round, 9);
+        let (commit, _) = log.prepare(Version(3), Vec::new());
+        let mut after = log;
+        after.commit(&commit, 9);
     }
 }
--- a/crates/controller/tests/golden_records.rs
+++ b/crates/controller/tests/golden_records.rs
@@ -1,4 +1,4 @@
-//! Records and keys of the state service as bytes: nodes of two builds share them.
+//! Records and keys of the state service as bytes: controllers of two builds share them.
 
 #[path = "../../wire/tests/golden/mod.rs"]
 mod golden;
@@ -6,11 +6,11 @@
 use controller::controller::admin::TuningRecord;
 use controller::placement_log::PlacementLog;
 use controller::records::{
-    accepted_jobs_key, cancellations_key, demand_key, final_key, incarnation_key, log_prefix,
+    accepted_jobs_key, cancellations_key, demand_key, final_state_key, incarnation_key, log_prefix,
     machines_key, partition_key, reclaim_key, terminal_jobs_key, AcceptedJobsPage,
-    CancellationsRecord, DemandRecord, FinalRecord, IncarnationRecord, MachineRecord, MachinesPage,
-    PackedJob, PackedMachine, PartitionRecord, ReclaimRecord, TerminalJobsPage, TokenCounterRecord,
-    COUNTER, TUNING, TYPES, WATCHED,
+    CancellationsRecord, DemandRecord, FinalStateRecord, IncarnationRecord, MachineRecord,
+    MachinesPage, PackedJob, PackedMachine, PartitionRecord, ReclaimRecord, TerminalJobsPage,
+    TokenCounterRecord, MACHINE_TYPES_KEY, SETTINGS_KEY, TOKEN_COUNTER_KEY, WATCHED_PREFIX,
 };
 use golden::{record, Entry};
 use model::{ControllerName, JobId, MachineName, PartitionId, Version};
@@ -70,8 +70,8 @@
     }
 }
 
-/// A page whose jobs are read one by one, as the mirror does.
-fn intake(name: &'static str, job: JobRequest) -> Entry {
+/// A page of one job, whose entry is decoded by itself as the state cache does.
+fn accepted_jobs_page(name: &'static str, job: JobRequest) -> Entry {
     let encode = |job: &JobRequest| {
         let packed = serde_json::to_value(PackedJob::new(86_400_007, job.clone()));
         let page = AcceptedJobsPage {
@@ -82,8 +82,11 @@
     let decode = |text: &str| -> Result<JobRequest, serde_json::Error> {
         let page: AcceptedJobsPage = serde_json::from_str(text)?;
         let packed: PackedJob = serde_json::from_value(page.jobs[0].clone())?;
-        assert_eq!((packed.0, packed.id()), (86_400_007, "j-000412"));
-        Ok(packed.request())
+        assert_eq!(
+            (packed.submitted_at_ms, packed.id()),
+            (86_400_007, "j-000412")
+        );
+        Ok(packed.request)
     };
     Entry::of(name, job, encode, decode)
 }
@@ -91,10 +94,10 @@
 #[test]
 fn pages_of_accepted_jobs_keep_their_bytes() {
     let entries = [
-        intake("batch_low_plain", plain_job()),
-        intake("batch_standard", spot_job()),
-        intake("group_high", full_job(JobKind::Gang, Priority::High)),
-        intake(
+        accepted_jobs_page("batch_low_plain", plain_job()),
+        accepted_jobs_page("batch_standard", spot_job()),
+        accepted_jobs_page("group_high", full_job(JobKind::Gang, Priority::High)),
+        accepted_jobs_page(
             "service_critical",
             full_job(JobKind::Service, Priority::Production),
         ),
@@ -103,12 +106,12 @@
     golden::check("accepted_jobs.txt", &entries);
 }
 
-fn ends() -> TerminalJobsPage {
+fn terminal_jobs() -> TerminalJobsPage {
     TerminalJobsPage {
         done: vec![1, 2],
         cancelled: vec![3],
-        filed_done: vec![4, 5, 6],
-        filed_cancelled: vec![7],
+        archived_done: vec![4, 5, 6],
+        archived_cancelled: vec![7],
     }
 }
 
@@ -131,7 +134,9 @@
         leaving,
     };
     let packed = PackedMachine::new(&MachineName::from("host-000007"), &record);
-    assert_eq!(packed.clone().record(), record);
+    let value = serde_json::to_value(&packed).expect("a value");
+    let read: PackedMachine = serde_json::from_value(value).expect("a machine");
+    assert_eq!((&read.name, &read.record), (&packed.name, &record));
     packed
 }
 
@@ -162,7 +167,7 @@
 fn counter() -> TokenCounterRecord {
     TokenCounterRecord {
         next: 42,
-        takers: BTreeMap::from([(0, (node("n0"), 3)), (10, (node("n2"), 4))]),
+        last_leaders: BTreeMap::from([(0, (node("n0"), 3)), (10, (node("n2"), 4))]),
         unconfirmed_predecessors: BTreeMap::from([(2, vec![(node("n1"), 5), (node("n0"), 6)])]),
     }
 }
@@ -218,17 +223,17 @@
     let entries = [
         record("cancellations", CancellationsRecord { jobs: vec![7, 412] }),
         record("cancellations_none", CancellationsRecord::default()),
-        record("ended_jobs", ends()),
+        record("ended_jobs", terminal_jobs()),
         record("ended_jobs_none", TerminalJobsPage::default()),
         record(
             "final_done",
-            FinalRecord {
+            FinalStateRecord {
                 state: JobState::Done,
             },
         ),
         record(
             "final_cancelled",
-            FinalRecord {
+            FinalStateRecord {
                 state: JobState::Cancelled,
             },
         ),
@@ -239,7 +244,7 @@
         record(
             "wish",
             ReclaimRecord {
-                node: node("n0"),
+                controller: node("n0"),
                 incarnation: 3,
                 lease: 500,
             },
@@ -251,7 +256,7 @@
             "boot",
             IncarnationRecord {
                 incarnation: 3,
-                short_lives: 2,
+                short_runs: 2,
             },
         ),
         record("types", machine_types()),
@@ -262,15 +267,18 @@
 }
 
 #[test]
-fn ended_jobs_are_listed_with_their_states() {
-    let listed: Vec<(u64, JobState)> = ends().jobs().map(|(id, state)| (id.0, state)).collect();
+fn terminal_jobs_are_listed_with_final_states() {
+    let listed: Vec<(u64, JobState)> = terminal_jobs()
+        .jobs()
+        .map(|(id, state)| (id.0, state))
+        .collect();
     let done = [1, 2, 4, 5, 6].map(|id| (id, JobState::Done));
     let cancelled = [3, 7].map(|id| (id, JobState::Cancelled));
     assert_eq!(listed, [&done[..], &cancelled[..]].concat());
 }
 
 /// The stored form of a record in which optional fields are absent.
-fn bare<T: serde::de::DeserializeOwned>(name: &str) -> T {
+fn record_with_absent_fields<T: serde::de::DeserializeOwned>(name: &str) -> T {
     let stored = golden::read("absent_fields.txt");
     let (_, text) = stored
         .iter()
@@ -282,19 +290,25 @@
 #[test]
 fn records_with_absent_fields_are_read() {
     assert_eq!(
-        bare::<IncarnationRecord>("boot"),
+        record_with_absent_fields::<IncarnationRecord>("boot"),
         IncarnationRecord {
             incarnation: 3,
-            short_lives: 0
+            short_runs: 0
         }
     );
-    assert_eq!(bare::<TokenCounterRecord>("counter").next, 42);
     assert_eq!(
-        bare::<TerminalJobsPage>("ended_jobs"),
+        record_with_absent_fields::<TokenCounterRecord>("counter").next,
+        42
+    );
+    assert_eq!(
+        record_with_absent_fields::<TerminalJobsPage>("ended_jobs"),
         TerminalJobsPage::default()
     );
-    assert_eq!(bare::<TuningRecord>("settings"), TuningRecord::default());
-    let demand = bare::<DemandRecord>("demand").demand;
+    assert_eq!(
+        record_with_absent_fields::<TuningRecord>("settings"),
+        TuningRecord::default()
+    );
+    let demand = record_with_absent_fields::<DemandRecord>("demand").demand;
     assert_eq!((demand[0].priority, demand[0].gang), (Priority::Normal, 0));
     assert_eq!((&demand[0].types, &demand[0].zone), (&None, &None));
 }
@@ -302,16 +316,16 @@
 #[test]
 fn keys_keep_their_text() {
     let entries = [
-        Entry::text("watched", WATCHED),
-        Entry::text("counter", COUNTER),
-        Entry::text("types", TYPES),
-        Entry::text("settings", TUNING),
+        Entry::text("watched", WATCHED_PREFIX),
+        Entry::text("counter", TOKEN_COUNTER_KEY),
+        Entry::text("types", MACHINE_TYPES_KEY),
+        Entry::text("settings", SETTINGS_KEY),
         Entry::text("accepted_jobs", accepted_jobs_key(&node("n0"), 7)),
         Entry::text("accepted_jobs_wide", accepted_jobs_key(&node("n0"), 12_345)),
         Entry::text("cancellations", cancellations_key(&node("n0"))),
         Entry::text("ended_jobs", terminal_jobs_key(PartitionId(2), 7)),
         Entry::text("machines", machines_key(7)),
-        Entry::text("final", final_key(JobId(412))),
+        Entry::text("final", final_state_key(JobId(412))),
         Entry::text("partition", partition_key(PartitionId(2))),
         Entry::text("wish", reclaim_key(PartitionId(2))),
         Entry::text("demand", demand_key(PartitionId(2))),
@@ -328,7 +342,7 @@
     ]
 }
 
-/// Items of all forms: done and placed tasks, one of them only, and an empty one.
+/// Chunks of all forms: done and placed tasks, only one of the two, and an empty chunk.
 fn chunks() -> Vec<(ChunkKey, TaskChunk)> {
     let done = || "8000000000000005".to_owned();
     vec![
@@ -357,21 +371,21 @@
     ]
 }
 
-/// The pages that a round writes, by key.
-fn written(round: &controller::placement_log::LogCommit) -> Vec<(String, Value)> {
+/// The pages that a commit writes, by key.
+fn written_pages(commit: &controller::placement_log::LogCommit) -> Vec<(String, Value)> {
     let page = |write: &Write| match write {
         Write::Put {
             put,
             value,
             lease: None,
         } => (put.clone(), value.clone()),
-        other => panic!("a round puts pages without a lease: {other:?}"),
+        other => panic!("a commit puts pages without a lease: {other:?}"),
     };
-    round.txn.writes.iter().map(page).collect()
+    commit.txn.writes.iter().map(page).collect()
 }
 
-/// A ledger of pages as they are stored.
-fn stored_ledger(value_bytes: usize) -> PlacementLog {
+/// A placement log loaded from stored pages.
+fn stored_log(value_bytes: usize) -> PlacementLog {
     let item = |(key, text): (String, String)| {
         let value = serde_json::from_str(&text).expect("JSON");
         Item {
@@ -389,40 +403,40 @@
 }
 
 #[test]
-fn rounds_of_the_ledger_keep_their_bytes() {
-    let ledger = PlacementLog::load(PartitionId(2), &[], 4_096, 6);
-    let (round, left) = ledger.prepare(Version(10), chunks());
-    assert!(left.is_empty(), "{left:?}");
-    let (key, _) = ledger.proof(&round).expect("a page");
+fn placement_log_commits_keep_their_bytes() {
+    let log = PlacementLog::load(PartitionId(2), &[], 4_096, 6);
+    let (commit, remaining) = log.prepare(Version(10), chunks());
+    assert!(remaining.is_empty(), "{remaining:?}");
+    let (key, _) = log.proof(&commit).expect("a page");
     let entries = [
-        Entry::text("l/2/0000", golden::to_json(&written(&round)[0].1)),
-        Entry::text("transaction", golden::to_json(&round.txn)),
+        Entry::text("l/2/0000", golden::to_json(&written_pages(&commit)[0].1)),
+        Entry::text("transaction", golden::to_json(&commit.txn)),
     ];
     assert_eq!(key, "l/2/0000");
     golden::check("ledger_pages.txt", &entries);
 }
 
 #[test]
-fn stored_pages_of_the_ledger_are_read_and_written_again() {
-    let mut ledger = stored_ledger(4_096);
-    assert!(ledger.unreadable().is_empty());
+fn stored_placement_log_pages_are_read_and_rewritten() {
+    let mut log = stored_log(4_096);
+    assert!(log.unreadable().is_empty());
     for ((job, chunk), body) in chunks() {
         assert!(
-            ledger.chunks_of(job).contains(&(chunk, body)),
+            log.chunks_of(job).contains(&(chunk, body)),
             "{job:?} {chunk}"
         );
     }
-    // Rounds without changes go around the other three pages, so that the next writes this one anew.
+    // Empty commits write the other three pages in turn, so that the next one rewrites this page.
     for _ in 0..3 {
-        let (round, _) = ledger.prepare(Version(10), Vec::new());
-        ledger.commit(&round, 11);
+        let (commit, _) = log.prepare(Version(10), Vec::new());
+        log.commit(&commit, 11);
     }
-    let entries = [Entry::text("l/2/0000", rewritten(&ledger))];
+    let entries = [Entry::text("l/2/0000", rewritten(&log))];
     golden::check("ledger_rewritten.txt", &entries);
 }
 
-/// The next page of the ledger, which holds what was read and nothing new.
-fn rewritten(ledger: &PlacementLog) -> String {
-    let (round, _) = ledger.prepare(Version(10), Vec::new());
-    golden::to_json(&written(&round)[0].1)
+/// The next page of the log, which has what was read and nothing new.
+fn rewritten(log: &PlacementLog) -> String {
+    let (commit, _) = log.prepare(Version(10), Vec::new());
+    golden::to_json(&written_pages(&commit)[0].1)
 }
--- a/crates/simulator/tests/golden_admin.rs
+++ b/crates/simulator/tests/golden_admin.rs
@@ -4,7 +4,7 @@
 #[path = "../../wire/tests/golden/mod.rs"]
 mod golden;
 
-use controller::records::TUNING;
+use controller::records::SETTINGS_KEY;
 use controller::{AdminRequest, Controller, Effect, Event};
 use golden::Entry;
 use model::{CallId, ControllerName, Timestamp};
@@ -197,7 +197,7 @@
             } => txn
                 .writes
                 .iter()
-                .any(|write| write.key() == TUNING)
+                .any(|write| write.key() == SETTINGS_KEY)
                 .then_some((call, txn)),
             _ => None,
         });
--- a/crates/simulator/tests/stale_mirror.rs
+++ b/crates/simulator/tests/stale_mirror.rs
@@ -1,8 +1,8 @@
 //! Answers of a node whose copy of the state service lags behind what another node has written.
 
 use controller::records::{
-    accepted_jobs_key, cancellations_key, final_key, terminal_jobs_key, AcceptedJobsPage,
-    CancellationsRecord, FinalRecord, PackedJob, TerminalJobsPage,
+    accepted_jobs_key, cancellations_key, final_state_key, terminal_jobs_key, AcceptedJobsPage,
+    CancellationsRecord, FinalStateRecord, PackedJob, TerminalJobsPage,
 };
 use controller::{Controller, Effect, Event, UserReply, UserRequest};
 use model::{CallId, ControllerName, JobId, JobState, PartitionId, Settings, Timestamp};
@@ -257,8 +257,8 @@
     let mut harness = Harness::new();
     let (id, job) = array();
     harness.other_writes(
-        final_key(id),
-        &FinalRecord {
+        final_state_key(id),
+        &FinalStateRecord {
             state: JobState::Cancelled,
         },
     );
