--- /dev/null
+++ b/crates/controller/src/controller/fleet_planner/inventory.rs
@@ -0,0 +1,345 @@
+//! The fleet as the planner knows it: machines' records joined with the partition leaders' statuses
+//! and the cloud's list.
+
+use super::record_of_rental;
+use crate::controller::machine_records::MachineChange;
+use crate::controller::Controller;
+use crate::records::{DemandRecord, MachineRecord};
+use crate::state_cache::CachedMachine;
+use autoscaler::FleetMachine;
+use model::{duration_from_secs, MachineName, PartitionId, Timestamp, ZoneName};
+use std::collections::{BTreeMap, HashMap};
+use std::time::Duration;
+use wire::cloud::{ListedMachine, MachineState, RentRequest};
+use wire::mesh::{MachineStatus, PartitionStatus};
+
+/// How long late heartbeats, copies of them and old lists may mention a machine that has been
+/// deleted.
+const DELETED_MACHINE_RETENTION: Duration = Duration::from_secs(120);
+/// How long an entry of the cloud's list is kept after the last list that had it.
+const LISTED_MACHINE_RETENTION: Duration = Duration::from_secs(120);
+/// Statuses of partitions older than this count as stale.
+const MAX_STATUS_AGE: Duration = Duration::from_millis(2_500);
+
+/// A machine without a record, as a heartbeat or the cloud's list shows it.
+#[derive(Debug, Clone, Copy)]
+pub(in crate::controller) struct UnregisteredMachine<'a> {
+    pub name: &'a MachineName,
+    pub machine_type: &'a str,
+    pub zone: &'a str,
+    pub spot: bool,
+}
+
+/// A status of a partition and when it was received.
+#[derive(Debug)]
+struct ReceivedStatus {
+    status: PartitionStatus,
+    received_at: Timestamp,
+}
+
+impl ReceivedStatus {
+    fn is_fresh(&self, now: Timestamp) -> bool {
+        now.duration_since(self.received_at) <= MAX_STATUS_AGE
+    }
+
+    /// What the partition leader reports about a machine. Its machines are ordered by name.
+    fn machine(&self, name: &MachineName) -> Option<&MachineStatus> {
+        let machines = &self.status.machines;
+        machines
+            .binary_search_by(|machine| machine.machine.as_str().cmp(name.as_str()))
+            .ok()
+            .map(|index| &machines[index])
+    }
+}
+
+/// The term of a partition's leader and when this planner first received its status.
+#[derive(Debug, Clone, Copy)]
+struct ObservedTerm {
+    term: u64,
+    since: Timestamp,
+}
+
+/// The partition of a machine and since when this planner knows it to be there.
+#[derive(Debug, Clone, Copy)]
+struct Residence {
+    partition: PartitionId,
+    since: Timestamp,
+}
+
+/// A machine of the cloud's list and when that list was complete.
+#[derive(Debug)]
+struct ListEntry {
+    machine: ListedMachine,
+    listed_at: Timestamp,
+}
+
+/// What the planner knows about partitions and machines besides the records.
+#[derive(Debug, Default)]
+pub(super) struct FleetInventory {
+    statuses: HashMap<PartitionId, ReceivedStatus>,
+    observed_terms: HashMap<PartitionId, ObservedTerm>,
+    residences: HashMap<MachineName, Residence>,
+    listed: HashMap<MachineName, ListEntry>,
+    /// Machines that exist but lack a record, with the record that they are to get.
+    unregistered: BTreeMap<MachineName, MachineRecord>,
+    /// When each released machine's record was to be deleted.
+    deleted_at: HashMap<MachineName, Timestamp>,
+}
+
+impl FleetInventory {
+    /// Takes in a partition leader's status unless a later leader's is known.
+    fn record_status(&mut self, status: PartitionStatus, now: Timestamp) {
+        let partition = PartitionId(status.partition);
+        let is_current = self
+            .statuses
+            .get(&partition)
+            .is_none_or(|known| known.status.term <= status.term);
+        if !is_current {
+            return;
+        }
+        let observed = ObservedTerm {
+            term: status.term,
+            since: now,
+        };
+        let known = self.observed_terms.entry(partition).or_insert(observed);
+        if known.term != observed.term {
+            *known = observed;
+        }
+        let received = ReceivedStatus {
+            status,
+            received_at: now,
+        };
+        self.statuses.insert(partition, received);
+    }
+
+    /// The status of a partition, if it is fresh.
+    pub(super) fn fresh_status(
+        &self,
+        partition: PartitionId,
+        now: Timestamp,
+    ) -> Option<&PartitionStatus> {
+        self.statuses
+            .get(&partition)
+            .filter(|received| received.is_fresh(now))
+            .map(|received| &received.status)
+    }
+
+    /// Notes a machine that lacks a record, unless it has been released.
+    pub(super) fn add_unregistered_machine(
+        &mut self,
+        machine: UnregisteredMachine<'_>,
+        partition: PartitionId,
+        now: Timestamp,
+    ) {
+        // A machine that has just been released may still be in a late heartbeat or an old list.
+        let is_deleted = self
+            .deleted_at
+            .get(machine.name)
+            .is_some_and(|at| now.duration_since(*at) < DELETED_MACHINE_RETENTION);
+        if is_deleted || self.unregistered.contains_key(machine.name) {
+            return;
+        }
+        let record = MachineRecord {
+            machine_type: machine.machine_type.into(),
+            zone: machine.zone.into(),
+            spot: machine.spot,
+            partition,
+            token: 0,
+            leaving: false,
+        };
+        self.unregistered.insert(machine.name.clone(), record);
+    }
+
+    /// Notes a machine that the cloud has just rented out for this partition.
+    pub(super) fn add_rented_machine(
+        &mut self,
+        name: MachineName,
+        request: &RentRequest,
+        partition: PartitionId,
+        now: Timestamp,
+    ) {
+        let residence = Residence {
+            partition,
+            since: now,
+        };
+        self.residences.insert(name.clone(), residence);
+        self.unregistered
+            .insert(name, record_of_rental(request, partition));
+    }
+
+    /// Notes that a machine's record is to be deleted since the cloud has released it.
+    pub(super) fn mark_deleted(&mut self, name: MachineName, now: Timestamp) {
+        self.deleted_at.insert(name, now);
+    }
+
+    /// Takes in a machine of a complete list of the cloud.
+    pub(super) fn record_listed_machine(
+        &mut self,
+        name: MachineName,
+        machine: ListedMachine,
+        now: Timestamp,
+    ) {
+        let entry = ListEntry {
+            machine,
+            listed_at: now,
+        };
+        self.listed.insert(name, entry);
+    }
+
+    /// Drops what was last listed or deleted long ago.
+    pub(super) fn expire(&mut self, now: Timestamp) {
+        self.listed
+            .retain(|_, entry| now.duration_since(entry.listed_at) < LISTED_MACHINE_RETENTION);
+        self.deleted_at
+            .retain(|_, at| now.duration_since(*at) < DELETED_MACHINE_RETENTION);
+    }
+
+    /// Forgets a machine whose record is gone.
+    pub(super) fn forget_machine(&mut self, name: &MachineName) {
+        self.residences.remove(name);
+    }
+
+    /// Since when the machine is known to be in this partition.
+    fn resident_since(
+        &mut self,
+        name: &MachineName,
+        partition: PartitionId,
+        now: Timestamp,
+    ) -> Timestamp {
+        let current = Residence {
+            partition,
+            since: now,
+        };
+        let residence = self.residences.entry(name.clone()).or_insert(current);
+        if residence.partition != partition {
+            *residence = current;
+        }
+        residence.since
+    }
+
+    /// The planner's view of a machine that has a record.
+    fn registered_machine(
+        &mut self,
+        name: &MachineName,
+        record: &MachineRecord,
+        now: Timestamp,
+    ) -> FleetMachine {
+        let resident_since = self.resident_since(name, record.partition, now);
+        let led_since = self
+            .observed_terms
+            .get(&record.partition)
+            .map(|observed| observed.since);
+        let observable_since =
+            led_since.map_or(resident_since, |led_since| led_since.max(resident_since));
+        let listed = self.listed.get(name).map(|entry| &entry.machine);
+        let listed_age = listed.map_or(Duration::ZERO, |machine| duration_from_secs(machine.age_s));
+        let mut machine = FleetMachine {
+            leaving: record.leaving,
+            age: listed_age.max(now.duration_since(resident_since)),
+            observable_for: now.duration_since(observable_since),
+            failed: listed.is_some_and(|machine| machine.state == MachineState::Failed),
+            ..unobserved_machine(name.clone(), record)
+        };
+        if let Some(received) = self.statuses.get(&record.partition) {
+            if let Some(status) = received.machine(name) {
+                machine.reporting = status.up;
+                machine.tasks = status.tasks;
+                machine.idle_for = Duration::from_millis(status.idle_ms);
+                machine.quarantined = status.quarantined;
+                machine.since_heartbeat = Duration::from_millis(status.since_heartbeat_ms);
+                machine.view_is_fresh = received.is_fresh(now);
+                machine.transferable = status.transferable;
+                machine.best_effort = status.best_effort;
+                machine.transfer_to = status.transfer_to.map(PartitionId);
+            }
+        }
+        machine
+    }
+
+    /// All machines: those with a record, those that are to get one, and those being rented.
+    pub(super) fn fleet<'a>(
+        &mut self,
+        registered: &BTreeMap<MachineName, CachedMachine>,
+        rentals: impl Iterator<Item = (&'a RentRequest, PartitionId)>,
+        now: Timestamp,
+    ) -> Vec<FleetMachine> {
+        let mut machines: Vec<FleetMachine> = registered
+            .iter()
+            .map(|(name, machine)| self.registered_machine(name, &machine.record, now))
+            .collect();
+        let unregistered = self
+            .unregistered
+            .iter()
+            .filter(|(name, _)| !registered.contains_key(*name));
+        for (name, record) in unregistered {
+            machines.push(unobserved_machine(name.clone(), record));
+        }
+        for (request, partition) in rentals {
+            let record = record_of_rental(request, partition);
+            for number in 0..request.count {
+                let placeholder = format!("{}#{number}", request.request);
+                let name = MachineName::from(placeholder.as_str());
+                machines.push(unobserved_machine(name, &record));
+            }
+        }
+        machines
+    }
+}
+
+/// A machine about which neither its partition leader nor the cloud has said anything yet.
+fn unobserved_machine(name: MachineName, record: &MachineRecord) -> FleetMachine {
+    FleetMachine {
+        name,
+        machine_type: record.machine_type.clone(),
+        zone: ZoneName::from(record.zone.as_str()),
+        spot: record.spot,
+        partition: record.partition,
+        reporting: false,
+        tasks: 0,
+        idle_for: Duration::ZERO,
+        quarantined: false,
+        leaving: false,
+        age: Duration::ZERO,
+        observable_for: Duration::ZERO,
+        since_heartbeat: Duration::ZERO,
+        failed: false,
+        view_is_fresh: false,
+        transferable: false,
+        best_effort: false,
+        transfer_to: None,
+    }
+}
+
+impl Controller {
+    /// Takes in a partition leader's status of its partition.
+    pub(in crate::controller) fn handle_partition_status(&mut self, status: PartitionStatus) {
+        self.fleet_planner.inventory.record_status(status, self.now);
+    }
+
+    /// Takes in the demand that a leader without a mesh connection to the fleet planner has
+    /// written. Its machines are unknown then, so none is transferred or returned.
+    pub(in crate::controller) fn handle_demand_record(
+        &mut self,
+        partition: PartitionId,
+        record: DemandRecord,
+    ) {
+        let DemandRecord { term, demand } = record;
+        self.handle_partition_status(PartitionStatus {
+            partition: partition.0,
+            term,
+            demand,
+            machines: Vec::new(),
+        });
+    }
+
+    /// Requests records for machines that have none.
+    pub(super) fn create_missing_machine_records(&mut self) {
+        let registered = &self.cache.machines;
+        let unregistered = &mut self.fleet_planner.inventory.unregistered;
+        unregistered.retain(|name, _| !registered.contains_key(name));
+        for (name, record) in unregistered {
+            let change = MachineChange::Create(record.clone());
+            self.machine_changes.want(name, change);
+        }
+    }
+}
--- a/crates/controller/src/controller/heartbeats.rs
+++ b/crates/controller/src/controller/heartbeats.rs
@@ -1,5 +1,6 @@
 //! Reports of workers and direct calls to them.
 
+use super::fleet_planner::UnregisteredMachine;
 use super::heartbeat_checks::{check_answer, check_report, HeartbeatFault};
 use super::leadership::HeartbeatOutcome;
 use super::{
@@ -119,13 +120,14 @@
     ) -> HeartbeatReply {
         match self.fleet_planner_controller() {
             Some(fleet_planner) if fleet_planner == *self.own_name() => {
-                self.fleet_planner.found(
+                let machine = UnregisteredMachine {
                     name,
-                    &report.machine_type,
-                    &report.zone,
-                    report.spot,
-                    self.now,
-                );
+                    machine_type: &report.machine_type,
+                    zone: &report.zone,
+                    spot: report.spot,
+                };
+                self.fleet_planner
+                    .record_unregistered_machine(machine, self.now);
                 HeartbeatReply::Unavailable
             }
             Some(fleet_planner) => HeartbeatReply::Redirect(Some(fleet_planner)),
--- a/crates/controller/src/controller/leadership.rs
+++ b/crates/controller/src/controller/leadership.rs
@@ -371,7 +371,7 @@
         let record = self.cache.machines.get(name).map(|m| m.record.clone());
         let now = self.now;
         if record.is_none() {
-            self.fleet_planner.machine_gone(name);
+            self.fleet_planner.forget_machine(name);
         }
         let mut add = None;
         for (partition, leadership) in &mut self.leaderships {
--- a/crates/controller/src/controller/state_sync.rs
+++ b/crates/controller/src/controller/state_sync.rs
@@ -159,7 +159,7 @@
                 self.handle_terminal_jobs_written(partition, term, reply)
             }
             CallKind::Machines => self.handle_machine_records_written(reply),
-            CallKind::TypesWrite => self.fleet_planner.types_pending = false,
+            CallKind::TypesWrite => self.fleet_planner.handle_machine_types_written(),
             CallKind::TuningWrite { ticket } => self.handle_settings_written(ticket, reply),
             // These go to the cloud or to workers.
             CallKind::Types
@@ -264,10 +264,10 @@
             match change {
                 CacheEvent::Job(id) => self.job_changed(id),
                 CacheEvent::Ended(id, state) => self.job_ended(id, state),
-                CacheEvent::Demand(id, record) => self.demand_written(id, record),
+                CacheEvent::Demand(id, record) => self.handle_demand_record(id, record),
                 CacheEvent::Partition(id) => self.partition_changed(id),
                 CacheEvent::Machine(name) => self.machine_changed(&name),
-                CacheEvent::Types => self.types_changed(),
+                CacheEvent::Types => self.handle_machine_types_record(),
                 CacheEvent::Tuning => self.tuning_changed(),
                 CacheEvent::Boot(_) => {}
             }
