--- a/crates/controller/src/controller/admission.rs
+++ b/crates/controller/src/controller/admission.rs
@@ -1,27 +1,33 @@
-//! Admission of submissions: what waits is written together, many jobs to a write.
+//! Admission of submissions: pending ones are written together, many jobs to a write.
 
+use super::linearizable_reads::{CONDITIONS_PER_CHANGE, RETRY_AFTER_S};
 use super::{CallKind, Controller, PendingRequest, RequestKind, Ticket, UserReply};
 use crate::records::{
-    accepted_jobs_key, final_state_key, packed_size, page_capacity, AcceptedJobsPage, PackedJob,
+    accepted_jobs_key, accepted_jobs_prefix, final_state_key, packed_size, page_capacity,
+    AcceptedJobsPage, PackedJob,
 };
 use crate::request_budget::CallPriority;
 use crate::serial_writer::{Outcome, SerialWriter};
-use model::{JobId, Revision, Timestamp};
+use model::{JobId, Timestamp};
 use std::collections::{HashSet, VecDeque};
 use std::time::Duration;
 use wire::state::{StateReply, StateRequest, Transaction, Write};
 use wire::users::JobRequest;
 
-/// Submissions that may wait before others are refused: what is written within a second, as a rule.
+/// Pending submissions above which further ones are refused: about what is written in a second.
 const MAX_PENDING: usize = 150;
-/// A submission that has waited for longer is refused: its user's patience is limited.
+/// Longest wait of a submission for its write, which users' timeouts bound; later it is refused.
 const MAX_PENDING_TIME: Duration = Duration::from_millis(1_500);
 /// Pages of accepted jobs that one transaction writes at most.
 const MAX_PAGES_PER_WRITE: usize = 2;
-/// How long the mirror may lag behind a write of accepted jobs before a read is made for their answers.
-const MAX_MIRROR_LAG: Duration = Duration::from_millis(300);
-/// Conditions that the state service takes for each change of a transaction.
-const CONDITIONS_PER_CHANGE: usize = 4;
+/// How long the state cache may lag behind a write of accepted jobs before their replies are given
+/// after a read.
+const MAX_CACHE_LAG: Duration = Duration::from_millis(300);
+/// Part of a page that must be free for it to be written again: rewriting a nearly full page for a
+/// job or two costs more than a new page.
+const MIN_FREE_PAGE_FRACTION: usize = 4;
+/// Pause before a write with an unknown outcome is sent again.
+const RETRY_PAUSE: Duration = Duration::from_millis(200);
 
 /// A submission that waits for its write.
 #[derive(Debug)]
@@ -30,8 +36,8 @@
     id: JobId,
     job: JobRequest,
     since: Timestamp,
-    /// When it came, on the nodes' common clock.
-    order: u64,
+    /// When it was received, in ms on the controllers' common clock.
+    submitted_at_ms: u64,
 }
 
 impl PendingSubmission {
@@ -44,6 +50,12 @@
             since,
         }
     }
+
+    /// The same request for a job that is registered already.
+    fn into_resubmission(self) -> PendingRequest {
+        let since = self.since;
+        self.into_request(RequestKind::Resubmit { reject: None }, since)
+    }
 }
 
 /// Submissions on their way into the state service.
@@ -51,13 +63,12 @@
 pub(crate) struct Admission {
     pending: VecDeque<PendingSubmission>,
     writes: SerialWriter<Vec<PendingSubmission>>,
-    /// Accepted durably; answered once the mirror shows everything up to that write.
+    /// Accepted by the writer's last write; answered once the state cache has reached its revision.
+    /// No further write begins before that.
     unconfirmed: Vec<PendingRequest>,
-    /// The revision of that write.
-    written_at: Revision,
 }
 
-/// A page of accepted jobs that has room for more.
+/// A page of accepted jobs with room for more.
 struct OpenPage {
     number: u32,
     /// Version of its key; 0 for a page that does not exist yet.
@@ -65,22 +76,22 @@
     free_bytes: usize,
 }
 
-/// A transaction that accepts jobs, while it is made up.
+/// A transaction that accepts jobs, while it is assembled.
 #[derive(Default)]
 struct AdmissionBatch {
     txn: Transaction,
     submissions: Vec<PendingSubmission>,
     ids: HashSet<JobId>,
-    /// Submissions of jobs that are in the batch already: answered once it is written.
+    /// Further submissions of jobs in the batch: they stay pending until it is written.
     duplicates: Vec<PendingSubmission>,
     pages: Vec<u32>,
 }
 
 impl Controller {
-    /// Takes a checked submission in, or refuses it at once.
+    /// Queues a valid submission, or refuses it at once.
     pub(super) fn admit(&mut self, ticket: Ticket, id: JobId, job: JobRequest) {
         if self.admission.pending.len() >= MAX_PENDING {
-            self.busy(ticket, 1);
+            self.busy(ticket, RETRY_AFTER_S);
             return;
         }
         if packed_size(&PackedJob::new(u64::MAX, job.clone()))
@@ -90,23 +101,24 @@
             self.reply_user(ticket, UserReply::Invalid(problem));
             return;
         }
-        let order = self.logical_time();
+        let submitted_at_ms = self.logical_time();
         let submission = PendingSubmission {
             ticket,
             id,
             job,
             since: self.now,
-            order,
+            submitted_at_ms,
         };
         self.admission.pending.push_back(submission);
     }
 
+    /// Refuses, answers and writes submissions as far as that is due.
     pub(super) fn advance_admission(&mut self) {
         self.refuse_overdue_submissions();
         self.confirm_accepted();
         let ready = self.admission.writes.ready(self.now, self.cache.revision);
-        let waiting = !self.admission.pending.is_empty();
-        if waiting && ready && self.synced && self.may_write(CallPriority::Accept, 1.0) {
+        let has_pending = !self.admission.pending.is_empty();
+        if has_pending && ready && self.synced && self.may_write(CallPriority::Accept, 1.0) {
             self.write_accepted();
         }
     }
@@ -118,15 +130,15 @@
             }
             let ticket = first.ticket;
             self.admission.pending.pop_front();
-            self.busy(ticket, 1);
+            self.busy(ticket, RETRY_AFTER_S);
         }
     }
 
     /// Answers submissions whose acceptance is durable.
     ///
-    /// The same job may have been accepted through another node, and cancelled there, before our write
-    /// was applied. All of that has a lower revision than our write, so a mirror that has reached that
-    /// revision is no older than anything that was confirmed before the submission came.
+    /// The same job may have been accepted and cancelled through another controller before this
+    /// write was applied. All of that has a lower revision than the write, so a state cache that has
+    /// reached the write's revision shows everything that was confirmed before the submission.
     fn confirm_accepted(&mut self) {
         let Some(first) = self.admission.unconfirmed.first() else {
             return;
@@ -135,29 +147,29 @@
         if !self.synced {
             let requests = std::mem::take(&mut self.admission.unconfirmed);
             self.refuse_all(requests);
-        } else if self.cache.revision >= self.admission.written_at {
+        } else if self.cache.revision >= self.admission.writes.settled_at() {
             for request in std::mem::take(&mut self.admission.unconfirmed) {
                 self.answer(request);
             }
-        } else if lag > MAX_MIRROR_LAG {
+        } else if lag > MAX_CACHE_LAG {
             let requests = std::mem::take(&mut self.admission.unconfirmed);
             self.reads.enqueue_all(requests);
         }
     }
 
-    /// Our page with the most room once finished jobs have left it, or a new one.
-    fn choose_page(&self, room: usize, taken: &[u32]) -> OpenPage {
+    /// This controller's page with the most room once terminal jobs have left it, or a new one.
+    fn choose_page(&self, capacity: usize, taken: &[u32]) -> OpenPage {
         let mut best: Option<OpenPage> = None;
         let mut next = 0;
-        let prefix = accepted_jobs_key(self.own_name(), 0);
-        let prefix = &prefix[..prefix.len() - 4];
-        for (key, page) in self.cache.intake.range(prefix.to_owned()..) {
-            let Some(number) = key.strip_prefix(prefix).and_then(|n| n.parse::<u32>().ok()) else {
+        let prefix = accepted_jobs_prefix(self.own_name());
+        for (key, page) in self.cache.intake.range(prefix.clone()..) {
+            let number = key.strip_prefix(&prefix);
+            let Some(number) = number.and_then(|number| number.parse::<u32>().ok()) else {
                 break;
             };
             next = next.max(number + 1);
             let open = page.record.iter().filter_map(|id| self.cache.jobs.get(id));
-            let free_bytes = room.saturating_sub(open.map(|job| job.size).sum());
+            let free_bytes = capacity.saturating_sub(open.map(|job| job.size).sum());
             let better = best
                 .as_ref()
                 .is_none_or(|best| free_bytes > best.free_bytes);
@@ -173,31 +185,30 @@
         let fresh = OpenPage {
             number,
             version: 0,
-            free_bytes: room,
+            free_bytes: capacity,
         };
-        // A page with little room is not worth writing whole for a job or two.
-        best.filter(|page| page.free_bytes >= room / 4)
+        best.filter(|page| page.free_bytes >= capacity / MIN_FREE_PAGE_FRACTION)
             .unwrap_or(fresh)
     }
 
     /// Writes as many pending submissions as a transaction takes.
     fn write_accepted(&mut self) {
         let limits = &self.settings.state_limits;
-        let room = page_capacity(limits.value_bytes);
-        let most_pages = MAX_PAGES_PER_WRITE.min(limits.txn_ops);
+        let capacity = page_capacity(limits.value_bytes);
+        let max_pages = MAX_PAGES_PER_WRITE.min(limits.txn_ops);
         // Each job adds a condition.
-        let most_jobs = (limits.txn_ops * CONDITIONS_PER_CHANGE)
+        let max_jobs = (limits.txn_ops * CONDITIONS_PER_CHANGE)
             .saturating_sub(MAX_PAGES_PER_WRITE)
             .max(1);
         let mut batch = AdmissionBatch::default();
-        while batch.pages.len() < most_pages && !self.admission.pending.is_empty() {
-            let page = self.choose_page(room, &batch.pages);
-            if !self.fill_page(&page, &mut batch, most_jobs) {
+        while batch.pages.len() < max_pages && !self.admission.pending.is_empty() {
+            let page = self.choose_page(capacity, &batch.pages);
+            if !self.fill_page(&page, &mut batch, max_jobs) {
                 break;
             }
         }
-        for again in batch.duplicates.into_iter().rev() {
-            self.admission.pending.push_front(again);
+        for duplicate in batch.duplicates.into_iter().rev() {
+            self.admission.pending.push_front(duplicate);
         }
         if !batch.submissions.is_empty() {
             self.admission.writes.send(
@@ -215,35 +226,33 @@
     }
 
     /// Adds pending submissions to a page and the page to the batch; false if the page takes none.
-    fn fill_page(&mut self, page: &OpenPage, batch: &mut AdmissionBatch, most_jobs: usize) -> bool {
+    fn fill_page(&mut self, page: &OpenPage, batch: &mut AdmissionBatch, max_jobs: usize) -> bool {
         let key = accepted_jobs_key(self.own_name(), page.number);
         let kept = self
             .cache
             .intake
             .get(&key)
             .into_iter()
-            .flat_map(|p| &p.record);
+            .flat_map(|page| &page.record);
         let mut jobs: Vec<serde_json::Value> = kept
             .filter_map(|id| self.cache.jobs.get(id))
             .filter_map(|job| serde_json::to_value(&*job.packed).ok())
             .collect();
         let mut free_bytes = page.free_bytes;
         let before = batch.submissions.len();
-        while batch.submissions.len() < most_jobs {
+        while batch.submissions.len() < max_jobs {
             let Some(next) = self.admission.pending.pop_front() else {
                 break;
             };
             if self.cache.jobs.contains_key(&next.id) || self.finals.contains_key(&next.id) {
-                let since = next.since;
-                let kind = RequestKind::Resubmit { reject: None };
-                self.reads.enqueue(next.into_request(kind, since));
+                self.reads.enqueue(next.into_resubmission());
                 continue;
             }
             if batch.ids.contains(&next.id) {
                 batch.duplicates.push(next);
                 continue;
             }
-            let packed = PackedJob::new(next.order, next.job.clone());
+            let packed = PackedJob::new(next.submitted_at_ms, next.job.clone());
             let size = packed_size(&packed);
             if size > free_bytes {
                 self.admission.pending.push_front(next);
@@ -265,6 +274,7 @@
         true
     }
 
+    /// Takes in the outcome of a write of accepted jobs.
     pub(super) fn handle_acceptance_written(&mut self, reply: StateReply) {
         match self.admission.writes.answered(reply, self.now) {
             Outcome::CommittedChanges(batch) => {
@@ -272,17 +282,14 @@
                 let requests = batch
                     .into_iter()
                     .map(|job| job.into_request(RequestKind::Accepted, since));
-                self.admission.written_at = self.admission.writes.settled_at();
                 self.admission.unconfirmed.extend(requests);
                 self.confirm_accepted();
             }
             Outcome::Conflict(batch, failed) => {
                 for submission in batch.into_iter().rev() {
                     if failed.contains(&final_state_key(submission.id)) {
-                        // It is finished already: this is a late retry.
-                        let since = submission.since;
-                        let kind = RequestKind::Resubmit { reject: None };
-                        self.reads.enqueue(submission.into_request(kind, since));
+                        // The job is in a terminal state: this is a late retry.
+                        self.reads.enqueue(submission.into_resubmission());
                     } else {
                         self.admission.pending.push_front(submission);
                     }
@@ -302,22 +309,17 @@
             } => {
                 let pending = std::mem::take(&mut self.admission.pending);
                 for submission in what.into_iter().chain(pending) {
-                    self.busy(submission.ticket, 1);
+                    self.busy(submission.ticket, RETRY_AFTER_S);
                 }
             }
             Outcome::Again(txn) => {
-                // Whether these are written is open; their users' retries will find out.
+                // Whether these are written is unknown; their users' retries are answered accordingly.
                 let batch = self.admission.writes.under_way().map(std::mem::take);
                 for submission in batch.into_iter().flatten() {
-                    self.busy(submission.ticket, 1);
+                    self.busy(submission.ticket, RETRY_AFTER_S);
                 }
                 let request = StateRequest::Transaction(txn);
-                self.retry_later(
-                    Duration::from_millis(200),
-                    CallPriority::Accept,
-                    request,
-                    CallKind::Accept,
-                );
+                self.retry_later(RETRY_PAUSE, CallPriority::Accept, request, CallKind::Accept);
             }
             Outcome::Nothing => {}
         }
--- a/crates/controller/src/controller/cancellations.rs
+++ b/crates/controller/src/controller/cancellations.rs
@@ -1,5 +1,6 @@
-//! Cancellations by users: those that wait are recorded together.
+//! Cancellations by users: pending ones are written together.
 
+use super::linearizable_reads::RETRY_AFTER_S;
 use super::{CallKind, Controller, PendingRequest, RequestKind};
 use crate::records::{cancellations_key, CancellationsRecord};
 use crate::request_budget::CallPriority;
@@ -8,8 +9,10 @@
 use wire::mesh::MeshMessage;
 use wire::state::{StateReply, StateRequest, Transaction, Write};
 
-/// How often a cancellation whose write met a conflict is tried again.
+/// Retries of a cancellation after conflicts of its write.
 const MAX_CONFLICTS: u32 = 5;
+/// Pause before a write with an unknown outcome is sent again.
+const RETRY_PAUSE: Duration = Duration::from_millis(200);
 
 /// Cancellations on their way into the state service.
 #[derive(Debug, Default)]
@@ -19,37 +22,39 @@
 }
 
 impl Controller {
-    /// Takes a cancellation of an open job in.
+    /// Queues the cancellation of a job that is not in a terminal state.
     pub(super) fn cancel(&mut self, request: PendingRequest) {
         self.cancellations.pending.push(request);
     }
 
+    /// Writes pending cancellations if the writer and the budget allow it.
     pub(super) fn advance_cancellations(&mut self) {
         let ready = self
             .cancellations
             .writes
             .ready(self.now, self.cache.revision);
-        let waiting = !self.cancellations.pending.is_empty();
-        if waiting && ready && self.synced && self.may_write(CallPriority::Accept, 1.0) {
+        let has_pending = !self.cancellations.pending.is_empty();
+        if has_pending && ready && self.synced && self.may_write(CallPriority::Accept, 1.0) {
             self.write_cancellations();
         }
     }
 
     fn write_cancellations(&mut self) {
         let key = cancellations_key(self.own_name());
-        let old = self.cache.cancels.get(self.own_name());
-        let version = old.map_or(0, |c| c.version.0);
-        // Those of finished jobs have served.
-        let open = old.into_iter().flat_map(|c| &c.record);
-        let mut jobs: Vec<u64> = open
+        let recorded = self.cache.cancels.get(self.own_name());
+        let version = recorded.map_or(0, |cancellations| cancellations.version.0);
+        // Cancellations of jobs that have reached a terminal state are dropped.
+        let mut jobs: Vec<u64> = recorded
+            .into_iter()
+            .flat_map(|cancellations| &cancellations.record)
             .filter(|id| self.cache.jobs.contains_key(id))
             .map(|id| id.0)
             .collect();
-        let room = self.page_entries();
+        let capacity = self.page_entries();
         let mut batch = Vec::new();
         for request in std::mem::take(&mut self.cancellations.pending) {
-            if jobs.len() >= room {
-                self.busy(request.ticket, 1);
+            if jobs.len() >= capacity {
+                self.busy(request.ticket, RETRY_AFTER_S);
                 continue;
             }
             if !jobs.contains(&request.id.0) {
@@ -71,11 +76,12 @@
         );
     }
 
+    /// Takes in the outcome of a write of cancellations.
     pub(super) fn handle_cancellation_written(&mut self, reply: StateReply) {
         match self.cancellations.writes.answered(reply, self.now) {
-            // The job may have finished before: a read that begins now tells which came first.
+            // The job may have finished before: a read that begins now shows which came first.
             Outcome::CommittedChanges(requests) => {
-                // The leader of its partition may be without the state service.
+                // The partition leader may have no connection to the state service.
                 let jobs = requests.iter().map(|request| request.id.0).collect();
                 self.broadcast(MeshMessage::JobsCancelled { jobs });
                 self.reads.enqueue_all(requests);
@@ -91,7 +97,7 @@
                             *conflicts += 1;
                             self.reads.enqueue(request);
                         }
-                        _ => self.busy(request.ticket, 1),
+                        _ => self.busy(request.ticket, RETRY_AFTER_S),
                     }
                 }
             }
@@ -100,12 +106,7 @@
                 let requests = self.cancellations.writes.under_way().map(std::mem::take);
                 self.refuse_all(requests.unwrap_or_default());
                 let request = StateRequest::Transaction(txn);
-                self.retry_later(
-                    Duration::from_millis(200),
-                    CallPriority::Accept,
-                    request,
-                    CallKind::Cancel,
-                );
+                self.retry_later(RETRY_PAUSE, CallPriority::Accept, request, CallKind::Cancel);
             }
             Outcome::Nothing => {}
         }
--- a/crates/controller/src/controller/fleet_planner/cloud_calls.rs
+++ b/crates/controller/src/controller/fleet_planner/cloud_calls.rs
@@ -164,7 +164,7 @@
             .iter()
             .filter(|(name, machine)| {
                 machine.record.leaving
-                    && !self.machine_changes.concern(name)
+                    && !self.machine_changes.has_change(name)
                     && !cloud.is_releasing(name, now)
             })
             .map(|(name, _)| name.clone())
@@ -267,7 +267,7 @@
         if reply == CloudReply::Released {
             for name in names {
                 self.fleet_planner.inventory.mark_deleted(name.clone(), now);
-                self.machine_changes.want(&name, MachineChange::Delete);
+                self.machine_changes.request(&name, MachineChange::Delete);
             }
             return;
         }
--- a/crates/controller/src/controller/fleet_planner/inventory.rs
+++ b/crates/controller/src/controller/fleet_planner/inventory.rs
@@ -339,7 +339,7 @@
         unregistered.retain(|name, _| !registered.contains_key(name));
         for (name, record) in unregistered {
             let change = MachineChange::Create(record.clone());
-            self.machine_changes.want(name, change);
+            self.machine_changes.request(name, change);
         }
     }
 }
--- a/crates/controller/src/controller/leadership.rs
+++ b/crates/controller/src/controller/leadership.rs
@@ -385,7 +385,7 @@
                         Some(machine) => {
                             machine.token = least.max(FencingToken(record.token));
                             machine.leaving =
-                                record.leaving || self.machine_changes.take_away(name);
+                                record.leaving || self.machine_changes.removes_from_partition(name);
                         }
                         None => add = Some((*partition, record.clone(), least)),
                     }
@@ -494,7 +494,7 @@
     fn write_commit(&mut self, partition: PartitionId) {
         let now = self.now;
         // What is made up only when it can go out carries more and is fresher.
-        if self.machine_changes.held_up(now) || !self.may_write(CallPriority::Placement, 1.0) {
+        if self.machine_changes.is_delayed(now) || !self.may_write(CallPriority::Placement, 1.0) {
             return;
         }
         let Some(leadership) = self.leaderships.get_mut(&partition) else {
@@ -715,13 +715,13 @@
                     .unresponsive_machines_with_replicas(since, now, late, patience),
             );
         }
-        silent.retain(|name| !self.machine_changes.concern(name));
+        silent.retain(|name| !self.machine_changes.has_change(name));
         for name in silent {
             tracing::info!(machine = %name, "a machine is silent: giving it up");
             if let Some(machine) = loaded.partition_state.machines.get_mut(&name) {
                 machine.leaving = true;
             }
-            self.machine_changes.want(&name, MachineChange::Leave);
+            self.machine_changes.request(&name, MachineChange::Leave);
         }
     }
 
@@ -737,7 +737,7 @@
         for machine in partition_state.machines.values() {
             if machine.needs_higher_token() {
                 self.machine_changes
-                    .want(&machine.name, MachineChange::Raise);
+                    .request(&machine.name, MachineChange::RaiseToken);
             }
         }
     }
@@ -837,16 +837,16 @@
         let Some(machine) = loaded.partition_state.machines.get_mut(&name) else {
             return;
         };
-        if !machine.tasks.is_empty() || machine.leaving || self.machine_changes.concern(&name) {
+        if !machine.tasks.is_empty() || machine.leaving || self.machine_changes.has_change(&name) {
             return;
         }
         // Nothing is placed here from now on, whether or not the write succeeds at once.
         machine.leaving = true;
         match to {
-            None => self.machine_changes.want(&name, MachineChange::Leave),
+            None => self.machine_changes.request(&name, MachineChange::Leave),
             Some(other) => {
                 self.machine_changes
-                    .want(&name, MachineChange::Shift(PartitionId(other)));
+                    .request(&name, MachineChange::Transfer(PartitionId(other)));
             }
         }
     }
@@ -889,13 +889,14 @@
             return;
         };
         for (name, to) in partition_state.machines_ready_for_transfer(now) {
-            if !self.machine_changes.concern(&name) {
+            if !self.machine_changes.has_change(&name) {
                 if let Some(machine) = partition_state.machines.get_mut(&name) {
                     // Nothing is placed here from now on, whether or not the write succeeds.
                     machine.leaving = true;
                 }
                 tracing::debug!(machine = %name, %to, "empty: handed over");
-                self.machine_changes.want(&name, MachineChange::Shift(to));
+                self.machine_changes
+                    .request(&name, MachineChange::Transfer(to));
             }
         }
     }
@@ -950,7 +951,7 @@
             };
             // A change of a record that came to nothing leaves the machine as recorded.
             for machine in loaded.partition_state.machines.values_mut() {
-                if machine.leaving && !self.machine_changes.concern(&machine.name) {
+                if machine.leaving && !self.machine_changes.has_change(&machine.name) {
                     machine.leaving = self
                         .cache
                         .machines
--- a/crates/controller/src/controller/linearizable_reads.rs
+++ b/crates/controller/src/controller/linearizable_reads.rs
@@ -1,8 +1,8 @@
 //! Linearizable reads for users' requests that only the state service can answer, many to a read.
 //!
-//! One read of changes answers all requests that came before it was sent; one comparison tells which
-//! of many jobs have no final state. Reads keep a pace, so that users who ask many times as often
-//! leave the budget to submissions and placements.
+//! One read of changes answers all requests received before it was sent; one transaction of
+//! conditions shows which of many jobs have no final state. Reads are rate limited, so that users
+//! who poll often leave the budget to submissions and placements.
 
 use super::user_requests::status;
 use super::{CallKind, Controller, PendingRequest, RequestKind, UserReply};
@@ -14,31 +14,39 @@
 use std::time::Duration;
 use wire::state::{StateReply, StateRequest, Transaction};
 
-/// Fraction of the requests a second that one kind of these reads takes at most, for all nodes.
+/// Highest fraction of the request rate for one kind of these reads, over all controllers.
 const READ_FRACTION: f64 = 0.2;
-/// A request whose read is refused for want of budget is read for again for so long.
+/// How long a request whose read is throttled is retried.
 const MAX_RETRY_TIME: Duration = Duration::from_secs(1);
-/// Pause after such a refusal.
-const REFUSAL_PAUSE: Duration = Duration::from_millis(60);
+/// Pause after a throttled read.
+const THROTTLING_PAUSE: Duration = Duration::from_millis(60);
+/// Conditions that the state service takes for each change of a transaction.
+pub(super) const CONDITIONS_PER_CHANGE: usize = 4;
+/// After how many seconds a user whose request is refused may retry.
+pub(super) const RETRY_AFTER_S: u64 = 1;
+/// After how many seconds a user may retry when a job's final state cannot be decoded.
+const UNREADABLE_STATE_RETRY_AFTER_S: u64 = 5;
 
-/// Requests that wait for reads.
+/// Requests that wait for reads, and the reads under way.
 #[derive(Debug, Default)]
 pub(crate) struct LinearizableReads {
-    /// They need a read of changes that begins now or later.
+    /// Requests that need a read of changes that begins now or later.
     queued: Vec<PendingRequest>,
-    reading: bool,
-    read_next: Timestamp,
-    /// Their jobs are not open, by such a read: is there a final state?
-    not_open: Vec<PendingRequest>,
-    comparing: bool,
-    compare_next: Timestamp,
+    is_reading: bool,
+    next_read_at: Timestamp,
+    /// Requests whose jobs are not registered, by such a read: do they have a final state?
+    unregistered: Vec<PendingRequest>,
+    is_comparing: bool,
+    next_comparison_at: Timestamp,
 }
 
 impl LinearizableReads {
+    /// Queues a request for the next read of changes.
     pub(super) fn enqueue(&mut self, request: PendingRequest) {
         self.queued.push(request);
     }
 
+    /// Queues requests for the next read of changes.
     pub(super) fn enqueue_all(&mut self, requests: impl IntoIterator<Item = PendingRequest>) {
         self.queued.extend(requests);
     }
@@ -46,67 +54,79 @@
 
 impl Controller {
     /// Least time between two reads of a kind.
-    fn read_pace(&self) -> Duration {
-        let all = self.settings.state_limits.requests_per_s * READ_FRACTION;
-        Duration::from_millis((1_000.0 * f64::from(self.partition_count()) / all.max(1.0)) as u64)
+    fn read_interval(&self) -> Duration {
+        let reads_per_s = self.settings.state_limits.requests_per_s * READ_FRACTION;
+        let controllers = f64::from(self.partition_count());
+        Duration::from_millis((1_000.0 * controllers / reads_per_s.max(1.0)) as u64)
     }
 
+    /// Sends the reads that are due.
     pub(super) fn advance_reads(&mut self) {
-        let now = self.now;
-        let pace = self.read_pace();
-        let reads = &mut self.reads;
         if !self.synced {
             return;
         }
-        if !reads.queued.is_empty() && !reads.reading && now >= reads.read_next {
-            reads.reading = true;
-            reads.read_next = now + pace;
-            let requests = std::mem::take(&mut reads.queued);
-            let read = self.watch_request(Duration::ZERO);
-            self.state(CallPriority::Accept, read, CallKind::ReadChanges(requests));
+        let (now, interval) = (self.now, self.read_interval());
+        let reads = &mut self.reads;
+        if !reads.queued.is_empty() && !reads.is_reading && now >= reads.next_read_at {
+            reads.is_reading = true;
+            reads.next_read_at = now + interval;
+            self.read_changes();
         }
         let reads = &mut self.reads;
-        if !reads.not_open.is_empty() && !reads.comparing && now >= reads.compare_next {
-            reads.comparing = true;
-            reads.compare_next = now + pace;
-            // Four conditions are allowed for each change.
-            let most = self.settings.state_limits.txn_ops * 4;
-            let ids: BTreeSet<JobId> = reads
-                .not_open
-                .iter()
-                .map(|request| request.id)
-                .take(most)
-                .collect();
-            let requests = reads
-                .not_open
-                .extract_if(.., |request| ids.contains(&request.id))
-                .collect();
-            let txn = ids.iter().fold(Transaction::default(), |txn, id| {
-                txn.when(final_state_key(*id), 0)
-            });
-            self.state(
-                CallPriority::Accept,
-                StateRequest::Transaction(txn),
-                CallKind::CompareFinals(requests),
-            );
+        if !reads.unregistered.is_empty() && !reads.is_comparing && now >= reads.next_comparison_at
+        {
+            reads.is_comparing = true;
+            reads.next_comparison_at = now + interval;
+            self.compare_final_states();
         }
     }
 
-    /// When the next read is due, if one waits for its pace.
+    /// Sends a read of changes for all queued requests.
+    fn read_changes(&mut self) {
+        let requests = std::mem::take(&mut self.reads.queued);
+        let read = self.watch_request(Duration::ZERO);
+        self.state(CallPriority::Accept, read, CallKind::ReadChanges(requests));
+    }
+
+    /// Sends a transaction of conditions on the absence of final states.
+    fn compare_final_states(&mut self) {
+        let max_conditions = self.settings.state_limits.txn_ops * CONDITIONS_PER_CHANGE;
+        let unregistered = &mut self.reads.unregistered;
+        let ids: BTreeSet<JobId> = unregistered
+            .iter()
+            .map(|request| request.id)
+            .take(max_conditions)
+            .collect();
+        let requests = unregistered
+            .extract_if(.., |request| ids.contains(&request.id))
+            .collect();
+        let txn = ids.iter().fold(Transaction::default(), |txn, id| {
+            txn.when(final_state_key(*id), 0)
+        });
+        self.state(
+            CallPriority::Accept,
+            StateRequest::Transaction(txn),
+            CallKind::CompareFinals(requests),
+        );
+    }
+
+    /// When the next read is due, if one waits for its interval.
     pub(super) fn next_read(&self) -> Option<Timestamp> {
         let reads = &self.reads;
-        let read = (!reads.queued.is_empty() && !reads.reading).then_some(reads.read_next);
-        let check = (!reads.not_open.is_empty() && !reads.comparing).then_some(reads.compare_next);
-        [read, check].into_iter().flatten().min()
+        let read = (!reads.queued.is_empty() && !reads.is_reading).then_some(reads.next_read_at);
+        let comparison = (!reads.unregistered.is_empty() && !reads.is_comparing)
+            .then_some(reads.next_comparison_at);
+        [read, comparison].into_iter().flatten().min()
     }
 
+    /// Answers these requests from a read of changes that was sent at `sent`.
     pub(super) fn handle_changes_read(
         &mut self,
         requests: Vec<PendingRequest>,
         reply: StateReply,
         sent: Timestamp,
     ) {
-        self.reads.reading = false;
+        self.reads.is_reading = false;
         match reply {
             StateReply::Changes(changes) => {
                 self.take_changes(&changes, sent);
@@ -119,7 +139,7 @@
                 self.refuse_all(requests);
             }
             StateReply::Refused { throttled: true } => {
-                self.reads.read_next = self.now + REFUSAL_PAUSE;
+                self.reads.next_read_at = self.now + THROTTLING_PAUSE;
                 let retryable = self.retryable(requests);
                 self.reads.enqueue_all(retryable);
             }
@@ -127,7 +147,7 @@
         }
     }
 
-    /// Those that may be read for once more; the others are refused.
+    /// The requests that may be retried; the others are refused.
     fn retryable(&mut self, requests: Vec<PendingRequest>) -> Vec<PendingRequest> {
         let now = self.now;
         let (retryable, late): (Vec<PendingRequest>, Vec<PendingRequest>) = requests
@@ -137,19 +157,20 @@
         retryable
     }
 
+    /// Refuses requests; their users may retry them.
     pub(super) fn refuse_all(&mut self, requests: Vec<PendingRequest>) {
         for request in requests {
-            self.busy(request.ticket, 1);
+            self.busy(request.ticket, RETRY_AFTER_S);
         }
     }
 
-    /// Which of the jobs have no final state, by a comparison.
+    /// Takes in which of the jobs have no final state: a transaction of conditions only.
     pub(super) fn handle_final_states_compared(
         &mut self,
         requests: Vec<PendingRequest>,
         reply: StateReply,
     ) {
-        self.reads.comparing = false;
+        self.reads.is_comparing = false;
         match reply {
             StateReply::Committed { .. } => {
                 for request in requests {
@@ -168,15 +189,15 @@
                 }
             }
             StateReply::Refused { throttled: true } => {
-                self.reads.compare_next = self.now + REFUSAL_PAUSE;
+                self.reads.next_comparison_at = self.now + THROTTLING_PAUSE;
                 let retryable = self.retryable(requests);
-                self.reads.not_open.extend(retryable);
+                self.reads.unregistered.extend(retryable);
             }
             _ => self.refuse_all(requests),
         }
     }
 
-    /// Answers from a mirror that is fresh enough for this request.
+    /// Answers a request from a state cache that is fresh enough for it.
     pub(super) fn answer(&mut self, request: PendingRequest) {
         let id = request.id;
         if let Some(state) = self.finals.get(&id) {
@@ -185,7 +206,7 @@
             return;
         }
         if !self.cache.jobs.contains_key(&id) {
-            self.reads.not_open.push(request);
+            self.reads.unregistered.push(request);
             return;
         }
         if self.cache.is_cancelled(id) {
@@ -206,9 +227,10 @@
         self.reply_user(request.ticket, reply);
     }
 
+    /// Answers a request from a read of its job's final state.
     pub(super) fn handle_final_state_read(&mut self, request: PendingRequest, reply: StateReply) {
         if self.finals.contains_key(&request.id) || self.cache.jobs.contains_key(&request.id) {
-            // Accepted or ended while we read: the mirror knows more than that read.
+            // Accepted or ended during the read: the state cache is ahead of it.
             self.answer(request);
             return;
         }
@@ -219,7 +241,7 @@
                     let answer = status(request.id, record.state);
                     self.reply_user(request.ticket, UserReply::Status(answer));
                 }
-                Err(_) => self.busy(request.ticket, 5),
+                Err(_) => self.busy(request.ticket, UNREADABLE_STATE_RETRY_AFTER_S),
             },
             StateReply::Missing => match request.kind {
                 RequestKind::Resubmit {
@@ -228,13 +250,13 @@
                     self.reply_user(request.ticket, UserReply::Rejected(reason));
                 }
                 RequestKind::Resubmit { reject: None } | RequestKind::Accepted => {
-                    self.busy(request.ticket, 1)
+                    self.busy(request.ticket, RETRY_AFTER_S)
                 }
                 RequestKind::Get | RequestKind::Cancel { .. } => {
                     self.reply_user(request.ticket, UserReply::NotFound)
                 }
             },
-            _ => self.busy(request.ticket, 1),
+            _ => self.busy(request.ticket, RETRY_AFTER_S),
         }
     }
 }
--- a/crates/controller/src/controller/load_partition.rs
+++ b/crates/controller/src/controller/load_partition.rs
@@ -263,7 +263,7 @@
         let token = term.max(FencingToken(record.token));
         let zone = ZoneName::from(record.zone.as_str());
         let mut machine = Machine::new(name.clone(), kind, zone, record.spot, token);
-        machine.leaving = record.leaving || self.machine_changes.take_away(name);
+        machine.leaving = record.leaving || self.machine_changes.removes_from_partition(name);
         machine.idle_since = self.now;
         Some(machine)
     }
--- a/crates/controller/src/controller/machine_records.rs
+++ b/crates/controller/src/controller/machine_records.rs
@@ -1,4 +1,4 @@
-//! Changes of machines' records: what is wanted is gathered and written together, many
+//! Changes of machines' records: requested changes are collected and written together, many
 //! machines to a put.
 
 use super::{CallKind, Controller, FLEET_PLANNER_PARTITION};
@@ -13,73 +13,149 @@
 use std::time::Duration;
 use wire::state::{StateReply, StateRequest, Transaction, Write};
 
-/// How long a write waits behind rounds.
+/// How long a write waits behind commits of placement logs.
 const MAX_WRITE_DELAY: Duration = Duration::from_secs(1);
 /// Least time between two writes, so that several changes go together.
 const WRITE_INTERVAL: Duration = Duration::from_millis(100);
+/// Pause before a write with an unknown outcome is sent again.
+const RETRY_PAUSE: Duration = Duration::from_millis(200);
+/// Pages of machines that one transaction writes at most.
+const MAX_PAGES_PER_WRITE: usize = 4;
 
-/// A change that is wanted of a machine's record.
+/// A requested change of a machine's record.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) enum MachineChange {
-    /// The leader: a machine that has been rented or found.
+    /// The fleet planner registers a machine that has been rented or discovered.
     Create(MachineRecord),
-    /// Its holder gives it up.
+    /// The partition leader gives the machine up.
     Leave,
-    /// Its holder hands it, idle, to another partition.
-    Shift(PartitionId),
-    /// Its holder needs a higher token.
-    Raise,
-    /// The leader: the cloud has confirmed that it is gone.
+    /// The partition leader transfers the machine, idle, to another partition.
+    Transfer(PartitionId),
+    /// The partition leader needs a higher fencing token.
+    RaiseToken,
+    /// The fleet planner drops a machine whose release the cloud has confirmed.
     Delete,
 }
 
-/// Changes of machines' records on their way.
+/// Requested changes of machines' records and the write under way.
 #[derive(Debug, Default)]
 pub(crate) struct MachineChanges {
-    wanted: BTreeMap<MachineName, MachineChange>,
-    pipe: SerialWriter<()>,
-    /// Since when a write could go out but for the budget.
-    held_up_since: Option<Timestamp>,
+    requested: BTreeMap<MachineName, MachineChange>,
+    writer: SerialWriter<()>,
+    /// Since when only the budget has prevented a write.
+    delayed_since: Option<Timestamp>,
 }
 
 impl MachineChanges {
     /// Whether the machine's record is about to change, or may be.
-    pub fn concern(&self, name: &MachineName) -> bool {
-        self.wanted.contains_key(name)
+    pub fn has_change(&self, name: &MachineName) -> bool {
+        self.requested.contains_key(name)
     }
 
-    /// Wants a change. One that is under way for the machine goes first, unless the machine is
-    /// gone.
-    pub fn want(&mut self, name: &MachineName, change: MachineChange) {
+    /// Requests a change. A change that is already requested for the machine goes first, unless the
+    /// machine is to be deleted.
+    pub fn request(&mut self, name: &MachineName, change: MachineChange) {
         if change == MachineChange::Delete {
-            self.wanted.insert(name.clone(), change);
+            self.requested.insert(name.clone(), change);
         } else {
-            self.wanted.entry(name.clone()).or_insert(change);
+            self.requested.entry(name.clone()).or_insert(change);
         }
     }
 
-    /// Whether a write has waited for its part of the budget for long. Rounds, which ask first and come
-    /// whenever a put is free, then let it pass: a node that had taken over a second partition did not
-    /// get to give up its dead machines for 10 s, and their tasks waited for that.
-    pub fn held_up(&self, now: Timestamp) -> bool {
-        self.held_up_since
-            .is_some_and(|at| now.duration_since(at) >= MAX_WRITE_DELAY)
+    /// Whether a write has waited for its share of the budget for too long. Commits of placement
+    /// logs, which are tried first and whenever a put is free, then let it pass: otherwise a leader
+    /// of two busy partitions could not give up its dead machines, and their tasks would wait.
+    pub fn is_delayed(&self, now: Timestamp) -> bool {
+        self.delayed_since
+            .is_some_and(|since| now.duration_since(since) >= MAX_WRITE_DELAY)
     }
 
-    /// Whether the machine is about to leave its share.
-    pub fn take_away(&self, name: &MachineName) -> bool {
+    /// Whether the machine is about to leave its partition.
+    pub fn removes_from_partition(&self, name: &MachineName) -> bool {
         matches!(
-            self.wanted.get(name),
-            Some(MachineChange::Leave | MachineChange::Shift(_))
+            self.requested.get(name),
+            Some(MachineChange::Leave | MachineChange::Transfer(_))
         )
     }
 }
 
+/// A transaction of machine changes, while it is assembled.
+struct MachineBatch<'a> {
+    /// Most pages that the transaction may write.
+    max_pages: usize,
+    /// Bytes for entries on a page.
+    capacity: usize,
+    /// The next fencing token.
+    token: u64,
+    /// Whether the token is used by a record of the batch.
+    uses_token: bool,
+    /// Bytes that entries take on each page, as far as needed for new machines.
+    page_sizes: BTreeMap<u32, usize>,
+    pages: BTreeMap<u32, BTreeMap<&'a MachineName, MachineRecord>>,
+    /// Partitions whose leadership the transaction is conditional on.
+    leaderships: BTreeSet<PartitionId>,
+}
+
+impl MachineBatch<'_> {
+    /// Whether the transaction may write this page.
+    fn accepts_page(&self, page: u32) -> bool {
+        self.pages.contains_key(&page) || self.pages.len() < self.max_pages
+    }
+
+    /// The page for a new machine of this size: the first with room, or a new one.
+    fn allocate(&mut self, size: usize) -> u32 {
+        let with_room = self
+            .page_sizes
+            .iter()
+            .find(|(_, used)| **used + size <= self.capacity)
+            .map(|(page, _)| *page);
+        let page = with_room.unwrap_or_else(|| {
+            let last = self.page_sizes.keys().next_back();
+            last.map_or(0, |last| last + 1)
+        });
+        if self.accepts_page(page) {
+            *self.page_sizes.entry(page).or_default() += size;
+        }
+        page
+    }
+
+    /// Applies a change to the record; returns the record to store, or `None` for a deleted machine.
+    fn apply(
+        &mut self,
+        change: &MachineChange,
+        mut record: MachineRecord,
+    ) -> Option<MachineRecord> {
+        match change {
+            MachineChange::Create(_) => {
+                self.leaderships.insert(FLEET_PLANNER_PARTITION);
+            }
+            // The cloud has confirmed the release: that holds whoever leads the partition.
+            MachineChange::Delete => return None,
+            MachineChange::Leave => {
+                self.leaderships.insert(record.partition);
+                record.leaving = true;
+            }
+            MachineChange::Transfer(to) => {
+                self.leaderships.insert(record.partition);
+                record.partition = *to;
+                record.token = self.token;
+                self.uses_token = true;
+            }
+            MachineChange::RaiseToken => {
+                self.leaderships.insert(record.partition);
+                record.token = self.token;
+                self.uses_token = true;
+            }
+        }
+        Some(record)
+    }
+}
+
 impl Controller {
-    /// Whether the change still makes sense as the mirror and our shares stand. What does not is
-    /// dropped; whoever wanted it looks again.
-    fn still_wanted(&self, name: &MachineName, change: &MachineChange) -> bool {
-        let known = self.cache.machines.get(name).map(|m| &m.record);
+    /// Whether the change still applies, given the state cache and the partitions led here. What
+    /// does not is dropped; its requester decides again.
+    fn still_applies(&self, name: &MachineName, change: &MachineChange) -> bool {
+        let known = self.cache.machines.get(name).map(|known| &known.record);
         let partition_state = known
             .and_then(|record| self.leaderships.get(&record.partition))
             .filter(|leadership| !leadership.is_transferring())
@@ -91,43 +167,45 @@
                 known.is_none() && self.leaderships.contains_key(&FLEET_PLANNER_PARTITION)
             }
             MachineChange::Delete => known.is_some(),
-            MachineChange::Leave => machine.is_some() && known.is_some_and(|r| !r.leaving),
-            // Only what is idle and takes nothing new may change hands.
-            MachineChange::Shift(to) => {
-                machine.is_some_and(|m| m.tasks.is_empty() && m.leaving)
-                    && known.is_some_and(|r| r.partition != *to && !r.leaving)
+            MachineChange::Leave => {
+                machine.is_some() && known.is_some_and(|record| !record.leaving)
+            }
+            // Only an idle machine that takes nothing new may be transferred.
+            MachineChange::Transfer(to) => {
+                machine.is_some_and(|machine| machine.tasks.is_empty() && machine.leaving)
+                    && known.is_some_and(|record| record.partition != *to && !record.leaving)
+            }
+            MachineChange::RaiseToken => {
+                machine.is_some_and(|machine| machine.needs_higher_token())
             }
-            MachineChange::Raise => machine.is_some_and(|m| m.needs_higher_token()),
         }
     }
 
+    /// Writes requested changes if the writer and the budget allow it.
     pub(super) fn write_machine_changes(&mut self) {
         let (now, revision) = (self.now, self.cache.revision);
-        if self.machine_changes.wanted.is_empty()
+        if self.machine_changes.requested.is_empty()
             || !self.synced
-            || !self.machine_changes.pipe.ready(now, revision)
+            || !self.machine_changes.writer.ready(now, revision)
         {
-            self.machine_changes.held_up_since = None;
+            self.machine_changes.delayed_since = None;
             return;
         }
         if !self.may_write(CallPriority::Placement, 1.0) {
-            self.machine_changes.held_up_since.get_or_insert(now);
+            self.machine_changes.delayed_since.get_or_insert(now);
             return;
         }
-        self.machine_changes.held_up_since = None;
-        let wanted = std::mem::take(&mut self.machine_changes.wanted);
-        let wanted: BTreeMap<MachineName, MachineChange> = wanted
-            .into_iter()
-            .filter(|(name, change)| self.still_wanted(name, change))
-            .collect();
-        let txn = self.machines_txn(&wanted);
-        // They stay wanted, and so known to be under way, until the mirror shows them done.
-        self.machine_changes.wanted = wanted;
+        self.machine_changes.delayed_since = None;
+        let mut requested = std::mem::take(&mut self.machine_changes.requested);
+        requested.retain(|name, change| self.still_applies(name, change));
+        let txn = self.machine_changes_transaction(&requested);
+        // Changes stay requested, and so known to be under way, until the state cache shows them.
+        self.machine_changes.requested = requested;
         if txn.writes.is_empty() {
             return;
         }
         self.machine_changes
-            .pipe
+            .writer
             .send((), txn.clone(), now, WRITE_INTERVAL);
         self.state(
             CallPriority::Placement,
@@ -136,79 +214,64 @@
         );
     }
 
-    /// Writes as many of the changes as a transaction takes.
-    fn machines_txn(&self, wanted: &BTreeMap<MachineName, MachineChange>) -> Transaction {
-        let most_pages = (self.settings.state_limits.txn_ops - 1).clamp(1, 4);
-        let room = page_capacity(self.settings.state_limits.value_bytes);
-        let token = self.cache.next_token();
-        let mut pages: BTreeMap<u32, BTreeMap<&MachineName, MachineRecord>> = BTreeMap::new();
-        let mut rights: BTreeSet<PartitionId> = BTreeSet::new();
-        let grows = wanted
+    /// A transaction with as many of the changes as it takes.
+    fn machine_changes_transaction(
+        &self,
+        requested: &BTreeMap<MachineName, MachineChange>,
+    ) -> Transaction {
+        let limits = &self.settings.state_limits;
+        let creates_machines = requested
             .values()
             .any(|change| matches!(change, MachineChange::Create(_)));
-        let mut filled = if grows {
-            self.filled_pages()
-        } else {
-            BTreeMap::new()
+        let mut batch = MachineBatch {
+            max_pages: (limits.txn_ops - 1).clamp(1, MAX_PAGES_PER_WRITE),
+            capacity: page_capacity(limits.value_bytes),
+            token: self.cache.next_token(),
+            uses_token: false,
+            page_sizes: if creates_machines {
+                self.machine_page_sizes()
+            } else {
+                BTreeMap::new()
+            },
+            pages: BTreeMap::new(),
+            leaderships: BTreeSet::new(),
         };
-        let mut new_token = false;
-        for (name, change) in wanted {
-            let known = self.cache.machines.get(name);
-            let (page, mut record) = match (known, change) {
+        for (name, change) in requested {
+            let (page, record) = match (self.cache.machines.get(name), change) {
                 (Some(known), _) => (known.page, known.record.clone()),
                 (None, MachineChange::Create(record)) => {
                     let size = PackedMachine::max_packed_size(name, record);
-                    let fits = |filled: &usize| filled + size <= room;
-                    let found = filled
-                        .iter()
-                        .find(|(_, filled)| fits(filled))
-                        .map(|(p, _)| *p);
-                    let fresh = || filled.keys().next_back().map_or(0, |last| last + 1);
-                    let page = found.unwrap_or_else(fresh);
-                    if pages.contains_key(&page) || pages.len() < most_pages {
-                        *filled.entry(page).or_default() += size;
-                    }
-                    (page, record.clone())
+                    (batch.allocate(size), record.clone())
                 }
                 (None, _) => continue,
             };
-            if !pages.contains_key(&page) && pages.len() >= most_pages {
+            if !batch.accepts_page(page) {
                 continue;
             }
-            let records = pages.entry(page).or_insert_with(|| self.page_records(page));
-            match change {
-                MachineChange::Create(_) => {
-                    rights.insert(FLEET_PLANNER_PARTITION);
-                }
-                // The cloud's word needs no right.
-                MachineChange::Delete => {
-                    records.remove(name);
-                    continue;
-                }
-                MachineChange::Leave => {
-                    rights.insert(record.partition);
-                    record.leaving = true;
-                }
-                MachineChange::Shift(to) => {
-                    rights.insert(record.partition);
-                    (record.partition, record.token, new_token) = (*to, token, true);
-                }
-                MachineChange::Raise => {
-                    rights.insert(record.partition);
-                    (record.token, new_token) = (token, true);
-                }
-            }
-            records.insert(name, record);
+            let changed = batch.apply(change, record);
+            let records = batch
+                .pages
+                .entry(page)
+                .or_insert_with(|| self.machine_page_records(page));
+            match changed {
+                Some(record) => records.insert(name, record),
+                None => records.remove(name),
+            };
         }
+        self.machine_batch_transaction(batch)
+    }
+
+    /// The transaction that writes an assembled batch.
+    fn machine_batch_transaction(&self, batch: MachineBatch<'_>) -> Transaction {
         let mut txn = Transaction::default();
-        for partition in rights {
+        for partition in batch.leaderships {
             let version = self
                 .leaderships
                 .get(&partition)
-                .map_or(0, |h| h.version().0);
+                .map_or(0, |leadership| leadership.version().0);
             txn = txn.when(partition_key(partition), version);
         }
-        for (page, records) in pages {
+        for (page, records) in batch.pages {
             let machines = records
                 .iter()
                 .map(|(name, record)| PackedMachine::new(name, record))
@@ -217,19 +280,17 @@
                 .cache
                 .machine_pages
                 .get(&page)
-                .map_or(0, |p| p.version.0);
+                .map_or(0, |page| page.version.0);
             let value = serde_json::to_value(MachinesPage { machines }).unwrap_or_default();
             let key = machines_key(page);
             txn = txn.when(&key, version).write(Write::put(&key, value));
         }
-        if new_token {
-            let mut counter = self
-                .cache
-                .counter
-                .as_ref()
-                .map(|c| c.record.clone())
+        if batch.uses_token {
+            let counter = self.cache.counter.as_ref();
+            let mut counter = counter
+                .map(|counter| counter.record.clone())
                 .unwrap_or_default();
-            counter.next = token + 1;
+            counter.next = batch.token + 1;
             let value = serde_json::to_value(counter).unwrap_or_default();
             txn = txn
                 .when(TOKEN_COUNTER_KEY, self.cache.counter_version())
@@ -238,35 +299,36 @@
         txn
     }
 
-    fn page_records(&self, page: u32) -> BTreeMap<&MachineName, MachineRecord> {
+    /// The records of a page as the state cache shows them.
+    fn machine_page_records(&self, page: u32) -> BTreeMap<&MachineName, MachineRecord> {
         let names = self
             .cache
             .machine_pages
             .get(&page)
             .into_iter()
-            .flat_map(|p| &p.record.names);
+            .flat_map(|page| &page.record.names);
         names
             .filter_map(|name| Some((name, self.cache.machines.get(name)?.record.clone())))
             .collect()
     }
 
-    /// How full each page is.
-    fn filled_pages(&self) -> BTreeMap<u32, usize> {
+    /// Bytes that entries take on each page.
+    fn machine_page_sizes(&self) -> BTreeMap<u32, usize> {
         self.cache
             .machine_pages
             .iter()
-            .map(|(page, of)| (*page, of.record.filled))
+            .map(|(number, page)| (*number, page.record.filled))
             .collect()
     }
 
+    /// Takes in the outcome of a write of machine changes.
     pub(super) fn handle_machine_records_written(&mut self, reply: StateReply) {
-        // What is still wanted is made up anew when the mirror has caught up.
-        if let Outcome::Again(txn) = self.machine_changes.pipe.answered(reply, self.now) {
-            let request = StateRequest::Transaction(txn);
+        // Changes that are still requested are written anew once the state cache has caught up.
+        if let Outcome::Again(txn) = self.machine_changes.writer.answered(reply, self.now) {
             self.retry_later(
-                Duration::from_millis(200),
+                RETRY_PAUSE,
                 CallPriority::Placement,
-                request,
+                StateRequest::Transaction(txn),
                 CallKind::Machines,
             );
         }
