--- a/crates/controller/src/controller/cancellations.rs
+++ b/crates/controller/src/controller/cancellations.rs
@@ -34,7 +34,11 @@
             .writes
             .ready(self.now, self.cache.revision);
         let has_pending = !self.cancellations.pending.is_empty();
-        if has_pending && ready && self.synced && self.may_write(CallPriority::Accept, 1.0) {
+        if has_pending
+            && ready
+            && self.state_sync.is_synced()
+            && self.may_write(CallPriority::Accept, 1.0)
+        {
             self.write_cancellations();
         }
     }
--- a/crates/controller/src/controller/fleet_planner/cloud_calls.rs
+++ b/crates/controller/src/controller/fleet_planner/cloud_calls.rs
@@ -193,7 +193,7 @@
 
     /// Takes in a reply of the cloud.
     pub(in crate::controller) fn handle_cloud_reply(&mut self, call: CallId, reply: CloudReply) {
-        let Some(kind) = self.calls.remove(&call) else {
+        let Some(kind) = self.calls.complete(call) else {
             self.counters
                 .rejections
                 .add(MessageSource::Cloud, MessageFault::Stale);
--- a/crates/controller/src/controller/fleet_planner/planning.rs
+++ b/crates/controller/src/controller/fleet_planner/planning.rs
@@ -141,7 +141,7 @@
         format!(
             "{}-{:x}-{}",
             self.own_name(),
-            self.incarnation,
+            self.registration.incarnation(),
             self.fleet_planner.planning.rental_count
         )
     }
--- a/crates/controller/src/controller/linearizable_reads.rs
+++ b/crates/controller/src/controller/linearizable_reads.rs
@@ -8,6 +8,7 @@
 use super::{CallKind, Controller, PendingRequest, RequestKind, UserReply};
 use crate::records::{final_state_key, FinalStateRecord};
 use crate::request_budget::CallPriority;
+use crate::state_sync::watch_request;
 use model::{JobId, JobState, Timestamp};
 use serde::Deserialize;
 use std::collections::BTreeSet;
@@ -62,7 +63,7 @@
 
     /// Sends the reads that are due.
     pub(super) fn advance_reads(&mut self) {
-        if !self.synced {
+        if !self.state_sync.is_synced() {
             return;
         }
         let (now, interval) = (self.now, self.read_interval());
@@ -84,7 +85,7 @@
     /// Sends a read of changes for all queued requests.
     fn read_changes(&mut self) {
         let requests = std::mem::take(&mut self.reads.queued);
-        let read = self.watch_request(Duration::ZERO);
+        let read = watch_request(self.cache.revision, Duration::ZERO);
         self.state(CallPriority::Accept, read, CallKind::ReadChanges(requests));
     }
 
@@ -129,13 +130,13 @@
         self.reads.is_reading = false;
         match reply {
             StateReply::Changes(changes) => {
-                self.take_changes(&changes, sent);
+                self.apply_changes(&changes, sent);
                 for request in requests {
                     self.answer(request);
                 }
             }
             StateReply::Compacted => {
-                self.synced = false;
+                self.state_sync.require_full_read();
                 self.refuse_all(requests);
             }
             StateReply::Refused { throttled: true } => {
@@ -200,8 +201,8 @@
     /// Answers a request from a state cache that is fresh enough for it.
     pub(super) fn answer(&mut self, request: PendingRequest) {
         let id = request.id;
-        if let Some(state) = self.finals.get(&id) {
-            let answer = status(id, *state);
+        if let Some(state) = self.job_status.terminal_state(id) {
+            let answer = status(id, state);
             self.reply_user(request.ticket, UserReply::Status(answer));
             return;
         }
@@ -229,7 +230,7 @@
 
     /// Answers a request from a read of its job's final state.
     pub(super) fn handle_final_state_read(&mut self, request: PendingRequest, reply: StateReply) {
-        if self.finals.contains_key(&request.id) || self.cache.jobs.contains_key(&request.id) {
+        if self.job_status.is_terminal(request.id) || self.cache.jobs.contains_key(&request.id) {
             // Accepted or ended during the read: the state cache is ahead of it.
             self.answer(request);
             return;
@@ -237,7 +238,8 @@
         match reply {
             StateReply::Item(item) => match FinalStateRecord::deserialize(&item.value) {
                 Ok(record) => {
-                    self.cache_final_state(request.id, record.state);
+                    self.job_status
+                        .record_terminal_state(request.id, record.state);
                     let answer = status(request.id, record.state);
                     self.reply_user(request.ticket, UserReply::Status(answer));
                 }
--- a/crates/controller/src/controller/machine_records.rs
+++ b/crates/controller/src/controller/machine_records.rs
@@ -185,7 +185,7 @@
     pub(super) fn write_machine_changes(&mut self) {
         let (now, revision) = (self.now, self.cache.revision);
         if self.machine_changes.requested.is_empty()
-            || !self.synced
+            || !self.state_sync.is_synced()
             || !self.machine_changes.writer.ready(now, revision)
         {
             self.machine_changes.delayed_since = None;
