--- a/crates/controller/src/controller/mod.rs
+++ b/crates/controller/src/controller/mod.rs
@@ -39,11 +39,11 @@
 use machine_records::MachineChanges;
 use model::{
     CallId, ControllerName, FencingToken, JobId, MachineName, PartitionId, RejectReason, Settings,
-    TaskId, Timestamp, ZoneName,
+    Timestamp, ZoneName,
 };
 use rand::rngs::SmallRng;
 use rand::SeedableRng;
-use scheduler::Policy;
+use scheduler::{Policy, TaskAttempt};
 use scheduling_queue::QueueConfig;
 use std::collections::{BTreeMap, HashMap, HashSet};
 use wire::cloud::{CloudReply, CloudRequest, RentRequest};
@@ -281,7 +281,7 @@
     Direct {
         partition: PartitionId,
         machine: MachineName,
-        launches: Vec<(TaskId, model::Attempt)>,
+        launches: Vec<TaskAttempt>,
     },
 }
 
--- a/crates/controller/src/controller/state_sync.rs
+++ b/crates/controller/src/controller/state_sync.rs
@@ -199,7 +199,7 @@
                 CacheEvent::Partition(id) => self.partition_changed(id),
                 CacheEvent::Machine(name) => self.machine_changed(&name),
                 CacheEvent::Types => self.handle_machine_types_record(),
-                CacheEvent::Tuning => self.tuning_changed(),
+                CacheEvent::Tuning => self.handle_settings_record(),
                 CacheEvent::Boot(_) => {}
             }
         }
--- a/crates/controller/src/registration.rs
+++ b/crates/controller/src/registration.rs
@@ -54,13 +54,13 @@
         recorded: Option<&IncarnationRecord>,
         now: Timestamp,
     ) -> Option<IncarnationRecord> {
-        let short_lives_before = recorded.map_or(0, |record| record.short_runs);
+        let short_runs_before = recorded.map_or(0, |record| record.short_runs);
         let recorded_now = recorded.is_some_and(|record| record.incarnation == self.incarnation);
         self.registered |= recorded_now;
         let is_stable = now >= Timestamp::default() + STABLE_AFTER;
         let short_runs = if !recorded_now {
-            short_lives_before.saturating_add(1)
-        } else if is_stable && short_lives_before > 0 {
+            short_runs_before.saturating_add(1)
+        } else if is_stable && short_runs_before > 0 {
             0
         } else {
             return None;
--- a/crates/controller/tests/golden_records.rs
+++ b/crates/controller/tests/golden_records.rs
@@ -337,8 +337,16 @@
 
 fn placed() -> Vec<PlacedTask> {
     vec![
-        PlacedTask(3, 57, "host-000007".into()),
-        PlacedTask(5, 58, "host-000008".into()),
+        PlacedTask {
+            offset: 3,
+            attempt: 57,
+            machine: "host-000007".into(),
+        },
+        PlacedTask {
+            offset: 5,
+            attempt: 58,
+            machine: "host-000008".into(),
+        },
     ]
 }
 
@@ -347,27 +355,42 @@
     let done = || "8000000000000005".to_owned();
     vec![
         (
-            (JobId(7), 0),
+            ChunkKey {
+                job: JobId(7),
+                chunk: 0,
+            },
             TaskChunk {
                 done: done(),
                 placed: placed(),
             },
         ),
         (
-            (JobId(7), 2),
+            ChunkKey {
+                job: JobId(7),
+                chunk: 2,
+            },
             TaskChunk {
                 done: done(),
                 placed: Vec::new(),
             },
         ),
         (
-            (JobId(412), 0),
+            ChunkKey {
+                job: JobId(412),
+                chunk: 0,
+            },
             TaskChunk {
                 done: String::new(),
                 placed: placed(),
             },
         ),
-        ((JobId(413), 1), TaskChunk::default()),
+        (
+            ChunkKey {
+                job: JobId(413),
+                chunk: 1,
+            },
+            TaskChunk::default(),
+        ),
     ]
 }
 
@@ -420,10 +443,10 @@
 fn stored_placement_log_pages_are_read_and_rewritten() {
     let mut log = stored_log(4_096);
     assert!(log.unreadable().is_empty());
-    for ((job, chunk), body) in chunks() {
+    for (key, body) in chunks() {
         assert!(
-            log.chunks_of(job).contains(&(chunk, body)),
-            "{job:?} {chunk}"
+            log.chunks_of(key.job).contains(&(key.chunk, body)),
+            "{key:?}"
         );
     }
     // Empty commits write the other three pages in turn, so that the next one rewrites this page.
