--- a/crates/controller/src/controller/admin/settings.rs
+++ b/crates/controller/src/controller/admin/settings.rs
@@ -56,25 +56,55 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct TuningRecord {
+    /// Backoff of a queue entry after its first failure, in seconds.
     pub initial_backoff_s: f64,
+    /// Longest backoff of a queue entry, in seconds.
     pub max_backoff_s: f64,
-    pub leftover_s: f64,
-    pub silence_s: f64,
+    /// How long an entry stays unschedulable before it is released without an event, in seconds.
+    #[serde(rename = "leftover_s")]
+    pub unschedulable_timeout_s: f64,
+    /// Lateness of a heartbeat, in seconds, after which a machine gets no new tasks.
+    #[serde(rename = "silence_s")]
+    pub heartbeat_grace_s: f64,
+    /// Tasks of one job array that are in the scheduling queue at a time.
     pub window: u32,
-    pub faulty_after: u32,
+    /// Failures without a success in between after which a machine is quarantined.
+    #[serde(rename = "faulty_after")]
+    pub quarantine_threshold: u32,
+    /// Whether tasks are preempted.
     pub preempt: bool,
-    pub set_back: u64,
+    /// Multiple of its own run time by which a job is deprioritised.
+    #[serde(rename = "set_back")]
+    pub size_penalty_factor: u64,
+    /// Whether replicas are consolidated on fewer machines.
     pub move_replicas: bool,
+    /// Tasks of arrays that find room within this time, in seconds, are no demand for machines.
     pub absorb_s: f64,
-    pub short_set_back: u64,
+    /// Further multiple of its remaining run time by which a job is deprioritised during overload.
+    #[serde(rename = "short_set_back")]
+    pub overload_penalty_factor: u64,
+    /// Time within which waiting array work should be finished, in seconds.
     pub horizon_s: f64,
+    /// How long an ordinary machine may be idle before it is returned, in seconds.
     pub keep_idle_s: f64,
-    pub paid_s: f64,
-    pub shift_idle_s: f64,
-    pub shift_count: usize,
-    pub silent_s: f64,
-    pub boot_trust: f64,
-    pub boot_patience: u64,
+    /// Minimum time billed for a machine, in seconds: younger machines are kept.
+    #[serde(rename = "paid_s")]
+    pub minimum_billing_s: f64,
+    /// Idle time after which a machine may be transferred to another partition, in seconds.
+    #[serde(rename = "shift_idle_s")]
+    pub transfer_idle_s: f64,
+    /// Maximum number of idle machines transferred by one plan.
+    #[serde(rename = "shift_count")]
+    pub max_idle_transfers: usize,
+    /// An empty machine that has not reported for so many seconds is returned.
+    #[serde(rename = "silent_s")]
+    pub report_timeout_s: f64,
+    /// A booting machine counts as capacity for its boot time multiplied by this factor.
+    #[serde(rename = "boot_trust")]
+    pub boot_capacity_factor: f64,
+    /// A machine that has not reported after its boot time multiplied by this factor is given up.
+    #[serde(rename = "boot_patience")]
+    pub boot_timeout_factor: u64,
 }
 
 impl Default for TuningRecord {
@@ -93,23 +123,23 @@
         TuningRecord {
             initial_backoff_s: queue.initial_backoff.as_secs_f64(),
             max_backoff_s: queue.max_backoff.as_secs_f64(),
-            leftover_s: queue.unschedulable_timeout.as_secs_f64(),
-            silence_s: policy.heartbeat_grace.as_secs_f64(),
+            unschedulable_timeout_s: queue.unschedulable_timeout.as_secs_f64(),
+            heartbeat_grace_s: policy.heartbeat_grace.as_secs_f64(),
             window: policy.window,
-            faulty_after: policy.quarantine_threshold,
+            quarantine_threshold: policy.quarantine_threshold,
             preempt: policy.preempt,
-            set_back: policy.size_penalty_factor,
+            size_penalty_factor: policy.size_penalty_factor,
             move_replicas: policy.move_replicas,
             absorb_s: policy.absorb.as_secs_f64(),
-            short_set_back: policy.overload_penalty_factor,
+            overload_penalty_factor: policy.overload_penalty_factor,
             horizon_s: fleet.horizon.as_secs_f64(),
             keep_idle_s: fleet.keep_idle.as_secs_f64(),
-            paid_s: fleet.minimum_billing.as_secs_f64(),
-            shift_idle_s: fleet.transfer_idle.as_secs_f64(),
-            shift_count: fleet.max_idle_transfers,
-            silent_s: fleet.report_timeout.as_secs_f64(),
-            boot_trust: fleet.boot_capacity_factor,
-            boot_patience: fleet.boot_timeout_factor,
+            minimum_billing_s: fleet.minimum_billing.as_secs_f64(),
+            transfer_idle_s: fleet.transfer_idle.as_secs_f64(),
+            max_idle_transfers: fleet.max_idle_transfers,
+            report_timeout_s: fleet.report_timeout.as_secs_f64(),
+            boot_capacity_factor: fleet.boot_capacity_factor,
+            boot_timeout_factor: fleet.boot_timeout_factor,
         }
     }
 }
@@ -128,21 +158,33 @@
             self.max_backoff_s,
             self.initial_backoff_s..=600.0,
         )?;
-        check_bounds("leftover_s", self.leftover_s, 0.1..=600.0)?;
-        check_bounds("silence_s", self.silence_s, 0.1..=60.0)?;
+        check_bounds("leftover_s", self.unschedulable_timeout_s, 0.1..=600.0)?;
+        check_bounds("silence_s", self.heartbeat_grace_s, 0.1..=60.0)?;
         check_bounds("window", f64::from(self.window), 1.0..=100_000.0)?;
-        check_bounds("faulty_after", f64::from(self.faulty_after), 1.0..=1000.0)?;
-        check_bounds("set_back", self.set_back as f64, 0.0..=1000.0)?;
+        check_bounds(
+            "faulty_after",
+            f64::from(self.quarantine_threshold),
+            1.0..=1000.0,
+        )?;
+        check_bounds("set_back", self.size_penalty_factor as f64, 0.0..=1000.0)?;
         check_bounds("absorb_s", self.absorb_s, 0.0..=3_600.0)?;
-        check_bounds("short_set_back", self.short_set_back as f64, 0.0..=1000.0)?;
+        check_bounds(
+            "short_set_back",
+            self.overload_penalty_factor as f64,
+            0.0..=1000.0,
+        )?;
         check_bounds("horizon_s", self.horizon_s, 1.0..=36_000.0)?;
         check_bounds("keep_idle_s", self.keep_idle_s, 0.0..=36_000.0)?;
-        check_bounds("paid_s", self.paid_s, 0.0..=36_000.0)?;
-        check_bounds("shift_idle_s", self.shift_idle_s, 0.0..=3_600.0)?;
-        check_bounds("shift_count", self.shift_count as f64, 0.0..=1000.0)?;
-        check_bounds("silent_s", self.silent_s, 1.0..=36_000.0)?;
-        check_bounds("boot_trust", self.boot_trust, 0.1..=100.0)?;
-        check_bounds("boot_patience", self.boot_patience as f64, 1.0..=1000.0)?;
+        check_bounds("paid_s", self.minimum_billing_s, 0.0..=36_000.0)?;
+        check_bounds("shift_idle_s", self.transfer_idle_s, 0.0..=3_600.0)?;
+        check_bounds("shift_count", self.max_idle_transfers as f64, 0.0..=1000.0)?;
+        check_bounds("silent_s", self.report_timeout_s, 1.0..=36_000.0)?;
+        check_bounds("boot_trust", self.boot_capacity_factor, 0.1..=100.0)?;
+        check_bounds(
+            "boot_patience",
+            self.boot_timeout_factor as f64,
+            1.0..=1000.0,
+        )?;
         Ok(())
     }
 }
@@ -157,27 +199,27 @@
             queue: QueueConfig {
                 initial_backoff: duration_from_secs(record.initial_backoff_s),
                 max_backoff: duration_from_secs(record.max_backoff_s),
-                unschedulable_timeout: duration_from_secs(record.leftover_s),
+                unschedulable_timeout: duration_from_secs(record.unschedulable_timeout_s),
             },
             policy: Policy {
-                heartbeat_grace: duration_from_secs(record.silence_s),
+                heartbeat_grace: duration_from_secs(record.heartbeat_grace_s),
                 window: record.window,
-                quarantine_threshold: record.faulty_after,
+                quarantine_threshold: record.quarantine_threshold,
                 preempt: record.preempt,
-                size_penalty_factor: record.set_back,
+                size_penalty_factor: record.size_penalty_factor,
                 move_replicas: record.move_replicas,
                 absorb: duration_from_secs(record.absorb_s),
-                overload_penalty_factor: record.short_set_back,
+                overload_penalty_factor: record.overload_penalty_factor,
             },
             fleet: FleetPolicy {
                 horizon: duration_from_secs(record.horizon_s),
                 keep_idle: duration_from_secs(record.keep_idle_s),
-                minimum_billing: duration_from_secs(record.paid_s),
-                transfer_idle: duration_from_secs(record.shift_idle_s),
-                max_idle_transfers: record.shift_count,
-                report_timeout: duration_from_secs(record.silent_s),
-                boot_capacity_factor: record.boot_trust,
-                boot_timeout_factor: record.boot_patience,
+                minimum_billing: duration_from_secs(record.minimum_billing_s),
+                transfer_idle: duration_from_secs(record.transfer_idle_s),
+                max_idle_transfers: record.max_idle_transfers,
+                report_timeout: duration_from_secs(record.report_timeout_s),
+                boot_capacity_factor: record.boot_capacity_factor,
+                boot_timeout_factor: record.boot_timeout_factor,
             },
         })
     }
