--- a/crates/controller/src/controller/standby.rs
+++ b/crates/controller/src/controller/standby.rs
@@ -314,7 +314,8 @@
                 };
                 let leadership = self.leaderships.get(partition);
                 let failed_checks = leadership.map(|leadership| {
-                    let names: Vec<_> = leadership.failed_checks.iter().map(|check| check.as_str()).collect();
+                    let checks = leadership.failed_checks().iter();
+                    let names: Vec<_> = checks.map(|check| check.as_str()).collect();
                     format!("[{}]", names.join(", "))
                 });
                 json!({
