--- a/crates/controller/src/controller/job_archiver.rs
+++ b/crates/controller/src/controller/job_archiver.rs
@@ -1,10 +1,10 @@
-//! Writing the ends of jobs: done or cancelled, whichever came first.
+//! Recording the terminal states of jobs: done or cancelled, whichever came first.
 //!
-//! An end is an entry on a watched page, many to a put. That write is conditional on every
-//! node's cancellations, so that done and cancelled exclude each other. When there is budget to
-//! spare, the final state is filed under the job's id, where it stays for ever. An entry
-//! leaves its page when it is filed and no page of accepted jobs shows the job any more; the
-//! job cannot come back then, since acceptances are conditional on there being no final state.
+//! A terminal job is an entry on a watched page, many to a put. That write is conditional on all
+//! controllers' cancellations, so that done and cancelled exclude each other. When there is budget
+//! to spare, the final state is archived under the job's id, where it stays for ever. An entry
+//! leaves its page once it is archived and no page of accepted jobs lists the job any more; the job
+//! cannot be registered again then, since acceptances are conditional on there being no final state.
 
 use super::{CallKind, Controller};
 use crate::records::{
@@ -19,23 +19,28 @@
 use std::time::Duration;
 use wire::state::{StateReply, StateRequest, Transaction, Write};
 
-/// Least time between two writes of ends, so that several go together.
+/// Least time between two writes of terminal jobs, so that several go together.
 const WRITE_INTERVAL: Duration = Duration::from_millis(150);
+/// Pause before a write with an unknown outcome is sent again.
+const RETRY_PAUSE: Duration = Duration::from_millis(200);
+/// Most bytes of a job's id on a page: 20 digits and a separator.
+const MAX_ID_BYTES: usize = 21;
 
-/// Ends of a partition's jobs on their way.
+/// Jobs of a partition in a terminal state that is not recorded yet, and the write under way.
 #[derive(Debug, Default)]
 pub(crate) struct JobArchiver {
     jobs: BTreeSet<JobId>,
-    pipe: SerialWriter<()>,
+    writer: SerialWriter<()>,
 }
 
 impl Controller {
+    /// Records terminal jobs of a partition or, if there are none, archives recorded ones.
     pub(super) fn archive_terminal_jobs(&mut self, partition: PartitionId) {
         let (now, revision) = (self.now, self.cache.revision);
-        let budget = self.may_write(CallPriority::Accept, 1.0);
-        let most = self.settings.state_limits.txn_ops - 1;
-        let room = self.page_entries();
-        let spare = self.may_write(CallPriority::Rest, most as f64 + 1.0);
+        let may_record = self.may_write(CallPriority::Accept, 1.0);
+        let max_archived = self.settings.state_limits.txn_ops - 1;
+        let capacity = self.page_entries();
+        let may_archive = self.may_write(CallPriority::Rest, max_archived as f64 + 1.0);
         let Some(leadership) = self.leaderships.get_mut(&partition) else {
             return;
         };
@@ -44,23 +49,23 @@
             return;
         };
         archiver.jobs.extend(partition_state.take_finished());
-        if !budget || !archiver.pipe.ready(now, revision) {
+        if !may_record || !archiver.writer.ready(now, revision) {
             return;
         }
         archiver.jobs.retain(|id| self.cache.jobs.contains_key(id));
-        // One that is over by another node's word that it is cancelled waits for the record of that.
+        // A job that another controller's message reports as cancelled waits for the record of that.
         let all_done = |id: &JobId| {
             partition_state
                 .jobs
                 .get(id)
                 .is_some_and(scheduler::Job::all_done)
         };
-        let recorded = |id: &&JobId| self.cache.is_cancelled(**id) || all_done(id);
-        let over: BTreeSet<JobId> = archiver.jobs.iter().filter(recorded).copied().collect();
-        let txn = if !over.is_empty() {
-            write_ends(&self.cache, &self.nodes, partition, &over, room)
-        } else if spare {
-            match file_ends(&self.cache, partition, most) {
+        let is_terminal = |id: &&JobId| self.cache.is_cancelled(**id) || all_done(id);
+        let terminal: BTreeSet<JobId> = archiver.jobs.iter().filter(is_terminal).copied().collect();
+        let txn = if !terminal.is_empty() {
+            record_jobs(&self.cache, &self.nodes, partition, &terminal, capacity)
+        } else if may_archive {
+            match archive_jobs(&self.cache, partition, max_archived) {
                 Some(txn) => txn,
                 None => return,
             }
@@ -74,20 +79,17 @@
         let Some((_, archiver)) = leadership.partition_state_and_archiver() else {
             return;
         };
-        archiver.pipe.send((), txn.clone(), now, WRITE_INTERVAL);
-        let purpose = CallKind::Ends { partition, term };
-        self.state(
-            CallPriority::Accept,
-            StateRequest::Transaction(txn),
-            purpose,
-        );
+        archiver.writer.send((), txn.clone(), now, WRITE_INTERVAL);
+        let kind = CallKind::Ends { partition, term };
+        self.state(CallPriority::Accept, StateRequest::Transaction(txn), kind);
     }
 
-    /// How many ids a page takes: each has 20 digits at most.
+    /// How many ids a page takes.
     pub(super) fn page_entries(&self) -> usize {
-        page_capacity(self.settings.state_limits.value_bytes) / 21
+        page_capacity(self.settings.state_limits.value_bytes) / MAX_ID_BYTES
     }
 
+    /// Takes in the outcome of a write of terminal jobs.
     pub(super) fn handle_terminal_jobs_written(
         &mut self,
         partition: PartitionId,
@@ -101,19 +103,19 @@
         let Some((_, archiver)) = leadership.partition_state_and_archiver() else {
             return;
         };
-        // Whatever came of it, the mirror shows: what is not over by then is written anew.
-        if let Outcome::Again(txn) = archiver.pipe.answered(reply, now) {
-            let purpose = CallKind::Ends { partition, term };
+        // The state cache shows the outcome: what is not recorded by then is written anew.
+        if let Outcome::Again(txn) = archiver.writer.answered(reply, now) {
+            let kind = CallKind::Ends { partition, term };
             self.retry_later(
-                Duration::from_millis(200),
+                RETRY_PAUSE,
                 CallPriority::Accept,
                 StateRequest::Transaction(txn),
-                purpose,
+                kind,
             );
         }
     }
 
-    /// A job is over, and that is durable.
+    /// Applies a durable terminal state of a job.
     pub(super) fn job_ended(&mut self, id: JobId, state: JobState) {
         let now = self.now;
         self.job_status.record_terminal_state(id, state);
@@ -123,27 +125,27 @@
     }
 }
 
-/// The ends of these jobs, as many as their page takes.
-fn write_ends(
+/// A transaction that records these jobs as terminal, as many as their page takes.
+fn record_jobs(
     cache: &StateCache,
     nodes: &[(ControllerName, ZoneName)],
     partition: PartitionId,
     jobs: &BTreeSet<JobId>,
-    room: usize,
+    capacity: usize,
 ) -> Transaction {
     let mut number = 0;
     let (page_version, mut page) = loop {
-        let Some(old) = cache.ends.get(&(partition, number)) else {
+        let Some(recorded) = cache.ends.get(&(partition, number)) else {
             break (0, TerminalJobsPage::default());
         };
-        let mut page = old.record.clone();
+        let mut page = recorded.record.clone();
         page.drop_unregistered(|id| cache.is_registered(id));
-        if page.len() < room {
-            break (old.version.0, page);
+        if page.len() < capacity {
+            break (recorded.version.0, page);
         }
         number += 1;
     };
-    let free = room.saturating_sub(page.len());
+    let free = capacity.saturating_sub(page.len());
     for id in jobs.iter().take(free) {
         let cancelled = cache.is_cancelled(*id);
         page.push(
@@ -160,7 +162,10 @@
     for (node, _) in nodes {
         txn = txn.when(
             cancellations_key(node),
-            cache.cancels.get(node).map_or(0, |c| c.version.0),
+            cache
+                .cancels
+                .get(node)
+                .map_or(0, |cancellations| cancellations.version.0),
         );
     }
     txn.write(Write::put(
@@ -169,21 +174,21 @@
     ))
 }
 
-/// Files as many final states as a transaction takes.
-fn file_ends(cache: &StateCache, partition: PartitionId, most: usize) -> Option<Transaction> {
+/// A transaction that archives `count` final states; none if there are fewer, which are not worth a
+/// put of the page.
+fn archive_jobs(cache: &StateCache, partition: PartitionId, count: usize) -> Option<Transaction> {
     let pages = cache.ends.range((partition, 0)..=(partition, u32::MAX));
-    let ((_, number), old) =
+    let ((_, number), recorded) =
         pages.max_by_key(|(_, page)| page.record.done.len() + page.record.cancelled.len())?;
-    let mut page = old.record.clone();
+    let mut page = recorded.record.clone();
     page.drop_unregistered(|id| cache.is_registered(id));
-    let filed = page.archive(most);
-    // A few are not worth a put of the page.
-    if filed.len() < most {
+    let archived = page.archive(count);
+    if archived.len() < count {
         return None;
     }
     let key = terminal_jobs_key(partition, *number);
-    let mut txn = Transaction::default().when(&key, old.version.0);
-    for (id, state) in filed {
+    let mut txn = Transaction::default().when(&key, recorded.version.0);
+    for (id, state) in archived {
         let value = serde_json::to_value(FinalStateRecord { state }).unwrap_or_default();
         txn = txn.write(Write::put(final_state_key(id), value));
     }
