--- a/crates/controller/src/controller/admin.rs
+++ b/crates/controller/src/controller/admin.rs
@@ -5,6 +5,7 @@
 
 pub use settings::{FieldOutOfBounds, SettingsError, TuningRecord};
 
+use super::call_kind::RecordCall;
 use super::{CallKind, Controller, Ticket, Tuning, MAX_LAUNCH_READ_AGE};
 use crate::records::{PackedMachine, SETTINGS_KEY};
 use crate::request_budget::CallPriority;
@@ -116,10 +117,10 @@
         let txn = Transaction::default()
             .when(SETTINGS_KEY, version)
             .write(Write::put(SETTINGS_KEY, value));
-        self.state(
+        self.queue_state_request(
             CallPriority::Rest,
             StateRequest::Transaction(txn),
-            CallKind::TuningWrite { ticket },
+            CallKind::Record(RecordCall::Tuning { ticket }),
         );
         Ok(())
     }
--- a/crates/controller/src/controller/admission.rs
+++ b/crates/controller/src/controller/admission.rs
@@ -1,5 +1,6 @@
 //! Admission of submissions: pending ones are written together, many jobs to a write.
 
+use super::call_kind::JobCall;
 use super::linearizable_reads::{CONDITIONS_PER_CHANGE, RETRY_AFTER_S};
 use super::{CallKind, Controller, PendingRequest, RequestKind, Ticket, UserReply};
 use crate::records::{
@@ -7,7 +8,7 @@
     AcceptedJobsPage, PackedJob,
 };
 use crate::request_budget::CallPriority;
-use crate::serial_writer::{Outcome, SerialWriter};
+use crate::serial_writer::{SerialWriter, WriteOutcome};
 use model::{JobId, Timestamp};
 use std::collections::{HashSet, VecDeque};
 use std::time::Duration;
@@ -91,7 +92,7 @@
     /// Queues a valid submission, or refuses it at once.
     pub(super) fn admit(&mut self, ticket: Ticket, id: JobId, job: JobRequest) {
         if self.admission.pending.len() >= MAX_PENDING {
-            self.busy(ticket, RETRY_AFTER_S);
+            self.reply_busy(ticket, RETRY_AFTER_S);
             return;
         }
         if packed_size(&PackedJob::new(u64::MAX, job.clone()))
@@ -134,7 +135,7 @@
             }
             let ticket = first.ticket;
             self.admission.pending.pop_front();
-            self.busy(ticket, RETRY_AFTER_S);
+            self.reply_busy(ticket, RETRY_AFTER_S);
         }
     }
 
@@ -221,10 +222,10 @@
                 self.now,
                 Duration::ZERO,
             );
-            self.state(
+            self.queue_state_request(
                 CallPriority::Accept,
                 StateRequest::Transaction(batch.txn),
-                CallKind::Accept,
+                CallKind::Job(JobCall::Accept),
             );
         }
     }
@@ -280,8 +281,8 @@
 
     /// Takes in the outcome of a write of accepted jobs.
     pub(super) fn handle_acceptance_written(&mut self, reply: StateReply) {
-        match self.admission.writes.answered(reply, self.now) {
-            Outcome::CommittedChanges(batch) => {
+        match self.admission.writes.handle_reply(reply, self.now) {
+            WriteOutcome::Committed(batch) => {
                 let since = self.now;
                 let requests = batch
                     .into_iter()
@@ -289,7 +290,7 @@
                 self.admission.unconfirmed.extend(requests);
                 self.confirm_accepted();
             }
-            Outcome::Conflict(batch, failed) => {
+            WriteOutcome::Conflict(batch, failed) => {
                 for submission in batch.into_iter().rev() {
                     if failed.contains(&final_state_key(submission.id)) {
                         // The job is in a terminal state: this is a late retry.
@@ -299,7 +300,7 @@
                     }
                 }
             }
-            Outcome::Refused {
+            WriteOutcome::Refused {
                 what,
                 throttled: true,
             } => {
@@ -307,25 +308,30 @@
                     self.admission.pending.push_front(submission);
                 }
             }
-            Outcome::Refused {
+            WriteOutcome::Refused {
                 what,
                 throttled: false,
             } => {
                 let pending = std::mem::take(&mut self.admission.pending);
                 for submission in what.into_iter().chain(pending) {
-                    self.busy(submission.ticket, RETRY_AFTER_S);
+                    self.reply_busy(submission.ticket, RETRY_AFTER_S);
                 }
             }
-            Outcome::Again(txn) => {
+            WriteOutcome::Unknown(txn) => {
                 // Whether these are written is unknown; their users' retries are answered accordingly.
-                let batch = self.admission.writes.under_way().map(std::mem::take);
+                let batch = self.admission.writes.in_flight_mut().map(std::mem::take);
                 for submission in batch.into_iter().flatten() {
-                    self.busy(submission.ticket, RETRY_AFTER_S);
+                    self.reply_busy(submission.ticket, RETRY_AFTER_S);
                 }
                 let request = StateRequest::Transaction(txn);
-                self.retry_later(RETRY_PAUSE, CallPriority::Accept, request, CallKind::Accept);
+                self.retry_later(
+                    RETRY_PAUSE,
+                    CallPriority::Accept,
+                    request,
+                    CallKind::Job(JobCall::Accept),
+                );
             }
-            Outcome::Nothing => {}
+            WriteOutcome::NotInFlight => {}
         }
     }
 }
--- a/crates/controller/src/controller/crash_loop.rs
+++ b/crates/controller/src/controller/crash_loop.rs
@@ -23,10 +23,10 @@
         let transaction = Transaction::default()
             .when(&key, version)
             .write(Write::put(&key, value));
-        self.state(
+        self.queue_state_request(
             CallPriority::Lease,
             StateRequest::Transaction(transaction),
-            CallKind::Boot,
+            CallKind::Registration,
         );
     }
 
--- a/crates/controller/src/controller/fleet_planner/cloud_calls.rs
+++ b/crates/controller/src/controller/fleet_planner/cloud_calls.rs
@@ -1,5 +1,6 @@
 //! Calls to the cloud: rentals, releases and lists of machines, their replies and their retries.
 
+use crate::controller::call_kind::FleetCall;
 use crate::controller::machine_records::MachineChange;
 use crate::controller::{CallKind, Controller};
 use crate::rejections::{MessageFault, MessageSource};
@@ -137,7 +138,10 @@
             after,
             limit: LIST_PAGE_SIZE,
         };
-        self.cloud(request, CallKind::CloudList { gathered });
+        self.send_cloud_request(
+            request,
+            CallKind::Fleet(FleetCall::ListMachines { gathered }),
+        );
     }
 
     /// Requests rentals again whose retry is due.
@@ -177,16 +181,16 @@
             cloud.released_at.insert(name.clone(), now);
         }
         let request = CloudRequest::Release(names.iter().map(MachineName::to_string).collect());
-        self.cloud(request, CallKind::Release(names));
+        self.send_cloud_request(request, CallKind::Fleet(FleetCall::Release(names)));
     }
 
     /// Requests machines for a partition. A request under the same name rents no further ones.
     pub(super) fn rent_machines(&mut self, request: RentRequest, partition: PartitionId) {
-        let kind = CallKind::Rent {
+        let kind = CallKind::Fleet(FleetCall::Rent {
             request: request.clone(),
             partition,
-        };
-        let call = self.cloud(CloudRequest::Rent(request.clone()), kind);
+        });
+        let call = self.send_cloud_request(CloudRequest::Rent(request.clone()), kind);
         let rental = PendingRental { request, partition };
         self.fleet_planner.cloud.rentals.insert(call, rental);
     }
@@ -203,17 +207,19 @@
             self.counters.cloud_refused += 1;
         }
         match kind {
-            CallKind::Types => {
+            CallKind::Fleet(FleetCall::ListTypes) => {
                 if let CloudReply::Types(types) = reply {
                     self.handle_machine_types(types);
                 }
             }
-            CallKind::Rent { request, partition } => {
+            CallKind::Fleet(FleetCall::Rent { request, partition }) => {
                 self.fleet_planner.cloud.rentals.remove(&call);
                 self.handle_rental_reply(request, partition, reply);
             }
-            CallKind::Release(names) => self.handle_release_reply(names, reply),
-            CallKind::CloudList { gathered } => self.handle_machine_list_page(gathered, reply),
+            CallKind::Fleet(FleetCall::Release(names)) => self.handle_release_reply(names, reply),
+            CallKind::Fleet(FleetCall::ListMachines { gathered }) => {
+                self.handle_machine_list_page(gathered, reply)
+            }
             _ => {}
         }
     }
--- a/crates/controller/src/controller/fleet_planner/machine_types.rs
+++ b/crates/controller/src/controller/fleet_planner/machine_types.rs
@@ -1,5 +1,6 @@
 //! Reads the cloud's machine types and keeps their record current.
 
+use crate::controller::call_kind::{FleetCall, RecordCall};
 use crate::controller::{CallKind, Controller};
 use crate::records::MACHINE_TYPES_KEY;
 use crate::request_budget::CallPriority;
@@ -59,7 +60,7 @@
             .is_none_or(|at| self.now.duration_since(at) >= interval);
         if is_due && self.fleet_planner.cloud.take_call(self.now) {
             self.fleet_planner.machine_types.requested_at = Some(self.now);
-            self.cloud(CloudRequest::Types, CallKind::Types);
+            self.send_cloud_request(CloudRequest::Types, CallKind::Fleet(FleetCall::ListTypes));
         }
     }
 
@@ -79,10 +80,10 @@
         let txn = Transaction::default()
             .when(MACHINE_TYPES_KEY, version)
             .write(Write::put(MACHINE_TYPES_KEY, value));
-        self.state(
+        self.queue_state_request(
             CallPriority::Lease,
             StateRequest::Transaction(txn),
-            CallKind::TypesWrite,
+            CallKind::Record(RecordCall::MachineTypes),
         );
     }
 
--- a/crates/controller/src/controller/fleet_planner/planning.rs
+++ b/crates/controller/src/controller/fleet_planner/planning.rs
@@ -170,7 +170,7 @@
             self.handle_release_request(machine.as_str(), to);
         } else {
             let machine = machine.to_string();
-            self.mesh(&leader, MeshMessage::ReleaseMachine { machine, to });
+            self.send_to_peer(&leader, MeshMessage::ReleaseMachine { machine, to });
         }
     }
 
@@ -182,7 +182,7 @@
         if leader == *self.own_name() {
             self.handle_transfer_request(&message);
         } else {
-            self.mesh(&leader, message);
+            self.send_to_peer(&leader, message);
         }
     }
 }
--- a/crates/controller/src/controller/job_archiver.rs
+++ b/crates/controller/src/controller/job_archiver.rs
@@ -6,13 +6,14 @@
 //! leaves its page once it is archived and no page of accepted jobs lists the job any more; the job
 //! cannot be registered again then, since acceptances are conditional on there being no final state.
 
+use super::call_kind::JobCall;
 use super::{CallKind, Controller};
 use crate::records::{
     cancellations_key, final_state_key, page_capacity, partition_key, terminal_jobs_key,
     FinalStateRecord, TerminalJobsPage,
 };
 use crate::request_budget::CallPriority;
-use crate::serial_writer::{Outcome, SerialWriter};
+use crate::serial_writer::{SerialWriter, WriteOutcome};
 use crate::state_cache::StateCache;
 use model::{ControllerName, JobId, JobState, PartitionId, ZoneName};
 use std::collections::BTreeSet;
@@ -80,8 +81,8 @@
             return;
         };
         archiver.writer.send((), txn.clone(), now, WRITE_INTERVAL);
-        let kind = CallKind::Ends { partition, term };
-        self.state(CallPriority::Accept, StateRequest::Transaction(txn), kind);
+        let kind = CallKind::Job(JobCall::Archive { partition, term });
+        self.queue_state_request(CallPriority::Accept, StateRequest::Transaction(txn), kind);
     }
 
     /// How many ids a page takes.
@@ -104,8 +105,8 @@
             return;
         };
         // The state cache shows the outcome: what is not recorded by then is written anew.
-        if let Outcome::Again(txn) = archiver.writer.answered(reply, now) {
-            let kind = CallKind::Ends { partition, term };
+        if let WriteOutcome::Unknown(txn) = archiver.writer.handle_reply(reply, now) {
+            let kind = CallKind::Job(JobCall::Archive { partition, term });
             self.retry_later(
                 RETRY_PAUSE,
                 CallPriority::Accept,
--- a/crates/controller/src/controller/leadership/commits.rs
+++ b/crates/controller/src/controller/leadership/commits.rs
@@ -1,6 +1,7 @@
 //! Commits of the placement log, one at a time.
 
 use super::{LoadedPartition, PartitionLeadership, PendingCommit, PLACEMENT_COMMIT_INTERVAL};
+use crate::controller::call_kind::LogCall;
 use crate::controller::{CallKind, Controller};
 use crate::placement_log::{CommitId, PlacementLog};
 use crate::request_budget::CallPriority;
@@ -100,10 +101,10 @@
             return;
         };
         let term = leadership.term.0;
-        self.state(
+        self.queue_state_request(
             CallPriority::Placement,
             StateRequest::Transaction(txn),
-            CallKind::LedgerWrite { partition, term },
+            CallKind::Log(LogCall::Commit { partition, term }),
         );
     }
 
@@ -139,7 +140,7 @@
                     StateReply::Refused { throttled: true } => THROTTLED_RETRY_DELAY,
                     _ => COMMIT_RETRY_DELAY,
                 };
-                let purpose = CallKind::LedgerWrite { partition, term };
+                let purpose = CallKind::Log(LogCall::Commit { partition, term });
                 self.retry_later(delay, CallPriority::Placement, request, purpose);
             }
         }
@@ -155,13 +156,13 @@
             return;
         };
         let request = StateRequest::Get { key };
-        let purpose = CallKind::LedgerProof {
+        let purpose = CallKind::Log(LogCall::Prove {
             partition,
             term,
             id,
-        };
+        });
         match delay {
-            None => self.state(CallPriority::Placement, request, purpose),
+            None => self.queue_state_request(CallPriority::Placement, request, purpose),
             Some(delay) => self.retry_later(delay, CallPriority::Placement, request, purpose),
         }
     }
--- a/crates/controller/src/controller/leadership/token_raises.rs
+++ b/crates/controller/src/controller/leadership/token_raises.rs
@@ -1,6 +1,7 @@
 //! Higher fencing tokens for the machines of a partition, under an unchanged term.
 
 use super::PartitionLeadership;
+use crate::controller::call_kind::LeadershipCall;
 use crate::controller::machine_records::MachineChange;
 use crate::controller::{CallKind, Controller};
 use crate::records::{partition_key, TOKEN_COUNTER_KEY};
@@ -134,12 +135,12 @@
             .when(partition_key(partition), version)
             .when(TOKEN_COUNTER_KEY, self.cache.counter_version())
             .write(Write::put(TOKEN_COUNTER_KEY, value));
-        let purpose = CallKind::RaiseAll {
+        let purpose = CallKind::Leadership(LeadershipCall::RaiseToken {
             partition,
             term,
             token,
-        };
-        self.state(
+        });
+        self.queue_state_request(
             CallPriority::Placement,
             StateRequest::Transaction(txn),
             purpose,
--- a/crates/controller/src/controller/linearizable_reads.rs
+++ b/crates/controller/src/controller/linearizable_reads.rs
@@ -4,6 +4,7 @@
 //! conditions shows which of many jobs have no final state. Reads are rate limited, so that users
 //! who poll often leave the budget to submissions and placements.
 
+use super::call_kind::ReadCall;
 use super::user_requests::status;
 use super::{CallKind, Controller, PendingRequest, RequestKind, UserReply};
 use crate::records::{final_state_key, FinalStateRecord};
@@ -86,7 +87,11 @@
     fn read_changes(&mut self) {
         let requests = std::mem::take(&mut self.reads.queued);
         let read = watch_request(self.cache.revision, Duration::ZERO);
-        self.state(CallPriority::Accept, read, CallKind::ReadChanges(requests));
+        self.queue_state_request(
+            CallPriority::Accept,
+            read,
+            CallKind::Read(ReadCall::Changes(requests)),
+        );
     }
 
     /// Sends a transaction of conditions on the absence of final states.
@@ -104,10 +109,10 @@
         let txn = ids.iter().fold(Transaction::default(), |txn, id| {
             txn.when(final_state_key(*id), 0)
         });
-        self.state(
+        self.queue_state_request(
             CallPriority::Accept,
             StateRequest::Transaction(txn),
-            CallKind::CompareFinals(requests),
+            CallKind::Read(ReadCall::TerminalStates(requests)),
         );
     }
 
@@ -161,7 +166,7 @@
     /// Refuses requests; their users may retry them.
     pub(super) fn refuse_all(&mut self, requests: Vec<PendingRequest>) {
         for request in requests {
-            self.busy(request.ticket, RETRY_AFTER_S);
+            self.reply_busy(request.ticket, RETRY_AFTER_S);
         }
     }
 
@@ -183,7 +188,11 @@
                     let key = final_state_key(request.id);
                     if failed.contains(&key) {
                         let read = StateRequest::Get { key };
-                        self.state(CallPriority::Accept, read, CallKind::FinalRead { request });
+                        self.queue_state_request(
+                            CallPriority::Accept,
+                            read,
+                            CallKind::Read(ReadCall::TerminalRecord { request }),
+                        );
                     } else {
                         self.handle_final_state_read(request, StateReply::Missing);
                     }
@@ -243,7 +252,7 @@
                     let answer = status(request.id, record.state);
                     self.reply_user(request.ticket, UserReply::Status(answer));
                 }
-                Err(_) => self.busy(request.ticket, UNREADABLE_STATE_RETRY_AFTER_S),
+                Err(_) => self.reply_busy(request.ticket, UNREADABLE_STATE_RETRY_AFTER_S),
             },
             StateReply::Missing => match request.kind {
                 RequestKind::Resubmit {
@@ -252,13 +261,13 @@
                     self.reply_user(request.ticket, UserReply::Rejected(reason));
                 }
                 RequestKind::Resubmit { reject: None } | RequestKind::Accepted => {
-                    self.busy(request.ticket, RETRY_AFTER_S)
+                    self.reply_busy(request.ticket, RETRY_AFTER_S)
                 }
                 RequestKind::Get | RequestKind::Cancel { .. } => {
                     self.reply_user(request.ticket, UserReply::NotFound)
                 }
             },
-            _ => self.busy(request.ticket, RETRY_AFTER_S),
+            _ => self.reply_busy(request.ticket, RETRY_AFTER_S),
         }
     }
 }
--- a/crates/controller/src/controller/machine_records.rs
+++ b/crates/controller/src/controller/machine_records.rs
@@ -1,13 +1,14 @@
 //! Changes of machines' records: requested changes are collected and written together, many
 //! machines to a put.
 
+use super::call_kind::RecordCall;
 use super::{CallKind, Controller, FLEET_PLANNER_PARTITION};
 use crate::records::{
     machines_key, page_capacity, partition_key, MachineRecord, MachinesPage, PackedMachine,
     TOKEN_COUNTER_KEY,
 };
 use crate::request_budget::CallPriority;
-use crate::serial_writer::{Outcome, SerialWriter};
+use crate::serial_writer::{SerialWriter, WriteOutcome};
 use model::{MachineName, PartitionId, Timestamp};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -207,10 +208,10 @@
         self.machine_changes
             .writer
             .send((), txn.clone(), now, WRITE_INTERVAL);
-        self.state(
+        self.queue_state_request(
             CallPriority::Placement,
             StateRequest::Transaction(txn),
-            CallKind::Machines,
+            CallKind::Record(RecordCall::Machines),
         );
     }
 
@@ -324,12 +325,14 @@
     /// Takes in the outcome of a write of machine changes.
     pub(super) fn handle_machine_records_written(&mut self, reply: StateReply) {
         // Changes that are still requested are written anew once the state cache has caught up.
-        if let Outcome::Again(txn) = self.machine_changes.writer.answered(reply, self.now) {
+        if let WriteOutcome::Unknown(txn) =
+            self.machine_changes.writer.handle_reply(reply, self.now)
+        {
             self.retry_later(
                 RETRY_PAUSE,
                 CallPriority::Placement,
                 StateRequest::Transaction(txn),
-                CallKind::Machines,
+                CallKind::Record(RecordCall::Machines),
             );
         }
     }
