--- a/crates/controller/src/controller/leadership/commits.rs
+++ b/crates/controller/src/controller/leadership/commits.rs
@@ -91,7 +91,7 @@
     /// is prepared only then carries more and is fresher.
     pub(super) fn write_commit(&mut self, partition: PartitionId) {
         let now = self.now;
-        if self.machine_changes.held_up(now) || !self.may_write(CallPriority::Placement, 1.0) {
+        if self.machine_changes.is_delayed(now) || !self.may_write(CallPriority::Placement, 1.0) {
             return;
         }
         let Some(leadership) = self.leaderships.get_mut(&partition) else {
--- a/crates/controller/src/controller/leadership/machine_failures.rs
+++ b/crates/controller/src/controller/leadership/machine_failures.rs
@@ -120,13 +120,13 @@
                 timeouts.missing,
             ));
         }
-        unresponsive.retain(|name| !self.machine_changes.concern(name));
+        unresponsive.retain(|name| !self.machine_changes.has_change(name));
         for name in unresponsive {
             tracing::info!(%partition, machine = %name, "machine unresponsive, requesting its release");
             if let Some(machine) = partition_state.machines.get_mut(&name) {
                 machine.leaving = true;
             }
-            self.machine_changes.want(&name, MachineChange::Leave);
+            self.machine_changes.request(&name, MachineChange::Leave);
         }
     }
 }
--- a/crates/controller/src/controller/leadership/machine_transfers.rs
+++ b/crates/controller/src/controller/leadership/machine_transfers.rs
@@ -37,7 +37,7 @@
             self.reject_malformed_peer_message();
             return;
         }
-        let has_pending_change = self.machine_changes.concern(&name);
+        let has_pending_change = self.machine_changes.has_change(&name);
         let Some(machine) = self
             .partition_state_of(partition)
             .and_then(|partition_state| partition_state.machines.get_mut(&name))
@@ -51,9 +51,9 @@
         machine.leaving = true;
         let change = match to {
             None => MachineChange::Leave,
-            Some(to) => MachineChange::Shift(PartitionId(to)),
+            Some(to) => MachineChange::Transfer(PartitionId(to)),
         };
-        self.machine_changes.want(&name, change);
+        self.machine_changes.request(&name, change);
     }
 
     /// The fleet planner requests machines, as they become idle, for a partition with a greater need.
@@ -88,7 +88,7 @@
             return;
         };
         for (name, to) in partition_state.machines_ready_for_transfer(now) {
-            if self.machine_changes.concern(&name) {
+            if self.machine_changes.has_change(&name) {
                 continue;
             }
             if let Some(machine) = partition_state.machines.get_mut(&name) {
@@ -96,7 +96,8 @@
                 machine.leaving = true;
             }
             tracing::debug!(%partition, machine = %name, %to, "transferring idle machine");
-            self.machine_changes.want(&name, MachineChange::Shift(to));
+            self.machine_changes
+                .request(&name, MachineChange::Transfer(to));
         }
     }
 }
--- a/crates/controller/src/controller/leadership/partition_status.rs
+++ b/crates/controller/src/controller/leadership/partition_status.rs
@@ -137,7 +137,7 @@
             return;
         };
         for machine in partition_state.machines.values_mut() {
-            if machine.leaving && !self.machine_changes.concern(&machine.name) {
+            if machine.leaving && !self.machine_changes.has_change(&machine.name) {
                 machine.leaving = self
                     .cache
                     .machines
--- a/crates/controller/src/controller/leadership/record_changes.rs
+++ b/crates/controller/src/controller/leadership/record_changes.rs
@@ -106,7 +106,7 @@
             .get(name)
             .map(|machine| machine.record.clone());
         if record.is_none() {
-            self.fleet_planner.machine_gone(name);
+            self.fleet_planner.forget_machine(name);
         }
         if let Some(new_machine) = self.update_machine(name, record.as_ref()) {
             self.add_machine(name, &new_machine);
@@ -142,7 +142,7 @@
                 continue;
             };
             machine.token = token.max(FencingToken(record.token));
-            machine.leaving = record.leaving || self.machine_changes.take_away(name);
+            machine.leaving = record.leaving || self.machine_changes.removes_from_partition(name);
         }
         new_machine
     }
--- a/crates/controller/src/controller/leadership/token_raises.rs
+++ b/crates/controller/src/controller/leadership/token_raises.rs
@@ -4,7 +4,7 @@
 use crate::controller::call_kind::LeadershipCall;
 use crate::controller::machine_records::MachineChange;
 use crate::controller::{CallKind, Controller};
-use crate::records::{partition_key, COUNTER};
+use crate::records::{partition_key, TOKEN_COUNTER_KEY};
 use crate::request_budget::CallPriority;
 use model::{FencingToken, PartitionId, Timestamp};
 use std::time::Duration;
@@ -102,7 +102,7 @@
         for machine in partition_state.machines.values() {
             if machine.needs_higher_token() {
                 self.machine_changes
-                    .want(&machine.name, MachineChange::Raise);
+                    .request(&machine.name, MachineChange::RaiseToken);
             }
         }
     }
@@ -133,8 +133,8 @@
         let value = serde_json::to_value(counter).unwrap_or_default();
         let txn = Transaction::default()
             .when(partition_key(partition), version)
-            .when(COUNTER, self.cache.counter_version())
-            .write(Write::put(COUNTER, value));
+            .when(TOKEN_COUNTER_KEY, self.cache.counter_version())
+            .write(Write::put(TOKEN_COUNTER_KEY, value));
         let purpose = CallKind::Leadership(LeadershipCall::RaiseToken {
             partition,
             term,
--- a/crates/controller/src/controller/membership/acquisition.rs
+++ b/crates/controller/src/controller/membership/acquisition.rs
@@ -4,7 +4,7 @@
 use super::resignation::UNCLAIMED_AFTER;
 use crate::controller::call_kind::LeadershipCall;
 use crate::controller::{CallKind, Controller};
-use crate::records::{partition_key, PartitionRecord, COUNTER};
+use crate::records::{partition_key, PartitionRecord, TOKEN_COUNTER_KEY};
 use crate::request_budget::CallPriority;
 use failover::failure_detector::HEARTBEAT_TIMEOUT;
 use model::DurationExt;
@@ -230,7 +230,7 @@
             .unwrap_or_default();
         counter.next = record.term + 1;
         counter
-            .takers
+            .last_leaders
             .insert(partition.0, (record.leader.clone(), record.incarnation));
         counter
             .unconfirmed_predecessors
@@ -240,9 +240,9 @@
         let counter = serde_json::to_value(counter).unwrap_or_default();
         Transaction::default()
             .when(&key, version)
-            .when(COUNTER, self.cache.counter_version())
+            .when(TOKEN_COUNTER_KEY, self.cache.counter_version())
             .write(Write::put_leased(&key, value, lease))
-            .write(Write::put(COUNTER, counter))
+            .write(Write::put(TOKEN_COUNTER_KEY, counter))
     }
 
     /// Writes this controller into a partition's record, which must still have this version (0: none).
@@ -277,7 +277,7 @@
             .get(&partition.0)
             .cloned()
             .unwrap_or_default();
-        predecessors.extend(counter.record.takers.get(&partition.0).cloned());
+        predecessors.extend(counter.record.last_leaders.get(&partition.0).cloned());
         // This controller has stopped to answer with the loss of its own leadership.
         predecessors.retain(|predecessor| {
             !self.incarnation_is_over(predecessor) && predecessor.0 != *self.own_name()
--- a/crates/controller/src/controller/membership/reclaim.rs
+++ b/crates/controller/src/controller/membership/reclaim.rs
@@ -109,7 +109,7 @@
             .get(&partition)
             .map_or(0, |held| held.version.0);
         let record = ReclaimRecord {
-            node: self.own_name().clone(),
+            controller: self.own_name().clone(),
             incarnation: self.registration.incarnation(),
             lease: lease.0,
         };
@@ -157,11 +157,16 @@
             .reclaim_requests
             .iter()
             .filter(|(partition, _)| self.leaderships.contains_key(partition))
-            .filter(|(_, request)| request.record.node != *self.own_name())
+            .filter(|(_, request)| request.record.controller != *self.own_name())
             .map(|(partition, request)| (*partition, request.record.clone()))
             .collect();
         for (partition, request) in requests {
-            self.transfer_leadership(partition, &request.node, request.lease, request.incarnation);
+            self.transfer_leadership(
+                partition,
+                &request.controller,
+                request.lease,
+                request.incarnation,
+            );
         }
     }
 }
--- a/crates/controller/src/controller/standby/view.rs
+++ b/crates/controller/src/controller/standby/view.rs
@@ -16,7 +16,9 @@
             .cache
             .partitions
             .iter()
-            .map(|(partition, held)| self.partition_view(*partition, &held.record, &standbys))
+            .map(|(partition, held)| {
+                self.partition_standby_view(*partition, &held.record, &standbys)
+            })
             .collect();
         let replicas: Vec<Value> = self
             .standby
@@ -33,25 +35,26 @@
         json!({ "partitions": partitions, "copies": replicas, "followers": subscribers })
     }
 
-    fn partition_view(
+    fn partition_standby_view(
         &self,
         partition: PartitionId,
         record: &PartitionRecord,
         standbys: &BTreeMap<PartitionId, ControllerName>,
     ) -> Value {
         let standby = standbys.get(&partition);
-        let blockers: Vec<String> = if standby == Some(self.own_name()) {
+        let blockers: Vec<&'static str> = if standby == Some(self.own_name()) {
             self.failover_blockers(partition)
                 .iter()
-                .map(|blocker| format!("{blocker:?}"))
+                .map(|blocker| blocker.as_str())
                 .collect()
         } else {
             Vec::new()
         };
-        let failed_checks = self
-            .leaderships
-            .get(&partition)
-            .map(|leadership| format!("{:?}", leadership.failed_checks()));
+        let failed_checks = self.leaderships.get(&partition).map(|leadership| {
+            let checks = leadership.failed_checks().iter();
+            let names: Vec<&str> = checks.map(|check| check.as_str()).collect();
+            format!("[{}]", names.join(", "))
+        });
         json!({
             "waits_for": failed_checks,
             "partition": partition.0,
--- a/crates/controller/src/controller/state_replies.rs
+++ b/crates/controller/src/controller/state_replies.rs
@@ -90,7 +90,7 @@
             // The cache shows what came of it.
             RecordCall::Demand => {}
             RecordCall::Machines => self.handle_machine_records_written(reply),
-            RecordCall::MachineTypes => self.fleet_planner.types_pending = false,
+            RecordCall::MachineTypes => self.fleet_planner.handle_machine_types_written(),
             RecordCall::Tuning { ticket } => self.handle_settings_written(ticket, reply),
         }
     }
--- a/crates/controller/src/controller/state_sync.rs
+++ b/crates/controller/src/controller/state_sync.rs
@@ -136,11 +136,11 @@
             match change {
                 CacheEvent::Job(id) => self.job_changed(id),
                 CacheEvent::JobTerminated(id, state) => self.job_ended(id, state),
-                CacheEvent::Demand(id, record) => self.demand_written(id, record),
+                CacheEvent::Demand(id, record) => self.handle_demand_record(id, record),
                 CacheEvent::Partition(id) => self.partition_changed(id),
                 CacheEvent::Machine(name) => self.machine_changed(&name),
-                CacheEvent::Types => self.types_changed(),
-                CacheEvent::Tuning => self.tuning_changed(),
+                CacheEvent::Types => self.handle_machine_types_record(),
+                CacheEvent::Tuning => self.handle_settings_record(),
                 CacheEvent::Incarnation(_) => {}
             }
         }
--- a/crates/controller/src/registration.rs
+++ b/crates/controller/src/registration.rs
@@ -54,13 +54,13 @@
         recorded: Option<&IncarnationRecord>,
         now: Timestamp,
     ) -> Option<IncarnationRecord> {
-        let short_lives_before = recorded.map_or(0, |record| record.short_lives);
+        let short_runs_before = recorded.map_or(0, |record| record.short_runs);
         let recorded_now = recorded.is_some_and(|record| record.incarnation == self.incarnation);
         self.registered |= recorded_now;
         let is_stable = now >= Timestamp::default() + STABLE_AFTER;
-        let short_lives = if !recorded_now {
-            short_lives_before.saturating_add(1)
-        } else if is_stable && short_lives_before > 0 {
+        let short_runs = if !recorded_now {
+            short_runs_before.saturating_add(1)
+        } else if is_stable && short_runs_before > 0 {
             0
         } else {
             return None;
@@ -71,7 +71,7 @@
         self.write_pending = true;
         Some(IncarnationRecord {
             incarnation: self.incarnation,
-            short_lives,
+            short_runs,
         })
     }
 
@@ -83,5 +83,5 @@
 
 /// Whether a controller with this record has had several short-lived incarnations in a row.
 pub fn is_crash_loop(record: &IncarnationRecord) -> bool {
-    record.short_lives >= CRASH_LOOP_THRESHOLD
+    record.short_runs >= CRASH_LOOP_THRESHOLD
 }
--- a/crates/controller/src/state_cache/apply.rs
+++ b/crates/controller/src/state_cache/apply.rs
@@ -1,7 +1,7 @@
 //! Decoding of changed records and their application to the cache.
 
 use super::{CacheEvent, StateCache, Versioned};
-use crate::records::{CancellationsRecord, TokenCounterRecord, WATCHED};
+use crate::records::{CancellationsRecord, TokenCounterRecord, WATCHED_PREFIX};
 use model::{ControllerName, JobId, PartitionId, Revision, Version};
 use serde::de::DeserializeOwned;
 use serde_json::Value;
@@ -34,7 +34,7 @@
 
 /// Splits `s/KIND/NAME` into kind and name.
 fn parts(key: &str) -> Option<(&str, &str)> {
-    let rest = key.strip_prefix(WATCHED)?;
+    let rest = key.strip_prefix(WATCHED_PREFIX)?;
     Some(rest.split_once('/').unwrap_or((rest, "")))
 }
 
--- a/crates/controller/src/state_cache/mod.rs
+++ b/crates/controller/src/state_cache/mod.rs
@@ -32,7 +32,7 @@
 impl OpenJob {
     /// Time of submission (ms) by the controllers' logical clock.
     pub fn order(&self) -> u64 {
-        self.packed.0
+        self.packed.submitted_at_ms
     }
 }
 
--- a/crates/controller/src/state_cache/pages.rs
+++ b/crates/controller/src/state_cache/pages.rs
@@ -36,7 +36,7 @@
             let Some(packed) = self.decode::<PackedJob>(key, entry) else {
                 continue;
             };
-            let spec = match JobSpec::try_from(&packed.request()) {
+            let spec = match JobSpec::try_from(&packed.request) {
                 Ok(spec) => spec,
                 Err(error) => {
                     self.reject(key, &error);
@@ -104,12 +104,12 @@
     ) {
         let mut new = MachinePage::default();
         for packed in record.machines {
-            if packed.0.is_empty() {
+            if packed.name.is_empty() {
                 self.reject(&machines_key(page), &"a machine has no name");
                 continue;
             }
-            let name = MachineName::from(packed.0.as_str());
-            let record = packed.record();
+            let name = MachineName::from(packed.name.as_str());
+            let record = packed.record;
             let size = match self.machines.get(&name) {
                 Some(known) if known.record == record && known.page == page => known.size,
                 _ => {
--- a/crates/controller/src/state_sync.rs
+++ b/crates/controller/src/state_sync.rs
@@ -4,7 +4,7 @@
 //! [`StateCache`](crate::state_cache::StateCache) holds what they returned. Every rule that needs
 //! recent knowledge counts from the time at which a read was *sent*.
 
-use crate::records::WATCHED;
+use crate::records::WATCHED_PREFIX;
 use model::{DurationExt, Revision, Timestamp};
 use std::time::Duration;
 use wire::state::{Changes, Item, ListPage, StateReply, StateRequest};
@@ -128,7 +128,7 @@
             return FullReadStep::Ignored;
         };
         let last = read.items.last().map_or("", |item| item.key.as_str());
-        if !page.follows(WATCHED, last) {
+        if !page.follows(WATCHED_PREFIX, last) {
             tracing::error!(last, "full read page out of order");
             return FullReadStep::Malformed(self.restart_full_read());
         }
@@ -183,7 +183,7 @@
     SyncRequest {
         call: SyncCall::FullReadPage,
         request: StateRequest::List {
-            prefix: WATCHED.into(),
+            prefix: WATCHED_PREFIX.into(),
             after,
             limit: FULL_READ_PAGE_SIZE,
         },
@@ -193,7 +193,7 @@
 /// A read of what has changed since `revision`; the service waits up to `wait` for a change.
 pub fn watch_request(revision: Revision, wait: Duration) -> StateRequest {
     StateRequest::Watch {
-        prefix: WATCHED.into(),
+        prefix: WATCHED_PREFIX.into(),
         after: revision.0,
         wait_ms: wait.whole_millis(),
     }
--- a/crates/controller/tests/registration.rs
+++ b/crates/controller/tests/registration.rs
@@ -4,10 +4,10 @@
 use controller::registration::{is_crash_loop, Registration};
 use model::Timestamp;
 
-fn record(incarnation: u64, short_lives: u32) -> IncarnationRecord {
+fn record(incarnation: u64, short_runs: u32) -> IncarnationRecord {
     IncarnationRecord {
         incarnation,
-        short_lives,
+        short_runs,
     }
 }
 
--- a/crates/failover/src/failure_detector.rs
+++ b/crates/failover/src/failure_detector.rs
@@ -28,7 +28,7 @@
 /// One in this many reporting workers may contact this controller for reasons of its own.
 const UNRELATED_WORKER_RATIO: usize = 64;
 
-/// Why there is no early failover of a partition. The admin API shows the names of the variants.
+/// Why there is no early failover of a partition.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum FailoverBlocker {
     /// Its heartbeats are received, or none of this incarnation ever was: it may run another version.
@@ -48,6 +48,21 @@
     RecentFalseSuspicion,
 }
 
+impl FailoverBlocker {
+    /// The blocker's name in the admin API.
+    pub fn as_str(self) -> &'static str {
+        match self {
+            FailoverBlocker::LeaderAlive => "LeaderAlive",
+            FailoverBlocker::LeaderAliveForPeers => "LeaderAliveForPeers",
+            FailoverBlocker::WorkersStayWithLeader => "WorkersStayWithLeader",
+            FailoverBlocker::ReplicaBehind => "ReplicaBehind",
+            FailoverBlocker::StateServiceUnreachable => "StateServiceUnreachable",
+            FailoverBlocker::RecentlyPaused => "RecentlyPaused",
+            FailoverBlocker::RecentFalseSuspicion => "RecentFalseSuspicion",
+        }
+    }
+}
+
 /// What is known of a partition leader.
 #[derive(Debug, Clone, Copy)]
 pub struct Evidence {
--- a/crates/failover/src/readiness.rs
+++ b/crates/failover/src/readiness.rs
@@ -7,7 +7,7 @@
 
 use model::{FencingToken, Revision, Version};
 
-/// A check, and what it guards against. The admin API shows the names of the variants.
+/// A check, and what it guards against.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum ReadinessCheck {
     /// The record names this controller, its term and the version that its writes are conditional on.
@@ -31,6 +31,21 @@
     Contact,
 }
 
+impl ReadinessCheck {
+    /// The check's name in the admin API.
+    pub fn as_str(self) -> &'static str {
+        match self {
+            ReadinessCheck::OwnRecord => "OwnRecord",
+            ReadinessCheck::TermGivenOut => "TermGivenOut",
+            ReadinessCheck::MirrorReached => "MirrorReached",
+            ReadinessCheck::LedgerRead => "LedgerRead",
+            ReadinessCheck::PagesSound => "PagesSound",
+            ReadinessCheck::Unrivalled => "Unrivalled",
+            ReadinessCheck::Contact => "Contact",
+        }
+    }
+}
+
 /// What is known of a partition that has just been acquired.
 #[derive(Debug, Clone, Copy)]
 pub struct LeadershipFacts {
--- a/crates/scheduler/src/explain.rs
+++ b/crates/scheduler/src/explain.rs
@@ -37,7 +37,7 @@
             .take(EXPLAINED_ENTRIES)
             .filter_map(|entry| {
                 let (stage, failures) = self.queue.location(entry)?;
-                Some(format!("{stage:?} after {failures} failures"))
+                Some(format!("{stage} after {failures} failures"))
             })
             .collect();
         let reason = if !self.fits_quota_now(job, 1) {
--- a/crates/scheduling-queue/src/metrics.rs
+++ b/crates/scheduling-queue/src/metrics.rs
@@ -1,4 +1,6 @@
-//! Labels of the queue's metrics. Their names in lower case are values of metrics and the admin API.
+//! Labels of the queue's metrics, as they stand in metrics and in the admin API.
+
+use std::fmt;
 
 /// One of the queues.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
@@ -11,6 +13,28 @@
     Unschedulable,
 }
 
+impl QueueKind {
+    /// Value of the label in metrics and in the admin API.
+    pub fn as_str(self) -> &'static str {
+        match self {
+            QueueKind::Active => "active",
+            QueueKind::Backoff => "backoff",
+            QueueKind::Unschedulable => "unschedulable",
+        }
+    }
+}
+
+impl fmt::Display for QueueKind {
+    /// The queue's name in explanations of the admin API.
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
+        formatter.write_str(match self {
+            QueueKind::Active => "Active",
+            QueueKind::Backoff => "Backoff",
+            QueueKind::Unschedulable => "Unschedulable",
+        })
+    }
+}
+
 /// What put an entry into a queue.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum QueueEvent {
@@ -25,3 +49,16 @@
     /// It was unschedulable for too long.
     Leftover,
 }
+
+impl QueueEvent {
+    /// Value of the label in metrics and in the admin API.
+    pub fn as_str(self) -> &'static str {
+        match self {
+            QueueEvent::Add => "add",
+            QueueEvent::Failure => "failure",
+            QueueEvent::Move => "move",
+            QueueEvent::BackoffComplete => "backoffcomplete",
+            QueueEvent::Leftover => "leftover",
+        }
+    }
+}
