--- a/crates/controller/src/controller/leadership/advance.rs
+++ b/crates/controller/src/controller/leadership/advance.rs
@@ -2,7 +2,8 @@
 
 use super::PartitionLeadership;
 use crate::controller::{Controller, MAX_LAUNCH_READ_AGE};
-use model::{ControllerName, PartitionId};
+use crate::records::ControllerIncarnation;
+use model::PartitionId;
 use std::time::Duration;
 
 /// Time between two scans of all machines of a partition, for what comes with time and not with an
@@ -54,7 +55,7 @@
     }
 
     /// Unconfirmed predecessors of whose controllers a later incarnation has started.
-    fn exited_predecessors(&self, partition: PartitionId) -> Vec<(ControllerName, u64)> {
+    fn exited_predecessors(&self, partition: PartitionId) -> Vec<ControllerIncarnation> {
         let predecessors = self
             .leaderships
             .get(&partition)
--- a/crates/controller/src/controller/leadership/mod.rs
+++ b/crates/controller/src/controller/leadership/mod.rs
@@ -20,6 +20,7 @@
 use super::job_archiver::JobArchiver;
 use crate::job_status_cache::TaskCounts;
 use crate::placement_log::{LogCommit, PlacementLog};
+use crate::records::ControllerIncarnation;
 use loading::Loading;
 use model::{ControllerName, FencingToken, JobId, MachineName, Timestamp, Version};
 use scheduler::{CommandRoute, CommittedChanges, PartitionState, StatusSource};
@@ -43,7 +44,7 @@
     version: Version,
     since: Timestamp,
     load_state: LoadState,
-    unconfirmed_predecessors: Vec<(ControllerName, u64)>,
+    unconfirmed_predecessors: Vec<ControllerIncarnation>,
     predecessors_valid_until: Timestamp,
     transfer: TransferState,
     successor: Option<ControllerName>,
@@ -105,7 +106,7 @@
         term: FencingToken,
         version: Version,
         predecessors_valid_until: Timestamp,
-        unconfirmed_predecessors: Vec<(ControllerName, u64)>,
+        unconfirmed_predecessors: Vec<ControllerIncarnation>,
         now: Timestamp,
     ) -> Self {
         PartitionLeadership {
@@ -149,7 +150,7 @@
     }
 
     /// Former leaders that may not know yet that they lost the partition.
-    pub(super) fn unconfirmed_predecessors(&self) -> &[(ControllerName, u64)] {
+    pub(super) fn unconfirmed_predecessors(&self) -> &[ControllerIncarnation] {
         &self.unconfirmed_predecessors
     }
 
@@ -258,13 +259,14 @@
         if revision < self.version.0 || self.unconfirmed_predecessors.is_empty() {
             return;
         }
+        let run = ControllerIncarnation::from((peer.clone(), incarnation));
         self.unconfirmed_predecessors
-            .retain(|predecessor| predecessor != &(peer.clone(), incarnation));
+            .retain(|predecessor| *predecessor != run);
         self.clear_predecessors(now);
     }
 
     /// Removes predecessors whose incarnations have exited.
-    fn remove_exited_predecessors(&mut self, exited: &[(ControllerName, u64)], now: Timestamp) {
+    fn remove_exited_predecessors(&mut self, exited: &[ControllerIncarnation], now: Timestamp) {
         if exited.is_empty() {
             return;
         }
--- a/crates/controller/src/controller/membership/acquisition.rs
+++ b/crates/controller/src/controller/membership/acquisition.rs
@@ -4,7 +4,7 @@
 use super::resignation::UNCLAIMED_AFTER;
 use crate::controller::call_kind::LeadershipCall;
 use crate::controller::{CallKind, Controller};
-use crate::records::{partition_key, PartitionRecord, TOKEN_COUNTER_KEY};
+use crate::records::{partition_key, ControllerIncarnation, PartitionRecord, TOKEN_COUNTER_KEY};
 use crate::request_budget::CallPriority;
 use failover::failure_detector::HEARTBEAT_TIMEOUT;
 use model::DurationExt;
@@ -105,6 +105,7 @@
         };
         let leader = held.record.leader.clone();
         let incarnation = held.record.incarnation;
+        let run = held.record.leader_incarnation();
         let version = held.version.0;
         let attempted_recently = self
             .standby
@@ -115,7 +116,7 @@
         {
             return;
         }
-        if self.incarnation_is_over(&(leader.clone(), incarnation)) {
+        if self.incarnation_is_over(&run) {
             if self.may_replace_exited_leader(partition) {
                 self.standby.record_failover_attempt(self.now);
                 self.acquire(partition, version);
@@ -231,7 +232,7 @@
         counter.next = record.term + 1;
         counter
             .last_leaders
-            .insert(partition.0, (record.leader.clone(), record.incarnation));
+            .insert(partition.0, record.leader_incarnation());
         counter
             .unconfirmed_predecessors
             .insert(partition.0, record.unconfirmed_predecessors.clone());
@@ -267,11 +268,11 @@
     }
 
     /// Former leaders of a partition that may not know yet that they lost it.
-    fn unconfirmed_predecessors_of(&self, partition: PartitionId) -> Vec<(ControllerName, u64)> {
+    fn unconfirmed_predecessors_of(&self, partition: PartitionId) -> Vec<ControllerIncarnation> {
         let Some(counter) = &self.cache.counter else {
             return Vec::new();
         };
-        let mut predecessors: Vec<(ControllerName, u64)> = counter
+        let mut predecessors: Vec<ControllerIncarnation> = counter
             .record
             .unconfirmed_predecessors
             .get(&partition.0)
@@ -280,21 +281,18 @@
         predecessors.extend(counter.record.last_leaders.get(&partition.0).cloned());
         // This controller has stopped to answer with the loss of its own leadership.
         predecessors.retain(|predecessor| {
-            !self.incarnation_is_over(predecessor) && predecessor.0 != *self.own_name()
+            !self.incarnation_is_over(predecessor) && predecessor.controller != *self.own_name()
         });
         predecessors.dedup();
         predecessors
     }
 
     /// Whether an incarnation is known to have exited: a later one has been recorded.
-    pub(in crate::controller) fn incarnation_is_over(
-        &self,
-        (name, incarnation): &(ControllerName, u64),
-    ) -> bool {
+    pub(in crate::controller) fn incarnation_is_over(&self, run: &ControllerIncarnation) -> bool {
         self.cache
             .incarnations
-            .get(name)
-            .is_some_and(|recorded| recorded.record.incarnation != *incarnation)
+            .get(&run.controller)
+            .is_some_and(|recorded| recorded.record.incarnation != run.incarnation)
     }
 
     /// Handles the reply to an acquisition. Whatever it was, the watch brings the partition's record,
--- a/crates/controller/src/controller/membership/transfer.rs
+++ b/crates/controller/src/controller/membership/transfer.rs
@@ -3,7 +3,7 @@
 use super::{MAX_STATE_READ_AGE, UNKNOWN_OUTCOME_TIMEOUT};
 use crate::controller::call_kind::LeadershipCall;
 use crate::controller::{CallKind, Controller};
-use crate::records::{reclaim_key, PartitionRecord};
+use crate::records::{reclaim_key, ControllerIncarnation, PartitionRecord};
 use crate::request_budget::CallPriority;
 use model::{ControllerName, PartitionId};
 use wire::state::{StateReply, StateRequest, Write};
@@ -34,8 +34,10 @@
         // If the outcome stays unknown, this controller may answer again before it learns of it; so the
         // successor waits until this controller shows that it has read the change.
         let mut unconfirmed_predecessors = leadership.unconfirmed_predecessors().to_vec();
-        unconfirmed_predecessors
-            .push((self.settings.name.clone(), self.registration.incarnation()));
+        unconfirmed_predecessors.push(ControllerIncarnation {
+            controller: self.settings.name.clone(),
+            incarnation: self.registration.incarnation(),
+        });
         let record = PartitionRecord {
             leader: to.clone(),
             incarnation,
--- a/crates/controller/src/records.rs
+++ b/crates/controller/src/records.rs
@@ -135,6 +135,29 @@
     pub state: JobState,
 }
 
+/// One run of a controller process. Stored as an array of the name and the number.
+#[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
+#[serde(from = "(ControllerName, u64)", into = "(ControllerName, u64)")]
+pub struct ControllerIncarnation {
+    pub controller: ControllerName,
+    pub incarnation: u64,
+}
+
+impl From<(ControllerName, u64)> for ControllerIncarnation {
+    fn from((controller, incarnation): (ControllerName, u64)) -> Self {
+        ControllerIncarnation {
+            controller,
+            incarnation,
+        }
+    }
+}
+
+impl From<ControllerIncarnation> for (ControllerName, u64) {
+    fn from(run: ControllerIncarnation) -> Self {
+        (run.controller, run.incarnation)
+    }
+}
+
 /// The leadership of a partition. Bound to the leader's lease.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PartitionRecord {
@@ -146,7 +169,17 @@
     /// Former leaders that may still answer workers for a while.
     #[serde(rename = "suspects")]
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
-    pub unconfirmed_predecessors: Vec<(ControllerName, u64)>,
+    pub unconfirmed_predecessors: Vec<ControllerIncarnation>,
+}
+
+impl PartitionRecord {
+    /// The run of the leader that the record names.
+    pub fn leader_incarnation(&self) -> ControllerIncarnation {
+        ControllerIncarnation {
+            controller: self.leader.clone(),
+            incarnation: self.incarnation,
+        }
+    }
 }
 
 /// A page of machines.
@@ -181,12 +214,12 @@
     /// The controller that last acquired each partition, with its incarnation.
     #[serde(rename = "takers")]
     #[serde(default)]
-    pub last_leaders: BTreeMap<u32, (ControllerName, u64)>,
+    pub last_leaders: BTreeMap<u32, ControllerIncarnation>,
     /// Leaders before the last one that might still have been running when it acquired the
     /// partition.
     #[serde(rename = "suspects")]
     #[serde(default)]
-    pub unconfirmed_predecessors: BTreeMap<u32, Vec<(ControllerName, u64)>>,
+    pub unconfirmed_predecessors: BTreeMap<u32, Vec<ControllerIncarnation>>,
 }
 
 /// A controller's current incarnation.
--- a/crates/controller/tests/golden_records.rs
+++ b/crates/controller/tests/golden_records.rs
@@ -8,9 +8,10 @@
 use controller::records::{
     accepted_jobs_key, cancellations_key, demand_key, final_state_key, incarnation_key, log_prefix,
     machines_key, partition_key, reclaim_key, terminal_jobs_key, AcceptedJobsPage,
-    CancellationsRecord, DemandRecord, FinalStateRecord, IncarnationRecord, MachineRecord,
-    MachinesPage, PackedJob, PackedMachine, PartitionRecord, ReclaimRecord, TerminalJobsPage,
-    TokenCounterRecord, MACHINE_TYPES_KEY, SETTINGS_KEY, TOKEN_COUNTER_KEY, WATCHED_PREFIX,
+    CancellationsRecord, ControllerIncarnation, DemandRecord, FinalStateRecord, IncarnationRecord,
+    MachineRecord, MachinesPage, PackedJob, PackedMachine, PartitionRecord, ReclaimRecord,
+    TerminalJobsPage, TokenCounterRecord, MACHINE_TYPES_KEY, SETTINGS_KEY, TOKEN_COUNTER_KEY,
+    WATCHED_PREFIX,
 };
 use golden::{record, Entry};
 use model::{ControllerName, JobId, MachineName, PartitionId, Version};
@@ -115,7 +116,11 @@
     }
 }
 
-fn partition(unconfirmed_predecessors: Vec<(ControllerName, u64)>) -> PartitionRecord {
+fn run(name: &str, incarnation: u64) -> ControllerIncarnation {
+    (node(name), incarnation).into()
+}
+
+fn partition(unconfirmed_predecessors: Vec<ControllerIncarnation>) -> PartitionRecord {
     PartitionRecord {
         leader: node("n0"),
         incarnation: 3,
@@ -167,8 +172,8 @@
 fn counter() -> TokenCounterRecord {
     TokenCounterRecord {
         next: 42,
-        last_leaders: BTreeMap::from([(0, (node("n0"), 3)), (10, (node("n2"), 4))]),
-        unconfirmed_predecessors: BTreeMap::from([(2, vec![(node("n1"), 5), (node("n0"), 6)])]),
+        last_leaders: BTreeMap::from([(0, run("n0", 3)), (10, run("n2", 4))]),
+        unconfirmed_predecessors: BTreeMap::from([(2, vec![run("n1", 5), run("n0", 6)])]),
     }
 }
 
@@ -219,7 +224,7 @@
     let page = MachinesPage {
         machines: vec![machine(true, false), machine(false, true)],
     };
-    let unconfirmed_predecessors = vec![(node("n1"), 5), (node("n2"), 6)];
+    let unconfirmed_predecessors = vec![run("n1", 5), run("n2", 6)];
     let entries = [
         record("cancellations", CancellationsRecord { jobs: vec![7, 412] }),
         record("cancellations_none", CancellationsRecord::default()),
