--- a/crates/model/src/time.rs
+++ b/crates/model/src/time.rs
@@ -38,7 +38,9 @@
 
 impl DurationExt for Duration {
     fn whole_millis(&self) -> u64 {
-        u64::try_from(self.as_millis()).unwrap_or(u64::MAX)
+        // In 64 bits, since this is called for each machine at each scan: `as_millis` takes 128.
+        let whole_seconds = self.as_secs().saturating_mul(1_000);
+        whole_seconds.saturating_add(u64::from(self.subsec_millis()))
     }
 
     fn with_clock_drift(&self) -> Duration {
