--- a/crates/controller/src/controller/admission.rs
+++ b/crates/controller/src/controller/admission.rs
@@ -8,7 +8,7 @@
     AcceptedJobsPage, PackedJob,
 };
 use crate::request_budget::CallPriority;
-use crate::serial_writer::{SerialWriter, WriteOutcome};
+use crate::serial_writer::{SerialWriter, WriteOutcome, RETRY_PAUSE};
 use model::{JobId, Timestamp};
 use std::collections::{HashSet, VecDeque};
 use std::time::Duration;
@@ -27,8 +27,6 @@
 /// Part of a page that must be free for it to be written again: rewriting a nearly full page for a
 /// job or two costs more than a new page.
 const MIN_FREE_PAGE_FRACTION: usize = 4;
-/// Pause before a write with an unknown outcome is sent again.
-const RETRY_PAUSE: Duration = Duration::from_millis(200);
 
 /// A submission that waits for its write.
 #[derive(Debug)]
--- a/crates/controller/src/controller/cancellations.rs
+++ b/crates/controller/src/controller/cancellations.rs
@@ -5,15 +5,13 @@
 use super::{CallKind, Controller, PendingRequest, RequestKind};
 use crate::records::{cancellations_key, CancellationsRecord};
 use crate::request_budget::CallPriority;
-use crate::serial_writer::{SerialWriter, WriteOutcome};
+use crate::serial_writer::{SerialWriter, WriteOutcome, RETRY_PAUSE};
 use std::time::Duration;
 use wire::mesh::MeshMessage;
 use wire::state::{StateReply, StateRequest, Transaction, Write};
 
 /// Retries of a cancellation after conflicts of its write.
 const MAX_CONFLICTS: u32 = 5;
-/// Pause before a write with an unknown outcome is sent again.
-const RETRY_PAUSE: Duration = Duration::from_millis(200);
 
 /// Cancellations on their way into the state service.
 #[derive(Debug, Default)]
--- a/crates/controller/src/controller/job_archiver.rs
+++ b/crates/controller/src/controller/job_archiver.rs
@@ -13,7 +13,7 @@
     FinalStateRecord, TerminalJobsPage,
 };
 use crate::request_budget::CallPriority;
-use crate::serial_writer::{SerialWriter, WriteOutcome};
+use crate::serial_writer::{SerialWriter, WriteOutcome, RETRY_PAUSE};
 use crate::state_cache::StateCache;
 use model::{ControllerName, JobId, JobState, PartitionId, ZoneName};
 use std::collections::BTreeSet;
@@ -22,8 +22,6 @@
 
 /// Least time between two writes of terminal jobs, so that several go together.
 const WRITE_INTERVAL: Duration = Duration::from_millis(150);
-/// Pause before a write with an unknown outcome is sent again.
-const RETRY_PAUSE: Duration = Duration::from_millis(200);
 /// Most bytes of a job's id on a page: 20 digits and a separator.
 const MAX_ID_BYTES: usize = 21;
 
--- a/crates/controller/src/controller/machine_records.rs
+++ b/crates/controller/src/controller/machine_records.rs
@@ -8,7 +8,7 @@
     TOKEN_COUNTER_KEY,
 };
 use crate::request_budget::CallPriority;
-use crate::serial_writer::{SerialWriter, WriteOutcome};
+use crate::serial_writer::{SerialWriter, WriteOutcome, RETRY_PAUSE};
 use model::{MachineName, PartitionId, Timestamp};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -18,8 +18,6 @@
 const MAX_WRITE_DELAY: Duration = Duration::from_secs(1);
 /// Least time between two writes, so that several changes go together.
 const WRITE_INTERVAL: Duration = Duration::from_millis(100);
-/// Pause before a write with an unknown outcome is sent again.
-const RETRY_PAUSE: Duration = Duration::from_millis(200);
 /// Pages of machines that one transaction writes at most.
 const MAX_PAGES_PER_WRITE: usize = 4;
 
--- a/crates/controller/src/serial_writer.rs
+++ b/crates/controller/src/serial_writer.rs
@@ -9,6 +9,9 @@
 use std::time::Duration;
 use wire::state::{StateReply, Transaction};
 
+/// Pause before a write with an unknown outcome is sent again.
+pub(crate) const RETRY_PAUSE: Duration = Duration::from_millis(200);
+
 /// Serialises writes; `T` is what the write in flight contains.
 #[derive(Debug)]
 pub(crate) struct SerialWriter<T> {
--- a/crates/scheduler/src/best_effort.rs
+++ b/crates/scheduler/src/best_effort.rs
@@ -7,6 +7,7 @@
 use crate::job::{Job, Placement};
 use crate::machine::Machine;
 use crate::partition_state::PartitionState;
+use crate::preempt::SAVE_ALLOWANCE_MS;
 use model::DurationExt;
 use model::{JobId, Resources, TaskId, TeamName, Timestamp};
 use std::collections::HashMap;
@@ -22,8 +23,6 @@
 const MIN_TEAM_PLACES: usize = 8;
 /// A task without checkpoints is cheap to preempt while it has run for less than its estimate divided by this.
 const CHEAP_PROGRESS_DIVISOR: u64 = 4;
-/// Added to the time that a task needs to save, for the way of the command (ms).
-const SAVE_ALLOWANCE_MS: u64 = 1_000;
 
 /// The best-effort work of a team.
 #[derive(Debug, Default)]
--- a/crates/scheduler/src/preempt.rs
+++ b/crates/scheduler/src/preempt.rs
@@ -22,7 +22,7 @@
 const MAX_RESERVATIONS: usize = 24;
 
 /// Added to the time that a task needs to save, for the way of the command (ms).
-const SAVE_ALLOWANCE_MS: u64 = 1_000;
+pub(crate) const SAVE_ALLOWANCE_MS: u64 = 1_000;
 /// Added to the cost for each victim, so that of equal costs the plan with the fewest victims is the cheapest.
 const VICTIM_COST_MS: u64 = 1;
 
