--- a/crates/scheduler/src/best_effort.rs
+++ b/crates/scheduler/src/best_effort.rs
@@ -9,7 +9,7 @@
 use crate::machine::Machine;
 use crate::partition_state::PartitionState;
 use crate::placement::Placement;
-use crate::preempt::SAVE_ALLOWANCE_MS;
+use crate::preempt::STOP_DELIVERY_ALLOWANCE_MS;
 use model::DurationExt;
 use model::{JobId, Resources, Timestamp};
 use std::time::Duration;
@@ -81,7 +81,7 @@
 
     /// Work that is lost when a task is stopped, in ms: all that it has done, or the time to save a
     /// checkpoint, or, if best-effort work is stopped `at_once`, what it has done since its last checkpoint.
-    pub(crate) fn lost_work(
+    pub(crate) fn lost_work_ms(
         &self,
         victim: &Job,
         placement: &Placement,
@@ -94,7 +94,7 @@
         } else if at_once && victim.spec.is_best_effort() {
             ran % victim.spec.checkpoint.whole_millis()
         } else {
-            ran.min(victim.spec.save.whole_millis() + SAVE_ALLOWANCE_MS)
+            ran.min(victim.spec.save.whole_millis() + STOP_DELIVERY_ALLOWANCE_MS)
         }
     }
 
--- a/crates/scheduler/src/best_effort_eviction.rs
+++ b/crates/scheduler/src/best_effort_eviction.rs
@@ -1,6 +1,6 @@
 //! Eviction of best-effort work from on-demand machines on which nothing else is left.
 
-use crate::best_effort_waits::{TeamBestEffort, MIN_TEAM_PLACES};
+use crate::best_effort_waits::{TeamBestEffort, MIN_TEAM_TASKS};
 use crate::job::Job;
 use crate::partition_state::PartitionState;
 use crate::queue_entry::EntryKey;
@@ -27,7 +27,7 @@
                         .is_some_and(|placement| placement.stop.is_none())
             });
             if saves {
-                let grace = self.grace_period(task);
+                let grace = self.grace_period_ms(task);
                 self.stop_task(task, grace, now);
             }
         }
@@ -37,7 +37,7 @@
     /// have found no place for long.
     pub fn evict_best_effort(&mut self, now: Timestamp) {
         let teams = self.best_effort_by_team();
-        self.update_waiting_jobs(&teams, now);
+        self.update_best_effort_waits(&teams, now);
         let tasks = self.tasks_to_evict(&teams, now);
         self.stop_best_effort_tasks(tasks, now);
     }
@@ -64,7 +64,7 @@
                 continue;
             };
             let team_places = teams.get(&job.spec.team).map_or(0, |team| team.placed);
-            if !job.spec.spot || job.guaranteed || team_places <= MIN_TEAM_PLACES {
+            if !job.spec.spot || job.guaranteed || team_places <= MIN_TEAM_TASKS {
                 continue;
             }
             let left = left.entry(task.job).or_insert(job.active_placements());
--- a/crates/scheduler/src/best_effort_waits.rs
+++ b/crates/scheduler/src/best_effort_waits.rs
@@ -27,7 +27,7 @@
 const _: () = assert!(SPARE_CAPACITY_WAIT.as_millis() < MACHINE_REQUEST_WAIT.as_millis());
 const _: () = assert!(MACHINE_REQUEST_WAIT.as_millis() + 40_000 <= MAX_WAIT.as_millis());
 /// Number of best-effort tasks that each team may run on any machine.
-pub(crate) const MIN_TEAM_PLACES: usize = 8;
+pub(crate) const MIN_TEAM_TASKS: usize = 8;
 
 /// The best-effort work of a team.
 #[derive(Debug, Default)]
@@ -73,7 +73,7 @@
 
     /// Determines for each best-effort job how many of its tasks may run on any machine. Entries of jobs that
     /// may use more machines than before are tried again at once.
-    pub(crate) fn update_waiting_jobs(
+    pub(crate) fn update_best_effort_waits(
         &mut self,
         teams: &HashMap<TeamName, TeamBestEffort>,
         now: Timestamp,
@@ -88,7 +88,7 @@
             }
             let before = job.places_anywhere;
             job.places_anywhere = if thin_teams_jobs.contains(id) {
-                MIN_TEAM_PLACES
+                MIN_TEAM_TASKS
             } else {
                 usize::from(job.has_waited(SPARE_CAPACITY_WAIT, logical_time_ms, now))
             };
@@ -113,12 +113,12 @@
             };
             let first_waiting = best_effort
                 .first_waiting
-                .filter(|_| best_effort.placed < MIN_TEAM_PLACES);
+                .filter(|_| best_effort.placed < MIN_TEAM_TASKS);
             let Some(first_waiting) = first_waiting else {
-                team.thin_since = None;
+                team.underserved_since = None;
                 continue;
             };
-            let since = *team.thin_since.get_or_insert(now);
+            let since = *team.underserved_since.get_or_insert(now);
             if now.duration_since(since) > THIN_TEAM_TIMEOUT {
                 jobs.insert(first_waiting.job);
             }
--- a/crates/scheduler/src/colocation.rs
+++ b/crates/scheduler/src/colocation.rs
@@ -68,7 +68,7 @@
             evicted.extend(machine.tasks.iter().filter(is_evicted));
         }
         for task in evicted {
-            let grace = self.grace_period(task);
+            let grace = self.grace_period_ms(task);
             self.stop_task(task, grace, now);
         }
     }
--- a/crates/scheduler/src/commands.rs
+++ b/crates/scheduler/src/commands.rs
@@ -106,7 +106,8 @@
         let is_wanted = placement.is_launchable() && !job.cancelled;
         let machine_accepts = machine.last_seen_at.is_some() && !machine.leaving;
         // What has been launched once is launched again until it arrives.
-        let may_begin = || machine.notice.is_none() && !self.waits_for_fetches(job, machine);
+        let may_begin =
+            || machine.notice.is_none() && !self.defers_launch_for_fetches(job, machine);
         let first_or_repeated = || placement.launch.is_launched() || may_begin();
         // A direct launch that has not been answered is not repeated by another direct call.
         let is_pending =
--- a/crates/scheduler/src/consolidation.rs
+++ b/crates/scheduler/src/consolidation.rs
@@ -91,15 +91,15 @@
             needs,
         } in moves
         {
-            let limit_of = self.jobs.get(&task.job).map(|job| job.spec.team.clone());
+            let charged_team = self.jobs.get(&task.job).map(|job| job.spec.team.clone());
             let reservation = Reservation {
                 machine: target,
                 needs,
                 until: now + MOVE_TIMEOUT,
-                limit_of,
+                charged_team,
             };
             self.reserve(EntryKey::Task(task), reservation);
-            let grace = self.grace_period(task);
+            let grace = self.grace_period_ms(task);
             self.stop_task(task, grace, now);
         }
     }
--- a/crates/scheduler/src/cycle.rs
+++ b/crates/scheduler/src/cycle.rs
@@ -62,7 +62,7 @@
         self.unplaced_since
             .retain(|_, at| now.duration_since(*at) <= UNPLACED_PRECEDENCE);
         self.expire_reservations(now);
-        self.renew_reservations(now);
+        self.renew_gang_reservations(now);
         self.update_waiting_gangs();
         self.update_reserved_limits();
         let mut failed_jobs = FailedJobs::default();
--- a/crates/scheduler/src/demand_estimate.rs
+++ b/crates/scheduler/src/demand_estimate.rs
@@ -131,7 +131,9 @@
     pub(crate) fn add_job(&mut self, job: &Job, waiting_tasks: u64) {
         // A gang that waits for machines that are free soon needs no others.
         if job.spec.kind == JobKind::Gang
-            && self.partition.reservation_is_near(job.spec.id, self.now)
+            && self
+                .partition
+                .is_gang_reservation_ready_soon(job.spec.id, self.now)
         {
             return;
         }
@@ -163,7 +165,10 @@
         let left = self
             .quota_left
             .entry(job.spec.team.clone())
-            .or_insert_with(|| team.limit.saturating_sub(&(team.used + team.held)));
+            .or_insert_with(|| {
+                team.limit
+                    .saturating_sub(&(team.used + team.reserved_for_gangs))
+            });
         let needs = quota_needs(job);
         let tasks = wanted.min(left.how_many_fit(&needs));
         // The part of the limit that gangs need is reserved with their machines.
@@ -195,7 +200,7 @@
         let gangs = partition.gangs_with_precedence(job, now);
         let may_use = |machine: &Machine| {
             partition.admits(job, machine, now)
-                && !partition.is_reserved_from(job, machine, now)
+                && !partition.is_blocked_by_gang_reservation(job, machine, now)
                 && !partition.is_left_to_gangs(&gangs, machine, now)
         };
         let mut placed = 0;
--- a/crates/scheduler/src/gang_precedence.rs
+++ b/crates/scheduler/src/gang_precedence.rs
@@ -72,7 +72,7 @@
     }
 
     /// Whether a machine is reserved for a gang, or is empty and of use to a waiting one.
-    pub(crate) fn is_reserved_for_gangs(&self, machine: &Machine, now: Timestamp) -> bool {
+    pub(crate) fn is_needed_by_gangs(&self, machine: &Machine, now: Timestamp) -> bool {
         machine.reserved_for_gang.is_some()
             || (machine.tasks.is_empty()
                 && self
--- a/crates/scheduler/src/gang_reservation_choice.rs
+++ b/crates/scheduler/src/gang_reservation_choice.rs
@@ -50,7 +50,7 @@
 impl PartitionState {
     /// The machines on which a gang could start soonest, except those that are reserved for a gang with a
     /// better rank. `None` if they do not hold the whole gang.
-    pub(crate) fn choose_reservation(
+    pub(crate) fn choose_gang_reservation(
         &self,
         job: &Job,
         until: Timestamp,
--- a/crates/scheduler/src/gang_reservations.rs
+++ b/crates/scheduler/src/gang_reservations.rs
@@ -50,7 +50,12 @@
 impl PartitionState {
     /// Whether a machine is reserved for a gang that ranks before this job, unless the job leaves the gang
     /// its room or ends there before the gang can start.
-    pub(crate) fn is_reserved_from(&self, job: &Job, machine: &Machine, now: Timestamp) -> bool {
+    pub(crate) fn is_blocked_by_gang_reservation(
+        &self,
+        job: &Job,
+        machine: &Machine,
+        now: Timestamp,
+    ) -> bool {
         let Some(reservation) = machine
             .reserved_for_gang
             .and_then(|gang| self.gang_reservations.get(&gang))
@@ -72,7 +77,7 @@
     /// tasks that used the limit there free it; if it were not reserved, arrays would take each freed part.
     pub(crate) fn update_reserved_limits(&mut self) {
         for team in self.teams.values_mut() {
-            team.held = Resources::default();
+            team.reserved_for_gangs = Resources::default();
         }
         for reservation in self.gang_reservations.values() {
             let Some(job) = self.jobs.get(&reservation.job) else {
@@ -86,13 +91,13 @@
                     .machines
                     .get(name)
                     .map_or(Resources::default(), |machine| machine.used);
-                team.held += job.spec.needs.times(*tasks).saturating_sub(&used);
+                team.reserved_for_gangs += job.spec.needs.times(*tasks).saturating_sub(&used);
             }
         }
     }
 
     /// Releases the machines reserved for a gang.
-    pub(crate) fn release_reservation(&mut self, id: JobId) {
+    pub(crate) fn release_gang_reservation(&mut self, id: JobId) {
         let Some(reservation) = self.gang_reservations.remove(&id) else {
             return;
         };
@@ -108,7 +113,7 @@
     /// Chooses the reservations of all gangs anew, in the order of rank, if one of them is due for review or
     /// has a machine that its gang could not use now. All at one time: what is released before it is chosen
     /// again would be taken by entries that are tried in between.
-    pub(crate) fn renew_reservations(&mut self, now: Timestamp) {
+    pub(crate) fn renew_gang_reservations(&mut self, now: Timestamp) {
         let is_valid = |reservation: &GangReservation| self.is_valid_reservation(reservation, now);
         if self.gang_reservations.values().all(is_valid) {
             return;
@@ -127,7 +132,7 @@
         renewed.sort_unstable();
         let reserved: Vec<JobId> = self.gang_reservations.keys().copied().collect();
         for gang in reserved {
-            self.release_reservation(gang);
+            self.release_gang_reservation(gang);
         }
         for RenewedReservation { gang, until, .. } in renewed {
             if !self.is_queued_gang(gang) {
@@ -195,7 +200,7 @@
         let chosen = self
             .jobs
             .get(&id)
-            .and_then(|job| self.choose_reservation(job, until, now));
+            .and_then(|job| self.choose_gang_reservation(job, until, now));
         let Some(reservation) = chosen else {
             return false;
         };
@@ -205,7 +210,7 @@
             .filter_map(|name| self.machines.get(name)?.reserved_for_gang)
             .collect();
         for gang in displaced {
-            self.release_reservation(gang);
+            self.release_gang_reservation(gang);
         }
         for name in reservation.machines.keys() {
             if let Some(machine) = self.machines.get_mut(name) {
@@ -234,7 +239,7 @@
             .collect();
         for task in victims {
             tracing::debug!(job = %id, victim = %task, "preempting a task for a gang");
-            let grace = self.grace_period(task);
+            let grace = self.grace_period_ms(task);
             self.stop_task(task, grace, now);
         }
     }
@@ -265,7 +270,7 @@
                 free += job.spec.needs;
             } else if self.may_preempt(gang, job, placement) {
                 candidates.push(Victim {
-                    lost_work_ms: self.lost_work(job, placement, false, now),
+                    lost_work_ms: self.lost_work_ms(job, placement, false, now),
                     task: *task,
                 });
             }
@@ -285,7 +290,7 @@
     }
 
     /// Whether the machines reserved for a gang will be free before others could be rented.
-    pub(crate) fn reservation_is_near(&self, id: JobId, now: Timestamp) -> bool {
+    pub(crate) fn is_gang_reservation_ready_soon(&self, id: JobId, now: Timestamp) -> bool {
         self.gang_reservations
             .get(&id)
             .is_some_and(|reservation| reservation.ready_at <= now + NEAR_RESERVATION)
--- a/crates/scheduler/src/gangs.rs
+++ b/crates/scheduler/src/gangs.rs
@@ -39,7 +39,7 @@
         if let Some(job) = self.jobs.get_mut(&id) {
             job.gang_began = None;
         }
-        self.release_reservation(id);
+        self.release_gang_reservation(id);
         for (index, machine) in machines.into_iter().enumerate() {
             let task = TaskId {
                 job: id,
@@ -86,7 +86,9 @@
             .with_capacity(&job.spec)
             .filter_map(|name| self.machines.get(name));
         for machine in roomy {
-            if !self.admits(job, machine, now) || self.is_reserved_from(job, machine, now) {
+            if !self.admits(job, machine, now)
+                || self.is_blocked_by_gang_reservation(job, machine, now)
+            {
                 continue;
             }
             let tasks = colocation_capacity(job, machine, self.free_capacity_for(entry, machine));
@@ -103,7 +105,7 @@
     /// Whether the launch of a gang's task that needs no image fetch is put off until the fetches of its
     /// other tasks are complete. Where a fetch takes long, a task launched at once would wait for the others
     /// for longer than tasks of a gang may, and the gang would be restarted again and again.
-    pub(crate) fn waits_for_fetches(&self, job: &Job, machine: &Machine) -> bool {
+    pub(crate) fn defers_launch_for_fetches(&self, job: &Job, machine: &Machine) -> bool {
         if job.spec.kind != JobKind::Gang || !machine.has_image(&job.spec.image) {
             return false;
         }
@@ -131,7 +133,7 @@
 
     /// A task of a gang has its image: commands are sent at once to the machines of tasks whose launch was
     /// put off for that.
-    pub(crate) fn record_gang_fetch(&mut self, id: JobId) {
+    pub(crate) fn trigger_deferred_launches(&mut self, id: JobId) {
         let Some(job) = self.jobs.get(&id) else {
             return;
         };
--- a/crates/scheduler/src/guarantees.rs
+++ b/crates/scheduler/src/guarantees.rs
@@ -13,8 +13,12 @@
     /// with the team's earlier unfinished jobs. Only teams whose jobs have changed are recomputed.
     pub(crate) fn refresh_guarantees(&mut self) {
         let mut changed = Vec::new();
-        for team in self.teams.values_mut().filter(|team| team.stale) {
-            team.stale = false;
+        for team in self
+            .teams
+            .values_mut()
+            .filter(|team| team.guaranteed_jobs_stale)
+        {
+            team.guaranteed_jobs_stale = false;
             changed.extend(refresh_team(team, &mut self.jobs, self.overloaded));
         }
         for id in changed {
--- a/crates/scheduler/src/job_lifecycle.rs
+++ b/crates/scheduler/src/job_lifecycle.rs
@@ -88,7 +88,7 @@
         } else {
             u64::from(spec.tasks)
         };
-        let concurrent_tasks = self.teams.concurrent_tasks(spec);
+        let concurrent_tasks = self.teams.max_concurrent_tasks(spec);
         let alone_ms = spec.estimate.whole_millis() * tasks / concurrent_tasks;
         Duration::from_millis(alone_ms * self.policy.size_penalty_factor)
     }
--- a/crates/scheduler/src/overload.rs
+++ b/crates/scheduler/src/overload.rs
@@ -130,7 +130,7 @@
             };
             job.overload_penalty = penalty;
             if let Some(team) = self.teams.get_mut(&job.spec.team) {
-                team.stale = true;
+                team.guaranteed_jobs_stale = true;
             }
             self.update_ranks(id);
         }
--- a/crates/scheduler/src/preempt.rs
+++ b/crates/scheduler/src/preempt.rs
@@ -18,7 +18,7 @@
 const RESERVATION_TIMEOUT: Duration = Duration::from_secs(15);
 
 /// Added to the time that a task needs to save, for the way of the command (ms).
-pub(crate) const SAVE_ALLOWANCE_MS: u64 = 1_000;
+pub(crate) const STOP_DELIVERY_ALLOWANCE_MS: u64 = 1_000;
 /// Which tasks may be preempted for a job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum PreemptionScope {
@@ -135,7 +135,7 @@
             machine: plan.machine,
             needs: job.spec.needs,
             until: now + RESERVATION_TIMEOUT,
-            limit_of: (failure == PlacementFailure::Quota).then(|| job.spec.team.clone()),
+            charged_team: (failure == PlacementFailure::Quota).then(|| job.spec.team.clone()),
         };
         self.reserve(entry, reservation);
         for victim in plan.victims {
@@ -148,17 +148,17 @@
             let grace = if is_urgent && is_best_effort {
                 0
             } else {
-                self.grace_period(victim)
+                self.grace_period_ms(victim)
             };
             self.stop_task(victim, grace, now);
         }
     }
 
     /// The grace period in which a task can save a checkpoint, in ms; 0 if it has none.
-    pub(crate) fn grace_period(&self, task: TaskId) -> u64 {
+    pub(crate) fn grace_period_ms(&self, task: TaskId) -> u64 {
         self.jobs.get(&task.job).map_or(0, |job| {
             if job.spec.checkpoint > Duration::ZERO {
-                job.spec.save.whole_millis() + SAVE_ALLOWANCE_MS
+                job.spec.save.whole_millis() + STOP_DELIVERY_ALLOWANCE_MS
             } else {
                 0
             }
--- a/crates/scheduler/src/preemption_search.rs
+++ b/crates/scheduler/src/preemption_search.rs
@@ -150,7 +150,7 @@
             if victim.spec.team != job.spec.team || !self.may_preempt(job, victim, placement) {
                 continue;
             }
-            plan.cost_ms += self.lost_work(victim, placement, true, now) + VICTIM_COST_MS;
+            plan.cost_ms += self.lost_work_ms(victim, placement, true, now) + VICTIM_COST_MS;
             plan.victims.push(task);
             freed += victim.spec.needs;
             if wanted.saturating_sub(&freed).fits_quota(&team.limit) {
@@ -196,7 +196,7 @@
         let job = search.job;
         if !self.admits(job, machine, search.now)
             || !zone_allowed(job, &machine.zone, &search.zones)
-            || self.is_reserved_from(job, machine, search.now)
+            || self.is_blocked_by_gang_reservation(job, machine, search.now)
             || is_colocated(machine, job)
         {
             return None;
@@ -236,7 +236,7 @@
                 let victim = self.jobs.get(&task.job)?;
                 let placement = victim.placed.get(&task.index)?;
                 self.is_victim(search, victim, placement).then(|| Victim {
-                    lost_work_ms: self.lost_work(victim, placement, at_once, search.now),
+                    lost_work_ms: self.lost_work_ms(victim, placement, at_once, search.now),
                     task: *task,
                 })
             })
--- a/crates/scheduler/src/quotas.rs
+++ b/crates/scheduler/src/quotas.rs
@@ -73,20 +73,20 @@
     pub(crate) fn open_job(&mut self, job: &Job) {
         if let Some(team) = self.teams.get_mut(&job.spec.team) {
             team.open_jobs.insert((job.order, job.spec.id));
-            team.stale = true;
+            team.guaranteed_jobs_stale = true;
         }
     }
 
     /// The job counts towards its team's guarantee no longer.
     pub(crate) fn close_job(&mut self, job: &Job) {
         if let Some(team) = self.teams.get_mut(&job.spec.team) {
-            team.stale |= team.open_jobs.remove(&(job.order, job.spec.id));
+            team.guaranteed_jobs_stale |= team.open_jobs.remove(&(job.order, job.spec.id));
         }
     }
 
     /// How many tasks with the needs of this job its team may run at once, by its limit on CPUs and
     /// GPUs; at least 1. A team without a limit counts as if it had the largest limit of the others.
-    pub(crate) fn concurrent_tasks(&self, spec: &JobSpec) -> u64 {
+    pub(crate) fn max_concurrent_tasks(&self, spec: &JobSpec) -> u64 {
         let needs = Resources {
             memory_mb: 0,
             ..spec.needs
@@ -120,13 +120,13 @@
     /// preempted.
     pub(crate) reserved: Resources,
     /// Part of the limit that gangs need on machines reserved for them, beyond what is used there now.
-    pub(crate) held: Resources,
+    pub(crate) reserved_for_gangs: Resources,
     /// Since when hardly any of its best-effort tasks has been placed.
-    pub thin_since: Option<Timestamp>,
+    pub underserved_since: Option<Timestamp>,
     /// Its jobs that are neither finishing nor cancelled, ordered by submission time.
     pub(crate) open_jobs: BTreeSet<(u64, JobId)>,
     /// Those of them that lay within the guarantee when it was last computed.
     pub(crate) guaranteed_jobs: BTreeSet<JobId>,
     /// Its open jobs or their order have changed since then.
-    pub(crate) stale: bool,
+    pub(crate) guaranteed_jobs_stale: bool,
 }
--- a/crates/scheduler/src/reconciliation.rs
+++ b/crates/scheduler/src/reconciliation.rs
@@ -152,7 +152,7 @@
                 job.record_running(placed_at, now);
                 self.record_gang_start(task.job, now);
             }
-            TaskState::Waiting => self.record_gang_fetch(task.job),
+            TaskState::Waiting => self.trigger_deferred_launches(task.job),
             _ => {}
         }
     }
@@ -293,7 +293,7 @@
             if self.jobs.get(&task.job).is_some_and(is_gang) {
                 self.stop_gang(task.job, now);
             } else {
-                let grace_ms = self.grace_period(task);
+                let grace_ms = self.grace_period_ms(task);
                 self.stop_task(task, grace_ms, now);
             }
         }
--- a/crates/scheduler/src/reservations.rs
+++ b/crates/scheduler/src/reservations.rs
@@ -18,7 +18,7 @@
         if let Some(machine) = self.machines.get_mut(&reservation.machine) {
             machine.reserved += reservation.needs;
             let team = reservation
-                .limit_of
+                .charged_team
                 .as_ref()
                 .and_then(|team| self.teams.get_mut(team));
             if let Some(team) = team {
@@ -35,7 +35,7 @@
                 machine.reserved -= reservation.needs;
             }
             let team = reservation
-                .limit_of
+                .charged_team
                 .as_ref()
                 .and_then(|team| self.teams.get_mut(team));
             if let Some(team) = team {
@@ -82,11 +82,11 @@
         let own = self
             .reservations
             .get(&entry)
-            .filter(|reservation| reservation.limit_of.is_some());
+            .filter(|reservation| reservation.charged_team.is_some());
         let own = own.map_or(Resources::default(), |reservation| reservation.needs);
         self.teams.get(&job.spec.team).is_some_and(|team| {
             let reserved_for_gangs = match entry {
-                EntryKey::Task(_) if job.spec.kind == JobKind::Array => team.held,
+                EntryKey::Task(_) if job.spec.kind == JobKind::Array => team.reserved_for_gangs,
                 _ => Resources::default(),
             };
             let reserved = team.reserved.saturating_sub(&own) + reserved_for_gangs;
--- a/crates/scheduler/src/reserved_capacity.rs
+++ b/crates/scheduler/src/reserved_capacity.rs
@@ -23,5 +23,5 @@
     pub needs: Resources,
     pub until: Timestamp,
     /// The team of whose limit the same amount is kept, if the limit is what prevents placement.
-    pub limit_of: Option<TeamName>,
+    pub charged_team: Option<TeamName>,
 }
--- a/crates/scheduler/src/suitability.rs
+++ b/crates/scheduler/src/suitability.rs
@@ -159,7 +159,7 @@
         if !zone_allowed(job, &machine.zone, &self.zones) {
             return Some(MachineRejection::Zone);
         }
-        if partition.is_reserved_from(job, machine, now) {
+        if partition.is_blocked_by_gang_reservation(job, machine, now) {
             return Some(MachineRejection::Reserved);
         }
         if partition.is_left_to_gangs(&self.gangs, machine, now) {
--- a/crates/scheduler/src/transfers.rs
+++ b/crates/scheduler/src/transfers.rs
@@ -87,7 +87,7 @@
         now: Timestamp,
     ) -> bool {
         machine.pinned == 0
-            && !self.is_reserved_for_gangs(machine, now)
+            && !self.is_needed_by_gangs(machine, now)
             && (spare_gpu_machines.contains(&machine.name) || self.runs_no_guarantee(machine))
     }
 
@@ -225,7 +225,7 @@
 
     /// How long a machine has been idle. A machine that is reserved for a gang is not idle.
     fn idle_time(&self, machine: &Machine, now: Timestamp) -> Duration {
-        if machine.tasks.is_empty() && !self.is_reserved_for_gangs(machine, now) {
+        if machine.tasks.is_empty() && !self.is_needed_by_gangs(machine, now) {
             now.duration_since(machine.idle_since)
         } else {
             Duration::ZERO
