--- a/crates/controller/src/controller/leadership/advance.rs
+++ b/crates/controller/src/controller/leadership/advance.rs
@@ -97,7 +97,7 @@
         }
         self.counters
             .waits
-            .append(&mut loaded.partition_state.waits);
+            .append(&mut loaded.partition_state.placement_waits_ms);
         self.counters
             .unplaced
             .append(&mut loaded.partition_state.rejections);
--- a/crates/controller/src/controller/leadership/machine_failures.rs
+++ b/crates/controller/src/controller/leadership/machine_failures.rs
@@ -88,10 +88,10 @@
                 machine,
                 address,
                 token,
-                session,
+                worker_epoch,
             } = probe;
             let purpose = CallKind::Worker(WorkerCall::LivenessProbe { partition, machine });
-            self.send_probe(address, token, session, purpose, PROBE_TIMEOUT);
+            self.send_probe(address, token, worker_epoch, purpose, PROBE_TIMEOUT);
         }
     }
 
--- a/crates/controller/src/controller/leadership/token_raises.rs
+++ b/crates/controller/src/controller/leadership/token_raises.rs
@@ -73,7 +73,7 @@
             partition_state
                 .machines
                 .values()
-                .any(|machine| machine.retains_exited_tasks(now))
+                .any(|machine| machine.exited_tasks_need_higher_token(now))
         })
     }
 
@@ -100,7 +100,7 @@
             return;
         };
         for machine in partition_state.machines.values() {
-            if machine.needs_higher_token() {
+            if machine.lost_launch_needs_higher_token() {
                 self.machine_changes
                     .request(&machine.name, MachineChange::RaiseToken);
             }
--- a/crates/controller/src/controller/load_partition.rs
+++ b/crates/controller/src/controller/load_partition.rs
@@ -206,8 +206,8 @@
             self.tuning.queue,
             leadership.term(),
         );
-        partition_state.report = workers.heartbeat_interval;
-        partition_state.gang_wait = workers.gang_start_timeout;
+        partition_state.heartbeat_interval = workers.heartbeat_interval;
+        partition_state.gang_start_timeout = workers.gang_start_timeout;
         partition_state.logical_clock_offset = self.logical_clock_offset;
         partition_state.completion_objectives = self.settings.completion_objectives.clone();
         partition_state.predecessors_valid_until = leadership.predecessors_valid_until();
--- a/crates/controller/src/controller/machine_records.rs
+++ b/crates/controller/src/controller/machine_records.rs
@@ -175,7 +175,7 @@
                     && known.is_some_and(|record| record.partition != *to && !record.leaving)
             }
             MachineChange::RaiseToken => {
-                machine.is_some_and(|machine| machine.needs_higher_token())
+                machine.is_some_and(|machine| machine.lost_launch_needs_higher_token())
             }
         }
     }
--- a/crates/scheduler/src/best_effort.rs
+++ b/crates/scheduler/src/best_effort.rs
@@ -26,8 +26,8 @@
         !job.is_best_effort()
             || !job.spec.spot
             || machine.spot
-            || machine.pinned > 0
-            || (machine.regular() > 0 && is_soon_gone(job))
+            || machine.replica_count > 0
+            || (machine.regular_count() > 0 && is_soon_gone(job))
             || job.may_be_placed_anywhere()
     }
 
@@ -110,7 +110,7 @@
     /// What best-effort tasks on a machine would free for other work within seconds.
     pub(crate) fn reclaimable_resources(&self, machine: &Machine, now: Timestamp) -> Resources {
         let mut sum = Resources::default();
-        if machine.best_effort == 0 {
+        if machine.best_effort_count == 0 {
             return sum;
         }
         for task in &machine.tasks {
@@ -136,7 +136,7 @@
     /// has none.
     pub(crate) fn runs_only_best_effort(&self, machine: &Machine, now: Timestamp) -> bool {
         !machine.tasks.is_empty()
-            && machine.regular() == 0
+            && machine.regular_count() == 0
             && machine.tasks.iter().all(|task| {
                 let Some(job) = self.jobs.get(&task.job) else {
                     return false;
--- a/crates/scheduler/src/best_effort_eviction.rs
+++ b/crates/scheduler/src/best_effort_eviction.rs
@@ -57,8 +57,10 @@
         let machines = self
             .machines
             .values()
-            .filter(|machine| !machine.spot && machine.best_effort > 0 && machine.regular() == 0)
-            .filter(|machine| now.duration_since(machine.regular_left_at) > EVICTION_DELAY);
+            .filter(|machine| {
+                !machine.spot && machine.best_effort_count > 0 && machine.regular_count() == 0
+            })
+            .filter(|machine| now.duration_since(machine.last_regular_removed_at) > EVICTION_DELAY);
         for task in machines.flat_map(|machine| &machine.tasks) {
             let Some(job) = self.jobs.get(&task.job) else {
                 continue;
--- a/crates/scheduler/src/capacity_index.rs
+++ b/crates/scheduler/src/capacity_index.rs
@@ -5,13 +5,13 @@
 //! are ranges of one ordered map, which exists once for all machines and once for each image. So a cycle
 //! checks a few machines however many there are, and none that is full.
 //!
-//! Invariants: a machine is in the index exactly if its `place` is set, under that key, and in the map of
+//! Invariants: a machine is in the index exactly if its `capacity_key` is set, under that key, and in the map of
 //! each image that it has cached. The free capacity in the key is what placements leave, whether reserved or
 //! not; the caller checks reservations, memory and whether the machine may be used now. Machines that were
 //! not usable at the last refresh are not in the index: after a network partition hundreds of them have free
 //! capacity, and each cycle would have to skip them.
 
-use crate::machine::{Machine, Place};
+use crate::machine::{CapacityKey, Machine};
 use model::{JobSpec, MachineName, Resources, ZoneName};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::ops::Bound;
@@ -29,33 +29,33 @@
 }
 
 /// The names of machines by class, replicas, free GPUs and free CPUs, in this order of comparison.
-type FreeCapacityMap = BTreeMap<Place, BTreeSet<MachineName>>;
+type FreeCapacityMap = BTreeMap<CapacityKey, BTreeSet<MachineName>>;
 
 /// The index; see the module's description for its invariants.
 #[derive(Debug, Default)]
 pub(crate) struct CapacityIndex {
-    /// All classes seen so far; the index into this list is [`Place::class`].
+    /// All classes seen so far; the index into this list is [`CapacityKey::class`].
     classes: Vec<Class>,
     all: FreeCapacityMap,
     by_image: HashMap<Arc<str>, FreeCapacityMap>,
 }
 
 /// The key of a machine of this class.
-fn place_of(machine: &Machine, class: u32) -> Place {
+fn place_of(machine: &Machine, class: u32) -> CapacityKey {
     let free = machine.free();
-    Place {
+    CapacityKey {
         class,
-        pinned: machine.pinned.min(MAX_RANKED_REPLICAS),
+        replica_count: machine.replica_count.min(MAX_RANKED_REPLICAS),
         milli_gpus: free.milli_gpus,
         milli_cpus: free.milli_cpus,
     }
 }
 
-fn insert(machines: &mut FreeCapacityMap, place: Place, name: &MachineName) {
+fn insert(machines: &mut FreeCapacityMap, place: CapacityKey, name: &MachineName) {
     machines.entry(place).or_default().insert(name.clone());
 }
 
-fn remove(machines: &mut FreeCapacityMap, place: Place, name: &MachineName) {
+fn remove(machines: &mut FreeCapacityMap, place: CapacityKey, name: &MachineName) {
     if let Some(names) = machines.get_mut(&place) {
         names.remove(name);
         if names.is_empty() {
@@ -83,12 +83,12 @@
 
     /// Adds a machine, or updates its free capacity if it is in the index.
     pub(crate) fn enter(&mut self, machine: &mut Machine) {
-        if machine.place.is_some() {
+        if machine.capacity_key.is_some() {
             self.update(machine);
             return;
         }
         let place = place_of(machine, self.class_of(machine));
-        machine.place = Some(place);
+        machine.capacity_key = Some(place);
         insert(&mut self.all, place, &machine.name);
         for (image, _) in &machine.images {
             insert(
@@ -101,12 +101,14 @@
 
     /// Updates the free capacity of a machine, if that is in the index.
     pub(crate) fn update(&mut self, machine: &mut Machine) {
-        let Some(old) = machine.place else { return };
+        let Some(old) = machine.capacity_key else {
+            return;
+        };
         let place = place_of(machine, old.class);
         if old == place {
             return;
         }
-        machine.place = Some(place);
+        machine.capacity_key = Some(place);
         let move_entry = |machines: &mut FreeCapacityMap| {
             remove(machines, old, &machine.name);
             insert(machines, place, &machine.name);
@@ -126,7 +128,7 @@
         {
             return;
         }
-        let Some(place) = machine.place else {
+        let Some(place) = machine.capacity_key else {
             machine.touch_image(image, gb);
             return;
         };
@@ -145,7 +147,7 @@
 
     /// Removes a machine that leaves the partition or is not usable at present.
     pub(crate) fn remove(&mut self, machine: &mut Machine) {
-        let Some(place) = machine.place.take() else {
+        let Some(place) = machine.capacity_key.take() else {
             return;
         };
         remove(&mut self.all, place, &machine.name);
@@ -154,7 +156,7 @@
         }
     }
 
-    fn remove_image(&mut self, image: &str, place: Place, name: &MachineName) {
+    fn remove_image(&mut self, image: &str, place: CapacityKey, name: &MachineName) {
         if let Some(machines) = self.by_image.get_mut(image) {
             remove(machines, place, name);
             if machines.is_empty() {
@@ -213,7 +215,7 @@
 }
 
 /// Machines of a level, those with the fewest free CPUs first.
-type Level<'a> = std::collections::btree_map::Range<'a, Place, BTreeSet<MachineName>>;
+type Level<'a> = std::collections::btree_map::Range<'a, CapacityKey, BTreeSet<MachineName>>;
 
 /// Iterator over the levels on which a task may run, restricted to machines with enough free CPUs.
 struct Levels<'a> {
@@ -222,7 +224,7 @@
     allowed: Vec<bool>,
     needs: Resources,
     /// The end of the part of the map that has been visited.
-    visited_until: Option<Place>,
+    visited_until: Option<CapacityKey>,
 }
 
 impl<'a> Levels<'a> {
@@ -246,7 +248,7 @@
         loop {
             let from = self.visited_until.map_or(Bound::Unbounded, Bound::Excluded);
             let (first, _) = self.machines.range((from, Bound::Unbounded)).next()?;
-            let last = Place {
+            let last = CapacityKey {
                 milli_cpus: u64::MAX,
                 ..*first
             };
@@ -257,8 +259,8 @@
                 .unwrap_or(false);
             if !allowed {
                 // Skip to the next class.
-                self.visited_until = Some(Place {
-                    pinned: u64::MAX,
+                self.visited_until = Some(CapacityKey {
+                    replica_count: u64::MAX,
                     milli_gpus: u64::MAX,
                     ..last
                 });
@@ -268,7 +270,7 @@
             if first.milli_gpus < self.needs.milli_gpus {
                 continue;
             }
-            let least = Place {
+            let least = CapacityKey {
                 milli_cpus: self.needs.milli_cpus,
                 ..*first
             };
--- a/crates/scheduler/src/capacity_index/tests.rs
+++ b/crates/scheduler/src/capacity_index/tests.rs
@@ -62,7 +62,7 @@
 
 /// The least is the best: the order of the levels, and of the machines within a level.
 fn score(job: &Job, machine: &Machine) -> (bool, bool, u64, u64, u64) {
-    let pinned = MAX_RANKED_REPLICAS - machine.pinned.min(MAX_RANKED_REPLICAS);
+    let pinned = MAX_RANKED_REPLICAS - machine.replica_count.min(MAX_RANKED_REPLICAS);
     let free = machine.free();
     let cached = machine.has_image(&job.spec.image);
     (
@@ -100,7 +100,7 @@
                 }
                 (2, Some(name)) => {
                     let on = machines.get_mut(&name).expect("it is there");
-                    match on.place {
+                    match on.capacity_key {
                         Some(_) => index.remove(on),
                         None => index.enter(on),
                     }
@@ -130,7 +130,7 @@
             let fit = |m: &Machine| job.spec.needs.fits(&m.free());
             let scan = machines
                 .values()
-                .filter(|m| m.place.is_some() && fit(m))
+                .filter(|m| m.capacity_key.is_some() && fit(m))
                 .filter(|m| job.spec.allows(&m.machine_type, &m.zone, m.spot))
                 .min_by_key(|m| score(&job, m));
             let best = index.best(
--- a/crates/scheduler/src/commands.rs
+++ b/crates/scheduler/src/commands.rs
@@ -75,7 +75,7 @@
             });
         }
         let may_forget = !self.unrecorded.is_undurable(&orphan.id)
-            && machine.unconfirmed_launch.is_none()
+            && machine.lost_launch_bound.is_none()
             && machine.may_forget(orphan)
             // A worker that has forgotten the attempt would start it when the launch in a late
             // reply reaches it.
@@ -107,7 +107,7 @@
         let machine_accepts = machine.last_seen_at.is_some() && !machine.leaving;
         // What has been launched once is launched again until it arrives.
         let may_begin =
-            || machine.notice.is_none() && !self.defers_launch_for_fetches(job, machine);
+            || machine.reclaim_at.is_none() && !self.defers_launch_for_fetches(job, machine);
         let first_or_repeated = || placement.launch.is_launched() || may_begin();
         // A direct launch that has not been answered is not repeated by another direct call.
         let is_pending =
--- a/crates/scheduler/src/consolidation.rs
+++ b/crates/scheduler/src/consolidation.rs
@@ -82,7 +82,7 @@
         let Some(machine) = self.machines.get_mut(source) else {
             return;
         };
-        machine.emptied_until = Some(now + MOVE_TIMEOUT);
+        machine.draining_until = Some(now + MOVE_TIMEOUT);
         let tasks = machine.tasks.iter().copied().collect();
         self.stop_best_effort_tasks(tasks, now);
         for ReplicaMove {
@@ -106,8 +106,8 @@
 
     /// Whether a machine runs replicas that may be moved, and best-effort tasks at most.
     fn may_empty(&self, machine: &Machine, now: Timestamp) -> bool {
-        machine.pinned > 0
-            && machine.pinned == machine.regular()
+        machine.replica_count > 0
+            && machine.replica_count == machine.regular_count()
             && machine.usable(now, self.heartbeat_timeout())
             && machine.tasks.iter().all(|task| {
                 let Some(job) = self.jobs.get(&task.job) else {
@@ -147,7 +147,7 @@
                 .machines
                 .values()
                 .filter(|machine| {
-                    machine.pinned > 0 && Fullness::of(machine) > Fullness::of(source)
+                    machine.replica_count > 0 && Fullness::of(machine) > Fullness::of(source)
                 })
                 .filter(|machine| {
                     machine.has_image(&job.spec.image) && self.admits(job, machine, now)
--- a/crates/scheduler/src/cycle.rs
+++ b/crates/scheduler/src/cycle.rs
@@ -129,13 +129,13 @@
     /// Removes machines that are not usable at present from the capacity index, and adds those that are
     /// usable again.
     fn refresh_capacity_index(&mut self, now: Timestamp) {
-        if now.duration_since(self.sorted_at) < INDEX_REFRESH_INTERVAL {
+        if now.duration_since(self.capacity_index_refreshed_at) < INDEX_REFRESH_INTERVAL {
             return;
         }
-        self.sorted_at = now;
+        self.capacity_index_refreshed_at = now;
         let heartbeat_grace = self.heartbeat_timeout();
         for machine in self.machines.values_mut() {
-            match (machine.usable(now, heartbeat_grace), machine.place) {
+            match (machine.usable(now, heartbeat_grace), machine.capacity_key) {
                 (true, None) => self.capacity_index.enter(machine),
                 (false, Some(_)) => self.capacity_index.remove(machine),
                 _ => {}
@@ -223,7 +223,7 @@
         for machine in with_image.filter_map(|name| self.machines.get(name)) {
             if self.admits(job, machine, now) {
                 // Best-effort tasks may run for minutes: they leave when stopped, not by themselves.
-                ending_tasks += machine.regular() - machine.pinned;
+                ending_tasks += machine.regular_count() - machine.replica_count;
             }
         }
         let estimate_ms = job.spec.estimate.whole_millis().max(MIN_ESTIMATE_MS);
@@ -302,7 +302,7 @@
     Score {
         fetch_ms: fetch_time(job, machine).whole_millis(),
         is_on_demand: !machine.spot,
-        replicas_below_max: MAX_RANKED_REPLICAS - machine.pinned.min(max_replicas),
+        replicas_below_max: MAX_RANKED_REPLICAS - machine.replica_count.min(max_replicas),
         milli_gpus_left: left.milli_gpus,
         milli_cpus_left: left.milli_cpus,
     }
--- a/crates/scheduler/src/gang_precedence.rs
+++ b/crates/scheduler/src/gang_precedence.rs
@@ -54,7 +54,7 @@
         }
         let has_precedence = |gang: &&Job| {
             Rank::of_job(gang) < Rank::of_job(job)
-                && job.spec.fits_other_type(&gang.spec, &self.types)
+                && job.spec.fits_other_type(&gang.spec, &self.machine_types)
         };
         self.waiting_gang_jobs().filter(has_precedence).collect()
     }
--- a/crates/scheduler/src/gangs.rs
+++ b/crates/scheduler/src/gangs.rs
@@ -114,7 +114,7 @@
                 return false;
             };
             let is_fetching = matches!(other.last_status, None | Some(TaskState::Fetching));
-            is_fetching && fetch_time(job, machine) * 2 > self.gang_wait
+            is_fetching && fetch_time(job, machine) * 2 > self.gang_start_timeout
         })
     }
 
--- a/crates/scheduler/src/job_lifecycle.rs
+++ b/crates/scheduler/src/job_lifecycle.rs
@@ -55,7 +55,7 @@
     ) -> Job {
         let mut job = Job::new(spec, order, now);
         job.size_penalty = self.size_penalty_of(&job.spec);
-        job.only_beside = job.spec.does_without_gpus(&self.types);
+        job.only_beside = job.spec.does_without_gpus(&self.machine_types);
         job.completion_objective = job
             .spec
             .deadline
--- a/crates/scheduler/src/leases.rs
+++ b/crates/scheduler/src/leases.rs
@@ -46,7 +46,7 @@
     pub fn expire_leases(&mut self, now: Timestamp) {
         let is_expired = |machine: &&Machine| {
             !machine.tasks.is_empty()
-                && machine.lease_expired(now, self.predecessors_valid_until, self.lease)
+                && machine.lease_expired(now, self.predecessors_valid_until, self.lease_duration)
         };
         let expired: Vec<MachineName> = self
             .machines
--- a/crates/scheduler/src/liveness.rs
+++ b/crates/scheduler/src/liveness.rs
@@ -50,7 +50,7 @@
     pub machine: MachineName,
     pub address: String,
     pub token: FencingToken,
-    pub session: WorkerEpoch,
+    pub worker_epoch: WorkerEpoch,
 }
 
 impl PartitionState {
@@ -188,7 +188,7 @@
         self.machines
             .values()
             .filter(|machine| is_unresponsive(machine, timeout))
-            .filter(|machine| machine.pinned > 0 && !machine.leaving)
+            .filter(|machine| machine.replica_count > 0 && !machine.leaving)
             .map(|machine| machine.name.clone())
             .collect()
     }
@@ -208,7 +208,7 @@
             machine: self.name.clone(),
             address: endpoint.address.clone(),
             token: self.token,
-            session: endpoint.worker_epoch,
+            worker_epoch: endpoint.worker_epoch,
         })
     }
 
@@ -231,7 +231,7 @@
             return false;
         };
         let has_alarm = zone_alarms.is_active(&self.zone, now);
-        let probe_after = match (self.probe_state.missed, has_alarm, self.pinned > 0) {
+        let probe_after = match (self.probe_state.missed, has_alarm, self.replica_count > 0) {
             (1.., ..) => PROBE_RETRY_INTERVAL,
             (0, true, _) => PROBE_AFTER_IN_ALARM,
             (0, false, true) => PROBE_AFTER.min(overdue_after),
@@ -249,7 +249,7 @@
             machine: self.name.clone(),
             address,
             token: FencingToken(0),
-            session: WorkerEpoch(0),
+            worker_epoch: WorkerEpoch(0),
         })
     }
 }
--- a/crates/scheduler/src/machine.rs
+++ b/crates/scheduler/src/machine.rs
@@ -21,7 +21,7 @@
 pub struct OrphanedTask {
     pub id: TaskAttempt,
     pub state: TaskState,
-    pub why: Option<ExitCause>,
+    pub exit_cause: Option<ExitCause>,
 }
 
 /// A machine that is to be transferred to another partition.
@@ -34,9 +34,9 @@
 
 /// A machine's position in the capacity index. The derived order is that of the index.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub(crate) struct Place {
+pub(crate) struct CapacityKey {
     pub class: u32,
-    pub pinned: u64,
+    pub replica_count: u64,
     pub milli_gpus: u64,
     pub milli_cpus: u64,
 }
@@ -83,17 +83,17 @@
     /// Since when a machine with GPUs has had no GPU work.
     pub(crate) no_gpu_work_since: Option<Timestamp>,
     /// Its position in the capacity index; none if it accepts no tasks.
-    pub(crate) place: Option<Place>,
+    pub(crate) capacity_key: Option<CapacityKey>,
     /// Tasks that are placed here.
     pub tasks: BTreeSet<TaskId>,
     /// Number of replicas of services among them.
-    pub pinned: u64,
+    pub replica_count: u64,
     /// Number of best-effort tasks among them.
-    pub best_effort: u64,
+    pub best_effort_count: u64,
     /// Needs of the best-effort tasks.
     pub best_effort_used: Resources,
     /// When the last task that is not best-effort was removed.
-    pub regular_left_at: Timestamp,
+    pub last_regular_removed_at: Timestamp,
     /// Fencing token of the replies and commands to it.
     pub token: FencingToken,
     /// Worker epoch in its newest status.
@@ -120,7 +120,7 @@
     /// renew its lease, so only they make it usable for new tasks.
     pub last_heartbeat_at: Option<Timestamp>,
     /// When the cloud reclaims it.
-    pub notice: Option<Timestamp>,
+    pub reclaim_at: Option<Timestamp>,
     /// It is being transferred to another partition or returned to the cloud.
     pub leaving: bool,
     /// Tasks of different jobs have failed on it.
@@ -136,7 +136,7 @@
     /// To be transferred as soon as it has no tasks; it takes no new ones until then.
     pub pending_transfer: Option<PendingTransfer>,
     /// Until then its tasks are moved elsewhere and it takes no new ones.
-    pub emptied_until: Option<Timestamp>,
+    pub draining_until: Option<Timestamp>,
     /// Launches in the reply to the newest heartbeat, which may not have arrived yet: only the next
     /// heartbeat shows that the reply has arrived or was lost.
     pub response_launches: Vec<TaskAttempt>,
@@ -147,7 +147,7 @@
     pub(crate) exited_retained_since: Option<Timestamp>,
     /// The least upper bound of all lost direct launches. Until it is superseded, the worker may execute
     /// one of them.
-    pub unconfirmed_launch: Option<DirectLaunch>,
+    pub lost_launch_bound: Option<DirectLaunch>,
 }
 
 impl Machine {
@@ -155,29 +155,29 @@
     pub fn add_task(&mut self, task: TaskId, spec: &JobSpec) {
         if self.tasks.insert(task) {
             self.used += spec.needs;
-            self.pinned += u64::from(spec.kind == JobKind::Service);
+            self.replica_count += u64::from(spec.kind == JobKind::Service);
             if spec.is_best_effort() {
-                self.best_effort += 1;
+                self.best_effort_count += 1;
                 self.best_effort_used += spec.needs;
             }
         }
     }
 
     /// Number of tasks that are not best-effort.
-    pub fn regular(&self) -> u64 {
-        self.tasks.len() as u64 - self.best_effort
+    pub fn regular_count(&self) -> u64 {
+        self.tasks.len() as u64 - self.best_effort_count
     }
 
     /// Removes a task from the counts.
     pub fn remove_task(&mut self, task: TaskId, spec: &JobSpec, now: Timestamp) {
         if self.tasks.remove(&task) {
             self.used -= spec.needs;
-            self.pinned -= u64::from(spec.kind == JobKind::Service);
+            self.replica_count -= u64::from(spec.kind == JobKind::Service);
             if spec.is_best_effort() {
-                self.best_effort -= 1;
+                self.best_effort_count -= 1;
                 self.best_effort_used -= spec.needs;
-            } else if self.regular() == 0 {
-                self.regular_left_at = now;
+            } else if self.regular_count() == 0 {
+                self.last_regular_removed_at = now;
             }
             if self.tasks.is_empty() {
                 self.idle_since = now;
@@ -206,12 +206,12 @@
             reserved: Resources::default(),
             reserved_for_gang: None,
             no_gpu_work_since: None,
-            place: None,
+            capacity_key: None,
             tasks: BTreeSet::new(),
-            pinned: 0,
-            best_effort: 0,
+            replica_count: 0,
+            best_effort_count: 0,
             best_effort_used: Resources::default(),
-            regular_left_at: Timestamp::default(),
+            last_regular_removed_at: Timestamp::default(),
             token,
             worker_epoch: WorkerEpoch(0),
             sequence_number: SequenceNumber(0),
@@ -223,7 +223,7 @@
             lease_renewed_at: Timestamp::default(),
             last_direct_call_at: Timestamp::default(),
             last_heartbeat_at: None,
-            notice: None,
+            reclaim_at: None,
             leaving: false,
             quarantined: false,
             failures_by_job: BTreeMap::new(),
@@ -231,11 +231,11 @@
             images: Vec::new(),
             idle_since: Timestamp::default(),
             pending_transfer: None,
-            emptied_until: None,
+            draining_until: None,
             response_launches: Vec::new(),
             direct_launches: BTreeMap::new(),
             exited_retained_since: None,
-            unconfirmed_launch: None,
+            lost_launch_bound: None,
         }
     }
 
@@ -268,11 +268,11 @@
     pub fn usable(&self, now: Timestamp, heartbeat_grace: Duration) -> bool {
         !self.leaving
             && self.pending_transfer.is_none()
-            && self.emptied_until.is_none_or(|until| now >= until)
+            && self.draining_until.is_none_or(|until| now >= until)
             && !self.quarantined
-            && self.unconfirmed_launch.is_none()
+            && self.lost_launch_bound.is_none()
             && self.suspected_since.is_none()
-            && self.notice.is_none()
+            && self.reclaim_at.is_none()
             && self.seen_token <= self.token
             && self
                 .last_heartbeat_at
@@ -286,8 +286,8 @@
 
     /// A direct launch was lost that could start a task again after the worker has forgotten it.
     pub fn record_lost_launch(&mut self, launch: DirectLaunch) {
-        let previous = self.unconfirmed_launch.unwrap_or_default();
-        self.unconfirmed_launch = Some(DirectLaunch {
+        let previous = self.lost_launch_bound.unwrap_or_default();
+        self.lost_launch_bound = Some(DirectLaunch {
             token: previous.token.max(launch.token),
             worker_epoch: previous.worker_epoch.max(launch.worker_epoch),
         });
@@ -320,13 +320,13 @@
     }
 
     /// Whether its record must get a higher token to supersede a lost launch.
-    pub fn needs_higher_token(&self) -> bool {
-        self.unconfirmed_launch.is_some() && self.seen_token >= self.token
+    pub fn lost_launch_needs_higher_token(&self) -> bool {
+        self.lost_launch_bound.is_some() && self.seen_token >= self.token
     }
 
     /// Whether it has retained exited tasks for so long that all machines of the partition should get a
     /// higher token.
-    pub fn retains_exited_tasks(&self, now: Timestamp) -> bool {
+    pub fn exited_tasks_need_higher_token(&self, now: Timestamp) -> bool {
         let is_due = self
             .exited_retained_since
             .is_some_and(|since| now.duration_since(since) >= EXITED_TASK_RETENTION);
--- a/crates/scheduler/src/partition_state.rs
+++ b/crates/scheduler/src/partition_state.rs
@@ -30,11 +30,11 @@
 pub struct PartitionState {
     pub policy: Policy,
     /// Duration of a worker's lease.
-    pub lease: Duration,
+    pub lease_duration: Duration,
     /// How long tasks of a gang wait for each other.
-    pub gang_wait: Duration,
+    pub gang_start_timeout: Duration,
     /// Regular interval between heartbeats; workers may take a quarter longer.
-    pub report: Duration,
+    pub heartbeat_interval: Duration,
     /// Since when this process has been running without interruption. Missed heartbeats before that
     /// prove nothing about workers.
     pub running_since: Timestamp,
@@ -55,7 +55,7 @@
     /// Gangs that did not fit and wait, one of each kind.
     pub(crate) waiting_gangs: Vec<JobId>,
     /// Machine types that are offered, see [`PartitionState::set_machine_types`].
-    pub(crate) types: Vec<MachineType>,
+    pub(crate) machine_types: Vec<MachineType>,
     /// Machines that are kept for gangs that did not fit.
     pub(crate) gang_reservations: BTreeMap<JobId, GangReservation>,
     pub jobs: BTreeMap<JobId, Job>,
@@ -75,7 +75,7 @@
     /// The machines that accept tasks, by free capacity and cached images.
     pub(crate) capacity_index: CapacityIndex,
     /// When the capacity index was last refreshed.
-    pub(crate) sorted_at: Timestamp,
+    pub(crate) capacity_index_refreshed_at: Timestamp,
     pub(crate) zone_alarms: ZoneAlarms,
     pub(crate) preemption_candidates: PreemptionCandidates,
     /// Jobs that are not best-effort and lately found no free capacity: when.
@@ -86,7 +86,7 @@
     /// How often tasks found no machine, for the metrics.
     pub rejections: RejectionCounts,
     /// Times from submission to placement in milliseconds, for the metrics.
-    pub waits: Vec<u64>,
+    pub placement_waits_ms: Vec<u64>,
 }
 
 impl PartitionState {
@@ -101,9 +101,9 @@
     ) -> Self {
         PartitionState {
             policy,
-            lease,
-            gang_wait: Duration::from_millis(u64::MAX),
-            report: Duration::ZERO,
+            lease_duration: lease,
+            gang_start_timeout: Duration::from_millis(u64::MAX),
+            heartbeat_interval: Duration::ZERO,
             running_since: Timestamp::default(),
             leading_since: Timestamp::default(),
             inventory_known: false,
@@ -113,7 +113,7 @@
             overloaded: false,
             zones: Vec::new(),
             waiting_gangs: Vec::new(),
-            types: Vec::new(),
+            machine_types: Vec::new(),
             gang_reservations: BTreeMap::new(),
             jobs: BTreeMap::new(),
             machines: BTreeMap::new(),
@@ -126,14 +126,14 @@
             urgent_machines: BTreeSet::new(),
             reservations: HashMap::new(),
             capacity_index: CapacityIndex::default(),
-            sorted_at: Timestamp::default(),
+            capacity_index_refreshed_at: Timestamp::default(),
             zone_alarms: ZoneAlarms::default(),
             preemption_candidates: PreemptionCandidates::default(),
             unplaced_since: BTreeMap::new(),
             job_probes: JobProbes::default(),
             consolidated_at: Timestamp::default(),
             rejections: RejectionCounts::default(),
-            waits: Vec::new(),
+            placement_waits_ms: Vec::new(),
         }
     }
 
@@ -155,7 +155,7 @@
 
     /// The longest regular time between two heartbeats.
     pub(crate) fn longest_heartbeat_interval(&self) -> Duration {
-        Duration::from_millis(self.report.whole_millis() * 5 / 4)
+        Duration::from_millis(self.heartbeat_interval.whole_millis() * 5 / 4)
     }
 
     /// A machine whose last heartbeat is older gets no new tasks. The timeout follows the interval:
@@ -168,7 +168,7 @@
     /// Sets the machine types that are offered. Work without GPUs runs on machines with GPUs only
     /// beside GPU work, unless no other type has enough capacity for it.
     pub fn set_machine_types(&mut self, types: &[MachineType]) {
-        self.types = types.to_vec();
+        self.machine_types = types.to_vec();
         for job in self.jobs.values_mut() {
             job.only_beside = job.spec.does_without_gpus(types);
         }
@@ -211,7 +211,7 @@
         let mut reachable: Vec<&Machine> = self
             .machines
             .values()
-            .filter(|machine| machine.address.is_some() && machine.notice.is_none())
+            .filter(|machine| machine.address.is_some() && machine.reclaim_at.is_none())
             .collect();
         reachable.sort_by_key(|machine| Reverse(machine.last_seen_at));
         reachable
--- a/crates/scheduler/src/placements.rs
+++ b/crates/scheduler/src/placements.rs
@@ -37,7 +37,7 @@
             .get(machine)
             .is_some_and(|machine| machine.has_image(&job.spec.image));
         tracing::debug!(%task, %machine, class = job.spec.class, waited_ms, cached, guaranteed = job.guaranteed, "task placed");
-        self.waits.push(waited_ms);
+        self.placement_waits_ms.push(waited_ms);
         job.placed.insert(task.index, placement.clone());
         let spec = job.spec.clone();
         self.add_to_counts(task, &spec, &placement);
--- a/crates/scheduler/src/reconciliation.rs
+++ b/crates/scheduler/src/reconciliation.rs
@@ -95,7 +95,7 @@
             return false;
         }
         let is_first = machine.last_seen_at.is_none();
-        let is_reachable_again = machine.update_suspicion(&status, self.lease);
+        let is_reachable_again = machine.update_suspicion(&status, self.lease_duration);
         let was_usable = machine.usable(now, timeout);
         machine.apply_status(&status);
         let placed: Vec<TaskId> = machine.tasks.iter().copied().collect();
@@ -265,7 +265,7 @@
             .map(|listed| OrphanedTask {
                 id: listed.id,
                 state: listed.status.state,
-                why: listed.status.why,
+                exit_cause: listed.status.why,
             })
             .collect();
         if let Some(machine) = self.machines.get_mut(&status.machine) {
@@ -280,7 +280,7 @@
     pub fn drain_reclaimed_machines(&mut self, now: Timestamp) {
         let mut stops: Vec<TaskId> = Vec::new();
         for machine in self.machines.values() {
-            let Some(reclaimed_at) = machine.notice else {
+            let Some(reclaimed_at) = machine.reclaim_at else {
                 continue;
             };
             let left_ms = reclaimed_at.as_millis().saturating_sub(now.as_millis());
@@ -357,16 +357,16 @@
                 self.last_heartbeat_at.get_or_insert(now);
             }
         }
-        self.notice = status.reclaimed_in.map(|duration| now + duration);
+        self.reclaim_at = status.reclaimed_in.map(|duration| now + duration);
         if is_first && self.tasks.is_empty() {
             self.idle_since = now;
         }
         // Any status may show the current token: only a higher one than the launch's supersedes it.
         if self
-            .unconfirmed_launch
+            .lost_launch_bound
             .is_some_and(|launch| self.has_superseded(&launch))
         {
-            self.unconfirmed_launch = None;
+            self.lost_launch_bound = None;
         }
     }
 }
--- a/crates/scheduler/src/transfers.rs
+++ b/crates/scheduler/src/transfers.rs
@@ -86,7 +86,7 @@
         spare_gpu_machines: &BTreeSet<&MachineName>,
         now: Timestamp,
     ) -> bool {
-        machine.pinned == 0
+        machine.replica_count == 0
             && !self.is_needed_by_gangs(machine, now)
             && (spare_gpu_machines.contains(&machine.name) || self.runs_no_guarantee(machine))
     }
--- a/crates/scheduler/tests/gangs.rs
+++ b/crates/scheduler/tests/gangs.rs
@@ -48,7 +48,7 @@
         FencingToken(5),
     );
     partition.set_machine_types(&machine_types());
-    partition.gang_wait = Duration::from_secs(30);
+    partition.gang_start_timeout = Duration::from_secs(30);
     partition
 }
 
--- a/crates/scheduler/tests/partition_state/best_effort.rs
+++ b/crates/scheduler/tests/partition_state/best_effort.rs
@@ -1,6 +1,8 @@
 //! Best-effort work.
 
-use crate::builders::{entry, guest_share, job, launch, report};
+use crate::builders::{
+    heartbeat, job, partition_without_guarantees, place_and_launch, task_status,
+};
 use model::{JobSpec, MachineName, Resources, Timestamp};
 use scheduler::{CommandRoute, StatusSource};
 use std::time::Duration;
@@ -28,16 +30,16 @@
 /// missed their deadlines.
 #[test]
 fn best_effort_tasks_are_preempted_with_time_to_save() {
-    let mut share = guest_share(true);
+    let mut share = partition_without_guarantees(true);
     share.add_job(best_effort(1), 1, &[], Timestamp::from_millis(100));
-    let launched = launch(&mut share, Timestamp::from_millis(100));
+    let launched = place_and_launch(&mut share, Timestamp::from_millis(100));
     assert_eq!(launched.len(), 4);
     let runs = launched
         .iter()
-        .map(|(t, a)| entry(t, *a, TaskState::Running, None))
+        .map(|(t, a)| task_status(t, *a, TaskState::Running, None))
         .collect();
     share.reconcile(
-        &report(2, None, runs),
+        &heartbeat(2, None, runs),
         StatusSource::Heartbeat,
         Timestamp::from_millis(1_000),
     );
@@ -71,9 +73,12 @@
 /// Guests would otherwise keep every ordinary machine from falling idle, at three times the price.
 #[test]
 fn best_effort_tasks_do_not_occupy_regular_machine_alone_but_do_not_starve() {
-    let mut share = guest_share(false);
+    let mut share = partition_without_guarantees(false);
     share.add_job(best_effort(1), 1, &[], Timestamp::from_millis(100));
-    assert_eq!(launch(&mut share, Timestamp::from_millis(100)), []);
+    assert_eq!(
+        place_and_launch(&mut share, Timestamp::from_millis(100)),
+        []
+    );
     share.add_job(
         job(2, "u", JobKind::Service, Priority::High, 1),
         2,
@@ -81,35 +86,38 @@
         Timestamp::from_millis(200),
     );
     share.reconcile(
-        &report(2, None, Vec::new()),
+        &heartbeat(2, None, Vec::new()),
         StatusSource::Heartbeat,
         Timestamp::from_millis(10_500),
     );
-    let beside = launch(&mut share, Timestamp::from_millis(10_500));
+    let beside = place_and_launch(&mut share, Timestamp::from_millis(10_500));
     assert_eq!(beside.len(), 4, "a replica, and three beside it");
-    let mut share = guest_share(false);
+    let mut share = partition_without_guarantees(false);
     share.add_job(best_effort(1), 1, &[], Timestamp::from_millis(100));
     share.evict_best_effort(Timestamp::from_millis(1_000));
     share.evict_best_effort(Timestamp::from_millis(130_000));
     share.reconcile(
-        &report(2, None, Vec::new()),
+        &heartbeat(2, None, Vec::new()),
         StatusSource::Heartbeat,
         Timestamp::from_millis(130_000),
     );
-    assert_eq!(launch(&mut share, Timestamp::from_millis(130_000)).len(), 4);
+    assert_eq!(
+        place_and_launch(&mut share, Timestamp::from_millis(130_000)).len(),
+        4
+    );
 }
 
 /// Seen on a recorded day: while arrays backed off, best-effort tasks took each place that came
 /// free, and were stopped again for the arrays a second later (600 of them in 50 s).
 #[test]
 fn best_effort_tasks_leave_capacity_to_arrays_in_backoff() {
-    let mut share = guest_share(true);
+    let mut share = partition_without_guarantees(true);
     let spot = |id, tasks| JobSpec {
         spot: true,
         ..job(id, "u", JobKind::Array, Priority::Normal, tasks)
     };
     share.add_job(spot(1, 4), 1, &[], Timestamp::from_millis(100));
-    let running = launch(&mut share, Timestamp::from_millis(100));
+    let running = place_and_launch(&mut share, Timestamp::from_millis(100));
     share
         .teams
         .values_mut()
@@ -120,16 +128,16 @@
     let (task, attempt) = &running[0];
     let mut tasks: Vec<TaskStatus> = running[1..]
         .iter()
-        .map(|(t, a)| entry(t, *a, TaskState::Running, None))
+        .map(|(t, a)| task_status(t, *a, TaskState::Running, None))
         .collect();
-    tasks.push(entry(
+    tasks.push(task_status(
         task,
         *attempt,
         TaskState::Exited,
         Some(ExitCause::Done),
     ));
     share.reconcile(
-        &report(2, None, tasks),
+        &heartbeat(2, None, tasks),
         StatusSource::Heartbeat,
         Timestamp::from_millis(210),
     );
--- a/crates/scheduler/tests/partition_state/best_effort_waits.rs
+++ b/crates/scheduler/tests/partition_state/best_effort_waits.rs
@@ -19,7 +19,8 @@
 //! that time began anew with each leader (134 s + 120 s = 254 s), and only one job of a team was let in at a time.
 
 use crate::builders::{
-    add_machine, entry, guest_share, hear, job, launch, make_durable, name, report, share,
+    add_machine, heartbeat, job, machine_name, make_durable, new_partition,
+    partition_without_guarantees, place_and_launch, send_heartbeat, task_status,
 };
 use model::{JobId, JobSpec, MachineName, Resources, Timestamp};
 use scheduler::{PartitionState, StatusSource};
@@ -55,7 +56,7 @@
     for at_ms in (from_ms..=to_ms).step_by(SECOND_MS as usize) {
         let now = Timestamp::from_millis(at_ms);
         if (at_ms / SECOND_MS).is_multiple_of(2) {
-            (1..=machines).for_each(|n| hear(share, n, at_ms, Vec::new(), now));
+            (1..=machines).for_each(|n| send_heartbeat(share, n, at_ms, Vec::new(), now));
         }
         share.evict_best_effort(now);
         share.run_cycles(now, 1_000);
@@ -71,14 +72,14 @@
 fn running_tasks(share: &PartitionState, machine: &MachineName) -> Vec<TaskStatus> {
     let status = |task: &model::TaskId| {
         let attempt = share.jobs[&task.job].placed[&task.index].attempt.0;
-        entry(&task.to_string(), attempt, TaskState::Running, None)
+        task_status(&task.to_string(), attempt, TaskState::Running, None)
     };
     share.machines[machine].tasks.iter().map(status).collect()
 }
 
 #[test]
 fn every_low_priority_array_of_a_team_starts_within_the_limit() {
-    let mut share = guest_share(false);
+    let mut share = partition_without_guarantees(false);
     for id in 1..=3 {
         share.add_job(low_array(id, 20), id, &[], Timestamp::from_millis(100));
     }
@@ -92,7 +93,7 @@
 fn waiting_time_counts_across_failovers() {
     let submitted_ms = 1;
     let load = |now_ms| {
-        let mut share = guest_share(false);
+        let mut share = partition_without_guarantees(false);
         let now = Timestamp::from_millis(now_ms);
         share.add_job(low_array(1, 20), submitted_ms, &[], now);
         share
@@ -109,18 +110,21 @@
 /// use it: here its other tasks have to run in the zone of its first ones.
 #[test]
 fn capacity_left_to_a_job_that_cannot_use_it_is_taken() {
-    let mut share = share();
+    let mut share = new_partition();
     for team in share.teams.values_mut() {
         team.guarantee = Default::default();
         team.limit = Resources::offered(16.0, 0.0, 0.0);
     }
-    hear(&mut share, 1, 1, Vec::new(), Timestamp::from_millis(100));
+    send_heartbeat(&mut share, 1, 1, Vec::new(), Timestamp::from_millis(100));
     let one_zone = JobSpec {
         one_zone: true,
         ..job(1, "u", JobKind::Service, Priority::High, 6)
     };
     share.add_job(one_zone, 1, &[], Timestamp::from_millis(100));
-    assert_eq!(launch(&mut share, Timestamp::from_millis(100)).len(), 4);
+    assert_eq!(
+        place_and_launch(&mut share, Timestamp::from_millis(100)).len(),
+        4
+    );
     add_machine(&mut share, 2);
     share
         .machines
@@ -134,12 +138,12 @@
     share.add_job(low, 2, &[], Timestamp::from_millis(100));
     for at_ms in (SECOND_MS..=LIMIT_MS).step_by(SECOND_MS as usize) {
         let now = Timestamp::from_millis(at_ms);
-        let tasks = running_tasks(&share, &name(1));
-        hear(&mut share, 1, at_ms, tasks, now);
+        let tasks = running_tasks(&share, &machine_name(1));
+        send_heartbeat(&mut share, 1, at_ms, tasks, now);
         let other = Heartbeat {
             machine: "host-000002".into(),
             zone: "b".into(),
-            ..report(at_ms, None, Vec::new())
+            ..heartbeat(at_ms, None, Vec::new())
         };
         share.reconcile(&other, StatusSource::Heartbeat, now);
         share.evict_best_effort(now);
@@ -153,14 +157,14 @@
 /// Its only task, once placed on an ordinary machine after a long wait, is not sent away again.
 #[test]
 fn only_task_of_an_array_is_not_evicted_without_a_place_for_it() {
-    let mut share = guest_share(false);
+    let mut share = partition_without_guarantees(false);
     (2..=4).for_each(|n| add_machine(&mut share, n));
     share
         .teams
         .values_mut()
         .for_each(|team| team.limit = Resources::offered(16.0, 0.0, 0.0));
     let now = Timestamp::from_millis(100);
-    (2..=4).for_each(|n| hear(&mut share, n, 1, Vec::new(), now));
+    (2..=4).for_each(|n| send_heartbeat(&mut share, n, 1, Vec::new(), now));
     for id in 1..=12 {
         share.add_job(saving_low_array(id, 1), id, &[], now);
     }
@@ -169,8 +173,8 @@
     for at_ms in (SECOND_MS..=180 * SECOND_MS).step_by(SECOND_MS as usize) {
         let now = Timestamp::from_millis(at_ms);
         for n in 1..=4 {
-            let tasks = running_tasks(&share, &name(n));
-            hear(&mut share, n, at_ms, tasks, now);
+            let tasks = running_tasks(&share, &machine_name(n));
+            send_heartbeat(&mut share, n, at_ms, tasks, now);
         }
         share.evict_best_effort(now);
         share.run_cycles(now, 1_000);
@@ -192,7 +196,7 @@
 /// The clock of a controller that has just started is far behind the clock of submissions.
 #[test]
 fn waiting_time_counts_for_a_controller_that_has_just_started() {
-    let mut share = guest_share(false);
+    let mut share = partition_without_guarantees(false);
     share.logical_clock_offset = Duration::from_secs(1_000);
     let submitted_ms = 960 * SECOND_MS;
     share.add_job(
@@ -210,7 +214,7 @@
 /// Thousands of waiting arrays take one task each of the capacity there is, request one machine a team, and give way.
 #[test]
 fn many_low_priority_arrays_take_little() {
-    let mut share = guest_share(false);
+    let mut share = partition_without_guarantees(false);
     (2..=4).for_each(|n| add_machine(&mut share, n));
     for team in share.teams.values_mut() {
         team.limit = Resources::offered(4_000.0, 0.0, 0.0);
--- a/crates/scheduler/tests/partition_state/builders.rs
+++ b/crates/scheduler/tests/partition_state/builders.rs
@@ -8,7 +8,7 @@
 use wire::users::{JobKind, JobRequest, Priority};
 use wire::workers::{Command, ExitCause, Heartbeat, TaskState, TaskStatus};
 
-pub fn share() -> PartitionState {
+pub fn new_partition() -> PartitionState {
     let amounts = Resources::offered(4.0, 0.0, 0.0);
     let teams = ["t", "u"].map(|t| (TeamName::from(t), amounts, amounts));
     let policy = Policy::default();
@@ -24,7 +24,7 @@
     share
 }
 
-pub fn name(n: u32) -> MachineName {
+pub fn machine_name(n: u32) -> MachineName {
     MachineName::from(format!("host-{n:06}").as_str())
 }
 
@@ -43,7 +43,7 @@
     };
     let zone = ZoneName::from("a");
     share.add_machine(
-        Machine::new(name(n), &kind, zone, false, FencingToken(5)),
+        Machine::new(machine_name(n), &kind, zone, false, FencingToken(5)),
         Timestamp::from_millis(0),
     );
 }
@@ -74,7 +74,7 @@
     JobSpec::try_from(&request).expect("a good job")
 }
 
-pub fn report(seq: u64, notice_s: Option<f64>, tasks: Vec<TaskStatus>) -> Heartbeat {
+pub fn heartbeat(seq: u64, notice_s: Option<f64>, tasks: Vec<TaskStatus>) -> Heartbeat {
     Heartbeat {
         machine: "host-000001".into(),
         address: "10.1.0.1:9000".into(),
@@ -89,7 +89,12 @@
     }
 }
 
-pub fn entry(task: &str, attempt: u64, state: TaskState, why: Option<ExitCause>) -> TaskStatus {
+pub fn task_status(
+    task: &str,
+    attempt: u64,
+    state: TaskState,
+    why: Option<ExitCause>,
+) -> TaskStatus {
     TaskStatus {
         task: task.into(),
         attempt,
@@ -100,7 +105,7 @@
 }
 
 /// Places what waits, makes it durable and returns the launches of the next answer.
-pub fn launch(share: &mut PartitionState, now: Timestamp) -> Vec<(String, u64)> {
+pub fn place_and_launch(share: &mut PartitionState, now: Timestamp) -> Vec<(String, u64)> {
     share.run_cycles(now, 100);
     let name = MachineName::from("host-000001");
     let launches = |share: &mut PartitionState| -> Vec<(String, u64)> {
@@ -127,14 +132,14 @@
 }
 
 /// Teams without a guarantee, the second without a limit, as guests have it.
-pub fn guest_share(spot: bool) -> PartitionState {
-    let mut share = share();
+pub fn partition_without_guarantees(spot: bool) -> PartitionState {
+    let mut share = new_partition();
     share.machines.values_mut().for_each(|m| m.spot = spot);
     for team in share.teams.values_mut() {
         team.guarantee = Resources::default();
     }
     share.reconcile(
-        &report(1, None, Vec::new()),
+        &heartbeat(1, None, Vec::new()),
         StatusSource::Heartbeat,
         Timestamp::from_millis(100),
     );
@@ -142,21 +147,27 @@
 }
 
 /// Four machines for sixteen tasks of a CPU.
-pub fn four_machines() -> PartitionState {
-    let mut share = share();
+pub fn partition_with_four_machines() -> PartitionState {
+    let mut share = new_partition();
     (2..=4).for_each(|n| add_machine(&mut share, n));
     share
         .teams
         .values_mut()
         .for_each(|t| t.limit = Resources::offered(16.0, 0.0, 0.0));
-    (1..=4).for_each(|n| hear(&mut share, n, 1, Vec::new(), Timestamp::from_millis(100)));
+    (1..=4).for_each(|n| send_heartbeat(&mut share, n, 1, Vec::new(), Timestamp::from_millis(100)));
     share
 }
 
-pub fn hear(share: &mut PartitionState, n: u32, seq: u64, tasks: Vec<TaskStatus>, now: Timestamp) {
+pub fn send_heartbeat(
+    share: &mut PartitionState,
+    n: u32,
+    seq: u64,
+    tasks: Vec<TaskStatus>,
+    now: Timestamp,
+) {
     let report = Heartbeat {
-        machine: name(n).to_string(),
-        ..report(seq, None, tasks)
+        machine: machine_name(n).to_string(),
+        ..heartbeat(seq, None, tasks)
     };
     share.reconcile(&report, StatusSource::Heartbeat, now);
 }
--- a/crates/scheduler/tests/partition_state/commands.rs
+++ b/crates/scheduler/tests/partition_state/commands.rs
@@ -1,6 +1,6 @@
 //! Launches, stops and forgets.
 
-use crate::builders::{entry, job, launch, make_durable, report, share};
+use crate::builders::{heartbeat, job, make_durable, new_partition, place_and_launch, task_status};
 use model::{FencingToken, MachineName, Timestamp};
 use scheduler::{CommandRoute, PartitionState, StatusSource, TaskAttempt};
 use wire::users::{JobKind, Priority};
@@ -8,9 +8,9 @@
 
 #[test]
 fn launches_wait_for_durability_and_respect_limit() {
-    let mut share = share();
+    let mut share = new_partition();
     share.reconcile(
-        &report(1, None, Vec::new()),
+        &heartbeat(1, None, Vec::new()),
         StatusSource::Heartbeat,
         Timestamp::from_millis(100),
     );
@@ -21,7 +21,7 @@
         Timestamp::from_millis(100),
     );
     assert_eq!(
-        launch(&mut share, Timestamp::from_millis(100)).len(),
+        place_and_launch(&mut share, Timestamp::from_millis(100)).len(),
         4,
         "the machine and the limit hold four"
     );
@@ -29,9 +29,9 @@
 
 #[test]
 fn direct_status_does_not_prove_launch_in_reply_lost() {
-    let mut share = share();
+    let mut share = new_partition();
     share.reconcile(
-        &report(1, None, Vec::new()),
+        &heartbeat(1, None, Vec::new()),
         StatusSource::Heartbeat,
         Timestamp::from_millis(100),
     );
@@ -41,17 +41,17 @@
         &[],
         Timestamp::from_millis(100),
     );
-    let first = launch(&mut share, Timestamp::from_millis(100));
+    let first = place_and_launch(&mut share, Timestamp::from_millis(100));
     share.cancel_job(model::JobId(1), Timestamp::from_millis(200));
     // The answer with the launch may still be under way when a direct answer comes.
     share.reconcile(
-        &report(2, None, Vec::new()),
+        &heartbeat(2, None, Vec::new()),
         StatusSource::Direct,
         Timestamp::from_millis(210),
     );
     assert_eq!(share.jobs[&model::JobId(1)].placed.len(), 1);
     share.reconcile(
-        &report(3, None, Vec::new()),
+        &heartbeat(3, None, Vec::new()),
         StatusSource::Heartbeat,
         Timestamp::from_millis(900),
     );
@@ -62,9 +62,9 @@
 
 #[test]
 fn forget_waits_until_outcome_is_durable() {
-    let mut share = share();
+    let mut share = new_partition();
     share.reconcile(
-        &report(1, None, Vec::new()),
+        &heartbeat(1, None, Vec::new()),
         StatusSource::Heartbeat,
         Timestamp::from_millis(100),
     );
@@ -74,8 +74,8 @@
         &[],
         Timestamp::from_millis(100),
     );
-    let (task, attempt) = launch(&mut share, Timestamp::from_millis(100)).remove(0);
-    let done = entry(&task, attempt, TaskState::Exited, Some(ExitCause::Done));
+    let (task, attempt) = place_and_launch(&mut share, Timestamp::from_millis(100)).remove(0);
+    let done = task_status(&task, attempt, TaskState::Exited, Some(ExitCause::Done));
     let name = MachineName::from("host-000001");
     let forgets = |share: &mut PartitionState| {
         let commands =
@@ -86,7 +86,7 @@
             .count()
     };
     share.reconcile(
-        &report(2, None, vec![done]),
+        &heartbeat(2, None, vec![done]),
         StatusSource::Heartbeat,
         Timestamp::from_millis(1_000),
     );
@@ -100,9 +100,9 @@
 /// forgotten before the slow answer came and started it again.
 #[test]
 fn forget_waits_for_launch_in_pending_reply() {
-    let mut share = share();
+    let mut share = new_partition();
     share.reconcile(
-        &report(1, None, Vec::new()),
+        &heartbeat(1, None, Vec::new()),
         StatusSource::Heartbeat,
         Timestamp::from_millis(100),
     );
@@ -112,10 +112,10 @@
         &[],
         Timestamp::from_millis(100),
     );
-    let (task, attempt) = launch(&mut share, Timestamp::from_millis(100)).remove(0);
-    let ended = || entry(&task, attempt, TaskState::Exited, Some(ExitCause::Stopped));
+    let (task, attempt) = place_and_launch(&mut share, Timestamp::from_millis(100)).remove(0);
+    let ended = || task_status(&task, attempt, TaskState::Exited, Some(ExitCause::Stopped));
     share.reconcile(
-        &report(2, None, vec![ended()]),
+        &heartbeat(2, None, vec![ended()]),
         StatusSource::Direct,
         Timestamp::from_millis(150),
     );
@@ -130,7 +130,7 @@
     };
     assert_eq!(forgets(&mut share, CommandRoute::Direct), 0);
     share.reconcile(
-        &report(3, None, vec![ended()]),
+        &heartbeat(3, None, vec![ended()]),
         StatusSource::Heartbeat,
         Timestamp::from_millis(900),
     );
@@ -141,9 +141,9 @@
 /// proof that a slow direct launch was void, the task was forgotten, and the launch came.
 #[test]
 fn forget_waits_until_lost_direct_launch_is_superseded() {
-    let mut share = share();
+    let mut share = new_partition();
     share.reconcile(
-        &report(1, None, Vec::new()),
+        &heartbeat(1, None, Vec::new()),
         StatusSource::Heartbeat,
         Timestamp::from_millis(100),
     );
@@ -160,8 +160,8 @@
     let [Command::Start { task, attempt }] = &launches[..] else {
         panic!("{launches:?}")
     };
-    let mut ended = report(2, None, vec![]);
-    ended.tasks.push(entry(
+    let mut ended = heartbeat(2, None, vec![]);
+    ended.tasks.push(task_status(
         task,
         *attempt,
         TaskState::Exited,
@@ -203,10 +203,10 @@
 /// A worker that has forgotten an attempt would start it again on a copy of its launch.
 #[test]
 fn forget_waits_until_copies_of_launch_have_no_effect() {
-    let mut share = share();
+    let mut share = new_partition();
     let name = MachineName::from("host-000001");
     share.reconcile(
-        &report(1, None, Vec::new()),
+        &heartbeat(1, None, Vec::new()),
         StatusSource::Heartbeat,
         Timestamp::from_millis(100),
     );
@@ -223,7 +223,7 @@
         panic!("{launch:?}")
     };
     let id = model::TaskId::parse(&task).expect("a task");
-    let running = vec![entry(&task, attempt, TaskState::Running, None)];
+    let running = vec![task_status(&task, attempt, TaskState::Running, None)];
     share.record_direct_response(
         &name,
         &[TaskAttempt {
@@ -232,13 +232,13 @@
         }],
     );
     share.reconcile(
-        &report(2, None, running),
+        &heartbeat(2, None, running),
         StatusSource::Direct,
         Timestamp::from_millis(110),
     );
     share.cancel_job(model::JobId(1), Timestamp::from_millis(200));
     let stopped = || {
-        vec![entry(
+        vec![task_status(
             &task,
             attempt,
             TaskState::Exited,
@@ -253,20 +253,20 @@
             .count()
     };
     share.reconcile(
-        &report(3, None, stopped()),
+        &heartbeat(3, None, stopped()),
         StatusSource::Heartbeat,
         Timestamp::from_millis(300),
     );
     make_durable(&mut share);
     assert_eq!(forgets(&mut share, 300), 0);
     assert!(
-        !share.machines[&name].retains_exited_tasks(Timestamp::from_millis(300)),
+        !share.machines[&name].exited_tasks_need_higher_token(Timestamp::from_millis(300)),
         "some are voided at once, later"
     );
-    assert!(share.machines[&name].retains_exited_tasks(Timestamp::from_millis(46_000)));
+    assert!(share.machines[&name].exited_tasks_need_higher_token(Timestamp::from_millis(46_000)));
     let seen = Heartbeat {
         token: 6,
-        ..report(4, None, stopped())
+        ..heartbeat(4, None, stopped())
     };
     share.reconcile(
         &seen,
--- a/crates/scheduler/tests/partition_state/explanations.rs
+++ b/crates/scheduler/tests/partition_state/explanations.rs
@@ -1,13 +1,13 @@
 //! Explanations for operators: why a job waits.
 
-use crate::builders::{add_machine, guest_share, hear, job};
+use crate::builders::{add_machine, job, partition_without_guarantees, send_heartbeat};
 use model::{JobId, JobSpec, Timestamp};
 use scheduler::MachineRejection;
 use wire::users::{JobKind, Priority};
 
 #[test]
 fn explanation_counts_machines_by_their_reasons() {
-    let mut share = guest_share(false);
+    let mut share = partition_without_guarantees(false);
     add_machine(&mut share, 2);
     let now = Timestamp::from_millis(100);
     let low = JobSpec {
@@ -25,10 +25,10 @@
 
 #[test]
 fn unplaced_tasks_are_counted_by_their_closest_machine() {
-    let mut share = guest_share(false);
+    let mut share = partition_without_guarantees(false);
     add_machine(&mut share, 2);
     let now = Timestamp::from_millis(100);
-    hear(&mut share, 2, 1, Vec::new(), now);
+    send_heartbeat(&mut share, 2, 1, Vec::new(), now);
     let spot_only = JobSpec {
         spot: true,
         ..job(1, "t", JobKind::Array, Priority::Low, 1)
--- a/crates/scheduler/tests/partition_state/failure_attribution.rs
+++ b/crates/scheduler/tests/partition_state/failure_attribution.rs
@@ -1,6 +1,8 @@
 //! Suspect jobs and quarantined machines.
 
-use crate::builders::{entry, four_machines, hear, job, make_durable, name};
+use crate::builders::{
+    job, machine_name, make_durable, partition_with_four_machines, send_heartbeat, task_status,
+};
 use model::Timestamp;
 use scheduler::{CommandRoute, PartitionState};
 use std::time::Duration;
@@ -15,13 +17,13 @@
     now: Timestamp,
     failing: impl Fn(u32, &str) -> bool,
 ) -> usize {
-    (1..=4).for_each(|n| hear(share, n, seq * 2, Vec::new(), now));
+    (1..=4).for_each(|n| send_heartbeat(share, n, seq * 2, Vec::new(), now));
     share.run_cycles(now, 100);
     make_durable(share);
     let mut count = 0;
     for n in 1..=4 {
         let mut tasks = Vec::new();
-        for command in share.commands_for(&name(n), CommandRoute::Answer, now) {
+        for command in share.commands_for(&machine_name(n), CommandRoute::Answer, now) {
             let Command::Start { task, attempt } = command else {
                 continue;
             };
@@ -30,10 +32,10 @@
             } else {
                 ExitCause::Done
             };
-            tasks.push(entry(&task, attempt, TaskState::Exited, Some(why)));
+            tasks.push(task_status(&task, attempt, TaskState::Exited, Some(why)));
         }
         count += tasks.len();
-        hear(
+        send_heartbeat(
             share,
             n,
             seq * 2 + 1,
@@ -49,7 +51,7 @@
 /// and each of its tasks was tried every second until its user cancelled it.
 #[test]
 fn job_failing_everywhere_quarantines_no_machine_and_is_probed_with_backoff() {
-    let mut share = four_machines();
+    let mut share = partition_with_four_machines();
     share.add_job(
         job(1, "t", JobKind::Array, Priority::Normal, 16),
         1,
@@ -86,7 +88,7 @@
 
 #[test]
 fn machine_failing_different_jobs_is_quarantined() {
-    let mut share = four_machines();
+    let mut share = partition_with_four_machines();
     for id in 1..=6 {
         share.add_job(
             job(id, "t", JobKind::Array, Priority::Normal, 8),
@@ -105,6 +107,6 @@
         .values()
         .filter(|m| m.quarantined)
         .map(|m| m.name.clone());
-    assert_eq!(quarantined.collect::<Vec<_>>(), [name(2)]);
+    assert_eq!(quarantined.collect::<Vec<_>>(), [machine_name(2)]);
     assert_eq!(share.take_finished().len(), 6);
 }
--- a/crates/scheduler/tests/partition_state/leases.rs
+++ b/crates/scheduler/tests/partition_state/leases.rs
@@ -1,6 +1,6 @@
 //! Renewal and expiry of worker leases.
 
-use crate::builders::{entry, job, make_durable, name, report, share};
+use crate::builders::{heartbeat, job, machine_name, make_durable, new_partition, task_status};
 use model::{MachineName, Timestamp};
 use scheduler::{CommandRoute, StatusSource};
 use wire::users::{JobKind, Priority};
@@ -9,9 +9,9 @@
 /// A lease counted from the arrival of a late copy would put the proof off by as much.
 #[test]
 fn late_heartbeat_copy_does_not_defer_lease_expiry() {
-    let mut share = share();
+    let mut share = new_partition();
     let name = MachineName::from("host-000001");
-    let first = report(1, None, Vec::new());
+    let first = heartbeat(1, None, Vec::new());
     for at in [100, 9_000] {
         let newer = share.reconcile(&first, StatusSource::Heartbeat, Timestamp::from_millis(at));
         let machine = share.machines.get_mut(&name).expect("it is there");
@@ -25,9 +25,9 @@
 /// report shows the task, which the answer then stops.
 #[test]
 fn lease_is_not_renewed_while_cancelled_launch_may_arrive() {
-    let mut share = share();
+    let mut share = new_partition();
     share.reconcile(
-        &report(1, None, Vec::new()),
+        &heartbeat(1, None, Vec::new()),
         StatusSource::Heartbeat,
         Timestamp::from_millis(100),
     );
@@ -39,18 +39,22 @@
     );
     share.run_cycles(Timestamp::from_millis(100), 10);
     make_durable(&mut share);
-    let sent = share.commands_for(&name(1), CommandRoute::Direct, Timestamp::from_millis(110));
+    let sent = share.commands_for(
+        &machine_name(1),
+        CommandRoute::Direct,
+        Timestamp::from_millis(110),
+    );
     assert!(matches!(&sent[..], [Command::Start { .. }]), "{sent:?}");
     let attempt = share.jobs[&model::JobId(1)].placed[&0].attempt.0;
     share.cancel_job(model::JobId(1), Timestamp::from_millis(200));
     share.bound_lease_renewal(model::JobId(1), Timestamp::from_millis(15_000));
     let mut heard = |seq, tasks, at| {
         share.reconcile(
-            &report(seq, None, tasks),
+            &heartbeat(seq, None, tasks),
             StatusSource::Heartbeat,
             Timestamp::from_millis(at),
         );
-        share.may_renew_lease(&name(1), Timestamp::from_millis(at))
+        share.may_renew_lease(&machine_name(1), Timestamp::from_millis(at))
     };
     assert!(
         heard(2, Vec::new(), 14_000),
@@ -59,11 +63,11 @@
     assert!(!heard(3, Vec::new(), 15_000), "the launch may still come");
     assert!(heard(
         4,
-        vec![entry("j-000001/0", attempt, TaskState::Running, None)],
+        vec![task_status("j-000001/0", attempt, TaskState::Running, None)],
         16_000
     ));
     let halts = share.commands_for(
-        &name(1),
+        &machine_name(1),
         CommandRoute::Answer,
         Timestamp::from_millis(16_000),
     );
--- a/crates/scheduler/tests/partition_state/liveness.rs
+++ b/crates/scheduler/tests/partition_state/liveness.rs
@@ -1,6 +1,9 @@
 //! Unresponsive and lost machines.
 
-use crate::builders::{add_machine, four_machines, hear, job, make_durable, name, report, share};
+use crate::builders::{
+    add_machine, heartbeat, job, machine_name, make_durable, new_partition,
+    partition_with_four_machines, send_heartbeat,
+};
 use model::{MachineName, Resources, Timestamp};
 use scheduler::{CommandRoute, PartitionState, StatusSource};
 use std::time::Duration;
@@ -11,7 +14,7 @@
 /// with their replicas, before it was clear that all were silent.
 #[test]
 fn first_of_many_unresponsive_machines_are_not_lost() {
-    let mut share = four_machines();
+    let mut share = partition_with_four_machines();
     share.add_job(
         job(1, "t", JobKind::Service, Priority::High, 16),
         1,
@@ -20,7 +23,7 @@
     );
     share.run_cycles(Timestamp::from_millis(200), 100);
     (1..=4).for_each(|n| {
-        hear(
+        send_heartbeat(
             &mut share,
             n,
             2,
@@ -35,10 +38,11 @@
     // Machines that boot say nothing for us: seen with 21 of 113 up, all of them silent.
     (5..=30).for_each(|n| add_machine(&mut share, n));
     assert_eq!(silent(&share, Timestamp::from_millis(6_400)), []);
-    (2..=4).for_each(|n| hear(&mut share, n, 3, Vec::new(), Timestamp::from_millis(6_500)));
+    (2..=4)
+        .for_each(|n| send_heartbeat(&mut share, n, 3, Vec::new(), Timestamp::from_millis(6_500)));
     assert_eq!(
         silent(&share, Timestamp::from_millis(6_600)),
-        [name(1)],
+        [machine_name(1)],
         "one alone is"
     );
 }
@@ -46,9 +50,10 @@
 /// On a small site three silent machines of ten were "many", and their replicas waited for leases.
 #[test]
 fn three_unresponsive_machines_of_ten_are_lost_but_not_four() {
-    let mut share = four_machines();
+    let mut share = partition_with_four_machines();
     (5..=10).for_each(|n| add_machine(&mut share, n));
-    (1..=10).for_each(|n| hear(&mut share, n, 2, Vec::new(), Timestamp::from_millis(1_000)));
+    (1..=10)
+        .for_each(|n| send_heartbeat(&mut share, n, 2, Vec::new(), Timestamp::from_millis(1_000)));
     share
         .teams
         .values_mut()
@@ -70,9 +75,10 @@
             )
             .len()
     };
-    (5..=10).for_each(|n| hear(&mut share, n, 3, Vec::new(), Timestamp::from_millis(6_000)));
+    (5..=10)
+        .for_each(|n| send_heartbeat(&mut share, n, 3, Vec::new(), Timestamp::from_millis(6_000)));
     assert_eq!(silent(&share, 6_100), 0, "four of ten");
-    hear(&mut share, 4, 3, Vec::new(), Timestamp::from_millis(6_050));
+    send_heartbeat(&mut share, 4, 3, Vec::new(), Timestamp::from_millis(6_050));
     assert_eq!(silent(&share, 6_100), 3);
 }
 
@@ -82,15 +88,15 @@
 #[test]
 fn unanswered_probes_lose_machine_unless_zone_is_unresponsive() {
     let asked = |zone_is_quiet: bool, alarm_before: bool| -> Vec<MachineName> {
-        let mut share = share();
-        share.report = Duration::from_secs(5);
+        let mut share = new_partition();
+        share.heartbeat_interval = Duration::from_secs(5);
         for n in 2..=8 {
             add_machine(&mut share, n);
         }
         let hear = |share: &mut PartitionState, n: u32, seq: u64, at: u64| {
             let report = Heartbeat {
-                machine: name(n).to_string(),
-                ..report(seq, None, Vec::new())
+                machine: machine_name(n).to_string(),
+                ..heartbeat(seq, None, Vec::new())
             };
             share.reconcile(&report, StatusSource::Heartbeat, Timestamp::from_millis(at));
         };
@@ -133,7 +139,7 @@
                     answers,
                     Timestamp::from_millis(at + if answers { 5 } else { 900 }),
                 );
-                let number = (1..=8).find(|n| answers && name(*n) == asked);
+                let number = (1..=8).find(|n| answers && machine_name(*n) == asked);
                 number.iter().for_each(|n| hear(&mut share, *n, at, at + 5));
             }
         }
@@ -152,10 +158,10 @@
 /// there for ever.
 #[test]
 fn unreachable_machine_gets_no_tasks_until_it_answers() {
-    let mut share = share();
+    let mut share = new_partition();
     let name = MachineName::from("host-000001");
     share.reconcile(
-        &report(1, None, Vec::new()),
+        &heartbeat(1, None, Vec::new()),
         StatusSource::Heartbeat,
         Timestamp::from_millis(100),
     );
@@ -182,7 +188,7 @@
     );
     for (seq, at) in [(2, 3_000), (3, 9_000)] {
         share.reconcile(
-            &report(seq, None, Vec::new()),
+            &heartbeat(seq, None, Vec::new()),
             StatusSource::Heartbeat,
             Timestamp::from_millis(at),
         );
@@ -209,7 +215,7 @@
     // Its lease has ended: the launch named the session before.
     let new = Heartbeat {
         session: 2,
-        ..report(4, None, Vec::new())
+        ..heartbeat(4, None, Vec::new())
     };
     share.reconcile(
         &new,
@@ -219,7 +225,7 @@
     assert_eq!(share.jobs[&model::JobId(1)].placed.len(), 0, "proven gone");
     let answer = Heartbeat {
         session: 2,
-        ..report(5, None, Vec::new())
+        ..heartbeat(5, None, Vec::new())
     };
     share.reconcile(
         &answer,
--- a/crates/scheduler/tests/partition_state/preemption.rs
+++ b/crates/scheduler/tests/partition_state/preemption.rs
@@ -1,6 +1,9 @@
 //! Preemption by priority and guarantee.
 
-use crate::builders::{add_machine, entry, job, launch, make_durable, name, report, share};
+use crate::builders::{
+    add_machine, heartbeat, job, machine_name, make_durable, new_partition, place_and_launch,
+    task_status,
+};
 use model::{FencingToken, Resources, TeamName, Timestamp};
 use scheduler::{CommandRoute, PartitionState, Policy, StatusSource};
 use scheduling_queue::QueueConfig;
@@ -10,9 +13,9 @@
 
 #[test]
 fn higher_priority_preempts_lower_but_not_equal() {
-    let mut share = share();
+    let mut share = new_partition();
     share.reconcile(
-        &report(1, None, Vec::new()),
+        &heartbeat(1, None, Vec::new()),
         StatusSource::Heartbeat,
         Timestamp::from_millis(100),
     );
@@ -22,7 +25,10 @@
         &[],
         Timestamp::from_millis(100),
     );
-    assert_eq!(launch(&mut share, Timestamp::from_millis(100)).len(), 4);
+    assert_eq!(
+        place_and_launch(&mut share, Timestamp::from_millis(100)).len(),
+        4
+    );
     let stopping = |share: &PartitionState| {
         share.jobs[&model::JobId(1)]
             .placed
@@ -65,7 +71,7 @@
     );
     add_machine(&mut share, 1);
     share.reconcile(
-        &report(1, None, Vec::new()),
+        &heartbeat(1, None, Vec::new()),
         StatusSource::Heartbeat,
         Timestamp::from_millis(100),
     );
@@ -73,7 +79,7 @@
         let replica = job(id, "u", JobKind::Service, Priority::High, 1);
         share.add_job(replica, id, &[], Timestamp::from_millis(100));
     }
-    launch(&mut share, Timestamp::from_millis(100));
+    place_and_launch(&mut share, Timestamp::from_millis(100));
     share.add_job(
         job(9, "t", JobKind::Array, Priority::Normal, 2),
         9,
@@ -85,7 +91,7 @@
         let now = Timestamp::from_millis(200 + round * 300);
         share.run_cycles(now, 100);
         make_durable(&mut share);
-        let _ = share.commands_for(&name(1), CommandRoute::Answer, now);
+        let _ = share.commands_for(&machine_name(1), CommandRoute::Answer, now);
         let held = share.jobs.iter().flat_map(|(id, job)| {
             job.placed
                 .iter()
@@ -93,8 +99,8 @@
         });
         let tasks: Vec<TaskStatus> = held
             .map(|(task, attempt, stop)| match stop {
-                Some(_) => entry(&task, attempt, TaskState::Exited, Some(ExitCause::Stopped)),
-                None => entry(&task, attempt, TaskState::Running, None),
+                Some(_) => task_status(&task, attempt, TaskState::Exited, Some(ExitCause::Stopped)),
+                None => task_status(&task, attempt, TaskState::Running, None),
             })
             .collect();
         stopped += tasks
@@ -102,7 +108,7 @@
             .filter(|task| task.state == TaskState::Exited)
             .count();
         share.reconcile(
-            &report(1 + round, None, tasks),
+            &heartbeat(1 + round, None, tasks),
             StatusSource::Heartbeat,
             now,
         );
--- a/crates/scheduler/tests/partition_state/quotas.rs
+++ b/crates/scheduler/tests/partition_state/quotas.rs
@@ -1,7 +1,8 @@
 //! Limits, guarantees and the order of jobs.
 
 use crate::builders::{
-    add_machine, entry, four_machines, guest_share, hear, job, launch, name, report, share,
+    add_machine, heartbeat, job, machine_name, new_partition, partition_with_four_machines,
+    partition_without_guarantees, place_and_launch, send_heartbeat, task_status,
 };
 use model::{FencingToken, JobSpec, Resources, TeamName, Timestamp};
 use scheduler::{CommandRoute, PartitionState, PlacedTask, Policy, StatusSource, TaskChunk};
@@ -15,18 +16,22 @@
 /// tasks stopped for them, and what ended was replaced by arrays that go first in the order.
 #[test]
 fn replicas_at_team_limit_preempt_arrays_of_same_team() {
-    let mut share = share();
+    let mut share = new_partition();
     let mut arrays = job(1, "t", JobKind::Array, Priority::Normal, 9);
     arrays.spot = true;
-    share.machines.get_mut(&name(1)).expect("added").spot = true;
+    share
+        .machines
+        .get_mut(&machine_name(1))
+        .expect("added")
+        .spot = true;
     share.reconcile(
-        &report(1, None, Vec::new()),
+        &heartbeat(1, None, Vec::new()),
         StatusSource::Heartbeat,
         Timestamp::from_millis(100),
     );
     share.add_job(arrays, 1, &[], Timestamp::from_millis(100));
     assert_eq!(
-        launch(&mut share, Timestamp::from_millis(100)).len(),
+        place_and_launch(&mut share, Timestamp::from_millis(100)).len(),
         4,
         "the whole limit, all inside the guarantee"
     );
@@ -60,7 +65,7 @@
     );
 
     add_machine(&mut share, 2);
-    hear(&mut share, 2, 1, Vec::new(), Timestamp::from_millis(2_000));
+    send_heartbeat(&mut share, 2, 1, Vec::new(), Timestamp::from_millis(2_000));
     share.run_cycles(Timestamp::from_millis(2_000), 100);
     let victims = stopping(&share);
     assert_eq!(victims.len(), 1);
@@ -72,7 +77,7 @@
         index: victims[0],
     };
     let attempt = share.jobs[&task.job].placed[&task.index].attempt.0;
-    let exited = entry(
+    let exited = task_status(
         &task.to_string(),
         attempt,
         TaskState::Exited,
@@ -84,7 +89,7 @@
         .filter(|(index, _)| **index != task.index);
     let mut tasks: Vec<TaskStatus> = others
         .map(|(index, p)| {
-            entry(
+            task_status(
                 &format!("j-000001/{index}"),
                 p.attempt.0,
                 TaskState::Running,
@@ -94,7 +99,7 @@
         .collect();
     tasks.push(exited);
     share.reconcile(
-        &report(2, None, tasks),
+        &heartbeat(2, None, tasks),
         StatusSource::Heartbeat,
         Timestamp::from_millis(2_300),
     );
@@ -123,7 +128,7 @@
         );
         add_machine(&mut share, 1);
         share.reconcile(
-            &report(1, None, Vec::new()),
+            &heartbeat(1, None, Vec::new()),
             StatusSource::Heartbeat,
             Timestamp::from_millis(100),
         );
@@ -133,7 +138,10 @@
         };
         let long = due(job(1, "t", JobKind::Array, Priority::Normal, 40));
         share.add_job(long, 1, &[], Timestamp::from_millis(100));
-        assert_eq!(launch(&mut share, Timestamp::from_millis(100)).len(), 4);
+        assert_eq!(
+            place_and_launch(&mut share, Timestamp::from_millis(100)).len(),
+            4
+        );
         // It comes 400 s later, more than what the size of the first sets it back.
         let short = due(job(2, "t", JobKind::Array, Priority::Normal, 2));
         share.add_job(short, 400_000, &[], Timestamp::from_millis(200));
@@ -143,7 +151,7 @@
         let mut tasks: Vec<TaskStatus> = held
             .iter()
             .map(|(index, p)| {
-                entry(
+                task_status(
                     &format!("j-000001/{index}"),
                     p.attempt.0,
                     TaskState::Running,
@@ -154,7 +162,7 @@
         tasks[0].state = TaskState::Exited;
         tasks[0].why = Some(ExitCause::Done);
         share.reconcile(
-            &report(2, None, tasks),
+            &heartbeat(2, None, tasks),
             StatusSource::Heartbeat,
             Timestamp::from_millis(2_000),
         );
@@ -169,7 +177,7 @@
 /// that had waited for minutes.
 #[test]
 fn submission_order_survives_failover() {
-    let mut share = guest_share(true);
+    let mut share = partition_without_guarantees(true);
     let short = |id| JobSpec {
         estimate: Duration::from_secs(1),
         ..job(id, "t", JobKind::Array, Priority::Normal, 4)
@@ -181,7 +189,7 @@
     // Read at the same moment; the long one was submitted 80 s earlier.
     share.add_job(short(2), 90_000, &[], Timestamp::from_millis(100));
     share.add_job(long, 10_000, &[], Timestamp::from_millis(100));
-    let first = launch(&mut share, Timestamp::from_millis(200));
+    let first = place_and_launch(&mut share, Timestamp::from_millis(200));
     assert!(
         first.iter().all(|(task, _)| task.starts_with("j-000001/")),
         "{first:?}"
@@ -193,7 +201,7 @@
 /// job was cleared away, and the member that waited was not counted against the team's limit.
 #[test]
 fn completed_gang_counts_until_last_member_is_gone() {
-    let mut share = four_machines();
+    let mut share = partition_with_four_machines();
     share
         .teams
         .values_mut()
@@ -217,8 +225,8 @@
         &[(0, placed(&machines))],
         Timestamp::from_millis(100),
     );
-    hear(&mut share, 2, 2, Vec::new(), Timestamp::from_millis(200));
-    let (route, two) = (CommandRoute::Answer, name(2));
+    send_heartbeat(&mut share, 2, 2, Vec::new(), Timestamp::from_millis(200));
+    let (route, two) = (CommandRoute::Answer, machine_name(2));
     assert_eq!(
         share
             .commands_for(&two, route, Timestamp::from_millis(200))
@@ -227,14 +235,14 @@
         "started anew"
     );
     let done = |n| {
-        entry(
+        task_status(
             &format!("j-000001/{n}"),
             7,
             TaskState::Exited,
             Some(ExitCause::Done),
         )
     };
-    hear(
+    send_heartbeat(
         &mut share,
         1,
         2,
@@ -250,7 +258,7 @@
     assert!(stops.iter().all(|c| matches!(c, Command::Stop { .. })) && stops.len() == 2);
     // The same after a takeover.
     let keys = share.take_dirty();
-    let mut successor = four_machines();
+    let mut successor = partition_with_four_machines();
     let chunks: Vec<_> = keys
         .into_iter()
         .map(|(key, body)| (key.chunk, body))
@@ -263,7 +271,7 @@
     assert_eq!(team.used.milli_cpus, 2_000);
     assert_eq!(successor.take_finished(), []);
     for share in [&mut share, &mut successor] {
-        hear(share, 2, 5, Vec::new(), Timestamp::from_millis(900));
+        send_heartbeat(share, 2, 5, Vec::new(), Timestamp::from_millis(900));
         assert_eq!(share.take_finished(), [model::JobId(1)]);
     }
 }
--- a/crates/scheduler/tests/partition_state/reconciliation.rs
+++ b/crates/scheduler/tests/partition_state/reconciliation.rs
@@ -1,6 +1,6 @@
 //! What a status changes.
 
-use crate::builders::{entry, job, launch, report, share};
+use crate::builders::{heartbeat, job, new_partition, place_and_launch, task_status};
 use model::Timestamp;
 use scheduler::{PartitionState, StatusSource};
 use wire::users::{JobKind, Priority};
@@ -8,9 +8,9 @@
 
 #[test]
 fn tasks_stop_just_before_machine_is_reclaimed() {
-    let mut share = share();
+    let mut share = new_partition();
     share.reconcile(
-        &report(1, None, Vec::new()),
+        &heartbeat(1, None, Vec::new()),
         StatusSource::Heartbeat,
         Timestamp::from_millis(100),
     );
@@ -20,10 +20,10 @@
         &[],
         Timestamp::from_millis(100),
     );
-    let (task, attempt) = launch(&mut share, Timestamp::from_millis(100)).remove(0);
-    let runs = entry(&task, attempt, TaskState::Running, None);
+    let (task, attempt) = place_and_launch(&mut share, Timestamp::from_millis(100)).remove(0);
+    let runs = task_status(&task, attempt, TaskState::Running, None);
     share.reconcile(
-        &report(2, Some(8.0), vec![runs]),
+        &heartbeat(2, Some(8.0), vec![runs]),
         StatusSource::Heartbeat,
         Timestamp::from_millis(1_000),
     );
