--- a/crates/controller/src/controller/admin.rs
+++ b/crates/controller/src/controller/admin.rs
@@ -7,7 +7,7 @@
 
 use super::call_kind::RecordCall;
 use super::{CallKind, Controller, Ticket, Tuning, MAX_LAUNCH_READ_AGE};
-use crate::records::{PackedMachine, SETTINGS_KEY};
+use crate::records::{PackedMachine, TUNING_KEY};
 use crate::request_budget::CallPriority;
 use model::{DurationExt, PartitionId};
 use scheduler::PartitionState;
@@ -115,8 +115,8 @@
         Tuning::try_from(&record)?;
         let value = serde_json::to_value(record)?;
         let txn = Transaction::default()
-            .when(SETTINGS_KEY, version)
-            .write(Write::put(SETTINGS_KEY, value));
+            .when(TUNING_KEY, version)
+            .write(Write::put(TUNING_KEY, value));
         self.queue_state_request(
             CallPriority::Rest,
             StateRequest::Transaction(txn),
--- a/crates/controller/src/controller/admission.rs
+++ b/crates/controller/src/controller/admission.rs
@@ -4,7 +4,7 @@
 use super::linearizable_reads::{CONDITIONS_PER_CHANGE, RETRY_AFTER_S};
 use super::{CallKind, Controller, PendingRequest, RequestKind, Ticket, UserReply};
 use crate::records::{
-    accepted_jobs_key, accepted_jobs_prefix, final_state_key, packed_size, page_capacity,
+    accepted_jobs_key, accepted_jobs_prefix, final_state_key, packed_size, page_capacity_bytes,
     AcceptedJobsPage, PackedJob,
 };
 use crate::request_budget::CallPriority;
@@ -94,7 +94,7 @@
             return;
         }
         if packed_size(&PackedJob::new(u64::MAX, job.clone()))
-            > page_capacity(self.settings.state_limits.value_bytes)
+            > page_capacity_bytes(self.settings.state_limits.value_bytes)
         {
             let problem = "the job's description is too long".to_owned();
             self.reply_user(ticket, UserReply::Invalid(problem));
@@ -196,7 +196,7 @@
     /// Writes as many pending submissions as a transaction takes.
     fn write_accepted(&mut self) {
         let limits = &self.settings.state_limits;
-        let capacity = page_capacity(limits.value_bytes);
+        let capacity = page_capacity_bytes(limits.value_bytes);
         let max_pages = MAX_PAGES_PER_WRITE.min(limits.txn_ops);
         // Each job adds a condition.
         let max_jobs = (limits.txn_ops * CONDITIONS_PER_CHANGE)
--- a/crates/controller/src/controller/call_kind.rs
+++ b/crates/controller/src/controller/call_kind.rs
@@ -42,7 +42,9 @@
             CallKind::Sync(_)
             | CallKind::Lease(_)
             | CallKind::Read(_)
-            | CallKind::Log(LogCall::ReadPage { .. } | LogCall::Prove { .. }) => Budget::Requests,
+            | CallKind::Log(LogCall::ReadPage { .. } | LogCall::VerifyCommit { .. }) => {
+                Budget::Requests
+            }
             _ => Budget::Writes,
         }
     }
@@ -91,7 +93,7 @@
         term: u64,
     },
     /// A read that shows whether a commit was applied.
-    Prove {
+    VerifyCommit {
         partition: PartitionId,
         term: u64,
         id: CommitId,
--- a/crates/controller/src/controller/cancellations.rs
+++ b/crates/controller/src/controller/cancellations.rs
@@ -53,7 +53,7 @@
             .filter(|id| self.cache.jobs.contains_key(id))
             .map(|id| id.0)
             .collect();
-        let capacity = self.page_entries();
+        let capacity = self.max_ids_per_page();
         let mut batch = Vec::new();
         for request in std::mem::take(&mut self.cancellations.pending) {
             if jobs.len() >= capacity {
--- a/crates/controller/src/controller/fleet_planner/machine_types.rs
+++ b/crates/controller/src/controller/fleet_planner/machine_types.rs
@@ -48,7 +48,7 @@
 impl Controller {
     /// Reads the machine types from the cloud if that is due.
     pub(super) fn request_machine_types(&mut self) {
-        let interval = if self.cache.types.is_none() {
+        let interval = if self.cache.machine_types.is_none() {
             FIRST_READ_INTERVAL
         } else {
             READ_INTERVAL
@@ -66,7 +66,7 @@
 
     /// Takes in the machine types and writes their record if more than prices has changed.
     pub(super) fn handle_machine_types(&mut self, types: MachineTypes) {
-        let recorded = self.cache.types.as_ref();
+        let recorded = self.cache.machine_types.as_ref();
         let is_changed =
             recorded.map(|types| without_prices(&types.record)) != Some(without_prices(&types));
         let version = recorded.map_or(0, |types| types.version.0);
@@ -100,7 +100,7 @@
                 continue;
             };
             partition_state.zones = zones;
-            if let Some(types) = &self.cache.types {
+            if let Some(types) = &self.cache.machine_types {
                 partition_state.set_machine_types(&types.record.types);
             }
         }
--- a/crates/controller/src/controller/fleet_planner/mod.rs
+++ b/crates/controller/src/controller/fleet_planner/mod.rs
@@ -115,7 +115,7 @@
     pub(super) fn run_fleet_planner(&mut self) {
         let is_fleet_planner = self.is_fleet_planner();
         // Any controller may read the machine types while none are known.
-        if self.state_sync.is_synced() && (is_fleet_planner || self.cache.types.is_none()) {
+        if self.state_sync.is_synced() && (is_fleet_planner || self.cache.machine_types.is_none()) {
             self.request_machine_types();
         }
         if !is_fleet_planner || !self.has_recent_state_read(MAX_LAUNCH_READ_AGE) {
--- a/crates/controller/src/controller/fleet_planner/planning.rs
+++ b/crates/controller/src/controller/fleet_planner/planning.rs
@@ -62,7 +62,7 @@
 
     /// The machine types as last read from the cloud, or else as recorded.
     fn machine_types_with_prices(&self) -> Option<MachineTypes> {
-        let recorded = self.cache.types.as_ref().map(|types| &types.record);
+        let recorded = self.cache.machine_types.as_ref().map(|types| &types.record);
         self.fleet_planner
             .machine_types
             .latest()
--- a/crates/controller/src/controller/job_archiver.rs
+++ b/crates/controller/src/controller/job_archiver.rs
@@ -9,7 +9,7 @@
 use super::call_kind::JobCall;
 use super::{CallKind, Controller};
 use crate::records::{
-    cancellations_key, final_state_key, page_capacity, partition_key, terminal_jobs_key,
+    cancellations_key, final_state_key, page_capacity_bytes, partition_key, terminal_jobs_key,
     FinalStateRecord, TerminalJobsPage,
 };
 use crate::request_budget::CallPriority;
@@ -38,7 +38,7 @@
         let (now, revision) = (self.now, self.cache.revision);
         let may_record = self.may_write(CallPriority::Accept, 1.0);
         let max_archived = self.settings.state_limits.txn_ops - 1;
-        let capacity = self.page_entries();
+        let capacity = self.max_ids_per_page();
         let may_archive = self.may_write(CallPriority::Rest, max_archived as f64 + 1.0);
         let Some(leadership) = self.leaderships.get_mut(&partition) else {
             return;
@@ -84,8 +84,8 @@
     }
 
     /// How many ids a page takes.
-    pub(super) fn page_entries(&self) -> usize {
-        page_capacity(self.settings.state_limits.value_bytes) / MAX_ID_BYTES
+    pub(super) fn max_ids_per_page(&self) -> usize {
+        page_capacity_bytes(self.settings.state_limits.value_bytes) / MAX_ID_BYTES
     }
 
     /// Takes in the outcome of a write of terminal jobs.
@@ -115,7 +115,7 @@
     }
 
     /// Applies a durable terminal state of a job.
-    pub(super) fn job_ended(&mut self, id: JobId, state: JobState) {
+    pub(super) fn job_terminated(&mut self, id: JobId, state: JobState) {
         let now = self.now;
         self.job_status.record_terminal_state(id, state);
         for leadership in self.leaderships.values_mut() {
--- a/crates/controller/src/controller/leadership/advance.rs
+++ b/crates/controller/src/controller/leadership/advance.rs
@@ -22,8 +22,8 @@
         for partition in partitions {
             self.advance_partition(partition);
         }
-        if self.now.duration_since(self.load_at) >= STATUS_INTERVAL {
-            self.load_at = self.now;
+        if self.now.duration_since(self.statuses_reported_at) >= STATUS_INTERVAL {
+            self.statuses_reported_at = self.now;
             self.report_partition_statuses();
         }
     }
--- a/crates/controller/src/controller/leadership/commits.rs
+++ b/crates/controller/src/controller/leadership/commits.rs
@@ -16,7 +16,7 @@
 /// Pause before a commit is sent again whose outcome is unknown.
 const COMMIT_RETRY_DELAY: Duration = Duration::from_millis(200);
 /// Pause before a page is read again that shows whether a commit was applied.
-const PROOF_RETRY_DELAY: Duration = Duration::from_millis(150);
+const VERIFICATION_RETRY_DELAY: Duration = Duration::from_millis(150);
 
 impl LoadedPartition {
     /// Prepares a commit of what has changed, if anything has and the pause since the last one is
@@ -43,7 +43,7 @@
         }
         let (commit, left) = self.log.prepare(version, changes);
         self.partition_state.restore_dirty(left);
-        let changes = self.partition_state.changes_in(&commit.keys);
+        let changes = self.partition_state.changes_in(&commit.chunk_keys);
         let txn = commit.txn.clone();
         self.pending_commit = Some(PendingCommit { commit, changes });
         Some(txn)
@@ -52,7 +52,7 @@
     /// The open commit is durable at this revision.
     fn confirm_commit(&mut self, revision: u64) {
         if let Some(pending) = self.pending_commit.take() {
-            self.log.commit(&pending.commit, revision);
+            self.log.confirm_commit(&pending.commit, revision);
             self.partition_state.confirm(&pending.changes);
         }
     }
@@ -74,9 +74,11 @@
     }
 
     /// Key of a page that shows whether the open commit was applied.
-    fn commit_proof(&self) -> Option<(String, CommitId)> {
+    fn verification_page(&self) -> Option<(String, CommitId)> {
         let loaded = self.loaded()?;
-        loaded.log.proof(&loaded.pending_commit.as_ref()?.commit)
+        loaded
+            .log
+            .verification_page(&loaded.pending_commit.as_ref()?.commit)
     }
 
     fn confirm_commit(&mut self, revision: u64) {
@@ -128,7 +130,7 @@
                 leadership.committed_at = now;
             }
             // Either an earlier copy of this very commit was applied, or the leadership is lost.
-            StateReply::Conflict { .. } => self.read_commit_proof(partition, term, None),
+            StateReply::Conflict { .. } => self.verify_commit(partition, term, None),
             StateReply::Invalid(problem) => {
                 tracing::error!(%partition, problem, "commit rejected as invalid");
                 self.reload_partition(partition);
@@ -147,16 +149,16 @@
     }
 
     /// Reads a page that the open commit writes, at once or after a delay.
-    fn read_commit_proof(&mut self, partition: PartitionId, term: u64, delay: Option<Duration>) {
+    fn verify_commit(&mut self, partition: PartitionId, term: u64, delay: Option<Duration>) {
         let proof = self
             .leaderships
             .get(&partition)
-            .and_then(PartitionLeadership::commit_proof);
+            .and_then(PartitionLeadership::verification_page);
         let Some((key, id)) = proof else {
             return;
         };
         let request = StateRequest::Get { key };
-        let purpose = CallKind::Log(LogCall::Prove {
+        let purpose = CallKind::Log(LogCall::VerifyCommit {
             partition,
             term,
             id,
@@ -168,7 +170,7 @@
     }
 
     /// Handles the page that shows whether a commit was applied.
-    pub(in crate::controller) fn handle_commit_proof(
+    pub(in crate::controller) fn handle_commit_verification(
         &mut self,
         partition: PartitionId,
         term: u64,
@@ -182,11 +184,11 @@
             return;
         }
         match reply {
-            StateReply::Item(item) if PlacementLog::proves(&item.value, id) => {
+            StateReply::Item(item) if PlacementLog::is_page_of_commit(&item.value, id) => {
                 leadership.confirm_commit(item.version);
             }
             StateReply::Item(_) | StateReply::Missing => self.reload_partition(partition),
-            _ => self.read_commit_proof(partition, term, Some(PROOF_RETRY_DELAY)),
+            _ => self.verify_commit(partition, term, Some(VERIFICATION_RETRY_DELAY)),
         }
     }
 }
--- a/crates/controller/src/controller/leadership/loading.rs
+++ b/crates/controller/src/controller/leadership/loading.rs
@@ -15,7 +15,7 @@
 /// What is known before the partition's state can be built.
 #[derive(Debug, Default)]
 pub(super) struct Loading {
-    log: LogRead,
+    log: LogReadProgress,
     /// Readiness checks that failed when they were last evaluated.
     failed_checks: Vec<ReadinessCheck>,
     /// Heartbeats that were answered meanwhile. They are reconciled once the state is built.
@@ -33,18 +33,18 @@
 
 /// How far the placement log has been read.
 #[derive(Debug)]
-enum LogRead {
+enum LogReadProgress {
     /// Pages so far, and the state service's revision at the read of the first one.
     Reading {
         pages: Vec<Item>,
         revision: Option<Revision>,
     },
-    Complete(ReadLog),
+    Complete(CompletedLogRead),
 }
 
-impl Default for LogRead {
+impl Default for LogReadProgress {
     fn default() -> Self {
-        LogRead::Reading {
+        LogReadProgress::Reading {
             pages: Vec::new(),
             revision: None,
         }
@@ -53,7 +53,7 @@
 
 /// A placement log that has been read whole.
 #[derive(Debug)]
-pub(in crate::controller) struct ReadLog {
+pub(in crate::controller) struct CompletedLogRead {
     /// Revision of the state service at the read of the first page; later pages may be newer.
     pub revision: Revision,
     /// The log.
@@ -112,7 +112,7 @@
     /// Begins to read the placement log anew; pages read before do not count.
     pub(in crate::controller) fn restart_log_read(&mut self) {
         if let Some(loading) = self.loading_mut() {
-            loading.log = LogRead::default();
+            loading.log = LogReadProgress::default();
         }
     }
 
@@ -128,7 +128,7 @@
         let Some(loading) = self.loading_mut() else {
             return LogPageOutcome::Unexpected;
         };
-        let LogRead::Reading { pages, revision } = &mut loading.log else {
+        let LogReadProgress::Reading { pages, revision } = &mut loading.log else {
             return LogPageOutcome::Unexpected;
         };
         let last_key = pages.last().map_or("", |item| item.key.as_str());
@@ -143,25 +143,25 @@
             return LogPageOutcome::More { after };
         }
         let log = PlacementLog::load(partition, pages, value_bytes, txn_ops);
-        let unreadable_pages = log.unreadable().len() as u64;
-        loading.log = LogRead::Complete(ReadLog { revision, log });
+        let unreadable_pages = log.unreadable_pages().len() as u64;
+        loading.log = LogReadProgress::Complete(CompletedLogRead { revision, log });
         LogPageOutcome::Complete { unreadable_pages }
     }
 
     /// The placement log, if it has been read whole and the partition is not loaded yet.
-    pub(in crate::controller) fn read_log(&self) -> Option<&ReadLog> {
+    pub(in crate::controller) fn completed_log_read(&self) -> Option<&CompletedLogRead> {
         match &self.loading()?.log {
-            LogRead::Complete(read) => Some(read),
-            LogRead::Reading { .. } => None,
+            LogReadProgress::Complete(read) => Some(read),
+            LogReadProgress::Reading { .. } => None,
         }
     }
 
     /// Takes the placement log that has been read, to build the partition's state from it.
-    pub(in crate::controller) fn take_read_log(&mut self) -> Option<ReadLog> {
+    pub(in crate::controller) fn take_completed_log_read(&mut self) -> Option<CompletedLogRead> {
         let loading = self.loading_mut()?;
         match std::mem::take(&mut loading.log) {
-            LogRead::Complete(read) => Some(read),
-            LogRead::Reading { .. } => None,
+            LogReadProgress::Complete(read) => Some(read),
+            LogReadProgress::Reading { .. } => None,
         }
     }
 
--- a/crates/controller/src/controller/leadership/machine_failures.rs
+++ b/crates/controller/src/controller/leadership/machine_failures.rs
@@ -126,7 +126,7 @@
             if let Some(machine) = partition_state.machines.get_mut(&name) {
                 machine.leaving = true;
             }
-            self.machine_changes.request(&name, MachineChange::Leave);
+            self.machine_changes.request(&name, MachineChange::Release);
         }
     }
 }
--- a/crates/controller/src/controller/leadership/machine_transfers.rs
+++ b/crates/controller/src/controller/leadership/machine_transfers.rs
@@ -50,7 +50,7 @@
         // Nothing is placed here from now on, whether or not the write succeeds at once.
         machine.leaving = true;
         let change = match to {
-            None => MachineChange::Leave,
+            None => MachineChange::Release,
             Some(to) => MachineChange::Transfer(PartitionId(to)),
         };
         self.machine_changes.request(&name, change);
--- a/crates/controller/src/controller/leadership/mod.rs
+++ b/crates/controller/src/controller/leadership/mod.rs
@@ -14,7 +14,7 @@
 mod record_changes;
 mod token_raises;
 
-pub(super) use loading::{LogPageOutcome, ReadLog};
+pub(super) use loading::{CompletedLogRead, LogPageOutcome};
 pub(super) use partition_status::DemandWrite;
 
 use super::job_archiver::JobArchiver;
--- a/crates/controller/src/controller/leadership/partition_status.rs
+++ b/crates/controller/src/controller/leadership/partition_status.rs
@@ -86,7 +86,7 @@
             .map_or(0, |leadership| leadership.version.0);
         let demand_version = self
             .cache
-            .demands
+            .demand_versions
             .get(&partition)
             .map_or(0, |version| version.0);
         let key = demand_key(partition);
--- a/crates/controller/src/controller/leadership/record_changes.rs
+++ b/crates/controller/src/controller/leadership/record_changes.rs
@@ -42,7 +42,7 @@
             return;
         };
         self.logical_clock_offset = self.logical_clock_offset.max(Duration::from_millis(
-            open.order().saturating_sub(self.now.as_millis()),
+            open.submitted_at_ms().saturating_sub(self.now.as_millis()),
         ));
         let Some(partition) = self.partition_of_team(&open.spec.team) else {
             return;
@@ -61,7 +61,7 @@
         };
         partition_state.logical_clock_offset = logical_clock_offset;
         if !partition_state.jobs.contains_key(&id) {
-            partition_state.add_job(open.spec.clone(), open.order(), &[], now);
+            partition_state.add_job(open.spec.clone(), open.submitted_at_ms(), &[], now);
         }
         if cancelled {
             partition_state.cancel_job(id, now);
@@ -151,7 +151,8 @@
 
     fn add_machine(&mut self, name: &MachineName, new_machine: &NewMachine) {
         let now = self.now;
-        let Some(machine) = self.machine_from(name, &new_machine.record, new_machine.token) else {
+        let Some(machine) = self.machine_from_record(name, &new_machine.record, new_machine.token)
+        else {
             return;
         };
         let partition_state = self
--- a/crates/controller/src/controller/leadership/token_raises.rs
+++ b/crates/controller/src/controller/leadership/token_raises.rs
@@ -125,7 +125,7 @@
         let token = self.cache.next_token();
         let mut counter = self
             .cache
-            .counter
+            .token_counter
             .as_ref()
             .map(|counter| counter.record.clone())
             .unwrap_or_default();
@@ -133,7 +133,7 @@
         let value = serde_json::to_value(counter).unwrap_or_default();
         let txn = Transaction::default()
             .when(partition_key(partition), version)
-            .when(TOKEN_COUNTER_KEY, self.cache.counter_version())
+            .when(TOKEN_COUNTER_KEY, self.cache.token_counter_version())
             .write(Write::put(TOKEN_COUNTER_KEY, value));
         let purpose = CallKind::Leadership(LeadershipCall::RaiseToken {
             partition,
--- a/crates/controller/src/controller/load_partition.rs
+++ b/crates/controller/src/controller/load_partition.rs
@@ -3,7 +3,7 @@
 //! way is the same; they differ only in what [`Controller::apply_replica`] adds.
 
 use super::call_kind::LogCall;
-use super::leadership::{LogPageOutcome, PartitionLeadership, ReadLog};
+use super::leadership::{CompletedLogRead, LogPageOutcome, PartitionLeadership};
 use super::{CallKind, Controller, MAX_LAUNCH_READ_AGE};
 use crate::placement_log::PlacementLog;
 use crate::records::{log_prefix, MachineRecord, PartitionRecord};
@@ -109,7 +109,9 @@
             return;
         };
         if failed != leadership.failed_checks() && !failed.is_empty() {
-            let unreadable = leadership.read_log().map(|read| read.log.unreadable());
+            let unreadable = leadership
+                .completed_log_read()
+                .map(|read| read.log.unreadable_pages());
             tracing::warn!(%partition, ?failed, ?unreadable, "partition not ready: checks failed");
         }
         leadership.set_failed_checks(&failed);
@@ -125,7 +127,7 @@
     /// The facts that the readiness checks are about, once the placement log has been read.
     fn leadership_facts(&self, partition: PartitionId) -> Option<LeadershipFacts> {
         let leadership = self.leaderships.get(&partition)?;
-        let read = leadership.read_log()?;
+        let read = leadership.completed_log_read()?;
         let names_this_leadership = |held: &&Versioned<PartitionRecord>| {
             let record = &held.record;
             record.leader == *self.own_name()
@@ -144,7 +146,7 @@
             next_token: FencingToken(self.cache.next_token()),
             cache_revision: self.cache.revision,
             log_revision: Some(read.revision),
-            unreadable_pages: read.log.unreadable().len(),
+            unreadable_pages: read.log.unreadable_pages().len(),
             has_rival: leadership.is_transferring() || leadership.successor().is_some(),
             state_is_fresh: self.has_recent_state_read(MAX_LAUNCH_READ_AGE),
         })
@@ -156,7 +158,7 @@
         let Some(mut leadership) = self.leaderships.remove(&partition) else {
             return;
         };
-        let Some(ReadLog { mut log, .. }) = leadership.take_read_log() else {
+        let Some(CompletedLogRead { mut log, .. }) = leadership.take_completed_log_read() else {
             return;
         };
         let mut partition_state = self.new_partition_state(partition, &leadership);
@@ -213,7 +215,7 @@
         partition_state.predecessors_valid_until = leadership.predecessors_valid_until();
         partition_state.leading_since = leadership.since();
         partition_state.zones = self.zones_near(partition);
-        if let Some(types) = &self.cache.types {
+        if let Some(types) = &self.cache.machine_types {
             partition_state.set_machine_types(&types.record.types);
         }
         partition_state
@@ -229,7 +231,9 @@
             if machine.record.partition != partition {
                 continue;
             }
-            if let Some(machine) = self.machine_from(name, &machine.record, leadership.token()) {
+            if let Some(machine) =
+                self.machine_from_record(name, &machine.record, leadership.token())
+            {
                 partition_state.add_machine(machine, self.now);
             }
         }
@@ -246,7 +250,7 @@
                 continue;
             }
             let chunks = log.chunks_of(*id);
-            partition_state.add_job(job.spec.clone(), job.order(), &chunks, self.now);
+            partition_state.add_job(job.spec.clone(), job.submitted_at_ms(), &chunks, self.now);
             if self.cache.is_cancelled(*id) {
                 partition_state.cancel_job(*id, self.now);
             }
@@ -256,7 +260,7 @@
     /// Zones in which machines can be rented, that of the partition's preferred leader first.
     pub(super) fn zones_near(&self, partition: PartitionId) -> Vec<ZoneName> {
         let mut zones: Vec<ZoneName> = Vec::new();
-        if let Some(types) = &self.cache.types {
+        if let Some(types) = &self.cache.machine_types {
             let named = types.record.types.iter().flat_map(|t| &t.zones);
             zones.extend(named.map(|zone| ZoneName::from(zone.as_str())));
         }
@@ -270,7 +274,7 @@
     }
 
     /// The state of a recorded machine, unless its type is not known.
-    pub(super) fn machine_from(
+    pub(super) fn machine_from_record(
         &self,
         name: &MachineName,
         record: &MachineRecord,
@@ -278,7 +282,7 @@
     ) -> Option<Machine> {
         let kind = self
             .cache
-            .types
+            .machine_types
             .as_ref()?
             .record
             .types
--- a/crates/controller/src/controller/machine_records.rs
+++ b/crates/controller/src/controller/machine_records.rs
@@ -4,7 +4,7 @@
 use super::call_kind::RecordCall;
 use super::{CallKind, Controller, FLEET_PLANNER_PARTITION};
 use crate::records::{
-    machines_key, page_capacity, partition_key, MachineRecord, MachinesPage, PackedMachine,
+    machines_key, page_capacity_bytes, partition_key, MachineRecord, MachinesPage, PackedMachine,
     TOKEN_COUNTER_KEY,
 };
 use crate::request_budget::CallPriority;
@@ -27,7 +27,7 @@
     /// The fleet planner registers a machine that has been rented or discovered.
     Create(MachineRecord),
     /// The partition leader gives the machine up.
-    Leave,
+    Release,
     /// The partition leader transfers the machine, idle, to another partition.
     Transfer(PartitionId),
     /// The partition leader needs a higher fencing token.
@@ -73,7 +73,7 @@
     pub fn removes_from_partition(&self, name: &MachineName) -> bool {
         matches!(
             self.requested.get(name),
-            Some(MachineChange::Leave | MachineChange::Transfer(_))
+            Some(MachineChange::Release | MachineChange::Transfer(_))
         )
     }
 }
@@ -130,7 +130,7 @@
             }
             // The cloud has confirmed the release: that holds whoever leads the partition.
             MachineChange::Delete => return None,
-            MachineChange::Leave => {
+            MachineChange::Release => {
                 self.leaderships.insert(record.partition);
                 record.leaving = true;
             }
@@ -166,7 +166,7 @@
                 known.is_none() && self.leaderships.contains_key(&FLEET_PLANNER_PARTITION)
             }
             MachineChange::Delete => known.is_some(),
-            MachineChange::Leave => {
+            MachineChange::Release => {
                 machine.is_some() && known.is_some_and(|record| !record.leaving)
             }
             // Only an idle machine that takes nothing new may be transferred.
@@ -224,7 +224,7 @@
             .any(|change| matches!(change, MachineChange::Create(_)));
         let mut batch = MachineBatch {
             max_pages: (limits.txn_ops - 1).clamp(1, MAX_PAGES_PER_WRITE),
-            capacity: page_capacity(limits.value_bytes),
+            capacity: page_capacity_bytes(limits.value_bytes),
             token: self.cache.next_token(),
             uses_token: false,
             page_sizes: if creates_machines {
@@ -285,14 +285,14 @@
             txn = txn.when(&key, version).write(Write::put(&key, value));
         }
         if batch.uses_token {
-            let counter = self.cache.counter.as_ref();
+            let counter = self.cache.token_counter.as_ref();
             let mut counter = counter
                 .map(|counter| counter.record.clone())
                 .unwrap_or_default();
             counter.next = batch.token + 1;
             let value = serde_json::to_value(counter).unwrap_or_default();
             txn = txn
-                .when(TOKEN_COUNTER_KEY, self.cache.counter_version())
+                .when(TOKEN_COUNTER_KEY, self.cache.token_counter_version())
                 .write(Write::put(TOKEN_COUNTER_KEY, value));
         }
         txn
@@ -316,7 +316,7 @@
         self.cache
             .machine_pages
             .iter()
-            .map(|(number, page)| (*number, page.record.filled))
+            .map(|(number, page)| (*number, page.record.max_bytes))
             .collect()
     }
 
--- a/crates/controller/src/controller/membership/acquisition.rs
+++ b/crates/controller/src/controller/membership/acquisition.rs
@@ -225,7 +225,7 @@
     ) -> Transaction {
         let mut counter = self
             .cache
-            .counter
+            .token_counter
             .as_ref()
             .map(|counter| counter.record.clone())
             .unwrap_or_default();
@@ -241,7 +241,7 @@
         let counter = serde_json::to_value(counter).unwrap_or_default();
         Transaction::default()
             .when(&key, version)
-            .when(TOKEN_COUNTER_KEY, self.cache.counter_version())
+            .when(TOKEN_COUNTER_KEY, self.cache.token_counter_version())
             .write(Write::put_leased(&key, value, lease))
             .write(Write::put(TOKEN_COUNTER_KEY, counter))
     }
@@ -269,7 +269,7 @@
 
     /// Former leaders of a partition that may not know yet that they lost it.
     fn unconfirmed_predecessors_of(&self, partition: PartitionId) -> Vec<ControllerIncarnation> {
-        let Some(counter) = &self.cache.counter else {
+        let Some(counter) = &self.cache.token_counter else {
             return Vec::new();
         };
         let mut predecessors: Vec<ControllerIncarnation> = counter
--- a/crates/controller/src/controller/membership/reclaim.rs
+++ b/crates/controller/src/controller/membership/reclaim.rs
@@ -71,7 +71,7 @@
             return;
         }
         if self.is_backing_off_from(partition)
-            || self.cache.types.is_none()
+            || self.cache.machine_types.is_none()
             || self.defers_to_peers()
         {
             return;
--- a/crates/controller/src/controller/mod.rs
+++ b/crates/controller/src/controller/mod.rs
@@ -79,7 +79,7 @@
     leaderships: BTreeMap<PartitionId, PartitionLeadership>,
     membership: Membership,
     peers: PeerRegistry,
-    load_at: Timestamp,
+    statuses_reported_at: Timestamp,
     /// The last writes of partitions' unmet demand.
     demand_writes: HashMap<PartitionId, leadership::DemandWrite>,
     job_status: JobStatusCache,
@@ -125,7 +125,7 @@
             leaderships: BTreeMap::new(),
             membership: Membership::default(),
             peers: PeerRegistry::default(),
-            load_at: Timestamp::default(),
+            statuses_reported_at: Timestamp::default(),
             demand_writes: HashMap::new(),
             job_status: JobStatusCache::default(),
             reads: LinearizableReads::default(),
--- a/crates/controller/src/controller/state_replies.rs
+++ b/crates/controller/src/controller/state_replies.rs
@@ -67,11 +67,11 @@
         match call {
             LogCall::ReadPage { partition, term } => self.handle_log_page(partition, term, reply),
             LogCall::Commit { partition, term } => self.handle_commit_reply(partition, term, reply),
-            LogCall::Prove {
+            LogCall::VerifyCommit {
                 partition,
                 term,
                 id,
-            } => self.handle_commit_proof(partition, term, id, reply),
+            } => self.handle_commit_verification(partition, term, id, reply),
         }
     }
 
--- a/crates/controller/src/controller/state_sync.rs
+++ b/crates/controller/src/controller/state_sync.rs
@@ -135,11 +135,11 @@
         for change in changed {
             match change {
                 CacheEvent::Job(id) => self.job_changed(id),
-                CacheEvent::JobTerminated(id, state) => self.job_ended(id, state),
+                CacheEvent::JobTerminated(id, state) => self.job_terminated(id, state),
                 CacheEvent::Demand(id, record) => self.handle_demand_record(id, record),
                 CacheEvent::Partition(id) => self.partition_changed(id),
                 CacheEvent::Machine(name) => self.machine_changed(&name),
-                CacheEvent::Types => self.handle_machine_types_record(),
+                CacheEvent::MachineTypes => self.handle_machine_types_record(),
                 CacheEvent::Tuning => self.handle_settings_record(),
                 CacheEvent::Incarnation(_) => {}
             }
--- a/crates/controller/src/controller/user_requests.rs
+++ b/crates/controller/src/controller/user_requests.rs
@@ -93,7 +93,7 @@
             self.read_then_reply(ticket, id, RequestKind::Resubmit { reject: None });
             return;
         }
-        let Some(types) = &self.cache.types else {
+        let Some(types) = &self.cache.machine_types else {
             self.reply_busy(ticket, 1);
             return;
         };
--- a/crates/controller/src/placement_log/commit.rs
+++ b/crates/controller/src/placement_log/commit.rs
@@ -36,7 +36,7 @@
     /// The transaction that writes it.
     pub txn: Transaction,
     /// Chunks that it writes anew.
-    pub keys: Vec<ChunkKey>,
+    pub chunk_keys: Vec<ChunkKey>,
     pub(super) partition_version: Version,
     pub(super) pages: Vec<PageCommit>,
     pub(super) entries: Vec<CommittedEntry>,
@@ -116,7 +116,7 @@
         let partition_key = crate::records::partition_key(log.partition);
         let commit = LogCommit {
             txn: Transaction::default().when(partition_key, partition_version.0),
-            keys: Vec::new(),
+            chunk_keys: Vec::new(),
             partition_version,
             pages: Vec::new(),
             entries: Vec::new(),
@@ -177,7 +177,7 @@
             }
             draft.insert(key, content.clone());
             self.written.insert(key);
-            self.commit.keys.push(key);
+            self.commit.chunk_keys.push(key);
             let entry = LogEntry { page, content };
             self.commit.entries.push(CommittedEntry { key, entry });
         }
--- a/crates/controller/src/placement_log/mod.rs
+++ b/crates/controller/src/placement_log/mod.rs
@@ -76,7 +76,7 @@
     /// The page that the next commit writes first.
     cursor: usize,
     commit_number: u64,
-    unreadable: Vec<String>,
+    unreadable_pages: Vec<String>,
 }
 
 impl PlacementLog {
@@ -100,7 +100,7 @@
             entries: BTreeMap::new(),
             cursor: 0,
             commit_number: 0,
-            unreadable: Vec::new(),
+            unreadable_pages: Vec::new(),
         };
         for item in items {
             let Some(number) = page_number(&item.key) else {
@@ -110,7 +110,7 @@
                 Ok(page) => log.add_page(number, Version(item.version), page),
                 Err(error) => {
                     tracing::error!(key = %item.key, %error, "placement log page unreadable");
-                    log.unreadable.push(item.key.clone());
+                    log.unreadable_pages.push(item.key.clone());
                 }
             }
         }
@@ -162,8 +162,8 @@
     }
 
     /// Keys of pages that could not be read: their entries are not known.
-    pub fn unreadable(&self) -> &[String] {
-        &self.unreadable
+    pub fn unreadable_pages(&self) -> &[String] {
+        &self.unreadable_pages
     }
 
     /// The chunks of a job, with their numbers.
@@ -241,7 +241,7 @@
     }
 
     /// The commit is durable at this revision.
-    pub fn commit(&mut self, commit: &LogCommit, revision: u64) {
+    pub fn confirm_commit(&mut self, commit: &LogCommit, revision: u64) {
         for written in &commit.pages {
             let page = self.page_mut(written.page);
             page.version = Version(revision);
@@ -262,7 +262,7 @@
 
     /// Key of a page that the commit writes, and the identity by which the page read back shows
     /// whether the commit was applied.
-    pub fn proof(&self, commit: &LogCommit) -> Option<(String, CommitId)> {
+    pub fn verification_page(&self, commit: &LogCommit) -> Option<(String, CommitId)> {
         let written = commit.pages.first()?;
         let id = CommitId {
             number: written.commit_number,
@@ -272,7 +272,7 @@
     }
 
     /// Whether a page read back was written by this commit.
-    pub fn proves(value: &serde_json::Value, id: CommitId) -> bool {
+    pub fn is_page_of_commit(value: &serde_json::Value, id: CommitId) -> bool {
         StoredPage::deserialize(value).is_ok_and(|page| page.commit_id() == id)
     }
 }
--- a/crates/controller/src/records.rs
+++ b/crates/controller/src/records.rs
@@ -31,7 +31,7 @@
 const PAGE_OVERHEAD_BYTES: usize = 64;
 
 /// Bytes for entries on a page of packed records, under the state service's limit for a value.
-pub fn page_capacity(value_bytes: usize) -> usize {
+pub fn page_capacity_bytes(value_bytes: usize) -> usize {
     value_bytes
         .min(MAX_PAGE_BYTES)
         .saturating_sub(PAGE_OVERHEAD_BYTES)
--- a/crates/controller/src/records/keys.rs
+++ b/crates/controller/src/records/keys.rs
@@ -11,7 +11,7 @@
 /// Key of the machine types, as a fleet planner last read them from the cloud.
 pub const MACHINE_TYPES_KEY: &str = "s/k";
 /// Key of the operators' settings.
-pub const SETTINGS_KEY: &str = "s/c";
+pub const TUNING_KEY: &str = "s/c";
 
 /// Key of a page of accepted jobs. Only the controller named writes it.
 pub fn accepted_jobs_key(controller: &ControllerName, page: u32) -> String {
--- a/crates/controller/src/records/tests.rs
+++ b/crates/controller/src/records/tests.rs
@@ -8,7 +8,7 @@
 /// stay writable under the widest token.
 #[test]
 fn full_machines_page_stays_within_capacity_under_widest_token() {
-    let capacity = page_capacity(4096);
+    let capacity = page_capacity_bytes(4096);
     let record = |token, partition| MachineRecord {
         machine_type: "m4".into(),
         zone: "north".into(),
--- a/crates/controller/src/state_cache/apply.rs
+++ b/crates/controller/src/state_cache/apply.rs
@@ -75,14 +75,14 @@
             return;
         }
         let known = self
-            .counter
+            .token_counter
             .as_ref()
             .map_or(0, |counter| counter.record.next);
         if record.next < known {
             self.reject(key, &"tokens were given out beyond it");
             record.next = known;
         }
-        self.counter = Some(Versioned { record, version });
+        self.token_counter = Some(Versioned { record, version });
     }
 
     /// Applies a record by the kind in its key.
@@ -128,7 +128,7 @@
             "d" => {
                 let read = self.decode_numbered(key, partition(name), value);
                 if let Some((partition, record)) = read {
-                    self.demands.insert(partition, version);
+                    self.demand_versions.insert(partition, version);
                     changed.push(CacheEvent::Demand(partition, record));
                 }
             }
@@ -152,8 +152,8 @@
                 let Some(record) = self.decode(key, value) else {
                     return;
                 };
-                self.types = Some(Versioned { record, version });
-                changed.push(CacheEvent::Types);
+                self.machine_types = Some(Versioned { record, version });
+                changed.push(CacheEvent::MachineTypes);
             }
             "c" => {
                 self.tuning = Some(Versioned {
@@ -222,7 +222,7 @@
 
     /// Keeps the token counter at least as high as it was before a full read.
     fn keep_tokens_rising(&mut self, before: Option<Versioned<TokenCounterRecord>>) {
-        let (Some(counter), Some(before)) = (&mut self.counter, before) else {
+        let (Some(counter), Some(before)) = (&mut self.token_counter, before) else {
             return;
         };
         counter.record.next = counter.record.next.max(before.record.next);
@@ -237,7 +237,7 @@
         for item in items {
             self.put(&item.key, &item.value, item.version, &mut list);
         }
-        self.keep_tokens_rising(old.counter);
+        self.keep_tokens_rising(old.token_counter);
         let gone = |kept: bool, change: CacheEvent| (!kept).then_some(change);
         list.extend(
             old.partitions.keys().filter_map(|id| {
--- a/crates/controller/src/state_cache/mod.rs
+++ b/crates/controller/src/state_cache/mod.rs
@@ -25,13 +25,13 @@
 pub struct OpenJob {
     pub packed: Arc<PackedJob>,
     /// Bytes that it takes on its page.
-    pub size: usize,
+    pub packed_bytes: usize,
     pub spec: Arc<JobSpec>,
 }
 
 impl OpenJob {
     /// Time of submission (ms) by the controllers' logical clock.
-    pub fn order(&self) -> u64 {
+    pub fn submitted_at_ms(&self) -> u64 {
         self.packed.submitted_at_ms
     }
 }
@@ -49,7 +49,7 @@
     pub record: MachineRecord,
     pub page: u32,
     /// Upper bound of the bytes that it may take there.
-    pub size: usize,
+    pub max_bytes: usize,
 }
 
 /// A page of machines' records.
@@ -57,7 +57,7 @@
 pub struct MachinePage {
     pub names: BTreeSet<MachineName>,
     /// Upper bound of the bytes that its machines may take.
-    pub filled: usize,
+    pub max_bytes: usize,
 }
 
 /// A change of the cache, for the components that act on it.
@@ -72,7 +72,7 @@
     Demand(PartitionId, DemandRecord),
     Machine(MachineName),
     Incarnation(ControllerName),
-    Types,
+    MachineTypes,
     Tuning,
 }
 
@@ -99,12 +99,12 @@
     pub partitions: BTreeMap<PartitionId, Versioned<PartitionRecord>>,
     pub reclaim_requests: BTreeMap<PartitionId, Versioned<ReclaimRecord>>,
     /// Versions of the demand records that leaders have written.
-    pub demands: BTreeMap<PartitionId, Version>,
+    pub demand_versions: BTreeMap<PartitionId, Version>,
     pub machines: BTreeMap<MachineName, CachedMachine>,
     pub machine_pages: BTreeMap<u32, Versioned<MachinePage>>,
     pub incarnations: BTreeMap<ControllerName, Versioned<IncarnationRecord>>,
-    pub counter: Option<Versioned<TokenCounterRecord>>,
-    pub types: Option<Versioned<MachineTypes>>,
+    pub token_counter: Option<Versioned<TokenCounterRecord>>,
+    pub machine_types: Option<Versioned<MachineTypes>>,
     pub tuning: Option<Versioned<Value>>,
     /// All changes up to here have been applied.
     pub revision: Revision,
@@ -114,13 +114,15 @@
 
 impl StateCache {
     /// Version of the token counter, 0 if there is none.
-    pub fn counter_version(&self) -> u64 {
-        self.counter.as_ref().map_or(0, |counter| counter.version.0)
+    pub fn token_counter_version(&self) -> u64 {
+        self.token_counter
+            .as_ref()
+            .map_or(0, |counter| counter.version.0)
     }
 
     /// The next fencing token.
     pub fn next_token(&self) -> u64 {
-        self.counter
+        self.token_counter
             .as_ref()
             .map_or(1, |counter| counter.record.next)
     }
@@ -156,7 +158,10 @@
     /// Bytes of the entries that a page of accepted jobs keeps when it is written again.
     pub fn kept_bytes(&self, page_key: &str) -> usize {
         let unreadable = self.unreadable_jobs.get(page_key).into_iter().flatten();
-        let open_bytes: usize = self.open_jobs_on(page_key).map(|job| job.size).sum();
+        let open_bytes: usize = self
+            .open_jobs_on(page_key)
+            .map(|job| job.packed_bytes)
+            .sum();
         open_bytes + unreadable.map(packed_size).sum::<usize>()
     }
 
--- a/crates/controller/src/state_cache/pages.rs
+++ b/crates/controller/src/state_cache/pages.rs
@@ -67,7 +67,7 @@
         let size = packed_size(&packed);
         Some(OpenJob {
             packed: Arc::new(packed),
-            size,
+            packed_bytes: size,
             spec: Arc::new(spec),
         })
     }
@@ -124,17 +124,23 @@
             let name = MachineName::from(packed.name.as_str());
             let record = packed.record;
             let size = match self.machines.get(&name) {
-                Some(known) if known.record == record && known.page == page => known.size,
+                Some(known) if known.record == record && known.page == page => known.max_bytes,
                 _ => {
                     let size = PackedMachine::max_packed_size(&name, &record);
-                    self.machines
-                        .insert(name.clone(), CachedMachine { record, page, size });
+                    self.machines.insert(
+                        name.clone(),
+                        CachedMachine {
+                            record,
+                            page,
+                            max_bytes: size,
+                        },
+                    );
                     changed.push(CacheEvent::Machine(name.clone()));
                     size
                 }
             };
             if new.names.insert(name) {
-                new.filled += size;
+                new.max_bytes += size;
             }
         }
         let old = self.machine_pages.get(&page).map(|old| &old.record.names);
--- a/crates/controller/tests/foreign_records.rs
+++ b/crates/controller/tests/foreign_records.rs
@@ -80,7 +80,7 @@
     }
     assert_eq!(cache.take_rejected(), count);
     assert_eq!(cache.next_token(), 41);
-    assert!(cache.types.is_some());
+    assert!(cache.machine_types.is_some());
     let partitions: Vec<_> = cache.partitions.keys().copied().collect();
     assert_eq!(partitions, [PartitionId(0)]);
     assert_eq!(
@@ -102,7 +102,7 @@
     let mut cache = StateCache::default();
     apply(&mut cache, "s/t", json!({ "next": 41 }));
     apply(&mut cache, "s/t", json!({ "next": 7 }));
-    assert_eq!((cache.next_token(), cache.counter_version()), (41, 2));
+    assert_eq!((cache.next_token(), cache.token_counter_version()), (41, 2));
     assert_eq!(cache.take_rejected(), 1);
     let counter = TokenCounterRecord {
         next: 9,
@@ -118,7 +118,7 @@
         }],
         6,
     );
-    assert_eq!((cache.next_token(), cache.counter_version()), (41, 5));
+    assert_eq!((cache.next_token(), cache.token_counter_version()), (41, 5));
 }
 
 #[test]
@@ -180,11 +180,11 @@
     for page in pages {
         let items = [log_page("l/0/0002", page.clone())];
         let log = PlacementLog::load(PartitionId(0), &items, 4096, 8);
-        assert_eq!(log.unreadable(), ["l/0/0002"], "{page}");
+        assert_eq!(log.unreadable_pages(), ["l/0/0002"], "{page}");
     }
     let valid = json!({ "round": 1, "items": [[412, 1562, { "d": "ffff", "p": [[63, 1, "h"]] }]] });
     let log = PlacementLog::load(PartitionId(0), &[log_page("l/0/0002", valid)], 4096, 8);
-    assert!(log.unreadable().is_empty());
+    assert!(log.unreadable_pages().is_empty());
     assert_eq!(log.jobs(), [JobId(412)]);
 }
 
@@ -239,7 +239,7 @@
         let tokens = cache.next_token();
         let revision = cache.revision.0;
         cache.replace(&items, revision);
-        prop_assert!(cache.next_token() >= tokens || cache.counter.is_none());
+        prop_assert!(cache.next_token() >= tokens || cache.token_counter.is_none());
     }
 
     #[test]
@@ -254,6 +254,6 @@
         }
         let (commit, _) = log.prepare(Version(3), Vec::new());
         let mut after = log;
-        after.commit(&commit, 9);
+        after.confirm_commit(&commit, 9);
     }
 }
--- a/crates/controller/tests/golden_records.rs
+++ b/crates/controller/tests/golden_records.rs
@@ -10,7 +10,7 @@
     machines_key, partition_key, reclaim_key, terminal_jobs_key, AcceptedJobsPage,
     CancellationsRecord, ControllerIncarnation, DemandRecord, FinalStateRecord, IncarnationRecord,
     MachineRecord, MachinesPage, PackedJob, PackedMachine, PartitionRecord, ReclaimRecord,
-    TerminalJobsPage, TokenCounterRecord, MACHINE_TYPES_KEY, SETTINGS_KEY, TOKEN_COUNTER_KEY,
+    TerminalJobsPage, TokenCounterRecord, MACHINE_TYPES_KEY, TOKEN_COUNTER_KEY, TUNING_KEY,
     WATCHED_PREFIX,
 };
 use golden::{record, Entry};
@@ -324,7 +324,7 @@
         Entry::text("watched", WATCHED_PREFIX),
         Entry::text("counter", TOKEN_COUNTER_KEY),
         Entry::text("types", MACHINE_TYPES_KEY),
-        Entry::text("settings", SETTINGS_KEY),
+        Entry::text("settings", TUNING_KEY),
         Entry::text("accepted_jobs", accepted_jobs_key(&node("n0"), 7)),
         Entry::text("accepted_jobs_wide", accepted_jobs_key(&node("n0"), 12_345)),
         Entry::text("cancellations", cancellations_key(&node("n0"))),
@@ -435,7 +435,7 @@
     let log = PlacementLog::load(PartitionId(2), &[], 4_096, 6);
     let (commit, remaining) = log.prepare(Version(10), chunks());
     assert!(remaining.is_empty(), "{remaining:?}");
-    let (key, _) = log.proof(&commit).expect("a page");
+    let (key, _) = log.verification_page(&commit).expect("a page");
     let entries = [
         Entry::text("l/2/0000", golden::to_json(&written_pages(&commit)[0].1)),
         Entry::text("transaction", golden::to_json(&commit.txn)),
@@ -447,7 +447,7 @@
 #[test]
 fn stored_placement_log_pages_are_read_and_rewritten() {
     let mut log = stored_log(4_096);
-    assert!(log.unreadable().is_empty());
+    assert!(log.unreadable_pages().is_empty());
     for (key, body) in chunks() {
         assert!(
             log.chunks_of(key.job).contains(&(key.chunk, body)),
@@ -457,7 +457,7 @@
     // Empty commits write the other three pages in turn, so that the next one rewrites this page.
     for _ in 0..3 {
         let (commit, _) = log.prepare(Version(10), Vec::new());
-        log.commit(&commit, 11);
+        log.confirm_commit(&commit, 11);
     }
     let entries = [Entry::text("l/2/0000", rewritten(&log))];
     golden::check("ledger_rewritten.txt", &entries);
--- a/crates/controller/tests/placement_log.rs
+++ b/crates/controller/tests/placement_log.rs
@@ -27,7 +27,7 @@
     let log = || PlacementLog::load(PartitionId(1), &[], 4_096, 6);
     let (own, _) = log().prepare(Version(10), changes());
     let (successors, _) = log().prepare(Version(12), changes());
-    let (proof_key, id) = log().proof(&own).expect("it writes a page");
+    let (proof_key, id) = log().verification_page(&own).expect("it writes a page");
     let (own_key, own_page) = written_page(&own);
     let (successors_key, successors_page) = written_page(&successors);
     assert_eq!(own_key, proof_key);
@@ -36,6 +36,6 @@
         own_page["round"], successors_page["round"],
         "the same number"
     );
-    assert!(PlacementLog::proves(&own_page, id));
-    assert!(!PlacementLog::proves(&successors_page, id));
+    assert!(PlacementLog::is_page_of_commit(&own_page, id));
+    assert!(!PlacementLog::is_page_of_commit(&successors_page, id));
 }
--- a/crates/simulator/tests/golden_admin.rs
+++ b/crates/simulator/tests/golden_admin.rs
@@ -4,7 +4,7 @@
 #[path = "../../wire/tests/golden/mod.rs"]
 mod golden;
 
-use controller::records::SETTINGS_KEY;
+use controller::records::TUNING_KEY;
 use controller::{AdminRequest, Controller, Effect, Event};
 use golden::Entry;
 use model::{CallId, ControllerName, Timestamp};
@@ -229,7 +229,7 @@
             } => txn
                 .writes
                 .iter()
-                .any(|write| write.key() == SETTINGS_KEY)
+                .any(|write| write.key() == TUNING_KEY)
                 .then_some((call, txn)),
             _ => None,
         });
