--- a/crates/controller/src/controller/heartbeats.rs
+++ b/crates/controller/src/controller/heartbeats.rs
@@ -156,7 +156,7 @@
                 let Some(target) = partition_state.direct_call_target(&name) else {
                     continue;
                 };
-                let commands = partition_state.commands_for(&name, CommandRoute::Direct, now);
+                let commands = partition_state.commands_for(&name, CommandRoute::DirectCall, now);
                 if !commands.is_empty() {
                     calls.push((name, target, commands));
                 }
--- a/crates/controller/src/controller/leadership/commits.rs
+++ b/crates/controller/src/controller/leadership/commits.rs
@@ -26,10 +26,10 @@
         version: Version,
         since_last_commit: Duration,
     ) -> Option<Transaction> {
-        if self.pending_commit.is_some() || !self.partition_state.has_dirty() {
+        if self.pending_commit.is_some() || !self.partition_state.has_dirty_chunks() {
             return None;
         }
-        let interval = if self.partition_state.has_unrecorded() {
+        let interval = if self.partition_state.has_uncommitted_placements() {
             PLACEMENT_COMMIT_INTERVAL
         } else {
             OUTCOME_COMMIT_INTERVAL
@@ -37,13 +37,13 @@
         if since_last_commit < interval {
             return None;
         }
-        let changes = self.partition_state.take_dirty();
+        let changes = self.partition_state.take_dirty_chunks();
         if changes.is_empty() {
             return None;
         }
         let (commit, left) = self.log.prepare(version, changes);
-        self.partition_state.restore_dirty(left);
-        let changes = self.partition_state.changes_in(&commit.chunk_keys);
+        self.partition_state.mark_chunks_dirty(left);
+        let changes = self.partition_state.changes_in_chunks(&commit.chunk_keys);
         let txn = commit.txn.clone();
         self.pending_commit = Some(PendingCommit { commit, changes });
         Some(txn)
@@ -53,7 +53,7 @@
     fn confirm_commit(&mut self, revision: u64) {
         if let Some(pending) = self.pending_commit.take() {
             self.log.confirm_commit(&pending.commit, revision);
-            self.partition_state.confirm(&pending.changes);
+            self.partition_state.confirm_commit(&pending.changes);
         }
     }
 }
--- a/crates/controller/src/controller/leadership/mod.rs
+++ b/crates/controller/src/controller/leadership/mod.rs
@@ -331,7 +331,7 @@
         if !newer {
             return HeartbeatOutcome::Stale(kill_commands());
         }
-        let mut commands = partition_state.commands_for(name, CommandRoute::Answer, now);
+        let mut commands = partition_state.commands_for(name, CommandRoute::HeartbeatResponse, now);
         if !launches {
             commands.retain(|command| !matches!(command, Command::Start { .. }));
         }
@@ -344,8 +344,8 @@
         if loaded.more_cycles {
             return Some(now + NEXT_CYCLE_DELAY);
         }
-        let flush = loaded.partition_state.queue.next_flush();
-        let commit = (loaded.pending_commit.is_none() && loaded.partition_state.has_dirty())
+        let flush = loaded.partition_state.queue.next_flush_at();
+        let commit = (loaded.pending_commit.is_none() && loaded.partition_state.has_dirty_chunks())
             .then(|| self.committed_at + PLACEMENT_COMMIT_INTERVAL);
         [flush, commit].into_iter().flatten().min()
     }
--- a/crates/controller/src/placement_log/stored.rs
+++ b/crates/controller/src/placement_log/stored.rs
@@ -3,7 +3,7 @@
 use super::CommitId;
 use model::job::MAX_TASKS;
 use model::{JobId, Version};
-use scheduler::{ChunkKey, TaskChunk, CHUNK};
+use scheduler::{ChunkKey, TaskChunk, TASKS_PER_CHUNK};
 use serde::{Deserialize, Serialize};
 
 /// Highest number of a page: far more than a partition fills.
@@ -11,7 +11,7 @@
 /// Commit numbers at or above this are never reached, and would leave no room to count on.
 const MAX_COMMIT_NUMBER: u64 = 1 << 62;
 /// Chunks that the largest job has.
-const MAX_CHUNKS: u32 = (MAX_TASKS as u32).div_ceil(CHUNK);
+const MAX_CHUNKS: u32 = (MAX_TASKS as u32).div_ceil(TASKS_PER_CHUNK);
 /// An entry as it is stored: a JSON array of the job, the number of the chunk, and the chunk.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(from = "(u64, u32, TaskChunk)", into = "(u64, u32, TaskChunk)")]
@@ -46,7 +46,7 @@
     }
 
     fn is_sound(&self) -> bool {
-        self.chunk_number < MAX_CHUNKS && self.chunk.is_sound()
+        self.chunk_number < MAX_CHUNKS && self.chunk.is_valid()
     }
 }
 
--- a/crates/scheduler/src/best_effort_eviction.rs
+++ b/crates/scheduler/src/best_effort_eviction.rs
@@ -86,7 +86,7 @@
     fn has_spare_capacity_for(&self, task: TaskId, job: &Job, now: Timestamp) -> bool {
         let search = MachineSearch::new(self, EntryKey::Task(task), job, now);
         self.capacity_index
-            .with_capacity(&job.spec)
+            .machines_with_capacity(&job.spec)
             .filter_map(|name| self.machines.get(name))
             .any(|machine| machine.spot && search.is_suitable(machine))
     }
--- a/crates/scheduler/src/best_effort_waits.rs
+++ b/crates/scheduler/src/best_effort_waits.rs
@@ -57,9 +57,9 @@
             }
             let team = teams.entry(job.spec.team.clone()).or_default();
             team.placed += job.placed.len();
-            if !job.cancelled && job.waiting() > 0 {
+            if !job.cancelled && job.waiting_count() > 0 {
                 let waiting = WaitingJob {
-                    submission_order: job.order,
+                    submission_order: job.submitted_at_ms,
                     job: job.spec.id,
                 };
                 team.first_waiting = earlier(team.first_waiting, waiting);
@@ -86,14 +86,14 @@
             if !job.spec.is_best_effort() {
                 continue;
             }
-            let before = job.places_anywhere;
-            job.places_anywhere = if thin_teams_jobs.contains(id) {
+            let before = job.max_tasks_anywhere;
+            job.max_tasks_anywhere = if thin_teams_jobs.contains(id) {
                 MIN_TEAM_TASKS
             } else {
                 usize::from(job.has_waited(SPARE_CAPACITY_WAIT, logical_time_ms, now))
             };
             job.starved = thin_teams_jobs.contains(id) || starved_jobs.contains(id);
-            any_admitted |= job.places_anywhere > before;
+            any_admitted |= job.max_tasks_anywhere > before;
         }
         if any_admitted {
             self.queue.move_all(now);
@@ -151,16 +151,16 @@
 impl Job {
     /// Whether it may place one more task on any machine, as it has waited for long.
     pub(crate) fn may_be_placed_anywhere(&self) -> bool {
-        self.placed.len() < self.places_anywhere
+        self.placed.len() < self.max_tasks_anywhere
     }
 
     /// Whether none of its tasks has been placed for this long, across failovers.
     fn has_waited(&self, duration: Duration, logical_time_ms: u64, now: Timestamp) -> bool {
         let waited_ms = logical_time_ms.saturating_sub(self.unplaced_since_ms);
         self.placed.is_empty()
-            && self.waiting() > 0
+            && self.waiting_count() > 0
             && waited_ms >= duration.whole_millis()
-            && now.duration_since(self.seen_at) >= NEW_LEADER_WAIT
+            && now.duration_since(self.added_at) >= NEW_LEADER_WAIT
     }
 }
 
--- a/crates/scheduler/src/capacity_index.rs
+++ b/crates/scheduler/src/capacity_index.rs
@@ -22,7 +22,7 @@
 
 /// Machines of one type in one zone, all spot or all on-demand.
 #[derive(Debug, Clone, PartialEq, Eq)]
-struct Class {
+struct MachineClass {
     machine_type: String,
     zone: ZoneName,
     spot: bool,
@@ -35,7 +35,7 @@
 #[derive(Debug, Default)]
 pub(crate) struct CapacityIndex {
     /// All classes seen so far; the index into this list is [`CapacityKey::class`].
-    classes: Vec<Class>,
+    classes: Vec<MachineClass>,
     all: FreeCapacityMap,
     by_image: HashMap<Arc<str>, FreeCapacityMap>,
 }
@@ -72,7 +72,7 @@
                 && class.machine_type == machine.machine_type
         });
         known.unwrap_or_else(|| {
-            self.classes.push(Class {
+            self.classes.push(MachineClass {
                 machine_type: machine.machine_type.clone(),
                 zone: machine.zone.clone(),
                 spot: machine.spot,
@@ -82,7 +82,7 @@
     }
 
     /// Adds a machine, or updates its free capacity if it is in the index.
-    pub(crate) fn enter(&mut self, machine: &mut Machine) {
+    pub(crate) fn add_or_update(&mut self, machine: &mut Machine) {
         if machine.capacity_key.is_some() {
             self.update(machine);
             return;
@@ -174,7 +174,7 @@
     }
 
     /// Machines on which a job may run and whose free CPUs and GPUs suffice for one of its tasks.
-    pub(crate) fn with_capacity<'a>(
+    pub(crate) fn machines_with_capacity<'a>(
         &'a self,
         spec: &'a JobSpec,
     ) -> impl Iterator<Item = &'a MachineName> {
@@ -185,7 +185,7 @@
     /// The best machine for a task: of each level the first machine that is suitable, and of those the one
     /// with the least score and name. Machines without the task's image are considered only if no machine
     /// with it is suitable, and not at all if `with_image_only` is set.
-    pub(crate) fn best<'a, S: Ord>(
+    pub(crate) fn best_machine<'a, S: Ord>(
         &self,
         spec: &JobSpec,
         with_image_only: bool,
@@ -228,7 +228,7 @@
 }
 
 impl<'a> Levels<'a> {
-    fn new(machines: &'a FreeCapacityMap, classes: &[Class], spec: &JobSpec) -> Self {
+    fn new(machines: &'a FreeCapacityMap, classes: &[MachineClass], spec: &JobSpec) -> Self {
         let allowed = classes
             .iter()
             .map(|class| spec.allows(&class.machine_type, &class.zone, class.spot));
--- a/crates/scheduler/src/capacity_index/tests.rs
+++ b/crates/scheduler/src/capacity_index/tests.rs
@@ -95,14 +95,14 @@
                 }
                 (0 | 1, _) => {
                     let mut new = machine(step, &mut rng);
-                    index.enter(&mut new);
+                    index.add_or_update(&mut new);
                     machines.insert(new.name.clone(), new);
                 }
                 (2, Some(name)) => {
                     let on = machines.get_mut(&name).expect("it is there");
                     match on.capacity_key {
                         Some(_) => index.remove(on),
-                        None => index.enter(on),
+                        None => index.add_or_update(on),
                     }
                 }
                 (3, _) if !held.is_empty() => {
@@ -133,7 +133,7 @@
                 .filter(|m| m.capacity_key.is_some() && fit(m))
                 .filter(|m| job.spec.allows(&m.machine_type, &m.zone, m.spot))
                 .min_by_key(|m| score(&job, m));
-            let best = index.best(
+            let best = index.best_machine(
                 &job.spec,
                 false,
                 |n| machines.get(n),
--- a/crates/scheduler/src/colocation.rs
+++ b/crates/scheduler/src/colocation.rs
@@ -20,11 +20,11 @@
 
 /// Whether tasks of a job run on a machine only next to GPU work.
 pub(crate) fn is_colocated(machine: &Machine, job: &Job) -> bool {
-    job.only_beside && machine.capacity.milli_gpus > 0
+    job.colocated_only && machine.capacity.milli_gpus > 0
 }
 
 /// How many tasks of a job fit into resources on a machine, if free GPUs keep their part of these.
-pub(crate) fn colocation_capacity(job: &Job, machine: &Machine, free: Resources) -> u64 {
+pub(crate) fn tasks_that_fit(job: &Job, machine: &Machine, free: Resources) -> u64 {
     if !is_colocated(machine, job) {
         return free.how_many_fit(&job.spec.needs);
     }
@@ -81,5 +81,5 @@
     };
     let ran_ms = now.duration_since(placement.placed_at).whole_millis();
     let left_ms = job.spec.estimate.whole_millis().saturating_sub(ran_ms);
-    job.only_beside && placement.stop.is_none() && Duration::from_millis(left_ms) > NEAR_END
+    job.colocated_only && placement.stop.is_none() && Duration::from_millis(left_ms) > NEAR_END
 }
--- a/crates/scheduler/src/commands.rs
+++ b/crates/scheduler/src/commands.rs
@@ -10,9 +10,9 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CommandRoute {
     /// In the reply to a heartbeat: they arrive with that reply or never.
-    Answer,
+    HeartbeatResponse,
     /// By a direct call: they may arrive late.
-    Direct,
+    DirectCall,
 }
 
 /// Where a direct call to a machine goes, and what the worker accepts it under.
@@ -74,7 +74,7 @@
                 grace_s: 0.0,
             });
         }
-        let may_forget = !self.unrecorded.is_undurable(&orphan.id)
+        let may_forget = !self.uncommitted.has_outcome(&orphan.id)
             && machine.lost_launch_bound.is_none()
             && machine.may_forget(orphan)
             // A worker that has forgotten the attempt would start it when the launch in a late
@@ -111,7 +111,7 @@
         let first_or_repeated = || placement.launch.is_launched() || may_begin();
         // A direct launch that has not been answered is not repeated by another direct call.
         let is_pending =
-            route == CommandRoute::Direct && placement.launch.unconfirmed_direct().is_some();
+            route == CommandRoute::DirectCall && placement.launch.unconfirmed_direct().is_some();
         is_wanted && machine_accepts && first_or_repeated() && !is_pending
     }
 
@@ -123,8 +123,8 @@
     ) -> Option<TaskAttempt> {
         let placement = self.placement_mut(task)?;
         match route {
-            CommandRoute::Direct => placement.launch.record_direct_launch(launch),
-            CommandRoute::Answer => placement.launch.record_response_launch(),
+            CommandRoute::DirectCall => placement.launch.record_direct_launch(launch),
+            CommandRoute::HeartbeatResponse => placement.launch.record_response_launch(),
         }
         Some(TaskAttempt {
             task,
@@ -177,14 +177,14 @@
         now: Timestamp,
     ) {
         match route {
-            CommandRoute::Direct => {
+            CommandRoute::DirectCall => {
                 if !launches.is_empty() {
                     self.last_direct_call_at = now;
                 }
                 let sent = launches.iter().map(|launched| (*launched, launch));
                 self.direct_launches.extend(sent);
             }
-            CommandRoute::Answer => self.response_launches = launches.to_vec(),
+            CommandRoute::HeartbeatResponse => self.response_launches = launches.to_vec(),
         }
     }
 }
--- a/crates/scheduler/src/consolidation.rs
+++ b/crates/scheduler/src/consolidation.rs
@@ -53,7 +53,7 @@
 impl PartitionState {
     /// Starts to empty one machine if its replicas have better places.
     pub fn consolidate(&mut self, now: Timestamp) {
-        if !self.policy.move_replicas
+        if !self.policy.consolidate_replicas
             || !self.update_inventory_known(now)
             || now.duration_since(self.consolidated_at) < MOVE_INTERVAL
             || self.queue.has_active()
--- a/crates/scheduler/src/cycle.rs
+++ b/crates/scheduler/src/cycle.rs
@@ -34,11 +34,11 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum PlacementFailure {
     /// The team's limit is reached.
-    Quota,
+    LimitReached,
     /// No usable machine has the free capacity.
-    Room,
+    NoFreeCapacity,
     /// There is free capacity, but machines that have the image will have some before it could be fetched.
-    Image,
+    WaitForCachedImage,
 }
 
 /// What the cycles of one run have found out about jobs. Tasks of a job are alike: where one was not
@@ -72,9 +72,9 @@
             };
             match self.try_entry(entry, &failed_jobs, now) {
                 Ok(()) => {
-                    self.queue.scheduled(entry);
+                    self.queue.record_placed(entry);
                     self.cancel_reservation(&entry);
-                    self.enqueue(entry.job());
+                    self.enqueue_job(entry.job());
                 }
                 Err(failure) => {
                     self.handle_failure(entry, failure, preempt, &mut failed_jobs, now);
@@ -115,15 +115,15 @@
         if failed_jobs.unplaced.insert(job, failure).is_none() {
             tracing::debug!(%job, reason = ?failure, "placement failed");
         }
-        if failure == PlacementFailure::Room {
+        if failure == PlacementFailure::NoFreeCapacity {
             self.record_unplaced(job, now);
         }
-        let may_help = failure != PlacementFailure::Image
+        let may_help = failure != PlacementFailure::WaitForCachedImage
             && !failed_jobs.not_helped_by_preemption.contains(&job);
         if preempt && may_help && !self.preempt_for(entry, failure, now) {
             failed_jobs.not_helped_by_preemption.insert(job);
         }
-        self.queue.failed(entry, now);
+        self.queue.record_failure(entry, now);
     }
 
     /// Removes machines that are not usable at present from the capacity index, and adds those that are
@@ -136,7 +136,7 @@
         let heartbeat_grace = self.heartbeat_timeout();
         for machine in self.machines.values_mut() {
             match (machine.usable(now, heartbeat_grace), machine.capacity_key) {
-                (true, None) => self.capacity_index.enter(machine),
+                (true, None) => self.capacity_index.add_or_update(machine),
                 (false, Some(_)) => self.capacity_index.remove(machine),
                 _ => {}
             }
@@ -152,14 +152,14 @@
         }
         let entry = EntryKey::Task(task);
         if !self.fits_limit(entry, job, 1) {
-            return Err(PlacementFailure::Quota);
+            return Err(PlacementFailure::LimitReached);
         }
         let has_reservation = self.reserved_machine(entry, job, now).is_some();
         let machine = match self.best_machine(entry, job, now) {
             Ok(machine) => machine,
             Err(rejection) => {
                 self.rejections.add(rejection);
-                return Err(PlacementFailure::Room);
+                return Err(PlacementFailure::NoFreeCapacity);
             }
         };
         let fetch_time = fetch_time(job, machine);
@@ -168,17 +168,22 @@
             && job.spec.kind == JobKind::Array
             && self.frees_up_sooner(job, fetch_time, now)
         {
-            return Err(PlacementFailure::Image);
+            return Err(PlacementFailure::WaitForCachedImage);
         }
         let may_preempt =
             self.policy.preempt && self.inventory_known && self.preemption_scope(job).is_some();
         if fetch_time >= MIN_FETCH_TIME_SAVED && !has_reservation && may_preempt {
             let max_cost_ms = Some(fetch_time.whole_millis());
-            let plan =
-                self.cheapest_preemption(entry, job, PlacementFailure::Room, max_cost_ms, now);
+            let plan = self.cheapest_preemption(
+                entry,
+                job,
+                PlacementFailure::NoFreeCapacity,
+                max_cost_ms,
+                now,
+            );
             if let Some(plan) = plan {
-                self.execute_preemption(entry, plan, PlacementFailure::Room, now);
-                return Err(PlacementFailure::Room);
+                self.execute_preemption(entry, plan, PlacementFailure::NoFreeCapacity, now);
+                return Err(PlacementFailure::NoFreeCapacity);
             }
         }
         let attempt = self.new_attempt();
@@ -204,7 +209,7 @@
         let reserved = self.reserved_machine(entry, job, now);
         let search = MachineSearch::new(self, entry, job, now);
         let with_image_only = reserved.is_some();
-        let best = self.capacity_index.best(
+        let best = self.capacity_index.best_machine(
             &job.spec,
             with_image_only,
             |name| self.machines.get(name),
@@ -227,7 +232,7 @@
             }
         }
         let estimate_ms = job.spec.estimate.whole_millis().max(MIN_ESTIMATE_MS);
-        job.waiting() * estimate_ms * ESTIMATE_SAFETY_FACTOR
+        job.waiting_count() * estimate_ms * ESTIMATE_SAFETY_FACTOR
             < ending_tasks * fetch_time.whole_millis()
     }
 
@@ -266,11 +271,11 @@
     if machine.has_image(&job.spec.image) {
         return Duration::ZERO;
     }
-    image_fetch_time(job, machine)
+    uncached_fetch_time(job, machine)
 }
 
 /// How long the machine takes to fetch the job's image if it lacks it.
-pub(crate) fn image_fetch_time(job: &Job, machine: &Machine) -> Duration {
+pub(crate) fn uncached_fetch_time(job: &Job, machine: &Machine) -> Duration {
     let seconds = job.spec.image_gb / machine.fetch_gb_per_s.max(MIN_FETCH_GB_PER_S);
     Duration::from_millis((seconds * 1000.0) as u64)
 }
--- a/crates/scheduler/src/demand.rs
+++ b/crates/scheduler/src/demand.rs
@@ -56,7 +56,7 @@
             };
             let key = WaitingJob {
                 best_effort: job.is_best_effort(),
-                submission_order: job.order,
+                submission_order: job.submitted_at_ms,
                 job: id,
             };
             *waiting.entry(key).or_default() += tasks;
@@ -64,9 +64,9 @@
         waiting
     }
 
-    /// What running array tasks free within [`Policy::absorb`](crate::Policy::absorb). A team at its limit
+    /// What running array tasks free within [`Policy::absorb_within`](crate::Policy::absorb_within). A team at its limit
     /// uses what its own tasks free itself.
-    pub(crate) fn turnover(&self) -> Resources {
+    pub(crate) fn soon_freed_resources(&self) -> Resources {
         let mut freed = Resources::default();
         for job in self.jobs.values() {
             if job.spec.kind != JobKind::Array || !self.fits_quota_now(job, 1) {
@@ -76,7 +76,7 @@
             let running = job.placed.len() as u64;
             let freed_of = |each: u64| {
                 let used = running * each;
-                (used * self.policy.absorb.whole_millis() / estimate_ms).min(used)
+                (used * self.policy.absorb_within.whole_millis() / estimate_ms).min(used)
             };
             freed += Resources {
                 milli_cpus: freed_of(job.spec.needs.milli_cpus),
--- a/crates/scheduler/src/demand_estimate.rs
+++ b/crates/scheduler/src/demand_estimate.rs
@@ -1,7 +1,7 @@
 //! The estimate of demand: free capacity is allotted to waiting jobs one after the other, and what is left of them
 //! is demand.
 
-use crate::colocation::colocation_capacity;
+use crate::colocation::tasks_that_fit;
 use crate::cycle::zone_allowed;
 use crate::job::Job;
 use crate::machine::Machine;
@@ -26,7 +26,7 @@
         } else {
             self.reclaimable
         };
-        colocation_capacity(job, self.machine, self.free + reclaimable)
+        tasks_that_fit(job, self.machine, self.free + reclaimable)
     }
 
     fn allocate(&mut self, resources: Resources) {
@@ -94,7 +94,7 @@
     now: Timestamp,
     free: Vec<FreeCapacity<'a>>,
     /// What running array tasks free soon.
-    turnover: Resources,
+    soon_freed: Resources,
     preemptible: PreemptibleUsage<'a>,
     /// What is left of each team's limit.
     quota_left: HashMap<TeamName, Resources>,
@@ -120,7 +120,7 @@
             partition,
             now,
             free,
-            turnover: partition.turnover(),
+            soon_freed: partition.soon_freed_resources(),
             preemptible: PreemptibleUsage::new(partition),
             quota_left: HashMap::new(),
             shapes: Vec::new(),
@@ -152,7 +152,7 @@
         let startable = within_quota + preempting;
         let placement = self.place_waiting_tasks(job, startable);
         let unplaced = startable - placement.placed;
-        let tasks = unplaced - self.allot_turnover(job, unplaced);
+        let tasks = unplaced - self.allot_soon_freed(job, unplaced);
         if tasks > 0 {
             self.add_shape(demand_shape(job, tasks, placement.zone, starved));
         }
@@ -179,13 +179,13 @@
     }
 
     /// How many array tasks fit into what running tasks free soon, which is reduced by them.
-    fn allot_turnover(&mut self, job: &Job, tasks: u64) -> u64 {
+    fn allot_soon_freed(&mut self, job: &Job, tasks: u64) -> u64 {
         if job.guaranteed || job.spec.kind != JobKind::Array {
             return 0;
         }
         let needs = quota_needs(job);
-        let absorbed = tasks.min(self.turnover.how_many_fit(&needs));
-        self.turnover -= needs.times(absorbed);
+        let absorbed = tasks.min(self.soon_freed.how_many_fit(&needs));
+        self.soon_freed -= needs.times(absorbed);
         absorbed
     }
 
--- a/crates/scheduler/src/durability.rs
+++ b/crates/scheduler/src/durability.rs
@@ -3,51 +3,51 @@
 use crate::partition_state::PartitionState;
 use crate::placement::TaskAttempt;
 use crate::progress::{ChunkKey, CommittedChanges};
-use crate::task_chunk::{TaskChunk, CHUNK};
+use crate::task_chunk::{TaskChunk, TASKS_PER_CHUNK};
 use model::TaskId;
 
 impl PartitionState {
     /// Whether progress is to be written.
-    pub fn has_dirty(&self) -> bool {
-        self.unrecorded.has_dirty()
+    pub fn has_dirty_chunks(&self) -> bool {
+        self.uncommitted.has_dirty_chunks()
     }
 
     /// Whether a placement is to be written, so that a launch depends on the next commit.
-    pub fn has_unrecorded(&self) -> bool {
-        self.unrecorded.has_placements()
+    pub fn has_uncommitted_placements(&self) -> bool {
+        self.uncommitted.has_placements()
     }
 
     /// The chunks that changed since the last call, with their progress.
-    pub fn take_dirty(&mut self) -> Vec<(ChunkKey, TaskChunk)> {
-        self.unrecorded
-            .take_dirty()
+    pub fn take_dirty_chunks(&mut self) -> Vec<(ChunkKey, TaskChunk)> {
+        self.uncommitted
+            .take_dirty_chunks()
             .into_iter()
             .filter_map(|key| Some((key, self.jobs.get(&key.job)?.chunk(key.chunk))))
             .collect()
     }
 
     /// Marks chunks dirty again that did not fit into the commit.
-    pub fn restore_dirty(&mut self, keys: impl IntoIterator<Item = ChunkKey>) {
-        self.unrecorded.restore_dirty(keys);
+    pub fn mark_chunks_dirty(&mut self, keys: impl IntoIterator<Item = ChunkKey>) {
+        self.uncommitted.mark_chunks_dirty(keys);
     }
 
     /// What a commit with these chunks would make durable.
-    pub fn changes_in(&self, keys: &[ChunkKey]) -> CommittedChanges {
+    pub fn changes_in_chunks(&self, keys: &[ChunkKey]) -> CommittedChanges {
         CommittedChanges {
             placements: keys
                 .iter()
-                .flat_map(|key| self.undurable_placements(*key))
+                .flat_map(|key| self.uncommitted_placements(*key))
                 .collect(),
-            outcomes: self.unrecorded.outcomes_in(keys),
+            outcomes: self.uncommitted.outcomes_in(keys),
         }
     }
 
-    fn undurable_placements(&self, key: ChunkKey) -> impl Iterator<Item = TaskAttempt> + '_ {
-        let from = key.chunk * CHUNK;
+    fn uncommitted_placements(&self, key: ChunkKey) -> impl Iterator<Item = TaskAttempt> + '_ {
+        let from = key.chunk * TASKS_PER_CHUNK;
         let placed = self
             .jobs
             .get(&key.job)
-            .map(|job| job.placed.range(from..from + CHUNK));
+            .map(|job| job.placed.range(from..from + TASKS_PER_CHUNK));
         placed
             .into_iter()
             .flatten()
@@ -62,7 +62,7 @@
     }
 
     /// The commit is durable: its placements may be launched, and workers may forget its outcomes.
-    pub fn confirm(&mut self, committed: &CommittedChanges) {
+    pub fn confirm_commit(&mut self, committed: &CommittedChanges) {
         for TaskAttempt { task, attempt } in &committed.placements {
             let placement = self
                 .placement_mut(*task)
@@ -73,12 +73,12 @@
             let was_durable = std::mem::replace(&mut placement.durable, true);
             let machine = placement.machine.clone();
             if !was_durable {
-                self.unrecorded.remove_placement();
+                self.uncommitted.remove_placement();
             }
             self.urgent_machines.insert(machine);
         }
         for outcome in &committed.outcomes {
-            self.unrecorded.confirm_outcome(outcome);
+            self.uncommitted.confirm_outcome(outcome);
         }
     }
 }
--- a/crates/scheduler/src/explain.rs
+++ b/crates/scheduler/src/explain.rs
@@ -1,6 +1,6 @@
 //! Explanations for operators: why a job waits, and the periodic summary of a partition in the log.
 
-use crate::colocation::colocation_capacity;
+use crate::colocation::tasks_that_fit;
 use crate::job::Job;
 use crate::partition_state::PartitionState;
 use crate::queue_entry::EntryKey;
@@ -110,7 +110,7 @@
             .machines
             .values()
             .filter(|machine| self.admits(job, machine, now))
-            .map(|machine| colocation_capacity(job, machine, machine.capacity))
+            .map(|machine| tasks_that_fit(job, machine, machine.capacity))
             .sum();
         format!(
             "nothing is kept for it: the machines of its partition hold {capacity} of its {} tasks at most, \
@@ -170,7 +170,7 @@
         .values()
         .filter(|placement| placement.last_status == Some(TaskState::Waiting))
         .count();
-    let state = if job.gang_began.is_some() {
+    let state = if job.gang_started_at.is_some() {
         "it has begun"
     } else {
         "it gathers"
--- a/crates/scheduler/src/failure_attribution.rs
+++ b/crates/scheduler/src/failure_attribution.rs
@@ -135,8 +135,8 @@
             return;
         };
         tracing::info!(job = %id, "job suspected: it fails on every machine and is probed from now on");
-        let queued = std::mem::take(&mut job.cursor);
-        self.unqueue(id, queued);
+        let queued = std::mem::take(&mut job.next_index_to_queue);
+        self.dequeue_job(id, queued);
         self.job_probes.start(id, now);
     }
 
@@ -169,7 +169,7 @@
         self.job_probes = job_probes;
         for id in cleared {
             tracing::info!(job = %id, "job no longer suspected");
-            self.enqueue(id);
+            self.enqueue_job(id);
         }
     }
 }
--- a/crates/scheduler/src/gang_precedence.rs
+++ b/crates/scheduler/src/gang_precedence.rs
@@ -2,7 +2,7 @@
 //! elsewhere. Arrays that took each machine that becomes free would be preempted as soon as a gang has
 //! enough of them.
 
-use crate::colocation::colocation_capacity;
+use crate::colocation::tasks_that_fit;
 use crate::job::Job;
 use crate::machine::Machine;
 use crate::partition_state::PartitionState;
@@ -48,7 +48,9 @@
     /// Waiting gangs to which a job leaves machines, since it can run on machines of another type. One of
     /// each kind, usually none.
     pub(crate) fn gangs_with_precedence(&self, job: &Job, now: Timestamp) -> Vec<&Job> {
-        let age_ms = self.logical_time_ms(now).saturating_sub(job.order);
+        let age_ms = self
+            .logical_time_ms(now)
+            .saturating_sub(job.submitted_at_ms);
         if job.spec.kind == JobKind::Gang || age_ms > GANG_PRECEDENCE_DURATION.whole_millis() {
             return Vec::new();
         }
@@ -82,7 +84,7 @@
 
     /// Whether a machine could run tasks of a gang if it were empty.
     fn is_of_use_to(&self, gang: &Job, machine: &Machine, now: Timestamp) -> bool {
-        self.admits(gang, machine, now) && colocation_capacity(gang, machine, machine.capacity) > 0
+        self.admits(gang, machine, now) && tasks_that_fit(gang, machine, machine.capacity) > 0
     }
 
     fn waiting_gang_jobs(&self) -> impl Iterator<Item = &Job> {
--- a/crates/scheduler/src/gang_reservation_choice.rs
+++ b/crates/scheduler/src/gang_reservation_choice.rs
@@ -1,8 +1,8 @@
 //! The choice of machines to reserve for a gang: those on which it could start soonest, by the estimated
 //! run times of the tasks there.
 
-use crate::colocation::colocation_capacity;
-use crate::cycle::{image_fetch_time, score};
+use crate::colocation::tasks_that_fit;
+use crate::cycle::{score, uncached_fetch_time};
 use crate::job::Job;
 use crate::machine::Machine;
 use crate::partition_state::PartitionState;
@@ -84,7 +84,7 @@
             if !self.admits(job, machine, now) {
                 continue;
             }
-            let tasks = colocation_capacity(job, machine, machine.capacity);
+            let tasks = tasks_that_fit(job, machine, machine.capacity);
             if tasks == 0 || machine.reserved_for_gang.is_some_and(ranks_before) {
                 continue;
             }
@@ -105,14 +105,14 @@
     /// preempt are stopped. `None` if the tasks there do not end by themselves.
     fn ready_for_gang_at(&self, job: &Job, machine: &Machine, now: Timestamp) -> Option<Timestamp> {
         let mut free = self.free_capacity_for(EntryKey::Gang(job.spec.id), machine);
-        if colocation_capacity(job, machine, free) > 0 {
+        if tasks_that_fit(job, machine, free) > 0 {
             return Some(now);
         }
         let mut releases = self.expected_releases(job, machine, now);
         releases.sort_unstable_by_key(|release| release.at);
         releases.into_iter().find_map(|release| {
             free += release.needs;
-            (colocation_capacity(job, machine, free) > 0).then_some(release.at)
+            (tasks_that_fit(job, machine, free) > 0).then_some(release.at)
         })
     }
 
@@ -153,7 +153,7 @@
         now: Timestamp,
     ) -> Timestamp {
         let started_at = job
-            .gang_began
+            .gang_started_at
             .unwrap_or_else(|| self.estimated_start(job, placement));
         let ran = now.duration_since(started_at);
         let overrun =
@@ -167,7 +167,7 @@
             let fetch_time = self
                 .machines
                 .get(&placement.machine)
-                .map_or(Duration::ZERO, |machine| image_fetch_time(job, machine));
+                .map_or(Duration::ZERO, |machine| uncached_fetch_time(job, machine));
             placement.placed_at + fetch_time
         };
         if job.spec.kind != JobKind::Gang {
--- a/crates/scheduler/src/gang_reservations.rs
+++ b/crates/scheduler/src/gang_reservations.rs
@@ -9,7 +9,7 @@
 //! No two gangs wait for each other: a gang takes nothing that is reserved for one with a better rank, and
 //! keeps nothing that such a gang may take.
 
-use crate::colocation::colocation_capacity;
+use crate::colocation::tasks_that_fit;
 use crate::cycle::{fetch_time, PlacementFailure};
 use crate::gang_precedence::GANG_FAILURES_BEFORE_RESERVATION;
 use crate::job::Job;
@@ -183,7 +183,7 @@
         now: Timestamp,
     ) {
         if self.gang_failures(id) < GANG_FAILURES_BEFORE_RESERVATION
-            || failure != PlacementFailure::Room
+            || failure != PlacementFailure::NoFreeCapacity
         {
             return;
         }
@@ -254,7 +254,7 @@
         now: Timestamp,
     ) -> Vec<TaskId> {
         let mut free = self.free_capacity_for(EntryKey::Gang(gang.spec.id), machine);
-        if colocation_capacity(gang, machine, free) > 0 {
+        if tasks_that_fit(gang, machine, free) > 0 {
             return Vec::new();
         }
         let mut candidates: Vec<Victim> = Vec::new();
@@ -278,7 +278,7 @@
         candidates.sort_unstable();
         let mut victims = Vec::new();
         for Victim { task, .. } in candidates {
-            if colocation_capacity(gang, machine, free) > 0 {
+            if tasks_that_fit(gang, machine, free) > 0 {
                 break;
             }
             if let Some(job) = self.jobs.get(&task.job) {
--- a/crates/scheduler/src/gangs.rs
+++ b/crates/scheduler/src/gangs.rs
@@ -1,7 +1,7 @@
 //! Gang scheduling: the tasks of a gang are placed all at once or not at all, and launched so that none
 //! waits long for the others.
 
-use crate::colocation::colocation_capacity;
+use crate::colocation::tasks_that_fit;
 use crate::cycle::{fetch_time, score, PlacementFailure};
 use crate::job::Job;
 use crate::machine::Machine;
@@ -32,12 +32,14 @@
             return Ok(());
         }
         if !self.fits_limit(EntryKey::Gang(id), job, u64::from(job.spec.tasks)) {
-            return Err(PlacementFailure::Quota);
+            return Err(PlacementFailure::LimitReached);
         }
-        let machines = self.fit_gang(job, now).ok_or(PlacementFailure::Room)?;
+        let machines = self
+            .fit_gang(job, now)
+            .ok_or(PlacementFailure::NoFreeCapacity)?;
         let attempt = self.new_attempt();
         if let Some(job) = self.jobs.get_mut(&id) {
-            job.gang_began = None;
+            job.gang_started_at = None;
         }
         self.release_gang_reservation(id);
         for (index, machine) in machines.into_iter().enumerate() {
@@ -83,7 +85,7 @@
         let mut zones: BTreeMap<&ZoneName, Vec<FittingMachine>> = BTreeMap::new();
         let roomy = self
             .capacity_index
-            .with_capacity(&job.spec)
+            .machines_with_capacity(&job.spec)
             .filter_map(|name| self.machines.get(name));
         for machine in roomy {
             if !self.admits(job, machine, now)
@@ -91,7 +93,7 @@
             {
                 continue;
             }
-            let tasks = colocation_capacity(job, machine, self.free_capacity_for(entry, machine));
+            let tasks = tasks_that_fit(job, machine, self.free_capacity_for(entry, machine));
             if tasks > 0 {
                 zones
                     .entry(&machine.zone)
@@ -123,12 +125,12 @@
         let Some(job) = self.jobs.get_mut(&id) else {
             return;
         };
-        if job.spec.kind != JobKind::Gang || job.gang_began.is_some() {
+        if job.spec.kind != JobKind::Gang || job.gang_started_at.is_some() {
             return;
         }
-        let waited_ms = now.duration_since(job.seen_at).whole_millis();
+        let waited_ms = now.duration_since(job.added_at).whole_millis();
         tracing::debug!(job = %id, class = job.spec.class, tasks = job.spec.tasks, waited_ms, "gang started");
-        job.gang_began = Some(now);
+        job.gang_started_at = Some(now);
     }
 
     /// A task of a gang has its image: commands are sent at once to the machines of tasks whose launch was
--- a/crates/scheduler/src/guarantees.rs
+++ b/crates/scheduler/src/guarantees.rs
@@ -32,7 +32,7 @@
             return;
         };
         let rank = Rank::of_job(job);
-        for index in 0..job.cursor {
+        for index in 0..job.next_index_to_queue {
             let key = EntryKey::Task(TaskId { job: id, index });
             self.queue.rerank(key, rank.for_task(index));
         }
@@ -65,7 +65,7 @@
             continue;
         };
         // A job that is finishing or cancelled keeps its mark.
-        if team.open_jobs.contains(&(job.order, *id)) {
+        if team.open_jobs.contains(&(job.submitted_at_ms, *id)) {
             job.guaranteed = guaranteed_jobs.contains(id);
             changed.push(*id);
         }
--- a/crates/scheduler/src/job_lifecycle.rs
+++ b/crates/scheduler/src/job_lifecycle.rs
@@ -14,7 +14,7 @@
     pub fn add_job(
         &mut self,
         spec: impl Into<Arc<JobSpec>>,
-        order: u64,
+        submitted_at_ms: u64,
         chunks: &[(u32, TaskChunk)],
         now: Timestamp,
     ) {
@@ -23,7 +23,7 @@
         if self.jobs.contains_key(&id) || !self.teams.contains(&spec.team) {
             return;
         }
-        let job = self.restore_job(spec, order, chunks, now);
+        let job = self.restore_job(spec, submitted_at_ms, chunks, now);
         for (index, placement) in &job.placed {
             let task = TaskId {
                 job: id,
@@ -41,7 +41,7 @@
         if self.jobs.get(&id).is_some_and(|job| job.all_done()) {
             self.stop_gang(id, now);
         }
-        self.enqueue(id);
+        self.enqueue_job(id);
         self.check_finished(id);
     }
 
@@ -49,19 +49,19 @@
     fn restore_job(
         &self,
         spec: Arc<JobSpec>,
-        order: u64,
+        submitted_at_ms: u64,
         chunks: &[(u32, TaskChunk)],
         now: Timestamp,
     ) -> Job {
-        let mut job = Job::new(spec, order, now);
+        let mut job = Job::new(spec, submitted_at_ms, now);
         job.size_penalty = self.size_penalty_of(&job.spec);
-        job.only_beside = job.spec.does_without_gpus(&self.machine_types);
+        job.colocated_only = job.spec.does_without_gpus(&self.machine_types);
         job.completion_objective = job
             .spec
             .deadline
             .or_else(|| self.completion_objectives.get(&job.spec.class).copied());
         for (chunk, body) in chunks {
-            job.restore(*chunk, body, now);
+            job.restore_chunk(*chunk, body, now);
         }
         job
     }
@@ -103,8 +103,8 @@
         }
         job.cancelled = true;
         let placed: Vec<u32> = job.placed.keys().copied().collect();
-        let queued = job.cursor;
-        self.unqueue(id, queued);
+        let queued = job.next_index_to_queue;
+        self.dequeue_job(id, queued);
         for index in placed {
             self.stop_task(TaskId { job: id, index }, 0, now);
         }
@@ -113,7 +113,7 @@
     }
 
     /// Puts a job's waiting tasks into the queue, as many as the window allows.
-    pub(crate) fn enqueue(&mut self, id: JobId) {
+    pub(crate) fn enqueue_job(&mut self, id: JobId) {
         let Some(job) = self.jobs.get_mut(&id) else {
             return;
         };
@@ -127,15 +127,15 @@
             }
             return;
         }
-        // All placed and queued tasks lie below the cursor, so this is an upper bound on the number
+        // All placed and queued tasks have lower indexes, so this is an upper bound on the number
         // of queued tasks: an array of 100,000 tasks does not fill the queue.
-        let limit = self.policy.window.max(1);
+        let limit = self.policy.max_queued_tasks_per_job.max(1);
         let mut waiting = job
-            .cursor
+            .next_index_to_queue
             .saturating_sub(job.done_count() + job.placed.len() as u32);
-        while job.cursor < job.spec.tasks && waiting < limit {
-            let index = job.cursor;
-            job.cursor += 1;
+        while job.next_index_to_queue < job.spec.tasks && waiting < limit {
+            let index = job.next_index_to_queue;
+            job.next_index_to_queue += 1;
             if !job.is_done(index) && !job.placed.contains_key(&index) {
                 let entry = EntryKey::Task(TaskId { job: id, index });
                 self.queue.add(entry, rank.for_task(index));
@@ -145,7 +145,7 @@
     }
 
     /// Removes a job's entries from the queue, of whose tasks the first `queued` have been queued.
-    pub(crate) fn unqueue(&mut self, id: JobId, queued: u32) {
+    pub(crate) fn dequeue_job(&mut self, id: JobId, queued: u32) {
         for index in 0..queued {
             self.queue.remove(EntryKey::Task(TaskId { job: id, index }));
         }
@@ -187,8 +187,8 @@
         let Some(job) = self.jobs.remove(&id) else {
             return;
         };
-        tracing::debug!(job = %id, took_ms = now.duration_since(job.seen_at).whole_millis(), "job removed");
-        self.unqueue(id, job.cursor);
+        tracing::debug!(job = %id, took_ms = now.duration_since(job.added_at).whole_millis(), "job removed");
+        self.dequeue_job(id, job.next_index_to_queue);
         for (index, placement) in &job.placed {
             let task = TaskId {
                 job: id,
@@ -196,7 +196,7 @@
             };
             self.remove_from_counts(task, &job.spec, placement, now);
         }
-        self.unrecorded.forget_job(id, job.spec.tasks);
+        self.uncommitted.forget_job(id, job.spec.tasks);
     }
 }
 
--- a/crates/scheduler/src/leases.rs
+++ b/crates/scheduler/src/leases.rs
@@ -10,7 +10,7 @@
     /// even if a launch of it could still arrive, and no longer.
     pub fn bound_lease_renewal(&mut self, id: JobId, until: Timestamp) {
         if let Some(job) = self.jobs.get_mut(&id).filter(|job| job.cancelled) {
-            job.renew_until = until;
+            job.leases_renewable_until = until;
         }
     }
 
@@ -35,7 +35,7 @@
             let Some(job) = self.jobs.get(&task.job) else {
                 return false;
             };
-            let overdue = job.cancelled && now >= job.renew_until;
+            let overdue = job.cancelled && now >= job.leases_renewable_until;
             overdue && job.placed.get(&task.index).is_some_and(launch_may_arrive)
         };
         !machine.tasks.iter().any(forbids_renewal)
--- a/crates/scheduler/src/lib.rs
+++ b/crates/scheduler/src/lib.rs
@@ -2,7 +2,7 @@
 //! preemption, gang scheduling, and reconciliation with what workers report.
 //!
 //! Nothing here does I/O. The owner of a [`PartitionState`] feeds it jobs, machines, heartbeats and
-//! times, writes what [`PartitionState::take_dirty`] returns, and sends what
+//! times, writes what [`PartitionState::take_dirty_chunks`] returns, and sends what
 //! [`PartitionState::commands_for`] returns.
 
 mod best_effort;
@@ -61,4 +61,4 @@
 pub use quotas::{TeamQuotas, TeamUsage};
 pub use reconciliation::StatusSource;
 pub use suitability::{MachineRejection, RejectionCounts};
-pub use task_chunk::{PlacedTask, TaskChunk, CHUNK};
+pub use task_chunk::{PlacedTask, TaskChunk, TASKS_PER_CHUNK};
--- a/crates/scheduler/src/overload.rs
+++ b/crates/scheduler/src/overload.rs
@@ -32,14 +32,14 @@
 impl Job {
     /// Whether it waits for capacity and has a completion objective to miss.
     fn is_awaited(&self) -> bool {
-        !self.cancelled && !self.finishing && !self.is_best_effort() && self.waiting() > 0
+        !self.cancelled && !self.finishing && !self.is_best_effort() && self.waiting_count() > 0
     }
 
     /// The penalty that the job should have under overload, if that differs enough from its present one to
     /// be worth a new place in the queue: it shrinks with each task that ends.
     fn changed_overload_penalty(&self, factor: u64) -> Option<Duration> {
-        let left_ms =
-            self.size_penalty.whole_millis() * self.waiting() / u64::from(self.spec.tasks.max(1));
+        let left_ms = self.size_penalty.whole_millis() * self.waiting_count()
+            / u64::from(self.spec.tasks.max(1));
         let penalty_ms = if self.is_awaited() {
             left_ms * factor
         } else {
@@ -88,8 +88,9 @@
             };
             // Jobs at their team's limit do not wait for machines.
             if self.fits_quota_now(job, 1) {
-                waiting.milli_cpu_ms +=
-                    job.waiting() * job.spec.needs.milli_cpus * job.spec.estimate.whole_millis();
+                waiting.milli_cpu_ms += job.waiting_count()
+                    * job.spec.needs.milli_cpus
+                    * job.spec.estimate.whole_millis();
                 waiting.objective_ms = waiting.objective_ms.min(objective.whole_millis());
             }
         }
--- a/crates/scheduler/src/partition_state.rs
+++ b/crates/scheduler/src/partition_state.rs
@@ -11,7 +11,7 @@
 use crate::placement::Placement;
 use crate::policy::Policy;
 use crate::preemption_candidates::PreemptionCandidates;
-use crate::progress::UnrecordedProgress;
+use crate::progress::UncommittedProgress;
 use crate::queue_entry::{EntryKey, Rank};
 use crate::quotas::TeamQuotas;
 use crate::reserved_capacity::{GangReservation, Reservation};
@@ -42,7 +42,7 @@
     pub leading_since: Timestamp,
     /// Most machines have sent a heartbeat since then, or have had the time to.
     pub(crate) inventory_known: bool,
-    /// How far the clock of [`Job::order`], which all controllers share, is ahead of this controller's.
+    /// How far the clock of [`Job::submitted_at_ms`], which all controllers share, is ahead of this controller's.
     pub logical_clock_offset: Duration,
     /// Until when a previous leader may have renewed the lease of any machine.
     pub predecessors_valid_until: Timestamp,
@@ -65,7 +65,7 @@
     pub(crate) term: FencingToken,
     /// Number of attempts that were started under this term.
     pub(crate) attempts: u64,
-    pub(crate) unrecorded: UnrecordedProgress,
+    pub(crate) uncommitted: UncommittedProgress,
     /// Jobs that have reached their terminal state, which is not written yet.
     pub(crate) finished: Vec<JobId>,
     /// Machines to which commands are to be sent without waiting for their next heartbeat.
@@ -121,7 +121,7 @@
             queue: SchedulingQueue::new(queue),
             term,
             attempts: 0,
-            unrecorded: UnrecordedProgress::default(),
+            uncommitted: UncommittedProgress::default(),
             finished: Vec::new(),
             urgent_machines: BTreeSet::new(),
             reservations: HashMap::new(),
@@ -137,7 +137,7 @@
         }
     }
 
-    /// The time in milliseconds on the clock of [`Job::order`], which all controllers share.
+    /// The time in milliseconds on the clock of [`Job::submitted_at_ms`], which all controllers share.
     pub(crate) fn logical_time_ms(&self, now: Timestamp) -> u64 {
         now.as_millis()
             .saturating_add(self.logical_clock_offset.whole_millis())
@@ -170,7 +170,7 @@
     pub fn set_machine_types(&mut self, types: &[MachineType]) {
         self.machine_types = types.to_vec();
         for job in self.jobs.values_mut() {
-            job.only_beside = job.spec.does_without_gpus(types);
+            job.colocated_only = job.spec.does_without_gpus(types);
         }
     }
 
--- a/crates/scheduler/src/placements.rs
+++ b/crates/scheduler/src/placements.rs
@@ -31,7 +31,7 @@
             return;
         };
         let placement = Placement::new(machine.clone(), attempt, now);
-        let waited_ms = now.duration_since(job.seen_at).whole_millis();
+        let waited_ms = now.duration_since(job.added_at).whole_millis();
         let cached = self
             .machines
             .get(machine)
@@ -41,7 +41,7 @@
         job.placed.insert(task.index, placement.clone());
         let spec = job.spec.clone();
         self.add_to_counts(task, &spec, &placement);
-        self.unrecorded.mark_dirty(task);
+        self.uncommitted.mark_dirty(task);
     }
 
     /// Adds a placement to all counts and indexes of placements.
@@ -53,7 +53,7 @@
         }
         self.preemption_candidates.add(task, spec, placement);
         if !placement.durable {
-            self.unrecorded.add_placement();
+            self.uncommitted.add_placement();
         }
     }
 
@@ -73,7 +73,7 @@
         self.preemption_candidates
             .remove(task, spec.priority, placement.placed_at);
         if !placement.durable {
-            self.unrecorded.remove_placement();
+            self.uncommitted.remove_placement();
         }
     }
 
@@ -106,7 +106,7 @@
         let Some(job) = self.jobs.get(&id) else {
             return;
         };
-        let has_progress = job.gang_began.is_some() && !job.cancelled && !job.all_done();
+        let has_progress = job.gang_started_at.is_some() && !job.cancelled && !job.all_done();
         let grace_ms = if job.spec.checkpoint > Duration::ZERO && has_progress {
             job.spec.save.whole_millis() + GANG_STOP_MARGIN_MS
         } else {
@@ -138,7 +138,7 @@
         }
         let spec = job.spec.clone();
         self.remove_from_counts(task, &spec, &placement, now);
-        self.unrecorded.mark_dirty(task);
+        self.uncommitted.mark_dirty(task);
         if spec.kind == JobKind::Gang {
             self.handle_lost_gang_member(task.job, now);
         } else if requeue {
@@ -152,7 +152,7 @@
         let Some(job) = self.jobs.get(&task.job) else {
             return;
         };
-        if job.cancelled || job.is_done(task.index) || task.index >= job.cursor {
+        if job.cancelled || job.is_done(task.index) || task.index >= job.next_index_to_queue {
             return;
         }
         let failures = job.failures.get(&task.index).copied().unwrap_or(0);
@@ -171,7 +171,7 @@
             }
             return;
         }
-        job.gang_began = None;
+        job.gang_started_at = None;
         if job.cancelled || job.all_done() || self.job_probes.contains(&id) {
             return;
         }
@@ -185,7 +185,7 @@
         if failures == 0 {
             self.queue.add(entry, rank);
         } else {
-            self.queue.add_failed(entry, rank, failures, now);
+            self.queue.add_with_backoff(entry, rank, failures, now);
         }
     }
 }
--- a/crates/scheduler/src/policy.rs
+++ b/crates/scheduler/src/policy.rs
@@ -9,7 +9,7 @@
     /// a heartbeat gets no new tasks.
     pub heartbeat_grace: Duration,
     /// Tasks of one job array that are in the scheduling queue at a time.
-    pub window: u32,
+    pub max_queued_tasks_per_job: u32,
     /// Failures without a success in between after which a machine is quarantined.
     pub quarantine_threshold: u32,
     /// Whether tasks are preempted.
@@ -17,10 +17,10 @@
     /// Multiple of its own run time by which a job is deprioritised.
     pub size_penalty_factor: u64,
     /// Whether replicas are consolidated on fewer machines.
-    pub move_replicas: bool,
+    pub consolidate_replicas: bool,
     /// Tasks of arrays that find room within this time because running tasks complete are no demand
     /// for further machines.
-    pub absorb: Duration,
+    pub absorb_within: Duration,
     /// Further multiple of its remaining run time by which a job is deprioritised during overload;
     /// 0 leaves the order as it is.
     pub overload_penalty_factor: u64,
@@ -30,12 +30,12 @@
     fn default() -> Self {
         Policy {
             heartbeat_grace: Duration::from_secs(2),
-            window: 256,
+            max_queued_tasks_per_job: 256,
             quarantine_threshold: 2,
             preempt: true,
             size_penalty_factor: 3,
-            move_replicas: true,
-            absorb: Duration::from_secs(8),
+            consolidate_replicas: true,
+            absorb_within: Duration::from_secs(8),
             overload_penalty_factor: 4,
         }
     }
--- a/crates/scheduler/src/preempt.rs
+++ b/crates/scheduler/src/preempt.rs
@@ -102,8 +102,8 @@
             return true;
         }
         let plan = match failure {
-            PlacementFailure::Quota => self.cheapest_preemption_for_limit(entry, job, now),
-            PlacementFailure::Room | PlacementFailure::Image => None,
+            PlacementFailure::LimitReached => self.cheapest_preemption_for_limit(entry, job, now),
+            PlacementFailure::NoFreeCapacity | PlacementFailure::WaitForCachedImage => None,
         };
         let plan = plan.or_else(|| self.cheapest_preemption(entry, job, failure, None, now));
         let Some(plan) = plan else {
@@ -135,7 +135,8 @@
             machine: plan.machine,
             needs: job.spec.needs,
             until: now + RESERVATION_TIMEOUT,
-            charged_team: (failure == PlacementFailure::Quota).then(|| job.spec.team.clone()),
+            charged_team: (failure == PlacementFailure::LimitReached)
+                .then(|| job.spec.team.clone()),
         };
         self.reserve(entry, reservation);
         for victim in plan.victims {
--- a/crates/scheduler/src/preemption_search.rs
+++ b/crates/scheduler/src/preemption_search.rs
@@ -176,8 +176,8 @@
     /// Whether a task may be preempted in this search.
     fn is_victim(&self, search: &Search<'_>, victim: &Job, placement: &Placement) -> bool {
         // Against the team's own limit only the team's own tasks help.
-        let helps =
-            search.failure == PlacementFailure::Room || victim.spec.team == search.job.spec.team;
+        let helps = search.failure == PlacementFailure::NoFreeCapacity
+            || victim.spec.team == search.job.spec.team;
         let in_scope = || match search.scope {
             PreemptionScope::All => true,
             PreemptionScope::CheapBestEffort => {
@@ -248,7 +248,7 @@
     /// Whether the team's limit is not in the way of the entry once `freed` is free.
     fn limit_allows(&self, search: &Search<'_>, freed: &Resources) -> bool {
         let spec = &search.job.spec;
-        search.failure == PlacementFailure::Room
+        search.failure == PlacementFailure::NoFreeCapacity
             || self.teams.get(&spec.team).is_some_and(|team| {
                 (team.used.saturating_sub(freed) + spec.needs).fits_quota(&team.limit)
             })
--- a/crates/scheduler/src/progress.rs
+++ b/crates/scheduler/src/progress.rs
@@ -1,7 +1,7 @@
 //! Progress of jobs that is not durable yet.
 
 use crate::placement::TaskAttempt;
-use crate::task_chunk::CHUNK;
+use crate::task_chunk::TASKS_PER_CHUNK;
 use model::{JobId, TaskId};
 use std::collections::{BTreeSet, HashSet};
 use std::ops::RangeInclusive;
@@ -10,7 +10,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ChunkKey {
     pub job: JobId,
-    /// Number of the chunk within the job: task `i` belongs to chunk `i / CHUNK`.
+    /// Number of the chunk within the job: task `i` belongs to chunk `i / TASKS_PER_CHUNK`.
     pub chunk: u32,
 }
 
@@ -30,7 +30,7 @@
     fn from(task: TaskId) -> Self {
         ChunkKey {
             job: task.job,
-            chunk: task.index / CHUNK,
+            chunk: task.index / TASKS_PER_CHUNK,
         }
     }
 }
@@ -44,7 +44,7 @@
 
 /// What has changed since it was last written to the placement log.
 #[derive(Debug, Default)]
-pub(crate) struct UnrecordedProgress {
+pub(crate) struct UncommittedProgress {
     dirty_chunks: BTreeSet<ChunkKey>,
     /// Outcomes that are not durable yet: the worker must not forget these tasks.
     outcomes: HashSet<TaskAttempt>,
@@ -52,24 +52,24 @@
     placements: usize,
 }
 
-impl UnrecordedProgress {
+impl UncommittedProgress {
     /// The progress of a task has changed.
     pub(crate) fn mark_dirty(&mut self, task: TaskId) {
         self.dirty_chunks.insert(ChunkKey::from(task));
     }
 
     /// Chunks that are to be written after all.
-    pub(crate) fn restore_dirty(&mut self, keys: impl IntoIterator<Item = ChunkKey>) {
+    pub(crate) fn mark_chunks_dirty(&mut self, keys: impl IntoIterator<Item = ChunkKey>) {
         self.dirty_chunks.extend(keys);
     }
 
     /// The chunks that changed since the last call.
-    pub(crate) fn take_dirty(&mut self) -> BTreeSet<ChunkKey> {
+    pub(crate) fn take_dirty_chunks(&mut self) -> BTreeSet<ChunkKey> {
         std::mem::take(&mut self.dirty_chunks)
     }
 
     /// Whether chunks are to be written.
-    pub(crate) fn has_dirty(&self) -> bool {
+    pub(crate) fn has_dirty_chunks(&self) -> bool {
         !self.dirty_chunks.is_empty()
     }
 
@@ -84,7 +84,7 @@
     }
 
     /// Whether the outcome is known and not durable yet.
-    pub(crate) fn is_undurable(&self, outcome: &TaskAttempt) -> bool {
+    pub(crate) fn has_outcome(&self, outcome: &TaskAttempt) -> bool {
         self.outcomes.contains(outcome)
     }
 
@@ -116,7 +116,7 @@
     /// The job's terminal state is durable, which settles the outcomes of all its tasks.
     pub(crate) fn forget_job(&mut self, id: JobId, tasks: u32) {
         self.outcomes.retain(|outcome| outcome.task.job != id);
-        for chunk in 0..tasks.div_ceil(CHUNK) {
+        for chunk in 0..tasks.div_ceil(TASKS_PER_CHUNK) {
             self.dirty_chunks.remove(&ChunkKey { job: id, chunk });
         }
     }
--- a/crates/scheduler/src/queue_entry.rs
+++ b/crates/scheduler/src/queue_entry.rs
@@ -61,7 +61,7 @@
     /// A short job does not wait behind one that takes long anyway, and since the penalty is bounded
     /// a long job is not deferred for ever.
     pub(crate) fn scheduling_time_ms(&self) -> u64 {
-        self.order
+        self.submitted_at_ms
             .saturating_add(self.size_penalty.whole_millis() + self.overload_penalty.whole_millis())
     }
 }
--- a/crates/scheduler/src/quotas.rs
+++ b/crates/scheduler/src/quotas.rs
@@ -72,7 +72,7 @@
     /// The job counts towards its team's guarantee from now on.
     pub(crate) fn open_job(&mut self, job: &Job) {
         if let Some(team) = self.teams.get_mut(&job.spec.team) {
-            team.open_jobs.insert((job.order, job.spec.id));
+            team.open_jobs.insert((job.submitted_at_ms, job.spec.id));
             team.guaranteed_jobs_stale = true;
         }
     }
@@ -80,7 +80,8 @@
     /// The job counts towards its team's guarantee no longer.
     pub(crate) fn close_job(&mut self, job: &Job) {
         if let Some(team) = self.teams.get_mut(&job.spec.team) {
-            team.guaranteed_jobs_stale |= team.open_jobs.remove(&(job.order, job.spec.id));
+            team.guaranteed_jobs_stale |=
+                team.open_jobs.remove(&(job.submitted_at_ms, job.spec.id));
         }
     }
 
--- a/crates/scheduler/src/reconciliation.rs
+++ b/crates/scheduler/src/reconciliation.rs
@@ -105,7 +105,7 @@
         self.update_orphaned_tasks(&status);
         if let Some(machine) = self.machines.get_mut(&status.machine) {
             if machine.usable(now, timeout) {
-                self.capacity_index.enter(machine);
+                self.capacity_index.add_or_update(machine);
             }
         }
         let is_usable_again = source == StatusSource::Heartbeat && !was_usable;
@@ -186,7 +186,7 @@
         placement.launch = LaunchState::NotLaunched;
         let was_running = placement.last_status.take().is_some();
         let is_lost_gang_member =
-            job.spec.kind == JobKind::Gang && was_launched && job.gang_began.is_some();
+            job.spec.kind == JobKind::Gang && was_launched && job.gang_started_at.is_some();
         // Either the task was there and is gone because of a new worker epoch, or it was never there
         // and is no longer wanted, or a repeated launch would not reach the machine either. Otherwise
         // the launch was lost with its reply; it is sent again to the same machine.
@@ -224,8 +224,8 @@
             }
             _ => {}
         }
-        self.unrecorded.add_outcome(TaskAttempt { task, attempt });
-        self.unrecorded.mark_dirty(task);
+        self.uncommitted.add_outcome(TaskAttempt { task, attempt });
+        self.uncommitted.mark_dirty(task);
         self.drop_placement(task, now, true);
         let is_done_gang = |job: &Job| job.spec.kind == JobKind::Gang && job.all_done();
         if self.jobs.get(&task.job).is_some_and(is_done_gang) {
--- a/crates/scheduler/src/suitability.rs
+++ b/crates/scheduler/src/suitability.rs
@@ -1,6 +1,6 @@
 //! Which machines suit a waiting task, and why the others do not.
 
-use crate::colocation::colocation_capacity;
+use crate::colocation::tasks_that_fit;
 use crate::cycle::zone_allowed;
 use crate::job::Job;
 use crate::machine::Machine;
@@ -150,7 +150,7 @@
     pub(crate) fn rejection(&self, machine: &Machine) -> Option<MachineRejection> {
         let (partition, job, now) = (self.partition, self.job, self.now);
         let free = partition.free_capacity_for(self.entry, machine);
-        if colocation_capacity(job, machine, free) == 0 {
+        if tasks_that_fit(job, machine, free) == 0 {
             return Some(MachineRejection::NoFreeCapacity);
         }
         if let Some(rejection) = partition.admission_rejection(job, machine, now) {
--- a/crates/scheduler/src/task_chunk.rs
+++ b/crates/scheduler/src/task_chunk.rs
@@ -3,7 +3,7 @@
 use serde::{Deserialize, Serialize, Serializer};
 
 /// Number of tasks whose progress is recorded together.
-pub const CHUNK: u32 = 64;
+pub const TASKS_PER_CHUNK: u32 = 64;
 
 /// A placed task in the placement log; serialised as an array of its three fields.
 #[derive(Debug, Clone, PartialEq, Eq, Deserialize)]
@@ -51,9 +51,10 @@
     }
 
     /// Whether all of it can be restored.
-    pub fn is_sound(&self) -> bool {
+    pub fn is_valid(&self) -> bool {
         let done = self.done.is_empty() || u64::from_str_radix(&self.done, 16).is_ok();
-        let is_sound = |task: &PlacedTask| task.offset < CHUNK && !task.machine.is_empty();
+        let is_sound =
+            |task: &PlacedTask| task.offset < TASKS_PER_CHUNK && !task.machine.is_empty();
         done && self.placed.iter().all(is_sound)
     }
 }
--- a/crates/scheduler/src/transfers.rs
+++ b/crates/scheduler/src/transfers.rs
@@ -42,7 +42,7 @@
             .jobs
             .values()
             .filter(|job| job.guaranteed && !job.cancelled)
-            .map(|job| job.spec.needs.milli_gpus * (job.placed.len() as u64 + job.waiting()))
+            .map(|job| job.spec.needs.milli_gpus * (job.placed.len() as u64 + job.waiting_count()))
             .sum();
         let mut machines: Vec<GpuMachine> = self
             .machines
--- a/crates/scheduler/tests/gangs.rs
+++ b/crates/scheduler/tests/gangs.rs
@@ -177,12 +177,12 @@
 
 fn make_durable(partition: &mut PartitionState) {
     let keys: Vec<_> = partition
-        .take_dirty()
+        .take_dirty_chunks()
         .into_iter()
         .map(|(key, _)| key)
         .collect();
-    let written = partition.changes_in(&keys);
-    partition.confirm(&written);
+    let written = partition.changes_in_chunks(&keys);
+    partition.confirm_commit(&written);
 }
 
 /// Arrays that fill each machine that becomes free are preempted as soon as a gang has enough machines, and
@@ -340,7 +340,7 @@
     let launches = |partition: &mut PartitionState, n: u32| {
         let commands = partition.commands_for(
             &machine_name(n),
-            CommandRoute::Answer,
+            CommandRoute::HeartbeatResponse,
             Timestamp::from_millis(1_000),
         );
         commands
@@ -414,7 +414,7 @@
     make_durable(&mut partition);
     partition.commands_for(
         &machine_name(1),
-        CommandRoute::Answer,
+        CommandRoute::HeartbeatResponse,
         Timestamp::from_millis(2_200),
     );
     report_all_running(&mut partition, 2, Timestamp::from_millis(2_200));
--- a/crates/scheduler/tests/partition_state/best_effort.rs
+++ b/crates/scheduler/tests/partition_state/best_effort.rs
@@ -56,7 +56,11 @@
     share.run_cycles(Timestamp::from_millis(1_500), 100);
     let name = MachineName::from("host-000001");
     let stops: Vec<f64> = share
-        .commands_for(&name, CommandRoute::Direct, Timestamp::from_millis(1_500))
+        .commands_for(
+            &name,
+            CommandRoute::DirectCall,
+            Timestamp::from_millis(1_500),
+        )
         .into_iter()
         .filter_map(|c| match c {
             Command::Stop { grace_s, .. } => Some(grace_s),
--- a/crates/scheduler/tests/partition_state/builders.rs
+++ b/crates/scheduler/tests/partition_state/builders.rs
@@ -110,7 +110,7 @@
     let name = MachineName::from("host-000001");
     let launches = |share: &mut PartitionState| -> Vec<(String, u64)> {
         share
-            .commands_for(&name, CommandRoute::Answer, now)
+            .commands_for(&name, CommandRoute::HeartbeatResponse, now)
             .into_iter()
             .filter_map(|c| match c {
                 Command::Start { task, attempt } => Some((task, attempt)),
@@ -126,9 +126,13 @@
 
 /// What has changed is written.
 pub fn make_durable(share: &mut PartitionState) {
-    let keys: Vec<_> = share.take_dirty().into_iter().map(|(key, _)| key).collect();
-    let written = share.changes_in(&keys);
-    share.confirm(&written);
+    let keys: Vec<_> = share
+        .take_dirty_chunks()
+        .into_iter()
+        .map(|(key, _)| key)
+        .collect();
+    let written = share.changes_in_chunks(&keys);
+    share.confirm_commit(&written);
 }
 
 /// Teams without a guarantee, the second without a limit, as guests have it.
--- a/crates/scheduler/tests/partition_state/commands.rs
+++ b/crates/scheduler/tests/partition_state/commands.rs
@@ -78,8 +78,11 @@
     let done = task_status(&task, attempt, TaskState::Exited, Some(ExitCause::Done));
     let name = MachineName::from("host-000001");
     let forgets = |share: &mut PartitionState| {
-        let commands =
-            share.commands_for(&name, CommandRoute::Answer, Timestamp::from_millis(1_000));
+        let commands = share.commands_for(
+            &name,
+            CommandRoute::HeartbeatResponse,
+            Timestamp::from_millis(1_000),
+        );
         commands
             .iter()
             .filter(|c| matches!(c, Command::Forget { .. }))
@@ -128,13 +131,13 @@
             .filter(|c| matches!(c, Command::Forget { .. }))
             .count()
     };
-    assert_eq!(forgets(&mut share, CommandRoute::Direct), 0);
+    assert_eq!(forgets(&mut share, CommandRoute::DirectCall), 0);
     share.reconcile(
         &heartbeat(3, None, vec![ended()]),
         StatusSource::Heartbeat,
         Timestamp::from_millis(900),
     );
-    assert_eq!(forgets(&mut share, CommandRoute::Answer), 1);
+    assert_eq!(forgets(&mut share, CommandRoute::HeartbeatResponse), 1);
 }
 
 /// Found by a seeded run (a task ran twice): a report that bore the current token counted as
@@ -156,7 +159,7 @@
     share.run_cycles(Timestamp::from_millis(100), 100);
     let name = MachineName::from("host-000001");
     make_durable(&mut share);
-    let launches = share.commands_for(&name, CommandRoute::Direct, Timestamp::from_millis(110));
+    let launches = share.commands_for(&name, CommandRoute::DirectCall, Timestamp::from_millis(110));
     let [Command::Start { task, attempt }] = &launches[..] else {
         panic!("{launches:?}")
     };
@@ -170,7 +173,11 @@
     share.reconcile(&ended, StatusSource::Heartbeat, Timestamp::from_millis(600));
     make_durable(&mut share);
     let forgets = |share: &mut PartitionState| {
-        let commands = share.commands_for(&name, CommandRoute::Answer, Timestamp::from_millis(700));
+        let commands = share.commands_for(
+            &name,
+            CommandRoute::HeartbeatResponse,
+            Timestamp::from_millis(700),
+        );
         commands
             .iter()
             .filter(|c| matches!(c, Command::Forget { .. }))
@@ -218,7 +225,7 @@
     );
     share.run_cycles(Timestamp::from_millis(100), 100);
     make_durable(&mut share);
-    let launch = share.commands_for(&name, CommandRoute::Direct, Timestamp::from_millis(100));
+    let launch = share.commands_for(&name, CommandRoute::DirectCall, Timestamp::from_millis(100));
     let Some(Command::Start { task, attempt }) = launch.first().cloned() else {
         panic!("{launch:?}")
     };
@@ -246,7 +253,11 @@
         )]
     };
     let forgets = |share: &mut PartitionState, at: u64| {
-        let commands = share.commands_for(&name, CommandRoute::Answer, Timestamp::from_millis(at));
+        let commands = share.commands_for(
+            &name,
+            CommandRoute::HeartbeatResponse,
+            Timestamp::from_millis(at),
+        );
         commands
             .iter()
             .filter(|c| matches!(c, Command::Forget { .. }))
--- a/crates/scheduler/tests/partition_state/failure_attribution.rs
+++ b/crates/scheduler/tests/partition_state/failure_attribution.rs
@@ -23,7 +23,7 @@
     let mut count = 0;
     for n in 1..=4 {
         let mut tasks = Vec::new();
-        for command in share.commands_for(&machine_name(n), CommandRoute::Answer, now) {
+        for command in share.commands_for(&machine_name(n), CommandRoute::HeartbeatResponse, now) {
             let Command::Start { task, attempt } = command else {
                 continue;
             };
--- a/crates/scheduler/tests/partition_state/leases.rs
+++ b/crates/scheduler/tests/partition_state/leases.rs
@@ -41,7 +41,7 @@
     make_durable(&mut share);
     let sent = share.commands_for(
         &machine_name(1),
-        CommandRoute::Direct,
+        CommandRoute::DirectCall,
         Timestamp::from_millis(110),
     );
     assert!(matches!(&sent[..], [Command::Start { .. }]), "{sent:?}");
@@ -68,7 +68,7 @@
     ));
     let halts = share.commands_for(
         &machine_name(1),
-        CommandRoute::Answer,
+        CommandRoute::HeartbeatResponse,
         Timestamp::from_millis(16_000),
     );
     assert!(
--- a/crates/scheduler/tests/partition_state/liveness.rs
+++ b/crates/scheduler/tests/partition_state/liveness.rs
@@ -175,7 +175,7 @@
     make_durable(&mut share);
     assert_eq!(
         share
-            .commands_for(&name, CommandRoute::Direct, Timestamp::from_millis(100))
+            .commands_for(&name, CommandRoute::DirectCall, Timestamp::from_millis(100))
             .len(),
         1
     );
--- a/crates/scheduler/tests/partition_state/preemption.rs
+++ b/crates/scheduler/tests/partition_state/preemption.rs
@@ -91,7 +91,7 @@
         let now = Timestamp::from_millis(200 + round * 300);
         share.run_cycles(now, 100);
         make_durable(&mut share);
-        let _ = share.commands_for(&machine_name(1), CommandRoute::Answer, now);
+        let _ = share.commands_for(&machine_name(1), CommandRoute::HeartbeatResponse, now);
         let held = share.jobs.iter().flat_map(|(id, job)| {
             job.placed
                 .iter()
--- a/crates/scheduler/tests/partition_state/quotas.rs
+++ b/crates/scheduler/tests/partition_state/quotas.rs
@@ -226,7 +226,7 @@
         Timestamp::from_millis(100),
     );
     send_heartbeat(&mut share, 2, 2, Vec::new(), Timestamp::from_millis(200));
-    let (route, two) = (CommandRoute::Answer, machine_name(2));
+    let (route, two) = (CommandRoute::HeartbeatResponse, machine_name(2));
     assert_eq!(
         share
             .commands_for(&two, route, Timestamp::from_millis(200))
@@ -257,7 +257,7 @@
     let stops = share.commands_for(&two, route, Timestamp::from_millis(300));
     assert!(stops.iter().all(|c| matches!(c, Command::Stop { .. })) && stops.len() == 2);
     // The same after a takeover.
-    let keys = share.take_dirty();
+    let keys = share.take_dirty_chunks();
     let mut successor = partition_with_four_machines();
     let chunks: Vec<_> = keys
         .into_iter()
--- a/crates/scheduling-queue/src/queue.rs
+++ b/crates/scheduling-queue/src/queue.rs
@@ -103,7 +103,7 @@
     }
 
     /// Adds an entry whose last run failed: it backs off as if a cycle had failed so often.
-    pub fn add_failed(&mut self, key: K, rank: R, failures: u32, now: Timestamp) {
+    pub fn add_with_backoff(&mut self, key: K, rank: R, failures: u32, now: Timestamp) {
         if self.entries.contains_key(&key) {
             return;
         }
@@ -161,12 +161,12 @@
     }
 
     /// Ends the entry's cycle: it has been placed.
-    pub fn scheduled(&mut self, key: K) {
+    pub fn record_placed(&mut self, key: K) {
         self.remove(key);
     }
 
     /// Ends the entry's cycle: it found no machine.
-    pub fn failed(&mut self, key: K, now: Timestamp) {
+    pub fn record_failure(&mut self, key: K, now: Timestamp) {
         let Some(entry) = self.entries.get_mut(&key) else {
             return;
         };
@@ -221,7 +221,7 @@
     }
 
     /// When the next flush has something to do.
-    pub fn next_flush(&self) -> Option<Timestamp> {
+    pub fn next_flush_at(&self) -> Option<Timestamp> {
         let backoff = self.backoff.first().map(|(until, _)| *until);
         let unschedulable_timeout = self
             .unschedulable
--- a/crates/scheduling-queue/tests/queue.rs
+++ b/crates/scheduling-queue/tests/queue.rs
@@ -29,7 +29,7 @@
     let mut queue = queue();
     queue.add(1, 0);
     queue.pop();
-    queue.failed(1, Timestamp::from_millis(0));
+    queue.record_failure(1, Timestamp::from_millis(0));
     assert_eq!(queue.location(1), Some((QueueKind::Unschedulable, 1)));
     queue.move_all(Timestamp::from_millis(400));
     assert_eq!(
@@ -49,12 +49,12 @@
     queue.add(1, 0);
     queue.pop();
     queue.move_all(Timestamp::from_millis(0));
-    queue.failed(1, Timestamp::from_millis(0));
+    queue.record_failure(1, Timestamp::from_millis(0));
     assert_eq!(queue.location(1), Some((QueueKind::Backoff, 1)));
     // The request of an earlier cycle does not count.
     queue.add(2, 0);
     queue.pop();
-    queue.failed(2, Timestamp::from_millis(1));
+    queue.record_failure(2, Timestamp::from_millis(1));
     assert_eq!(queue.location(2), Some((QueueKind::Unschedulable, 1)));
 }
 
@@ -67,8 +67,8 @@
     assert_eq!(spans, [1000, 2000, 4000, 8000, 10_000, 10_000]);
     queue.add(1, 0);
     queue.pop();
-    queue.failed(1, Timestamp::from_millis(0));
-    assert_eq!(queue.next_flush(), Some(Timestamp::from_millis(10_000)));
+    queue.record_failure(1, Timestamp::from_millis(0));
+    assert_eq!(queue.next_flush_at(), Some(Timestamp::from_millis(10_000)));
     queue.flush(Timestamp::from_millis(9_999));
     assert!(!queue.has_active());
     queue.flush(Timestamp::from_millis(10_000));
@@ -86,8 +86,8 @@
         queue.add(key, key);
     }
     queue.pop();
-    queue.failed(0, Timestamp::from_millis(0));
-    queue.add_failed(9, 0, 2, Timestamp::from_millis(0));
+    queue.record_failure(0, Timestamp::from_millis(0));
+    queue.add_with_backoff(9, 0, 2, Timestamp::from_millis(0));
     for key in [0, 1, 2, 3, 9] {
         queue.remove(key);
         assert!(!queue.contains(key));
--- a/crates/simulator/benches/scale.rs
+++ b/crates/simulator/benches/scale.rs
@@ -221,7 +221,7 @@
             share.run_cycles(now, 10);
             let spent = start.elapsed();
             share.remove_job(model::JobId(id), now);
-            share.take_dirty();
+            share.take_dirty_chunks();
             spent
         };
         group.bench_function(BenchmarkId::new("placed", size), |b| {
