--- a/crates/controller/src/controller/admin.rs
+++ b/crates/controller/src/controller/admin.rs
@@ -118,7 +118,7 @@
             .when(TUNING_KEY, version)
             .write(Write::put(TUNING_KEY, value));
         self.queue_state_request(
-            CallPriority::Rest,
+            CallPriority::Background,
             StateRequest::Transaction(txn),
             CallKind::Record(RecordCall::Tuning { ticket }),
         );
@@ -290,13 +290,13 @@
     fn counters_view(&self) -> CountersView {
         let counters = &self.counters;
         CountersView {
-            acquisitions: counters.takeovers,
-            transfers: counters.hand_overs,
-            early_failovers: counters.early_takeovers,
-            false_failovers: counters.wrong_takeovers,
-            pauses: counters.stood_still,
-            cancelled_by_message: counters.cancelled_by_word,
-            replies_withheld: counters.answers_withheld,
+            acquisitions: counters.acquisitions,
+            transfers: counters.transfers,
+            early_failovers: counters.early_failovers,
+            false_failovers: counters.false_failovers,
+            pauses: counters.pauses,
+            cancelled_by_message: counters.cancelled_by_message,
+            replies_withheld: counters.replies_withheld,
             state_calls: counters.state_calls,
             state_writes: counters.state_writes,
             state_refused: counters.state_refused,
@@ -310,7 +310,7 @@
             open_jobs: self.cache.jobs.len(),
             machines: self.cache.machines.len(),
             partitions_led: self.leaderships.len(),
-            replicas_in_sync: self.partitions_in_step(),
+            replicas_in_sync: self.replicas_in_sync(),
             unreachable_machines: self.unreachable_machine_count(),
             remaining_lease_validity_s: self.remaining_lease_validity().as_secs_f64(),
             without_state: u64::from(!self.has_recent_state_read(MAX_LAUNCH_READ_AGE)),
--- a/crates/controller/src/controller/admission.rs
+++ b/crates/controller/src/controller/admission.rs
@@ -8,7 +8,7 @@
     AcceptedJobsPage, PackedJob,
 };
 use crate::request_budget::CallPriority;
-use crate::serial_writer::{SerialWriter, WriteOutcome, RETRY_PAUSE};
+use crate::serial_writer::{SerialWriter, WriteOutcome, UNKNOWN_OUTCOME_RETRY_DELAY};
 use model::{JobId, Timestamp};
 use std::collections::{HashSet, VecDeque};
 use std::time::Duration;
@@ -115,12 +115,15 @@
     pub(super) fn advance_admission(&mut self) {
         self.refuse_overdue_submissions();
         self.confirm_accepted();
-        let ready = self.admission.writes.ready(self.now, self.cache.revision);
+        let ready = self
+            .admission
+            .writes
+            .is_ready(self.now, self.cache.revision);
         let has_pending = !self.admission.pending.is_empty();
         if has_pending
             && ready
             && self.state_sync.is_synced()
-            && self.may_write(CallPriority::Accept, 1.0)
+            && self.may_write(CallPriority::UserRequest, 1.0)
         {
             self.write_accepted();
         }
@@ -150,7 +153,7 @@
         if !self.state_sync.is_synced() {
             let requests = std::mem::take(&mut self.admission.unconfirmed);
             self.refuse_all(requests);
-        } else if self.cache.revision >= self.admission.writes.settled_at() {
+        } else if self.cache.revision >= self.admission.writes.settled_revision() {
             for request in std::mem::take(&mut self.admission.unconfirmed) {
                 self.answer(request);
             }
@@ -220,7 +223,7 @@
                 Duration::ZERO,
             );
             self.queue_state_request(
-                CallPriority::Accept,
+                CallPriority::UserRequest,
                 StateRequest::Transaction(batch.txn),
                 CallKind::Job(JobCall::Accept),
             );
@@ -289,19 +292,19 @@
                 }
             }
             WriteOutcome::Refused {
-                what,
+                contents: batch,
                 throttled: true,
             } => {
-                for submission in what.into_iter().rev() {
+                for submission in batch.into_iter().rev() {
                     self.admission.pending.push_front(submission);
                 }
             }
             WriteOutcome::Refused {
-                what,
+                contents: batch,
                 throttled: false,
             } => {
                 let pending = std::mem::take(&mut self.admission.pending);
-                for submission in what.into_iter().chain(pending) {
+                for submission in batch.into_iter().chain(pending) {
                     self.reply_busy(submission.ticket, RETRY_AFTER_S);
                 }
             }
@@ -313,8 +316,8 @@
                 }
                 let request = StateRequest::Transaction(txn);
                 self.retry_later(
-                    RETRY_PAUSE,
-                    CallPriority::Accept,
+                    UNKNOWN_OUTCOME_RETRY_DELAY,
+                    CallPriority::UserRequest,
                     request,
                     CallKind::Job(JobCall::Accept),
                 );
--- a/crates/controller/src/controller/cancellations.rs
+++ b/crates/controller/src/controller/cancellations.rs
@@ -5,7 +5,7 @@
 use super::{CallKind, Controller, PendingRequest, RequestKind};
 use crate::records::{cancellations_key, CancellationsRecord};
 use crate::request_budget::CallPriority;
-use crate::serial_writer::{SerialWriter, WriteOutcome, RETRY_PAUSE};
+use crate::serial_writer::{SerialWriter, WriteOutcome, UNKNOWN_OUTCOME_RETRY_DELAY};
 use std::time::Duration;
 use wire::mesh::MeshMessage;
 use wire::state::{StateReply, StateRequest, Transaction, Write};
@@ -31,12 +31,12 @@
         let ready = self
             .cancellations
             .writes
-            .ready(self.now, self.cache.revision);
+            .is_ready(self.now, self.cache.revision);
         let has_pending = !self.cancellations.pending.is_empty();
         if has_pending
             && ready
             && self.state_sync.is_synced()
-            && self.may_write(CallPriority::Accept, 1.0)
+            && self.may_write(CallPriority::UserRequest, 1.0)
         {
             self.write_cancellations();
         }
@@ -73,7 +73,7 @@
             .writes
             .send(batch, txn.clone(), self.now, Duration::ZERO);
         self.queue_state_request(
-            CallPriority::Accept,
+            CallPriority::UserRequest,
             StateRequest::Transaction(txn),
             CallKind::Job(JobCall::Cancel),
         );
@@ -91,7 +91,7 @@
             }
             WriteOutcome::Conflict(requests, _)
             | WriteOutcome::Refused {
-                what: requests,
+                contents: requests,
                 throttled: true,
             } => {
                 for mut request in requests {
@@ -104,7 +104,9 @@
                     }
                 }
             }
-            WriteOutcome::Refused { what, .. } => self.refuse_all(what),
+            WriteOutcome::Refused {
+                contents: requests, ..
+            } => self.refuse_all(requests),
             WriteOutcome::Unknown(txn) => {
                 let requests = self
                     .cancellations
@@ -114,8 +116,8 @@
                 self.refuse_all(requests.unwrap_or_default());
                 let request = StateRequest::Transaction(txn);
                 self.retry_later(
-                    RETRY_PAUSE,
-                    CallPriority::Accept,
+                    UNKNOWN_OUTCOME_RETRY_DELAY,
+                    CallPriority::UserRequest,
                     request,
                     CallKind::Job(JobCall::Cancel),
                 );
--- a/crates/controller/src/controller/crash_loop.rs
+++ b/crates/controller/src/controller/crash_loop.rs
@@ -11,11 +11,11 @@
 
 impl Controller {
     /// Writes this incarnation's record if it is not durable yet, or if its count has to be reset.
-    pub(super) fn update_registration(&mut self) {
+    pub(super) fn maintain_registration(&mut self) {
         let recorded = self.cache.incarnations.get(&self.settings.name);
         let version = recorded.map_or(0, |recorded| recorded.version.0);
         let record = recorded.map(|recorded| &recorded.record);
-        let Some(record) = self.registration.update(record, self.now) else {
+        let Some(record) = self.registration.begin_write(record, self.now) else {
             return;
         };
         let key = incarnation_key(self.own_name());
@@ -24,7 +24,7 @@
             .when(&key, version)
             .write(Write::put(&key, value));
         self.queue_state_request(
-            CallPriority::Lease,
+            CallPriority::Coordination,
             StateRequest::Transaction(transaction),
             CallKind::Registration,
         );
--- a/crates/controller/src/controller/fleet_planner/machine_types.rs
+++ b/crates/controller/src/controller/fleet_planner/machine_types.rs
@@ -81,7 +81,7 @@
             .when(MACHINE_TYPES_KEY, version)
             .write(Write::put(MACHINE_TYPES_KEY, value));
         self.queue_state_request(
-            CallPriority::Lease,
+            CallPriority::Coordination,
             StateRequest::Transaction(txn),
             CallKind::Record(RecordCall::MachineTypes),
         );
--- a/crates/controller/src/controller/fleet_planner/planning.rs
+++ b/crates/controller/src/controller/fleet_planner/planning.rs
@@ -88,7 +88,7 @@
 
     /// The zone of a partition's preferred leader.
     fn preferred_zone(&self, partition: u32) -> ZoneName {
-        self.nodes
+        self.controllers
             .get(partition as usize)
             .map_or_else(|| self.settings.zone.clone(), |(_, zone)| zone.clone())
     }
--- a/crates/controller/src/controller/heartbeats.rs
+++ b/crates/controller/src/controller/heartbeats.rs
@@ -90,7 +90,7 @@
             }
             HeartbeatOutcome::Withheld => {
                 tracing::warn!(machine = %name, "heartbeat reply withheld: a launch of a cancelled task may still arrive");
-                self.counters.answers_withheld += 1;
+                self.counters.replies_withheld += 1;
                 return HeartbeatReply::Unavailable;
             }
         };
--- a/crates/controller/src/controller/job_archiver.rs
+++ b/crates/controller/src/controller/job_archiver.rs
@@ -13,7 +13,7 @@
     FinalStateRecord, TerminalJobsPage,
 };
 use crate::request_budget::CallPriority;
-use crate::serial_writer::{SerialWriter, WriteOutcome, RETRY_PAUSE};
+use crate::serial_writer::{SerialWriter, WriteOutcome, UNKNOWN_OUTCOME_RETRY_DELAY};
 use crate::state_cache::StateCache;
 use model::{ControllerName, JobId, JobState, PartitionId, ZoneName};
 use std::collections::BTreeSet;
@@ -36,10 +36,10 @@
     /// Records terminal jobs of a partition or, if there are none, archives recorded ones.
     pub(super) fn archive_terminal_jobs(&mut self, partition: PartitionId) {
         let (now, revision) = (self.now, self.cache.revision);
-        let may_record = self.may_write(CallPriority::Accept, 1.0);
+        let may_record = self.may_write(CallPriority::UserRequest, 1.0);
         let max_archived = self.settings.state_limits.txn_ops - 1;
         let capacity = self.max_ids_per_page();
-        let may_archive = self.may_write(CallPriority::Rest, max_archived as f64 + 1.0);
+        let may_archive = self.may_write(CallPriority::Background, max_archived as f64 + 1.0);
         let Some(leadership) = self.leaderships.get_mut(&partition) else {
             return;
         };
@@ -48,7 +48,7 @@
             return;
         };
         archiver.jobs.extend(partition_state.take_finished());
-        if !may_record || !archiver.writer.ready(now, revision) {
+        if !may_record || !archiver.writer.is_ready(now, revision) {
             return;
         }
         archiver.jobs.retain(|id| self.cache.jobs.contains_key(id));
@@ -62,7 +62,13 @@
         let is_terminal = |id: &&JobId| self.cache.is_cancelled(**id) || all_done(id);
         let terminal: BTreeSet<JobId> = archiver.jobs.iter().filter(is_terminal).copied().collect();
         let txn = if !terminal.is_empty() {
-            record_jobs(&self.cache, &self.nodes, partition, &terminal, capacity)
+            record_jobs(
+                &self.cache,
+                &self.controllers,
+                partition,
+                &terminal,
+                capacity,
+            )
         } else if may_archive {
             match archive_jobs(&self.cache, partition, max_archived) {
                 Some(txn) => txn,
@@ -80,7 +86,11 @@
         };
         archiver.writer.send((), txn.clone(), now, WRITE_INTERVAL);
         let kind = CallKind::Job(JobCall::Archive { partition, term });
-        self.queue_state_request(CallPriority::Accept, StateRequest::Transaction(txn), kind);
+        self.queue_state_request(
+            CallPriority::UserRequest,
+            StateRequest::Transaction(txn),
+            kind,
+        );
     }
 
     /// How many ids a page takes.
@@ -106,8 +116,8 @@
         if let WriteOutcome::Unknown(txn) = archiver.writer.handle_reply(reply, now) {
             let kind = CallKind::Job(JobCall::Archive { partition, term });
             self.retry_later(
-                RETRY_PAUSE,
-                CallPriority::Accept,
+                UNKNOWN_OUTCOME_RETRY_DELAY,
+                CallPriority::UserRequest,
                 StateRequest::Transaction(txn),
                 kind,
             );
--- a/crates/controller/src/controller/membership/acquisition.rs
+++ b/crates/controller/src/controller/leader_election/acquisition.rs
@@ -88,10 +88,13 @@
     /// Acquires a vacant partition once it is this controller's turn.
     pub(super) fn try_acquire_vacant(&mut self, partition: PartitionId) {
         let now = self.now;
-        let vacant_since = self.membership.acquisitions.vacant_since(partition, now);
+        let vacant_since = self
+            .leader_election
+            .acquisitions
+            .vacant_since(partition, now);
         let backs_off = self.is_backing_off_from(partition) && now < vacant_since + UNCLAIMED_AFTER;
         let waits = now < vacant_since + self.acquisition_delay(partition);
-        if self.membership.acquisitions.is_pending(partition) || waits || backs_off {
+        if self.leader_election.acquisitions.is_pending(partition) || waits || backs_off {
             return;
         }
         self.acquire(partition, 0);
@@ -110,13 +113,13 @@
         let attempted_recently = self
             .standby
             .has_attempted_failover(FAILOVER_ATTEMPT_INTERVAL, self.now);
-        if self.membership.acquisitions.is_pending(partition)
+        if self.leader_election.acquisitions.is_pending(partition)
             || self.is_backing_off_from(partition)
             || attempted_recently
         {
             return;
         }
-        if self.incarnation_is_over(&run) {
+        if self.incarnation_has_exited(&run) {
             if self.may_replace_exited_leader(partition) {
                 self.standby.record_failover_attempt(self.now);
                 self.acquire(partition, version);
@@ -166,7 +169,7 @@
         }
         let own_rank = self.acquisition_rank(partition, self.own_name());
         let ranked_before = self
-            .nodes
+            .controllers
             .iter()
             .filter(|(name, _)| {
                 name != self.own_name()
@@ -259,9 +262,9 @@
             unconfirmed_predecessors: self.unconfirmed_predecessors_of(partition),
         };
         let txn = self.partition_txn(partition, version, &record, lease.0);
-        self.membership.acquisitions.pending.insert(partition);
+        self.leader_election.acquisitions.pending.insert(partition);
         self.queue_state_request(
-            CallPriority::Lease,
+            CallPriority::Coordination,
             StateRequest::Transaction(txn),
             CallKind::Leadership(LeadershipCall::Acquire(partition)),
         );
@@ -281,14 +284,17 @@
         predecessors.extend(counter.record.last_leaders.get(&partition.0).cloned());
         // This controller has stopped to answer with the loss of its own leadership.
         predecessors.retain(|predecessor| {
-            !self.incarnation_is_over(predecessor) && predecessor.controller != *self.own_name()
+            !self.incarnation_has_exited(predecessor) && predecessor.controller != *self.own_name()
         });
         predecessors.dedup();
         predecessors
     }
 
     /// Whether an incarnation is known to have exited: a later one has been recorded.
-    pub(in crate::controller) fn incarnation_is_over(&self, run: &ControllerIncarnation) -> bool {
+    pub(in crate::controller) fn incarnation_has_exited(
+        &self,
+        run: &ControllerIncarnation,
+    ) -> bool {
         self.cache
             .incarnations
             .get(&run.controller)
@@ -302,11 +308,11 @@
         partition: PartitionId,
         reply: &StateReply,
     ) {
-        let acquisitions = &mut self.membership.acquisitions;
+        let acquisitions = &mut self.leader_election.acquisitions;
         acquisitions.pending.remove(&partition);
         match reply {
             StateReply::Committed { .. } => {
-                self.counters.takeovers += 1;
+                self.counters.acquisitions += 1;
                 acquisitions.vacant_since.remove(&partition);
             }
             _ => {
@@ -324,7 +330,7 @@
         };
         let term = leadership.term();
         tracing::warn!(%partition, %term, "reloading partition under a new term");
-        let acquisitions = &mut self.membership.acquisitions;
+        let acquisitions = &mut self.leader_election.acquisitions;
         acquisitions.relinquish(partition, term);
         let renewal = TermRenewal {
             old_term: term,
@@ -341,7 +347,7 @@
         };
         let version = held.version.0;
         let term = FencingToken(held.record.term);
-        let acquisitions = &mut self.membership.acquisitions;
+        let acquisitions = &mut self.leader_election.acquisitions;
         let is_pending = acquisitions.is_pending(partition);
         let Some(renewal) = acquisitions.term_renewals.get_mut(&partition) else {
             return;
--- a/crates/controller/src/controller/membership/mod.rs
+++ b/crates/controller/src/controller/leader_election/mod.rs
@@ -23,14 +23,14 @@
 
 /// What a controller remembers for its decisions about leaderships.
 #[derive(Debug, Default)]
-pub(super) struct Membership {
+pub(super) struct LeaderElection {
     acquisitions: Acquisitions,
     backoffs: ReacquisitionBackoffs,
     resignations: PeerResignations,
     reclaim: Reclaim,
 }
 
-impl Membership {
+impl LeaderElection {
     /// This controller was paused until now: vacancies count from here on.
     pub(super) fn restart_vacancies(&mut self, now: Timestamp) {
         self.acquisitions.restart_vacancies(now);
@@ -45,12 +45,14 @@
 impl Controller {
     /// Number of partitions: one for each controller of the settings.
     pub(super) fn partition_count(&self) -> u32 {
-        self.nodes.len() as u32
+        self.controllers.len() as u32
     }
 
     /// The controller to which a partition returns when it can lead it.
     pub(super) fn preferred_leader(&self, partition: PartitionId) -> Option<&ControllerName> {
-        self.nodes.get(partition.0 as usize).map(|(name, _)| name)
+        self.controllers
+            .get(partition.0 as usize)
+            .map(|(name, _)| name)
     }
 
     /// Whether a peer's last heartbeat is recent.
@@ -59,7 +61,7 @@
     }
 
     /// Whether a peer receives the heartbeats of this controller.
-    pub(super) fn is_reached_by(&self, peer: &ControllerName) -> bool {
+    pub(super) fn reaches_peer(&self, peer: &ControllerName) -> bool {
         self.peers.is_receiving_from(peer, self.own_name())
     }
 
@@ -85,13 +87,13 @@
             self.try_acquire_vacant(partition);
             return;
         };
-        self.membership.acquisitions.end_vacancy(partition);
+        self.leader_election.acquisitions.end_vacancy(partition);
         let is_own = held.record.leader == *self.own_name()
             && held.record.incarnation == self.registration.incarnation();
         if !is_own {
             self.try_early_failover(partition);
         } else if !self.leaderships.contains_key(&partition) {
-            self.partition_changed(partition);
+            self.handle_partition_record(partition);
             self.renew_term(partition);
         }
     }
@@ -103,6 +105,6 @@
     }
 
     fn is_backing_off_from(&self, partition: PartitionId) -> bool {
-        self.membership.backoffs.is_active(partition, self.now)
+        self.leader_election.backoffs.is_active(partition, self.now)
     }
 }
--- a/crates/controller/src/controller/membership/reacquisition.rs
+++ b/crates/controller/src/controller/leader_election/reacquisition.rs
@@ -105,7 +105,9 @@
     /// Probes workers of partitions that were resigned. To acquire one again while its workers still
     /// do not reach this controller would cost their leases.
     pub(super) fn probe_workers(&mut self) {
-        for (partition, (machine, address)) in self.membership.backoffs.take_due_probes(self.now) {
+        for (partition, (machine, address)) in
+            self.leader_election.backoffs.take_due_probes(self.now)
+        {
             let purpose = CallKind::Worker(WorkerCall::ReachabilityProbe { partition, machine });
             self.send_probe(
                 address,
@@ -123,7 +125,7 @@
         partition: PartitionId,
         reached: bool,
     ) {
-        self.membership
+        self.leader_election
             .backoffs
             .record_probe(partition, reached, self.now);
     }
--- a/crates/controller/src/controller/membership/reclaim.rs
+++ b/crates/controller/src/controller/leader_election/reclaim.rs
@@ -48,7 +48,7 @@
     /// The partition that this controller is the preferred leader of.
     fn preferred_partition(&self) -> Option<PartitionId> {
         let number = self
-            .nodes
+            .controllers
             .iter()
             .position(|(name, _)| name == self.own_name())?;
         Some(PartitionId(number as u32))
@@ -66,8 +66,8 @@
             return;
         };
         let leader = held.record.leader.clone();
-        if leader == *self.own_name() || self.membership.acquisitions.is_pending(partition) {
-            self.membership.reclaim.displaced_since = None;
+        if leader == *self.own_name() || self.leader_election.acquisitions.is_pending(partition) {
+            self.leader_election.reclaim.displaced_since = None;
             return;
         }
         if self.is_backing_off_from(partition)
@@ -76,7 +76,7 @@
         {
             return;
         }
-        let displaced_for = self.membership.reclaim.displaced_for(self.now);
+        let displaced_for = self.leader_election.reclaim.displaced_for(self.now);
         self.write_reclaim_record(partition, &leader, lease, displaced_for);
         self.send_reclaim_request(partition, &leader, lease, displaced_for);
     }
@@ -94,7 +94,7 @@
             !self.peer_is_alive(leader) || displaced_for >= RECLAIM_AFTER + REPLICA_CATCH_UP_LIMIT;
         if displaced_for < RECLAIM_AFTER
             || !mesh_does_not_help
-            || self.membership.reclaim.write_pending
+            || self.leader_election.reclaim.write_pending
         {
             return;
         }
@@ -120,9 +120,9 @@
             .when(reclaim_key(partition), reclaim_version)
             .when(partition_key(partition), partition_version)
             .write(Write::put_leased(reclaim_key(partition), value, lease.0));
-        self.membership.reclaim.write_pending = true;
+        self.leader_election.reclaim.write_pending = true;
         self.queue_state_request(
-            CallPriority::Lease,
+            CallPriority::Coordination,
             StateRequest::Transaction(txn),
             CallKind::Leadership(LeadershipCall::Reclaim),
         );
@@ -135,13 +135,13 @@
         lease: LeaseId,
         displaced_for: Duration,
     ) {
-        if !self.membership.reclaim.is_request_due(self.now)
+        if !self.leader_election.reclaim.is_request_due(self.now)
             || !self.peer_is_alive(leader)
-            || !self.is_warm(partition, displaced_for)
+            || !self.is_ready_to_reclaim(partition, displaced_for)
         {
             return;
         }
-        self.membership.reclaim.requested_at = Some(self.now);
+        self.leader_election.reclaim.requested_at = Some(self.now);
         let message = MeshMessage::ReclaimRequest {
             partition: partition.0,
             lease: lease.0,
--- a/crates/controller/src/controller/membership/record_changes.rs
+++ b/crates/controller/src/controller/leader_election/record_changes.rs
@@ -9,7 +9,7 @@
 
 impl Controller {
     /// A partition's record has changed.
-    pub(in crate::controller) fn partition_changed(&mut self, partition: PartitionId) {
+    pub(in crate::controller) fn handle_partition_record(&mut self, partition: PartitionId) {
         let Some(held) = self.cache.partitions.get(&partition).cloned() else {
             if self.leaderships.remove(&partition).is_some() {
                 tracing::warn!(%partition, "partition leadership lost: record deleted");
@@ -28,7 +28,7 @@
         let term = FencingToken(record.term);
         // The cache may still show a term that was transferred just now.
         if self
-            .membership
+            .leader_election
             .acquisitions
             .is_relinquished(partition, term)
         {
@@ -51,7 +51,7 @@
         let predecessors: Vec<_> = record
             .unconfirmed_predecessors
             .into_iter()
-            .filter(|predecessor| !self.incarnation_is_over(predecessor))
+            .filter(|predecessor| !self.incarnation_has_exited(predecessor))
             .collect();
         let predecessors_valid_until = if predecessors.is_empty() {
             self.now
--- a/crates/controller/src/controller/membership/resignation.rs
+++ b/crates/controller/src/controller/leader_election/resignation.rs
@@ -56,14 +56,14 @@
         partition: PartitionId,
         peer: ControllerName,
     ) {
-        self.membership
+        self.leader_election
             .resignations
             .record(partition, peer, self.now);
     }
 
     /// Whether a peer has just resigned this partition.
     pub(super) fn was_resigned(&self, partition: PartitionId) -> bool {
-        self.membership
+        self.leader_election
             .resignations
             .any_has_resigned(partition, UNCLAIMED_AFTER, self.now)
     }
@@ -72,7 +72,7 @@
     /// if all machines of a partition were dead, its leaders would resign it in turn for ever.
     fn has_candidate(&self, partition: PartitionId) -> bool {
         self.peers.eligible_leaders(self.now).any(|peer| {
-            !self.membership.resignations.has_resigned(
+            !self.leader_election.resignations.has_resigned(
                 partition,
                 peer,
                 MAX_REACQUISITION_BACKOFF,
@@ -103,12 +103,14 @@
             .partition_state()
             .map(|partition_state| partition_state.addresses(REACHABILITY_PROBE_COUNT))
             .unwrap_or_default();
-        self.membership.backoffs.begin(partition, workers, self.now);
+        self.leader_election
+            .backoffs
+            .begin(partition, workers, self.now);
         self.broadcast(MeshMessage::LeadershipResigned {
             partition: partition.0,
         });
         self.queue_state_request(
-            CallPriority::Lease,
+            CallPriority::Coordination,
             StateRequest::Transaction(txn),
             CallKind::Leadership(LeadershipCall::Resign(partition)),
         );
@@ -126,7 +128,9 @@
         match reply {
             StateReply::Committed { .. } => {
                 let term = leadership.term();
-                self.membership.acquisitions.relinquish(partition, term);
+                self.leader_election
+                    .acquisitions
+                    .relinquish(partition, term);
                 self.leaderships.remove(&partition);
             }
             // It may yet be applied.
--- a/crates/controller/src/controller/membership/transfer.rs
+++ b/crates/controller/src/controller/leader_election/transfer.rs
@@ -52,7 +52,11 @@
             partition,
             to: to.clone(),
         });
-        self.queue_state_request(CallPriority::Lease, StateRequest::Transaction(txn), purpose);
+        self.queue_state_request(
+            CallPriority::Coordination,
+            StateRequest::Transaction(txn),
+            purpose,
+        );
     }
 
     /// Handles the reply to a transfer's transaction.
@@ -67,10 +71,12 @@
             StateReply::Committed { .. } => {
                 let term = leadership.map(|leadership| leadership.term());
                 tracing::info!(%partition, %to, "partition leadership transferred");
-                self.counters.hand_overs += 1;
+                self.counters.transfers += 1;
                 if let Some(term) = term {
                     self.leaderships.remove(&partition);
-                    self.membership.acquisitions.relinquish(partition, term);
+                    self.leader_election
+                        .acquisitions
+                        .relinquish(partition, term);
                 }
             }
             // It may yet be applied.
--- a/crates/controller/src/controller/leadership/advance.rs
+++ b/crates/controller/src/controller/leadership/advance.rs
@@ -63,7 +63,7 @@
             .unwrap_or_default();
         predecessors
             .iter()
-            .filter(|predecessor| self.incarnation_is_over(predecessor))
+            .filter(|predecessor| self.incarnation_has_exited(predecessor))
             .cloned()
             .collect()
     }
@@ -96,7 +96,7 @@
             loaded.partition_state.consolidate(now);
         }
         self.counters
-            .waits
+            .placement_waits_ms
             .append(&mut loaded.partition_state.placement_waits_ms);
         self.counters
             .unplaced
--- a/crates/controller/src/controller/leadership/partition_status.rs
+++ b/crates/controller/src/controller/leadership/partition_status.rs
@@ -153,7 +153,7 @@
         };
         if fleet_planner == *self.own_name() {
             self.handle_partition_status(status);
-        } else if !self.peer_is_alive(&fleet_planner) || !self.is_reached_by(&fleet_planner) {
+        } else if !self.peer_is_alive(&fleet_planner) || !self.reaches_peer(&fleet_planner) {
             self.write_demand(status);
         } else {
             self.send_to_peer(&fleet_planner, MeshMessage::PartitionStatus(status));
--- a/crates/controller/src/controller/leadership/record_changes.rs
+++ b/crates/controller/src/controller/leadership/record_changes.rs
@@ -95,7 +95,7 @@
         }) else {
             return;
         };
-        self.counters.cancelled_by_word += 1;
+        self.counters.cancelled_by_message += 1;
         partition_state.cancel_job(id, now);
         partition_state.bound_lease_renewal(id, until);
     }
--- a/crates/controller/src/controller/linearizable_reads.rs
+++ b/crates/controller/src/controller/linearizable_reads.rs
@@ -88,7 +88,7 @@
         let requests = std::mem::take(&mut self.reads.queued);
         let read = watch_request(self.cache.revision, Duration::ZERO);
         self.queue_state_request(
-            CallPriority::Accept,
+            CallPriority::UserRequest,
             read,
             CallKind::Read(ReadCall::Changes(requests)),
         );
@@ -110,7 +110,7 @@
             txn.when(final_state_key(*id), 0)
         });
         self.queue_state_request(
-            CallPriority::Accept,
+            CallPriority::UserRequest,
             StateRequest::Transaction(txn),
             CallKind::Read(ReadCall::TerminalStates(requests)),
         );
@@ -189,7 +189,7 @@
                     if failed.contains(&key) {
                         let read = StateRequest::Get { key };
                         self.queue_state_request(
-                            CallPriority::Accept,
+                            CallPriority::UserRequest,
                             read,
                             CallKind::Read(ReadCall::TerminalRecord { request }),
                         );
--- a/crates/controller/src/controller/load_partition.rs
+++ b/crates/controller/src/controller/load_partition.rs
@@ -51,7 +51,7 @@
         let Some((request, purpose)) = self.log_page_request(partition, after) else {
             return;
         };
-        self.queue_state_request(CallPriority::Lease, request, purpose);
+        self.queue_state_request(CallPriority::Coordination, request, purpose);
     }
 
     fn restart_log_read(&mut self, partition: PartitionId, after: Duration) {
@@ -62,7 +62,7 @@
         let Some((request, purpose)) = self.log_page_request(partition, String::new()) else {
             return;
         };
-        self.retry_later(after, CallPriority::Lease, request, purpose);
+        self.retry_later(after, CallPriority::Coordination, request, purpose);
     }
 
     /// Handles a page of the placement log: requests the next one, or tries to load the partition
@@ -265,7 +265,7 @@
             zones.extend(named.map(|zone| ZoneName::from(zone.as_str())));
         }
         let preferred = self
-            .nodes
+            .controllers
             .get(partition.0 as usize)
             .map(|(_, zone)| zone.clone());
         zones.sort_by_key(|zone| (Some(zone) != preferred.as_ref(), zone.clone()));
--- a/crates/controller/src/controller/machine_records.rs
+++ b/crates/controller/src/controller/machine_records.rs
@@ -8,7 +8,7 @@
     TOKEN_COUNTER_KEY,
 };
 use crate::request_budget::CallPriority;
-use crate::serial_writer::{SerialWriter, WriteOutcome, RETRY_PAUSE};
+use crate::serial_writer::{SerialWriter, WriteOutcome, UNKNOWN_OUTCOME_RETRY_DELAY};
 use model::{MachineName, PartitionId, Timestamp};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -185,7 +185,7 @@
         let (now, revision) = (self.now, self.cache.revision);
         if self.machine_changes.requested.is_empty()
             || !self.state_sync.is_synced()
-            || !self.machine_changes.writer.ready(now, revision)
+            || !self.machine_changes.writer.is_ready(now, revision)
         {
             self.machine_changes.delayed_since = None;
             return;
@@ -327,7 +327,7 @@
             self.machine_changes.writer.handle_reply(reply, self.now)
         {
             self.retry_later(
-                RETRY_PAUSE,
+                UNKNOWN_OUTCOME_RETRY_DELAY,
                 CallPriority::Placement,
                 StateRequest::Transaction(txn),
                 CallKind::Record(RecordCall::Machines),
--- a/crates/controller/src/controller/mod.rs
+++ b/crates/controller/src/controller/mod.rs
@@ -14,11 +14,11 @@
 mod heartbeat_checks;
 mod heartbeats;
 mod job_archiver;
+mod leader_election;
 mod leadership;
 mod linearizable_reads;
 mod load_partition;
 mod machine_records;
-mod membership;
 mod mesh_messages;
 mod peers;
 mod standby;
@@ -38,10 +38,10 @@
 use call_kind::CallKind;
 use cancellations::Cancellations;
 use fleet_planner::FleetPlanner;
+use leader_election::LeaderElection;
 use leadership::PartitionLeadership;
 use linearizable_reads::LinearizableReads;
 use machine_records::MachineChanges;
-use membership::Membership;
 use model::{CallId, ControllerName, DurationExt, PartitionId, Settings, Timestamp, ZoneName};
 use peers::PeerRegistry;
 use rand::rngs::SmallRng;
@@ -65,7 +65,7 @@
     rng: SmallRng,
     now: Timestamp,
     registration: Registration,
-    nodes: Vec<(ControllerName, ZoneName)>,
+    controllers: Vec<(ControllerName, ZoneName)>,
     cache: StateCache,
     state_sync: StateSync,
     /// Start of the process or end of its last pause: a message that did not arrive before then may
@@ -77,7 +77,7 @@
     calls: PendingCalls<CallKind>,
     state_client: StateClient,
     leaderships: BTreeMap<PartitionId, PartitionLeadership>,
-    membership: Membership,
+    leader_election: LeaderElection,
     peers: PeerRegistry,
     statuses_reported_at: Timestamp,
     /// The last writes of partitions' unmet demand.
@@ -107,14 +107,14 @@
 impl Controller {
     /// A controller that has just started. `seed` must be random: it determines the incarnation.
     pub fn new(settings: Settings, seed: u64) -> Self {
-        let nodes = settings.nodes();
-        let state_client = StateClient::new(&settings.state_limits, nodes.len());
+        let controllers = settings.nodes();
+        let state_client = StateClient::new(&settings.state_limits, controllers.len());
         Controller {
             tuning: Tuning::default(),
             rng: SmallRng::seed_from_u64(seed),
             now: Timestamp::default(),
             registration: Registration::new(seed >> 12),
-            nodes,
+            controllers,
             cache: StateCache::default(),
             state_sync: StateSync::default(),
             running_since: Timestamp::default(),
@@ -123,7 +123,7 @@
             calls: PendingCalls::default(),
             state_client,
             leaderships: BTreeMap::new(),
-            membership: Membership::default(),
+            leader_election: LeaderElection::default(),
             peers: PeerRegistry::default(),
             statuses_reported_at: Timestamp::default(),
             demand_writes: HashMap::new(),
@@ -165,10 +165,10 @@
     fn handle_pause(&mut self, now: Timestamp) {
         let pause = now.duration_since(self.now);
         tracing::warn!(pause_ms = pause.whole_millis(), "process was paused");
-        self.counters.stood_still += 1;
+        self.counters.pauses += 1;
         self.running_since = now;
         self.peers.shift_heartbeats(pause);
-        self.membership.restart_vacancies(now);
+        self.leader_election.restart_vacancies(now);
         for leadership in self.leaderships.values_mut() {
             if let Some(partition_state) = leadership.partition_state_mut() {
                 partition_state.running_since = now;
--- a/crates/controller/src/controller/standby/detection.rs
+++ b/crates/controller/src/controller/standby/detection.rs
@@ -60,7 +60,7 @@
         former_leader: ControllerName,
         incarnation: u64,
     ) {
-        self.counters.early_takeovers += 1;
+        self.counters.early_failovers += 1;
         let early_failover = EarlyFailover {
             former_leader,
             incarnation,
@@ -97,7 +97,7 @@
             self.standby
                 .failure_detector
                 .record_false_suspicion(partition, now);
-            self.counters.wrong_takeovers += 1;
+            self.counters.false_failovers += 1;
         }
     }
 }
--- a/crates/controller/src/controller/standby/mod.rs
+++ b/crates/controller/src/controller/standby/mod.rs
@@ -65,7 +65,11 @@
 impl Controller {
     /// The standby of each partition, as far as this controller knows which peers are alive.
     pub(super) fn standbys(&self) -> BTreeMap<PartitionId, ControllerName> {
-        let names: Vec<ControllerName> = self.nodes.iter().map(|(name, _)| name.clone()).collect();
+        let names: Vec<ControllerName> = self
+            .controllers
+            .iter()
+            .map(|(name, _)| name.clone())
+            .collect();
         let leaders = self
             .cache
             .partitions
@@ -85,7 +89,7 @@
         &self,
         standbys: &BTreeMap<PartitionId, ControllerName>,
     ) -> BTreeMap<PartitionId, ReplicationSource> {
-        let replicates_all = self.nodes.len() <= MAX_CONTROLLERS_REPLICATING_ALL;
+        let replicates_all = self.controllers.len() <= MAX_CONTROLLERS_REPLICATING_ALL;
         let mut sources = BTreeMap::new();
         for (partition, held) in &self.cache.partitions {
             let record = &held.record;
@@ -200,7 +204,11 @@
     }
 
     /// Whether the replica of the preferred partition is in sync, or has been waited for long enough.
-    pub(super) fn is_warm(&self, partition: PartitionId, displaced_for: Duration) -> bool {
+    pub(super) fn is_ready_to_reclaim(
+        &self,
+        partition: PartitionId,
+        displaced_for: Duration,
+    ) -> bool {
         displaced_for >= REPLICA_CATCH_UP_LIMIT
             || self.standby.replicas.is_in_sync(partition, self.now)
     }
@@ -243,7 +251,7 @@
         replica.machines.len()
     }
     /// Partitions of other leaders whose replicas are in sync.
-    pub(super) fn partitions_in_step(&self) -> usize {
+    pub(super) fn replicas_in_sync(&self) -> usize {
         let replicas = &self.standby.replicas;
         replicas
             .iter()
--- a/crates/controller/src/controller/state_replies.rs
+++ b/crates/controller/src/controller/state_replies.rs
@@ -26,7 +26,7 @@
         match kind {
             CallKind::Sync(call) => self.handle_sync_reply(call, reply, sent_at),
             CallKind::Lease(call) => self.handle_lease_reply(call, &reply, sent_at),
-            CallKind::Registration => self.registration.handle_written(),
+            CallKind::Registration => self.registration.handle_write_reply(),
             CallKind::Read(call) => self.handle_read_reply(call, reply, sent_at),
             CallKind::Leadership(call) => self.handle_leadership_reply(call, reply),
             CallKind::Log(call) => self.handle_log_reply(call, reply),
@@ -58,7 +58,7 @@
                 term,
                 token,
             } => self.handle_token_raised(partition, term, token, reply),
-            LeadershipCall::Reclaim => self.membership.finish_reclaim_write(),
+            LeadershipCall::Reclaim => self.leader_election.finish_reclaim_write(),
             LeadershipCall::Resign(partition) => self.handle_resignation_reply(partition, reply),
         }
     }
--- a/crates/controller/src/controller/state_sync.rs
+++ b/crates/controller/src/controller/state_sync.rs
@@ -26,13 +26,17 @@
     }
 
     fn send_sync_read(&mut self, read: SyncRequest) {
-        self.queue_state_request(CallPriority::Lease, read.request, CallKind::Sync(read.call));
+        self.queue_state_request(
+            CallPriority::Coordination,
+            read.request,
+            CallKind::Sync(read.call),
+        );
     }
 
     fn retry_sync_read(&mut self, read: SyncRequest) {
         self.retry_later(
             READ_RETRY_DELAY,
-            CallPriority::Lease,
+            CallPriority::Coordination,
             read.request,
             CallKind::Sync(read.call),
         );
@@ -49,12 +53,16 @@
             return;
         }
         let was_registered = self.registration.is_registered();
-        self.update_registration();
+        self.maintain_registration();
         if !was_registered {
             return;
         }
         if let Some(call) = self.lease.begin_call(self.now) {
-            self.queue_state_request(CallPriority::Lease, call.request(), CallKind::Lease(call));
+            self.queue_state_request(
+                CallPriority::Coordination,
+                call.request(),
+                CallKind::Lease(call),
+            );
         }
     }
 
@@ -137,7 +145,7 @@
                 CacheEvent::Job(id) => self.job_changed(id),
                 CacheEvent::JobTerminated(id, state) => self.job_terminated(id, state),
                 CacheEvent::Demand(id, record) => self.handle_demand_record(id, record),
-                CacheEvent::Partition(id) => self.partition_changed(id),
+                CacheEvent::Partition(id) => self.handle_partition_record(id),
                 CacheEvent::Machine(name) => self.machine_changed(&name),
                 CacheEvent::MachineTypes => self.handle_machine_types_record(),
                 CacheEvent::Tuning => self.handle_settings_record(),
--- a/crates/controller/src/registration.rs
+++ b/crates/controller/src/registration.rs
@@ -48,8 +48,8 @@
 
     /// Compares the durable record of this controller, if there is one, with this incarnation.
     /// Returns the record that has to be written; it counts as sent until
-    /// [`Registration::handle_written`]. `now` is a time since the start of the process.
-    pub fn update(
+    /// [`Registration::handle_write_reply`]. `now` is a time since the start of the process.
+    pub fn begin_write(
         &mut self,
         recorded: Option<&IncarnationRecord>,
         now: Timestamp,
@@ -76,7 +76,7 @@
     }
 
     /// Records that the write of the record was answered, with whatever result: the cache shows it.
-    pub fn handle_written(&mut self) {
+    pub fn handle_write_reply(&mut self) {
         self.write_pending = false;
     }
 }
--- a/crates/controller/src/request_budget.rs
+++ b/crates/controller/src/request_budget.rs
@@ -77,7 +77,7 @@
     }
 
     /// Empties the bucket and lowers its rate: the service refused a call because the budget was exhausted.
-    pub fn drain(&mut self, now: Timestamp) {
+    pub fn throttle(&mut self, now: Timestamp) {
         self.refill(now);
         self.level = self.level.min(0.0);
         self.rate_factor = (self.rate_factor * RATE_DECREASE).max(1.0);
@@ -96,23 +96,23 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum CallPriority {
     /// Leases, terms and the reads that keep the cache up to date.
-    Lease,
+    Coordination,
     /// Writes and reads that user requests wait for.
-    Accept,
+    UserRequest,
     /// Placements and their results.
     Placement,
     /// Everything else.
-    Rest,
+    Background,
 }
 
 impl CallPriority {
     /// Tokens that calls of this priority leave in the budgets.
     pub fn reserves(self) -> Reserves {
         let (requests, writes) = match self {
-            CallPriority::Lease => (-20.0, -5.0),
-            CallPriority::Accept => (2.0, 0.0),
+            CallPriority::Coordination => (-20.0, -5.0),
+            CallPriority::UserRequest => (2.0, 0.0),
             CallPriority::Placement => (4.0, 1.0),
-            CallPriority::Rest => (6.0, 3.0),
+            CallPriority::Background => (6.0, 3.0),
         };
         Reserves { requests, writes }
     }
--- a/crates/controller/src/serial_writer.rs
+++ b/crates/controller/src/serial_writer.rs
@@ -10,13 +10,13 @@
 use wire::state::{StateReply, Transaction};
 
 /// Pause before a write with an unknown outcome is sent again.
-pub(crate) const RETRY_PAUSE: Duration = Duration::from_millis(200);
+pub(crate) const UNKNOWN_OUTCOME_RETRY_DELAY: Duration = Duration::from_millis(200);
 
 /// Serialises writes; `T` is what the write in flight contains.
 #[derive(Debug)]
 pub(crate) struct SerialWriter<T> {
-    sent: Option<(T, Transaction)>,
-    settled_at: Revision,
+    in_flight: Option<(T, Transaction)>,
+    settled_revision: Revision,
     not_before: Timestamp,
 }
 
@@ -28,7 +28,7 @@
     /// These keys had changed: the write was not applied, unless an earlier copy was.
     Conflict(T, Vec<String>),
     /// Certainly not applied.
-    Refused { what: T, throttled: bool },
+    Refused { contents: T, throttled: bool },
     /// The outcome is unknown: the write has to be sent again.
     Unknown(Transaction),
     /// No write was in flight.
@@ -38,8 +38,8 @@
 impl<T> Default for SerialWriter<T> {
     fn default() -> Self {
         SerialWriter {
-            sent: None,
-            settled_at: Revision(0),
+            in_flight: None,
+            settled_revision: Revision(0),
             not_before: Timestamp::default(),
         }
     }
@@ -47,40 +47,40 @@
 
 impl<T> SerialWriter<T> {
     /// Whether the next write may be built from a cache at revision `known`.
-    pub fn ready(&self, now: Timestamp, known: Revision) -> bool {
-        self.sent.is_none() && now >= self.not_before && known >= self.settled_at
+    pub fn is_ready(&self, now: Timestamp, known: Revision) -> bool {
+        self.in_flight.is_none() && now >= self.not_before && known >= self.settled_revision
     }
 
     /// Revision at which the last write was applied or met a conflict.
-    pub fn settled_at(&self) -> Revision {
-        self.settled_at
+    pub fn settled_revision(&self) -> Revision {
+        self.settled_revision
     }
 
     /// Records a write that is sent; the next one may follow after `gap` at the earliest.
-    pub fn send(&mut self, what: T, txn: Transaction, now: Timestamp, gap: Duration) {
-        self.sent = Some((what, txn));
+    pub fn send(&mut self, contents: T, txn: Transaction, now: Timestamp, gap: Duration) {
+        self.in_flight = Some((contents, txn));
         self.not_before = now + gap;
     }
 
     /// The contents of the write in flight.
     pub fn in_flight_mut(&mut self) -> Option<&mut T> {
-        self.sent.as_mut().map(|(what, _)| what)
+        self.in_flight.as_mut().map(|(contents, _)| contents)
     }
 
     /// Handles the reply to the write.
     pub fn handle_reply(&mut self, reply: StateReply, now: Timestamp) -> WriteOutcome<T> {
-        let Some((what, txn)) = self.sent.take() else {
+        let Some((contents, txn)) = self.in_flight.take() else {
             return WriteOutcome::NotInFlight;
         };
         match reply {
             StateReply::Committed { revision } => {
-                self.settled_at = Revision(revision);
-                WriteOutcome::Committed(what)
+                self.settled_revision = Revision(revision);
+                WriteOutcome::Committed(contents)
             }
             StateReply::Conflict { failed, revision } => {
                 tracing::debug!(?failed, puts = txn.writes.len(), "write conflicted");
-                self.settled_at = Revision(revision);
-                WriteOutcome::Conflict(what, failed)
+                self.settled_revision = Revision(revision);
+                WriteOutcome::Conflict(contents, failed)
             }
             StateReply::Refused { throttled } => {
                 let pause = if throttled {
@@ -89,19 +89,22 @@
                     Duration::from_millis(200)
                 };
                 self.not_before = now + pause;
-                WriteOutcome::Refused { what, throttled }
+                WriteOutcome::Refused {
+                    contents,
+                    throttled,
+                }
             }
             StateReply::Invalid(problem) => {
                 tracing::error!(problem, "write rejected as malformed");
                 self.not_before = now + Duration::from_secs(1);
                 WriteOutcome::Refused {
-                    what,
+                    contents,
                     throttled: false,
                 }
             }
             _ => {
                 let again = txn.clone();
-                self.sent = Some((what, txn));
+                self.in_flight = Some((contents, txn));
                 WriteOutcome::Unknown(again)
             }
         }
--- a/crates/controller/src/serial_writer/tests.rs
+++ b/crates/controller/src/serial_writer/tests.rs
@@ -6,22 +6,22 @@
 fn next_write_waits_for_the_cache_to_show_the_last() {
     let mut writer = SerialWriter::default();
     let now = Timestamp::from_millis(10);
-    assert!(writer.ready(now, Revision(3)));
+    assert!(writer.is_ready(now, Revision(3)));
     writer.send("a", Transaction::default(), now, Duration::ZERO);
-    assert!(!writer.ready(now, Revision(3)));
+    assert!(!writer.is_ready(now, Revision(3)));
     let outcome = writer.handle_reply(StateReply::Unknown, now);
     assert!(matches!(outcome, WriteOutcome::Unknown(_)), "{outcome:?}");
-    assert!(!writer.ready(now, Revision(3)), "the outcome is open");
+    assert!(!writer.is_ready(now, Revision(3)), "the outcome is open");
     let outcome = writer.handle_reply(StateReply::Committed { revision: 5 }, now);
     assert!(
         matches!(outcome, WriteOutcome::Committed("a")),
         "{outcome:?}"
     );
     assert!(
-        !writer.ready(now, Revision(4)),
+        !writer.is_ready(now, Revision(4)),
         "the cache does not show it yet"
     );
-    assert!(writer.ready(now, Revision(5)));
+    assert!(writer.is_ready(now, Revision(5)));
 }
 
 #[test]
@@ -41,12 +41,12 @@
         matches!(
             outcome,
             WriteOutcome::Refused {
-                what: "a",
+                contents: "a",
                 throttled: true
             }
         ),
         "{outcome:?}"
     );
-    assert!(!writer.ready(Timestamp::from_millis(50), Revision(0)));
-    assert!(writer.ready(Timestamp::from_millis(85), Revision(0)));
+    assert!(!writer.is_ready(Timestamp::from_millis(50), Revision(0)));
+    assert!(writer.is_ready(Timestamp::from_millis(85), Revision(0)));
 }
--- a/crates/controller/src/state_client.rs
+++ b/crates/controller/src/state_client.rs
@@ -189,8 +189,8 @@
     /// Lowers the rate of a budget: the service refused a call for want of it.
     pub fn handle_throttled(&mut self, now: Timestamp, budget: Budget) {
         match budget {
-            Budget::Requests => self.request_budget.drain(now),
-            Budget::Writes => self.write_budget.drain(now),
+            Budget::Requests => self.request_budget.throttle(now),
+            Budget::Writes => self.write_budget.throttle(now),
         }
     }
 
--- a/crates/controller/tests/request_budget.rs
+++ b/crates/controller/tests/request_budget.rs
@@ -16,7 +16,7 @@
         "the reserve stays"
     );
     assert!(bucket.take(Timestamp::from_millis(100), 1.0, 0.0));
-    bucket.drain(Timestamp::from_millis(200));
+    bucket.throttle(Timestamp::from_millis(200));
     assert!(!bucket.take(Timestamp::from_millis(200), 1.0, 0.0));
 }
 
@@ -24,11 +24,11 @@
 fn shared_bucket_shrinks_to_its_even_share_and_grows_again() {
     let mut bucket = TokenBucket::shared(10.0, 100.0);
     for _ in 0..10 {
-        bucket.drain(Timestamp::from_millis(0));
+        bucket.throttle(Timestamp::from_millis(0));
     }
     let before = bucket.level(Timestamp::from_millis(0));
     assert!((bucket.level(Timestamp::from_millis(1_000)) - before - 10.0).abs() < 0.01);
-    bucket.drain(Timestamp::from_millis(60_000));
+    bucket.throttle(Timestamp::from_millis(60_000));
     let later = bucket.level(Timestamp::from_millis(120_000));
     assert!(later >= 100.0, "{later}");
     assert!(bucket.take(Timestamp::from_millis(120_000), 100.0, 0.0));
--- a/crates/controller/tests/state_client.rs
+++ b/crates/controller/tests/state_client.rs
@@ -44,10 +44,10 @@
 #[test]
 fn dispatch_follows_priority_then_queue_order() {
     let mut client = client();
-    client.enqueue(CallPriority::Rest, read(1));
-    client.enqueue(CallPriority::Lease, read(2));
-    client.enqueue(CallPriority::Accept, read(3));
-    client.enqueue(CallPriority::Lease, read(4));
+    client.enqueue(CallPriority::Background, read(1));
+    client.enqueue(CallPriority::Coordination, read(2));
+    client.enqueue(CallPriority::UserRequest, read(3));
+    client.enqueue(CallPriority::Coordination, read(4));
     assert_eq!(
         dispatched_ids(&mut client, Timestamp::default()),
         [2, 4, 3, 1]
@@ -60,9 +60,9 @@
     let mut client = client();
     let now = Timestamp::default();
     client.handle_throttled(now, Budget::Writes);
-    client.enqueue(CallPriority::Accept, write(1, 3));
-    client.enqueue(CallPriority::Accept, read(2));
-    client.enqueue(CallPriority::Accept, write(3, 1));
+    client.enqueue(CallPriority::UserRequest, write(1, 3));
+    client.enqueue(CallPriority::UserRequest, read(2));
+    client.enqueue(CallPriority::UserRequest, write(3, 1));
     assert_eq!(dispatched_ids(&mut client, now), [2]);
     assert!(client.next_wakeup(now).is_some_and(|at| at > now));
     let later = Timestamp::from_millis(2_000);
@@ -73,11 +73,11 @@
 fn queued_transaction_forbids_writes_of_its_priority_and_below() {
     let mut client = client();
     let now = Timestamp::default();
-    assert!(client.may_write(now, CallPriority::Accept, 1.0));
+    assert!(client.may_write(now, CallPriority::UserRequest, 1.0));
     client.enqueue(CallPriority::Placement, write(1, 1));
-    assert!(client.may_write(now, CallPriority::Accept, 1.0));
+    assert!(client.may_write(now, CallPriority::UserRequest, 1.0));
     assert!(!client.may_write(now, CallPriority::Placement, 1.0));
-    assert!(!client.may_write(now, CallPriority::Rest, 1.0));
+    assert!(!client.may_write(now, CallPriority::Background, 1.0));
 }
 
 #[test]
@@ -86,15 +86,15 @@
     let mut rng = SmallRng::seed_from_u64(7);
     let now = Timestamp::default();
     let delay = Duration::from_millis(100);
-    client.retry_after(now, delay, &mut rng, CallPriority::Accept, read(1));
-    client.enqueue(CallPriority::Accept, read(2));
+    client.retry_after(now, delay, &mut rng, CallPriority::UserRequest, read(1));
+    client.enqueue(CallPriority::UserRequest, read(2));
     let due_at = client.next_wakeup(now).expect("a call waits");
     assert!(due_at <= Timestamp::from_millis(20), "{due_at:?}");
     assert_eq!(dispatched_ids(&mut client, now), [2]);
     let due_at = client.next_wakeup(now).expect("the retry waits");
     assert!(due_at >= now + delay && due_at < now + delay + Duration::from_millis(40));
     assert!(dispatched_ids(&mut client, Timestamp::from_millis(99)).is_empty());
-    client.enqueue(CallPriority::Accept, read(3));
+    client.enqueue(CallPriority::UserRequest, read(3));
     assert_eq!(dispatched_ids(&mut client, due_at), [1, 3]);
 }
 
@@ -102,7 +102,7 @@
 fn completion_returns_the_sending_time_once() {
     let mut client = client();
     let sent_at = Timestamp::from_millis(5);
-    client.enqueue(CallPriority::Lease, read(1));
+    client.enqueue(CallPriority::Coordination, read(1));
     assert_eq!(client.complete(CallId(1)), None);
     client.dispatch(sent_at);
     assert_eq!(client.complete(CallId(1)), Some(sent_at));
@@ -112,9 +112,9 @@
 #[test]
 fn watch_may_take_its_waiting_time_longer() {
     let mut client = client();
-    client.enqueue(CallPriority::Lease, read(1));
+    client.enqueue(CallPriority::Coordination, read(1));
     client.enqueue(
-        CallPriority::Lease,
+        CallPriority::Coordination,
         QueuedCall {
             call: CallId(2),
             request: StateRequest::Watch {
--- a/crates/simulator/src/world/faults.rs
+++ b/crates/simulator/src/world/faults.rs
@@ -191,8 +191,8 @@
     pub(super) fn crash_controller(&mut self, controller: usize, restart_after_ms: u64) {
         self.record_leader_stop(controller);
         if let Some(crashed) = self.controllers[controller].take() {
-            self.early.0 += crashed.controller.counters.early_takeovers;
-            self.early.1 += crashed.controller.counters.wrong_takeovers;
+            self.early.0 += crashed.controller.counters.early_failovers;
+            self.early.1 += crashed.controller.counters.false_failovers;
         }
         self.watches
             .retain(|watch| watch.key.controller != controller);
--- a/crates/simulator/src/world/views.rs
+++ b/crates/simulator/src/world/views.rs
@@ -26,8 +26,8 @@
     pub fn early_failovers(&self) -> (u64, u64) {
         let counts = |r: &RunningController| {
             (
-                r.controller.counters.early_takeovers,
-                r.controller.counters.wrong_takeovers,
+                r.controller.counters.early_failovers,
+                r.controller.counters.false_failovers,
             )
         };
         let living = self.controllers.iter().flatten().map(counts);
--- a/crates/trackcrank/src/runtime.rs
+++ b/crates/trackcrank/src/runtime.rs
@@ -119,7 +119,7 @@
             shared
                 .healthy
                 .store(controller.healthy(), Ordering::Relaxed);
-            for wait in controller.counters.waits.drain(..) {
+            for wait in controller.counters.placement_waits_ms.drain(..) {
                 shared.metrics.observe_wait(wait);
             }
             for (reason, count) in controller.counters.unplaced.drain() {
