--- a/crates/scheduler/src/consolidation.rs
+++ b/crates/scheduler/src/consolidation.rs
@@ -95,7 +95,7 @@
             let reservation = Reservation {
                 machine: target,
                 needs,
-                until: now + MOVE_TIMEOUT,
+                expires_at: now + MOVE_TIMEOUT,
                 charged_team,
             };
             self.reserve(EntryKey::Task(task), reservation);
--- a/crates/scheduler/src/gang_precedence.rs
+++ b/crates/scheduler/src/gang_precedence.rs
@@ -1,6 +1,6 @@
-//! Precedence of waiting gangs: other jobs leave them the machines that they need, if they can run
-//! elsewhere. Arrays that took each machine that becomes free would be preempted as soon as a gang has
-//! enough of them.
+//! Precedence of waiting gangs: other jobs leave the machines that a waiting gang needs to it if they can run
+//! on machines of another type. Otherwise arrays would take each machine that becomes free, and would be
+//! preempted as soon as there are enough machines for the gang.
 
 use crate::colocation::tasks_that_fit;
 use crate::job::Job;
@@ -11,14 +11,16 @@
 use model::{JobId, JobKind, Timestamp};
 use std::time::Duration;
 
-/// How long from its submission a job leaves machines to gangs if it has others to run on. No job may wait for
-/// 90 s beside free capacity; the rest of that is for the next try, which may be 10 s away.
+/// How long after its submission a job that can run on other machines leaves machines to gangs. No job may
+/// wait for 90 s while there is free capacity for it; the remaining 15 s are for its next scheduling attempt,
+/// which may be 10 s away.
 const GANG_PRECEDENCE_DURATION: Duration = Duration::from_secs(75);
-/// Failed placements after which a gang takes precedence and has machines reserved for it.
+/// Number of failed placements after which a gang takes precedence and machines are reserved for it.
 pub(crate) const GANG_FAILURES_BEFORE_RESERVATION: u32 = 2;
 
 impl PartitionState {
-    /// Lists the gangs that have failed to fit and still wait, one of each kind.
+    /// Updates the list of gangs that have failed to fit and still wait; of gangs with the same placement
+    /// requirements it contains the first only.
     pub(crate) fn update_waiting_gangs(&mut self) {
         self.waiting_gangs.clear();
         for (id, job) in &self.jobs {
@@ -27,26 +29,26 @@
             {
                 continue;
             }
-            let is_alike = |other: &JobId| {
+            let is_placed_like = |other: &JobId| {
                 self.jobs
                     .get(other)
                     .is_some_and(|other| other.spec.is_placed_like(&job.spec))
             };
-            if !self.waiting_gangs.iter().any(is_alike) {
+            if !self.waiting_gangs.iter().any(is_placed_like) {
                 self.waiting_gangs.push(*id);
             }
         }
     }
 
-    /// How often a queued gang has failed to fit.
+    /// How often the placement of a queued gang has failed.
     pub(crate) fn gang_failures(&self, id: JobId) -> u32 {
         self.queue
             .location(EntryKey::Gang(id))
             .map_or(0, |(_, failures)| failures)
     }
 
-    /// Waiting gangs to which a job leaves machines, since it can run on machines of another type. One of
-    /// each kind, usually none.
+    /// The waiting gangs to which a job leaves machines, since it can run on machines of another type. Usually
+    /// there are none; of gangs with the same placement requirements only the first is returned.
     pub(crate) fn gangs_with_precedence(&self, job: &Job, now: Timestamp) -> Vec<&Job> {
         let age_ms = self
             .logical_time_ms(now)
@@ -61,7 +63,7 @@
         self.waiting_gang_jobs().filter(has_precedence).collect()
     }
 
-    /// Whether a machine is left to one of these gangs.
+    /// Whether one of the gangs could use a machine, which is then left to it.
     pub(crate) fn is_left_to_gangs(
         &self,
         gangs: &[&Job],
@@ -70,20 +72,20 @@
     ) -> bool {
         gangs
             .iter()
-            .any(|gang| self.is_of_use_to(gang, machine, now))
+            .any(|gang| self.could_run_gang(gang, machine, now))
     }
 
-    /// Whether a machine is reserved for a gang, or is empty and of use to a waiting one.
+    /// Whether a machine is reserved for a gang, or is empty and could run tasks of a waiting gang.
     pub(crate) fn is_needed_by_gangs(&self, machine: &Machine, now: Timestamp) -> bool {
         machine.reserved_for_gang.is_some()
             || (machine.tasks.is_empty()
                 && self
                     .waiting_gang_jobs()
-                    .any(|gang| self.is_of_use_to(gang, machine, now)))
+                    .any(|gang| self.could_run_gang(gang, machine, now)))
     }
 
     /// Whether a machine could run tasks of a gang if it were empty.
-    fn is_of_use_to(&self, gang: &Job, machine: &Machine, now: Timestamp) -> bool {
+    fn could_run_gang(&self, gang: &Job, machine: &Machine, now: Timestamp) -> bool {
         self.admits(gang, machine, now) && tasks_that_fit(gang, machine, machine.capacity) > 0
     }
 
--- a/crates/scheduler/src/gang_reservation_choice.rs
+++ b/crates/scheduler/src/gang_reservation_choice.rs
@@ -1,5 +1,5 @@
-//! The choice of machines to reserve for a gang: those on which it could start soonest, by the estimated
-//! run times of the tasks there.
+//! Chooses the machines to reserve for a gang: those on which it could start soonest, by the estimated run
+//! times of the tasks there.
 
 use crate::colocation::tasks_that_fit;
 use crate::cycle::{score, uncached_fetch_time};
@@ -15,94 +15,94 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// A machine on which tasks have to be stopped counts as free after this time: if it becomes free by itself
-/// sooner, no work is lost.
+/// Capacity that has to be freed by preemption is expected to be free after this time. Machines whose tasks
+/// end sooner by themselves are preferred, since no work is lost there.
 const PREEMPTION_ALLOWANCE: Duration = Duration::from_secs(20);
-/// The least time that a task which has outrun its estimate is expected to run on.
+/// The shortest time for which a task that has exceeded its estimate is expected to continue.
 const MIN_REMAINING_TIME: Duration = Duration::from_secs(5);
-/// A task that has outrun its estimate is expected to run on for the time that it has run, divided by this.
+/// A task that has exceeded its estimate is expected to continue for its run time so far, divided by this.
 const OVERRUN_DIVISOR: u64 = 4;
 
 /// A machine that could be reserved for a gang.
 #[derive(Clone, Copy)]
-struct MachineOption<'a> {
+struct CandidateMachine<'a> {
     machine: &'a Machine,
-    /// When a task of the gang fits there.
+    /// When a task of the gang is expected to fit there.
     ready_at: Timestamp,
-    /// How many of its tasks the machine holds when it is empty.
-    tasks: u64,
+    /// How many of the gang's tasks fit there when the machine is empty.
+    max_tasks: u64,
 }
 
-/// Machines that hold a whole gang.
-struct MachineChoice {
-    /// When the last of them is free.
+/// Machines that a whole gang fits on.
+struct ChosenMachines {
+    /// When the last of them is expected to have free capacity.
     ready_at: Timestamp,
-    /// The number of tasks for each machine.
+    /// The number of the gang's tasks on each machine.
     machines: BTreeMap<MachineName, u64>,
 }
 
-/// Resources that a task frees when it ends.
+/// When a task is expected to end, and the resources that it frees then.
 struct ExpectedRelease {
     at: Timestamp,
-    needs: Resources,
+    resources: Resources,
 }
 
 impl PartitionState {
     /// The machines on which a gang could start soonest, except those that are reserved for a gang with a
-    /// better rank. `None` if they do not hold the whole gang.
+    /// better rank. `None` if the whole gang does not fit on them.
     pub(crate) fn choose_gang_reservation(
         &self,
         job: &Job,
-        until: Timestamp,
+        expires_at: Timestamp,
         now: Timestamp,
     ) -> Option<GangReservation> {
-        let choice = self
-            .reservation_options(job, now)
+        let chosen = self
+            .reservation_candidates(job, now)
             .into_iter()
-            .filter_map(|options| choose_soonest(job, options))
-            .min_by_key(|choice| choice.ready_at)?;
+            .filter_map(|candidates| choose_soonest(job, candidates))
+            .min_by_key(|chosen| chosen.ready_at)?;
         Some(GangReservation {
             job: job.spec.id,
-            machines: choice.machines,
-            ready_at: choice.ready_at,
+            machines: chosen.machines,
+            ready_at: chosen.ready_at,
             chosen_at: now,
-            until,
+            expires_at,
         })
     }
 
-    /// The machines that could be reserved for a gang: a list for each zone if it has to be in one, else one
-    /// list.
-    fn reservation_options(&self, job: &Job, now: Timestamp) -> Vec<Vec<MachineOption<'_>>> {
+    /// The machines that could be reserved for a gang: one list per zone if its tasks have to run in one zone,
+    /// otherwise a single list.
+    fn reservation_candidates(&self, job: &Job, now: Timestamp) -> Vec<Vec<CandidateMachine<'_>>> {
         let rank = Rank::of_job(job);
-        let ranks_before = |gang: JobId| {
+        let has_better_rank = |gang: JobId| {
             self.jobs
                 .get(&gang)
                 .is_some_and(|gang| Rank::of_job(gang) < rank)
         };
-        let mut lists: BTreeMap<Option<&ZoneName>, Vec<MachineOption>> = BTreeMap::new();
+        let mut lists: BTreeMap<Option<&ZoneName>, Vec<CandidateMachine>> = BTreeMap::new();
         for machine in self.machines.values() {
             if !self.admits(job, machine, now) {
                 continue;
             }
-            let tasks = tasks_that_fit(job, machine, machine.capacity);
-            if tasks == 0 || machine.reserved_for_gang.is_some_and(ranks_before) {
+            let max_tasks = tasks_that_fit(job, machine, machine.capacity);
+            if max_tasks == 0 || machine.reserved_for_gang.is_some_and(has_better_rank) {
                 continue;
             }
             let Some(ready_at) = self.ready_for_gang_at(job, machine, now) else {
                 continue;
             };
             let zone = job.spec.one_zone.then_some(&machine.zone);
-            lists.entry(zone).or_default().push(MachineOption {
+            lists.entry(zone).or_default().push(CandidateMachine {
                 machine,
                 ready_at,
-                tasks,
+                max_tasks,
             });
         }
         lists.into_values().collect()
     }
 
-    /// When a task of a gang fits on a machine at the latest, as far as estimates tell, if tasks that it may
-    /// preempt are stopped. `None` if the tasks there do not end by themselves.
+    /// When a task of a gang is expected to fit on a machine, by the estimates of the tasks there, if those that
+    /// the gang may preempt are stopped. `None` if too few of the tasks there ever end.
     fn ready_for_gang_at(&self, job: &Job, machine: &Machine, now: Timestamp) -> Option<Timestamp> {
         let mut free = self.free_capacity_for(EntryKey::Gang(job.spec.id), machine);
         if tasks_that_fit(job, machine, free) > 0 {
@@ -111,12 +111,13 @@
         let mut releases = self.expected_releases(job, machine, now);
         releases.sort_unstable_by_key(|release| release.at);
         releases.into_iter().find_map(|release| {
-            free += release.needs;
+            free += release.resources;
             (tasks_that_fit(job, machine, free) > 0).then_some(release.at)
         })
     }
 
-    /// What the tasks on a machine free and when. Replicas that a gang may not preempt free nothing.
+    /// What the tasks on a machine are expected to free, and when. Replicas that the gang may not preempt free
+    /// nothing.
     fn expected_releases(
         &self,
         gang: &Job,
@@ -138,14 +139,14 @@
             };
             Some(ExpectedRelease {
                 at,
-                needs: job.spec.needs,
+                resources: job.spec.needs,
             })
         };
         machine.tasks.iter().filter_map(release_of).collect()
     }
 
-    /// When a task ends, as far as its estimate tells. Estimates are often wrong by half: a task that has
-    /// outrun its estimate is not expected to end at once.
+    /// When a task is expected to end, by its job's estimate. Estimates are often wrong by half, so a task that
+    /// has exceeded its estimate is not expected to end at once.
     pub(crate) fn estimated_end(
         &self,
         job: &Job,
@@ -155,13 +156,14 @@
         let started_at = job
             .gang_started_at
             .unwrap_or_else(|| self.estimated_start(job, placement));
-        let ran = now.duration_since(started_at);
-        let overrun =
-            Duration::from_millis(ran.whole_millis() / OVERRUN_DIVISOR).max(MIN_REMAINING_TIME);
-        (started_at + job.spec.estimate).max(now + overrun)
+        let run_time = now.duration_since(started_at);
+        let min_remaining = Duration::from_millis(run_time.whole_millis() / OVERRUN_DIVISOR)
+            .max(MIN_REMAINING_TIME);
+        (started_at + job.spec.estimate).max(now + min_remaining)
     }
 
-    /// When a placed task has its image; a gang starts once all of its tasks have theirs.
+    /// When a placed task is expected to start: once its image is fetched, or, for a gang, once the images of
+    /// all its tasks are.
     fn estimated_start(&self, job: &Job, placement: &Placement) -> Timestamp {
         let fetched_at = |placement: &Placement| {
             let fetch_time = self
@@ -181,46 +183,48 @@
     }
 }
 
-/// The machines of a list on which a gang could start soonest. Of those that are free by then the ones that
-/// are free last: a machine that is free now would stand idle until then.
-fn choose_soonest(job: &Job, mut options: Vec<MachineOption>) -> Option<MachineChoice> {
-    options.sort_by_key(|option| {
+/// The machines of a list on which a gang could start soonest. Of all machines that are ready by that time,
+/// those that become ready last are taken: a machine that is free now would be idle until then.
+fn choose_soonest(job: &Job, mut candidates: Vec<CandidateMachine>) -> Option<ChosenMachines> {
+    candidates.sort_by_key(|candidate| {
         (
-            option.ready_at,
-            score(job, option.machine),
-            &option.machine.name,
+            candidate.ready_at,
+            score(job, candidate.machine),
+            &candidate.machine.name,
         )
     });
-    let ready_at = first_that_hold(job, &options)?.ready_at;
-    options.retain(|option| option.ready_at <= ready_at);
-    options.sort_by_key(|option| Reverse(option.ready_at));
-    let machines = first_that_hold(job, &options)?.machines;
-    Some(MachineChoice { ready_at, machines })
+    let ready_at = first_that_fit(job, &candidates)?.ready_at;
+    candidates.retain(|candidate| candidate.ready_at <= ready_at);
+    candidates.sort_by_key(|candidate| Reverse(candidate.ready_at));
+    let machines = first_that_fit(job, &candidates)?.machines;
+    Some(ChosenMachines { ready_at, machines })
 }
 
-/// The first machines of a list that together hold a gang.
-fn first_that_hold(job: &Job, options: &[MachineOption]) -> Option<MachineChoice> {
+/// The first machines of a list that a whole gang fits on together.
+fn first_that_fit(job: &Job, candidates: &[CandidateMachine]) -> Option<ChosenMachines> {
     let per_zone = u64::from(job.spec.zone_limit());
-    let mut zones: BTreeMap<&ZoneName, u64> = BTreeMap::new();
-    let mut left = u64::from(job.spec.tasks);
-    let mut choice = MachineChoice {
+    let mut tasks_by_zone: BTreeMap<&ZoneName, u64> = BTreeMap::new();
+    let mut remaining = u64::from(job.spec.tasks);
+    let mut chosen = ChosenMachines {
         ready_at: Timestamp::default(),
         machines: BTreeMap::new(),
     };
-    for option in options {
-        let in_zone = zones.entry(&option.machine.zone).or_default();
-        let tasks = option
-            .tasks
-            .min(left)
+    for candidate in candidates {
+        let in_zone = tasks_by_zone.entry(&candidate.machine.zone).or_default();
+        let tasks = candidate
+            .max_tasks
+            .min(remaining)
             .min(per_zone.saturating_sub(*in_zone));
         if tasks > 0 {
             *in_zone += tasks;
-            left -= tasks;
-            choice.ready_at = choice.ready_at.max(option.ready_at);
-            choice.machines.insert(option.machine.name.clone(), tasks);
+            remaining -= tasks;
+            chosen.ready_at = chosen.ready_at.max(candidate.ready_at);
+            chosen
+                .machines
+                .insert(candidate.machine.name.clone(), tasks);
         }
-        if left == 0 {
-            return Some(choice);
+        if remaining == 0 {
+            return Some(chosen);
         }
     }
     None
--- a/crates/scheduler/src/gang_reservations.rs
+++ b/crates/scheduler/src/gang_reservations.rs
@@ -1,13 +1,14 @@
 //! Reservations of machines for gangs.
 //!
-//! While a gang waits, smaller tasks would take each piece of capacity that becomes free, and the gang would
-//! never start. So machines are reserved for a gang that has failed to fit twice: of all zones those on which
-//! it could start soonest. They are chosen anew every few seconds, and released after a minute if the team's
-//! limit keeps the gang back. Tasks that surely end before the last of the machines is free may still run on
-//! them; tasks that the gang may preempt and that would not be gone by then are stopped.
+//! While a gang waits, smaller tasks would take any capacity that becomes free, and the gang would never
+//! start. So machines are reserved for a gang that has failed to fit twice: those on which it could start
+//! soonest, in whichever zone they are. They are chosen again every few seconds, and released after a minute
+//! if the team's limit prevents the gang from being placed. Tasks that can be relied on to end before the last
+//! of the machines is free may still run on them. Tasks that would still run by then are stopped if the gang
+//! may preempt them.
 //!
-//! No two gangs wait for each other: a gang takes nothing that is reserved for one with a better rank, and
-//! keeps nothing that such a gang may take.
+//! Gangs cannot deadlock: a gang takes no machine that is reserved for a gang with a better rank, and gives up
+//! any machine that such a gang takes.
 
 use crate::colocation::tasks_that_fit;
 use crate::cycle::{fetch_time, PlacementFailure};
@@ -22,25 +23,26 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-/// How long machines are reserved for a gang that its team's limit keeps back.
+/// How long machines are reserved for a gang that its team's limit prevents from being placed.
 const RESERVATION_DURATION: Duration = Duration::from_secs(60);
-/// Time after which the machines reserved for gangs are chosen anew: tasks end sooner or later than expected.
+/// Time after which the machines reserved for gangs are chosen again: tasks end sooner or later than expected.
 const RESERVATION_REVIEW_INTERVAL: Duration = Duration::from_secs(2);
-/// Scaling out takes longer than this: a gang whose machines are free before is no demand.
-const NEAR_RESERVATION: Duration = Duration::from_secs(15);
-/// Estimates are often wrong by half, and of the many tasks of an array or service some run long: their
-/// estimates are multiplied by this before they are trusted to end in time.
+/// Scaling out takes longer than this: a gang whose machines are free within this time is not counted as
+/// demand, and tasks that end within this time after the other machines are free are not preempted for it.
+const ACCEPTABLE_WAIT: Duration = Duration::from_secs(15);
+/// The estimate of an array's tasks is multiplied by this before they are relied on to end in time: estimates
+/// are often wrong by half, and of an array's many tasks some run long.
 const ESTIMATE_SAFETY_FACTOR: u32 = 2;
 
-/// A gang whose reservation is chosen anew, in the order of rank.
+/// A gang whose reservation is being renewed; the best rank comes first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct RenewedReservation {
     rank: Rank,
     gang: JobId,
-    until: Timestamp,
+    expires_at: Timestamp,
 }
 
-/// A task that a gang may preempt.
+/// A task that a gang may preempt, ordered by the work that it would lose.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct Victim {
     lost_work_ms: u64,
@@ -48,8 +50,8 @@
 }
 
 impl PartitionState {
-    /// Whether a machine is reserved for a gang that ranks before this job, unless the job leaves the gang
-    /// its room or ends there before the gang can start.
+    /// Whether a machine's reservation for a better-ranked gang prevents a job from running there. It does not
+    /// if the job leaves enough capacity for the gang or ends before the gang can start.
     pub(crate) fn is_blocked_by_gang_reservation(
         &self,
         job: &Job,
@@ -73,8 +75,8 @@
             && !ends_before(job, reservation.ready_at, machine, now)
     }
 
-    /// Computes what is reserved of each team's limit for its gangs. As a gang's machines become empty, the
-    /// tasks that used the limit there free it; if it were not reserved, arrays would take each freed part.
+    /// Computes how much of each team's limit is reserved for its gangs. The tasks that end on a gang's
+    /// machines free a part of the limit each; if it were not reserved, arrays would take every freed part.
     pub(crate) fn update_reserved_limits(&mut self) {
         for team in self.teams.values_mut() {
             team.reserved_for_gangs = Resources::default();
@@ -110,9 +112,9 @@
         }
     }
 
-    /// Chooses the reservations of all gangs anew, in the order of rank, if one of them is due for review or
-    /// has a machine that its gang could not use now. All at one time: what is released before it is chosen
-    /// again would be taken by entries that are tried in between.
+    /// Renews the reservations of all gangs, in the order of rank, if one of them is due for review or has a
+    /// machine that its gang cannot use now. They are released and chosen again in one step: entries tried in
+    /// between would take the released machines.
     pub(crate) fn renew_gang_reservations(&mut self, now: Timestamp) {
         let is_valid = |reservation: &GangReservation| self.is_valid_reservation(reservation, now);
         if self.gang_reservations.values().all(is_valid) {
@@ -125,28 +127,32 @@
                 Some(RenewedReservation {
                     rank: Rank::of_job(self.jobs.get(&reservation.job)?),
                     gang: reservation.job,
-                    until: reservation.until,
+                    expires_at: reservation.expires_at,
                 })
             })
             .collect();
         renewed.sort_unstable();
-        let reserved: Vec<JobId> = self.gang_reservations.keys().copied().collect();
-        for gang in reserved {
+        let gangs: Vec<JobId> = self.gang_reservations.keys().copied().collect();
+        for gang in gangs {
             self.release_gang_reservation(gang);
         }
-        for RenewedReservation { gang, until, .. } in renewed {
+        for RenewedReservation {
+            gang, expires_at, ..
+        } in renewed
+        {
             if !self.is_queued_gang(gang) {
                 continue;
             }
-            if now < until {
-                self.try_reserve_for_gang(gang, until, now);
+            if now < expires_at {
+                self.try_reserve_for_gang(gang, expires_at, now);
             } else if self.gang_fits_limit(gang) {
                 self.try_reserve_for_gang(gang, now + RESERVATION_DURATION, now);
             }
         }
     }
 
-    /// Whether a reservation is not due for review, its gang still waits, and can use all of its machines.
+    /// Whether a reservation is not due for review, and its gang is still queued and can use all of the
+    /// machines.
     fn is_valid_reservation(&self, reservation: &GangReservation, now: Timestamp) -> bool {
         let is_usable = |name: &MachineName| {
             let Some(machine) = self.machines.get(name) else {
@@ -162,7 +168,7 @@
             && reservation.machines.keys().all(is_usable)
     }
 
-    /// Whether its team's limit leaves room for a whole gang.
+    /// Whether the team's limit allows a whole gang to be placed.
     fn gang_fits_limit(&self, id: JobId) -> bool {
         self.jobs
             .get(&id)
@@ -173,8 +179,8 @@
         self.queue.contains(EntryKey::Gang(id))
     }
 
-    /// After a failed placement of a gang: reserves machines for it once it has failed often enough, and, if
-    /// `preempt` is set, stops tasks there.
+    /// Handles a failed placement of a gang: once it has failed often enough, reserves machines for it and, if
+    /// `preempt` is set, preempts tasks there.
     pub(crate) fn reserve_for_gang(
         &mut self,
         id: JobId,
@@ -194,14 +200,14 @@
         }
     }
 
-    /// Reserves machines for a gang, if there are enough for it. Reservations of gangs of a lower rank for
-    /// some of them are released.
-    fn try_reserve_for_gang(&mut self, id: JobId, until: Timestamp, now: Timestamp) -> bool {
-        let chosen = self
+    /// Reserves machines for a gang, if there are enough of them, and releases the reservations of worse-ranked
+    /// gangs that include any of these machines. Returns whether machines were reserved.
+    fn try_reserve_for_gang(&mut self, id: JobId, expires_at: Timestamp, now: Timestamp) -> bool {
+        let reservation = self
             .jobs
             .get(&id)
-            .and_then(|job| self.choose_gang_reservation(job, until, now));
-        let Some(reservation) = chosen else {
+            .and_then(|job| self.choose_gang_reservation(job, expires_at, now));
+        let Some(reservation) = reservation else {
             return false;
         };
         let displaced: BTreeSet<JobId> = reservation
@@ -218,12 +224,12 @@
             }
         }
         let ready_in_ms = reservation.ready_at.duration_since(now).whole_millis();
-        tracing::debug!(job = %id, machines = reservation.machines.len(), ready_in_ms, "machines reserved for a gang");
+        tracing::debug!(job = %id, machines = reservation.machines.len(), ready_in_ms, "machines reserved for gang");
         self.gang_reservations.insert(id, reservation);
         true
     }
 
-    /// Stops tasks that would not be gone from a gang's machines by the time that the last of them is free.
+    /// Preempts the tasks on a gang's machines that would still run when the last of the machines is free.
     fn preempt_for_gang(&mut self, id: JobId, now: Timestamp) {
         let Some(reservation) = self.gang_reservations.get(&id) else {
             return;
@@ -238,14 +244,14 @@
             .flat_map(|machine| self.gang_victims(gang, reservation.ready_at, machine, now))
             .collect();
         for task in victims {
-            tracing::debug!(job = %id, victim = %task, "preempting a task for a gang");
-            let grace = self.grace_period_ms(task);
-            self.stop_task(task, grace, now);
+            tracing::debug!(job = %id, victim = %task, "preempting task for gang");
+            let grace_ms = self.grace_period_ms(task);
+            self.stop_task(task, grace_ms, now);
         }
     }
 
-    /// The tasks on a machine that have to be stopped so that a task of the gang fits at `ready_at`, those
-    /// first that lose the least work.
+    /// The tasks on a machine that have to be stopped so that a task of the gang fits at `ready_at`. Those that
+    /// lose the least work are chosen first.
     fn gang_victims(
         &self,
         gang: &Job,
@@ -266,7 +272,7 @@
                 continue;
             };
             let ends_at = self.estimated_end(job, placement, now);
-            if placement.stop.is_some() || ends_at <= ready_at + NEAR_RESERVATION {
+            if placement.stop.is_some() || ends_at <= ready_at + ACCEPTABLE_WAIT {
                 free += job.spec.needs;
             } else if self.may_preempt(gang, job, placement) {
                 candidates.push(Victim {
@@ -293,11 +299,11 @@
     pub(crate) fn is_gang_reservation_ready_soon(&self, id: JobId, now: Timestamp) -> bool {
         self.gang_reservations
             .get(&id)
-            .is_some_and(|reservation| reservation.ready_at <= now + NEAR_RESERVATION)
+            .is_some_and(|reservation| reservation.ready_at <= now + ACCEPTABLE_WAIT)
     }
 }
 
-/// Whether a task of a job fits on a reserved machine beside the gang's tasks.
+/// Whether a task of a job fits on a reserved machine in addition to the gang's tasks.
 fn leaves_room_for_gang(
     job: &Job,
     gang: &Job,
@@ -312,13 +318,13 @@
     job.spec.needs.fits(&free) && reserved.fits(&free.saturating_sub(&job.spec.needs))
 }
 
-/// Whether a task of a job that is launched on a machine now has surely ended at `ready_at`.
+/// Whether a task of a job, if launched on a machine now, can be relied on to end by `ready_at`.
 fn ends_before(job: &Job, ready_at: Timestamp, machine: &Machine, now: Timestamp) -> bool {
     let factor = match job.spec.kind {
         JobKind::Service => return false,
         JobKind::Gang => 1,
         JobKind::Array => ESTIMATE_SAFETY_FACTOR,
     };
-    let lasts = fetch_time(job, machine) + job.spec.estimate * factor;
-    now + lasts <= ready_at
+    let max_duration = fetch_time(job, machine) + job.spec.estimate * factor;
+    now + max_duration <= ready_at
 }
--- a/crates/scheduler/src/gangs.rs
+++ b/crates/scheduler/src/gangs.rs
@@ -17,8 +17,8 @@
 #[derive(Clone, Copy)]
 struct FittingMachine<'a> {
     machine: &'a Machine,
-    /// How many of the gang's tasks fit.
-    tasks: u64,
+    /// How many of the gang's tasks fit there.
+    max_tasks: u64,
 }
 
 impl PartitionState {
@@ -27,7 +27,7 @@
         let Some(job) = self.jobs.get(&id) else {
             return Ok(());
         };
-        // Tasks of the previous attempt keep their machines and zones until they are gone.
+        // Tasks of the previous attempt occupy their machines and zones until they are gone.
         if job.cancelled || job.all_done() || !job.placed.is_empty() {
             return Ok(());
         }
@@ -35,7 +35,7 @@
             return Err(PlacementFailure::LimitReached);
         }
         let machines = self
-            .fit_gang(job, now)
+            .machines_for_gang(job, now)
             .ok_or(PlacementFailure::NoFreeCapacity)?;
         let attempt = self.new_attempt();
         if let Some(job) = self.jobs.get_mut(&id) {
@@ -52,61 +52,61 @@
         Ok(())
     }
 
-    /// A machine for each task of a gang, or `None` if they do not all fit.
-    fn fit_gang(&self, job: &Job, now: Timestamp) -> Option<Vec<MachineName>> {
+    /// The machine for each task of a gang, or `None` if they do not all fit.
+    fn machines_for_gang(&self, job: &Job, now: Timestamp) -> Option<Vec<MachineName>> {
         let wanted = u64::from(job.spec.tasks);
         let mut zones = self.fitting_machines_by_zone(job, now);
         if job.spec.one_zone {
-            // The zone that the gang fills best: the others remain for larger gangs.
+            // The smallest zone that the whole gang fits into: the others remain for larger gangs.
             zones.retain(|machines| total_tasks(machines) >= wanted);
             zones.sort_by_key(|machines| total_tasks(machines));
             zones.truncate(1);
         } else {
-            // The roomiest zone first, so that the gang is in as few zones as possible.
+            // The zone with the most capacity first, so that the gang spans as few zones as possible.
             zones.sort_by_key(|machines| Reverse(total_tasks(machines)));
         }
         let per_zone = u64::from(job.spec.zone_limit());
-        let mut places = Vec::new();
+        let mut chosen = Vec::new();
         for mut machines in zones {
             machines.sort_by_key(|fitting| (score(job, fitting.machine), &fitting.machine.name));
-            let mut left = per_zone.min(wanted - places.len() as u64);
+            let mut remaining = per_zone.min(wanted - chosen.len() as u64);
             for fitting in machines {
-                let count = fitting.tasks.min(left);
-                places.extend((0..count).map(|_| fitting.machine.name.clone()));
-                left -= count;
+                let count = fitting.max_tasks.min(remaining);
+                chosen.extend((0..count).map(|_| fitting.machine.name.clone()));
+                remaining -= count;
             }
         }
-        (places.len() as u64 == wanted).then_some(places)
+        (chosen.len() as u64 == wanted).then_some(chosen)
     }
 
-    /// The machines with free capacity for tasks of a gang, a list for each zone in the order of their names.
+    /// The machines with free capacity for tasks of a gang: one list per zone, in the order of the zones' names.
     fn fitting_machines_by_zone(&self, job: &Job, now: Timestamp) -> Vec<Vec<FittingMachine<'_>>> {
         let entry = EntryKey::Gang(job.spec.id);
         let mut zones: BTreeMap<&ZoneName, Vec<FittingMachine>> = BTreeMap::new();
-        let roomy = self
+        let candidates = self
             .capacity_index
             .machines_with_capacity(&job.spec)
             .filter_map(|name| self.machines.get(name));
-        for machine in roomy {
+        for machine in candidates {
             if !self.admits(job, machine, now)
                 || self.is_blocked_by_gang_reservation(job, machine, now)
             {
                 continue;
             }
-            let tasks = tasks_that_fit(job, machine, self.free_capacity_for(entry, machine));
-            if tasks > 0 {
+            let max_tasks = tasks_that_fit(job, machine, self.free_capacity_for(entry, machine));
+            if max_tasks > 0 {
                 zones
                     .entry(&machine.zone)
                     .or_default()
-                    .push(FittingMachine { machine, tasks });
+                    .push(FittingMachine { machine, max_tasks });
             }
         }
         zones.into_values().collect()
     }
 
-    /// Whether the launch of a gang's task that needs no image fetch is put off until the fetches of its
-    /// other tasks are complete. Where a fetch takes long, a task launched at once would wait for the others
-    /// for longer than tasks of a gang may, and the gang would be restarted again and again.
+    /// Whether the launch of a gang's task on a machine that has the image is deferred until the gang's
+    /// other tasks have fetched theirs. If a fetch takes long, a task launched at once would wait for the
+    /// others for longer than `gang_start_timeout` allows, and the gang would be restarted again and again.
     pub(crate) fn defers_launch_for_fetches(&self, job: &Job, machine: &Machine) -> bool {
         if job.spec.kind != JobKind::Gang || !machine.has_image(&job.spec.image) {
             return false;
@@ -120,7 +120,7 @@
         })
     }
 
-    /// Records that a gang has begun, when one of its tasks is first reported as running.
+    /// Records that a gang has started, when one of its tasks is first reported as running.
     pub(crate) fn record_gang_start(&mut self, id: JobId, now: Timestamp) {
         let Some(job) = self.jobs.get_mut(&id) else {
             return;
@@ -133,8 +133,8 @@
         job.gang_started_at = Some(now);
     }
 
-    /// A task of a gang has its image: commands are sent at once to the machines of tasks whose launch was
-    /// put off for that.
+    /// Has commands sent at once to the machines of a gang's tasks whose launch is deferred, after another of
+    /// its tasks has fetched its image.
     pub(crate) fn trigger_deferred_launches(&mut self, id: JobId) {
         let Some(job) = self.jobs.get(&id) else {
             return;
@@ -150,5 +150,5 @@
 }
 
 fn total_tasks(machines: &[FittingMachine]) -> u64 {
-    machines.iter().map(|fitting| fitting.tasks).sum()
+    machines.iter().map(|fitting| fitting.max_tasks).sum()
 }
--- a/crates/scheduler/src/preempt.rs
+++ b/crates/scheduler/src/preempt.rs
@@ -1,6 +1,6 @@
 //! Preemption: stopping tasks to make room for others.
 //!
-//! A job of higher priority may preempt work of lower priority. Work inside its team's guarantee may also
+//! A job of higher priority may preempt work of lower priority. Work within its team's guarantee may also
 //! preempt work of any priority that another team runs beyond its own guarantee.
 
 use crate::cycle::PlacementFailure;
@@ -17,8 +17,9 @@
 /// How long capacity that preemption frees is reserved for the entry.
 const RESERVATION_TIMEOUT: Duration = Duration::from_secs(15);
 
-/// Added to the time that a task needs to save, for the way of the command (ms).
+/// Added to the time that a task needs to save a checkpoint, for the delivery of the stop command.
 pub(crate) const STOP_DELIVERY_ALLOWANCE_MS: u64 = 1_000;
+
 /// Which tasks may be preempted for a job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum PreemptionScope {
@@ -28,18 +29,18 @@
     All,
 }
 
-/// Tasks whose preemption lets an entry in on a machine.
+/// Tasks whose preemption allows an entry to be placed on a machine.
 #[derive(Debug)]
 pub(crate) struct PreemptionPlan {
-    /// Work that is lost, and the fetch of the image if it is missing (ms).
+    /// Work that is lost, plus the time to fetch the image if the machine lacks it.
     pub cost_ms: u64,
     pub victims: Vec<TaskId>,
     /// The machine on which capacity is reserved for the entry.
     pub machine: MachineName,
 }
 
-/// What decides whether work of one team may preempt work of another: the lower rank is preempted. Fields
-/// are compared in their order.
+/// Decides whether work of one team may preempt work of another: only work of a lower rank is preempted. The
+/// derived order compares the fields from first to last, so their sequence matters.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct PreemptionRank {
     strictly_guaranteed: bool,
@@ -67,10 +68,10 @@
         is_regular_array.then_some(PreemptionScope::CheapBestEffort)
     }
 
-    /// Whether a task of `victim` may be preempted for `job`. No chain of preemptions leads back to its
-    /// beginning: within a team they go down in priority, between teams down in [`PreemptionRank`]. If
-    /// guarantee and priority could each let one job preempt the other, tasks would preempt each other in
-    /// turn without end (`incidents/2026-12-01-stopped-in-turn.md`).
+    /// Whether a task of `victim` may be preempted for `job`. Preemptions cannot form a cycle: within a team
+    /// the victim has a lower priority, between teams it has a lower [`PreemptionRank`]. If one job could
+    /// preempt another by its guarantee and the other preempt it by its priority, their tasks would preempt
+    /// each other endlessly (`incidents/2026-12-01-stopped-in-turn.md`).
     pub(crate) fn may_preempt(&self, job: &Job, victim: &Job, placement: &Placement) -> bool {
         if placement.stop.is_some() || victim.spec.kind == JobKind::Gang {
             return false;
@@ -84,8 +85,9 @@
         PreemptionRank::of(victim) < PreemptionRank::of(job) && (is_lower || is_beyond_guarantee())
     }
 
-    /// After a failed cycle: preempts the cheapest set of tasks on one machine that lets the entry in, and
-    /// reserves the capacity for it. Returns false if that would not help entries like it.
+    /// Handles a failed placement: preempts the cheapest set of tasks that allows the entry to be placed on
+    /// some machine, and reserves the capacity for it. Returns false if preemption helps neither this entry
+    /// nor others of its job.
     pub(crate) fn preempt_for(
         &mut self,
         entry: EntryKey,
@@ -113,7 +115,7 @@
         true
     }
 
-    /// Whether any running task could be preempted for a job at all.
+    /// Whether there may be any task that could be preempted for a job.
     pub(crate) fn may_preempt_any(&self, job: &Job) -> bool {
         self.preemption_candidates.any_below(job.spec.priority)
             || (job.guaranteed && self.teams.values().any(exceeds_guarantee))
@@ -134,28 +136,28 @@
         let reservation = Reservation {
             machine: plan.machine,
             needs: job.spec.needs,
-            until: now + RESERVATION_TIMEOUT,
+            expires_at: now + RESERVATION_TIMEOUT,
             charged_team: (failure == PlacementFailure::LimitReached)
                 .then(|| job.spec.team.clone()),
         };
         self.reserve(entry, reservation);
         for victim in plan.victims {
-            tracing::debug!(job = %entry.job(), %victim, "preempting a task");
+            tracing::debug!(job = %entry.job(), %victim, "preempting task");
             let is_best_effort = self
                 .jobs
                 .get(&victim.job)
                 .is_some_and(|job| job.spec.is_best_effort());
             // Replicas and guaranteed work do not wait for best-effort work to save a checkpoint.
-            let grace = if is_urgent && is_best_effort {
+            let grace_ms = if is_urgent && is_best_effort {
                 0
             } else {
                 self.grace_period_ms(victim)
             };
-            self.stop_task(victim, grace, now);
+            self.stop_task(victim, grace_ms, now);
         }
     }
 
-    /// The grace period in which a task can save a checkpoint, in ms; 0 if it has none.
+    /// The grace period in which a task can save a checkpoint, in ms; 0 if it saves none.
     pub(crate) fn grace_period_ms(&self, task: TaskId) -> u64 {
         self.jobs.get(&task.job).map_or(0, |job| {
             if job.spec.checkpoint > Duration::ZERO {
--- a/crates/scheduler/src/preemption_search.rs
+++ b/crates/scheduler/src/preemption_search.rs
@@ -1,4 +1,4 @@
-//! The search for the tasks whose preemption costs least.
+//! Searches for the tasks whose preemption costs least.
 
 use crate::colocation::is_colocated;
 use crate::cycle::{fetch_time, zone_allowed, PlacementFailure};
@@ -11,24 +11,25 @@
 use model::{DurationExt, MachineName, Resources, TaskId, TeamName, Timestamp, ZoneName};
 use std::collections::{BTreeMap, HashSet};
 
-/// Number of reservations from which on [`PreemptionScope::CheapBestEffort`] allows no more preemption.
+/// No preemption in the scope [`PreemptionScope::CheapBestEffort`] while there are this many reservations.
 const MAX_RESERVATIONS: usize = 24;
-/// Added to the cost for each victim, so that of equal costs the plan with the fewest victims is the cheapest.
+/// Added to the cost for each victim: of plans that lose the same work, the one with the fewest victims is the
+/// cheapest.
 const VICTIM_COST_MS: u64 = 1;
 
-/// A search for tasks to preempt.
+/// The parameters of a search for tasks to preempt.
 struct Search<'a> {
     entry: EntryKey,
     job: &'a Job,
     failure: PlacementFailure,
     scope: PreemptionScope,
-    zones: BTreeMap<ZoneName, u32>,
-    /// Plans that cost as much or more are of no use.
+    tasks_by_zone: BTreeMap<ZoneName, u32>,
+    /// Only plans that cost less are considered.
     max_cost_ms: Option<u64>,
     now: Timestamp,
 }
 
-/// A task that could be preempted. Victims are chosen in the order of these keys.
+/// A task that could be preempted. Those that lose the least work are preempted first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct Victim {
     lost_work_ms: u64,
@@ -36,8 +37,9 @@
 }
 
 impl PartitionState {
-    /// The set of tasks on one machine that costs least to preempt for an entry: the work that is lost, and
-    /// the fetch of its image if it is missing. `None` if that costs `max_cost_ms` or more.
+    /// The set of tasks on one machine that costs least to preempt for an entry. The cost is the work that is
+    /// lost plus the time to fetch the entry's image if the machine lacks it. `None` if every set costs
+    /// `max_cost_ms` or more.
     pub(crate) fn cheapest_preemption(
         &self,
         entry: EntryKey,
@@ -47,9 +49,9 @@
         now: Timestamp,
     ) -> Option<PreemptionPlan> {
         let scope = self.preemption_scope(job)?;
-        let too_many = scope == PreemptionScope::CheapBestEffort
+        let too_many_reservations = scope == PreemptionScope::CheapBestEffort
             && self.reservations.len() >= MAX_RESERVATIONS;
-        if too_many || !self.may_preempt_any(job) {
+        if too_many_reservations || !self.may_preempt_any(job) {
             return None;
         }
         let search = Search {
@@ -57,34 +59,35 @@
             job,
             failure,
             scope,
-            zones: self.tasks_by_zone(job),
+            tasks_by_zone: self.tasks_by_zone(job),
             max_cost_ms,
             now,
         };
         let mut best: Option<PreemptionPlan> = None;
-        let mut checked: HashSet<&MachineName> = HashSet::new();
-        for (placed_at, task) in self.preemption_candidates.newest() {
-            // Candidates come in the order of the work that is lost: the others cost more than this.
-            let ran_ms = now.duration_since(placed_at).whole_millis();
+        let mut checked_machines: HashSet<&MachineName> = HashSet::new();
+        for (placed_at, task) in self.preemption_candidates.without_checkpoints() {
+            // Candidates are ordered by the work that they lose: the remaining ones cost at least this much.
+            let run_time_ms = now.duration_since(placed_at).whole_millis();
             let best_cost_ms = best.as_ref().map(|plan| plan.cost_ms);
-            let limit = best_cost_ms.into_iter().chain(max_cost_ms).min();
-            if limit.is_some_and(|limit| ran_ms >= limit) {
+            let cost_limit_ms = best_cost_ms.into_iter().chain(max_cost_ms).min();
+            if cost_limit_ms.is_some_and(|limit_ms| run_time_ms >= limit_ms) {
                 break;
             }
-            self.check_candidate(&search, task, &mut checked, &mut best);
+            self.check_candidate(&search, task, &mut checked_machines, &mut best);
         }
-        for task in self.preemption_candidates.saving() {
-            self.check_candidate(&search, task, &mut checked, &mut best);
+        for task in self.preemption_candidates.with_checkpoints() {
+            self.check_candidate(&search, task, &mut checked_machines, &mut best);
         }
         best
     }
 
-    /// Keeps the cheapest plan for the machine of a candidate if it is better than the best so far.
+    /// Replaces `best` by the cheapest plan for the candidate's machine if that plan is better. Each machine is
+    /// checked once.
     fn check_candidate<'a>(
         &'a self,
         search: &Search<'_>,
         task: TaskId,
-        checked: &mut HashSet<&'a MachineName>,
+        checked_machines: &mut HashSet<&'a MachineName>,
         best: &mut Option<PreemptionPlan>,
     ) {
         let Some(victim) = self.jobs.get(&task.job) else {
@@ -93,7 +96,9 @@
         let Some(placement) = victim.placed.get(&task.index) else {
             return;
         };
-        if !self.is_victim(search, victim, placement) || !checked.insert(&placement.machine) {
+        if !self.is_possible_victim(search, victim, placement)
+            || !checked_machines.insert(&placement.machine)
+        {
             return;
         }
         let plan = self
@@ -103,19 +108,19 @@
         let Some(plan) = plan else {
             return;
         };
-        let is_cheap = search
+        let is_below_max_cost = search
             .max_cost_ms
             .is_none_or(|max_cost_ms| plan.cost_ms < max_cost_ms);
         let is_better = best
             .as_ref()
             .is_none_or(|best| (plan.cost_ms, &plan.machine) < (best.cost_ms, &best.machine));
-        if is_cheap && is_better {
+        if is_below_max_cost && is_better {
             *best = Some(plan);
         }
     }
 
-    /// If a machine has free capacity and only the team's limit is in the way: the team's own tasks of lower
-    /// priority that cost least to preempt, on whatever machines.
+    /// If a machine has free capacity for the entry and only the team's limit prevents its placement: the
+    /// team's own tasks of lower priority that cost least to preempt, on any machines.
     pub(crate) fn cheapest_preemption_for_limit(
         &self,
         entry: EntryKey,
@@ -127,19 +132,20 @@
         }
         let machine = self.best_machine(entry, job, now).ok()?.name.clone();
         let team = self.teams.get(&job.spec.team)?;
-        let wanted = team.used + team.reserved + job.spec.needs;
+        let needed = team.used + team.reserved + job.spec.needs;
         let mut plan = PreemptionPlan {
             cost_ms: 0,
             victims: Vec::new(),
             machine,
         };
-        // What is being stopped for other entries is counted with what is reserved for them.
+        // `needed` includes what is reserved for other entries, so the tasks being stopped for them count as
+        // freed.
         let mut freed = self.resources_being_stopped(&job.spec.team);
         let candidates = self
             .preemption_candidates
-            .newest()
+            .without_checkpoints()
             .map(|(_, task)| task)
-            .chain(self.preemption_candidates.saving());
+            .chain(self.preemption_candidates.with_checkpoints());
         for task in candidates {
             let Some(victim) = self.jobs.get(&task.job) else {
                 continue;
@@ -153,14 +159,14 @@
             plan.cost_ms += self.lost_work_ms(victim, placement, true, now) + VICTIM_COST_MS;
             plan.victims.push(task);
             freed += victim.spec.needs;
-            if wanted.saturating_sub(&freed).fits_quota(&team.limit) {
+            if needed.saturating_sub(&freed).fits_quota(&team.limit) {
                 return Some(plan);
             }
         }
         None
     }
 
-    /// What a team's tasks that are being stopped still use.
+    /// The resources that a team's tasks still use while they are being stopped.
     fn resources_being_stopped(&self, team: &TeamName) -> Resources {
         let mut sum = Resources::default();
         for job in self.jobs.values().filter(|job| job.spec.team == *team) {
@@ -174,8 +180,8 @@
     }
 
     /// Whether a task may be preempted in this search.
-    fn is_victim(&self, search: &Search<'_>, victim: &Job, placement: &Placement) -> bool {
-        // Against the team's own limit only the team's own tasks help.
+    fn is_possible_victim(&self, search: &Search<'_>, victim: &Job, placement: &Placement) -> bool {
+        // If the team's limit prevents the placement, only preempting tasks of the same team helps.
         let helps = search.failure == PlacementFailure::NoFreeCapacity
             || victim.spec.team == search.job.spec.team;
         let in_scope = || match search.scope {
@@ -187,7 +193,8 @@
         helps && self.may_preempt(search.job, victim, placement) && in_scope()
     }
 
-    /// The tasks on a machine that cost least to preempt and let the entry in, if there are any.
+    /// The tasks on a machine that cost least to preempt and make room for the entry; `None` if preemption
+    /// there does not suffice or is not needed.
     fn cheapest_preemption_on(
         &self,
         search: &Search<'_>,
@@ -195,7 +202,7 @@
     ) -> Option<PreemptionPlan> {
         let job = search.job;
         if !self.admits(job, machine, search.now)
-            || !zone_allowed(job, &machine.zone, &search.zones)
+            || !zone_allowed(job, &machine.zone, &search.tasks_by_zone)
             || self.is_blocked_by_gang_reservation(job, machine, search.now)
             || is_colocated(machine, job)
         {
@@ -209,9 +216,9 @@
             machine: machine.name.clone(),
         };
         let is_enough = |free: &Resources, freed: &Resources| {
-            job.spec.needs.fits(free) && self.limit_allows(search, freed)
+            job.spec.needs.fits(free) && self.fits_limit_after(search, freed)
         };
-        for Victim { lost_work_ms, task } in self.victims_on(search, machine) {
+        for Victim { lost_work_ms, task } in self.possible_victims_on(search, machine) {
             if is_enough(&free, &freed) {
                 break;
             }
@@ -226,8 +233,9 @@
         (!plan.victims.is_empty() && is_enough(&free, &freed)).then_some(plan)
     }
 
-    /// The tasks on a machine that may be preempted in this search, those first that lose the least work.
-    fn victims_on(&self, search: &Search<'_>, machine: &Machine) -> Vec<Victim> {
+    /// The tasks on a machine that may be preempted in this search, in the order of the work that they lose,
+    /// least first.
+    fn possible_victims_on(&self, search: &Search<'_>, machine: &Machine) -> Vec<Victim> {
         let at_once = search.scope == PreemptionScope::All;
         let mut victims: Vec<Victim> = machine
             .tasks
@@ -235,18 +243,19 @@
             .filter_map(|task| {
                 let victim = self.jobs.get(&task.job)?;
                 let placement = victim.placed.get(&task.index)?;
-                self.is_victim(search, victim, placement).then(|| Victim {
-                    lost_work_ms: self.lost_work_ms(victim, placement, at_once, search.now),
-                    task: *task,
-                })
+                self.is_possible_victim(search, victim, placement)
+                    .then(|| Victim {
+                        lost_work_ms: self.lost_work_ms(victim, placement, at_once, search.now),
+                        task: *task,
+                    })
             })
             .collect();
         victims.sort_unstable();
         victims
     }
 
-    /// Whether the team's limit is not in the way of the entry once `freed` is free.
-    fn limit_allows(&self, search: &Search<'_>, freed: &Resources) -> bool {
+    /// Whether the team's limit allows the entry once its team uses `freed` less.
+    fn fits_limit_after(&self, search: &Search<'_>, freed: &Resources) -> bool {
         let spec = &search.job.spec;
         search.failure == PlacementFailure::NoFreeCapacity
             || self.teams.get(&spec.team).is_some_and(|team| {
--- a/crates/scheduler/src/reservations.rs
+++ b/crates/scheduler/src/reservations.rs
@@ -1,8 +1,8 @@
-//! Reservations of free capacity, and of a team's limit, for queue entries while tasks are being preempted
+//! Reservations of capacity, and of a part of a team's limit, for queue entries while tasks are being stopped
 //! for them.
 //!
-//! Each machine and team has the sum of its reservations, so that the cost of a check does not grow with
-//! their number.
+//! Each machine and each team stores the sum of its reservations, so that the cost of a check does not grow
+//! with their number.
 
 use crate::job::Job;
 use crate::machine::Machine;
@@ -12,7 +12,7 @@
 use model::{JobId, JobKind, MachineName, Resources, Timestamp};
 
 impl PartitionState {
-    /// Reserves capacity on a machine for an entry, in place of its previous reservation.
+    /// Makes a reservation for an entry. It replaces the entry's previous one.
     pub(crate) fn reserve(&mut self, entry: EntryKey, reservation: Reservation) {
         self.cancel_reservation(&entry);
         if let Some(machine) = self.machines.get_mut(&reservation.machine) {
@@ -61,7 +61,7 @@
 
     /// Cancels reservations that have expired.
     pub(crate) fn expire_reservations(&mut self, now: Timestamp) {
-        self.cancel_reservations_where(|_, reservation| reservation.until <= now);
+        self.cancel_reservations_where(|_, reservation| reservation.expires_at <= now);
     }
 
     /// Cancels the reservations of a job's entries.
@@ -74,16 +74,15 @@
         self.cancel_reservations_where(|_, reservation| reservation.machine == *name);
     }
 
-    /// Whether the team's limit, less what is reserved of it for other entries, leaves room for so many
-    /// tasks of an entry's job. Without reservations, tasks of the same team with a better rank would take
-    /// each part of the limit that becomes free, and a replica for which they were preempted would never
-    /// start.
+    /// Whether the team's limit, less what is reserved of it for other entries, allows so many more tasks of
+    /// an entry's job. Without these reservations, better-ranked tasks of the same team would take each part
+    /// of the limit that becomes free, and a replica for which tasks were preempted would never start.
     pub(crate) fn fits_limit(&self, entry: EntryKey, job: &Job, tasks: u64) -> bool {
-        let own = self
+        let own_reservation = self
             .reservations
             .get(&entry)
             .filter(|reservation| reservation.charged_team.is_some());
-        let own = own.map_or(Resources::default(), |reservation| reservation.needs);
+        let own = own_reservation.map_or(Resources::default(), |reservation| reservation.needs);
         self.teams.get(&job.spec.team).is_some_and(|team| {
             let reserved_for_gangs = match entry {
                 EntryKey::Task(_) if job.spec.kind == JobKind::Array => team.reserved_for_gangs,
@@ -94,17 +93,17 @@
         })
     }
 
-    /// Free capacity of a machine, less what is reserved for other entries.
+    /// The free capacity of a machine, less what is reserved there for other entries.
     pub(crate) fn free_capacity_for(&self, entry: EntryKey, machine: &Machine) -> Resources {
         let free = machine.free();
         if machine.reserved == Resources::default() {
             return free;
         }
-        let own = self
+        let own_reservation = self
             .reservations
             .get(&entry)
             .filter(|reservation| reservation.machine == machine.name);
-        let own = own.map_or(Resources::default(), |reservation| reservation.needs);
+        let own = own_reservation.map_or(Resources::default(), |reservation| reservation.needs);
         free.saturating_sub(&machine.reserved.saturating_sub(&own))
     }
 }
