--- a/crates/scheduler/src/commands.rs
+++ b/crates/scheduler/src/commands.rs
@@ -1,4 +1,4 @@
-//! Commands to workers.
+//! Commands to workers: launches, stops, and requests to forget exited tasks.
 
 use crate::machine::{Machine, OrphanedTask};
 use crate::partition_state::PartitionState;
@@ -9,13 +9,14 @@
 /// The route by which commands reach a worker.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CommandRoute {
-    /// In the reply to a heartbeat: they arrive with that reply or never.
+    /// In the response to a heartbeat: they arrive with that response or never.
     HeartbeatResponse,
-    /// By a direct call: they may arrive late.
+    /// By a direct call to the worker: they may arrive late.
     DirectCall,
 }
 
-/// Where a direct call to a machine goes, and what the worker accepts it under.
+/// The address for a direct call to a machine's worker, with the fencing token and the worker epoch under which
+/// the worker accepts the call.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct DirectCallTarget {
     pub address: String,
@@ -24,8 +25,8 @@
 }
 
 impl PartitionState {
-    /// Commands for a machine: launches of durable placements, stops, and forgets of exited tasks
-    /// whose outcome is durable. The launches count as sent by `route`.
+    /// The commands that are due for a machine: launches of durable placements, stops, and forget commands
+    /// for exited tasks whose outcome is durable. The launches are recorded as sent by `route`.
     pub fn commands_for(
         &mut self,
         name: &MachineName,
@@ -48,7 +49,7 @@
         let mut launches = Vec::new();
         for task in tasks {
             commands.extend(self.stop_command(task));
-            if self.may_launch(task, name, route) {
+            if self.should_launch(task, name, route) {
                 launches.extend(self.record_launch(task, route, launch));
             }
         }
@@ -62,8 +63,9 @@
         commands
     }
 
-    /// An orphaned task is stopped; once it has exited, the worker may forget it as soon as its
-    /// outcome is durable and no launch of it can still arrive.
+    /// The command for a task that the worker has although it is not placed there. Until it has exited, it is
+    /// stopped. After that the worker is to forget it as soon as its outcome is durable and no launch of it can
+    /// arrive any more.
     fn command_for_orphan(&self, machine: &Machine, orphan: &OrphanedTask) -> Option<Command> {
         let task = orphan.id.task.to_string();
         let attempt = orphan.id.attempt.0;
@@ -77,16 +79,18 @@
         let may_forget = !self.uncommitted.has_outcome(&orphan.id)
             && machine.lost_launch_bound.is_none()
             && machine.may_forget(orphan)
-            // A worker that has forgotten the attempt would start it when the launch in a late
-            // reply reaches it.
+            // A worker that has forgotten the attempt would start it again if a late heartbeat response
+            // brought the launch.
             && !machine.response_launches.contains(&orphan.id);
         may_forget.then_some(Command::Forget { task, attempt })
     }
 
+    /// The stop command for a task that is being stopped, if it has to be sent.
     fn stop_command(&self, task: TaskId) -> Option<Command> {
         let placement = self.placement(task)?;
         let stop = placement.stop?;
-        // A second stop without a grace period would kill a task that is saving.
+        // A task that is saving a checkpoint has received its stop command. Another one is sent only without
+        // a grace period, which kills the task.
         let is_saving = placement.last_status == Some(TaskState::Saving);
         (!is_saving || stop.grace_ms == 0).then(|| Command::Stop {
             task: task.to_string(),
@@ -95,26 +99,27 @@
         })
     }
 
-    /// Whether a launch of the task is to be sent to the machine now.
-    fn may_launch(&self, task: TaskId, name: &MachineName, route: CommandRoute) -> bool {
+    /// Whether a launch of a placed task has to be sent to its machine by `route` now.
+    fn should_launch(&self, task: TaskId, name: &MachineName, route: CommandRoute) -> bool {
         let (Some(machine), Some(job)) = (self.machines.get(name), self.jobs.get(&task.job)) else {
             return false;
         };
         let Some(placement) = job.placed.get(&task.index) else {
             return false;
         };
-        let is_wanted = placement.is_launchable() && !job.cancelled;
+        let task_is_launchable = placement.is_launchable() && !job.cancelled;
         let machine_accepts = machine.last_seen_at.is_some() && !machine.leaving;
-        // What has been launched once is launched again until it arrives.
-        let may_begin =
+        // A launch is repeated until it arrives, even where a first launch would be put off now.
+        let allows_first_launch =
             || machine.reclaim_at.is_none() && !self.defers_launch_for_fetches(job, machine);
-        let first_or_repeated = || placement.launch.is_launched() || may_begin();
+        let allows_launch = || placement.launch.is_launched() || allows_first_launch();
         // A direct launch that has not been answered is not repeated by another direct call.
-        let is_pending =
+        let is_pending_direct_launch =
             route == CommandRoute::DirectCall && placement.launch.unconfirmed_direct().is_some();
-        is_wanted && machine_accepts && first_or_repeated() && !is_pending
+        task_is_launchable && machine_accepts && allows_launch() && !is_pending_direct_launch
     }
 
+    /// Records on the task's placement that a launch is sent; returns the attempt that is launched.
     fn record_launch(
         &mut self,
         task: TaskId,
@@ -132,7 +137,7 @@
         })
     }
 
-    /// A direct call was answered: the launches that it carried have been executed or refused, and
+    /// Records that a direct call was answered: the launches that it carried have been executed or refused, and
     /// will not be executed later.
     pub fn record_direct_response(&mut self, name: &MachineName, sent: &[TaskAttempt]) {
         for launched in sent {
@@ -145,7 +150,7 @@
         }
     }
 
-    /// Where a direct call to the machine goes; none before its first status.
+    /// The target of a direct call to the machine; `None` before its first status.
     pub fn direct_call_target(&self, name: &MachineName) -> Option<DirectCallTarget> {
         let machine = self.machines.get(name)?;
         machine.last_seen_at?;
@@ -158,8 +163,8 @@
 }
 
 impl Placement {
-    /// Whether a launch would be safe and is still needed: it is durable, no previous leader may have
-    /// launched it, it is not being stopped, and no status has shown it.
+    /// Whether a launch is safe and still needed: the placement is durable, no previous leader may have launched
+    /// the task, the task is not being stopped, and no status has shown it.
     fn is_launchable(&self) -> bool {
         self.durable
             && self.stop.is_none()
@@ -169,6 +174,7 @@
 }
 
 impl Machine {
+    /// Records on the machine that launches are sent to it.
     fn record_launches(
         &mut self,
         launches: &[TaskAttempt],
--- a/crates/scheduler/src/cycle.rs
+++ b/crates/scheduler/src/cycle.rs
@@ -1,5 +1,7 @@
-//! The scheduling cycle: takes one entry of the queue and places it on the best machine, or finds out why
-//! that is not possible.
+//! The scheduling cycle: takes one entry from the queue and places it on the best machine, or records why
+//! it cannot be placed.
+//!
+//! The controller that leads the partition calls [`PartitionState::run_cycles`] in its steps.
 
 use crate::capacity_index::MAX_RANKED_REPLICAS;
 use crate::job::Job;
@@ -12,47 +14,50 @@
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::time::Duration;
 
-/// How long free capacity is left to a job that found none: its backoff lasts as long at most.
+/// For how long after a job found no free capacity best-effort tasks leave new free capacity to it.
+/// Longer than its longest default backoff (1 s), so that the job is tried again within this time.
 const UNPLACED_PRECEDENCE: Duration = Duration::from_millis(1_500);
 
-/// Time between two checks of which machines are usable and belong into the capacity index.
+/// Interval at which the capacity index is brought in line with the machines that are usable now.
 const INDEX_REFRESH_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Image fetches that take less are not worth preempting a task elsewhere for.
+/// A task is preempted on another machine to avoid an image fetch only if the fetch takes at least this long.
 const MIN_FETCH_TIME_SAVED: Duration = Duration::from_millis(500);
 
-/// How many times a job's estimate its waiting tasks are expected to run: estimates are often wrong by half.
+/// A job's waiting tasks are assumed to run for this multiple of its estimate, since estimates are often
+/// wrong by half.
 const ESTIMATE_SAFETY_FACTOR: u64 = 2;
 
-/// The shortest run time on which the turnover of machines is based (ms).
+/// Lower bound on a job's estimate when predicting how soon its tasks free capacity (ms).
 const MIN_ESTIMATE_MS: u64 = 1_000;
 
-/// The least fetch rate that is assumed (GB per second).
+/// Lower bound on a machine's fetch rate, in GB per second: the time to fetch an image is divided by it.
 const MIN_FETCH_GB_PER_S: f64 = 0.01;
 
 /// Why an entry was not placed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum PlacementFailure {
-    /// The team's limit is reached.
+    /// The team's limit leaves no room for it.
     LimitReached,
-    /// No usable machine has the free capacity.
+    /// No suitable machine has enough free capacity.
     NoFreeCapacity,
-    /// There is free capacity, but machines that have the image will have some before it could be fetched.
+    /// A machine has free capacity but not the image, and machines that have the image are expected to
+    /// have free capacity before it could be fetched.
     WaitForCachedImage,
 }
 
-/// What the cycles of one run have found out about jobs. Tasks of a job are alike: where one was not
-/// placed, the next will not be either.
+/// Jobs that could not be placed in the current call of [`PartitionState::run_cycles`]. All tasks of a job
+/// have the same requirements: if one could not be placed, neither can the others.
 #[derive(Debug, Default)]
 struct FailedJobs {
-    unplaced: HashMap<JobId, PlacementFailure>,
-    /// Jobs for which preemption does not help.
+    failures: HashMap<JobId, PlacementFailure>,
+    /// Jobs for which no preemption makes room.
     not_helped_by_preemption: HashSet<JobId>,
 }
 
 impl PartitionState {
     /// Runs cycles until the active queue is empty or `max_cycles` entries have been tried. Returns whether
-    /// entries are left in it.
+    /// the active queue still has entries.
     pub fn run_cycles(&mut self, now: Timestamp, max_cycles: usize) -> bool {
         self.refresh_capacity_index(now);
         let preempt = self.policy.preempt && self.update_inventory_known(now);
@@ -60,7 +65,7 @@
         self.queue.flush(now);
         self.queue_probes(now);
         self.unplaced_since
-            .retain(|_, at| now.duration_since(*at) <= UNPLACED_PRECEDENCE);
+            .retain(|_, failed_at| now.duration_since(*failed_at) <= UNPLACED_PRECEDENCE);
         self.expire_reservations(now);
         self.renew_gang_reservations(now);
         self.update_waiting_gangs();
@@ -84,13 +89,14 @@
         self.queue.has_active()
     }
 
+    /// Tries to place an entry. A task without a reservation is not tried if its job has failed in this run.
     fn try_entry(
         &mut self,
         entry: EntryKey,
         failed_jobs: &FailedJobs,
         now: Timestamp,
     ) -> Result<(), PlacementFailure> {
-        match (entry, failed_jobs.unplaced.get(&entry.job())) {
+        match (entry, failed_jobs.failures.get(&entry.job())) {
             (EntryKey::Task(_), Some(failure)) if !self.reservations.contains_key(&entry) => {
                 Err(*failure)
             }
@@ -99,7 +105,8 @@
         }
     }
 
-    /// Reserves machines for a gang or preempts tasks for a task, and has the entry back off.
+    /// Reserves machines for a gang that could not be placed, preempts other tasks for a task that could
+    /// not, and returns the entry to the queue as failed.
     fn handle_failure(
         &mut self,
         entry: EntryKey,
@@ -112,30 +119,30 @@
         if let EntryKey::Gang(job) = entry {
             self.reserve_for_gang(job, failure, preempt, now);
         }
-        if failed_jobs.unplaced.insert(job, failure).is_none() {
+        if failed_jobs.failures.insert(job, failure).is_none() {
             tracing::debug!(%job, reason = ?failure, "placement failed");
         }
         if failure == PlacementFailure::NoFreeCapacity {
             self.record_unplaced(job, now);
         }
-        let may_help = failure != PlacementFailure::WaitForCachedImage
+        let preemption_may_help = failure != PlacementFailure::WaitForCachedImage
             && !failed_jobs.not_helped_by_preemption.contains(&job);
-        if preempt && may_help && !self.preempt_for(entry, failure, now) {
+        if preempt && preemption_may_help && !self.preempt_for(entry, failure, now) {
             failed_jobs.not_helped_by_preemption.insert(job);
         }
         self.queue.record_failure(entry, now);
     }
 
-    /// Removes machines that are not usable at present from the capacity index, and adds those that are
-    /// usable again.
+    /// Removes machines that are not usable now from the capacity index, and adds those that are usable
+    /// again.
     fn refresh_capacity_index(&mut self, now: Timestamp) {
         if now.duration_since(self.capacity_index_refreshed_at) < INDEX_REFRESH_INTERVAL {
             return;
         }
         self.capacity_index_refreshed_at = now;
-        let heartbeat_grace = self.heartbeat_timeout();
+        let heartbeat_timeout = self.heartbeat_timeout();
         for machine in self.machines.values_mut() {
-            match (machine.usable(now, heartbeat_grace), machine.capacity_key) {
+            match (machine.usable(now, heartbeat_timeout), machine.capacity_key) {
                 (true, None) => self.capacity_index.add_or_update(machine),
                 (false, Some(_)) => self.capacity_index.remove(machine),
                 _ => {}
@@ -143,6 +150,8 @@
         }
     }
 
+    /// Places a task on the best machine. If that machine would have to fetch the image, the task may instead
+    /// wait for a machine that has it, or preempt tasks elsewhere if that costs less than the fetch.
     fn try_task(&mut self, task: TaskId, now: Timestamp) -> Result<(), PlacementFailure> {
         let Some(job) = self.jobs.get(&task.job) else {
             return Ok(());
@@ -166,7 +175,7 @@
         let name = machine.name.clone();
         if fetch_time > Duration::ZERO
             && job.spec.kind == JobKind::Array
-            && self.frees_up_sooner(job, fetch_time, now)
+            && self.cached_image_is_sooner(job, fetch_time, now)
         {
             return Err(PlacementFailure::WaitForCachedImage);
         }
@@ -191,15 +200,15 @@
         Ok(())
     }
 
-    /// The machine on which capacity is reserved for an entry, if the entry may still go there.
+    /// The machine on which capacity is reserved for an entry, if the machine still admits its job.
     fn reserved_machine(&self, entry: EntryKey, job: &Job, now: Timestamp) -> Option<&Machine> {
         let machine = self.machines.get(&self.reservations.get(&entry)?.machine)?;
         self.admits(job, machine, now).then_some(machine)
     }
 
-    /// The best machine with free capacity for a task. If capacity is reserved for it, the task waits for
-    /// that, or takes another machine that has its image. If there is none: why the machine that came closest
-    /// does not suit it.
+    /// The best suitable machine for a task. A task with a reservation goes to its reserved machine, or to
+    /// another one that has its image. If no machine is suitable, returns why the one that came closest to
+    /// being suitable was rejected.
     pub(crate) fn best_machine(
         &self,
         entry: EntryKey,
@@ -208,10 +217,10 @@
     ) -> Result<&Machine, MachineRejection> {
         let reserved = self.reserved_machine(entry, job, now);
         let search = MachineSearch::new(self, entry, job, now);
-        let with_image_only = reserved.is_some();
+        let image_cached_only = reserved.is_some();
         let best = self.capacity_index.best_machine(
             &job.spec,
-            with_image_only,
+            image_cached_only,
             |name| self.machines.get(name),
             |machine| search.is_suitable(machine),
             |machine| score(job, machine),
@@ -220,14 +229,15 @@
             .ok_or_else(|| search.closest_rejection())
     }
 
-    /// Whether running tasks will leave room for all waiting tasks of an array on machines that have its
-    /// image before another machine could have fetched it.
-    fn frees_up_sooner(&self, job: &Job, fetch_time: Duration, now: Timestamp) -> bool {
+    /// Whether tasks that run on machines with the image of an array are expected to free capacity for all of
+    /// its waiting tasks before another machine could fetch the image.
+    fn cached_image_is_sooner(&self, job: &Job, fetch_time: Duration, now: Timestamp) -> bool {
         let mut ending_tasks = 0;
         let with_image = self.capacity_index.machines_with_image(&job.spec.image);
         for machine in with_image.filter_map(|name| self.machines.get(name)) {
             if self.admits(job, machine, now) {
-                // Best-effort tasks may run for minutes: they leave when stopped, not by themselves.
+                // Best-effort tasks are not counted: they may run for minutes and end early only when
+                // stopped. Replicas of services do not end by themselves.
                 ending_tasks += machine.regular_count() - machine.replica_count;
             }
         }
@@ -236,37 +246,41 @@
             < ending_tasks * fetch_time.whole_millis()
     }
 
-    /// Whether the team's limit leaves room for so many more tasks of the job.
+    /// Whether the team's limit leaves room for this many more tasks of the job, reservations not counted.
     pub(crate) fn fits_quota_now(&self, job: &Job, tasks: u64) -> bool {
         self.teams
             .get(&job.spec.team)
             .is_some_and(|team| (team.used + job.spec.needs.times(tasks)).fits_quota(&team.limit))
     }
 
-    /// How many of a job's tasks are placed in each zone; empty if the job's zones do not matter.
+    /// The number of a job's placed tasks in each zone; empty for a job that neither has to run in one zone
+    /// nor to be spread.
     pub(crate) fn tasks_by_zone(&self, job: &Job) -> BTreeMap<ZoneName, u32> {
-        let mut zones = BTreeMap::new();
+        let mut tasks_by_zone = BTreeMap::new();
         if job.spec.one_zone || job.spec.spread {
             for placement in job.placed.values() {
                 if let Some(machine) = self.machines.get(&placement.machine) {
-                    *zones.entry(machine.zone.clone()).or_default() += 1;
+                    *tasks_by_zone.entry(machine.zone.clone()).or_default() += 1;
                 }
             }
         }
-        zones
+        tasks_by_zone
     }
 }
 
-/// Whether a task of a job may run in a zone by the job's `one_zone` and `spread`, given its tasks in each
-/// zone.
-pub(crate) fn zone_allowed(job: &Job, zone: &ZoneName, zones: &BTreeMap<ZoneName, u32>) -> bool {
-    let one_zone_allows = !job.spec.one_zone || zones.keys().all(|used| used == zone);
+/// Whether the job's `one_zone` and `spread` allow one more of its tasks in a zone.
+pub(crate) fn zone_allowed(
+    job: &Job,
+    zone: &ZoneName,
+    tasks_by_zone: &BTreeMap<ZoneName, u32>,
+) -> bool {
+    let one_zone_allows = !job.spec.one_zone || tasks_by_zone.keys().all(|used| used == zone);
     let spread_allows =
-        !job.spec.spread || zones.get(zone).copied().unwrap_or(0) < job.spec.zone_limit();
+        !job.spec.spread || tasks_by_zone.get(zone).copied().unwrap_or(0) < job.spec.zone_limit();
     one_zone_allows && spread_allows
 }
 
-/// How long the machine would fetch the job's image; zero if it has it.
+/// How long the machine would take to fetch the job's image; zero if the image is cached.
 pub(crate) fn fetch_time(job: &Job, machine: &Machine) -> Duration {
     if machine.has_image(&job.spec.image) {
         return Duration::ZERO;
@@ -274,30 +288,32 @@
     uncached_fetch_time(job, machine)
 }
 
-/// How long the machine takes to fetch the job's image if it lacks it.
+/// How long the machine takes to fetch the job's image when the image is not cached.
 pub(crate) fn uncached_fetch_time(job: &Job, machine: &Machine) -> Duration {
     let seconds = job.spec.image_gb / machine.fetch_gb_per_s.max(MIN_FETCH_GB_PER_S);
     Duration::from_millis((seconds * 1000.0) as u64)
 }
 
-/// How well a machine suits a task. The least score is the best; fields are compared in their order.
+/// How well a machine suits a task; the lowest score is the best. Fields are compared from first to last.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct Score {
     /// Time to fetch the image.
     fetch_ms: u64,
-    /// Spot machines come first for work that may use them, as they are cheap.
+    /// Spot machines come first for work that may use them, as they are cheaper.
     is_on_demand: bool,
-    /// Machines with the most replicas come first, see [`score`].
+    /// How far the counted replicas are below [`MAX_RANKED_REPLICAS`]: machines with most replicas come
+    /// first, see [`score`].
     replicas_below_max: u64,
-    /// GPUs and CPUs that would be left free: the fullest machine comes first.
+    /// GPUs and CPUs that the task would leave free: the fullest machine comes first.
     milli_gpus_left: u64,
     milli_cpus_left: u64,
 }
 
 /// The score of a machine for a task of a job.
 ///
-/// Replicas stay long and keep their machine from being returned, so they go where most replicas are. Tasks
-/// of arrays fill the gaps beside them, so that machines without replicas become idle and can be returned.
+/// Replicas of services run for long and keep their machine from being returned to the cloud, so they are
+/// placed where most replicas are. Tasks of arrays and gangs are placed on machines with any replica first,
+/// so that machines without replicas become idle and can be returned.
 pub(crate) fn score(job: &Job, machine: &Machine) -> Score {
     let left = machine.free().saturating_sub(&job.spec.needs);
     let max_replicas = match job.spec.kind {
--- a/crates/scheduler/src/durability.rs
+++ b/crates/scheduler/src/durability.rs
@@ -1,4 +1,4 @@
-//! Handing changed progress to the placement log, and what follows when it is durable.
+//! Passes changed progress to the placement log, and acts on it once the log has made it durable.
 
 use crate::partition_state::PartitionState;
 use crate::placement::TaskAttempt;
@@ -7,17 +7,17 @@
 use model::TaskId;
 
 impl PartitionState {
-    /// Whether progress is to be written.
+    /// Whether any changed progress has to be written.
     pub fn has_dirty_chunks(&self) -> bool {
         self.uncommitted.has_dirty_chunks()
     }
 
-    /// Whether a placement is to be written, so that a launch depends on the next commit.
+    /// Whether any placement is not durable yet, so that a launch waits for a commit.
     pub fn has_uncommitted_placements(&self) -> bool {
         self.uncommitted.has_placements()
     }
 
-    /// The chunks that changed since the last call, with their progress.
+    /// Returns the chunks that have changed since the last call, with their progress.
     pub fn take_dirty_chunks(&mut self) -> Vec<(ChunkKey, TaskChunk)> {
         self.uncommitted
             .take_dirty_chunks()
@@ -31,7 +31,7 @@
         self.uncommitted.mark_chunks_dirty(keys);
     }
 
-    /// What a commit with these chunks would make durable.
+    /// The placements and outcomes that a commit with these chunks makes durable.
     pub fn changes_in_chunks(&self, keys: &[ChunkKey]) -> CommittedChanges {
         CommittedChanges {
             placements: keys
@@ -42,12 +42,13 @@
         }
     }
 
+    /// The placements in a chunk that are not durable yet.
     fn uncommitted_placements(&self, key: ChunkKey) -> impl Iterator<Item = TaskAttempt> + '_ {
-        let from = key.chunk * TASKS_PER_CHUNK;
+        let first_index = key.chunk * TASKS_PER_CHUNK;
         let placed = self
             .jobs
             .get(&key.job)
-            .map(|job| job.placed.range(from..from + TASKS_PER_CHUNK));
+            .map(|job| job.placed.range(first_index..first_index + TASKS_PER_CHUNK));
         placed
             .into_iter()
             .flatten()
@@ -61,7 +62,8 @@
             })
     }
 
-    /// The commit is durable: its placements may be launched, and workers may forget its outcomes.
+    /// Records that a commit is durable: its placements may be launched, and workers may forget the tasks
+    /// whose outcomes it contains.
     pub fn confirm_commit(&mut self, committed: &CommittedChanges) {
         for TaskAttempt { task, attempt } in &committed.placements {
             let placement = self
--- a/crates/scheduler/src/explain.rs
+++ b/crates/scheduler/src/explain.rs
@@ -73,7 +73,7 @@
             return String::new();
         }
         let rejections: Vec<String> = self
-            .rejections_of(entry, job, now)
+            .rejection_counts(entry, job, now)
             .into_iter()
             .map(|(rejection, count)| format!("{rejection}: {count}"))
             .collect();
--- a/crates/scheduler/src/job.rs
+++ b/crates/scheduler/src/job.rs
@@ -1,4 +1,4 @@
-//! A job within a partition.
+//! A job of the partition: its spec, the progress of its tasks, and what scheduling has decided about it.
 
 use crate::placement::Placement;
 use crate::task_chunk::{PlacedTask, TaskChunk, TASKS_PER_CHUNK};
@@ -8,62 +8,67 @@
 use std::time::Duration;
 use wire::workers::TaskState;
 
-/// A job whose terminal state is not durable yet.
+/// An open job: one whose terminal state is not durable yet.
 #[derive(Debug)]
 pub struct Job {
     pub spec: Arc<JobSpec>,
-    /// When it was submitted, in milliseconds on a clock that all controllers share.
+    /// Time of submission in milliseconds, on a logical clock that all controllers share.
     pub submitted_at_ms: u64,
-    /// When this leader admitted it or loaded it.
+    /// When this leader admitted the job, or loaded it after a failover.
     pub added_at: Timestamp,
-    /// How far it is deprioritised for its size.
+    /// By how much the job is deferred in the queue for its size.
     pub size_penalty: Duration,
-    /// Time from submission within which it should complete: its own deadline, or the objective of its
+    /// Time from submission within which the job should complete: its own deadline, or the objective of its
     /// class.
     pub completion_objective: Option<Duration>,
-    /// How far it is further deprioritised for its remaining work during overload.
+    /// By how much the job is deferred further during overload, for the work that remains.
     pub overload_penalty: Duration,
     pub cancelled: bool,
-    /// Until when the leases of its machines may be renewed while a launch of it could still arrive:
-    /// a later renewal could keep it running for longer than a cancellation allows.
+    /// For a cancelled job: until when the lease of a machine may be renewed while a launch of one of its
+    /// tasks could still arrive there. A later renewal could keep that task running for longer than a
+    /// cancellation allows.
     pub(crate) leases_renewable_until: Timestamp,
-    /// Its terminal state is being written or has been written.
+    /// Whether the job has reached its terminal state, which is being written or has been written.
     pub finishing: bool,
-    /// One bit for each task, in words of [`TASKS_PER_CHUNK`] bits: the task is done.
+    /// One bit for each task, set if the task is done; one word for each chunk of [`TASKS_PER_CHUNK`] tasks.
     done: Vec<u64>,
     done_count: u32,
-    /// Placements by the tasks' indexes.
+    /// Placements by task index.
     pub placed: BTreeMap<u32, Placement>,
-    /// First task that has never been queued; further tasks are queued as the window allows.
+    /// Index of the next task to be queued. The queue holds only some tasks of a large job at a time, see
+    /// [`Policy::max_queued_tasks_per_job`](crate::Policy::max_queued_tasks_per_job).
     pub next_index_to_queue: u32,
-    /// Consecutive failures by the tasks' indexes.
+    /// Consecutive failures by task index.
     pub failures: BTreeMap<u32, u32>,
-    /// The last few machines on which a task of this job failed.
+    /// The last few machines on which tasks of the job failed, the oldest first.
     pub failed_on: Vec<MachineName>,
+    /// Number of tasks that were done, and of tasks of a suspect job that ran for long enough to count.
     pub successes: u32,
-    /// The longest time that a task took to fail.
+    /// The longest time from a task's placement to its failure.
     pub longest_failure: Duration,
-    /// Since when none of its tasks has been placed, in milliseconds on the clock of [`Job::submitted_at_ms`]. A new
-    /// leader, which does not know, counts from its submission. Without meaning while tasks are placed.
+    /// Since when none of the job's tasks has been placed, in milliseconds on the clock of
+    /// [`Job::submitted_at_ms`]. A new leader does not know this time and uses the time of submission.
+    /// Meaningless while tasks are placed.
     pub(crate) unplaced_since_ms: u64,
-    /// How many tasks of best-effort work may be placed on any machine, since it has waited for long.
+    /// How many tasks of a best-effort job may be placed on any machine, because the job has waited for long.
     pub(crate) max_tasks_anywhere: usize,
-    /// Best-effort work that has waited for so long that a machine is requested for its first task.
+    /// Whether this best-effort job has waited for so long that a machine is requested for its first task.
     pub(crate) starved: bool,
-    /// It lies within its team's guarantee.
+    /// Whether the job lies within its team's guarantee.
     pub guaranteed: bool,
-    /// It lies within the guarantee even if the team's work of higher priority is counted first. Only
-    /// such work is protected from preemption by other teams' work of higher priority, and only work
-    /// beyond it may be preempted by their guaranteed work of lower priority.
+    /// Whether the job lies within the guarantee even if the team's jobs of higher priority are counted
+    /// first. Only such jobs are protected from preemption by other teams' jobs of higher priority; only
+    /// other jobs may be preempted by other teams' guaranteed jobs of lower priority.
     pub strictly_guaranteed: bool,
-    /// On machines with GPUs it runs only beside GPU work and takes no capacity from it.
+    /// Whether the job runs on machines with GPUs only beside GPU work, see the module `colocation`.
     pub colocated_only: bool,
-    /// When all tasks of the gang were first seen running in this attempt by this leader.
+    /// When this leader first saw a task of the gang running in its present attempt. No task of a gang runs
+    /// before all of them are ready.
     pub gang_started_at: Option<Timestamp>,
 }
 
 impl Job {
-    /// A job without progress.
+    /// A job without any progress.
     pub fn new(spec: impl Into<Arc<JobSpec>>, submitted_at_ms: u64, now: Timestamp) -> Self {
         let spec = spec.into();
         let words = spec.tasks.div_ceil(TASKS_PER_CHUNK) as usize;
@@ -95,7 +100,7 @@
         }
     }
 
-    /// Whether it is best-effort work: work within a guarantee is not.
+    /// Whether the job is best-effort work. Work within its team's guarantee is not.
     pub fn is_best_effort(&self) -> bool {
         self.spec.is_best_effort() && !self.guaranteed
     }
@@ -107,7 +112,7 @@
             .is_some_and(|word| word & (1 << (index % TASKS_PER_CHUNK)) != 0)
     }
 
-    /// Marks a task done. Returns false if it was done already or does not exist.
+    /// Marks a task as done. Returns false if it was already done or does not exist.
     pub fn mark_done(&mut self, index: u32) -> bool {
         if index >= self.spec.tasks || self.is_done(index) {
             return false;
@@ -133,7 +138,7 @@
         self.done_count == self.spec.tasks
     }
 
-    /// Number of tasks that run now, for display.
+    /// Number of tasks that run or save a checkpoint by their newest status, for display.
     pub fn running_count(&self) -> u32 {
         let is_running = |placement: &&Placement| {
             let status = placement.last_status;
@@ -142,40 +147,40 @@
         self.placed.values().filter(is_running).count() as u32
     }
 
-    /// The chunk's progress for the placement log.
-    pub fn chunk(&self, chunk: u32) -> TaskChunk {
-        let word = self.done.get(chunk as usize).copied().unwrap_or(0);
-        let from = chunk * TASKS_PER_CHUNK;
+    /// The progress of one chunk of tasks, as the placement log stores it.
+    pub fn chunk(&self, chunk_number: u32) -> TaskChunk {
+        let done_bits = self.done.get(chunk_number as usize).copied().unwrap_or(0);
+        let first_index = chunk_number * TASKS_PER_CHUNK;
         let placed = self
             .placed
-            .range(from..from + TASKS_PER_CHUNK)
+            .range(first_index..first_index + TASKS_PER_CHUNK)
             .map(|(index, placement)| PlacedTask {
-                offset: index - from,
+                offset: index - first_index,
                 attempt: placement.attempt.0,
                 machine: placement.machine.to_string(),
             })
             .collect();
         TaskChunk {
-            done: if word == 0 {
+            done: if done_bits == 0 {
                 String::new()
             } else {
-                format!("{word:x}")
+                format!("{done_bits:x}")
             },
             placed,
         }
     }
 
-    /// Restores a chunk from the placement log. Its placements are inherited.
-    pub fn restore_chunk(&mut self, chunk: u32, body: &TaskChunk, now: Timestamp) {
-        let from = chunk * TASKS_PER_CHUNK;
-        if let Ok(word) = u64::from_str_radix(&body.done, 16) {
-            for bit in (0..TASKS_PER_CHUNK).filter(|bit| word & (1 << bit) != 0) {
-                self.mark_done(from + bit);
+    /// Restores a chunk that a previous leader wrote to the placement log.
+    pub fn restore_chunk(&mut self, chunk_number: u32, chunk: &TaskChunk, now: Timestamp) {
+        let first_index = chunk_number * TASKS_PER_CHUNK;
+        if let Ok(done_bits) = u64::from_str_radix(&chunk.done, 16) {
+            for offset in (0..TASKS_PER_CHUNK).filter(|offset| done_bits & (1 << offset) != 0) {
+                self.mark_done(first_index + offset);
             }
         }
-        for task in &body.placed {
-            let index = from + task.offset;
-            // All tasks of a gang are done with the first one, also those that are still placed.
+        for task in &chunk.placed {
+            let index = first_index + task.offset;
+            // The first task of a gang that is done completes all of them, also those that are still placed.
             let is_over = self.is_done(index) && self.spec.kind != JobKind::Gang;
             if task.offset >= TASKS_PER_CHUNK || index >= self.spec.tasks || is_over {
                 continue;
--- a/crates/scheduler/src/job_lifecycle.rs
+++ b/crates/scheduler/src/job_lifecycle.rs
@@ -1,4 +1,4 @@
-//! Jobs of a partition from admission to removal.
+//! The life of a job in the partition: admission or loading, queueing, cancellation, completion and removal.
 
 use crate::job::Job;
 use crate::partition_state::PartitionState;
@@ -10,7 +10,7 @@
 use std::time::Duration;
 
 impl PartitionState {
-    /// Adds an open job with the progress that the placement log holds of it.
+    /// Adds an open job with its progress from the placement log; a new job has none.
     pub fn add_job(
         &mut self,
         spec: impl Into<Arc<JobSpec>>,
@@ -32,7 +32,7 @@
             self.add_to_counts(task, &job.spec, placement);
         }
         self.teams.open_job(&job);
-        log_admission(&job);
+        log_job_added(&job);
         let lost_tasks = self.tasks_on_unknown_machines(&job);
         self.jobs.insert(id, job);
         for task in lost_tasks {
@@ -45,7 +45,7 @@
         self.check_finished(id);
     }
 
-    /// The job as its progress shows it, not yet counted anywhere.
+    /// Builds the job from its spec and progress. It is not added to any counts.
     fn restore_job(
         &self,
         spec: Arc<JobSpec>,
@@ -60,14 +60,14 @@
             .spec
             .deadline
             .or_else(|| self.completion_objectives.get(&job.spec.class).copied());
-        for (chunk, body) in chunks {
-            job.restore_chunk(*chunk, body, now);
+        for (chunk_number, chunk) in chunks {
+            job.restore_chunk(*chunk_number, chunk, now);
         }
         job
     }
 
-    /// Tasks that are placed on machines without a record. A machine's record is deleted only after
-    /// the cloud has confirmed its release, so these tasks are gone.
+    /// Tasks that are placed on machines without a record. A machine's record is deleted only after the cloud
+    /// has confirmed its release, so these tasks are gone.
     fn tasks_on_unknown_machines(&self, job: &Job) -> Vec<TaskId> {
         job.placed
             .iter()
@@ -79,21 +79,21 @@
             .collect()
     }
 
-    /// How far a job is deprioritised for its size: a multiple of the time that it takes with its
+    /// By how much a job is deferred in the queue for its size: a multiple of the time that it takes with its
     /// team's whole limit.
     fn size_penalty_of(&self, spec: &JobSpec) -> Duration {
-        // A gang is one entry, and large gangs would starve behind small ones otherwise.
+        // A gang counts as one task, otherwise large gangs would starve behind small ones.
         let tasks = if spec.kind == JobKind::Gang {
             1
         } else {
             u64::from(spec.tasks)
         };
         let concurrent_tasks = self.teams.max_concurrent_tasks(spec);
-        let alone_ms = spec.estimate.whole_millis() * tasks / concurrent_tasks;
-        Duration::from_millis(alone_ms * self.policy.size_penalty_factor)
+        let run_time_ms = spec.estimate.whole_millis() * tasks / concurrent_tasks;
+        Duration::from_millis(run_time_ms * self.policy.size_penalty_factor)
     }
 
-    /// The user has cancelled the job: no task of it is launched any more, and all are stopped.
+    /// Cancels a job for its user: none of its tasks is launched any more, and all that are placed are stopped.
     pub fn cancel_job(&mut self, id: JobId, now: Timestamp) {
         let Some(job) = self.jobs.get_mut(&id) else {
             return;
@@ -103,8 +103,8 @@
         }
         job.cancelled = true;
         let placed: Vec<u32> = job.placed.keys().copied().collect();
-        let queued = job.next_index_to_queue;
-        self.dequeue_job(id, queued);
+        let queued_below = job.next_index_to_queue;
+        self.dequeue_job(id, queued_below);
         for index in placed {
             self.stop_task(TaskId { job: id, index }, 0, now);
         }
@@ -112,7 +112,8 @@
         self.check_finished(id);
     }
 
-    /// Puts a job's waiting tasks into the queue, as many as the window allows.
+    /// Queues a gang, or as many waiting tasks of another job as
+    /// [`Policy::max_queued_tasks_per_job`](crate::Policy::max_queued_tasks_per_job) allows.
     pub(crate) fn enqueue_job(&mut self, id: JobId) {
         let Some(job) = self.jobs.get_mut(&id) else {
             return;
@@ -127,39 +128,41 @@
             }
             return;
         }
-        // All placed and queued tasks have lower indexes, so this is an upper bound on the number
-        // of queued tasks: an array of 100,000 tasks does not fill the queue.
+        // All placed and queued tasks lie below `next_index_to_queue`, so this is an upper bound on the number
+        // of queued tasks. The limit keeps an array of 100,000 tasks from filling the queue.
         let limit = self.policy.max_queued_tasks_per_job.max(1);
-        let mut waiting = job
+        let mut max_queued = job
             .next_index_to_queue
             .saturating_sub(job.done_count() + job.placed.len() as u32);
-        while job.next_index_to_queue < job.spec.tasks && waiting < limit {
+        while job.next_index_to_queue < job.spec.tasks && max_queued < limit {
             let index = job.next_index_to_queue;
             job.next_index_to_queue += 1;
             if !job.is_done(index) && !job.placed.contains_key(&index) {
                 let entry = EntryKey::Task(TaskId { job: id, index });
                 self.queue.add(entry, rank.for_task(index));
-                waiting += 1;
+                max_queued += 1;
             }
         }
     }
 
-    /// Removes a job's entries from the queue, of whose tasks the first `queued` have been queued.
-    pub(crate) fn dequeue_job(&mut self, id: JobId, queued: u32) {
-        for index in 0..queued {
+    /// Removes a job's entries from the queue and cancels their reservations. `queued_below`: all queued
+    /// tasks have lower indexes.
+    pub(crate) fn dequeue_job(&mut self, id: JobId, queued_below: u32) {
+        for index in 0..queued_below {
             self.queue.remove(EntryKey::Task(TaskId { job: id, index }));
         }
         self.queue.remove(EntryKey::Gang(id));
         self.cancel_reservations_of_job(id);
     }
 
-    /// Notes whether the job has reached its terminal state.
+    /// Checks whether the job has reached its terminal state, and if so reports it by
+    /// [`PartitionState::take_finished`].
     pub(crate) fn check_finished(&mut self, id: JobId) {
         let Some(job) = self.jobs.get_mut(&id) else {
             return;
         };
-        // A gang is done with its first task, but a member that was started again meanwhile still
-        // takes capacity and counts against the limit until it is gone.
+        // The first task that is done completes a gang, but a member that was started again meanwhile uses
+        // capacity and counts against the limit until it is gone.
         let is_done = job.all_done() && (job.spec.kind != JobKind::Gang || job.placed.is_empty());
         let is_cancelled = job.cancelled && job.placed.is_empty();
         if !job.finishing && (is_done || is_cancelled) {
@@ -169,19 +172,20 @@
         }
     }
 
-    /// The job counts towards its team's guarantee no longer.
+    /// Removes a job from the jobs that count towards its team's guarantee.
     fn close_job(&mut self, id: JobId) {
         if let Some(job) = self.jobs.get(&id) {
             self.teams.close_job(job);
         }
     }
 
-    /// Jobs that have reached their terminal state since the last call, which is to be written.
+    /// Returns the jobs that have reached their terminal state since the last call. The caller writes that
+    /// state.
     pub fn take_finished(&mut self) -> Vec<JobId> {
         std::mem::take(&mut self.finished)
     }
 
-    /// The job's terminal state is durable, which settles the outcomes of all its tasks.
+    /// Removes a job whose terminal state is durable. That makes the outcomes of all its tasks durable as well.
     pub fn remove_job(&mut self, id: JobId, now: Timestamp) {
         self.close_job(id);
         let Some(job) = self.jobs.remove(&id) else {
@@ -200,7 +204,7 @@
     }
 }
 
-fn log_admission(job: &Job) {
+fn log_job_added(job: &Job) {
     let spec = &job.spec;
     tracing::debug!(
         job = %spec.id,
--- a/crates/scheduler/src/job_probes.rs
+++ b/crates/scheduler/src/job_probes.rs
@@ -1,14 +1,17 @@
-//! Schedule of the trial runs of suspect jobs.
+//! When suspect jobs are probed. A probe runs one task of the job, or the whole gang, to find out whether it
+//! still fails; see the module `failure_attribution`.
 
 use model::{DurationExt, JobId, Timestamp};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Time between the first two probes of a suspect job, which doubles up to a limit.
+/// Time from a job's becoming suspect to its first probe. It doubles for each further probe, up to
+/// [`MAX_PROBE_INTERVAL`].
 const INITIAL_PROBE_INTERVAL: Duration = Duration::from_secs(1);
+/// Longest time between two probes of a suspect job.
 const MAX_PROBE_INTERVAL: Duration = Duration::from_secs(30);
 
-/// When a suspect job is probed next.
+/// The probe schedule of one suspect job.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct JobProbe {
     due_at: Timestamp,
@@ -16,7 +19,7 @@
 }
 
 impl JobProbe {
-    /// The first probe of a job that has become suspect.
+    /// The schedule of a job that has become suspect at `now`.
     fn first(now: Timestamp) -> Self {
         JobProbe {
             due_at: now + INITIAL_PROBE_INTERVAL,
@@ -29,7 +32,7 @@
         now >= self.due_at
     }
 
-    /// A probe has been queued: the next one follows after twice the interval.
+    /// Doubles the interval and schedules the next probe, after one has been queued.
     pub(crate) fn back_off(&mut self, now: Timestamp) {
         let doubled = Duration::from_millis(self.interval.whole_millis() * 2);
         self.interval = doubled.min(MAX_PROBE_INTERVAL);
@@ -37,14 +40,14 @@
     }
 }
 
-/// The suspect jobs, which are not queued like others.
+/// The suspect jobs. Only their probes are queued, not all of their waiting tasks.
 #[derive(Debug, Default)]
 pub(crate) struct JobProbes {
     by_job: BTreeMap<JobId, JobProbe>,
 }
 
 impl JobProbes {
-    /// Whether the job is being probed.
+    /// Whether the job is suspect and thus being probed.
     pub(crate) fn contains(&self, id: &JobId) -> bool {
         self.by_job.contains_key(id)
     }
@@ -54,7 +57,7 @@
         self.by_job.is_empty()
     }
 
-    /// A job has become suspect.
+    /// Begins to probe a job that has become suspect.
     pub(crate) fn start(&mut self, id: JobId, now: Timestamp) {
         self.by_job.insert(id, JobProbe::first(now));
     }
--- a/crates/scheduler/src/placement.rs
+++ b/crates/scheduler/src/placement.rs
@@ -1,4 +1,4 @@
-//! The placement of a task on a machine, and what is known about its launch.
+//! The placement of a task on a machine, and the state of its launch.
 
 use model::{Attempt, FencingToken, MachineName, TaskId, Timestamp, WorkerEpoch};
 use wire::workers::TaskState;
@@ -10,14 +10,14 @@
     pub attempt: Attempt,
 }
 
-/// How a task is being stopped.
+/// A stop that has been decided for a task.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Stop {
     /// Grace period for saving a checkpoint, in milliseconds.
     pub grace_ms: u64,
 }
 
-/// Fencing token and worker epoch under which a launch was sent by a direct call.
+/// The fencing token and the worker epoch under which a direct call sent a launch.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct DirectLaunch {
     pub token: FencingToken,
@@ -25,24 +25,25 @@
 }
 
 impl DirectLaunch {
-    /// Whether a worker that has seen `token`, or is in `worker_epoch`, no longer executes the launch:
-    /// it drops commands under a lower token and those that name an earlier epoch.
+    /// Whether a worker that has seen `token`, or is in `worker_epoch`, no longer executes the launch.
+    /// Workers drop commands with a lower token than they have seen or with an earlier epoch than their own.
     pub fn is_superseded_by(&self, token: FencingToken, worker_epoch: WorkerEpoch) -> bool {
         token > self.token || worker_epoch > self.worker_epoch
     }
 }
 
-/// What is known about launches of a placement.
+/// What this leader knows about the launches of a placement.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LaunchState {
-    /// Not launched, or the launch was certainly lost.
+    /// No launch was sent, or every launch is known to be lost.
     NotLaunched,
-    /// Recorded by a previous leader, which may have launched it by any route.
+    /// The placement was recorded by a previous leader, which may have launched it by any route.
     Inherited,
-    /// Launched by this leader, or seen in a worker's status.
+    /// This leader has sent a launch, or a worker's status has shown the task.
     Launched {
-        /// A launch was sent in the reply to a heartbeat. Only the next heartbeat settles whether it
-        /// arrived: the status in the response to a direct call may be older than that reply's arrival.
+        /// A launch was sent in the response to a heartbeat, and no status has shown yet whether it
+        /// arrived. Only the next heartbeat proves that it was lost: the status in the response to a direct
+        /// call may have been taken before the heartbeat response arrived.
         in_response: bool,
         /// A launch was sent by a direct call that has not been answered. The worker may execute it
         /// until it is superseded.
@@ -56,7 +57,7 @@
         matches!(self, LaunchState::Launched { .. })
     }
 
-    /// Whether the outcome of a launch in the reply to a heartbeat is still open.
+    /// Whether a launch was sent in a heartbeat response and may not have arrived yet.
     pub fn is_launched_in_response(&self) -> bool {
         matches!(
             self,
@@ -67,7 +68,7 @@
         )
     }
 
-    /// The direct launch that has not been answered.
+    /// The direct launch that has neither been answered nor superseded.
     pub fn unconfirmed_direct(&self) -> Option<DirectLaunch> {
         match self {
             LaunchState::Launched {
@@ -77,7 +78,7 @@
         }
     }
 
-    /// A launch is sent in the reply to a heartbeat.
+    /// Records that a launch is sent in the response to a heartbeat.
     pub fn record_response_launch(&mut self) {
         *self = LaunchState::Launched {
             in_response: true,
@@ -85,7 +86,7 @@
         };
     }
 
-    /// A launch is sent by a direct call.
+    /// Records that a launch is sent by a direct call.
     pub fn record_direct_launch(&mut self, launch: DirectLaunch) {
         *self = LaunchState::Launched {
             in_response: self.is_launched_in_response(),
@@ -93,7 +94,7 @@
         };
     }
 
-    /// A worker's status shows the task.
+    /// Records that a worker's status shows the task.
     pub fn record_observed(&mut self) {
         *self = LaunchState::Launched {
             in_response: false,
@@ -101,7 +102,7 @@
         };
     }
 
-    /// The direct launch was answered or superseded, so that it will not be executed later.
+    /// Records that the direct launch was answered or superseded, so that it cannot be executed any more.
     pub fn settle_direct_launch(&mut self) {
         if let LaunchState::Launched {
             unconfirmed_direct, ..
@@ -112,24 +113,24 @@
     }
 }
 
-/// The one machine on which a task may run. A placement counts against its machine and its team until
-/// the task is proven gone.
+/// The assignment of a task to the one machine on which it may run. A placement uses its machine's capacity
+/// and its team's limit until the task is known not to run there any more.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Placement {
     pub machine: MachineName,
     pub attempt: Attempt,
-    /// Durable in the state service; only then may the task be launched.
+    /// Whether the placement is durable in the state service. Only then may the task be launched.
     pub durable: bool,
     pub launch: LaunchState,
-    /// The task's state in the newest status that shows it.
+    /// The task's state in the newest worker status that lists it.
     pub last_status: Option<TaskState>,
-    /// The task is being stopped.
+    /// Set while the task is being stopped.
     pub stop: Option<Stop>,
     pub placed_at: Timestamp,
 }
 
 impl Placement {
-    /// A placement that has just been decided.
+    /// A new placement, neither durable nor launched.
     pub fn new(machine: MachineName, attempt: Attempt, now: Timestamp) -> Self {
         Placement {
             machine,
@@ -142,7 +143,7 @@
         }
     }
 
-    /// A placement that a previous leader has recorded and may have launched.
+    /// A durable placement of a previous leader, which may have launched the task.
     pub fn inherited(machine: MachineName, attempt: Attempt, now: Timestamp) -> Self {
         Placement {
             durable: true,
--- a/crates/scheduler/src/placements.rs
+++ b/crates/scheduler/src/placements.rs
@@ -1,4 +1,4 @@
-//! Placements: creation, stopping and removal, with the counts that depend on them.
+//! Creating, stopping and removing placements, and the counts and indexes that follow them.
 
 use crate::partition_state::PartitionState;
 use crate::placement::{LaunchState, Placement, Stop};
@@ -7,19 +7,19 @@
 use model::{Attempt, JobId, JobKind, JobSpec, MachineName, TaskId, Timestamp};
 use std::time::Duration;
 
-/// Bits of an attempt's number below the leader's term.
+/// Low bits of an attempt's number, which count the attempts within the leader's term.
 const ATTEMPT_BITS: u32 = 24;
-/// Time that members of a gang get for stopping, beyond the time that saving a checkpoint takes.
+/// Grace period for members of a gang beyond the time that they need to save a checkpoint (ms).
 const GANG_STOP_MARGIN_MS: u64 = 1_000;
 
 impl PartitionState {
-    /// A number that no attempt of any task has had: terms only rise.
+    /// Returns a number that no attempt of any task has had. It begins with the term, which only rises.
     pub(crate) fn new_attempt(&mut self) -> Attempt {
         self.attempts += 1;
         Attempt((self.term.0 << ATTEMPT_BITS) | self.attempts)
     }
 
-    /// Records a placement and counts it at once.
+    /// Places a task on a machine. The placement counts at once; its task is launched when it is durable.
     pub(crate) fn place(
         &mut self,
         task: TaskId,
@@ -44,7 +44,7 @@
         self.uncommitted.mark_dirty(task);
     }
 
-    /// Adds a placement to all counts and indexes of placements.
+    /// Adds a placement to all counts and indexes that depend on placements.
     pub(crate) fn add_to_counts(&mut self, task: TaskId, spec: &JobSpec, placement: &Placement) {
         self.teams.charge(spec);
         if let Some(machine) = self.machines.get_mut(&placement.machine) {
@@ -57,7 +57,7 @@
         }
     }
 
-    /// Removes a placement from all counts and indexes of placements.
+    /// Removes a placement from all counts and indexes that depend on placements.
     pub(crate) fn remove_from_counts(
         &mut self,
         task: TaskId,
@@ -77,7 +77,7 @@
         }
     }
 
-    /// Stops a task. One that has certainly never been launched is removed at once.
+    /// Stops a task. If it is certain that it was never launched, its placement is removed at once.
     pub fn stop_task(&mut self, task: TaskId, grace_ms: u64, now: Timestamp) {
         let Some(job) = self.jobs.get_mut(&task.job) else {
             return;
@@ -93,15 +93,15 @@
         self.preemption_candidates
             .remove(task, job.spec.priority, placement.placed_at);
         match &mut placement.stop {
-            // A second stop may only shorten the grace period.
+            // A further stop may shorten the grace period, but not extend it.
             Some(stop) => stop.grace_ms = stop.grace_ms.min(grace_ms),
             None => placement.stop = Some(Stop { grace_ms }),
         }
         self.urgent_machines.insert(machine);
     }
 
-    /// Stops all members of a gang at once, with a grace period to save a checkpoint if the gang has
-    /// started.
+    /// Stops all members of a gang at the same time. They get a grace period to save a checkpoint if the gang
+    /// has started and is neither cancelled nor done.
     pub fn stop_gang(&mut self, id: JobId, now: Timestamp) {
         let Some(job) = self.jobs.get(&id) else {
             return;
@@ -123,8 +123,8 @@
         }
     }
 
-    /// Removes a placement whose task is proven gone or was never launched, and queues the
-    /// task again unless it or its job is done.
+    /// Removes a placement whose task is known to be gone or was never launched. If `requeue` is set, a task
+    /// whose job is no gang is queued again, unless it is done or its job is cancelled.
     pub(crate) fn drop_placement(&mut self, task: TaskId, now: Timestamp, requeue: bool) {
         let logical_time_ms = self.logical_time_ms(now);
         let Some(job) = self.jobs.get_mut(&task.job) else {
@@ -148,6 +148,7 @@
         self.check_finished(task.job);
     }
 
+    /// Queues a task again. Tasks that `enqueue_job` has not reached yet are left to it.
     fn requeue_task(&mut self, task: TaskId, now: Timestamp) {
         let Some(job) = self.jobs.get(&task.job) else {
             return;
@@ -157,10 +158,11 @@
         }
         let failures = job.failures.get(&task.index).copied().unwrap_or(0);
         let rank = Rank::of_job(job).for_task(task.index);
-        self.queue_after_failures(EntryKey::Task(task), rank, failures, now);
+        self.queue_with_failures(EntryKey::Task(task), rank, failures, now);
     }
 
-    /// The rest of a gang that lost a member stops; when all members are gone it is queued again.
+    /// Stops the other members of a gang that has lost a member, and queues the gang again when the last one
+    /// is gone.
     fn handle_lost_gang_member(&mut self, id: JobId, now: Timestamp) {
         let Some(job) = self.jobs.get_mut(&id) else {
             return;
@@ -177,11 +179,11 @@
         }
         let failures = job.failures.values().copied().max().unwrap_or(0);
         let rank = Rank::of_job(job);
-        self.queue_after_failures(EntryKey::Gang(id), rank, failures, now);
+        self.queue_with_failures(EntryKey::Gang(id), rank, failures, now);
     }
 
-    /// Queues an entry, with backoff if it has failed.
-    fn queue_after_failures(&mut self, entry: EntryKey, rank: Rank, failures: u32, now: Timestamp) {
+    /// Queues an entry; after failures, with backoff.
+    fn queue_with_failures(&mut self, entry: EntryKey, rank: Rank, failures: u32, now: Timestamp) {
         if failures == 0 {
             self.queue.add(entry, rank);
         } else {
--- a/crates/scheduler/src/suitability.rs
+++ b/crates/scheduler/src/suitability.rs
@@ -1,4 +1,4 @@
-//! Which machines suit a waiting task, and why the others do not.
+//! The filters that decide whether a machine is suitable for a waiting task, and the reasons for rejections.
 
 use crate::colocation::tasks_that_fit;
 use crate::cycle::zone_allowed;
@@ -11,35 +11,36 @@
 use std::collections::BTreeMap;
 use std::fmt;
 
-/// A job avoids machines on which its tasks failed until it has failed on so many.
+/// A job avoids the machines on which its tasks failed only while these are fewer than this number, and
+/// fewer than the partition's machines.
 const MAX_AVOIDED_MACHINES: usize = 4;
 
-/// Why a machine does not suit a waiting task. The filters are applied in this order, so of two rejections
-/// the greater one came closer to a placement.
+/// Why a machine is not suitable for a waiting task. The filters are applied in the order of the variants, so
+/// the greater of two rejections came closer to a placement.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum MachineRejection {
-    /// What is free there is too small, or belongs to an entry for which tasks are being preempted.
+    /// Its free capacity is too small, or is reserved for an entry for which tasks are being preempted.
     NoFreeCapacity,
-    /// It takes no tasks at present: it leaves, is quarantined, or has not been heard of lately.
+    /// It accepts no tasks now: for example it is leaving, is quarantined, or has missed heartbeats.
     Unusable,
-    /// The job does not run on its type, in its zone, or on spot machines.
+    /// The job does not allow its type or zone, or does not allow spot machines.
     NotAllowed,
     /// Tasks of the job have failed on it.
     FailedBefore,
-    /// Best-effort work runs on spare capacity only.
+    /// The job is best-effort work, which runs on spare capacity only, and the machine has none.
     NotSpare,
-    /// The job's tasks have to run in one zone, or to be spread.
+    /// The job's tasks have to run in one zone or to be spread over zones, and this zone does not fit.
     Zone,
-    /// It is reserved for a gang.
+    /// It is reserved for a gang that ranks before the job.
     Reserved,
-    /// It is left to a gang that needs its type.
+    /// It is left to a waiting gang, since the job could run on a machine type that does not fit the gang.
     LeftToGang,
-    /// It is left to a job that backs off.
+    /// The job is best-effort work, and the free capacity is left to a job that found none and backs off.
     LeftToUnplacedJob,
 }
 
 impl MachineRejection {
-    /// All reasons, in their order.
+    /// All reasons, in the order of the filters.
     pub const ALL: [MachineRejection; 9] = [
         MachineRejection::NoFreeCapacity,
         MachineRejection::Unusable,
@@ -74,7 +75,7 @@
     }
 }
 
-/// How often entries found no machine, by the closest rejection.
+/// How often tasks found no machine, by the rejection that came closest to a placement.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct RejectionCounts([u64; MachineRejection::ALL.len()]);
 
@@ -84,15 +85,15 @@
         self.0[rejection as usize] += 1;
     }
 
-    /// Adds counts and clears them there.
+    /// Moves the counts of `other` here.
     pub fn append(&mut self, other: &mut RejectionCounts) {
-        let added = std::mem::take(other);
-        for (count, more) in self.0.iter_mut().zip(added.0) {
-            *count += more;
+        let other = std::mem::take(other);
+        for (count, added) in self.0.iter_mut().zip(other.0) {
+            *count += added;
         }
     }
 
-    /// Reasons that have been counted, with their counts, which begin anew.
+    /// Returns the reasons that have been counted with their counts, and resets all counts to zero.
     pub fn drain(&mut self) -> impl Iterator<Item = (MachineRejection, u64)> {
         let counts = std::mem::take(self).0;
         MachineRejection::ALL
@@ -102,15 +103,16 @@
     }
 }
 
-/// The search for a machine for one entry: what does not depend on the machine.
+/// The search for a machine for one entry. Holds what the filters need and is the same for all machines.
 pub(crate) struct MachineSearch<'a> {
     partition: &'a PartitionState,
     entry: EntryKey,
     job: &'a Job,
     now: Timestamp,
-    zones: BTreeMap<ZoneName, u32>,
+    tasks_by_zone: BTreeMap<ZoneName, u32>,
+    /// Waiting gangs to which the job leaves machines.
     gangs: Vec<&'a Job>,
-    /// The greatest rejection so far, which came closest to a placement.
+    /// The rejection so far that came closest to a placement, which is the greatest.
     closest: Cell<Option<MachineRejection>>,
 }
 
@@ -126,27 +128,28 @@
             entry,
             job,
             now,
-            zones: partition.tasks_by_zone(job),
+            tasks_by_zone: partition.tasks_by_zone(job),
             gangs: partition.gangs_with_precedence(job, now),
             closest: Cell::new(None),
         }
     }
 
-    /// Whether the task may be placed on the machine now.
+    /// Whether the task may be placed on the machine now; remembers the closest rejection.
     pub(crate) fn is_suitable(&self, machine: &Machine) -> bool {
         let rejection = self.rejection(machine);
         self.closest.set(self.closest.get().max(rejection));
         rejection.is_none()
     }
 
-    /// Why the search has found no machine. Machines that are full are not looked at.
+    /// The rejection that came closest to a placement. The search skips machines without enough free CPUs and
+    /// GPUs: if it has checked none, the rejection is [`MachineRejection::NoFreeCapacity`].
     pub(crate) fn closest_rejection(&self) -> MachineRejection {
         self.closest
             .get()
             .unwrap_or(MachineRejection::NoFreeCapacity)
     }
 
-    /// Why the task may not be placed on the machine now.
+    /// Why the task may not be placed on the machine now; `None` if it may.
     pub(crate) fn rejection(&self, machine: &Machine) -> Option<MachineRejection> {
         let (partition, job, now) = (self.partition, self.job, self.now);
         let free = partition.free_capacity_for(self.entry, machine);
@@ -156,7 +159,7 @@
         if let Some(rejection) = partition.admission_rejection(job, machine, now) {
             return Some(rejection);
         }
-        if !zone_allowed(job, &machine.zone, &self.zones) {
+        if !zone_allowed(job, &machine.zone, &self.tasks_by_zone) {
             return Some(MachineRejection::Zone);
         }
         if partition.is_blocked_by_gang_reservation(job, machine, now) {
@@ -173,12 +176,13 @@
 }
 
 impl PartitionState {
-    /// Whether a job may run on a machine, apart from the free capacity there.
+    /// Whether a job may run on a machine, leaving aside free capacity, reservations and the zones of its
+    /// other tasks.
     pub(crate) fn admits(&self, job: &Job, machine: &Machine, now: Timestamp) -> bool {
         self.admission_rejection(job, machine, now).is_none()
     }
 
-    /// Why a job may not run on a machine, apart from the free capacity there.
+    /// Why [`PartitionState::admits`] is false; `None` if it is true.
     fn admission_rejection(
         &self,
         job: &Job,
@@ -194,8 +198,9 @@
         {
             return Some(MachineRejection::NotAllowed);
         }
-        let avoids_failures = job.failed_on.len() < self.machines.len().min(MAX_AVOIDED_MACHINES);
-        if avoids_failures && job.failed_on.contains(&machine.name) {
+        let avoids_failed_machines =
+            job.failed_on.len() < self.machines.len().min(MAX_AVOIDED_MACHINES);
+        if avoids_failed_machines && job.failed_on.contains(&machine.name) {
             return Some(MachineRejection::FailedBefore);
         }
         if !self.admits_best_effort(job, machine) {
@@ -204,8 +209,8 @@
         None
     }
 
-    /// For each reason, how many machines it keeps from taking a task of the job now.
-    pub(crate) fn rejections_of(
+    /// For each reason, how many machines may not take the job's entry now because of it.
+    pub(crate) fn rejection_counts(
         &self,
         entry: EntryKey,
         job: &Job,
--- a/crates/scheduler/src/task_chunk.rs
+++ b/crates/scheduler/src/task_chunk.rs
@@ -1,11 +1,11 @@
-//! The progress of a job's tasks as it is stored in the placement log.
+//! The stored form of a job's progress in the placement log: chunks of consecutive tasks.
 
 use serde::{Deserialize, Serialize, Serializer};
 
-/// Number of tasks whose progress is recorded together.
+/// Number of tasks in a chunk, whose progress is stored together.
 pub const TASKS_PER_CHUNK: u32 = 64;
 
-/// A placed task in the placement log; serialised as an array of its three fields.
+/// A placed task in the placement log, serialised as an array of its three fields in their order.
 #[derive(Debug, Clone, PartialEq, Eq, Deserialize)]
 #[serde(from = "(u32, u64, String)")]
 pub struct PlacedTask {
@@ -33,11 +33,11 @@
     }
 }
 
-/// Progress of one chunk of a job's tasks in the placement log.
+/// The progress of one chunk of a job's tasks.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct TaskChunk {
-    /// Bit i: task i of the chunk is done. Hexadecimal, because JSON readers do not agree on integers
-    /// beyond 53 bits.
+    /// Bits in hexadecimal: bit i is set if task i of the chunk is done; empty if none is. Not a JSON number,
+    /// because JSON readers disagree on integers beyond 53 bits.
     #[serde(rename = "d", default, skip_serializing_if = "String::is_empty")]
     pub done: String,
     #[serde(rename = "p", default, skip_serializing_if = "Vec::is_empty")]
@@ -45,16 +45,16 @@
 }
 
 impl TaskChunk {
-    /// Whether there is no progress to be recorded.
+    /// Whether there is no progress to be stored.
     pub fn is_empty(&self) -> bool {
         self.done.is_empty() && self.placed.is_empty()
     }
 
-    /// Whether all of it can be restored.
+    /// Whether all of the chunk can be restored.
     pub fn is_valid(&self) -> bool {
-        let done = self.done.is_empty() || u64::from_str_radix(&self.done, 16).is_ok();
-        let is_sound =
+        let done_is_valid = self.done.is_empty() || u64::from_str_radix(&self.done, 16).is_ok();
+        let task_is_valid =
             |task: &PlacedTask| task.offset < TASKS_PER_CHUNK && !task.machine.is_empty();
-        done && self.placed.iter().all(is_sound)
+        done_is_valid && self.placed.iter().all(task_is_valid)
     }
 }
