--- a/crates/controller/src/controller/fleet_planner/planning.rs
+++ b/crates/controller/src/controller/fleet_planner/planning.rs
@@ -62,7 +62,7 @@
 
     /// The machine types as last read from the cloud, or else as recorded.
     fn machine_types_with_prices(&self) -> Option<MachineTypes> {
-        let recorded = self.cache.types.as_ref().map(|types| &types.record);
+        let recorded = self.cache.machine_types.as_ref().map(|types| &types.record);
         self.fleet_planner
             .machine_types
             .latest()
@@ -88,7 +88,7 @@
 
     /// The zone of a partition's preferred leader.
     fn preferred_zone(&self, partition: u32) -> ZoneName {
-        self.nodes
+        self.controllers
             .get(partition as usize)
             .map_or_else(|| self.settings.zone.clone(), |(_, zone)| zone.clone())
     }
--- a/crates/controller/src/controller/heartbeats.rs
+++ b/crates/controller/src/controller/heartbeats.rs
@@ -90,7 +90,7 @@
             }
             HeartbeatOutcome::Withheld => {
                 tracing::warn!(machine = %name, "heartbeat reply withheld: a launch of a cancelled task may still arrive");
-                self.counters.answers_withheld += 1;
+                self.counters.replies_withheld += 1;
                 return HeartbeatReply::Unavailable;
             }
         };
@@ -156,7 +156,7 @@
                 let Some(target) = partition_state.direct_call_target(&name) else {
                     continue;
                 };
-                let commands = partition_state.commands_for(&name, CommandRoute::Direct, now);
+                let commands = partition_state.commands_for(&name, CommandRoute::DirectCall, now);
                 if !commands.is_empty() {
                     calls.push((name, target, commands));
                 }
--- a/crates/controller/src/controller/leadership/advance.rs
+++ b/crates/controller/src/controller/leadership/advance.rs
@@ -22,8 +22,8 @@
         for partition in partitions {
             self.advance_partition(partition);
         }
-        if self.now.duration_since(self.load_at) >= STATUS_INTERVAL {
-            self.load_at = self.now;
+        if self.now.duration_since(self.statuses_reported_at) >= STATUS_INTERVAL {
+            self.statuses_reported_at = self.now;
             self.report_partition_statuses();
         }
     }
@@ -63,7 +63,7 @@
             .unwrap_or_default();
         predecessors
             .iter()
-            .filter(|predecessor| self.incarnation_is_over(predecessor))
+            .filter(|predecessor| self.incarnation_has_exited(predecessor))
             .cloned()
             .collect()
     }
@@ -96,8 +96,8 @@
             loaded.partition_state.consolidate(now);
         }
         self.counters
-            .waits
-            .append(&mut loaded.partition_state.waits);
+            .placement_waits_ms
+            .append(&mut loaded.partition_state.placement_waits_ms);
         self.counters
             .unplaced
             .append(&mut loaded.partition_state.rejections);
--- a/crates/controller/src/controller/leadership/machine_failures.rs
+++ b/crates/controller/src/controller/leadership/machine_failures.rs
@@ -88,10 +88,10 @@
                 machine,
                 address,
                 token,
-                session,
+                worker_epoch,
             } = probe;
             let purpose = CallKind::Worker(WorkerCall::LivenessProbe { partition, machine });
-            self.send_probe(address, token, session, purpose, PROBE_TIMEOUT);
+            self.send_probe(address, token, worker_epoch, purpose, PROBE_TIMEOUT);
         }
     }
 
@@ -126,7 +126,7 @@
             if let Some(machine) = partition_state.machines.get_mut(&name) {
                 machine.leaving = true;
             }
-            self.machine_changes.request(&name, MachineChange::Leave);
+            self.machine_changes.request(&name, MachineChange::Release);
         }
     }
 }
--- a/crates/controller/src/controller/leadership/partition_status.rs
+++ b/crates/controller/src/controller/leadership/partition_status.rs
@@ -86,7 +86,7 @@
             .map_or(0, |leadership| leadership.version.0);
         let demand_version = self
             .cache
-            .demands
+            .demand_versions
             .get(&partition)
             .map_or(0, |version| version.0);
         let key = demand_key(partition);
@@ -153,7 +153,7 @@
         };
         if fleet_planner == *self.own_name() {
             self.handle_partition_status(status);
-        } else if !self.peer_is_alive(&fleet_planner) || !self.is_reached_by(&fleet_planner) {
+        } else if !self.peer_is_alive(&fleet_planner) || !self.reaches_peer(&fleet_planner) {
             self.write_demand(status);
         } else {
             self.send_to_peer(&fleet_planner, MeshMessage::PartitionStatus(status));
--- a/crates/controller/src/controller/leadership/token_raises.rs
+++ b/crates/controller/src/controller/leadership/token_raises.rs
@@ -73,7 +73,7 @@
             partition_state
                 .machines
                 .values()
-                .any(|machine| machine.retains_exited_tasks(now))
+                .any(|machine| machine.exited_tasks_need_higher_token(now))
         })
     }
 
@@ -100,7 +100,7 @@
             return;
         };
         for machine in partition_state.machines.values() {
-            if machine.needs_higher_token() {
+            if machine.lost_launch_needs_higher_token() {
                 self.machine_changes
                     .request(&machine.name, MachineChange::RaiseToken);
             }
@@ -125,7 +125,7 @@
         let token = self.cache.next_token();
         let mut counter = self
             .cache
-            .counter
+            .token_counter
             .as_ref()
             .map(|counter| counter.record.clone())
             .unwrap_or_default();
@@ -133,7 +133,7 @@
         let value = serde_json::to_value(counter).unwrap_or_default();
         let txn = Transaction::default()
             .when(partition_key(partition), version)
-            .when(TOKEN_COUNTER_KEY, self.cache.counter_version())
+            .when(TOKEN_COUNTER_KEY, self.cache.token_counter_version())
             .write(Write::put(TOKEN_COUNTER_KEY, value));
         let purpose = CallKind::Leadership(LeadershipCall::RaiseToken {
             partition,
--- a/crates/scheduler/src/best_effort.rs
+++ b/crates/scheduler/src/best_effort.rs
@@ -9,7 +9,7 @@
 use crate::machine::Machine;
 use crate::partition_state::PartitionState;
 use crate::placement::Placement;
-use crate::preempt::SAVE_ALLOWANCE_MS;
+use crate::preempt::STOP_DELIVERY_ALLOWANCE_MS;
 use model::DurationExt;
 use model::{JobId, Resources, Timestamp};
 use std::time::Duration;
@@ -26,8 +26,8 @@
         !job.is_best_effort()
             || !job.spec.spot
             || machine.spot
-            || machine.pinned > 0
-            || (machine.regular() > 0 && is_soon_gone(job))
+            || machine.replica_count > 0
+            || (machine.regular_count() > 0 && is_soon_gone(job))
             || job.may_be_placed_anywhere()
     }
 
@@ -81,7 +81,7 @@
 
     /// Work that is lost when a task is stopped, in ms: all that it has done, or the time to save a
     /// checkpoint, or, if best-effort work is stopped `at_once`, what it has done since its last checkpoint.
-    pub(crate) fn lost_work(
+    pub(crate) fn lost_work_ms(
         &self,
         victim: &Job,
         placement: &Placement,
@@ -94,7 +94,7 @@
         } else if at_once && victim.spec.is_best_effort() {
             ran % victim.spec.checkpoint.whole_millis()
         } else {
-            ran.min(victim.spec.save.whole_millis() + SAVE_ALLOWANCE_MS)
+            ran.min(victim.spec.save.whole_millis() + STOP_DELIVERY_ALLOWANCE_MS)
         }
     }
 
@@ -110,7 +110,7 @@
     /// What best-effort tasks on a machine would free for other work within seconds.
     pub(crate) fn reclaimable_resources(&self, machine: &Machine, now: Timestamp) -> Resources {
         let mut sum = Resources::default();
-        if machine.best_effort == 0 {
+        if machine.best_effort_count == 0 {
             return sum;
         }
         for task in &machine.tasks {
@@ -136,7 +136,7 @@
     /// has none.
     pub(crate) fn runs_only_best_effort(&self, machine: &Machine, now: Timestamp) -> bool {
         !machine.tasks.is_empty()
-            && machine.regular() == 0
+            && machine.regular_count() == 0
             && machine.tasks.iter().all(|task| {
                 let Some(job) = self.jobs.get(&task.job) else {
                     return false;
--- a/crates/scheduler/src/best_effort_eviction.rs
+++ b/crates/scheduler/src/best_effort_eviction.rs
@@ -1,6 +1,6 @@
 //! Eviction of best-effort work from on-demand machines on which nothing else is left.
 
-use crate::best_effort_waits::{TeamBestEffort, MIN_TEAM_PLACES};
+use crate::best_effort_waits::{TeamBestEffort, MIN_TEAM_TASKS};
 use crate::job::Job;
 use crate::partition_state::PartitionState;
 use crate::queue_entry::EntryKey;
@@ -27,7 +27,7 @@
                         .is_some_and(|placement| placement.stop.is_none())
             });
             if saves {
-                let grace = self.grace_period(task);
+                let grace = self.grace_period_ms(task);
                 self.stop_task(task, grace, now);
             }
         }
@@ -37,7 +37,7 @@
     /// have found no place for long.
     pub fn evict_best_effort(&mut self, now: Timestamp) {
         let teams = self.best_effort_by_team();
-        self.update_waiting_jobs(&teams, now);
+        self.update_best_effort_waits(&teams, now);
         let tasks = self.tasks_to_evict(&teams, now);
         self.stop_best_effort_tasks(tasks, now);
     }
@@ -57,14 +57,16 @@
         let machines = self
             .machines
             .values()
-            .filter(|machine| !machine.spot && machine.best_effort > 0 && machine.regular() == 0)
-            .filter(|machine| now.duration_since(machine.regular_left_at) > EVICTION_DELAY);
+            .filter(|machine| {
+                !machine.spot && machine.best_effort_count > 0 && machine.regular_count() == 0
+            })
+            .filter(|machine| now.duration_since(machine.last_regular_removed_at) > EVICTION_DELAY);
         for task in machines.flat_map(|machine| &machine.tasks) {
             let Some(job) = self.jobs.get(&task.job) else {
                 continue;
             };
             let team_places = teams.get(&job.spec.team).map_or(0, |team| team.placed);
-            if !job.spec.spot || job.guaranteed || team_places <= MIN_TEAM_PLACES {
+            if !job.spec.spot || job.guaranteed || team_places <= MIN_TEAM_TASKS {
                 continue;
             }
             let left = left.entry(task.job).or_insert(job.active_placements());
@@ -84,7 +86,7 @@
     fn has_spare_capacity_for(&self, task: TaskId, job: &Job, now: Timestamp) -> bool {
         let search = MachineSearch::new(self, EntryKey::Task(task), job, now);
         self.capacity_index
-            .with_capacity(&job.spec)
+            .machines_with_capacity(&job.spec)
             .filter_map(|name| self.machines.get(name))
             .any(|machine| machine.spot && search.is_suitable(machine))
     }
--- a/crates/scheduler/src/best_effort_waits.rs
+++ b/crates/scheduler/src/best_effort_waits.rs
@@ -27,7 +27,7 @@
 const _: () = assert!(SPARE_CAPACITY_WAIT.as_millis() < MACHINE_REQUEST_WAIT.as_millis());
 const _: () = assert!(MACHINE_REQUEST_WAIT.as_millis() + 40_000 <= MAX_WAIT.as_millis());
 /// Number of best-effort tasks that each team may run on any machine.
-pub(crate) const MIN_TEAM_PLACES: usize = 8;
+pub(crate) const MIN_TEAM_TASKS: usize = 8;
 
 /// The best-effort work of a team.
 #[derive(Debug, Default)]
@@ -57,9 +57,9 @@
             }
             let team = teams.entry(job.spec.team.clone()).or_default();
             team.placed += job.placed.len();
-            if !job.cancelled && job.waiting() > 0 {
+            if !job.cancelled && job.waiting_count() > 0 {
                 let waiting = WaitingJob {
-                    submission_order: job.order,
+                    submission_order: job.submitted_at_ms,
                     job: job.spec.id,
                 };
                 team.first_waiting = earlier(team.first_waiting, waiting);
@@ -73,7 +73,7 @@
 
     /// Determines for each best-effort job how many of its tasks may run on any machine. Entries of jobs that
     /// may use more machines than before are tried again at once.
-    pub(crate) fn update_waiting_jobs(
+    pub(crate) fn update_best_effort_waits(
         &mut self,
         teams: &HashMap<TeamName, TeamBestEffort>,
         now: Timestamp,
@@ -86,14 +86,14 @@
             if !job.spec.is_best_effort() {
                 continue;
             }
-            let before = job.places_anywhere;
-            job.places_anywhere = if thin_teams_jobs.contains(id) {
-                MIN_TEAM_PLACES
+            let before = job.max_tasks_anywhere;
+            job.max_tasks_anywhere = if thin_teams_jobs.contains(id) {
+                MIN_TEAM_TASKS
             } else {
                 usize::from(job.has_waited(SPARE_CAPACITY_WAIT, logical_time_ms, now))
             };
             job.starved = thin_teams_jobs.contains(id) || starved_jobs.contains(id);
-            any_admitted |= job.places_anywhere > before;
+            any_admitted |= job.max_tasks_anywhere > before;
         }
         if any_admitted {
             self.queue.move_all(now);
@@ -113,12 +113,12 @@
             };
             let first_waiting = best_effort
                 .first_waiting
-                .filter(|_| best_effort.placed < MIN_TEAM_PLACES);
+                .filter(|_| best_effort.placed < MIN_TEAM_TASKS);
             let Some(first_waiting) = first_waiting else {
-                team.thin_since = None;
+                team.underserved_since = None;
                 continue;
             };
-            let since = *team.thin_since.get_or_insert(now);
+            let since = *team.underserved_since.get_or_insert(now);
             if now.duration_since(since) > THIN_TEAM_TIMEOUT {
                 jobs.insert(first_waiting.job);
             }
@@ -151,16 +151,16 @@
 impl Job {
     /// Whether it may place one more task on any machine, as it has waited for long.
     pub(crate) fn may_be_placed_anywhere(&self) -> bool {
-        self.placed.len() < self.places_anywhere
+        self.placed.len() < self.max_tasks_anywhere
     }
 
     /// Whether none of its tasks has been placed for this long, across failovers.
     fn has_waited(&self, duration: Duration, logical_time_ms: u64, now: Timestamp) -> bool {
         let waited_ms = logical_time_ms.saturating_sub(self.unplaced_since_ms);
         self.placed.is_empty()
-            && self.waiting() > 0
+            && self.waiting_count() > 0
             && waited_ms >= duration.whole_millis()
-            && now.duration_since(self.seen_at) >= NEW_LEADER_WAIT
+            && now.duration_since(self.added_at) >= NEW_LEADER_WAIT
     }
 }
 
--- a/crates/scheduler/src/consolidation.rs
+++ b/crates/scheduler/src/consolidation.rs
@@ -53,7 +53,7 @@
 impl PartitionState {
     /// Starts to empty one machine if its replicas have better places.
     pub fn consolidate(&mut self, now: Timestamp) {
-        if !self.policy.move_replicas
+        if !self.policy.consolidate_replicas
             || !self.update_inventory_known(now)
             || now.duration_since(self.consolidated_at) < MOVE_INTERVAL
             || self.queue.has_active()
@@ -82,7 +82,7 @@
         let Some(machine) = self.machines.get_mut(source) else {
             return;
         };
-        machine.emptied_until = Some(now + MOVE_TIMEOUT);
+        machine.draining_until = Some(now + MOVE_TIMEOUT);
         let tasks = machine.tasks.iter().copied().collect();
         self.stop_best_effort_tasks(tasks, now);
         for ReplicaMove {
@@ -91,23 +91,23 @@
             needs,
         } in moves
         {
-            let limit_of = self.jobs.get(&task.job).map(|job| job.spec.team.clone());
+            let charged_team = self.jobs.get(&task.job).map(|job| job.spec.team.clone());
             let reservation = Reservation {
                 machine: target,
                 needs,
-                until: now + MOVE_TIMEOUT,
-                limit_of,
+                expires_at: now + MOVE_TIMEOUT,
+                charged_team,
             };
             self.reserve(EntryKey::Task(task), reservation);
-            let grace = self.grace_period(task);
+            let grace = self.grace_period_ms(task);
             self.stop_task(task, grace, now);
         }
     }
 
     /// Whether a machine runs replicas that may be moved, and best-effort tasks at most.
     fn may_empty(&self, machine: &Machine, now: Timestamp) -> bool {
-        machine.pinned > 0
-            && machine.pinned == machine.regular()
+        machine.replica_count > 0
+            && machine.replica_count == machine.regular_count()
             && machine.usable(now, self.heartbeat_timeout())
             && machine.tasks.iter().all(|task| {
                 let Some(job) = self.jobs.get(&task.job) else {
@@ -147,7 +147,7 @@
                 .machines
                 .values()
                 .filter(|machine| {
-                    machine.pinned > 0 && Fullness::of(machine) > Fullness::of(source)
+                    machine.replica_count > 0 && Fullness::of(machine) > Fullness::of(source)
                 })
                 .filter(|machine| {
                     machine.has_image(&job.spec.image) && self.admits(job, machine, now)
--- a/crates/scheduler/src/guarantees.rs
+++ b/crates/scheduler/src/guarantees.rs
@@ -13,8 +13,12 @@
     /// with the team's earlier unfinished jobs. Only teams whose jobs have changed are recomputed.
     pub(crate) fn refresh_guarantees(&mut self) {
         let mut changed = Vec::new();
-        for team in self.teams.values_mut().filter(|team| team.stale) {
-            team.stale = false;
+        for team in self
+            .teams
+            .values_mut()
+            .filter(|team| team.guaranteed_jobs_stale)
+        {
+            team.guaranteed_jobs_stale = false;
             changed.extend(refresh_team(team, &mut self.jobs, self.overloaded));
         }
         for id in changed {
@@ -28,7 +32,7 @@
             return;
         };
         let rank = Rank::of_job(job);
-        for index in 0..job.cursor {
+        for index in 0..job.next_index_to_queue {
             let key = EntryKey::Task(TaskId { job: id, index });
             self.queue.rerank(key, rank.for_task(index));
         }
@@ -61,7 +65,7 @@
             continue;
         };
         // A job that is finishing or cancelled keeps its mark.
-        if team.open_jobs.contains(&(job.order, *id)) {
+        if team.open_jobs.contains(&(job.submitted_at_ms, *id)) {
             job.guaranteed = guaranteed_jobs.contains(id);
             changed.push(*id);
         }
--- a/crates/scheduler/src/partition_state.rs
+++ b/crates/scheduler/src/partition_state.rs
@@ -11,7 +11,7 @@
 use crate::placement::Placement;
 use crate::policy::Policy;
 use crate::preemption_candidates::PreemptionCandidates;
-use crate::progress::UnrecordedProgress;
+use crate::progress::UncommittedProgress;
 use crate::queue_entry::{EntryKey, Rank};
 use crate::quotas::TeamQuotas;
 use crate::reserved_capacity::{GangReservation, Reservation};
@@ -30,11 +30,11 @@
 pub struct PartitionState {
     pub policy: Policy,
     /// Duration of a worker's lease.
-    pub lease: Duration,
+    pub lease_duration: Duration,
     /// How long tasks of a gang wait for each other.
-    pub gang_wait: Duration,
+    pub gang_start_timeout: Duration,
     /// Regular interval between heartbeats; workers may take a quarter longer.
-    pub report: Duration,
+    pub heartbeat_interval: Duration,
     /// Since when this process has been running without interruption. Missed heartbeats before that
     /// prove nothing about workers.
     pub running_since: Timestamp,
@@ -42,7 +42,7 @@
     pub leading_since: Timestamp,
     /// Most machines have sent a heartbeat since then, or have had the time to.
     pub(crate) inventory_known: bool,
-    /// How far the clock of [`Job::order`], which all controllers share, is ahead of this controller's.
+    /// How far the clock of [`Job::submitted_at_ms`], which all controllers share, is ahead of this controller's.
     pub logical_clock_offset: Duration,
     /// Until when a previous leader may have renewed the lease of any machine.
     pub predecessors_valid_until: Timestamp,
@@ -55,7 +55,7 @@
     /// Gangs that did not fit and wait, one of each kind.
     pub(crate) waiting_gangs: Vec<JobId>,
     /// Machine types that are offered, see [`PartitionState::set_machine_types`].
-    pub(crate) types: Vec<MachineType>,
+    pub(crate) machine_types: Vec<MachineType>,
     /// Machines that are kept for gangs that did not fit.
     pub(crate) gang_reservations: BTreeMap<JobId, GangReservation>,
     pub jobs: BTreeMap<JobId, Job>,
@@ -65,7 +65,7 @@
     pub(crate) term: FencingToken,
     /// Number of attempts that were started under this term.
     pub(crate) attempts: u64,
-    pub(crate) unrecorded: UnrecordedProgress,
+    pub(crate) uncommitted: UncommittedProgress,
     /// Jobs that have reached their terminal state, which is not written yet.
     pub(crate) finished: Vec<JobId>,
     /// Machines to which commands are to be sent without waiting for their next heartbeat.
@@ -75,7 +75,7 @@
     /// The machines that accept tasks, by free capacity and cached images.
     pub(crate) capacity_index: CapacityIndex,
     /// When the capacity index was last refreshed.
-    pub(crate) sorted_at: Timestamp,
+    pub(crate) capacity_index_refreshed_at: Timestamp,
     pub(crate) zone_alarms: ZoneAlarms,
     pub(crate) preemption_candidates: PreemptionCandidates,
     /// Jobs that are not best-effort and lately found no free capacity: when.
@@ -86,7 +86,7 @@
     /// How often tasks found no machine, for the metrics.
     pub rejections: RejectionCounts,
     /// Times from submission to placement in milliseconds, for the metrics.
-    pub waits: Vec<u64>,
+    pub placement_waits_ms: Vec<u64>,
 }
 
 impl PartitionState {
@@ -101,9 +101,9 @@
     ) -> Self {
         PartitionState {
             policy,
-            lease,
-            gang_wait: Duration::from_millis(u64::MAX),
-            report: Duration::ZERO,
+            lease_duration: lease,
+            gang_start_timeout: Duration::from_millis(u64::MAX),
+            heartbeat_interval: Duration::ZERO,
             running_since: Timestamp::default(),
             leading_since: Timestamp::default(),
             inventory_known: false,
@@ -113,7 +113,7 @@
             overloaded: false,
             zones: Vec::new(),
             waiting_gangs: Vec::new(),
-            types: Vec::new(),
+            machine_types: Vec::new(),
             gang_reservations: BTreeMap::new(),
             jobs: BTreeMap::new(),
             machines: BTreeMap::new(),
@@ -121,23 +121,23 @@
             queue: SchedulingQueue::new(queue),
             term,
             attempts: 0,
-            unrecorded: UnrecordedProgress::default(),
+            uncommitted: UncommittedProgress::default(),
             finished: Vec::new(),
             urgent_machines: BTreeSet::new(),
             reservations: HashMap::new(),
             capacity_index: CapacityIndex::default(),
-            sorted_at: Timestamp::default(),
+            capacity_index_refreshed_at: Timestamp::default(),
             zone_alarms: ZoneAlarms::default(),
             preemption_candidates: PreemptionCandidates::default(),
             unplaced_since: BTreeMap::new(),
             job_probes: JobProbes::default(),
             consolidated_at: Timestamp::default(),
             rejections: RejectionCounts::default(),
-            waits: Vec::new(),
+            placement_waits_ms: Vec::new(),
         }
     }
 
-    /// The time in milliseconds on the clock of [`Job::order`], which all controllers share.
+    /// The time in milliseconds on the clock of [`Job::submitted_at_ms`], which all controllers share.
     pub(crate) fn logical_time_ms(&self, now: Timestamp) -> u64 {
         now.as_millis()
             .saturating_add(self.logical_clock_offset.whole_millis())
@@ -155,7 +155,7 @@
 
     /// The longest regular time between two heartbeats.
     pub(crate) fn longest_heartbeat_interval(&self) -> Duration {
-        Duration::from_millis(self.report.whole_millis() * 5 / 4)
+        Duration::from_millis(self.heartbeat_interval.whole_millis() * 5 / 4)
     }
 
     /// A machine whose last heartbeat is older gets no new tasks. The timeout follows the interval:
@@ -168,9 +168,9 @@
     /// Sets the machine types that are offered. Work without GPUs runs on machines with GPUs only
     /// beside GPU work, unless no other type has enough capacity for it.
     pub fn set_machine_types(&mut self, types: &[MachineType]) {
-        self.types = types.to_vec();
+        self.machine_types = types.to_vec();
         for job in self.jobs.values_mut() {
-            job.only_beside = job.spec.does_without_gpus(types);
+            job.colocated_only = job.spec.does_without_gpus(types);
         }
     }
 
@@ -211,7 +211,7 @@
         let mut reachable: Vec<&Machine> = self
             .machines
             .values()
-            .filter(|machine| machine.address.is_some() && machine.notice.is_none())
+            .filter(|machine| machine.address.is_some() && machine.reclaim_at.is_none())
             .collect();
         reachable.sort_by_key(|machine| Reverse(machine.last_seen_at));
         reachable
--- a/crates/scheduler/src/reconciliation.rs
+++ b/crates/scheduler/src/reconciliation.rs
@@ -95,7 +95,7 @@
             return false;
         }
         let is_first = machine.last_seen_at.is_none();
-        let is_reachable_again = machine.update_suspicion(&status, self.lease);
+        let is_reachable_again = machine.update_suspicion(&status, self.lease_duration);
         let was_usable = machine.usable(now, timeout);
         machine.apply_status(&status);
         let placed: Vec<TaskId> = machine.tasks.iter().copied().collect();
@@ -105,7 +105,7 @@
         self.update_orphaned_tasks(&status);
         if let Some(machine) = self.machines.get_mut(&status.machine) {
             if machine.usable(now, timeout) {
-                self.capacity_index.enter(machine);
+                self.capacity_index.add_or_update(machine);
             }
         }
         let is_usable_again = source == StatusSource::Heartbeat && !was_usable;
@@ -152,7 +152,7 @@
                 job.record_running(placed_at, now);
                 self.record_gang_start(task.job, now);
             }
-            TaskState::Waiting => self.record_gang_fetch(task.job),
+            TaskState::Waiting => self.trigger_deferred_launches(task.job),
             _ => {}
         }
     }
@@ -186,7 +186,7 @@
         placement.launch = LaunchState::NotLaunched;
         let was_running = placement.last_status.take().is_some();
         let is_lost_gang_member =
-            job.spec.kind == JobKind::Gang && was_launched && job.gang_began.is_some();
+            job.spec.kind == JobKind::Gang && was_launched && job.gang_started_at.is_some();
         // Either the task was there and is gone because of a new worker epoch, or it was never there
         // and is no longer wanted, or a repeated launch would not reach the machine either. Otherwise
         // the launch was lost with its reply; it is sent again to the same machine.
@@ -224,8 +224,8 @@
             }
             _ => {}
         }
-        self.unrecorded.add_outcome(TaskAttempt { task, attempt });
-        self.unrecorded.mark_dirty(task);
+        self.uncommitted.add_outcome(TaskAttempt { task, attempt });
+        self.uncommitted.mark_dirty(task);
         self.drop_placement(task, now, true);
         let is_done_gang = |job: &Job| job.spec.kind == JobKind::Gang && job.all_done();
         if self.jobs.get(&task.job).is_some_and(is_done_gang) {
@@ -265,7 +265,7 @@
             .map(|listed| OrphanedTask {
                 id: listed.id,
                 state: listed.status.state,
-                why: listed.status.why,
+                exit_cause: listed.status.why,
             })
             .collect();
         if let Some(machine) = self.machines.get_mut(&status.machine) {
@@ -280,7 +280,7 @@
     pub fn drain_reclaimed_machines(&mut self, now: Timestamp) {
         let mut stops: Vec<TaskId> = Vec::new();
         for machine in self.machines.values() {
-            let Some(reclaimed_at) = machine.notice else {
+            let Some(reclaimed_at) = machine.reclaim_at else {
                 continue;
             };
             let left_ms = reclaimed_at.as_millis().saturating_sub(now.as_millis());
@@ -293,7 +293,7 @@
             if self.jobs.get(&task.job).is_some_and(is_gang) {
                 self.stop_gang(task.job, now);
             } else {
-                let grace_ms = self.grace_period(task);
+                let grace_ms = self.grace_period_ms(task);
                 self.stop_task(task, grace_ms, now);
             }
         }
@@ -357,16 +357,16 @@
                 self.last_heartbeat_at.get_or_insert(now);
             }
         }
-        self.notice = status.reclaimed_in.map(|duration| now + duration);
+        self.reclaim_at = status.reclaimed_in.map(|duration| now + duration);
         if is_first && self.tasks.is_empty() {
             self.idle_since = now;
         }
         // Any status may show the current token: only a higher one than the launch's supersedes it.
         if self
-            .unconfirmed_launch
+            .lost_launch_bound
             .is_some_and(|launch| self.has_superseded(&launch))
         {
-            self.unconfirmed_launch = None;
+            self.lost_launch_bound = None;
         }
     }
 }
--- a/crates/scheduler/src/transfers.rs
+++ b/crates/scheduler/src/transfers.rs
@@ -42,7 +42,7 @@
             .jobs
             .values()
             .filter(|job| job.guaranteed && !job.cancelled)
-            .map(|job| job.spec.needs.milli_gpus * (job.placed.len() as u64 + job.waiting()))
+            .map(|job| job.spec.needs.milli_gpus * (job.placed.len() as u64 + job.waiting_count()))
             .sum();
         let mut machines: Vec<GpuMachine> = self
             .machines
@@ -86,8 +86,8 @@
         spare_gpu_machines: &BTreeSet<&MachineName>,
         now: Timestamp,
     ) -> bool {
-        machine.pinned == 0
-            && !self.is_reserved_for_gangs(machine, now)
+        machine.replica_count == 0
+            && !self.is_needed_by_gangs(machine, now)
             && (spare_gpu_machines.contains(&machine.name) || self.runs_no_guarantee(machine))
     }
 
@@ -225,7 +225,7 @@
 
     /// How long a machine has been idle. A machine that is reserved for a gang is not idle.
     fn idle_time(&self, machine: &Machine, now: Timestamp) -> Duration {
-        if machine.tasks.is_empty() && !self.is_reserved_for_gangs(machine, now) {
+        if machine.tasks.is_empty() && !self.is_needed_by_gangs(machine, now) {
             now.duration_since(machine.idle_since)
         } else {
             Duration::ZERO
