--- a/crates/controller/src/controller/admission.rs
+++ b/crates/controller/src/controller/admission.rs
@@ -100,7 +100,7 @@
             self.reply_user(ticket, UserReply::Invalid(problem));
             return;
         }
-        let submitted_at_ms = self.logical_time();
+        let submitted_at_ms = self.logical_time_ms();
         let submission = PendingSubmission {
             ticket,
             id,
--- a/crates/controller/src/controller/events.rs
+++ b/crates/controller/src/controller/events.rs
@@ -48,7 +48,7 @@
 /// A reply to a worker's heartbeat.
 #[derive(Debug, Clone, PartialEq)]
 pub enum HeartbeatReply {
-    Answer(HeartbeatResponse),
+    Response(HeartbeatResponse),
     Redirect(Option<ControllerName>),
     Unavailable,
     /// Status 400: the heartbeat was ignored.
--- a/crates/controller/src/controller/heartbeats.rs
+++ b/crates/controller/src/controller/heartbeats.rs
@@ -94,7 +94,7 @@
                 return HeartbeatReply::Unavailable;
             }
         };
-        HeartbeatReply::Answer(HeartbeatResponse {
+        HeartbeatReply::Response(HeartbeatResponse {
             token: token.0,
             commands,
         })
--- a/crates/controller/src/controller/mod.rs
+++ b/crates/controller/src/controller/mod.rs
@@ -230,7 +230,7 @@
     /// Time (ms) on the controllers' logical clock: the steady clock, moved ahead to the records that
     /// were seen (a Lamport clock). It orders submissions across restarts and failovers; no safety rule
     /// depends on it.
-    fn logical_time(&self) -> u64 {
+    fn logical_time_ms(&self) -> u64 {
         self.now
             .as_millis()
             .saturating_add(self.logical_clock_offset.whole_millis())
--- a/crates/controller/src/records/packed_job.rs
+++ b/crates/controller/src/records/packed_job.rs
@@ -9,7 +9,7 @@
 #[serde(from = "PackedJobFields", into = "PackedJobFields")]
 pub struct PackedJob {
     /// When the job was submitted, in ms on the controllers' common clock
-    /// (`Controller::logical_time`). Jobs are queued and counted against quotas in this order,
+    /// (`Controller::logical_time_ms`). Jobs are queued and counted against quotas in this order,
     /// whichever controller leads their partition.
     pub submitted_at_ms: u64,
     /// The submission as the user sent it.
--- a/crates/simulator/src/fingerprint/message.rs
+++ b/crates/simulator/src/fingerprint/message.rs
@@ -139,7 +139,7 @@
 
 fn heartbeat_reply(reply: &HeartbeatReply) -> Answer {
     match reply {
-        HeartbeatReply::Answer(answer) => Answer::json(OK, answer),
+        HeartbeatReply::Response(answer) => Answer::json(OK, answer),
         HeartbeatReply::Redirect(controller) => {
             let redirect = Redirect {
                 report_to: controller.as_ref().map(ControllerName::to_string),
--- a/crates/simulator/src/single_controller.rs
+++ b/crates/simulator/src/single_controller.rs
@@ -383,7 +383,7 @@
                 self.events.push_back(Event::Worker { call, reply });
             }
             Effect::Heartbeat { reply, .. } => {
-                self.answered += usize::from(matches!(reply, HeartbeatReply::Answer(_)));
+                self.answered += usize::from(matches!(reply, HeartbeatReply::Response(_)));
                 self.report_replies.push(reply);
             }
             Effect::User { reply, .. } => self.user_replies.push(reply),
--- a/crates/simulator/src/world/machines.rs
+++ b/crates/simulator/src/world/machines.rs
@@ -42,7 +42,7 @@
         worker.check_lease(now, self.parameters.lease);
         match reply {
             // `Worker::answered` takes the heartbeat out of flight.
-            HeartbeatReply::Answer(mut answer) => {
+            HeartbeatReply::Response(mut answer) => {
                 if ignore_tokens {
                     answer.token = answer.token.max(worker.token);
                 }
--- a/crates/simulator/src/world/mutations.rs
+++ b/crates/simulator/src/world/mutations.rs
@@ -48,7 +48,7 @@
         let mutated = self.plan.mutation == Some(Mutation::SomeJobsNeverStarted);
         let commands = match &mut message {
             Message::HeartbeatResponse {
-                reply: HeartbeatReply::Answer(answer),
+                reply: HeartbeatReply::Response(answer),
                 ..
             } => &mut answer.commands,
             Message::Direct { body, .. } => &mut body.commands,
--- a/crates/simulator/tests/rejected_messages.rs
+++ b/crates/simulator/tests/rejected_messages.rs
@@ -113,7 +113,7 @@
             .take_report_replies()
             .into_iter()
             .filter_map(|reply| match reply {
-                HeartbeatReply::Answer(answer) => Some(answer.token),
+                HeartbeatReply::Response(answer) => Some(answer.token),
                 _ => None,
             });
         let newest = tokens.max().expect("workers are answered");
@@ -142,7 +142,7 @@
     single_controller.send_report(old);
     assert!(matches!(
         single_controller.take_report_replies().last(),
-        Some(HeartbeatReply::Answer(_))
+        Some(HeartbeatReply::Response(_))
     ));
     assert_eq!(view(&mut single_controller), before);
     assert_eq!(
@@ -232,7 +232,7 @@
     assert!(
         replies
             .iter()
-            .all(|reply| matches!(reply, HeartbeatReply::Answer(_))),
+            .all(|reply| matches!(reply, HeartbeatReply::Response(_))),
         "{replies:?}"
     );
     for _ in 0..8 {
@@ -779,6 +779,6 @@
         prop_assert_eq!(view(&mut single_controller), before);
         run(&mut single_controller, 1);
         let replies = single_controller.take_report_replies();
-        prop_assert!(replies.iter().all(|reply| matches!(reply, HeartbeatReply::Answer(_))));
+        prop_assert!(replies.iter().all(|reply| matches!(reply, HeartbeatReply::Response(_))));
     }
 }
--- a/crates/trackcrank/src/server.rs
+++ b/crates/trackcrank/src/server.rs
@@ -190,7 +190,7 @@
         return busy(RETRY_AFTER_S);
     }
     match reply.await {
-        Ok(HeartbeatReply::Answer(response)) => json(StatusCode::OK, &response),
+        Ok(HeartbeatReply::Response(response)) => json(StatusCode::OK, &response),
         Ok(HeartbeatReply::Redirect(controller)) => json(
             StatusCode::MISDIRECTED_REQUEST,
             &Redirect {
