--- a/crates/controller/src/controller/admission.rs
+++ b/crates/controller/src/controller/admission.rs
@@ -4,7 +4,7 @@
 use super::linearizable_reads::{CONDITIONS_PER_CHANGE, RETRY_AFTER_S};
 use super::{CallKind, Controller, PendingRequest, RequestKind, Ticket, UserReply};
 use crate::records::{
-    accepted_jobs_key, accepted_jobs_prefix, final_state_key, packed_size, page_capacity_bytes,
+    accepted_jobs_key, accepted_jobs_prefix, final_state_key, packed_bytes, page_capacity_bytes,
     AcceptedJobsPage, PackedJob,
 };
 use crate::request_budget::CallPriority;
@@ -93,7 +93,7 @@
             self.reply_busy(ticket, RETRY_AFTER_S);
             return;
         }
-        if packed_size(&PackedJob::new(u64::MAX, job.clone()))
+        if packed_bytes(&PackedJob::new(u64::MAX, job.clone()))
             > page_capacity_bytes(self.settings.state_limits.value_bytes)
         {
             let problem = "the job's description is too long".to_owned();
@@ -249,7 +249,7 @@
                 continue;
             }
             let packed = PackedJob::new(next.submitted_at_ms, next.job.clone());
-            let size = packed_size(&packed);
+            let size = packed_bytes(&packed);
             if size > free_bytes {
                 self.admission.pending.push_front(next);
                 break;
--- a/crates/controller/src/controller/fleet_planner/machine_types.rs
+++ b/crates/controller/src/controller/fleet_planner/machine_types.rs
@@ -107,7 +107,7 @@
         // Machines whose type was unknown until now can join their partitions.
         let names: Vec<MachineName> = self.cache.machines.keys().cloned().collect();
         for name in names {
-            self.machine_changed(&name);
+            self.handle_machine_record(&name);
         }
     }
 }
--- a/crates/controller/src/controller/job_archiver.rs
+++ b/crates/controller/src/controller/job_archiver.rs
@@ -125,7 +125,7 @@
     }
 
     /// Applies a durable terminal state of a job.
-    pub(super) fn job_terminated(&mut self, id: JobId, state: JobState) {
+    pub(super) fn handle_terminal_job(&mut self, id: JobId, state: JobState) {
         let now = self.now;
         self.job_status.record_terminal_state(id, state);
         for leadership in self.leaderships.values_mut() {
--- a/crates/controller/src/controller/leadership/commits.rs
+++ b/crates/controller/src/controller/leadership/commits.rs
@@ -41,7 +41,7 @@
         if changes.is_empty() {
             return None;
         }
-        let (commit, left) = self.log.prepare(version, changes);
+        let (commit, left) = self.log.prepare_commit(version, changes);
         self.partition_state.mark_chunks_dirty(left);
         let changes = self.partition_state.changes_in_chunks(&commit.chunk_keys);
         let txn = commit.txn.clone();
--- a/crates/controller/src/controller/leadership/loading.rs
+++ b/crates/controller/src/controller/leadership/loading.rs
@@ -15,7 +15,7 @@
 /// What is known before the partition's state can be built.
 #[derive(Debug, Default)]
 pub(super) struct Loading {
-    log: LogReadProgress,
+    log_read: LogReadProgress,
     /// Readiness checks that failed when they were last evaluated.
     failed_checks: Vec<ReadinessCheck>,
     /// Heartbeats that were answered meanwhile. They are reconciled once the state is built.
@@ -112,7 +112,7 @@
     /// Begins to read the placement log anew; pages read before do not count.
     pub(in crate::controller) fn restart_log_read(&mut self) {
         if let Some(loading) = self.loading_mut() {
-            loading.log = LogReadProgress::default();
+            loading.log_read = LogReadProgress::default();
         }
     }
 
@@ -128,7 +128,7 @@
         let Some(loading) = self.loading_mut() else {
             return LogPageOutcome::Unexpected;
         };
-        let LogReadProgress::Reading { pages, revision } = &mut loading.log else {
+        let LogReadProgress::Reading { pages, revision } = &mut loading.log_read else {
             return LogPageOutcome::Unexpected;
         };
         let last_key = pages.last().map_or("", |item| item.key.as_str());
@@ -144,13 +144,13 @@
         }
         let log = PlacementLog::load(partition, pages, value_bytes, txn_ops);
         let unreadable_pages = log.unreadable_pages().len() as u64;
-        loading.log = LogReadProgress::Complete(CompletedLogRead { revision, log });
+        loading.log_read = LogReadProgress::Complete(CompletedLogRead { revision, log });
         LogPageOutcome::Complete { unreadable_pages }
     }
 
     /// The placement log, if it has been read whole and the partition is not loaded yet.
     pub(in crate::controller) fn completed_log_read(&self) -> Option<&CompletedLogRead> {
-        match &self.loading()?.log {
+        match &self.loading()?.log_read {
             LogReadProgress::Complete(read) => Some(read),
             LogReadProgress::Reading { .. } => None,
         }
@@ -159,7 +159,7 @@
     /// Takes the placement log that has been read, to build the partition's state from it.
     pub(in crate::controller) fn take_completed_log_read(&mut self) -> Option<CompletedLogRead> {
         let loading = self.loading_mut()?;
-        match std::mem::take(&mut loading.log) {
+        match std::mem::take(&mut loading.log_read) {
             LogReadProgress::Complete(read) => Some(read),
             LogReadProgress::Reading { .. } => None,
         }
--- a/crates/controller/src/controller/leadership/machine_failures.rs
+++ b/crates/controller/src/controller/leadership/machine_failures.rs
@@ -19,9 +19,9 @@
 /// Heartbeat timeouts of a machine that is to be released.
 struct ReleaseTimeouts {
     /// A heartbeat is late.
-    late: Duration,
+    regular_timeout: Duration,
     /// Heartbeats have been missing for too long.
-    missing: Duration,
+    timeout: Duration,
 }
 
 impl ReleaseTimeouts {
@@ -29,8 +29,8 @@
     fn new(heartbeat_interval: Duration) -> Self {
         let interval_ms = heartbeat_interval.whole_millis();
         ReleaseTimeouts {
-            late: Duration::from_millis(interval_ms * 5 / 4 + 200),
-            missing: Duration::from_millis(interval_ms * 9 / 4 + 500),
+            regular_timeout: Duration::from_millis(interval_ms * 5 / 4 + 200),
+            timeout: Duration::from_millis(interval_ms * 9 / 4 + 500),
         }
     }
 }
@@ -67,7 +67,7 @@
         }
         // Workers turn to other controllers while this one is paused, and need as long to find it
         // again.
-        let since = leadership.since.max(self.running_since);
+        let since = leadership.leading_since.max(self.running_since);
         now.duration_since(since) >= timeout + RESIGNATION_GRACE
             && count >= 2
             && unresponsive * 10 >= count * 9
@@ -79,7 +79,7 @@
         let Some(leadership) = self.leaderships.get_mut(&partition) else {
             return;
         };
-        let since = leadership.since;
+        let since = leadership.leading_since;
         let Some(partition_state) = leadership.partition_state_mut() else {
             return;
         };
@@ -107,17 +107,17 @@
             return;
         };
         // Workers need time to find a new leader, or one that was paused.
-        let since = leadership.since.max(self.running_since);
+        let since = leadership.leading_since.max(self.running_since);
         let Some(partition_state) = leadership.partition_state_mut() else {
             return;
         };
         let mut unresponsive = partition_state.lost_machines();
-        if now.duration_since(since) >= timeouts.missing + RELEASE_GRACE {
+        if now.duration_since(since) >= timeouts.timeout + RELEASE_GRACE {
             unresponsive.extend(partition_state.unresponsive_machines_with_replicas(
                 since,
                 now,
-                timeouts.late,
-                timeouts.missing,
+                timeouts.regular_timeout,
+                timeouts.timeout,
             ));
         }
         unresponsive.retain(|name| !self.machine_changes.has_change(name));
--- a/crates/controller/src/controller/leadership/mod.rs
+++ b/crates/controller/src/controller/leadership/mod.rs
@@ -42,7 +42,7 @@
     term: FencingToken,
     token_raise: TokenRaise,
     version: Version,
-    since: Timestamp,
+    leading_since: Timestamp,
     load_state: LoadState,
     unconfirmed_predecessors: Vec<ControllerIncarnation>,
     predecessors_valid_until: Timestamp,
@@ -113,7 +113,7 @@
             term,
             token_raise: TokenRaise::default(),
             version,
-            since: now,
+            leading_since: now,
             load_state: LoadState::Loading(Box::default()),
             unconfirmed_predecessors,
             predecessors_valid_until,
@@ -145,8 +145,8 @@
     }
 
     /// When this controller learned that it leads.
-    pub(super) fn since(&self) -> Timestamp {
-        self.since
+    pub(super) fn leading_since(&self) -> Timestamp {
+        self.leading_since
     }
 
     /// Former leaders that may not know yet that they lost the partition.
@@ -262,7 +262,7 @@
         let run = ControllerIncarnation::from((peer.clone(), incarnation));
         self.unconfirmed_predecessors
             .retain(|predecessor| *predecessor != run);
-        self.clear_predecessors(now);
+        self.end_predecessor_wait_if_none_left(now);
     }
 
     /// Removes predecessors whose incarnations have exited.
@@ -272,10 +272,10 @@
         }
         self.unconfirmed_predecessors
             .retain(|predecessor| !exited.contains(predecessor));
-        self.clear_predecessors(now);
+        self.end_predecessor_wait_if_none_left(now);
     }
 
-    fn clear_predecessors(&mut self, now: Timestamp) {
+    fn end_predecessor_wait_if_none_left(&mut self, now: Timestamp) {
         if self.unconfirmed_predecessors.is_empty() && self.predecessors_valid_until > now {
             self.predecessors_valid_until = now;
             if let Some(loaded) = self.loaded_mut() {
--- a/crates/controller/src/controller/leadership/record_changes.rs
+++ b/crates/controller/src/controller/leadership/record_changes.rs
@@ -36,7 +36,7 @@
     }
 
     /// A job's record has changed.
-    pub(in crate::controller) fn job_changed(&mut self, id: JobId) {
+    pub(in crate::controller) fn handle_job_record(&mut self, id: JobId) {
         let Some(open) = self.cache.jobs.get(&id).cloned() else {
             self.job_status.forget_progress(id);
             return;
@@ -101,7 +101,7 @@
     }
 
     /// A machine's record has changed.
-    pub(in crate::controller) fn machine_changed(&mut self, name: &MachineName) {
+    pub(in crate::controller) fn handle_machine_record(&mut self, name: &MachineName) {
         let record = self
             .cache
             .machines
--- a/crates/controller/src/controller/leadership/token_raises.rs
+++ b/crates/controller/src/controller/leadership/token_raises.rs
@@ -68,7 +68,7 @@
 
 impl PartitionLeadership {
     /// Whether a worker of the partition has kept exited tasks for long.
-    fn has_retained_exited_tasks(&self, now: Timestamp) -> bool {
+    fn exited_tasks_need_higher_token(&self, now: Timestamp) -> bool {
         self.partition_state().is_some_and(|partition_state| {
             partition_state
                 .machines
@@ -117,7 +117,7 @@
         let Some(leadership) = self.leaderships.get_mut(&partition) else {
             return;
         };
-        if !leadership.token_raise.is_due(now) || !leadership.has_retained_exited_tasks(now) {
+        if !leadership.token_raise.is_due(now) || !leadership.exited_tasks_need_higher_token(now) {
             return;
         }
         leadership.token_raise.begin(now);
--- a/crates/controller/src/controller/load_partition.rs
+++ b/crates/controller/src/controller/load_partition.rs
@@ -213,7 +213,7 @@
         partition_state.logical_clock_offset = self.logical_clock_offset;
         partition_state.completion_objectives = self.settings.completion_objectives.clone();
         partition_state.predecessors_valid_until = leadership.predecessors_valid_until();
-        partition_state.leading_since = leadership.since();
+        partition_state.leading_since = leadership.leading_since();
         partition_state.zones = self.zones_near(partition);
         if let Some(types) = &self.cache.machine_types {
             partition_state.set_machine_types(&types.record.types);
--- a/crates/controller/src/controller/machine_records.rs
+++ b/crates/controller/src/controller/machine_records.rs
@@ -83,16 +83,16 @@
     /// Most pages that the transaction may write.
     max_pages: usize,
     /// Bytes for entries on a page.
-    capacity: usize,
+    page_capacity_bytes: usize,
     /// The next fencing token.
-    token: u64,
+    next_token: u64,
     /// Whether the token is used by a record of the batch.
     uses_token: bool,
     /// Bytes that entries take on each page, as far as needed for new machines.
-    page_sizes: BTreeMap<u32, usize>,
+    page_bytes: BTreeMap<u32, usize>,
     pages: BTreeMap<u32, BTreeMap<&'a MachineName, MachineRecord>>,
     /// Partitions whose leadership the transaction is conditional on.
-    leaderships: BTreeSet<PartitionId>,
+    required_leaderships: BTreeSet<PartitionId>,
 }
 
 impl MachineBatch<'_> {
@@ -102,18 +102,18 @@
     }
 
     /// The page for a new machine of this size: the first with room, or a new one.
-    fn allocate(&mut self, size: usize) -> u32 {
+    fn allocate_page(&mut self, size: usize) -> u32 {
         let with_room = self
-            .page_sizes
+            .page_bytes
             .iter()
-            .find(|(_, used)| **used + size <= self.capacity)
+            .find(|(_, used)| **used + size <= self.page_capacity_bytes)
             .map(|(page, _)| *page);
         let page = with_room.unwrap_or_else(|| {
-            let last = self.page_sizes.keys().next_back();
+            let last = self.page_bytes.keys().next_back();
             last.map_or(0, |last| last + 1)
         });
         if self.accepts_page(page) {
-            *self.page_sizes.entry(page).or_default() += size;
+            *self.page_bytes.entry(page).or_default() += size;
         }
         page
     }
@@ -126,23 +126,23 @@
     ) -> Option<MachineRecord> {
         match change {
             MachineChange::Create(_) => {
-                self.leaderships.insert(FLEET_PLANNER_PARTITION);
+                self.required_leaderships.insert(FLEET_PLANNER_PARTITION);
             }
             // The cloud has confirmed the release: that holds whoever leads the partition.
             MachineChange::Delete => return None,
             MachineChange::Release => {
-                self.leaderships.insert(record.partition);
+                self.required_leaderships.insert(record.partition);
                 record.leaving = true;
             }
             MachineChange::Transfer(to) => {
-                self.leaderships.insert(record.partition);
+                self.required_leaderships.insert(record.partition);
                 record.partition = *to;
-                record.token = self.token;
+                record.token = self.next_token;
                 self.uses_token = true;
             }
             MachineChange::RaiseToken => {
-                self.leaderships.insert(record.partition);
-                record.token = self.token;
+                self.required_leaderships.insert(record.partition);
+                record.token = self.next_token;
                 self.uses_token = true;
             }
         }
@@ -224,23 +224,23 @@
             .any(|change| matches!(change, MachineChange::Create(_)));
         let mut batch = MachineBatch {
             max_pages: (limits.txn_ops - 1).clamp(1, MAX_PAGES_PER_WRITE),
-            capacity: page_capacity_bytes(limits.value_bytes),
-            token: self.cache.next_token(),
+            page_capacity_bytes: page_capacity_bytes(limits.value_bytes),
+            next_token: self.cache.next_token(),
             uses_token: false,
-            page_sizes: if creates_machines {
-                self.machine_page_sizes()
+            page_bytes: if creates_machines {
+                self.machine_page_bytes()
             } else {
                 BTreeMap::new()
             },
             pages: BTreeMap::new(),
-            leaderships: BTreeSet::new(),
+            required_leaderships: BTreeSet::new(),
         };
         for (name, change) in requested {
             let (page, record) = match (self.cache.machines.get(name), change) {
                 (Some(known), _) => (known.page, known.record.clone()),
                 (None, MachineChange::Create(record)) => {
-                    let size = PackedMachine::max_packed_size(name, record);
-                    (batch.allocate(size), record.clone())
+                    let size = PackedMachine::max_packed_bytes(name, record);
+                    (batch.allocate_page(size), record.clone())
                 }
                 (None, _) => continue,
             };
@@ -263,7 +263,7 @@
     /// The transaction that writes an assembled batch.
     fn machine_batch_transaction(&self, batch: MachineBatch<'_>) -> Transaction {
         let mut txn = Transaction::default();
-        for partition in batch.leaderships {
+        for partition in batch.required_leaderships {
             let version = self
                 .leaderships
                 .get(&partition)
@@ -289,7 +289,7 @@
             let mut counter = counter
                 .map(|counter| counter.record.clone())
                 .unwrap_or_default();
-            counter.next = batch.token + 1;
+            counter.next = batch.next_token + 1;
             let value = serde_json::to_value(counter).unwrap_or_default();
             txn = txn
                 .when(TOKEN_COUNTER_KEY, self.cache.token_counter_version())
@@ -312,7 +312,7 @@
     }
 
     /// Bytes that entries take on each page.
-    fn machine_page_sizes(&self) -> BTreeMap<u32, usize> {
+    fn machine_page_bytes(&self) -> BTreeMap<u32, usize> {
         self.cache
             .machine_pages
             .iter()
--- a/crates/controller/src/controller/state_sync.rs
+++ b/crates/controller/src/controller/state_sync.rs
@@ -134,7 +134,7 @@
     }
 
     fn handle_cache_events(&mut self, changed: Vec<CacheEvent>) {
-        let unreadable = self.cache.take_rejected();
+        let unreadable = self.cache.take_rejected_count();
         self.counters.rejections.add_many(
             MessageSource::State,
             MessageFault::Malformed,
@@ -142,11 +142,11 @@
         );
         for change in changed {
             match change {
-                CacheEvent::Job(id) => self.job_changed(id),
-                CacheEvent::JobTerminated(id, state) => self.job_terminated(id, state),
+                CacheEvent::Job(id) => self.handle_job_record(id),
+                CacheEvent::JobTerminated(id, state) => self.handle_terminal_job(id, state),
                 CacheEvent::Demand(id, record) => self.handle_demand_record(id, record),
                 CacheEvent::Partition(id) => self.handle_partition_record(id),
-                CacheEvent::Machine(name) => self.machine_changed(&name),
+                CacheEvent::Machine(name) => self.handle_machine_record(&name),
                 CacheEvent::MachineTypes => self.handle_machine_types_record(),
                 CacheEvent::Tuning => self.handle_settings_record(),
                 CacheEvent::Incarnation(_) => {}
--- a/crates/controller/src/placement_log/commit.rs
+++ b/crates/controller/src/placement_log/commit.rs
@@ -52,7 +52,7 @@
 
 impl PageDraft {
     fn new(entries: BTreeMap<ChunkKey, SizedChunk>) -> Self {
-        let size = entries.values().map(|entry| entry.size).sum();
+        let size = entries.values().map(|entry| entry.estimated_bytes).sum();
         PageDraft { entries, size }
     }
 
@@ -67,8 +67,11 @@
     }
 
     fn size_with(&self, key: &ChunkKey, content: &SizedChunk) -> usize {
-        let replaced = self.entries.get(key).map_or(0, |entry| entry.size);
-        self.size - replaced + content.size
+        let replaced = self
+            .entries
+            .get(key)
+            .map_or(0, |entry| entry.estimated_bytes);
+        self.size - replaced + content.estimated_bytes
     }
 
     fn insert(&mut self, key: ChunkKey, content: SizedChunk) {
@@ -78,7 +81,7 @@
 
     fn remove(&mut self, key: &ChunkKey) {
         if let Some(entry) = self.entries.remove(key) {
-            self.size -= entry.size;
+            self.size -= entry.estimated_bytes;
         }
     }
 
@@ -136,7 +139,7 @@
     pub(super) fn add_page(&mut self, log: &PlacementLog, step: usize) -> bool {
         let mut page = (log.cursor + step) % self.page_count;
         let mut draft = PageDraft::new(log.kept_entries(page, &self.written));
-        if draft.is_nearly_full(log.page_capacity) && !self.changes.is_empty() {
+        if draft.is_nearly_full(log.page_capacity_bytes) && !self.changes.is_empty() {
             page = self.page_count;
             self.page_count += 1;
             draft = PageDraft::default();
@@ -171,7 +174,7 @@
     fn fill(&mut self, log: &PlacementLog, page: usize, draft: &mut PageDraft) {
         while let Some((key, chunk)) = self.changes.pop_front() {
             let content = SizedChunk::new(chunk);
-            if !draft.has_room(&key, &content, log.page_capacity) {
+            if !draft.has_room(&key, &content, log.page_capacity_bytes) {
                 self.changes.push_front((key, content.chunk));
                 return;
             }
--- a/crates/controller/src/placement_log/mod.rs
+++ b/crates/controller/src/placement_log/mod.rs
@@ -16,7 +16,7 @@
 use scheduler::{ChunkKey, TaskChunk};
 use serde::Deserialize;
 use std::collections::{BTreeMap, BTreeSet};
-use stored::{page_number, read_page, StoredPage};
+use stored::{parse_page_number, read_page, StoredPage};
 use wire::state::Item;
 
 /// Pages that a partition starts with.
@@ -26,9 +26,9 @@
 /// Conditions and writes that a commit spends on each page.
 const TXN_OPS_PER_PAGE: usize = 2;
 /// Bytes of a page that are kept free for its frame.
-const PAGE_FRAME_BYTES: usize = 128;
+const PAGE_OVERHEAD_BYTES: usize = 128;
 /// Estimated bytes of an entry or of one of its placements, besides their texts.
-const ENTRY_FRAME_BYTES: usize = 32;
+const ENTRY_OVERHEAD_BYTES: usize = 32;
 
 /// What is known of a page.
 #[derive(Debug, Clone, Default)]
@@ -43,7 +43,7 @@
 #[derive(Debug, Clone)]
 struct SizedChunk {
     chunk: TaskChunk,
-    size: usize,
+    estimated_bytes: usize,
 }
 
 impl SizedChunk {
@@ -51,10 +51,13 @@
         let placed: usize = chunk
             .placed
             .iter()
-            .map(|task| task.machine.len() + ENTRY_FRAME_BYTES)
+            .map(|task| task.machine.len() + ENTRY_OVERHEAD_BYTES)
             .sum();
-        let size = ENTRY_FRAME_BYTES + chunk.done.len() + placed;
-        SizedChunk { chunk, size }
+        let size = ENTRY_OVERHEAD_BYTES + chunk.done.len() + placed;
+        SizedChunk {
+            chunk,
+            estimated_bytes: size,
+        }
     }
 }
 
@@ -69,7 +72,7 @@
 #[derive(Debug)]
 pub struct PlacementLog {
     partition: PartitionId,
-    page_capacity: usize,
+    page_capacity_bytes: usize,
     max_pages_per_commit: usize,
     pages: Vec<Page>,
     entries: BTreeMap<ChunkKey, LogEntry>,
@@ -94,7 +97,7 @@
     ) -> Self {
         let mut log = PlacementLog {
             partition,
-            page_capacity: value_bytes.saturating_sub(PAGE_FRAME_BYTES),
+            page_capacity_bytes: value_bytes.saturating_sub(PAGE_OVERHEAD_BYTES),
             max_pages_per_commit: (txn_ops / TXN_OPS_PER_PAGE).clamp(1, MAX_PAGES_PER_COMMIT),
             pages: vec![Page::default(); INITIAL_PAGES],
             entries: BTreeMap::new(),
@@ -103,7 +106,7 @@
             unreadable_pages: Vec::new(),
         };
         for item in items {
-            let Some(number) = page_number(&item.key) else {
+            let Some(number) = parse_page_number(&item.key) else {
                 continue;
             };
             match read_page(&item.value) {
@@ -206,7 +209,7 @@
     }
 
     /// Prepares a commit of these changes; returns it with the keys of those that found no room.
-    pub fn prepare(
+    pub fn prepare_commit(
         &self,
         partition_version: Version,
         changes: Vec<(ChunkKey, TaskChunk)>,
--- a/crates/controller/src/placement_log/stored.rs
+++ b/crates/controller/src/placement_log/stored.rs
@@ -45,7 +45,7 @@
         }
     }
 
-    fn is_sound(&self) -> bool {
+    fn is_valid(&self) -> bool {
         self.chunk_number < MAX_CHUNKS && self.chunk.is_valid()
     }
 }
@@ -88,7 +88,7 @@
     if page.commit_number >= MAX_COMMIT_NUMBER {
         return Err(PageError::CommitNumber(page.commit_number));
     }
-    match page.entries.iter().find(|entry| !entry.is_sound()) {
+    match page.entries.iter().find(|entry| !entry.is_valid()) {
         Some(entry) => Err(PageError::Entry {
             job: entry.job,
             chunk_number: entry.chunk_number,
@@ -98,7 +98,7 @@
 }
 
 /// The number of a page, from its key.
-pub(super) fn page_number(key: &str) -> Option<usize> {
+pub(super) fn parse_page_number(key: &str) -> Option<usize> {
     let number: usize = key.rsplit('/').next()?.parse().ok()?;
     (number <= MAX_PAGE_NUMBER).then_some(number)
 }
--- a/crates/controller/src/records.rs
+++ b/crates/controller/src/records.rs
@@ -39,7 +39,7 @@
 
 /// Bytes of a packed entry on its page, including the separator. An entry that cannot be encoded
 /// fits on no page.
-pub fn packed_size<T: Serialize>(entry: &T) -> usize {
+pub fn packed_bytes<T: Serialize>(entry: &T) -> usize {
     serde_json::to_vec(entry).map_or(usize::MAX / 2, |bytes| bytes.len() + 1)
 }
 
--- a/crates/controller/src/records/packed_machine.rs
+++ b/crates/controller/src/records/packed_machine.rs
@@ -1,6 +1,6 @@
 //! The stored form of a machine's record.
 
-use super::packed_size;
+use super::packed_bytes;
 use model::{MachineName, PartitionId};
 use serde::{Deserialize, Serialize};
 
@@ -37,14 +37,14 @@
 
     /// Most bytes that the machine can take on its page. Its token and its partition change while
     /// it stays there, and a page that outgrows the limit could not be written any more.
-    pub fn max_packed_size(name: &MachineName, record: &MachineRecord) -> usize {
+    pub fn max_packed_bytes(name: &MachineName, record: &MachineRecord) -> usize {
         let widest = MachineRecord {
             partition: PartitionId(u32::MAX),
             token: u64::MAX,
             leaving: false,
             ..record.clone()
         };
-        packed_size(&PackedMachine::new(name, &widest))
+        packed_bytes(&PackedMachine::new(name, &widest))
     }
 }
 
--- a/crates/controller/src/records/tests.rs
+++ b/crates/controller/src/records/tests.rs
@@ -18,14 +18,14 @@
         leaving: token > 0,
     };
     let name = |number: usize| MachineName::from(format!("host-{number:06}").as_str());
-    let machine_size = PackedMachine::max_packed_size(&name(1), &record(0, 0));
+    let machine_size = PackedMachine::max_packed_bytes(&name(1), &record(0, 0));
     let page = |token, partition| MachinesPage {
         machines: (0..capacity / machine_size)
             .map(|number| PackedMachine::new(&name(number), &record(token, partition)))
             .collect(),
     };
     assert!(page(0, 0).machines.len() > 40);
-    assert!(packed_size(&page(u64::MAX, u32::MAX)) <= 4096);
+    assert!(packed_bytes(&page(u64::MAX, u32::MAX)) <= 4096);
 }
 
 #[test]
--- a/crates/controller/src/state_cache/apply.rs
+++ b/crates/controller/src/state_cache/apply.rs
@@ -15,7 +15,7 @@
 const TOKEN_LIMIT: u64 = 1 << 39;
 
 /// Parses a number in a key: digits only.
-pub(super) fn number(text: &str) -> Option<u32> {
+pub(super) fn parse_number(text: &str) -> Option<u32> {
     text.bytes()
         .all(|byte| byte.is_ascii_digit())
         .then(|| text.parse().ok())
@@ -23,17 +23,17 @@
 }
 
 /// Parses a partition in a key.
-fn partition(text: &str) -> Option<PartitionId> {
-    number(text).map(PartitionId)
+fn parse_partition(text: &str) -> Option<PartitionId> {
+    parse_number(text).map(PartitionId)
 }
 
 /// Parses the number of a page in a key.
-pub(super) fn page_number(text: &str) -> Option<u32> {
-    number(text).filter(|page| *page <= MAX_PAGE_NUMBER)
+pub(super) fn parse_page_number(text: &str) -> Option<u32> {
+    parse_number(text).filter(|page| *page <= MAX_PAGE_NUMBER)
 }
 
 /// Splits `s/KIND/NAME` into kind and name.
-fn parts(key: &str) -> Option<(&str, &str)> {
+fn split_key(key: &str) -> Option<(&str, &str)> {
     let rest = key.strip_prefix(WATCHED_PREFIX)?;
     Some(rest.split_once('/').unwrap_or((rest, "")))
 }
@@ -42,7 +42,7 @@
     /// Counts a record or an entry that cannot be used; what was known stays.
     pub(super) fn reject(&mut self, key: &str, problem: &dyn std::fmt::Display) {
         tracing::error!(key, %problem, "record rejected");
-        self.rejected += 1;
+        self.rejected_count += 1;
     }
 
     pub(super) fn decode<T: DeserializeOwned>(&mut self, key: &str, value: &Value) -> Option<T> {
@@ -86,9 +86,9 @@
     }
 
     /// Applies a record by the kind in its key.
-    fn put(&mut self, key: &str, value: &Value, version: u64, changed: &mut Vec<CacheEvent>) {
+    fn apply_put(&mut self, key: &str, value: &Value, version: u64, changed: &mut Vec<CacheEvent>) {
         let version = Version(version);
-        let Some((kind, name)) = parts(key) else {
+        let Some((kind, name)) = split_key(key) else {
             self.reject(key, &"it is not under the watched prefix");
             return;
         };
@@ -110,7 +110,7 @@
             }
             "e" => self.apply_terminal_jobs_page(key, name, value, version, changed),
             "p" => {
-                let read = self.decode_numbered(key, partition(name), value);
+                let read = self.decode_numbered(key, parse_partition(name), value);
                 let Some((partition, record)) = read else {
                     return;
                 };
@@ -119,21 +119,21 @@
                 changed.push(CacheEvent::Partition(partition));
             }
             "w" => {
-                let read = self.decode_numbered(key, partition(name), value);
+                let read = self.decode_numbered(key, parse_partition(name), value);
                 if let Some((partition, record)) = read {
                     self.reclaim_requests
                         .insert(partition, Versioned { record, version });
                 }
             }
             "d" => {
-                let read = self.decode_numbered(key, partition(name), value);
+                let read = self.decode_numbered(key, parse_partition(name), value);
                 if let Some((partition, record)) = read {
                     self.demand_versions.insert(partition, version);
                     changed.push(CacheEvent::Demand(partition, record));
                 }
             }
             "m" => {
-                let read = self.decode_numbered(key, page_number(name), value);
+                let read = self.decode_numbered(key, parse_page_number(name), value);
                 if let Some((page, record)) = read {
                     self.apply_machines_page(page, record, version, changed);
                 }
@@ -166,19 +166,19 @@
         }
     }
 
-    fn delete(&mut self, key: &str, changed: &mut Vec<CacheEvent>) {
-        let Some((kind, name)) = parts(key) else {
+    fn apply_delete(&mut self, key: &str, changed: &mut Vec<CacheEvent>) {
+        let Some((kind, name)) = split_key(key) else {
             return;
         };
         match kind {
             "p" => {
-                if let Some(partition) = partition(name) {
+                if let Some(partition) = parse_partition(name) {
                     self.partitions.remove(&partition);
                     changed.push(CacheEvent::Partition(partition));
                 }
             }
             "w" => {
-                if let Some(partition) = partition(name) {
+                if let Some(partition) = parse_partition(name) {
                     self.reclaim_requests.remove(&partition);
                 }
             }
@@ -204,14 +204,14 @@
         for event in events {
             if let Some(key) = &event.put {
                 let null = Value::Null;
-                self.put(
+                self.apply_put(
                     key,
                     event.value.as_ref().unwrap_or(&null),
                     event.version,
                     &mut changed,
                 );
             } else if let Some(key) = &event.delete {
-                self.delete(key, &mut changed);
+                self.apply_delete(key, &mut changed);
             } else {
                 self.reject("", &"a change names no key");
             }
@@ -221,7 +221,7 @@
     }
 
     /// Keeps the token counter at least as high as it was before a full read.
-    fn keep_tokens_rising(&mut self, before: Option<Versioned<TokenCounterRecord>>) {
+    fn keep_token_counter_monotonic(&mut self, before: Option<Versioned<TokenCounterRecord>>) {
         let (Some(counter), Some(before)) = (&mut self.token_counter, before) else {
             return;
         };
@@ -232,12 +232,12 @@
     /// keys, so terminal jobs are known before the pages of accepted jobs that name them.
     pub fn replace(&mut self, items: &[Item], revision: u64) -> Vec<CacheEvent> {
         let old = std::mem::take(self);
-        self.rejected = old.rejected;
+        self.rejected_count = old.rejected_count;
         let mut list = Vec::new();
         for item in items {
-            self.put(&item.key, &item.value, item.version, &mut list);
+            self.apply_put(&item.key, &item.value, item.version, &mut list);
         }
-        self.keep_tokens_rising(old.token_counter);
+        self.keep_token_counter_monotonic(old.token_counter);
         let gone = |kept: bool, change: CacheEvent| (!kept).then_some(change);
         list.extend(
             old.partitions.keys().filter_map(|id| {
--- a/crates/controller/src/state_cache/mod.rs
+++ b/crates/controller/src/state_cache/mod.rs
@@ -8,7 +8,7 @@
 mod reference_counts;
 
 use crate::records::{
-    packed_size, DemandRecord, IncarnationRecord, MachineRecord, PackedJob, PartitionRecord,
+    packed_bytes, DemandRecord, IncarnationRecord, MachineRecord, PackedJob, PartitionRecord,
     ReclaimRecord, TerminalJobsPage, TokenCounterRecord,
 };
 use model::{
@@ -109,7 +109,7 @@
     /// All changes up to here have been applied.
     pub revision: Revision,
     /// Number of unusable records and entries since it was taken last.
-    rejected: u64,
+    rejected_count: u64,
 }
 
 impl StateCache {
@@ -162,7 +162,7 @@
             .open_jobs_on(page_key)
             .map(|job| job.packed_bytes)
             .sum();
-        open_bytes + unreadable.map(packed_size).sum::<usize>()
+        open_bytes + unreadable.map(packed_bytes).sum::<usize>()
     }
 
     fn open_jobs_on(&self, page_key: &str) -> impl Iterator<Item = &OpenJob> {
@@ -174,7 +174,7 @@
     }
 
     /// Takes the number of records and entries that could not be used since the last call.
-    pub fn take_rejected(&mut self) -> u64 {
-        std::mem::take(&mut self.rejected)
+    pub fn take_rejected_count(&mut self) -> u64 {
+        std::mem::take(&mut self.rejected_count)
     }
 }
--- a/crates/controller/src/state_cache/pages.rs
+++ b/crates/controller/src/state_cache/pages.rs
@@ -1,9 +1,9 @@
 //! Application of the packed pages: accepted jobs, terminal jobs and machines.
 
-use super::apply::{number, page_number};
+use super::apply::{parse_number, parse_page_number};
 use super::{CacheEvent, CachedMachine, MachinePage, OpenJob, StateCache, Versioned};
 use crate::records::{
-    machines_key, packed_size, AcceptedJobsPage, MachinesPage, PackedJob, PackedMachine,
+    machines_key, packed_bytes, AcceptedJobsPage, MachinesPage, PackedJob, PackedMachine,
     TerminalJobsPage,
 };
 use model::{JobId, JobSpec, MachineName, PartitionId, Version};
@@ -18,7 +18,9 @@
         version: Version,
         changed: &mut Vec<CacheEvent>,
     ) {
-        let number = key.rsplit_once('/').and_then(|(_, page)| page_number(page));
+        let number = key
+            .rsplit_once('/')
+            .and_then(|(_, page)| parse_page_number(page));
         let read = self.decode_numbered::<_, AcceptedJobsPage>(key, number, value);
         let Some((_, page)) = read else { return };
         let mut ids = Vec::new();
@@ -64,7 +66,7 @@
         let spec = JobSpec::try_from(&packed.request)
             .map_err(|error| self.reject(key, &error))
             .ok()?;
-        let size = packed_size(&packed);
+        let size = packed_bytes(&packed);
         Some(OpenJob {
             packed: Arc::new(packed),
             packed_bytes: size,
@@ -89,7 +91,10 @@
         changed: &mut Vec<CacheEvent>,
     ) {
         let place = name.split_once('/').and_then(|(partition, page)| {
-            Some((PartitionId(number(partition)?), page_number(page)?))
+            Some((
+                PartitionId(parse_number(partition)?),
+                parse_page_number(page)?,
+            ))
         });
         let read = self.decode_numbered::<_, TerminalJobsPage>(key, place, value);
         let Some((place, record)) = read else { return };
@@ -126,7 +131,7 @@
             let size = match self.machines.get(&name) {
                 Some(known) if known.record == record && known.page == page => known.max_bytes,
                 _ => {
-                    let size = PackedMachine::max_packed_size(&name, &record);
+                    let size = PackedMachine::max_packed_bytes(&name, &record);
                     self.machines.insert(
                         name.clone(),
                         CachedMachine {
--- a/crates/controller/tests/foreign_records.rs
+++ b/crates/controller/tests/foreign_records.rs
@@ -51,7 +51,7 @@
     );
     apply(&mut cache, "s/x/n0", json!({ "jobs": [412] }));
     apply(&mut cache, "s/b/n0", json!({ "boot": 1 }));
-    assert_eq!(cache.take_rejected(), 0);
+    assert_eq!(cache.take_rejected_count(), 0);
     let foreign = [
         ("s/t", json!({ "next": -1 })),
         ("s/t", json!({ "next": 4.5 })),
@@ -78,7 +78,7 @@
     for (key, value) in foreign {
         apply(&mut cache, key, value);
     }
-    assert_eq!(cache.take_rejected(), count);
+    assert_eq!(cache.take_rejected_count(), count);
     assert_eq!(cache.next_token(), 41);
     assert!(cache.machine_types.is_some());
     let partitions: Vec<_> = cache.partitions.keys().copied().collect();
@@ -103,7 +103,7 @@
     apply(&mut cache, "s/t", json!({ "next": 41 }));
     apply(&mut cache, "s/t", json!({ "next": 7 }));
     assert_eq!((cache.next_token(), cache.token_counter_version()), (41, 2));
-    assert_eq!(cache.take_rejected(), 1);
+    assert_eq!(cache.take_rejected_count(), 1);
     let counter = TokenCounterRecord {
         next: 9,
         ..TokenCounterRecord::default()
@@ -142,7 +142,7 @@
         "s/m/0000",
         page(&["host-000001", "host-000002", ""]),
     );
-    assert_eq!(cache.take_rejected(), 1, "a machine without a name");
+    assert_eq!(cache.take_rejected_count(), 1, "a machine without a name");
     apply(&mut cache, "s/m/0001", page(&["host-000001"]));
     apply(&mut cache, "s/m/0000", page(&["host-000002"]));
     assert!(cache
@@ -252,7 +252,7 @@
         for job in log.jobs() {
             log.chunks_of(job);
         }
-        let (commit, _) = log.prepare(Version(3), Vec::new());
+        let (commit, _) = log.prepare_commit(Version(3), Vec::new());
         let mut after = log;
         after.confirm_commit(&commit, 9);
     }
--- a/crates/controller/tests/golden_records.rs
+++ b/crates/controller/tests/golden_records.rs
@@ -433,7 +433,7 @@
 #[test]
 fn placement_log_commits_keep_their_bytes() {
     let log = PlacementLog::load(PartitionId(2), &[], 4_096, 6);
-    let (commit, remaining) = log.prepare(Version(10), chunks());
+    let (commit, remaining) = log.prepare_commit(Version(10), chunks());
     assert!(remaining.is_empty(), "{remaining:?}");
     let (key, _) = log.verification_page(&commit).expect("a page");
     let entries = [
@@ -456,7 +456,7 @@
     }
     // Empty commits write the other three pages in turn, so that the next one rewrites this page.
     for _ in 0..3 {
-        let (commit, _) = log.prepare(Version(10), Vec::new());
+        let (commit, _) = log.prepare_commit(Version(10), Vec::new());
         log.confirm_commit(&commit, 11);
     }
     let entries = [Entry::text("l/2/0000", rewritten(&log))];
@@ -465,6 +465,6 @@
 
 /// The next page of the log, which has what was read and nothing new.
 fn rewritten(log: &PlacementLog) -> String {
-    let (commit, _) = log.prepare(Version(10), Vec::new());
+    let (commit, _) = log.prepare_commit(Version(10), Vec::new());
     golden::to_json(&written_pages(&commit)[0].1)
 }
--- a/crates/controller/tests/placement_log.rs
+++ b/crates/controller/tests/placement_log.rs
@@ -25,8 +25,8 @@
     };
     let changes = || vec![(key, TaskChunk::default())];
     let log = || PlacementLog::load(PartitionId(1), &[], 4_096, 6);
-    let (own, _) = log().prepare(Version(10), changes());
-    let (successors, _) = log().prepare(Version(12), changes());
+    let (own, _) = log().prepare_commit(Version(10), changes());
+    let (successors, _) = log().prepare_commit(Version(12), changes());
     let (proof_key, id) = log().verification_page(&own).expect("it writes a page");
     let (own_key, own_page) = written_page(&own);
     let (successors_key, successors_page) = written_page(&successors);
