--- a/crates/scheduler/src/best_effort.rs
+++ b/crates/scheduler/src/best_effort.rs
@@ -1,9 +1,9 @@
 //! Best-effort work: arrays of low priority that run on spare capacity.
 //!
-//! It fills spot machines and the gaps beside other work, is preempted by everything else, and does not
-//! keep an expensive machine from becoming idle. So that nothing starves, a job that finds no such place for
-//! long may run one task on any machine, and a team with hardly any such place a few; see the modules
-//! `best_effort_waits` and `best_effort_eviction`.
+//! It runs on spot machines and in the gaps beside other work, is preempted by all other work, and does not
+//! keep an expensive machine from becoming idle. To prevent starvation, a job that has found no spare capacity
+//! for long may run one task on any machine, and a team with hardly any best-effort task placed may run a few;
+//! see the modules `best_effort_waits` and `best_effort_eviction`.
 
 use crate::job::Job;
 use crate::machine::Machine;
@@ -20,27 +20,27 @@
 const CHEAP_PROGRESS_DIVISOR: u64 = 4;
 
 impl PartitionState {
-    /// Whether a machine may run a job as far as best-effort work is concerned: such work does not keep
-    /// on-demand machines in use that it could do without.
+    /// Whether the rules for best-effort work allow a job to run on a machine: best-effort work that may run on
+    /// spot machines must not keep an on-demand machine in use.
     pub(crate) fn admits_best_effort(&self, job: &Job, machine: &Machine) -> bool {
         !job.is_best_effort()
             || !job.spec.spot
             || machine.spot
             || machine.replica_count > 0
-            || (machine.regular_count() > 0 && is_soon_gone(job))
+            || (machine.regular_count() > 0 && vacates_soon(job))
             || job.may_be_placed_anywhere()
     }
 
-    /// Records that a job found no free capacity.
+    /// Records that a job found no free capacity, unless it is best-effort work.
     pub(crate) fn record_unplaced(&mut self, id: JobId, now: Timestamp) {
         if self.jobs.get(&id).is_some_and(|job| !job.is_best_effort()) {
             self.unplaced_since.insert(id, now);
         }
     }
 
-    /// Whether a machine's free capacity is left to other jobs, which found none lately and back off. If
-    /// best-effort tasks took it meanwhile they would be preempted soon. A job that has waited for long takes
-    /// it all the same: those other jobs may be unable to use it.
+    /// Whether a machine's free capacity is left to other jobs that recently found none and are in backoff.
+    /// Best-effort tasks that took it in the meantime would soon be preempted. A job that has waited for long
+    /// takes it anyway, since those other jobs may be unable to use it.
     pub(crate) fn is_left_to_unplaced_jobs(
         &self,
         job: &Job,
@@ -57,30 +57,30 @@
             .any(|other| other.spec.needs.fits(&free) && self.admits(other, machine, now))
     }
 
-    /// Whether preempting a best-effort task for other work loses little.
+    /// Whether a task is best-effort work whose preemption loses little.
     pub(crate) fn is_cheap_to_preempt(
         &self,
         victim: &Job,
         placement: &Placement,
         now: Timestamp,
     ) -> bool {
-        let ran = now.duration_since(placement.placed_at);
-        let left = Duration::from_millis(
+        let run_time = now.duration_since(placement.placed_at);
+        let remaining = Duration::from_millis(
             victim
                 .spec
                 .estimate
                 .whole_millis()
-                .saturating_sub(ran.whole_millis()),
+                .saturating_sub(run_time.whole_millis()),
         );
         victim.spec.is_best_effort()
-            && left > NEAR_END
+            && remaining > NEAR_END
             && (victim.spec.checkpoint > Duration::ZERO
-                || ran.whole_millis() * CHEAP_PROGRESS_DIVISOR
+                || run_time.whole_millis() * CHEAP_PROGRESS_DIVISOR
                     < victim.spec.estimate.whole_millis())
     }
 
-    /// Work that is lost when a task is stopped, in ms: all that it has done, or the time to save a
-    /// checkpoint, or, if best-effort work is stopped `at_once`, what it has done since its last checkpoint.
+    /// Work that is lost when a task is stopped, in ms: its whole run time if it saves no checkpoints, else the
+    /// time to save one, or, if best-effort work is stopped `at_once`, its run time since the last checkpoint.
     pub(crate) fn lost_work_ms(
         &self,
         victim: &Job,
@@ -88,26 +88,27 @@
         at_once: bool,
         now: Timestamp,
     ) -> u64 {
-        let ran = now.duration_since(placement.placed_at).whole_millis();
+        let run_time_ms = now.duration_since(placement.placed_at).whole_millis();
         if victim.spec.checkpoint == Duration::ZERO {
-            ran
+            run_time_ms
         } else if at_once && victim.spec.is_best_effort() {
-            ran % victim.spec.checkpoint.whole_millis()
+            run_time_ms % victim.spec.checkpoint.whole_millis()
         } else {
-            ran.min(victim.spec.save.whole_millis() + STOP_DELIVERY_ALLOWANCE_MS)
+            run_time_ms.min(victim.spec.save.whole_millis() + STOP_DELIVERY_ALLOWANCE_MS)
         }
     }
 
-    /// Whether a best-effort task is gone within seconds when its resources are needed: it can save a
-    /// checkpoint, or is about to end.
+    /// Whether a best-effort task is gone within seconds once its resources are needed, since it saves
+    /// checkpoints or is about to end.
     fn is_soon_reclaimable(&self, job: &Job, placement: &Placement, now: Timestamp) -> bool {
-        let ran = now.duration_since(placement.placed_at);
+        let run_time = now.duration_since(placement.placed_at);
         !job.guaranteed
             && (job.spec.checkpoint > Duration::ZERO
-                || job.spec.estimate.whole_millis() < ran.whole_millis() + NEAR_END.whole_millis())
+                || job.spec.estimate.whole_millis()
+                    < run_time.whole_millis() + NEAR_END.whole_millis())
     }
 
-    /// What best-effort tasks on a machine would free for other work within seconds.
+    /// The resources that best-effort tasks on a machine can free for other work within seconds.
     pub(crate) fn reclaimable_resources(&self, machine: &Machine, now: Timestamp) -> Resources {
         let mut sum = Resources::default();
         if machine.best_effort_count == 0 {
@@ -149,8 +150,8 @@
     }
 }
 
-/// Whether tasks of the job are gone within seconds when a machine is to become idle. Others would remain
-/// there alone after the array tasks beside them have ended.
-fn is_soon_gone(job: &Job) -> bool {
+/// Whether a job's tasks are gone within seconds when a machine is to become idle, since they save checkpoints
+/// or are short. Other tasks would remain on the machine alone after the array tasks beside them have ended.
+fn vacates_soon(job: &Job) -> bool {
     job.spec.checkpoint > Duration::ZERO || job.spec.estimate < NEAR_END
 }
--- a/crates/scheduler/src/best_effort_eviction.rs
+++ b/crates/scheduler/src/best_effort_eviction.rs
@@ -11,14 +11,14 @@
 
 /// How long best-effort tasks may stay on a machine on which nothing else is left.
 const EVICTION_DELAY: Duration = Duration::from_secs(10);
-/// How many searches for spare capacity one round makes.
+/// The largest number of searches for spare capacity in one round of evictions.
 const MAX_SPARE_CAPACITY_SEARCHES: usize = 16;
 
 impl PartitionState {
-    /// Stops those of the tasks that are best-effort and save checkpoints; the others run to their end.
+    /// Stops those of the tasks that are best-effort and save checkpoints; the others run to completion.
     pub(crate) fn stop_best_effort_tasks(&mut self, tasks: Vec<TaskId>, now: Timestamp) {
         for task in tasks {
-            let saves = self.jobs.get(&task.job).is_some_and(|job| {
+            let is_stopped = self.jobs.get(&task.job).is_some_and(|job| {
                 job.spec.is_best_effort()
                     && job.spec.checkpoint > Duration::ZERO
                     && job
@@ -26,15 +26,15 @@
                         .get(&task.index)
                         .is_some_and(|placement| placement.stop.is_none())
             });
-            if saves {
-                let grace = self.grace_period_ms(task);
-                self.stop_task(task, grace, now);
+            if is_stopped {
+                let grace_ms = self.grace_period_ms(task);
+                self.stop_task(task, grace_ms, now);
             }
         }
     }
 
     /// Stops best-effort work on on-demand machines on which nothing else is left, and determines which jobs
-    /// have found no place for long.
+    /// have waited for so long that they may run on any machine.
     pub fn evict_best_effort(&mut self, now: Timestamp) {
         let teams = self.best_effort_by_team();
         self.update_best_effort_waits(&teams, now);
@@ -42,17 +42,17 @@
         self.stop_best_effort_tasks(tasks, now);
     }
 
-    /// Best-effort tasks that keep an on-demand machine in use on their own. Of each job one task is left where it
-    /// is, unless there is spare capacity for it: it would wait for long and come back. One such task at a
-    /// time is moved, as others may find the same capacity.
+    /// The best-effort tasks to evict because they keep an on-demand machine in use on their own. The last task
+    /// of a job stays unless there is spare capacity for it: otherwise it would wait for long and come back.
+    /// Only one such task is evicted per round, since several could find the same spare capacity.
     fn tasks_to_evict(
         &self,
         teams: &HashMap<TeamName, TeamBestEffort>,
         now: Timestamp,
     ) -> Vec<TaskId> {
         let mut evicted = Vec::new();
-        let mut left: HashMap<JobId, usize> = HashMap::new();
-        let mut moves_only_task = false;
+        let mut remaining_by_job: HashMap<JobId, usize> = HashMap::new();
+        let mut evicts_last_task = false;
         let mut searches = 0;
         let machines = self
             .machines
@@ -65,18 +65,22 @@
             let Some(job) = self.jobs.get(&task.job) else {
                 continue;
             };
-            let team_places = teams.get(&job.spec.team).map_or(0, |team| team.placed);
-            if !job.spec.spot || job.guaranteed || team_places <= MIN_TEAM_TASKS {
+            let placed_tasks_of_team = teams
+                .get(&job.spec.team)
+                .map_or(0, |team| team.placed_tasks);
+            if !job.spec.spot || job.guaranteed || placed_tasks_of_team <= MIN_TEAM_TASKS {
                 continue;
             }
-            let left = left.entry(task.job).or_insert(job.active_placements());
-            if *left > 1 {
-                *left -= 1;
+            let remaining = remaining_by_job
+                .entry(task.job)
+                .or_insert(job.active_placements());
+            if *remaining > 1 {
+                *remaining -= 1;
                 evicted.push(*task);
-            } else if !moves_only_task && searches < MAX_SPARE_CAPACITY_SEARCHES {
+            } else if !evicts_last_task && searches < MAX_SPARE_CAPACITY_SEARCHES {
                 searches += 1;
-                moves_only_task = self.has_spare_capacity_for(*task, job, now);
-                evicted.extend(moves_only_task.then_some(*task));
+                evicts_last_task = self.has_spare_capacity_for(*task, job, now);
+                evicted.extend(evicts_last_task.then_some(*task));
             }
         }
         evicted
--- a/crates/scheduler/src/consolidation.rs
+++ b/crates/scheduler/src/consolidation.rs
@@ -1,8 +1,8 @@
 //! Consolidation: moving replicas of services to fewer machines.
 //!
-//! Replicas run for minutes and keep the machines on which they happened to start. When no entry of the
+//! Replicas run for minutes and stay on the machines on which they happened to start. When no entry of the
 //! queue is ready to be tried, replicas on the emptiest machines are moved to fuller ones that have their
-//! image, so that the machines they leave can be used otherwise or returned.
+//! image, so that the machines that they leave can be used for other work or returned to the cloud.
 
 use crate::machine::Machine;
 use crate::partition_state::PartitionState;
@@ -12,14 +12,14 @@
 use std::time::Duration;
 use wire::workers::TaskState;
 
-/// The least time between the placement of a replica and its move.
+/// The shortest time between the placement of a replica and its move.
 const MIN_REPLICA_AGE: Duration = Duration::from_secs(45);
-/// Time between the moves of two machines' replicas, so that few replicas are down at a time.
+/// Time between the draining of one machine and the next, so that few replicas are down at a time.
 const MOVE_INTERVAL: Duration = Duration::from_millis(1_500);
-/// How long the machine that is being emptied takes no tasks, and capacity is reserved for its replicas.
+/// How long a machine that is being drained takes no tasks, and capacity is reserved for its replicas.
 const MOVE_TIMEOUT: Duration = Duration::from_secs(10);
-/// How many of the emptiest machines are checked.
-const MAX_SOURCES: usize = 6;
+/// How many of the emptiest machines are checked for whether they can be drained.
+const MAX_DRAIN_CANDIDATES: usize = 6;
 
 /// The move of a replica to another machine.
 struct ReplicaMove {
@@ -28,8 +28,8 @@
     needs: Resources,
 }
 
-/// What a machine's regular tasks use. Machines are emptied in this order; no two are equal, so that no two
-/// machines exchange their replicas.
+/// What a machine's regular tasks use. Machines are drained in this order, and replicas move to fuller machines
+/// only. No two machines compare equal, so no two of them exchange their replicas.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct Fullness<'a> {
     milli_gpus: u64,
@@ -51,7 +51,7 @@
 }
 
 impl PartitionState {
-    /// Starts to empty one machine if its replicas have better places.
+    /// Starts to drain one of the emptiest machines whose replicas all fit on fuller machines, if there is one.
     pub fn consolidate(&mut self, now: Timestamp) {
         if !self.policy.consolidate_replicas
             || !self.update_inventory_known(now)
@@ -64,19 +64,22 @@
         let mut sources: Vec<&Machine> = self
             .machines
             .values()
-            .filter(|machine| self.may_empty(machine, now))
+            .filter(|machine| self.may_be_drained(machine, now))
             .collect();
         sources.sort_unstable_by_key(|machine| Fullness::of(machine));
-        let found = sources.into_iter().take(MAX_SOURCES).find_map(|source| {
-            let moves = self.find_move_targets(source, now)?;
-            Some((source.name.clone(), moves))
-        });
+        let found = sources
+            .into_iter()
+            .take(MAX_DRAIN_CANDIDATES)
+            .find_map(|source| {
+                let moves = self.find_move_targets(source, now)?;
+                Some((source.name.clone(), moves))
+            });
         if let Some((source, moves)) = found {
             self.move_replicas(&source, moves, now);
         }
     }
 
-    /// Stops the tasks of a machine and reserves capacity for its replicas elsewhere.
+    /// Moves the replicas of a machine: stops its tasks and reserves capacity for the replicas elsewhere.
     fn move_replicas(&mut self, source: &MachineName, moves: Vec<ReplicaMove>, now: Timestamp) {
         tracing::debug!(machine = %source, replicas = moves.len(), "consolidating replicas");
         let Some(machine) = self.machines.get_mut(source) else {
@@ -99,13 +102,14 @@
                 charged_team,
             };
             self.reserve(EntryKey::Task(task), reservation);
-            let grace = self.grace_period_ms(task);
-            self.stop_task(task, grace, now);
+            let grace_ms = self.grace_period_ms(task);
+            self.stop_task(task, grace_ms, now);
         }
     }
 
-    /// Whether a machine runs replicas that may be moved, and best-effort tasks at most.
-    fn may_empty(&self, machine: &Machine, now: Timestamp) -> bool {
+    /// Whether all tasks on a machine are replicas that may be moved or best-effort tasks, and at least one is a
+    /// replica.
+    fn may_be_drained(&self, machine: &Machine, now: Timestamp) -> bool {
         machine.replica_count > 0
             && machine.replica_count == machine.regular_count()
             && machine.usable(now, self.heartbeat_timeout())
@@ -126,8 +130,8 @@
             })
     }
 
-    /// Targets for all replicas of a machine: fuller machines that have their images. `None` if one of the
-    /// replicas has none.
+    /// A target for each replica of a machine: a fuller machine that has its image. `None` if there is none for
+    /// one of the replicas.
     fn find_move_targets(&self, source: &Machine, now: Timestamp) -> Option<Vec<ReplicaMove>> {
         let mut moves: Vec<ReplicaMove> = Vec::new();
         for task in &source.tasks {
--- a/crates/scheduler/src/guarantees.rs
+++ b/crates/scheduler/src/guarantees.rs
@@ -1,4 +1,4 @@
-//! Which jobs lie within their team's guarantee.
+//! Computes which jobs lie within their team's guarantee.
 
 use crate::job::Job;
 use crate::partition_state::PartitionState;
@@ -9,7 +9,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 impl PartitionState {
-    /// Computes anew which jobs lie within their team's guarantee: those that fit into it together
+    /// Recomputes which jobs lie within their team's guarantee: those that fit into it together
     /// with the team's earlier unfinished jobs. Only teams whose jobs have changed are recomputed.
     pub(crate) fn refresh_guarantees(&mut self) {
         let mut changed = Vec::new();
@@ -40,7 +40,7 @@
     }
 }
 
-/// Marks the team's jobs that lie within its guarantee; returns those for which that has changed.
+/// Recomputes which of the team's jobs lie within its guarantee; returns those for which that has changed.
 fn refresh_team(
     team: &mut TeamUsage,
     jobs: &mut BTreeMap<JobId, Job>,
@@ -48,12 +48,13 @@
 ) -> Vec<JobId> {
     let mut order: Vec<JobId> = team.open_jobs.iter().map(|(_, id)| *id).collect();
     if overloaded {
-        // The guarantee goes to what the team can complete with it rather than to its oldest jobs.
+        // During overload the guarantee goes to the jobs that the team can complete with it rather than to its
+        // oldest jobs.
         order.sort_by_key(|id| jobs.get(id).map(Job::scheduling_time_ms));
     }
-    let guaranteed_jobs = first_that_fit(&order, jobs, &team.guarantee);
+    let guaranteed_jobs = prefix_within(&order, jobs, &team.guarantee);
     order.sort_by_key(|id| Reverse(jobs.get(id).map(|job| job.spec.priority)));
-    let strictly_guaranteed = first_that_fit(&order, jobs, &team.guarantee);
+    let strictly_guaranteed = prefix_within(&order, jobs, &team.guarantee);
     for id in &order {
         if let Some(job) = jobs.get_mut(id) {
             job.strictly_guaranteed = strictly_guaranteed.contains(id);
@@ -64,7 +65,7 @@
         let Some(job) = jobs.get_mut(id) else {
             continue;
         };
-        // A job that is finishing or cancelled keeps its mark.
+        // A job that is finishing or cancelled keeps its `guaranteed` flag.
         if team.open_jobs.contains(&(job.submitted_at_ms, *id)) {
             job.guaranteed = guaranteed_jobs.contains(id);
             changed.push(*id);
@@ -75,7 +76,7 @@
 }
 
 /// The longest prefix of `order` whose jobs fit into the guarantee together.
-fn first_that_fit(
+fn prefix_within(
     order: &[JobId],
     jobs: &BTreeMap<JobId, Job>,
     guarantee: &Resources,
--- a/crates/scheduler/src/overload.rs
+++ b/crates/scheduler/src/overload.rs
@@ -1,11 +1,11 @@
 //! Overload: short jobs go first while there are too few machines.
 //!
-//! As long as machines can be had, jobs are ordered by submission, each set back a little by its size, and
-//! hardly any job is late. With too few machines for long, that order makes all jobs late, since jobs that
-//! are late already go first. So while the waiting work would take the existing machines longer than a part
-//! of the completion objective, each job is set back by a multiple of the time that the rest of it takes:
-//! most jobs are in time then, at the cost of the few large ones. None of them starves: a job that is
-//! submitted later than the time by which another one is set back goes behind that one.
+//! As long as enough machines are available, jobs are ordered by submission time, each deferred a little by its
+//! size, and hardly any job is late. In a long shortage of machines that order makes all jobs late, since the
+//! jobs that are late already go first. So while the existing machines would need longer for the waiting work
+//! than a part of the completion objective, each job is also deferred by a multiple of its remaining run time:
+//! most jobs then complete in time, at the cost of the few large ones. None of these starves: if a job is
+//! deferred by some time, jobs that are submitted after more than that time come behind it.
 
 use crate::job::Job;
 use crate::partition_state::PartitionState;
@@ -13,15 +13,15 @@
 use model::{JobId, JobKind};
 use std::time::Duration;
 
-/// Overload begins when the waiting work would take longer than this part of the shortest completion
-/// objective, in percent.
+/// Overload begins when the waiting work would take longer than this percentage of the shortest completion
+/// objective.
 const OVERLOAD_START_PERCENT: u64 = 50;
-/// Overload ends when the waiting work would take less than this part, in percent.
+/// Overload ends when the waiting work would take no longer than this percentage of it.
 const OVERLOAD_END_PERCENT: u64 = 25;
-/// A penalty is changed if it would change by more than itself divided by this.
+/// A penalty is updated only if it would change by more than its current value divided by this.
 const PENALTY_TOLERANCE_DIVISOR: u64 = 4;
 
-/// Waiting work that only the lack of machines keeps back.
+/// Waiting work that lacks nothing but machines.
 struct WaitingWork {
     /// CPU time that it takes, in thousandths of a CPU times ms.
     milli_cpu_ms: u64,
@@ -30,41 +30,43 @@
 }
 
 impl Job {
-    /// Whether it waits for capacity and has a completion objective to miss.
-    fn is_awaited(&self) -> bool {
+    /// Whether it has waiting tasks and a completion objective to miss, which cancelled, finishing and
+    /// best-effort jobs do not have.
+    fn counts_as_waiting_work(&self) -> bool {
         !self.cancelled && !self.finishing && !self.is_best_effort() && self.waiting_count() > 0
     }
 
-    /// The penalty that the job should have under overload, if that differs enough from its present one to
-    /// be worth a new place in the queue: it shrinks with each task that ends.
+    /// The job's new overload penalty if it differs enough from the current one to be worth a new position in
+    /// the queue: the penalty shrinks with each task that ends.
     fn changed_overload_penalty(&self, factor: u64) -> Option<Duration> {
-        let left_ms = self.size_penalty.whole_millis() * self.waiting_count()
+        let remaining_penalty_ms = self.size_penalty.whole_millis() * self.waiting_count()
             / u64::from(self.spec.tasks.max(1));
-        let penalty_ms = if self.is_awaited() {
-            left_ms * factor
+        let penalty_ms = if self.counts_as_waiting_work() {
+            remaining_penalty_ms * factor
         } else {
             0
         };
         let penalty = Duration::from_millis(penalty_ms);
-        let present_ms = self.overload_penalty.whole_millis();
-        let is_far = penalty_ms.abs_diff(present_ms) * PENALTY_TOLERANCE_DIVISOR > present_ms;
-        let is_changed = penalty != self.overload_penalty && (is_far || penalty_ms == 0);
+        let current_ms = self.overload_penalty.whole_millis();
+        let exceeds_tolerance =
+            penalty_ms.abs_diff(current_ms) * PENALTY_TOLERANCE_DIVISOR > current_ms;
+        let is_changed = penalty != self.overload_penalty && (exceeds_tolerance || penalty_ms == 0);
         is_changed.then_some(penalty)
     }
 }
 
 impl PartitionState {
-    /// Determines whether the partition is overloaded, and sets the jobs' penalties for that.
+    /// Determines whether the partition is overloaded, and updates the jobs' overload penalties.
     pub fn update_overload(&mut self) {
         let waiting = self.waiting_work();
         let drain_ms = waiting.milli_cpu_ms / self.milli_cpus_for_jobs().max(1);
-        let percent = if self.overloaded {
+        let threshold_percent = if self.overloaded {
             OVERLOAD_END_PERCENT
         } else {
             OVERLOAD_START_PERCENT
         };
         let overloaded =
-            waiting.milli_cpu_ms > 0 && drain_ms > waiting.objective_ms / 100 * percent;
+            waiting.milli_cpu_ms > 0 && drain_ms > waiting.objective_ms / 100 * threshold_percent;
         if overloaded != self.overloaded {
             self.overloaded = overloaded;
             tracing::info!(
@@ -82,7 +84,11 @@
             milli_cpu_ms: 0,
             objective_ms: u64::MAX,
         };
-        for job in self.jobs.values().filter(|job| job.is_awaited()) {
+        for job in self
+            .jobs
+            .values()
+            .filter(|job| job.counts_as_waiting_work())
+        {
             let Some(objective) = job.completion_objective else {
                 continue;
             };
--- a/crates/scheduler/src/quotas.rs
+++ b/crates/scheduler/src/quotas.rs
@@ -5,7 +5,7 @@
 use std::collections::hash_map::{Values, ValuesMut};
 use std::collections::{BTreeSet, HashMap};
 
-/// Concurrent tasks from which a limit counts as no limit.
+/// A limit that allows this many concurrent tasks or more counts as no limit.
 const UNLIMITED_TASKS: u64 = u64::MAX / 1_000_000;
 
 /// The teams of a partition. The set of teams is fixed when the partition is loaded.
@@ -15,9 +15,9 @@
 }
 
 impl TeamQuotas {
-    /// Teams with their guarantees and limits, of which nothing is used.
+    /// The quotas of teams that use nothing yet. Each team comes with its guarantee and its limit.
     pub(crate) fn new(teams: impl IntoIterator<Item = (TeamName, Resources, Resources)>) -> Self {
-        let usage = |(name, guarantee, limit)| {
+        let unused = |(name, guarantee, limit)| {
             let usage = TeamUsage {
                 guarantee,
                 limit,
@@ -26,7 +26,7 @@
             (name, usage)
         };
         TeamQuotas {
-            teams: teams.into_iter().map(usage).collect(),
+            teams: teams.into_iter().map(unused).collect(),
         }
     }
 
@@ -55,21 +55,21 @@
         self.teams.values_mut()
     }
 
-    /// One more task of the job takes its team's quota.
+    /// Adds the needs of one task of the job to its team's usage.
     pub(crate) fn charge(&mut self, spec: &JobSpec) {
         if let Some(team) = self.teams.get_mut(&spec.team) {
             team.used += spec.needs;
         }
     }
 
-    /// One task less of the job takes its team's quota.
+    /// Subtracts the needs of one task of the job from its team's usage.
     pub(crate) fn release(&mut self, spec: &JobSpec) {
         if let Some(team) = self.teams.get_mut(&spec.team) {
             team.used -= spec.needs;
         }
     }
 
-    /// The job counts towards its team's guarantee from now on.
+    /// Makes the job count towards its team's guarantee.
     pub(crate) fn open_job(&mut self, job: &Job) {
         if let Some(team) = self.teams.get_mut(&job.spec.team) {
             team.open_jobs.insert((job.submitted_at_ms, job.spec.id));
@@ -77,7 +77,7 @@
         }
     }
 
-    /// The job counts towards its team's guarantee no longer.
+    /// Makes the job no longer count towards its team's guarantee.
     pub(crate) fn close_job(&mut self, job: &Job) {
         if let Some(team) = self.teams.get_mut(&job.spec.team) {
             team.guaranteed_jobs_stale |=
@@ -85,8 +85,8 @@
         }
     }
 
-    /// How many tasks with the needs of this job its team may run at once, by its limit on CPUs and
-    /// GPUs; at least 1. A team without a limit counts as if it had the largest limit of the others.
+    /// How many tasks with the needs of this job its team may run at once by its limit on CPUs and GPUs; at
+    /// least 1. A team without a limit is treated as if it had the largest limit of the other teams.
     pub(crate) fn max_concurrent_tasks(&self, spec: &JobSpec) -> u64 {
         let needs = Resources {
             memory_mb: 0,
@@ -122,12 +122,12 @@
     pub(crate) reserved: Resources,
     /// Part of the limit that gangs need on machines reserved for them, beyond what is used there now.
     pub(crate) reserved_for_gangs: Resources,
-    /// Since when hardly any of its best-effort tasks has been placed.
+    /// Since when too few of its best-effort tasks have been placed while others wait.
     pub underserved_since: Option<Timestamp>,
-    /// Its jobs that are neither finishing nor cancelled, ordered by submission time.
+    /// Its jobs that are neither finishing nor cancelled, with their submission times, in the order of these.
     pub(crate) open_jobs: BTreeSet<(u64, JobId)>,
-    /// Those of them that lay within the guarantee when it was last computed.
+    /// The open jobs that lay within the guarantee when this was last computed.
     pub(crate) guaranteed_jobs: BTreeSet<JobId>,
-    /// Its open jobs or their order have changed since then.
+    /// The open jobs or their order have changed since `guaranteed_jobs` was computed.
     pub(crate) guaranteed_jobs_stale: bool,
 }
