--- a/crates/scheduler/src/best_effort.rs
+++ b/crates/scheduler/src/best_effort.rs
@@ -34,7 +34,7 @@
     /// Records that a job found no free capacity, unless it is best-effort work.
     pub(crate) fn record_unplaced(&mut self, id: JobId, now: Timestamp) {
         if self.jobs.get(&id).is_some_and(|job| !job.is_best_effort()) {
-            self.unplaced_since.insert(id, now);
+            self.last_unplaced_at.insert(id, now);
         }
     }
 
@@ -51,7 +51,7 @@
             return false;
         }
         let free = machine.free();
-        self.unplaced_since
+        self.last_unplaced_at
             .keys()
             .filter_map(|id| self.jobs.get(id))
             .any(|other| other.spec.needs.fits(&free) && self.admits(other, machine, now))
--- a/crates/scheduler/src/cycle.rs
+++ b/crates/scheduler/src/cycle.rs
@@ -64,7 +64,7 @@
         self.refresh_guarantees();
         self.queue.flush(now);
         self.queue_probes(now);
-        self.unplaced_since
+        self.last_unplaced_at
             .retain(|_, failed_at| now.duration_since(*failed_at) <= UNPLACED_PRECEDENCE);
         self.expire_reservations(now);
         self.renew_gang_reservations(now);
--- a/crates/scheduler/src/failover.rs
+++ b/crates/scheduler/src/failover.rs
@@ -1,9 +1,9 @@
-//! Soft state across a failover.
+//! Replication of soft state, which lets a new leader continue quickly after a failover.
 //!
-//! What a leader knows beyond the durable records is replicated to its standby. Replicated records
-//! prove nothing: they tell a new leader which machines to probe at once, and what to assume of machines
-//! and jobs until they show it themselves. Only a machine's own status makes its state known; until then
-//! nothing is launched on it, and no task of it counts as gone.
+//! A leader replicates to its standby what it knows beyond the durable records. Replicated records prove
+//! nothing: they tell a new leader which machines to probe at once, and what to assume about machines and
+//! jobs until these show it themselves. Only a machine's own status makes its state known; until then
+//! nothing is launched on it, and none of its tasks counts as gone.
 
 use crate::failure_attribution::MAX_FAILED_MACHINES;
 use crate::machine::{Machine, ReplicatedEndpoint};
@@ -14,28 +14,28 @@
 use std::time::Duration;
 use wire::mesh::{JobFailureSnapshot, MachineSnapshot, ReplicatedRecord};
 
-/// Shorter idle times are not replicated, because they change too often.
+/// Idle times below this are not replicated, because they change too often.
 const MIN_REPLICATED_IDLE_TIME: Duration = Duration::from_secs(2);
-/// Tasks of one job whose failures are replicated.
+/// Maximum number of tasks of one job whose failures are replicated.
 const MAX_REPLICATED_FAILURES: usize = 64;
-/// Highest number of consecutive failures of a task that is accepted from a previous leader.
+/// Highest number of consecutive failures of a task that is accepted from a previous leader's records.
 const MAX_FAILURE_COUNT: u32 = 64;
-/// The longest time to fail that is accepted from a previous leader: a service that has run for a
-/// multiple of that is healthy, whatever was replicated.
+/// Longest time to failure that is accepted from a previous leader's records: a service that has run for a
+/// multiple of this counts as healthy, whatever was replicated.
 const MAX_REPLICATED_FAILURE_TIME: Duration = Duration::from_secs(20);
-/// Time beyond the longest heartbeat interval that workers may need to find a new leader: a heartbeat
-/// without a reply, and the pause before the next controller is tried.
+/// Time beyond the longest heartbeat interval that a worker may need to find a new leader: one heartbeat
+/// stays without a reply, and the worker pauses before it tries the next controller.
 const REDISCOVERY_ALLOWANCE: Duration = Duration::from_secs(6);
 
 impl Machine {
-    /// Whether the machine is known to be up: by its own status, or by a previous leader's record as long
-    /// as its probes may still be answered.
+    /// Whether the machine is taken to be up: it has sent a status to this leader, or a previous leader's
+    /// record names its address and it may still answer probes.
     pub fn is_up(&self) -> bool {
         self.last_seen_at.is_some() || self.replicated_endpoint.is_some()
     }
 
-    /// The record for the standby; none if nothing is known. A record from a previous leader is passed on,
-    /// so that the next leader probes the machine, too.
+    /// The record for the standby; none if no address is known. An address from a previous leader's record
+    /// is passed on, so that the next leader probes the machine too.
     fn replication_record(
         &self,
         now: Timestamp,
@@ -52,7 +52,7 @@
             .iter()
             .map(|(name, gb)| (name.to_string(), *gb))
             .collect();
-        // Sorted by name, so that the mere use of an image does not change the record.
+        // Sorted by name instead of last use, so that using an image does not change the record.
         images.sort_by(|(left, _), (right, _)| left.cmp(right));
         Some(ReplicatedRecord::Machine(MachineSnapshot {
             machine: self.name.to_string(),
@@ -69,18 +69,18 @@
 }
 
 impl PartitionState {
-    /// What a new leader could not read from the durable records.
+    /// The records for the standby: what a new leader could not read from the durable records.
     pub fn replication_records(&self, now: Timestamp) -> Vec<ReplicatedRecord> {
         let heartbeat_timeout = self.heartbeat_timeout();
         let machines = self
             .machines
             .values()
             .filter_map(|machine| machine.replication_record(now, heartbeat_timeout));
-        let failed = self
+        let failing_jobs = self
             .jobs
             .values()
             .filter(|job| !job.failed_on.is_empty() && !job.finishing);
-        let jobs = failed.map(|job| {
+        let jobs = failing_jobs.map(|job| {
             ReplicatedRecord::Job(JobFailureSnapshot {
                 job: job.spec.id.0,
                 failures: job
@@ -97,7 +97,9 @@
         machines.chain(jobs).collect()
     }
 
-    /// Applies a previous leader's record of a machine, as far as the machine's own status is not known.
+    /// Applies a previous leader's record of a machine. `idle_since` is the record's idle time on this
+    /// controller's clock. The address is used only if the machine has not sent a status to this leader
+    /// yet.
     pub fn apply_machine_snapshot(
         &mut self,
         snapshot: &MachineSnapshot,
@@ -127,7 +129,7 @@
         }
     }
 
-    /// Applies a previous leader's record of how a job has failed.
+    /// Applies a previous leader's record of a job's failures.
     pub fn apply_job_snapshot(&mut self, snapshot: &JobFailureSnapshot, now: Timestamp) {
         let id = JobId(snapshot.job);
         let Some(job) = self.jobs.get_mut(&id) else {
@@ -154,9 +156,9 @@
         }
     }
 
-    /// Whether enough machines have sent a heartbeat, or have had the time to, for preemption and
-    /// consolidation: before that, capacity seems to be missing only because heartbeats are. Once true it
-    /// stays true.
+    /// Whether the inventory is known well enough for preemption and consolidation: most machines have sent
+    /// a heartbeat to this leader, or have had the time to. Before that, capacity may seem to be missing
+    /// only because heartbeats are. Once true, it stays true.
     pub(crate) fn update_inventory_known(&mut self, now: Timestamp) -> bool {
         if !self.inventory_known {
             let reporting = self
--- a/crates/scheduler/src/failure_attribution.rs
+++ b/crates/scheduler/src/failure_attribution.rs
@@ -1,8 +1,9 @@
 //! Attribution of task failures to a machine or to a job.
 //!
-//! A machine on which tasks of different jobs fail is quarantined, and a job whose tasks fail on
-//! different machines without any success is suspect. A suspect job is probed with one task at a time,
-//! at growing intervals, until one succeeds or its user cancels it; it is never abandoned.
+//! A machine on which tasks of different jobs fail is quarantined. A job whose tasks fail on different
+//! machines without any success is suspect: one of its tasks at a time, or the whole gang, is tried as a
+//! probe, at growing intervals, until one succeeds or the job is cancelled. A suspect job is never given
+//! up.
 
 use crate::job::Job;
 use crate::machine::Machine;
@@ -11,15 +12,16 @@
 use model::{JobId, JobKind, MachineName, TaskId, Timestamp};
 use std::time::Duration;
 
-/// Machines on which tasks of a job must have failed for the job to be suspect.
+/// Number of machines on which tasks of a job must have failed before the job is suspect.
 const SUSPECT_AFTER_MACHINES: usize = 3;
-/// Machines that are remembered for one job.
+/// Maximum number of machines with failures that are remembered for one job.
 pub(crate) const MAX_FAILED_MACHINES: usize = 2 * SUSPECT_AFTER_MACHINES;
-/// A task is healthy if it has run for longer than twice the time in which others failed, plus this.
+/// A task of a suspect job counts as healthy once it has run for twice the longest time to failure, plus
+/// this.
 const HEALTHY_RUN_MARGIN: Duration = Duration::from_secs(5);
 
 impl Job {
-    /// Whether the job failed on several machines and never succeeded: then its failures prove nothing
+    /// Whether the job has failed on several machines and never succeeded: its failures then prove nothing
     /// about the machines.
     pub fn is_suspect(&self) -> bool {
         self.successes == 0 && self.failed_on.len() >= SUSPECT_AFTER_MACHINES
@@ -28,22 +30,22 @@
     fn record_failure(&mut self, index: u32, machine: &MachineName, now: Timestamp) {
         *self.failures.entry(index).or_default() += 1;
         if let Some(placement) = self.placed.get(&index) {
-            let took = now.duration_since(placement.placed_at);
-            self.longest_failure = self.longest_failure.max(took);
+            let time_to_failure = now.duration_since(placement.placed_at);
+            self.longest_failure = self.longest_failure.max(time_to_failure);
         }
         if !self.failed_on.contains(machine) {
             self.failed_on.push(machine.clone());
         }
     }
 
-    /// Forgets the oldest failed machine if there are too many.
+    /// Forgets the machine that failed first if too many are remembered.
     fn limit_failed_machines(&mut self) {
         if self.failed_on.len() > MAX_FAILED_MACHINES {
             self.failed_on.remove(0);
         }
     }
 
-    /// The queue entry of the next probe: one waiting task, or the whole gang.
+    /// The queue entry for the next probe: one waiting task, or the whole gang; none if no entry waits.
     fn next_probe_entry(&self) -> Option<EntryKey> {
         let id = self.spec.id;
         if self.spec.kind == JobKind::Gang {
@@ -54,8 +56,8 @@
         Some(EntryKey::Task(TaskId { job: id, index }))
     }
 
-    /// A task that was placed at `placed_at` is running, which counts as a success if it has run for
-    /// long enough.
+    /// Records that a task placed at `placed_at` is running. For a suspect job that counts as a success
+    /// once the task has run for long enough.
     pub(crate) fn record_running(&mut self, placed_at: Timestamp, now: Timestamp) {
         if self.is_suspect()
             && now.duration_since(placed_at) > self.longest_failure * 2 + HEALTHY_RUN_MARGIN
@@ -66,7 +68,8 @@
 }
 
 impl PartitionState {
-    /// A task on the machine has failed.
+    /// Records that a task has failed on a machine, and updates whether the job is suspect and which
+    /// machines are quarantined.
     pub(crate) fn record_task_failure(&mut self, task: TaskId, name: &MachineName, now: Timestamp) {
         let Some(job) = self.jobs.get_mut(&task.job) else {
             return;
@@ -86,7 +89,8 @@
         }
     }
 
-    /// The failures of a suspect job no longer count against the machines on which it failed.
+    /// Updates the quarantine of the machines on which a job has failed: once the job is suspect, its
+    /// failures no longer count against them.
     fn update_quarantine_for_job(&mut self, id: JobId) {
         let has_failed_job = |machine: &&Machine| machine.failures_by_job.contains_key(&id);
         let names: Vec<MachineName> = self
@@ -100,7 +104,7 @@
         }
     }
 
-    /// Quarantines a machine, or ends its quarantine.
+    /// Quarantines a machine or ends its quarantine, depending on the failures that count against it.
     fn update_quarantine(&mut self, name: &MachineName) {
         let Some(machine) = self.machines.get(name) else {
             return;
@@ -119,8 +123,8 @@
         }
     }
 
-    /// How many of a job's failures on a machine count against the machine: all of a job that runs
-    /// elsewhere, one of a job that has yet to succeed, none of a suspect job.
+    /// How many of a job's failures on a machine count against the machine: all if a task of the job
+    /// has succeeded, one if none has yet, and none if the job is suspect.
     fn attributed_failures(&self, id: &JobId, count: u32) -> u32 {
         match self.jobs.get(id) {
             Some(job) if job.is_suspect() => 0,
@@ -129,19 +133,20 @@
         }
     }
 
-    /// Removes a suspect job from the queue, so that it takes no capacity from other jobs.
+    /// Removes a job that has become suspect from the queue, so that it takes no capacity from other jobs,
+    /// and starts to probe it.
     pub(crate) fn begin_probing(&mut self, id: JobId, now: Timestamp) {
         let Some(job) = self.jobs.get_mut(&id) else {
             return;
         };
-        tracing::info!(job = %id, "job suspected: it fails on every machine and is probed from now on");
-        let queued = std::mem::take(&mut job.next_index_to_queue);
-        self.dequeue_job(id, queued);
+        tracing::info!(job = %id, "job suspect, probing started");
+        let queued_count = std::mem::take(&mut job.next_index_to_queue);
+        self.dequeue_job(id, queued_count);
         self.job_probes.start(id, now);
     }
 
-    /// Queues one task of each suspect job whose probe is due, and all tasks of a job that has
-    /// succeeded.
+    /// Queues a probe of each suspect job for which one is due, and queues all tasks of jobs that are no
+    /// longer suspect.
     pub(crate) fn queue_probes(&mut self, now: Timestamp) {
         if self.job_probes.is_empty() {
             return;
@@ -168,7 +173,7 @@
         });
         self.job_probes = job_probes;
         for id in cleared {
-            tracing::info!(job = %id, "job no longer suspected");
+            tracing::info!(job = %id, "job no longer suspect");
             self.enqueue_job(id);
         }
     }
--- a/crates/scheduler/src/leases.rs
+++ b/crates/scheduler/src/leases.rs
@@ -1,4 +1,6 @@
-//! When a worker's lease may be renewed, and what its expiry proves.
+//! Worker leases: when a lease may be renewed, and what follows from its expiry.
+//!
+//! A worker whose lease expires kills all its tasks, so its placements can be dropped then.
 
 use crate::machine::Machine;
 use crate::partition_state::PartitionState;
@@ -6,20 +8,21 @@
 use model::{JobId, MachineName, TaskId, Timestamp};
 
 impl PartitionState {
-    /// A job was cancelled: until `until` the partition's leader may renew the leases of its machines
-    /// even if a launch of it could still arrive, and no longer.
+    /// Sets the time until which the leases of a cancelled job's machines may be renewed although a launch
+    /// of the job could still arrive there.
     pub fn bound_lease_renewal(&mut self, id: JobId, until: Timestamp) {
         if let Some(job) = self.jobs.get_mut(&id).filter(|job| job.cancelled) {
             job.leases_renewable_until = until;
         }
     }
 
-    /// Whether renewing the machine's lease is certain not to keep a task of a cancelled job running
-    /// beyond the time that a cancellation allows.
+    /// Whether the machine's lease may be renewed: not if a task of a cancelled job could then run beyond
+    /// the job's cancel deadline.
     ///
-    /// The reply to a heartbeat stops a task that the heartbeat shows, and voids launches by a
-    /// predecessor or under a lower token. It does not void a direct launch of this leader that is
-    /// unconfirmed: where the state service gives no higher token, only lease expiry does.
+    /// The reply to a heartbeat stops the tasks that the heartbeat lists, and supersedes launches by a
+    /// previous leader or under a lower token. It does not supersede an unconfirmed direct launch by this
+    /// leader under the present token. As long as the state service provides no higher token, only the
+    /// expiry of the lease does.
     pub fn may_renew_lease(&self, name: &MachineName, now: Timestamp) -> bool {
         let Some(machine) = self.machines.get(name) else {
             return true;
@@ -31,18 +34,17 @@
                     !launch.is_superseded_by(machine.token, machine.worker_epoch)
                 })
         };
-        let forbids_renewal = |task: &TaskId| {
+        let prevents_renewal = |task: &TaskId| {
             let Some(job) = self.jobs.get(&task.job) else {
                 return false;
             };
             let overdue = job.cancelled && now >= job.leases_renewable_until;
             overdue && job.placed.get(&task.index).is_some_and(launch_may_arrive)
         };
-        !machine.tasks.iter().any(forbids_renewal)
+        !machine.tasks.iter().any(prevents_renewal)
     }
 
-    /// Drops the placements on machines whose leases have expired: since no leader can have renewed
-    /// them for a whole lease, every task there is gone.
+    /// Drops the placements on machines whose leases have expired: every task there is gone.
     pub fn expire_leases(&mut self, now: Timestamp) {
         let is_expired = |machine: &&Machine| {
             !machine.tasks.is_empty()
--- a/crates/scheduler/src/lib.rs
+++ b/crates/scheduler/src/lib.rs
@@ -1,9 +1,10 @@
 //! Scheduling of one partition: placement cycles, filters and scores, quotas and guarantees,
 //! preemption, gang scheduling, and reconciliation with what workers report.
 //!
-//! Nothing here does I/O. The owner of a [`PartitionState`] feeds it jobs, machines, heartbeats and
-//! times, writes what [`PartitionState::take_dirty_chunks`] returns, and sends what
-//! [`PartitionState::commands_for`] returns.
+//! Nothing here does I/O. The partition's leader (crate `controller`) passes jobs, machines, heartbeats
+//! and the current time to a [`PartitionState`], writes the changes that
+//! [`PartitionState::take_dirty_chunks`] returns to the placement log, and sends the commands that
+//! [`PartitionState::commands_for`] returns to the workers.
 
 mod best_effort;
 mod best_effort_eviction;
--- a/crates/scheduler/src/machine.rs
+++ b/crates/scheduler/src/machine.rs
@@ -1,4 +1,5 @@
-//! A machine of the partition, as its newest status and what was sent to it show it.
+//! A machine of the partition: its capacity, the tasks placed on it, what its newest status shows, and
+//! the launches that were sent to it.
 
 use crate::placement::{DirectLaunch, TaskAttempt};
 use model::DurationExt;
@@ -12,11 +13,11 @@
 use wire::cloud::MachineType;
 use wire::workers::{ExitCause, TaskState};
 
-/// How long exited tasks are retained before the tokens are raised for them, so that one change
-/// settles those of some time.
+/// How long a worker keeps exited tasks that it must not forget yet before the partition's tokens are
+/// raised for them. One raise settles all the tasks that have exited meanwhile.
 const EXITED_TASK_RETENTION: Duration = Duration::from_secs(45);
 
-/// A task in the machine's newest status that is not placed there.
+/// A task that a machine's newest status lists but that is not placed on the machine.
 #[derive(Debug, Clone, PartialEq)]
 pub struct OrphanedTask {
     pub id: TaskAttempt,
@@ -28,11 +29,12 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PendingTransfer {
     pub to: PartitionId,
-    /// The transfer is abandoned if the machine still has tasks by then.
+    /// When the transfer is abandoned if the machine still has tasks.
     pub until: Timestamp,
 }
 
-/// A machine's position in the capacity index. The derived order is that of the index.
+/// A machine's key in the capacity index. The index is sorted by the derived order, so the order of the
+/// fields matters.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct CapacityKey {
     pub class: u32,
@@ -41,25 +43,25 @@
     pub milli_cpus: u64,
 }
 
-/// Results of liveness probes of a machine.
+/// Liveness probes of a machine and their results.
 #[derive(Debug, Clone, Copy, Default)]
 pub(crate) struct ProbeState {
     /// A probe has been sent and its result is not known yet.
     pub pending: bool,
-    /// Number of unanswered probes since the machine's last status.
+    /// Number of unanswered probes since the machine's newest status.
     pub missed: u32,
-    /// When the first of them failed.
+    /// When the first of these failed.
     pub first_missed_at: Timestamp,
-    /// When the last of them failed.
+    /// When the last of these failed.
     pub last_missed_at: Timestamp,
 }
 
-/// Where a previous leader reached a machine that has not sent its status to this one yet.
+/// Where a previous leader reached a machine that has not sent a status to this leader yet.
 #[derive(Debug, Clone)]
 pub(crate) struct ReplicatedEndpoint {
     pub address: String,
     pub worker_epoch: WorkerEpoch,
-    /// It sent heartbeats to the previous leader.
+    /// Whether it sent heartbeats to the previous leader.
     pub reporting: bool,
 }
 
@@ -74,84 +76,87 @@
     pub capacity: Resources,
     pub cache_gb: f64,
     pub fetch_gb_per_s: f64,
-    /// Needs of all placed tasks.
+    /// Resources of all tasks that are placed here.
     pub used: Resources,
-    /// Capacity reserved for entries of the queue.
+    /// Resources that are reserved here for queue entries.
     pub(crate) reserved: Resources,
     /// The gang for which the machine is reserved.
     pub(crate) reserved_for_gang: Option<JobId>,
-    /// Since when a machine with GPUs has had no GPU work.
+    /// Since when a machine with GPUs has had tasks, but no GPU work among them.
     pub(crate) no_gpu_work_since: Option<Timestamp>,
-    /// Its position in the capacity index; none if it accepts no tasks.
+    /// Its key in the capacity index; none while it is not in the index.
     pub(crate) capacity_key: Option<CapacityKey>,
     /// Tasks that are placed here.
     pub tasks: BTreeSet<TaskId>,
-    /// Number of replicas of services among them.
+    /// Number of replicas of services among the tasks.
     pub replica_count: u64,
-    /// Number of best-effort tasks among them.
+    /// Number of best-effort tasks among the tasks.
     pub best_effort_count: u64,
-    /// Needs of the best-effort tasks.
+    /// Resources of the best-effort tasks.
     pub best_effort_used: Resources,
-    /// When the last task that is not best-effort was removed.
+    /// When the number of tasks that are not best-effort last dropped to 0.
     pub last_regular_removed_at: Timestamp,
-    /// Fencing token of the replies and commands to it.
+    /// Fencing token under which this leader sends replies and commands to it.
     pub token: FencingToken,
     /// Worker epoch in its newest status.
     pub worker_epoch: WorkerEpoch,
     /// Sequence number of its newest status.
     pub sequence_number: SequenceNumber,
-    /// Highest token that the worker reports to have seen.
+    /// Highest fencing token that the worker has reported to have seen.
     pub seen_token: FencingToken,
-    /// When its newest status came in, by a heartbeat or the response to a direct call; none: no status
-    /// since this controller leads the partition.
+    /// When its newest status came in, by a heartbeat or in the response to a direct call. None if this
+    /// leader has had no status of it.
     pub last_seen_at: Option<Timestamp>,
-    /// What a previous leader replicated, until the machine sends its own status.
+    /// Where a previous leader reached it, from the replicated records; none once the machine has sent a
+    /// status to this leader.
     pub(crate) replicated_endpoint: Option<ReplicatedEndpoint>,
     pub(crate) probe_state: ProbeState,
-    /// Since when nothing has shown that what is sent to it arrives, although its heartbeats may: see the
-    /// module `liveness`.
+    /// Since when it has been suspected that replies and commands do not reach it, although its heartbeats
+    /// may arrive here: see the module `liveness`.
     pub(crate) suspected_since: Option<Timestamp>,
     /// When its lease was last renewed by the reply to a heartbeat.
     pub lease_renewed_at: Timestamp,
-    /// When a direct launch was last sent to it. A worker epoch without any renewal still lasts for one
-    /// lease from its start, and the launch named an epoch that had started by then.
+    /// When a direct launch was last sent to it. Lease expiry counts from then too: a worker epoch lasts
+    /// for one lease from its start even if the lease is never renewed, and the epoch that the launch named
+    /// had started by then.
     pub last_direct_call_at: Timestamp,
-    /// When its newest heartbeat came in, as opposed to the response to a direct call: only heartbeats
-    /// renew its lease, so only they make it usable for new tasks.
+    /// When its newest heartbeat came in. Responses to direct calls do not count: only the reply to a
+    /// heartbeat renews its lease, so only heartbeats make it usable for new tasks.
     pub last_heartbeat_at: Option<Timestamp>,
-    /// When the cloud reclaims it.
+    /// When the cloud will reclaim it, if the worker has been notified.
     pub reclaim_at: Option<Timestamp>,
     /// It is being transferred to another partition or returned to the cloud.
     pub leaving: bool,
-    /// Tasks of different jobs have failed on it.
+    /// It gets no new tasks, since tasks of different jobs have failed on it.
     pub quarantined: bool,
-    /// Failures since the last success, by job.
+    /// Number of failed tasks since a task last succeeded on it, by job.
     pub failures_by_job: BTreeMap<JobId, u32>,
-    /// Tasks in its newest status that are not placed here.
+    /// Tasks that its newest status lists but that are not placed here.
     pub orphaned_tasks: Vec<OrphanedTask>,
-    /// Cached images with their sizes in gigabytes, least recently used first.
+    /// Cached images with their sizes in GB, the least recently used first.
     pub images: Vec<(Arc<str>, f64)>,
     /// Since when no task has been placed here.
     pub idle_since: Timestamp,
-    /// To be transferred as soon as it has no tasks; it takes no new ones until then.
+    /// The transfer for which it takes no new tasks; it is transferred as soon as it has none.
     pub pending_transfer: Option<PendingTransfer>,
-    /// Until then its tasks are moved elsewhere and it takes no new ones.
+    /// Until when it takes no new tasks, because its tasks are being moved to other machines.
     pub draining_until: Option<Timestamp>,
-    /// Launches in the reply to the newest heartbeat, which may not have arrived yet: only the next
-    /// heartbeat shows that the reply has arrived or was lost.
+    /// Launches that were sent in the reply to its newest heartbeat. The reply may still be on its way:
+    /// only the next heartbeat shows that it has arrived or was lost.
     pub response_launches: Vec<TaskAttempt>,
-    /// Direct launches of attempts that the worker may still remember. A copy of one may arrive at any
-    /// later time, even of one that was answered.
+    /// Direct launches of attempts that the worker may still remember. The network may deliver a copy of a
+    /// launch at any later time, even after it has been answered.
     pub(crate) direct_launches: BTreeMap<TaskAttempt, DirectLaunch>,
-    /// Since when it has had exited tasks that must not be forgotten before it has seen a higher token.
+    /// Since when it has had exited tasks that the worker must not forget before it has seen a higher
+    /// token.
     pub(crate) exited_retained_since: Option<Timestamp>,
-    /// The least upper bound of all lost direct launches. Until it is superseded, the worker may execute
-    /// one of them.
+    /// The highest token and the highest worker epoch of all lost direct launches. Until the worker has
+    /// superseded this bound, it may execute one of them.
     pub lost_launch_bound: Option<DirectLaunch>,
 }
 
 impl Machine {
-    /// Adds a placed task to the counts.
+    /// Adds a placed task and counts it.
     pub fn add_task(&mut self, task: TaskId, spec: &JobSpec) {
         if self.tasks.insert(task) {
             self.used += spec.needs;
@@ -168,7 +173,7 @@
         self.tasks.len() as u64 - self.best_effort_count
     }
 
-    /// Removes a task from the counts.
+    /// Removes a task and no longer counts it.
     pub fn remove_task(&mut self, task: TaskId, spec: &JobSpec, now: Timestamp) {
         if self.tasks.remove(&task) {
             self.used -= spec.needs;
@@ -188,20 +193,24 @@
     /// A machine that has not sent its status yet.
     pub fn new(
         name: MachineName,
-        kind: &MachineType,
+        machine_type: &MachineType,
         zone: ZoneName,
         spot: bool,
         token: FencingToken,
     ) -> Self {
         Machine {
             name,
-            machine_type: kind.name.clone(),
+            machine_type: machine_type.name.clone(),
             zone,
             spot,
             address: None,
-            capacity: Resources::offered(kind.cpus, kind.gpus, kind.memory_gb),
-            cache_gb: kind.cache_gb,
-            fetch_gb_per_s: kind.fetch_gb_per_s,
+            capacity: Resources::offered(
+                machine_type.cpus,
+                machine_type.gpus,
+                machine_type.memory_gb,
+            ),
+            cache_gb: machine_type.cache_gb,
+            fetch_gb_per_s: machine_type.fetch_gb_per_s,
             used: Resources::default(),
             reserved: Resources::default(),
             reserved_for_gang: None,
@@ -239,7 +248,7 @@
         }
     }
 
-    /// Capacity that is not used; part of it may be reserved.
+    /// Capacity that no placed task uses; part of it may be reserved.
     pub fn free(&self) -> Resources {
         self.capacity.saturating_sub(&self.used)
     }
@@ -249,8 +258,7 @@
         self.images.iter().any(|(name, _)| &**name == image)
     }
 
-    /// Notes that a task with this image has fetched it; returns the images that were evicted from the
-    /// cache.
+    /// Records that a task has fetched or used an image. Returns the images that the cache evicts for it.
     pub(crate) fn touch_image(&mut self, image: &Arc<str>, gb: f64) -> Vec<Arc<str>> {
         self.images.retain(|(name, _)| name != image);
         self.images.push((image.clone(), gb));
@@ -265,7 +273,7 @@
     }
 
     /// Whether new tasks may be placed here.
-    pub fn usable(&self, now: Timestamp, heartbeat_grace: Duration) -> bool {
+    pub fn usable(&self, now: Timestamp, heartbeat_timeout: Duration) -> bool {
         !self.leaving
             && self.pending_transfer.is_none()
             && self.draining_until.is_none_or(|until| now >= until)
@@ -276,15 +284,16 @@
             && self.seen_token <= self.token
             && self
                 .last_heartbeat_at
-                .is_some_and(|at| now.duration_since(at) <= heartbeat_grace)
+                .is_some_and(|at| now.duration_since(at) <= heartbeat_timeout)
     }
 
-    /// Whether the worker will not execute the launch any more.
+    /// Whether the worker certainly no longer executes the launch.
     pub(crate) fn has_superseded(&self, launch: &DirectLaunch) -> bool {
         launch.is_superseded_by(self.seen_token, self.worker_epoch)
     }
 
-    /// A direct launch was lost that could start a task again after the worker has forgotten it.
+    /// Records a lost direct launch: if it arrived after the worker has forgotten the task, it would start
+    /// the task again.
     pub fn record_lost_launch(&mut self, launch: DirectLaunch) {
         let previous = self.lost_launch_bound.unwrap_or_default();
         self.lost_launch_bound = Some(DirectLaunch {
@@ -293,24 +302,26 @@
         });
     }
 
-    /// Whether no launch of an exited task can arrive any more that the worker would execute.
+    /// Whether the worker may forget an exited task: it no longer executes any direct launch of it.
     ///
-    /// A launch of an attempt that the worker remembers has no effect, so a copy of it does harm only
-    /// after the worker has forgotten the attempt; even if the task was done, since its job may have been
-    /// cancelled after that.
+    /// A launch of an attempt that the worker remembers has no effect. A late copy that arrives after the
+    /// worker has forgotten the attempt starts it again. That does harm even if the task was done, since
+    /// its job may have been cancelled after that.
     pub(crate) fn may_forget(&self, orphan: &OrphanedTask) -> bool {
         self.direct_launches
             .get(&orphan.id)
             .is_none_or(|launch| self.has_superseded(launch))
     }
 
-    /// Updates since when exited tasks are retained, and drops launches that no longer matter.
+    /// Updates since when there are exited tasks that must not be forgotten, and drops the direct launches
+    /// of tasks that are neither placed here nor listed by the newest status.
     pub(crate) fn update_exited_tasks(&mut self, now: Timestamp) {
         let orphaned_tasks = std::mem::take(&mut self.orphaned_tasks);
-        let retains_any = orphaned_tasks
+        let has_retained = orphaned_tasks
             .iter()
             .any(|orphan| orphan.state == TaskState::Exited && !self.may_forget(orphan));
-        self.exited_retained_since = retains_any.then(|| self.exited_retained_since.unwrap_or(now));
+        self.exited_retained_since =
+            has_retained.then(|| self.exited_retained_since.unwrap_or(now));
         let tasks = &self.tasks;
         self.direct_launches.retain(|launched, _| {
             tasks.contains(&launched.task)
@@ -319,13 +330,14 @@
         self.orphaned_tasks = orphaned_tasks;
     }
 
-    /// Whether its record must get a higher token to supersede a lost launch.
+    /// Whether its record must get a higher token to supersede a lost launch: the worker has already seen
+    /// the present one.
     pub fn lost_launch_needs_higher_token(&self) -> bool {
         self.lost_launch_bound.is_some() && self.seen_token >= self.token
     }
 
-    /// Whether it has retained exited tasks for so long that all machines of the partition should get a
-    /// higher token.
+    /// Whether its worker has had to keep exited tasks for so long that all machines of the partition
+    /// should get a higher token.
     pub fn exited_tasks_need_higher_token(&self, now: Timestamp) -> bool {
         let is_due = self
             .exited_retained_since
@@ -334,21 +346,22 @@
     }
 
     /// Whether its lease was renewed so recently that it should not have expired.
-    pub(crate) fn lease_should_be_valid(&self, lease: Duration, now: Timestamp) -> bool {
+    pub(crate) fn lease_should_be_valid(&self, lease_duration: Duration, now: Timestamp) -> bool {
         self.lease_renewed_at > Timestamp::default()
-            && now.duration_since(self.lease_renewed_at) < lease
+            && now.duration_since(self.lease_renewed_at) < lease_duration
     }
 
-    /// Whether its heartbeats arrive here while nothing that is sent to it arrives there.
+    /// Whether its heartbeats arrive here although it is suspected that nothing sent to it arrives there.
     pub fn is_unreachable(&self) -> bool {
         self.suspected_since
             .is_some_and(|since| self.last_heartbeat_at.is_some_and(|at| at > since))
     }
 
-    /// The reply to a heartbeat renews the machine's lease.
+    /// Records that the reply to a heartbeat renews the machine's lease.
     ///
-    /// A heartbeat that is not newer than the known status was sent before that status came in, so the
-    /// reply to it renews the lease from then only: a late copy of a heartbeat does not defer lease expiry.
+    /// `is_newer`: the heartbeat is newer than the status known before. Any other heartbeat was sent before
+    /// the known status came in, so the reply to it renews the lease only from that time on: a late copy of
+    /// a heartbeat does not defer lease expiry.
     pub fn renew_lease(&mut self, is_newer: bool, now: Timestamp) {
         let renewed_at = if is_newer {
             now
@@ -358,18 +371,18 @@
         self.lease_renewed_at = self.lease_renewed_at.max(renewed_at);
     }
 
-    /// Whether every task must be gone, because no leader can have renewed the lease for its whole
-    /// duration.
+    /// Whether its lease must have expired, so that all its tasks are gone: for the whole duration of a
+    /// lease, clock drift included, no leader can have renewed it.
     pub fn lease_expired(
         &self,
         now: Timestamp,
         predecessors_valid_until: Timestamp,
-        lease: Duration,
+        lease_duration: Duration,
     ) -> bool {
         now > self
             .lease_renewed_at
             .max(self.last_direct_call_at)
             .max(predecessors_valid_until)
-            + lease.with_clock_drift()
+            + lease_duration.with_clock_drift()
     }
 }
--- a/crates/scheduler/src/partition_state.rs
+++ b/crates/scheduler/src/partition_state.rs
@@ -1,8 +1,9 @@
 //! The state of one partition: its jobs, machines, teams and scheduling queue.
 //!
-//! [`PartitionState`] keeps what concerns several of them; each part that has rules of its own is a
-//! type in a module of its own. The operations on the state are in the modules named after them:
-//! `job_lifecycle`, `placements`, `durability`, `guarantees`, `leases`, `reconciliation`, `commands`.
+//! [`PartitionState`] holds the state that several modules work on; each part of it with rules of its
+//! own is a type in a separate module. The operations on the state are implemented in the modules that
+//! are named after them: `job_lifecycle`, `placements`, `durability`, `guarantees`, `leases`,
+//! `reconciliation`, `commands`.
 
 use crate::capacity_index::CapacityIndex;
 use crate::job::Job;
@@ -25,83 +26,84 @@
 use std::time::Duration;
 use wire::cloud::MachineType;
 
-/// The state of a partition under one leader.
+/// The state of a partition, as its leader keeps it during one term.
 #[derive(Debug)]
 pub struct PartitionState {
     pub policy: Policy,
-    /// Duration of a worker's lease.
+    /// Time from the renewal of a worker's lease to its expiry.
     pub lease_duration: Duration,
-    /// How long tasks of a gang wait for each other.
+    /// How long a gang's task waits for the other tasks of the gang to start.
     pub gang_start_timeout: Duration,
-    /// Regular interval between heartbeats; workers may take a quarter longer.
+    /// Regular interval between two heartbeats of a worker. A worker may take a quarter longer.
     pub heartbeat_interval: Duration,
-    /// Since when this process has been running without interruption. Missed heartbeats before that
-    /// prove nothing about workers.
+    /// Since when this process has been running without a pause. Heartbeats that were missed before
+    /// prove nothing about the workers.
     pub running_since: Timestamp,
     /// Since when this controller has led the partition.
     pub leading_since: Timestamp,
-    /// Most machines have sent a heartbeat since then, or have had the time to.
+    /// Most machines have sent a heartbeat to this leader, or have had the time to.
     pub(crate) inventory_known: bool,
-    /// How far the clock of [`Job::submitted_at_ms`], which all controllers share, is ahead of this controller's.
+    /// How far the clock of [`Job::submitted_at_ms`], which all controllers share, is ahead of this controller's
+    /// steady clock.
     pub logical_clock_offset: Duration,
-    /// Until when a previous leader may have renewed the lease of any machine.
+    /// The latest time at which a previous leader may have renewed the lease of a worker.
     pub predecessors_valid_until: Timestamp,
-    /// Time within which jobs of a class should complete if they have no deadline of their own.
+    /// Time within which a job of a class should complete if it has no deadline of its own, by class.
     pub completion_objectives: BTreeMap<String, Duration>,
-    /// Waiting work would take longer than its users are prepared to wait.
+    /// The waiting work would occupy the machines for longer than its users are prepared to wait.
     pub(crate) overloaded: bool,
-    /// Zones in which machines are offered, the nearest first.
+    /// Zones in which machines can be rented, that of the partition's preferred leader first.
     pub zones: Vec<ZoneName>,
-    /// Gangs that did not fit and wait, one of each kind.
+    /// Gangs that wait after they failed to fit, one for each set of placement requirements.
     pub(crate) waiting_gangs: Vec<JobId>,
-    /// Machine types that are offered, see [`PartitionState::set_machine_types`].
+    /// Machine types that the cloud offers, see [`PartitionState::set_machine_types`].
     pub(crate) machine_types: Vec<MachineType>,
-    /// Machines that are kept for gangs that did not fit.
+    /// Machines that are reserved for gangs that did not fit.
     pub(crate) gang_reservations: BTreeMap<JobId, GangReservation>,
     pub jobs: BTreeMap<JobId, Job>,
     pub machines: BTreeMap<MachineName, Machine>,
     pub teams: TeamQuotas,
     pub queue: SchedulingQueue<EntryKey, Rank>,
     pub(crate) term: FencingToken,
-    /// Number of attempts that were started under this term.
+    /// Number of attempts that have been created under this term.
     pub(crate) attempts: u64,
     pub(crate) uncommitted: UncommittedProgress,
-    /// Jobs that have reached their terminal state, which is not written yet.
+    /// Jobs that have reached a terminal state and are not yet handed over to be recorded.
     pub(crate) finished: Vec<JobId>,
-    /// Machines to which commands are to be sent without waiting for their next heartbeat.
+    /// Machines to which commands are to be sent by a direct call, before their next heartbeat.
     pub(crate) urgent_machines: BTreeSet<MachineName>,
-    /// Free capacity that is kept for entries for which tasks are being preempted.
+    /// Free capacity that is reserved for queue entries while tasks are being preempted for them.
     pub(crate) reservations: HashMap<EntryKey, Reservation>,
-    /// The machines that accept tasks, by free capacity and cached images.
+    /// Index of the machines that accept tasks, by free capacity and by cached image.
     pub(crate) capacity_index: CapacityIndex,
-    /// When the capacity index was last refreshed.
     pub(crate) capacity_index_refreshed_at: Timestamp,
     pub(crate) zone_alarms: ZoneAlarms,
     pub(crate) preemption_candidates: PreemptionCandidates,
-    /// Jobs that are not best-effort and lately found no free capacity: when.
-    pub(crate) unplaced_since: BTreeMap<JobId, Timestamp>,
+    /// When each job that is not best-effort last found no free capacity.
+    pub(crate) last_unplaced_at: BTreeMap<JobId, Timestamp>,
     pub(crate) job_probes: JobProbes,
-    /// When replicas were last consolidated.
+    /// When a consolidation of replicas was last attempted.
     pub(crate) consolidated_at: Timestamp,
-    /// How often tasks found no machine, for the metrics.
+    /// How often tasks found no suitable machine, by reason, for the metrics.
     pub rejections: RejectionCounts,
-    /// Times from submission to placement in milliseconds, for the metrics.
+    /// How long tasks have waited for their placement, since their job was first seen by this leader, in
+    /// milliseconds. For the metrics.
     pub placement_waits_ms: Vec<u64>,
 }
 
 impl PartitionState {
-    /// The state of a partition without jobs and machines, led under `term`. Each team comes with its
-    /// guarantee and its limit.
+    /// The state of a partition without jobs and machines, led under `term`. `teams` holds each team with
+    /// its guarantee and its limit.
     pub fn new(
         teams: impl IntoIterator<Item = (TeamName, Resources, Resources)>,
-        lease: Duration,
+        lease_duration: Duration,
         policy: Policy,
         queue: QueueConfig,
         term: FencingToken,
     ) -> Self {
         PartitionState {
             policy,
-            lease_duration: lease,
+            lease_duration,
             gang_start_timeout: Duration::from_millis(u64::MAX),
             heartbeat_interval: Duration::ZERO,
             running_since: Timestamp::default(),
@@ -129,7 +131,7 @@
             capacity_index_refreshed_at: Timestamp::default(),
             zone_alarms: ZoneAlarms::default(),
             preemption_candidates: PreemptionCandidates::default(),
-            unplaced_since: BTreeMap::new(),
+            last_unplaced_at: BTreeMap::new(),
             job_probes: JobProbes::default(),
             consolidated_at: Timestamp::default(),
             rejections: RejectionCounts::default(),
@@ -148,7 +150,7 @@
         self.jobs.get(&task.job)?.placed.get(&task.index)
     }
 
-    /// The placement of a task, to be changed.
+    /// The placement of a task, for changes to it.
     pub(crate) fn placement_mut(&mut self, task: TaskId) -> Option<&mut Placement> {
         self.jobs.get_mut(&task.job)?.placed.get_mut(&task.index)
     }
@@ -158,23 +160,23 @@
         Duration::from_millis(self.heartbeat_interval.whole_millis() * 5 / 4)
     }
 
-    /// A machine whose last heartbeat is older gets no new tasks. The timeout follows the interval:
-    /// with a fixed 4 s, idle machines of a site with an interval of 6 s would take no tasks for part
-    /// of the time.
+    /// Age of a machine's last heartbeat beyond which it gets no new tasks. It depends on the heartbeat
+    /// interval: with a fixed timeout of 4 s, idle machines of a site with an interval of 6 s would get no
+    /// tasks for part of the time.
     pub(crate) fn heartbeat_timeout(&self) -> Duration {
         self.longest_heartbeat_interval() + self.policy.heartbeat_grace
     }
 
-    /// Sets the machine types that are offered. Work without GPUs runs on machines with GPUs only
-    /// beside GPU work, unless no other type has enough capacity for it.
-    pub fn set_machine_types(&mut self, types: &[MachineType]) {
-        self.machine_types = types.to_vec();
+    /// Sets the machine types that the cloud offers. A job that needs no GPUs runs on machines with GPUs
+    /// only beside GPU work, unless no type without GPUs has enough capacity for its tasks.
+    pub fn set_machine_types(&mut self, machine_types: &[MachineType]) {
+        self.machine_types = machine_types.to_vec();
         for job in self.jobs.values_mut() {
-            job.colocated_only = job.spec.does_without_gpus(types);
+            job.colocated_only = job.spec.does_without_gpus(machine_types);
         }
     }
 
-    /// Adds a machine to the partition.
+    /// Adds a machine to the partition, unless it is there already.
     pub fn add_machine(&mut self, machine: Machine, now: Timestamp) {
         let name = machine.name.clone();
         if self.machines.contains_key(&name) {
@@ -184,8 +186,8 @@
         self.queue.move_all(now);
     }
 
-    /// Removes a machine: the cloud has confirmed that it and everything on it are gone, or it has left
-    /// the partition while empty.
+    /// Removes a machine, after the cloud has confirmed that it no longer exists, or after it has left
+    /// the partition without tasks. All its tasks count as gone.
     pub fn remove_machine(&mut self, name: &MachineName, now: Timestamp) {
         let Some(machine) = self.machines.get(name) else {
             return;
@@ -200,13 +202,13 @@
         }
     }
 
-    /// Machines to which commands are to be sent without waiting for their next heartbeat, since the
-    /// last call.
+    /// Takes the machines to which commands are to be sent by a direct call, before their next heartbeat.
     pub fn take_urgent_machines(&mut self) -> BTreeSet<MachineName> {
         std::mem::take(&mut self.urgent_machines)
     }
 
-    /// Addresses of at most `limit` machines, those with the most recent status first.
+    /// Addresses of at most `limit` machines that are not about to be reclaimed, those with the most
+    /// recent status first.
     pub fn addresses(&self, limit: usize) -> Vec<(MachineName, String)> {
         let mut reachable: Vec<&Machine> = self
             .machines
--- a/crates/scheduler/src/reconciliation.rs
+++ b/crates/scheduler/src/reconciliation.rs
@@ -1,4 +1,8 @@
-//! Reconciliation: what a worker's status proves is compared with what is placed on its machine.
+//! Reconciliation of the partition's state with the statuses of workers.
+//!
+//! A status shows which tasks are on a machine. The placements there are updated by what it proves: a task
+//! is launched, runs, has exited, or is gone. Tasks that it lists without a placement become orphaned
+//! tasks.
 
 use crate::job::Job;
 use crate::machine::{Machine, OrphanedTask};
@@ -11,19 +15,20 @@
 use std::time::Duration;
 use wire::workers::{ExitCause, Heartbeat, TaskState, TaskStatus};
 
-/// How long before a machine is reclaimed its tasks are stopped, in addition to the time to save.
+/// How long before a machine is reclaimed its tasks are stopped, in addition to the time that saving a
+/// checkpoint takes.
 const RECLAIM_MARGIN: Duration = Duration::from_millis(2_500);
 
 /// How a worker's status arrived.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum StatusSource {
-    /// By a heartbeat: the worker has processed the reply to the previous one, or will never do so.
+    /// In a heartbeat: the worker has processed the reply to the previous heartbeat, or never will.
     Heartbeat,
-    /// In the response to a direct call: the reply to a heartbeat may still be on its way.
+    /// In the response to a direct call: the reply to the last heartbeat may still be on its way.
     Direct,
 }
 
-/// A worker's status with its raw fields converted.
+/// A worker's status, with the fields of the message converted to the types of the model.
 struct Status<'a> {
     machine: MachineName,
     worker_epoch: WorkerEpoch,
@@ -44,7 +49,7 @@
 }
 
 impl<'a> Status<'a> {
-    /// Tasks whose names cannot be parsed are left out.
+    /// Converts a message; tasks whose ids cannot be parsed are left out.
     fn new(heartbeat: &'a Heartbeat, source: StatusSource, received_at: Timestamp) -> Self {
         let listed = |status: &'a TaskStatus| {
             let id = TaskAttempt {
@@ -78,8 +83,10 @@
 }
 
 impl PartitionState {
-    /// Reconciles the state with a heartbeat, or with the status in the response to a direct call.
-    /// Returns false if it is not newer than the known status: then it proves nothing.
+    /// Reconciles the state with the status in a heartbeat or in the response to a direct call.
+    ///
+    /// Returns false, without any change, if the machine is unknown or the status is not newer than the
+    /// known one: an older status proves nothing.
     pub fn reconcile(
         &mut self,
         heartbeat: &Heartbeat,
@@ -115,7 +122,7 @@
         true
     }
 
-    /// Updates a placement on the machine by what the status shows of it.
+    /// Updates a placement on the machine from what the status shows of its task.
     fn observe_placement(&mut self, task: TaskId, status: &Status<'_>) {
         let Some(machine) = self.machines.get_mut(&status.machine) else {
             return;
@@ -132,8 +139,8 @@
         }
         let attempt = placement.attempt;
         let Some(listed) = status.find(TaskAttempt { task, attempt }) else {
-            let has_token = status.token >= machine.token;
-            self.handle_absent_task(task, has_token, status);
+            let has_seen_token = status.token >= machine.token;
+            self.handle_absent_task(task, has_seen_token, status);
             return;
         };
         placement.last_status = Some(listed.state);
@@ -157,8 +164,9 @@
         }
     }
 
-    /// A newer status does not show the task. `has_token`: the worker has seen this leader's token.
-    fn handle_absent_task(&mut self, task: TaskId, has_token: bool, status: &Status<'_>) {
+    /// Handles a placed task that a newer status does not list. `has_seen_token`: the worker has seen this
+    /// leader's token.
+    fn handle_absent_task(&mut self, task: TaskId, has_seen_token: bool, status: &Status<'_>) {
         let Some(machine) = self.machines.get_mut(&status.machine) else {
             return;
         };
@@ -169,7 +177,7 @@
             return;
         };
         if let Some(launch) = placement.launch.unconfirmed_direct() {
-            // The launch may still arrive: the task stays bound to its machine.
+            // The launch may still arrive, so the task keeps its placement.
             if placement.stop.is_some() || placement.last_status.is_some() {
                 machine.record_lost_launch(launch);
             }
@@ -178,8 +186,8 @@
         if placement.launch.is_launched_in_response() && status.source == StatusSource::Direct {
             return;
         }
-        // Until the worker has seen this leader's token, a previous leader's command may arrive.
-        if placement.launch == LaunchState::Inherited && !has_token {
+        // Until the worker has seen this leader's token, it may still execute a previous leader's launch.
+        if placement.launch == LaunchState::Inherited && !has_seen_token {
             return;
         }
         let was_launched = placement.launch.is_launched();
@@ -187,9 +195,9 @@
         let was_running = placement.last_status.take().is_some();
         let is_lost_gang_member =
             job.spec.kind == JobKind::Gang && was_launched && job.gang_started_at.is_some();
-        // Either the task was there and is gone because of a new worker epoch, or it was never there
-        // and is no longer wanted, or a repeated launch would not reach the machine either. Otherwise
-        // the launch was lost with its reply; it is sent again to the same machine.
+        // The placement is dropped if the task was there and is gone because of a new worker epoch, if it
+        // never arrived and is no longer wanted, or if a repeated launch would not arrive either. Otherwise
+        // the launch was lost together with a reply and is sent to the same machine again.
         if placement.stop.is_some()
             || was_running
             || is_lost_gang_member
@@ -199,7 +207,8 @@
         }
     }
 
-    /// An exited task: its outcome is recorded, and the worker forgets it once that is durable.
+    /// Records the outcome of an exited task and drops its placement. The worker is told to forget the task
+    /// once the outcome is durable.
     fn handle_exit(&mut self, task: TaskId, cause: ExitCause, now: Timestamp) {
         let Some(placement) = self.placement(task) else {
             return;
@@ -208,7 +217,7 @@
         let name = placement.machine.clone();
         let is_stopped = placement.stop.is_some();
         if let Some(launch) = placement.launch.unconfirmed_direct() {
-            // If the worker forgot the task now, the lost launch could start it again.
+            // If the worker forgot the task now, the unconfirmed launch could start it again.
             if let Some(machine) = self.machines.get_mut(&name) {
                 machine.record_lost_launch(launch);
             }
@@ -239,7 +248,7 @@
         };
         job.successes += 1;
         if job.spec.kind == JobKind::Gang {
-            // The first task that is done completes the whole gang.
+            // The first task of a gang that is done completes the whole gang.
             for index in 0..job.spec.tasks {
                 job.mark_done(index);
             }
@@ -251,7 +260,7 @@
         }
     }
 
-    /// Tasks in the status that are not placed on the machine.
+    /// Updates the orphaned tasks of a machine: those that the status lists but that are not placed there.
     fn update_orphaned_tasks(&mut self, status: &Status<'_>) {
         let is_placed_here = |id: TaskAttempt| {
             self.placement(id.task).is_some_and(|placement| {
@@ -274,16 +283,16 @@
         }
     }
 
-    /// Stops the tasks on machines shortly before the cloud reclaims them. Tasks that save get the time
-    /// to do so, and for all of them the exit is proof at once, whereas tasks of a machine that is gone
-    /// have to be waited for until its lease expires.
+    /// Stops the tasks on machines shortly before the cloud reclaims these. Tasks with checkpoints get the
+    /// time to save one. A reported exit proves at once that a task is gone, whereas tasks on a machine
+    /// that vanishes count as running until its lease expires.
     pub fn drain_reclaimed_machines(&mut self, now: Timestamp) {
         let mut stops: Vec<TaskId> = Vec::new();
         for machine in self.machines.values() {
-            let Some(reclaimed_at) = machine.reclaim_at else {
+            let Some(reclaim_at) = machine.reclaim_at else {
                 continue;
             };
-            let left_ms = reclaimed_at.as_millis().saturating_sub(now.as_millis());
+            let left_ms = reclaim_at.as_millis().saturating_sub(now.as_millis());
             let left = Duration::from_millis(left_ms);
             let is_due = |task: &&TaskId| self.must_stop_before_reclaim(**task, left);
             stops.extend(machine.tasks.iter().filter(is_due));
@@ -299,7 +308,8 @@
         }
     }
 
-    /// Whether a task on a machine that is reclaimed in `left` must be stopped now and is not yet.
+    /// Whether a task must be stopped now because its machine is reclaimed in `left`; false if it is being
+    /// stopped already.
     fn must_stop_before_reclaim(&self, task: TaskId, left: Duration) -> bool {
         let Some(job) = self.jobs.get(&task.job) else {
             return false;
@@ -317,25 +327,25 @@
 }
 
 impl Machine {
-    /// Updates whether commands and replies are suspected not to reach the machine. Returns true if it
-    /// has just been shown that they do.
-    fn update_suspicion(&mut self, status: &Status<'_>, lease: Duration) -> bool {
+    /// Updates whether the machine is suspected of not receiving commands and replies. Returns true if the
+    /// status shows that a suspected machine receives them again.
+    fn update_suspicion(&mut self, status: &Status<'_>, lease_duration: Duration) -> bool {
         if status.source == StatusSource::Direct && self.suspected_since.take().is_some() {
             tracing::debug!(machine = %status.machine, "machine reachable again");
             return true;
         }
-        // Its lease has expired although it was renewed: the replies do not reach it.
+        // Its lease has expired although replies have renewed it: they do not reach the machine.
         let lost_lease = status.source == StatusSource::Heartbeat
             && self.last_seen_at.is_some()
             && status.worker_epoch > self.worker_epoch
-            && self.lease_should_be_valid(lease, status.received_at);
+            && self.lease_should_be_valid(lease_duration, status.received_at);
         if lost_lease {
             self.suspected_since.get_or_insert(status.received_at);
         }
         false
     }
 
-    /// Takes over what a newer status says of the machine itself.
+    /// Updates the machine's own fields from a newer status.
     fn apply_status(&mut self, status: &Status<'_>) {
         let now = status.received_at;
         let is_first = self.last_seen_at.is_none();
@@ -346,13 +356,14 @@
         self.probe_state.missed = 0;
         if status.source == StatusSource::Heartbeat {
             self.last_heartbeat_at = Some(now);
-            // One heartbeat is in flight at a time, so the reply to the previous one is settled.
+            // A worker sends one heartbeat at a time, so the reply to the previous one has arrived or is
+            // lost.
             self.response_launches.clear();
         }
         self.address = Some(status.address.to_owned());
         if let Some(endpoint) = self.replicated_endpoint.take() {
-            // It sent heartbeats to the previous leader until just now, and has one interval to find
-            // this one.
+            // It has sent heartbeats to the previous leader until recently: this status counts as one,
+            // which gives it one interval to find this leader.
             if endpoint.reporting && endpoint.worker_epoch == status.worker_epoch {
                 self.last_heartbeat_at.get_or_insert(now);
             }
@@ -361,7 +372,8 @@
         if is_first && self.tasks.is_empty() {
             self.idle_since = now;
         }
-        // Any status may show the current token: only a higher one than the launch's supersedes it.
+        // A status with the token of the launch is not enough: only a higher token or a later worker epoch
+        // supersedes the launch.
         if self
             .lost_launch_bound
             .is_some_and(|launch| self.has_superseded(&launch))
--- a/crates/scheduler/src/transfers.rs
+++ b/crates/scheduler/src/transfers.rs
@@ -1,5 +1,5 @@
-//! Transfers of machines to other partitions, and the machine statuses from which the fleet planner
-//! decides on them.
+//! Transfers of machines to other partitions, and the machine statuses on which the fleet planner bases its
+//! decisions.
 
 use crate::colocation::is_colocated;
 use crate::job::Job;
@@ -11,32 +11,36 @@
 use std::time::Duration;
 use wire::mesh::{DemandShape, MachineStatus};
 
-/// How long a machine that is to be transferred is kept free for that.
+/// How long a machine may take to become empty for a transfer; until then it gets no new tasks.
 const TRANSFER_TIMEOUT: Duration = Duration::from_secs(40);
 
-/// A machine that may be transferred. Candidates are chosen in the order of their fields.
+/// A machine that may be transferred. Candidates are chosen in the derived order, so the order of the
+/// fields matters.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 struct TransferCandidate {
-    /// Its tasks are not evicted: the transfer waits until they have ended.
+    /// Whether the transfer waits until its tasks have ended; otherwise they are evicted.
     waits_for_tasks: bool,
-    /// How long its tasks still run, as far as estimates tell.
+    /// Estimated time until all its tasks have ended.
     empty_in: Duration,
     machine: MachineName,
 }
 
-/// A machine with GPUs, in the order in which machines can be spared.
+/// A machine with GPUs. The derived order is the one in which machines are given away, so the order of the
+/// fields matters.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 struct GpuMachine<'a> {
-    /// GPUs that guaranteed work uses there.
+    /// GPUs that guaranteed work uses on it, in thousandths.
     guaranteed_milli_gpus: u64,
     name: &'a MachineName,
     milli_gpus: u64,
 }
 
 impl PartitionState {
-    /// Machines with GPUs that the guaranteed work of the partition could do without, those with least of
-    /// it first. There are few such machines, each large, and nearly all run something guaranteed: if only
-    /// machines without any counted as spare, another partition would wait for minutes for its guarantee.
+    /// Machines with GPUs that the partition's guaranteed work can do without, chosen from those on which
+    /// it uses the fewest GPUs.
+    ///
+    /// Machines with GPUs are few and large, and nearly all run some guaranteed work. If only machines
+    /// without any counted as spare, another partition would wait minutes for its guaranteed resources.
     fn spare_gpu_machines(&self) -> BTreeSet<&MachineName> {
         let needed: u64 = self
             .jobs
@@ -68,7 +72,7 @@
         names
     }
 
-    /// GPUs of a machine that guaranteed work uses.
+    /// GPUs that guaranteed work uses on a machine, in thousandths.
     fn guaranteed_milli_gpus(&self, machine: &Machine) -> u64 {
         machine
             .tasks
@@ -79,7 +83,8 @@
             .sum()
     }
 
-    /// Whether a machine can be transferred without loss to guaranteed work and without moving replicas.
+    /// Whether a machine can be transferred without taking capacity from guaranteed work and without moving
+    /// replicas.
     fn is_transferable(
         &self,
         machine: &Machine,
@@ -88,10 +93,11 @@
     ) -> bool {
         machine.replica_count == 0
             && !self.is_needed_by_gangs(machine, now)
-            && (spare_gpu_machines.contains(&machine.name) || self.runs_no_guarantee(machine))
+            && (spare_gpu_machines.contains(&machine.name) || self.runs_nothing_guaranteed(machine))
     }
 
-    fn runs_no_guarantee(&self, machine: &Machine) -> bool {
+    /// Whether all tasks on a machine belong to arrays outside their team's guarantee.
+    fn runs_nothing_guaranteed(&self, machine: &Machine) -> bool {
         let is_unguaranteed = |job: &Job| !job.guaranteed && job.spec.kind == JobKind::Array;
         machine
             .tasks
@@ -99,9 +105,9 @@
             .all(|task| self.jobs.get(&task.job).is_some_and(is_unguaranteed))
     }
 
-    /// Marks machines to be transferred to another partition once they are empty, until `count` of them
-    /// are marked: first those with best-effort work only, which is evicted, then those that will be empty
-    /// soonest.
+    /// Marks machines for transfer to another partition once they are empty, until `count` machines are
+    /// marked for it: first those with best-effort work only, which is evicted, then those that will be
+    /// empty soonest. The machines suit work of the given shape.
     pub fn request_transfers(
         &mut self,
         to: PartitionId,
@@ -132,8 +138,8 @@
         }
     }
 
-    /// Machines for work of a shape that can be transferred within the timeout, in the order in which they
-    /// are chosen.
+    /// Machines that suit a shape and can be transferred within the timeout, in the order in which they are
+    /// chosen.
     fn transfer_candidates(&self, shape: &DemandShape, now: Timestamp) -> Vec<TransferCandidate> {
         let needs = Resources {
             milli_cpus: shape.milli_cpus,
@@ -156,7 +162,7 @@
                 empty_in: self.remaining_time(machine, now),
                 machine: machine.name.clone(),
             })
-            // A machine that runs tasks for longer would only stand half empty meanwhile.
+            // A machine whose tasks run for longer would only be partly empty until the transfer times out.
             .filter(|candidate| {
                 !candidate.waits_for_tasks || candidate.empty_in <= TRANSFER_TIMEOUT
             })
@@ -165,8 +171,8 @@
         candidates
     }
 
-    /// How long the tasks of a machine still run, as far as estimates tell. Work that runs there only next
-    /// to GPU work does not count: it is evicted once the GPU work has ended.
+    /// Estimated time until all tasks of a machine have ended. Co-located work without GPUs does not count:
+    /// it is evicted once the GPU work has ended.
     fn remaining_time(&self, machine: &Machine, now: Timestamp) -> Duration {
         machine
             .tasks
@@ -183,8 +189,8 @@
             .unwrap_or(Duration::ZERO)
     }
 
-    /// Machines that are empty and to be transferred, with their next partition. Transfers whose time is
-    /// over are dropped.
+    /// Machines that are to be transferred and are empty now, with the partition that receives them.
+    /// Transfers that have timed out are dropped.
     pub fn machines_ready_for_transfer(
         &mut self,
         now: Timestamp,
@@ -204,7 +210,7 @@
         ready
     }
 
-    /// The state of the partition's machines for the fleet planner.
+    /// The statuses of the partition's machines for the fleet planner.
     pub fn machine_statuses(&self, now: Timestamp) -> Vec<MachineStatus> {
         let spare_gpu_machines = self.spare_gpu_machines();
         self.machines
@@ -215,7 +221,7 @@
                 idle_ms: self.idle_time(machine, now).whole_millis(),
                 up: machine.is_up(),
                 quarantined: machine.quarantined,
-                since_heartbeat_ms: self.time_since_heartbeat(machine, now).whole_millis(),
+                since_heartbeat_ms: self.time_since_status(machine, now).whole_millis(),
                 transferable: self.is_transferable(machine, &spare_gpu_machines, now),
                 best_effort: self.runs_only_best_effort(machine, now),
                 transfer_to: machine.pending_transfer.map(|transfer| transfer.to.0),
@@ -223,7 +229,7 @@
             .collect()
     }
 
-    /// How long a machine has been idle. A machine that is reserved for a gang is not idle.
+    /// How long a machine has been idle. A machine that gangs need is not idle.
     fn idle_time(&self, machine: &Machine, now: Timestamp) -> Duration {
         if machine.tasks.is_empty() && !self.is_needed_by_gangs(machine, now) {
             now.duration_since(machine.idle_since)
@@ -232,9 +238,9 @@
         }
     }
 
-    /// How long this controller, while it ran and led the partition, has had no heartbeat of a machine;
-    /// zero for a machine that no leader has had one of.
-    fn time_since_heartbeat(&self, machine: &Machine, now: Timestamp) -> Duration {
+    /// How long this controller has had no status of a machine while it was running and led the partition;
+    /// zero for a machine that no leader has had a status of.
+    fn time_since_status(&self, machine: &Machine, now: Timestamp) -> Duration {
         match machine.last_seen_at {
             Some(at) => now.duration_since(at.max(self.running_since)),
             None if machine.replicated_endpoint.is_some() => {
--- a/crates/scheduler/src/zone_alarms.rs
+++ b/crates/scheduler/src/zone_alarms.rs
@@ -1,4 +1,4 @@
-//! Zones in which a machine has not answered a liveness probe lately.
+//! Zone alarms: zones in which a machine has recently left a liveness probe unanswered.
 
 use model::{Timestamp, ZoneName};
 use std::collections::BTreeMap;
@@ -7,14 +7,14 @@
 /// How long an alarm lasts.
 const ZONE_ALARM_DURATION: Duration = Duration::from_secs(6);
 
-/// The alarms, with the time at which each was raised.
+/// The time at which the last alarm of each zone was raised.
 #[derive(Debug, Default)]
 pub(crate) struct ZoneAlarms {
     raised_at: BTreeMap<ZoneName, Timestamp>,
 }
 
 impl ZoneAlarms {
-    /// A machine of the zone has not answered. An alarm that is still active is not extended.
+    /// Raises the alarm of a zone. An alarm that is still active is not extended.
     pub(crate) fn raise(&mut self, zone: &ZoneName, now: Timestamp) {
         let raised_at = self.raised_at.entry(zone.clone()).or_insert(now);
         if now.duration_since(*raised_at) >= ZONE_ALARM_DURATION {
--- a/crates/scheduler/tests/partition_state/builders.rs
+++ b/crates/scheduler/tests/partition_state/builders.rs
@@ -1,4 +1,4 @@
-//! Builders of partitions, machines, jobs and statuses.
+//! Builders of partitions, machines, jobs and heartbeats for the tests.
 
 use model::{FencingToken, JobSpec, MachineName, Resources, TeamName, Timestamp, ZoneName};
 use scheduler::{CommandRoute, Machine, PartitionState, Policy, StatusSource};
@@ -8,28 +8,30 @@
 use wire::users::{JobKind, JobRequest, Priority};
 use wire::workers::{Command, ExitCause, Heartbeat, TaskState, TaskStatus};
 
+/// A partition with one machine of 4 CPUs and two teams, each with a guarantee and a limit of 4 CPUs.
 pub fn new_partition() -> PartitionState {
-    let amounts = Resources::offered(4.0, 0.0, 0.0);
-    let teams = ["t", "u"].map(|t| (TeamName::from(t), amounts, amounts));
+    let quota = Resources::offered(4.0, 0.0, 0.0);
+    let teams = ["t", "u"].map(|team| (TeamName::from(team), quota, quota));
     let policy = Policy::default();
     let queue = QueueConfig::default();
-    let mut share = PartitionState::new(
+    let mut partition = PartitionState::new(
         teams,
         Duration::from_secs(10),
         policy,
         queue,
         FencingToken(5),
     );
-    add_machine(&mut share, 1);
-    share
+    add_machine(&mut partition, 1);
+    partition
 }
 
-pub fn machine_name(n: u32) -> MachineName {
-    MachineName::from(format!("host-{n:06}").as_str())
+pub fn machine_name(number: u32) -> MachineName {
+    MachineName::from(format!("host-{number:06}").as_str())
 }
 
-pub fn add_machine(share: &mut PartitionState, n: u32) {
-    let kind = MachineType {
+/// Adds an on-demand machine of 4 CPUs that has not sent a heartbeat yet.
+pub fn add_machine(partition: &mut PartitionState, number: u32) {
+    let machine_type = MachineType {
         name: "m4".into(),
         cpus: 4.0,
         gpus: 0.0,
@@ -42,12 +44,19 @@
         zones: vec!["a".into()],
     };
     let zone = ZoneName::from("a");
-    share.add_machine(
-        Machine::new(machine_name(n), &kind, zone, false, FencingToken(5)),
+    partition.add_machine(
+        Machine::new(
+            machine_name(number),
+            &machine_type,
+            zone,
+            false,
+            FencingToken(5),
+        ),
         Timestamp::from_millis(0),
     );
 }
 
+/// A job whose tasks need one CPU each.
 pub fn job(id: u64, team: &str, kind: JobKind, priority: Priority, tasks: u64) -> JobSpec {
     let request = JobRequest {
         id: format!("j-{id:06}"),
@@ -71,9 +80,10 @@
         save_s: 0.0,
         deadline_s: None,
     };
-    JobSpec::try_from(&request).expect("a good job")
+    JobSpec::try_from(&request).expect("valid job")
 }
 
+/// A heartbeat of machine 1.
 pub fn heartbeat(seq: u64, notice_s: Option<f64>, tasks: Vec<TaskStatus>) -> Heartbeat {
     Heartbeat {
         machine: "host-000001".into(),
@@ -104,74 +114,88 @@
     }
 }
 
-/// Places what waits, makes it durable and returns the launches of the next answer.
-pub fn place_and_launch(share: &mut PartitionState, now: Timestamp) -> Vec<(String, u64)> {
-    share.run_cycles(now, 100);
+/// Places the waiting tasks, makes the placements durable, and returns the launches in the next reply to
+/// machine 1, as pairs of task and attempt.
+pub fn place_and_launch(partition: &mut PartitionState, now: Timestamp) -> Vec<(String, u64)> {
+    partition.run_cycles(now, 100);
     let name = MachineName::from("host-000001");
-    let launches = |share: &mut PartitionState| -> Vec<(String, u64)> {
-        share
+    let launches = |partition: &mut PartitionState| -> Vec<(String, u64)> {
+        partition
             .commands_for(&name, CommandRoute::HeartbeatResponse, now)
             .into_iter()
-            .filter_map(|c| match c {
+            .filter_map(|command| match command {
                 Command::Start { task, attempt } => Some((task, attempt)),
                 _ => None,
             })
             .collect()
     };
-    let early = launches(share);
-    assert_eq!(early, [], "nothing is launched before it is durable");
-    make_durable(share);
-    launches(share)
+    let early = launches(partition);
+    assert_eq!(early, [], "launched before the placement is durable");
+    make_durable(partition);
+    launches(partition)
 }
 
-/// What has changed is written.
-pub fn make_durable(share: &mut PartitionState) {
-    let keys: Vec<_> = share
+/// Confirms all changes as written.
+pub fn make_durable(partition: &mut PartitionState) {
+    let keys: Vec<_> = partition
         .take_dirty_chunks()
         .into_iter()
         .map(|(key, _)| key)
         .collect();
-    let written = share.changes_in_chunks(&keys);
-    share.confirm_commit(&written);
+    let written = partition.changes_in_chunks(&keys);
+    partition.confirm_commit(&written);
 }
 
-/// Teams without a guarantee, the second without a limit, as guests have it.
+/// A partition whose teams have no guarantees and whose only machine has sent a heartbeat. `spot`: it is a
+/// spot machine.
 pub fn partition_without_guarantees(spot: bool) -> PartitionState {
-    let mut share = new_partition();
-    share.machines.values_mut().for_each(|m| m.spot = spot);
-    for team in share.teams.values_mut() {
+    let mut partition = new_partition();
+    partition
+        .machines
+        .values_mut()
+        .for_each(|machine| machine.spot = spot);
+    for team in partition.teams.values_mut() {
         team.guarantee = Resources::default();
     }
-    share.reconcile(
+    partition.reconcile(
         &heartbeat(1, None, Vec::new()),
         StatusSource::Heartbeat,
         Timestamp::from_millis(100),
     );
-    share
+    partition
 }
 
-/// Four machines for sixteen tasks of a CPU.
+/// A partition whose four machines have sent heartbeats, with a limit of 16 CPUs for each team.
 pub fn partition_with_four_machines() -> PartitionState {
-    let mut share = new_partition();
-    (2..=4).for_each(|n| add_machine(&mut share, n));
-    share
+    let mut partition = new_partition();
+    (2..=4).for_each(|n| add_machine(&mut partition, n));
+    partition
         .teams
         .values_mut()
-        .for_each(|t| t.limit = Resources::offered(16.0, 0.0, 0.0));
-    (1..=4).for_each(|n| send_heartbeat(&mut share, n, 1, Vec::new(), Timestamp::from_millis(100)));
-    share
+        .for_each(|team| team.limit = Resources::offered(16.0, 0.0, 0.0));
+    (1..=4).for_each(|n| {
+        send_heartbeat(
+            &mut partition,
+            n,
+            1,
+            Vec::new(),
+            Timestamp::from_millis(100),
+        )
+    });
+    partition
 }
 
+/// Has a machine send a heartbeat.
 pub fn send_heartbeat(
-    share: &mut PartitionState,
-    n: u32,
+    partition: &mut PartitionState,
+    number: u32,
     seq: u64,
     tasks: Vec<TaskStatus>,
     now: Timestamp,
 ) {
-    let report = Heartbeat {
-        machine: machine_name(n).to_string(),
+    let heartbeat = Heartbeat {
+        machine: machine_name(number).to_string(),
         ..heartbeat(seq, None, tasks)
     };
-    share.reconcile(&report, StatusSource::Heartbeat, now);
+    partition.reconcile(&heartbeat, StatusSource::Heartbeat, now);
 }
--- a/crates/scheduler/tests/partition_state/main.rs
+++ b/crates/scheduler/tests/partition_state/main.rs
@@ -1,4 +1,4 @@
-//! Tests of a partition's state on its own.
+//! Tests of [`scheduler::PartitionState`] without a controller.
 
 mod best_effort;
 mod best_effort_waits;
