--- a/crates/scheduler/src/capacity_index.rs
+++ b/crates/scheduler/src/capacity_index.rs
@@ -1,15 +1,18 @@
 //! Index of the partition's usable machines by free capacity and by cached image.
 //!
-//! A cycle needs the best machine with free capacity for a task. Machines that differ in free CPUs only form
-//! a level: same class (type, zone, spot or on-demand), same number of replicas, same free GPUs. The levels
-//! are ranges of one ordered map, which exists once for all machines and once for each image. So a cycle
-//! checks a few machines however many there are, and none that is full.
+//! Each scheduling cycle needs the best machine with free capacity for a task. Machines that differ only in
+//! their free CPUs form a level: they have the same class (type, zone, spot or on-demand), the same number of
+//! replicas and the same free GPUs. Levels are ranges of an ordered map; there is one map of all machines and
+//! one of the machines that have an image, for each image. A cycle therefore checks only a few machines, however
+//! many there are, and none without enough free CPUs and GPUs.
 //!
-//! Invariants: a machine is in the index exactly if its `capacity_key` is set, under that key, and in the map of
-//! each image that it has cached. The free capacity in the key is what placements leave, whether reserved or
-//! not; the caller checks reservations, memory and whether the machine may be used now. Machines that were
-//! not usable at the last refresh are not in the index: after a network partition hundreds of them have free
-//! capacity, and each cycle would have to skip them.
+//! Invariant: a machine is in the index if and only if its `capacity_key` is set. It is then in the map of all
+//! machines and in the map of each of its cached images, under that key.
+//!
+//! The free capacity in the key is what placements leave free, even if it is reserved. The caller checks
+//! reservations, memory and whether the machine may be used now. Machines that were not usable at the last
+//! refresh are not in the index: after a network partition, hundreds of them have free capacity, and each cycle
+//! would have to skip them.
 
 use crate::machine::{CapacityKey, Machine};
 use model::{JobSpec, MachineName, Resources, ZoneName};
@@ -17,7 +20,7 @@
 use std::ops::Bound;
 use std::sync::Arc;
 
-/// Number of replicas on a machine beyond which more make no difference for its rank.
+/// Number of replicas up to which machines with more replicas rank first; further ones make no difference.
 pub(crate) const MAX_RANKED_REPLICAS: u64 = 64;
 
 /// Machines of one type in one zone, all spot or all on-demand.
@@ -28,20 +31,22 @@
     spot: bool,
 }
 
-/// The names of machines by class, replicas, free GPUs and free CPUs, in this order of comparison.
+/// Names of machines by class, replicas, free GPUs and free CPUs, ordered in this sequence.
 type FreeCapacityMap = BTreeMap<CapacityKey, BTreeSet<MachineName>>;
 
-/// The index; see the module's description for its invariants.
+/// The index; see the module documentation for its invariant.
 #[derive(Debug, Default)]
 pub(crate) struct CapacityIndex {
-    /// All classes seen so far; the index into this list is [`CapacityKey::class`].
+    /// All classes seen so far. [`CapacityKey::class`] is an index into this list.
     classes: Vec<MachineClass>,
+    /// All machines of the index.
     all: FreeCapacityMap,
+    /// The machines that have an image cached, by image.
     by_image: HashMap<Arc<str>, FreeCapacityMap>,
 }
 
-/// The key of a machine of this class.
-fn place_of(machine: &Machine, class: u32) -> CapacityKey {
+/// The key of a machine whose class has the index `class`.
+fn key_of(machine: &Machine, class: u32) -> CapacityKey {
     let free = machine.free();
     CapacityKey {
         class,
@@ -51,21 +56,22 @@
     }
 }
 
-fn insert(machines: &mut FreeCapacityMap, place: CapacityKey, name: &MachineName) {
-    machines.entry(place).or_default().insert(name.clone());
+fn insert(machines: &mut FreeCapacityMap, key: CapacityKey, name: &MachineName) {
+    machines.entry(key).or_default().insert(name.clone());
 }
 
-fn remove(machines: &mut FreeCapacityMap, place: CapacityKey, name: &MachineName) {
-    if let Some(names) = machines.get_mut(&place) {
+fn remove(machines: &mut FreeCapacityMap, key: CapacityKey, name: &MachineName) {
+    if let Some(names) = machines.get_mut(&key) {
         names.remove(name);
         if names.is_empty() {
-            machines.remove(&place);
+            machines.remove(&key);
         }
     }
 }
 
 impl CapacityIndex {
-    fn class_of(&mut self, machine: &Machine) -> u32 {
+    /// The index of a machine's class, which is added to the list if it is new.
+    fn class_index(&mut self, machine: &Machine) -> u32 {
         let known = self.classes.iter().position(|class| {
             class.spot == machine.spot
                 && class.zone == machine.zone
@@ -87,31 +93,31 @@
             self.update(machine);
             return;
         }
-        let place = place_of(machine, self.class_of(machine));
-        machine.capacity_key = Some(place);
-        insert(&mut self.all, place, &machine.name);
+        let key = key_of(machine, self.class_index(machine));
+        machine.capacity_key = Some(key);
+        insert(&mut self.all, key, &machine.name);
         for (image, _) in &machine.images {
             insert(
                 self.by_image.entry(image.clone()).or_default(),
-                place,
+                key,
                 &machine.name,
             );
         }
     }
 
-    /// Updates the free capacity of a machine, if that is in the index.
+    /// Updates the free capacity of a machine if the machine is in the index.
     pub(crate) fn update(&mut self, machine: &mut Machine) {
-        let Some(old) = machine.capacity_key else {
+        let Some(old_key) = machine.capacity_key else {
             return;
         };
-        let place = place_of(machine, old.class);
-        if old == place {
+        let key = key_of(machine, old_key.class);
+        if old_key == key {
             return;
         }
-        machine.capacity_key = Some(place);
+        machine.capacity_key = Some(key);
         let move_entry = |machines: &mut FreeCapacityMap| {
-            remove(machines, old, &machine.name);
-            insert(machines, place, &machine.name);
+            remove(machines, old_key, &machine.name);
+            insert(machines, key, &machine.name);
         };
         move_entry(&mut self.all);
         for (image, _) in &machine.images {
@@ -119,7 +125,7 @@
         }
     }
 
-    /// Records that a machine has fetched or used an image, for which its cache may have evicted others.
+    /// Records that a machine has fetched or used an image. The machine's cache may have evicted others for it.
     pub(crate) fn touch_image(&mut self, machine: &mut Machine, image: &Arc<str>, gb: f64) {
         if machine
             .images
@@ -128,44 +134,44 @@
         {
             return;
         }
-        let Some(place) = machine.capacity_key else {
+        let Some(key) = machine.capacity_key else {
             machine.touch_image(image, gb);
             return;
         };
         let is_new = !machine.has_image(image);
         for evicted in machine.touch_image(image, gb) {
-            self.remove_image(&evicted, place, &machine.name);
+            self.remove_image(&evicted, key, &machine.name);
         }
         if is_new {
             insert(
                 self.by_image.entry(image.clone()).or_default(),
-                place,
+                key,
                 &machine.name,
             );
         }
     }
 
-    /// Removes a machine that leaves the partition or is not usable at present.
+    /// Removes a machine that leaves the partition or is not usable now.
     pub(crate) fn remove(&mut self, machine: &mut Machine) {
-        let Some(place) = machine.capacity_key.take() else {
+        let Some(key) = machine.capacity_key.take() else {
             return;
         };
-        remove(&mut self.all, place, &machine.name);
+        remove(&mut self.all, key, &machine.name);
         for (image, _) in &machine.images {
-            self.remove_image(image, place, &machine.name);
+            self.remove_image(image, key, &machine.name);
         }
     }
 
-    fn remove_image(&mut self, image: &str, place: CapacityKey, name: &MachineName) {
+    fn remove_image(&mut self, image: &str, key: CapacityKey, name: &MachineName) {
         if let Some(machines) = self.by_image.get_mut(image) {
-            remove(machines, place, name);
+            remove(machines, key, name);
             if machines.is_empty() {
                 self.by_image.remove(image);
             }
         }
     }
 
-    /// Machines that have an image cached.
+    /// The machines that have an image cached.
     pub(crate) fn machines_with_image(&self, image: &str) -> impl Iterator<Item = &MachineName> {
         self.by_image
             .get(image)
@@ -173,7 +179,7 @@
             .flat_map(|machines| machines.values().flatten())
     }
 
-    /// Machines on which a job may run and whose free CPUs and GPUs suffice for one of its tasks.
+    /// The machines of classes that the job allows whose free CPUs and GPUs suffice for one of its tasks.
     pub(crate) fn machines_with_capacity<'a>(
         &'a self,
         spec: &'a JobSpec,
@@ -182,59 +188,62 @@
             .flat_map(|level| level.flat_map(|(_, names)| names))
     }
 
-    /// The best machine for a task: of each level the first machine that is suitable, and of those the one
-    /// with the least score and name. Machines without the task's image are considered only if no machine
-    /// with it is suitable, and not at all if `with_image_only` is set.
+    /// The best machine for a task. From each level, the first suitable machine is a candidate; of the
+    /// candidates, the one with the lowest score is chosen, and of equal ones the first by name. Machines
+    /// without the task's image are considered only if no machine that has it is suitable, and not at all if
+    /// `image_cached_only` is set.
     pub(crate) fn best_machine<'a, S: Ord>(
         &self,
         spec: &JobSpec,
-        with_image_only: bool,
-        find: impl Fn(&MachineName) -> Option<&'a Machine>,
+        image_cached_only: bool,
+        find_machine: impl Fn(&MachineName) -> Option<&'a Machine>,
         is_suitable: impl Fn(&Machine) -> bool,
         score: impl Fn(&Machine) -> S,
     ) -> Option<&'a Machine> {
-        let first_of_level = |mut level: Level<'_>| {
+        let first_suitable = |mut level: Level<'_>| {
             level.find_map(|(_, names)| {
                 names
                     .iter()
-                    .filter_map(&find)
+                    .filter_map(&find_machine)
                     .find(|machine| is_suitable(machine))
             })
         };
         let best_of = |machines: &FreeCapacityMap| {
             Levels::new(machines, &self.classes, spec)
-                .filter_map(first_of_level)
+                .filter_map(first_suitable)
                 .min_by(|left, right| (score(left), &left.name).cmp(&(score(right), &right.name)))
         };
         let with_image = self.by_image.get(&spec.image).and_then(best_of);
-        if with_image_only {
+        if image_cached_only {
             return with_image;
         }
         with_image.or_else(|| best_of(&self.all))
     }
 }
 
-/// Machines of a level, those with the fewest free CPUs first.
+/// Iterator over the machines of a level, those with the fewest free CPUs first.
 type Level<'a> = std::collections::btree_map::Range<'a, CapacityKey, BTreeSet<MachineName>>;
 
-/// Iterator over the levels on which a task may run, restricted to machines with enough free CPUs.
+/// Iterator over the levels whose class the job allows and whose free GPUs suffice for a task, each restricted
+/// to machines with enough free CPUs.
 struct Levels<'a> {
     machines: &'a FreeCapacityMap,
-    /// Whether the job may run on a class, for each class.
-    allowed: Vec<bool>,
+    /// For each class, whether the job allows it.
+    allowed_classes: Vec<bool>,
+    /// Resources of one task.
     needs: Resources,
-    /// The end of the part of the map that has been visited.
+    /// The end of the visited part of the map.
     visited_until: Option<CapacityKey>,
 }
 
 impl<'a> Levels<'a> {
     fn new(machines: &'a FreeCapacityMap, classes: &[MachineClass], spec: &JobSpec) -> Self {
-        let allowed = classes
+        let allowed_classes = classes
             .iter()
             .map(|class| spec.allows(&class.machine_type, &class.zone, class.spot));
         Levels {
             machines,
-            allowed: allowed.collect(),
+            allowed_classes: allowed_classes.collect(),
             needs: spec.needs,
             visited_until: None,
         }
@@ -252,12 +261,12 @@
                 milli_cpus: u64::MAX,
                 ..*first
             };
-            let allowed = self
-                .allowed
+            let is_allowed = self
+                .allowed_classes
                 .get(first.class as usize)
                 .copied()
                 .unwrap_or(false);
-            if !allowed {
+            if !is_allowed {
                 // Skip to the next class.
                 self.visited_until = Some(CapacityKey {
                     replica_count: u64::MAX,
--- a/crates/scheduler/src/colocation.rs
+++ b/crates/scheduler/src/colocation.rs
@@ -1,10 +1,10 @@
-//! Co-location: work without GPUs on machines that have them.
+//! Co-location: running work that needs no GPUs on machines that have GPUs.
 //!
-//! Machines with GPUs cost a hundred times as much as others. While GPU work runs there, the CPUs and memory
-//! that its GPUs do not need are free of charge, and tasks without GPUs may use them, but never the part
-//! that belongs to free GPUs. Co-located tasks are no reason to rent or keep such a machine: once no GPU
-//! work is left on it they are stopped, so that it can be used elsewhere or returned to the cloud. Jobs that
-//! fit on no other type of machine are not concerned.
+//! Machines with GPUs cost a hundred times as much as others. While GPU work runs on such a machine, tasks
+//! without GPUs may use the CPUs and memory that the GPUs do not need, at no extra cost. They never use the
+//! share of a free GPU. Co-located tasks are no reason to rent or keep the machine: once no GPU work is left on
+//! it, they are stopped, so that it can be used elsewhere or returned to the cloud. Jobs that fit on no machine
+//! type without GPUs are not subject to these rules.
 
 use crate::job::Job;
 use crate::machine::Machine;
@@ -13,17 +13,18 @@
 use model::{Resources, TaskId, Timestamp};
 use std::time::Duration;
 
-/// How long a machine may be without GPU work before its co-located tasks are stopped.
+/// How long a machine with GPUs may be without GPU work before its co-located tasks are stopped.
 const EVICTION_DELAY: Duration = Duration::from_secs(3);
-/// Tasks that end within this time are not stopped.
+/// Co-located tasks that are expected to end within this time are not stopped.
 const NEAR_END: Duration = Duration::from_secs(3);
 
-/// Whether tasks of a job run on a machine only next to GPU work.
+/// Whether tasks of a job may run on a machine only beside GPU work.
 pub(crate) fn is_colocated(machine: &Machine, job: &Job) -> bool {
     job.colocated_only && machine.capacity.milli_gpus > 0
 }
 
-/// How many tasks of a job fit into resources on a machine, if free GPUs keep their part of these.
+/// How many tasks of a job fit into the `free` resources of a machine. Co-located tasks get no share of free
+/// GPUs, and nothing on a machine without GPU work.
 pub(crate) fn tasks_that_fit(job: &Job, machine: &Machine, free: Resources) -> u64 {
     if !is_colocated(machine, job) {
         return free.how_many_fit(&job.spec.needs);
@@ -31,16 +32,16 @@
     if machine.used.milli_gpus == 0 {
         return 0;
     }
-    without_gpu_parts(free, &machine.capacity).how_many_fit(&job.spec.needs)
+    without_free_gpu_shares(free, &machine.capacity).how_many_fit(&job.spec.needs)
 }
 
-/// Free resources less the part of each free GPU: an even share of the machine's CPUs and memory.
-fn without_gpu_parts(free: Resources, capacity: &Resources) -> Resources {
-    let part = |all: u64| all * free.milli_gpus / capacity.milli_gpus.max(1);
+/// Free resources less the share of each free GPU, which is an equal part of the machine's CPUs and memory.
+fn without_free_gpu_shares(free: Resources, capacity: &Resources) -> Resources {
+    let share = |total: u64| total * free.milli_gpus / capacity.milli_gpus.max(1);
     free.saturating_sub(&Resources {
-        milli_cpus: part(capacity.milli_cpus),
+        milli_cpus: share(capacity.milli_cpus),
         milli_gpus: 0,
-        memory_mb: part(capacity.memory_mb),
+        memory_mb: share(capacity.memory_mb),
     })
 }
 
@@ -56,26 +57,27 @@
                 machine.no_gpu_work_since = None;
                 continue;
             }
-            let since = *machine.no_gpu_work_since.get_or_insert(now);
-            if now.duration_since(since) < EVICTION_DELAY {
+            let no_gpu_work_since = *machine.no_gpu_work_since.get_or_insert(now);
+            if now.duration_since(no_gpu_work_since) < EVICTION_DELAY {
                 continue;
             }
-            let is_evicted = |task: &&TaskId| {
+            let should_be_evicted = |task: &&TaskId| {
                 self.jobs
                     .get(&task.job)
-                    .is_some_and(|job| is_to_be_evicted(job, task.index, now))
+                    .is_some_and(|job| should_evict(job, task.index, now))
             };
-            evicted.extend(machine.tasks.iter().filter(is_evicted));
+            evicted.extend(machine.tasks.iter().filter(should_be_evicted));
         }
         for task in evicted {
-            let grace = self.grace_period_ms(task);
-            self.stop_task(task, grace, now);
+            let grace_ms = self.grace_period_ms(task);
+            self.stop_task(task, grace_ms, now);
         }
     }
 }
 
-/// Whether a task is co-located, not being stopped and not about to end.
-fn is_to_be_evicted(job: &Job, index: u32, now: Timestamp) -> bool {
+/// Whether a task on a machine without GPU work has to be evicted: its job runs there only beside GPU work, and
+/// it is neither being stopped nor expected to end soon.
+fn should_evict(job: &Job, index: u32, now: Timestamp) -> bool {
     let Some(placement) = job.placed.get(&index) else {
         return false;
     };
--- a/crates/scheduler/src/demand.rs
+++ b/crates/scheduler/src/demand.rs
@@ -1,6 +1,6 @@
-//! Demand for machines: waiting work that the free capacity of the partition will not take.
+//! Demand for machines: waiting work that does not fit into the free capacity of the partition.
 //!
-//! The fleet planner collects the demand of all partitions and scales out for it.
+//! The fleet planner collects the demand of all partitions and requests machines for it from the cloud.
 
 use crate::demand_estimate::DemandEstimate;
 use crate::job::Job;
@@ -10,21 +10,21 @@
 use std::collections::BTreeMap;
 use wire::mesh::DemandShape;
 
-/// The shortest run time on which estimates of capacity that is about to be freed are based (ms).
+/// Lower bound on a job's estimate when predicting how much capacity its tasks free soon (ms).
 const MIN_ESTIMATE_MS: u64 = 1_000;
 
-/// A job with waiting tasks. Free capacity is allotted in the order of these keys: best-effort work
-/// last, then by order of submission.
+/// A job with waiting tasks. Free capacity is allotted to jobs in the order of these keys: best-effort work
+/// last, otherwise by time of submission.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct WaitingJob {
     best_effort: bool,
-    submission_order: u64,
+    submitted_at_ms: u64,
     job: JobId,
 }
 
 impl PartitionState {
-    /// Waiting work that its team's limit would let start, by shape.
-    /// What fits into free capacity will be placed soon and is no demand.
+    /// Waiting tasks that their team's limit allows to start, grouped into shapes of equal requirements.
+    /// Tasks that fit into free capacity will be placed soon and are no demand.
     pub fn demand(&self, now: Timestamp) -> Vec<DemandShape> {
         let waiting = self.waiting_jobs();
         let min_milli_cpus = waiting
@@ -56,7 +56,7 @@
             };
             let key = WaitingJob {
                 best_effort: job.is_best_effort(),
-                submission_order: job.submitted_at_ms,
+                submitted_at_ms: job.submitted_at_ms,
                 job: id,
             };
             *waiting.entry(key).or_default() += tasks;
@@ -64,8 +64,9 @@
         waiting
     }
 
-    /// What running array tasks free within [`Policy::absorb_within`](crate::Policy::absorb_within). A team at its limit
-    /// uses what its own tasks free itself.
+    /// CPUs and GPUs that running array tasks are expected to free within
+    /// [`Policy::absorb_within`](crate::Policy::absorb_within). Tasks of teams at their limit are not counted:
+    /// the team itself uses what they free.
     pub(crate) fn soon_freed_resources(&self) -> Resources {
         let mut freed = Resources::default();
         for job in self.jobs.values() {
@@ -73,9 +74,9 @@
                 continue;
             }
             let estimate_ms = job.spec.estimate.whole_millis().max(MIN_ESTIMATE_MS);
-            let running = job.placed.len() as u64;
-            let freed_of = |each: u64| {
-                let used = running * each;
+            let placed = job.placed.len() as u64;
+            let freed_of = |per_task: u64| {
+                let used = placed * per_task;
                 (used * self.policy.absorb_within.whole_millis() / estimate_ms).min(used)
             };
             freed += Resources {
@@ -87,20 +88,20 @@
         freed
     }
 
-    /// The zone in which machines for more tasks of a job have to be, given its tasks in each zone.
+    /// The zone in which machines for further tasks of a job have to be; `None` if any zone will do.
     pub(crate) fn zone_for_remaining_tasks(
         &self,
         job: &Job,
-        zones: &BTreeMap<ZoneName, u32>,
+        tasks_by_zone: &BTreeMap<ZoneName, u32>,
     ) -> Option<ZoneName> {
         if job.spec.zone.is_some() {
             return job.spec.zone.clone();
         }
         if job.spec.one_zone {
-            return zones.keys().next().cloned();
+            return tasks_by_zone.keys().next().cloned();
         }
         if job.spec.spread {
-            let tasks_in = |zone: &&ZoneName| zones.get(*zone).copied().unwrap_or(0);
+            let tasks_in = |zone: &&ZoneName| tasks_by_zone.get(*zone).copied().unwrap_or(0);
             return self.zones.iter().min_by_key(tasks_in).cloned();
         }
         None
--- a/crates/scheduler/src/demand_estimate.rs
+++ b/crates/scheduler/src/demand_estimate.rs
@@ -1,5 +1,5 @@
-//! The estimate of demand: free capacity is allotted to waiting jobs one after the other, and what is left of them
-//! is demand.
+//! The estimate of demand: free capacity is allotted to waiting jobs one after the other, and the tasks that get
+//! none are demand.
 
 use crate::colocation::tasks_that_fit;
 use crate::cycle::zone_allowed;
@@ -11,15 +11,16 @@
 use std::collections::{BTreeMap, HashMap};
 use wire::mesh::DemandShape;
 
-/// Free capacity of a machine that has not been allotted to waiting tasks yet.
+/// Capacity of a machine that has not been allotted to waiting tasks yet.
 struct FreeCapacity<'a> {
     machine: &'a Machine,
     free: Resources,
-    /// What best-effort tasks use; they give way to other work.
+    /// Resources of best-effort tasks that would be preempted for other work.
     reclaimable: Resources,
 }
 
 impl FreeCapacity<'_> {
+    /// How many tasks of a job fit into the remaining capacity.
     fn how_many_fit(&self, job: &Job) -> u64 {
         let reclaimable = if job.spec.is_best_effort() {
             Resources::default()
@@ -29,29 +30,30 @@
         tasks_that_fit(job, self.machine, self.free + reclaimable)
     }
 
+    /// Allots resources: free capacity first, then reclaimable capacity.
     fn allocate(&mut self, resources: Resources) {
         self.reclaimable -= resources.saturating_sub(&self.free);
         self.free -= resources;
     }
 }
 
-/// A team's tasks of one priority.
+/// A team and a priority, to which a sum of usage belongs.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct TeamPriority<'a> {
     team: &'a TeamName,
     priority: Priority,
 }
 
-/// What the preemptible tasks of each team use, by priority. Tasks that would be preempted for their own
-/// team's work of higher priority leave room within the team's limit for that work, even where they use
-/// all of the limit.
+/// The resources that preemptible tasks use, by team and priority. These tasks would be preempted for their
+/// own team's work of higher priority, which is therefore demand even if they use all of the team's limit.
 struct PreemptibleUsage<'a>(BTreeMap<TeamPriority<'a>, Resources>);
 
 impl<'a> PreemptibleUsage<'a> {
     fn new(partition: &'a PartitionState) -> Self {
         let mut usage: BTreeMap<TeamPriority, Resources> = BTreeMap::new();
-        let preemptible = |job: &&Job| partition.policy.preempt && job.spec.kind != JobKind::Gang;
-        for job in partition.jobs.values().filter(preemptible) {
+        let is_preemptible =
+            |job: &&Job| partition.policy.preempt && job.spec.kind != JobKind::Gang;
+        for job in partition.jobs.values().filter(is_preemptible) {
             let key = TeamPriority {
                 team: &job.spec.team,
                 priority: job.spec.priority,
@@ -61,8 +63,8 @@
         PreemptibleUsage(usage)
     }
 
-    /// Allots usage of lower priority to tasks of a job, the lowest first, and returns how many tasks
-    /// that makes room for.
+    /// Allots what the team's tasks of lower priority use to tasks of a job, the lowest priority first, and
+    /// returns how many tasks there is room for.
     fn allot(&mut self, partition: &PartitionState, job: &Job, tasks: u64) -> u64 {
         if tasks == 0 || partition.preemption_scope(job) != Some(PreemptionScope::All) {
             return 0;
@@ -80,30 +82,31 @@
     }
 }
 
-/// Where waiting tasks of a job find free capacity.
+/// The result of allotting free capacity to waiting tasks of a job.
 struct WaitingPlacement {
-    /// Tasks that fit into free capacity.
+    /// Number of tasks that fit into free capacity.
     placed: u64,
-    /// The zone in which machines for the other tasks have to be, if that matters.
+    /// The zone in which machines for the other tasks have to be; `None` if any zone will do.
     zone: Option<ZoneName>,
 }
 
-/// Allots free capacity to waiting jobs one after the other and collects the remaining tasks as demand.
+/// Allots free capacity to waiting jobs one after the other and collects the tasks that get none as demand.
 pub(crate) struct DemandEstimate<'a> {
     partition: &'a PartitionState,
     now: Timestamp,
     free: Vec<FreeCapacity<'a>>,
-    /// What running array tasks free soon.
+    /// Capacity that running array tasks are expected to free soon and that has not been allotted yet.
     soon_freed: Resources,
     preemptible: PreemptibleUsage<'a>,
     /// What is left of each team's limit.
     quota_left: HashMap<TeamName, Resources>,
+    /// The demand so far.
     pub(crate) shapes: Vec<DemandShape>,
 }
 
 impl<'a> DemandEstimate<'a> {
-    /// `min_milli_cpus`: the least that a waiting task needs. Machines that have less are left out, so
-    /// that full machines are not checked for each job.
+    /// An estimate without demand. `min_milli_cpus` is the lowest CPU need of any waiting task: machines with
+    /// less free capacity are left out, so that full machines are not checked for each job.
     pub(crate) fn new(partition: &'a PartitionState, min_milli_cpus: u64, now: Timestamp) -> Self {
         let free = partition
             .machines
@@ -127,9 +130,9 @@
         }
     }
 
-    /// Allots free capacity to waiting tasks of a job and adds the others to the demand.
+    /// Allots free capacity to waiting tasks of a job and adds the tasks that get none to the demand.
     pub(crate) fn add_job(&mut self, job: &Job, waiting_tasks: u64) {
-        // A gang that waits for machines that are free soon needs no others.
+        // A gang whose reserved machines will be free soon needs no others.
         if job.spec.kind == JobKind::Gang
             && self
                 .partition
@@ -146,10 +149,10 @@
         let Some(within_quota) = self.allot_quota(job, wanted) else {
             return;
         };
-        let preempting = self
+        let by_preemption = self
             .preemptible
             .allot(self.partition, job, wanted - within_quota);
-        let startable = within_quota + preempting;
+        let startable = within_quota + by_preemption;
         let placement = self.place_waiting_tasks(job, startable);
         let unplaced = startable - placement.placed;
         let tasks = unplaced - self.allot_soon_freed(job, unplaced);
@@ -158,8 +161,8 @@
         }
     }
 
-    /// How many tasks fit into what is left of the team's limit, which is reduced by them. `None` if the
-    /// team is not known.
+    /// Allots what is left of the team's limit to tasks of a job and returns how many fit; `None` if the team
+    /// is not known.
     fn allot_quota(&mut self, job: &Job, wanted: u64) -> Option<u64> {
         let team = self.partition.teams.get(&job.spec.team)?;
         let left = self
@@ -171,14 +174,15 @@
             });
         let needs = quota_needs(job);
         let tasks = wanted.min(left.how_many_fit(&needs));
-        // The part of the limit that gangs need is reserved with their machines.
+        // What gangs need is already deducted from the limit while machines are reserved for them.
         if job.spec.kind != JobKind::Gang {
             *left -= needs.times(tasks);
         }
         Some(tasks)
     }
 
-    /// How many array tasks fit into what running tasks free soon, which is reduced by them.
+    /// Allots capacity that is freed soon to tasks of an array beyond its team's guarantee and returns how many
+    /// fit; other jobs get none of it.
     fn allot_soon_freed(&mut self, job: &Job, tasks: u64) -> u64 {
         if job.guaranteed || job.spec.kind != JobKind::Array {
             return 0;
@@ -189,13 +193,13 @@
         absorbed
     }
 
-    /// Allots free capacity to waiting tasks of a job.
+    /// Allots free capacity on the machines to waiting tasks of a job.
     fn place_waiting_tasks(&mut self, job: &Job, tasks: u64) -> WaitingPlacement {
         let (partition, now) = (self.partition, self.now);
-        let zone_constrained = job.spec.one_zone || job.spec.spread;
-        let mut zones = partition.tasks_by_zone(job);
-        if job.spec.one_zone && zones.is_empty() {
-            zones.extend(self.choose_zone(job).map(|zone| (zone, 0)));
+        let is_zone_constrained = job.spec.one_zone || job.spec.spread;
+        let mut tasks_by_zone = partition.tasks_by_zone(job);
+        if job.spec.one_zone && tasks_by_zone.is_empty() {
+            tasks_by_zone.extend(self.choose_zone(job).map(|zone| (zone, 0)));
         }
         let gangs = partition.gangs_with_precedence(job, now);
         let may_use = |machine: &Machine| {
@@ -210,26 +214,29 @@
             }
             let zone = &capacity.machine.zone;
             let fitting = capacity.how_many_fit(job);
-            if fitting == 0 || !may_use(capacity.machine) || !zone_allowed(job, zone, &zones) {
+            if fitting == 0
+                || !may_use(capacity.machine)
+                || !zone_allowed(job, zone, &tasks_by_zone)
+            {
                 continue;
             }
             let count = fitting
                 .min(tasks - placed)
-                .min(zone_capacity(job, zone, &zones));
-            if zone_constrained {
-                *zones.entry(zone.clone()).or_default() += count as u32;
+                .min(zone_capacity(job, zone, &tasks_by_zone));
+            if is_zone_constrained {
+                *tasks_by_zone.entry(zone.clone()).or_default() += count as u32;
             }
             capacity.allocate(job.spec.needs.times(count));
             placed += count;
         }
         WaitingPlacement {
             placed,
-            zone: partition.zone_for_remaining_tasks(job, &zones),
+            zone: partition.zone_for_remaining_tasks(job, &tasks_by_zone),
         }
     }
 
-    /// The zone for a job that has to run in one zone and has no task placed: that of the machines
-    /// reserved for it, or the one with the most free capacity for it.
+    /// The zone for a job that has to run in one zone and has no task placed: the zone of the machines that
+    /// are reserved for it, or else the zone whose free capacity fits most of its tasks.
     fn choose_zone(&self, job: &Job) -> Option<ZoneName> {
         let partition = self.partition;
         let reserved = partition
@@ -254,7 +261,7 @@
             .or_else(|| partition.zones.first().cloned())
     }
 
-    /// Adds to a shape that is alike, if there is one.
+    /// Adds a shape to the demand; merges it into a shape with equal requirements if there is one.
     fn add_shape(&mut self, shape: DemandShape) {
         match self.shapes.iter_mut().find(|other| is_alike(other, &shape)) {
             Some(other) => {
@@ -267,7 +274,7 @@
     }
 }
 
-/// What a task uses of its team's limit, which does not count memory.
+/// The resources of a task that count towards its team's limit: CPUs and GPUs, not memory.
 fn quota_needs(job: &Job) -> Resources {
     Resources {
         memory_mb: 0,
@@ -275,19 +282,20 @@
     }
 }
 
-/// How many more tasks of a job a zone may take.
-fn zone_capacity(job: &Job, zone: &ZoneName, zones: &BTreeMap<ZoneName, u32>) -> u64 {
+/// How many more tasks of a job its `spread` allows in a zone.
+fn zone_capacity(job: &Job, zone: &ZoneName, tasks_by_zone: &BTreeMap<ZoneName, u32>) -> u64 {
     if !job.spec.spread {
         return u64::MAX;
     }
-    let placed = zones.get(zone).copied().unwrap_or(0);
+    let placed = tasks_by_zone.get(zone).copied().unwrap_or(0);
     u64::from(job.spec.zone_limit().saturating_sub(placed))
 }
 
+/// The demand for some tasks of a job.
 fn demand_shape(job: &Job, tasks: u64, zone: Option<ZoneName>, starved: bool) -> DemandShape {
     let estimate_ms = job.spec.estimate.whole_millis();
     let is_urgent = job.guaranteed || estimate_ms == 0;
-    let is_unplaced_one_zone_gang = job.spec.one_zone && job.placed.is_empty();
+    let is_unplaced_one_zone_job = job.spec.one_zone && job.placed.is_empty();
     DemandShape {
         milli_cpus: job.spec.needs.milli_cpus,
         milli_gpus: job.spec.needs.milli_gpus,
@@ -298,13 +306,14 @@
         tasks,
         urgent: if is_urgent { tasks } else { 0 },
         estimate_ms,
-        // Work of low priority gets spare capacity only, which this task has waited for in vain.
+        // The fleet is scaled out for best-effort work only with spot machines. A starved task, which has
+        // waited too long for spare capacity, is therefore reported with normal priority.
         priority: if starved {
             Priority::Normal
         } else {
             job.spec.priority
         },
-        gang: if is_unplaced_one_zone_gang {
+        gang: if is_unplaced_one_zone_job {
             u64::from(job.spec.tasks)
         } else {
             0
@@ -312,7 +321,8 @@
     }
 }
 
-/// Whether tasks of two shapes can be added up. Gangs in one zone are never added up.
+/// Whether two shapes have equal requirements, so that their tasks can be added up. Shapes of gangs that must
+/// run in one zone are never added up.
 fn is_alike(left: &DemandShape, right: &DemandShape) -> bool {
     left.milli_cpus == right.milli_cpus
         && left.milli_gpus == right.milli_gpus
--- a/crates/scheduler/src/explain.rs
+++ b/crates/scheduler/src/explain.rs
@@ -1,4 +1,4 @@
-//! Explanations for operators: why a job waits, and the periodic summary of a partition in the log.
+//! What operators are told about a partition: why a job waits (admin API), and a periodic summary in the log.
 
 use crate::colocation::tasks_that_fit;
 use crate::job::Job;
@@ -8,10 +8,10 @@
 use model::{JobId, JobKind, PartitionId, Timestamp};
 use wire::workers::TaskState;
 
-/// How many of a job's queue entries its explanation names.
-const EXPLAINED_ENTRIES: usize = 3;
+/// Maximum number of a job's queue entries that its explanation lists.
+const MAX_EXPLAINED_ENTRIES: usize = 3;
 
-/// Sums over the usable machines of a partition, in whole CPUs and GPUs.
+/// Totals over the usable machines of a partition, in whole CPUs and GPUs.
 #[derive(Debug, Default)]
 struct MachineTotals {
     usable: u32,
@@ -23,7 +23,7 @@
 }
 
 impl PartitionState {
-    /// The state of a job and why it waits, or `None` if the job is not known.
+    /// Describes the state of a job and why it waits; `None` if the job is not known.
     pub fn explain(&self, id: JobId, now: Timestamp) -> Option<String> {
         let job = self.jobs.get(&id)?;
         let mut entries: Vec<EntryKey> = self
@@ -32,12 +32,12 @@
             .filter(|entry| entry.job() == id)
             .collect();
         entries.sort_unstable();
-        let waiting: Vec<String> = entries
+        let queued: Vec<String> = entries
             .iter()
-            .take(EXPLAINED_ENTRIES)
+            .take(MAX_EXPLAINED_ENTRIES)
             .filter_map(|entry| {
-                let (stage, failures) = self.queue.location(*entry)?;
-                Some(format!("{stage} after {failures} failures"))
+                let (queue, failures) = self.queue.location(*entry)?;
+                Some(format!("{queue} after {failures} failures"))
             })
             .collect();
         let reason = if !self.fits_quota_now(job, 1) {
@@ -62,12 +62,12 @@
             job.cancelled,
             job.finishing,
             job.guaranteed,
-            waiting.join(", "),
+            queued.join(", "),
         ))
     }
 
-    /// Why machines do not take a waiting task; empty for gangs, which need several, and where the team's limit
-    /// alone keeps it back.
+    /// Describes why machines do not take a waiting task. Empty for gangs, which need several machines, and if
+    /// the team's limit is reached.
     fn explain_machines(&self, entry: EntryKey, job: &Job, now: Timestamp) -> String {
         if job.spec.kind == JobKind::Gang || !self.fits_quota_now(job, 1) {
             return String::new();
@@ -83,21 +83,21 @@
         )
     }
 
-    /// Why a gang waits; empty for other jobs.
+    /// Describes the state of a gang or why it waits. Empty for other jobs.
     fn explain_gang(&self, job: &Job, now: Timestamp) -> String {
         if job.spec.kind != JobKind::Gang || job.all_done() {
             return String::new();
         }
         if !job.placed.is_empty() {
-            return explain_gathering(job);
+            return explain_placed_gang(job);
         }
         if let Some(reservation) = self.gang_reservations.get(&job.spec.id) {
-            let first = reservation
+            let first_machine = reservation
                 .machines
                 .keys()
                 .next()
                 .and_then(|name| self.machines.get(name));
-            let zone = first
+            let zone = first_machine
                 .map(|machine| machine.zone.to_string())
                 .unwrap_or_default();
             return format!(
@@ -119,7 +119,7 @@
         )
     }
 
-    /// Logs how full the partition's machines are and what waits.
+    /// Logs how full the partition's machines are, and the waiting and demanded tasks.
     pub fn log_summary(&self, partition: PartitionId, now: Timestamp) {
         let totals = self.machine_totals(now);
         let fetching = self
@@ -145,6 +145,7 @@
         );
     }
 
+    /// Adds up the usable machines.
     fn machine_totals(&self, now: Timestamp) -> MachineTotals {
         let mut totals = MachineTotals::default();
         let heartbeat_timeout = self.heartbeat_timeout();
@@ -163,9 +164,9 @@
     }
 }
 
-/// The state of a gang whose tasks are placed.
-fn explain_gathering(job: &Job) -> String {
-    let gathered = job
+/// Describes the state of a gang whose tasks are placed.
+fn explain_placed_gang(job: &Job) -> String {
+    let ready = job
         .placed
         .values()
         .filter(|placement| placement.last_status == Some(TaskState::Waiting))
@@ -176,7 +177,7 @@
         "it gathers"
     };
     format!(
-        "{state}: {gathered} of {} tasks wait for the others",
+        "{state}: {ready} of {} tasks wait for the others",
         job.spec.tasks
     )
 }
--- a/crates/scheduler/src/policy.rs
+++ b/crates/scheduler/src/policy.rs
@@ -1,28 +1,27 @@
-//! Settings of placement that operators may tune.
+//! The settings of scheduling that operators may change at run time.
 
 use std::time::Duration;
 
-/// What operators may tune about placement. No value of it can make an unsafe placement possible.
+/// Settings of scheduling that operators may change at run time. No value makes an unsafe placement possible.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Policy {
-    /// Time beyond the longest regular interval between two heartbeats after which a machine without
-    /// a heartbeat gets no new tasks.
+    /// By how much a heartbeat may exceed the longest regular interval before the machine gets no new tasks.
     pub heartbeat_grace: Duration,
-    /// Tasks of one job array that are in the scheduling queue at a time.
+    /// Maximum number of tasks of one job that are in the scheduling queue at a time.
     pub max_queued_tasks_per_job: u32,
-    /// Failures without a success in between after which a machine is quarantined.
+    /// Number of failures without a success in between after which a machine is quarantined.
     pub quarantine_threshold: u32,
-    /// Whether tasks are preempted.
+    /// Whether tasks may be preempted for other work.
     pub preempt: bool,
-    /// Multiple of its own run time by which a job is deprioritised.
+    /// A job is deferred in the queue by its expected run time multiplied by this factor.
     pub size_penalty_factor: u64,
-    /// Whether replicas are consolidated on fewer machines.
+    /// Whether replicas of services are moved to fewer machines.
     pub consolidate_replicas: bool,
-    /// Tasks of arrays that find room within this time because running tasks complete are no demand
-    /// for further machines.
+    /// Waiting array tasks that fit into what running tasks free within this time are no demand for further
+    /// machines.
     pub absorb_within: Duration,
-    /// Further multiple of its remaining run time by which a job is deprioritised during overload;
-    /// 0 leaves the order as it is.
+    /// During overload, a job is deferred further by the size penalty of its waiting tasks multiplied by this
+    /// factor; 0 leaves the order unchanged.
     pub overload_penalty_factor: u64,
 }
 
