--- a/crates/autoscaler/src/capacity.rs
+++ b/crates/autoscaler/src/capacity.rs
@@ -8,7 +8,7 @@
 use wire::cloud::MachineType;
 
 /// Unit of [`IncomingMachine::time_left`]: a machine's whole time within the horizon.
-const WHOLE_HORIZON: u64 = 1_000_000;
+const WHOLE_HORIZON_PPM: u64 = 1_000_000;
 
 /// A machine that will soon be able to run tasks: it boots or is being transferred.
 pub(crate) struct IncomingMachine {
@@ -18,7 +18,7 @@
     /// Resources not yet assigned to services and gangs.
     pub(crate) free: Resources,
     /// Part of its time within the horizon that is not yet assigned to array work, in millionths.
-    time_left: u64,
+    time_left_ppm: u64,
 }
 
 /// All resources of a machine of this type.
@@ -34,7 +34,7 @@
             zone,
             spot,
             free: capacity_of(machine_type),
-            time_left: WHOLE_HORIZON,
+            time_left_ppm: WHOLE_HORIZON_PPM,
         }
     }
 
@@ -55,16 +55,16 @@
             self.free -= work.task_size.times(assigned);
             return assigned;
         }
-        if self.time_left == 0 {
+        if self.time_left_ppm == 0 {
             return 0;
         }
         // The scarcest resource limits how many tasks run at the same time.
         let time_per_task =
-            (WHOLE_HORIZON * work.task_ms / (slots * horizon.whole_millis()).max(1)).max(1);
-        let assigned = (self.time_left / time_per_task)
+            (WHOLE_HORIZON_PPM * work.task_ms / (slots * horizon.whole_millis()).max(1)).max(1);
+        let assigned = (self.time_left_ppm / time_per_task)
             .max(slots)
             .min(work.waiting);
-        self.time_left = self.time_left.saturating_sub(assigned * time_per_task);
+        self.time_left_ppm = self.time_left_ppm.saturating_sub(assigned * time_per_task);
         assigned
     }
 }
--- a/crates/autoscaler/src/machine.rs
+++ b/crates/autoscaler/src/machine.rs
@@ -28,7 +28,7 @@
     /// The cloud reports that it stopped of its own accord.
     pub failed: bool,
     /// Whether the partition leader's view of it is fresh.
-    pub view_is_fresh: bool,
+    pub status_is_recent: bool,
     /// It runs neither work that its partition's teams are guaranteed nor replicas.
     pub transferable: bool,
     /// It runs best-effort work only, which can be preempted within seconds.
@@ -40,7 +40,7 @@
 impl FleetMachine {
     /// Whether it may be transferred or preempted: it reports, and nothing else is planned for it.
     pub(crate) fn is_available(&self) -> bool {
-        self.view_is_fresh
+        self.status_is_recent
             && self.reporting
             && !self.leaving
             && !self.quarantined
--- a/crates/autoscaler/src/offers.rs
+++ b/crates/autoscaler/src/offers.rs
@@ -41,12 +41,12 @@
 
 impl<'a> Planner<'a> {
     /// The machine with the lowest price per task among those that can be rented for the work.
-    pub(crate) fn cheapest_offer(
+    pub(crate) fn cheapest_machine(
         &self,
         work: &PendingWork<'_>,
         spot_only: bool,
     ) -> Option<RentableMachine<'a>> {
-        let preferred_zone = &self.needs[work.need].preferred_zone;
+        let preferred_zone = &self.needs[work.need_index].preferred_zone;
         let mut cheapest: Option<(f64, RentableMachine<'a>)> = None;
         for machine in self.rentable_machines(work, spot_only) {
             let slots = capacity_of(machine.machine_type).how_many_fit(&work.task_size);
@@ -107,7 +107,7 @@
     /// Whether one more machine may be requested.
     fn may_rent(&self, offer: &Offer) -> bool {
         let limit = self.refused.get(offer).copied().unwrap_or(u32::MAX);
-        self.rented.get(offer).copied().unwrap_or(0) < limit
+        self.rented_by_offer.get(offer).copied().unwrap_or(0) < limit
     }
 
     /// Rents the cheapest machine for the work, if there is one.
@@ -116,13 +116,13 @@
         work: &PendingWork<'_>,
         spot_only: bool,
     ) -> Option<IncomingMachine> {
-        let machine = self.cheapest_offer(work, spot_only)?;
+        let machine = self.cheapest_machine(work, spot_only)?;
         let offer = machine.offer();
-        *self.rented.entry(offer.clone()).or_default() += 1;
+        *self.rented_by_offer.entry(offer.clone()).or_default() += 1;
         *self
             .rentals
             .entry(Rental {
-                need: work.need,
+                need_index: work.need_index,
                 offer,
             })
             .or_default() += 1;
--- a/crates/autoscaler/src/pending.rs
+++ b/crates/autoscaler/src/pending.rs
@@ -37,7 +37,7 @@
 /// Waiting work of one shape in one partition.
 pub(crate) struct PendingWork<'a> {
     /// Index of its partition in [`Planner::needs`].
-    pub(crate) need: usize,
+    pub(crate) need_index: usize,
     pub(crate) shape: &'a DemandShape,
     /// Resources of one task.
     pub(crate) task_size: Resources,
@@ -69,7 +69,7 @@
     }
 
     /// Number of combinations of machine type and spot or ordinary machines that suit it.
-    pub(crate) fn choices(&self) -> usize {
+    pub(crate) fn option_count(&self) -> usize {
         self.machine_types.len() * if self.shape.spot { 2 } else { 1 }
     }
 
@@ -109,7 +109,7 @@
         for (index, need) in self.needs.iter().enumerate() {
             for shape in &need.demand {
                 pending.push(PendingWork {
-                    need: index,
+                    need_index: index,
                     shape,
                     task_size: task_size(shape),
                     concurrent: shape.estimate_ms == 0
--- a/crates/autoscaler/src/planner.rs
+++ b/crates/autoscaler/src/planner.rs
@@ -36,7 +36,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct Rental {
     /// Index of the partition's need in [`Planner::needs`].
-    pub(crate) need: usize,
+    pub(crate) need_index: usize,
     pub(crate) offer: Offer,
 }
 
@@ -49,15 +49,15 @@
     /// Offers that were refused lately, with the number of machines that may still be requested.
     pub(crate) refused: &'a HashMap<Offer, u32>,
     /// Idle machines that are not planned for yet, longest idle first.
-    pub(crate) idle: Vec<&'a FleetMachine>,
+    pub(crate) idle_machines: Vec<&'a FleetMachine>,
     /// Machines with best-effort work only that are not planned for yet.
-    pub(crate) best_effort: Vec<&'a FleetMachine>,
+    pub(crate) best_effort_machines: Vec<&'a FleetMachine>,
     /// Machines to be transferred from one partition to another as they become empty, in all.
     pub(crate) requested_transfers: BTreeMap<TransferRoute, u32>,
     /// Number of idle machines transferred by this plan.
     pub(crate) idle_transfers: usize,
     /// Machines rented by this plan, by offer.
-    pub(crate) rented: BTreeMap<Offer, u32>,
+    pub(crate) rented_by_offer: BTreeMap<Offer, u32>,
     /// Number of machines rented by this plan, by partition and offer.
     pub(crate) rentals: BTreeMap<Rental, u32>,
     /// Machine types that gangs wait for: work that can run on others leaves them to the gangs,
@@ -112,11 +112,11 @@
             machines,
             needs,
             refused,
-            idle,
-            best_effort: available().filter(|machine| machine.best_effort).collect(),
+            idle_machines: idle,
+            best_effort_machines: available().filter(|machine| machine.best_effort).collect(),
             requested_transfers: BTreeMap::new(),
             idle_transfers: 0,
-            rented: BTreeMap::new(),
+            rented_by_offer: BTreeMap::new(),
             rentals: BTreeMap::new(),
             gang_types: Vec::new(),
             incoming: Vec::new(),
@@ -138,9 +138,9 @@
             self.reconsider_zone(work);
         }
         // Work that few kinds of machines suit goes first: more flexible work would take them.
-        pending.sort_by_key(PendingWork::choices);
+        pending.sort_by_key(PendingWork::option_count);
         for equally_flexible in
-            pending.chunk_by_mut(|left, right| left.choices() == right.choices())
+            pending.chunk_by_mut(|left, right| left.option_count() == right.option_count())
         {
             self.add_machines_in_turn(equally_flexible, tier);
         }
@@ -160,7 +160,7 @@
 
     /// Assigns tasks to machines that boot or are being transferred.
     pub(crate) fn assign_to_incoming(&mut self, work: &mut PendingWork<'_>) {
-        for machine in &mut self.incoming[work.need] {
+        for machine in &mut self.incoming[work.need_index] {
             if work.suits(&machine.machine_type, machine.zone.as_str(), machine.spot) {
                 work.waiting -= machine.assign(work, self.policy.horizon);
             }
@@ -247,7 +247,14 @@
 
     fn into_actions(self) -> Vec<FleetAction> {
         let mut actions = self.actions;
-        for (Rental { need, offer }, count) in self.rentals {
+        for (
+            Rental {
+                need_index: need,
+                offer,
+            },
+            count,
+        ) in self.rentals
+        {
             let Offer {
                 machine_type,
                 zone,
--- a/crates/autoscaler/src/rebalance.rs
+++ b/crates/autoscaler/src/rebalance.rs
@@ -9,28 +9,28 @@
 
 /// Machines by which partitions may differ in the work they run beyond guarantees, in addition to
 /// a quarter: a transferred machine is idle for a few seconds.
-const TOLERATED_DIFFERENCE: i64 = 3;
+const TOLERATED_MACHINE_DIFFERENCE: i64 = 3;
 
 /// A partition and the machine types that it gave away: many small machines do not make up for a large one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-struct Donation<'w> {
+struct DonationKey<'w> {
     machine_types: &'w [&'w str],
     partition: PartitionId,
 }
 
 /// Number of machines that partitions gave away by earlier transfers of the same plan (received, if
 /// negative).
-type Donations<'w> = BTreeMap<Donation<'w>, i64>;
+type Donations<'w> = BTreeMap<DonationKey<'w>, i64>;
 
 /// Machines suitable for some work that run nothing guaranteed.
-struct Unguaranteed {
+struct UnguaranteedMachines {
     /// Number by partition, less those that earlier transfers give away.
     counts: BTreeMap<PartitionId, i64>,
     /// Number that can still be given away, by partition.
     transferable: BTreeMap<PartitionId, u32>,
 }
 
-impl Unguaranteed {
+impl UnguaranteedMachines {
     fn count(&self, partition: PartitionId) -> i64 {
         self.counts.get(&partition).copied().unwrap_or(0)
     }
@@ -56,7 +56,7 @@
             .iter()
             .filter(|work| work.unavailable && work.waiting > 0)
         {
-            let to = self.needs[work.need].partition;
+            let to = self.needs[work.need_index].partition;
             let donors = self.choose_donors(work, pending, urgent, &mut donations);
             for (from, count) in donors {
                 self.request_transfer(from, to, work.planned_shape(), count);
@@ -72,7 +72,7 @@
         urgent: bool,
         donations: &mut Donations<'w>,
     ) -> BTreeMap<PartitionId, u32> {
-        let to = self.needs[work.need].partition;
+        let to = self.needs[work.need_index].partition;
         let slots = self.slots_per_machine(work);
         let mut unguaranteed = self.count_unguaranteed(work, donations);
         let mut donors: BTreeMap<PartitionId, u32> = BTreeMap::new();
@@ -88,7 +88,7 @@
             // Machines are not taken from where as much work waits for each of them.
             let worse_off = self.missing_machines(work, pending, from, slots) as i64 * own_count
                 > self.missing_machines(work, pending, to, slots) as i64 * donor_count;
-            let about_even = donor_count < own_count + own_count / 4 + TOLERATED_DIFFERENCE;
+            let about_even = donor_count < own_count + own_count / 4 + TOLERATED_MACHINE_DIFFERENCE;
             if !urgent && (about_even || worse_off) {
                 break;
             }
@@ -96,7 +96,7 @@
             let mut record = |partition, count: i64| {
                 *unguaranteed.counts.entry(partition).or_default() -= count;
                 *donations
-                    .entry(Donation {
+                    .entry(DonationKey {
                         machine_types: &work.machine_types,
                         partition,
                     })
@@ -116,8 +116,8 @@
         &self,
         work: &PendingWork<'_>,
         donations: &Donations<'_>,
-    ) -> Unguaranteed {
-        let to = self.needs[work.need].partition;
+    ) -> UnguaranteedMachines {
+        let to = self.needs[work.need_index].partition;
         let mut counts: BTreeMap<PartitionId, i64> =
             self.needs.iter().map(|need| (need.partition, 0)).collect();
         let mut transferable: BTreeMap<PartitionId, u32> = BTreeMap::new();
@@ -134,14 +134,14 @@
         }
         for (partition, count) in &mut counts {
             *count -= donations
-                .get(&Donation {
+                .get(&DonationKey {
                     machine_types: &work.machine_types,
                     partition: *partition,
                 })
                 .copied()
                 .unwrap_or(0);
         }
-        Unguaranteed {
+        UnguaranteedMachines {
             counts,
             transferable,
         }
@@ -168,7 +168,7 @@
     ) -> u64 {
         pending
             .iter()
-            .filter(|other| self.needs[other.need].partition == partition)
+            .filter(|other| self.needs[other.need_index].partition == partition)
             .filter(|other| other.machine_types == work.machine_types)
             .map(|other| other.waiting.div_ceil(slots))
             .sum()
--- a/crates/autoscaler/src/returns.rs
+++ b/crates/autoscaler/src/returns.rs
@@ -17,11 +17,15 @@
 impl Planner<'_> {
     /// Returns machines that are of no further use.
     pub(crate) fn return_machines(&mut self) {
-        let idle: HashSet<&MachineName> = self.idle.iter().map(|machine| &machine.name).collect();
+        let idle: HashSet<&MachineName> = self
+            .idle_machines
+            .iter()
+            .map(|machine| &machine.name)
+            .collect();
         for machine in self
             .machines
             .iter()
-            .filter(|m| m.view_is_fresh && !m.leaving)
+            .filter(|m| m.status_is_recent && !m.leaving)
         {
             let surplus = idle.contains(&machine.name) && self.is_surplus(machine);
             if surplus || self.never_reported(machine) || self.is_lost(machine) {
--- a/crates/autoscaler/src/transfers.rs
+++ b/crates/autoscaler/src/transfers.rs
@@ -11,7 +11,7 @@
     /// Adds one machine for the work: an idle one that its partition does not need, one with
     /// best-effort work only, or else a rented one. Returns whether tasks were assigned to it.
     pub(crate) fn add_machine(&mut self, work: &mut PendingWork<'_>, tier: Tier) -> bool {
-        let partition = self.needs[work.need].partition;
+        let partition = self.needs[work.need_index].partition;
         let spot_only = tier == Tier::BestEffort && work.shape.spot;
         let idle = self.find_idle_machine(work, spot_only);
         let best_effort = self.find_best_effort_machine(work);
@@ -28,13 +28,13 @@
         };
         let assigned = machine.assign(work, self.policy.horizon);
         work.waiting -= assigned;
-        self.incoming[work.need].push(machine);
+        self.incoming[work.need_index].push(machine);
         assigned > 0
     }
 
     /// Whether the machine is in another partition and suits the work.
     fn is_candidate(&self, machine: &FleetMachine, work: &PendingWork<'_>) -> bool {
-        machine.partition != self.needs[work.need].partition
+        machine.partition != self.needs[work.need_index].partition
             && work.suits(&machine.machine_type, machine.zone.as_str(), machine.spot)
     }
 
@@ -43,7 +43,7 @@
         if work.no_idle_machine || self.idle_transfers >= self.policy.max_idle_transfers {
             return None;
         }
-        self.idle.iter().position(|machine| {
+        self.idle_machines.iter().position(|machine| {
             self.is_candidate(machine, work)
                 && machine.idle_for >= self.policy.transfer_idle
                 && (machine.spot || !spot_only)
@@ -56,7 +56,7 @@
         if work.no_best_effort_machine {
             return None;
         }
-        self.best_effort
+        self.best_effort_machines
             .iter()
             .position(|machine| self.is_candidate(machine, work))
     }
@@ -76,7 +76,7 @@
     }
 
     fn transfer_idle_machine(&mut self, index: usize, to: PartitionId) -> Option<IncomingMachine> {
-        let machine = self.idle.remove(index);
+        let machine = self.idle_machines.remove(index);
         let machine_type = self.machine_type(&machine.machine_type)?;
         self.idle_transfers += 1;
         self.actions.push(FleetAction::TransferIdle {
@@ -91,9 +91,9 @@
         index: usize,
         work: &PendingWork<'_>,
     ) -> Option<IncomingMachine> {
-        let machine = self.best_effort.remove(index);
+        let machine = self.best_effort_machines.remove(index);
         let machine_type = self.machine_type(&machine.machine_type)?;
-        let to = self.needs[work.need].partition;
+        let to = self.needs[work.need_index].partition;
         self.request_transfer(machine.partition, to, work.planned_shape(), 1);
         Some(IncomingMachine::emptied(machine, machine_type))
     }
--- a/crates/autoscaler/src/zones.rs
+++ b/crates/autoscaler/src/zones.rs
@@ -8,7 +8,7 @@
     /// there, all of it may go to another zone.
     pub(crate) fn reconsider_zone(&mut self, work: &mut PendingWork<'_>) {
         let is_gang = work.shape.gang > 0;
-        if !is_gang || work.waiting == 0 || self.cheapest_offer(work, false).is_some() {
+        if !is_gang || work.waiting == 0 || self.cheapest_machine(work, false).is_some() {
             return;
         }
         let preferred = work.zone.clone();
@@ -31,7 +31,7 @@
             if self.incoming_slots(work) >= work.shape.gang {
                 return Some(zone);
             }
-            if with_offer.is_none() && self.cheapest_offer(work, false).is_some() {
+            if with_offer.is_none() && self.cheapest_machine(work, false).is_some() {
                 with_offer = Some(zone);
             }
         }
@@ -48,7 +48,7 @@
             .filter(|zone| Some(*zone) != work.zone.as_ref())
             .cloned()
             .collect();
-        let preferred_zone = self.needs[work.need].preferred_zone.as_str();
+        let preferred_zone = self.needs[work.need_index].preferred_zone.as_str();
         others.sort_by_key(|zone| (zone != preferred_zone, zone.clone()));
         others.dedup();
         others
@@ -56,7 +56,7 @@
 
     /// Tasks of the work that fit the machines that are coming to its partition.
     fn incoming_slots(&self, work: &PendingWork<'_>) -> u64 {
-        let machines = self.incoming[work.need].iter();
+        let machines = self.incoming[work.need_index].iter();
         machines
             .filter(|m| work.suits(&m.machine_type, m.zone.as_str(), m.spot))
             .map(|machine| machine.free.how_many_fit(&work.task_size))
--- a/crates/autoscaler/tests/planning.rs
+++ b/crates/autoscaler/tests/planning.rs
@@ -39,7 +39,7 @@
         observable_for: Duration::from_secs(100),
         since_heartbeat: Duration::ZERO,
         failed: false,
-        view_is_fresh: true,
+        status_is_recent: true,
         transferable,
         best_effort: false,
         transfer_to: None,
--- a/crates/controller/src/controller/fleet_planner/inventory.rs
+++ b/crates/controller/src/controller/fleet_planner/inventory.rs
@@ -247,7 +247,7 @@
                 machine.idle_for = Duration::from_millis(status.idle_ms);
                 machine.quarantined = status.quarantined;
                 machine.since_heartbeat = Duration::from_millis(status.since_heartbeat_ms);
-                machine.view_is_fresh = received.is_fresh(now);
+                machine.status_is_recent = received.is_fresh(now);
                 machine.transferable = status.transferable;
                 machine.best_effort = status.best_effort;
                 machine.transfer_to = status.transfer_to.map(PartitionId);
@@ -303,7 +303,7 @@
         observable_for: Duration::ZERO,
         since_heartbeat: Duration::ZERO,
         failed: false,
-        view_is_fresh: false,
+        status_is_recent: false,
         transferable: false,
         best_effort: false,
         transfer_to: None,
--- a/crates/controller/src/controller/heartbeats.rs
+++ b/crates/controller/src/controller/heartbeats.rs
@@ -235,7 +235,7 @@
         match reply {
             DirectReply::Answered(report) => {
                 partition_state.record_probe_result(machine, true, now);
-                partition_state.reconcile(&report, StatusSource::Direct, now);
+                partition_state.reconcile(&report, StatusSource::DirectResponse, now);
             }
             DirectReply::Unknown => partition_state.record_probe_result(machine, false, now),
         }
@@ -308,7 +308,7 @@
             DirectReply::Unknown => partition_state.record_unanswered_commands(machine, now),
             DirectReply::Answered(report) => {
                 partition_state.record_direct_response(machine, launches);
-                partition_state.reconcile(&report, StatusSource::Direct, now);
+                partition_state.reconcile(&report, StatusSource::DirectResponse, now);
             }
         }
     }
--- a/crates/scheduler/src/reconciliation.rs
+++ b/crates/scheduler/src/reconciliation.rs
@@ -25,7 +25,7 @@
     /// In a heartbeat: the worker has processed the reply to the previous heartbeat, or never will.
     Heartbeat,
     /// In the response to a direct call: the reply to the last heartbeat may still be on its way.
-    Direct,
+    DirectResponse,
 }
 
 /// A worker's status, with the fields of the message converted to the types of the model.
@@ -183,7 +183,9 @@
             }
             return;
         }
-        if placement.launch.is_launched_in_response() && status.source == StatusSource::Direct {
+        if placement.launch.is_launched_in_response()
+            && status.source == StatusSource::DirectResponse
+        {
             return;
         }
         // Until the worker has seen this leader's token, it may still execute a previous leader's launch.
@@ -330,7 +332,7 @@
     /// Updates whether the machine is suspected of not receiving commands and replies. Returns true if the
     /// status shows that a suspected machine receives them again.
     fn update_suspicion(&mut self, status: &Status<'_>, lease_duration: Duration) -> bool {
-        if status.source == StatusSource::Direct && self.suspected_since.take().is_some() {
+        if status.source == StatusSource::DirectResponse && self.suspected_since.take().is_some() {
             tracing::debug!(machine = %status.machine, "machine reachable again");
             return true;
         }
--- a/crates/scheduler/tests/partition_state/commands.rs
+++ b/crates/scheduler/tests/partition_state/commands.rs
@@ -46,7 +46,7 @@
     // The answer with the launch may still be under way when a direct answer comes.
     share.reconcile(
         &heartbeat(2, None, Vec::new()),
-        StatusSource::Direct,
+        StatusSource::DirectResponse,
         Timestamp::from_millis(210),
     );
     assert_eq!(share.jobs[&model::JobId(1)].placed.len(), 1);
@@ -119,7 +119,7 @@
     let ended = || task_status(&task, attempt, TaskState::Exited, Some(ExitCause::Stopped));
     share.reconcile(
         &heartbeat(2, None, vec![ended()]),
-        StatusSource::Direct,
+        StatusSource::DirectResponse,
         Timestamp::from_millis(150),
     );
     make_durable(&mut share);
@@ -240,7 +240,7 @@
     );
     share.reconcile(
         &heartbeat(2, None, running),
-        StatusSource::Direct,
+        StatusSource::DirectResponse,
         Timestamp::from_millis(110),
     );
     share.cancel_job(model::JobId(1), Timestamp::from_millis(200));
--- a/crates/scheduler/tests/partition_state/liveness.rs
+++ b/crates/scheduler/tests/partition_state/liveness.rs
@@ -273,7 +273,7 @@
     };
     partition.reconcile(
         &direct_response,
-        StatusSource::Direct,
+        StatusSource::DirectResponse,
         Timestamp::from_millis(14_000),
     );
     partition.run_cycles(Timestamp::from_millis(14_000), 100);
--- a/crates/simulator/benches/scale.rs
+++ b/crates/simulator/benches/scale.rs
@@ -259,7 +259,7 @@
                 observable_for: Duration::from_secs(10),
                 since_heartbeat: Duration::ZERO,
                 failed: false,
-                view_is_fresh: true,
+                status_is_recent: true,
                 transferable: nth % 4 == 0,
                 best_effort: false,
                 transfer_to: None,
