--- a/crates/controller/src/controller/job_archiver.rs
+++ b/crates/controller/src/controller/job_archiver.rs
@@ -1,10 +1,11 @@
-//! Recording the terminal states of jobs: done or cancelled, whichever came first.
+//! Recording of the terminal states of jobs: done or cancelled, whichever comes first.
 //!
-//! A terminal job is an entry on a watched page, many to a put. That write is conditional on all
-//! controllers' cancellations, so that done and cancelled exclude each other. When there is budget
-//! to spare, the final state is archived under the job's id, where it stays for ever. An entry
-//! leaves its page once it is archived and no page of accepted jobs lists the job any more; the job
-//! cannot be registered again then, since acceptances are conditional on there being no final state.
+//! Terminal jobs are first recorded on watched pages, many jobs in one write. This write is conditional
+//! on the cancellation records of all controllers, so that a job cannot be both done and cancelled.
+//! When the write budget has room to spare, final states are archived under the jobs' ids, where they
+//! stay for ever. A job is dropped from its page once it is archived and no page of accepted jobs lists
+//! it any more. It cannot be accepted again after that, since acceptances are conditional on there
+//! being no archived final state.
 
 use super::call_kind::JobCall;
 use super::{CallKind, Controller};
@@ -20,12 +21,12 @@
 use std::time::Duration;
 use wire::state::{StateReply, StateRequest, Transaction, Write};
 
-/// Least time between two writes of terminal jobs, so that several go together.
+/// Minimum time between two writes of terminal jobs, so that several are written together.
 const WRITE_INTERVAL: Duration = Duration::from_millis(150);
-/// Most bytes of a job's id on a page: 20 digits and a separator.
+/// Maximum bytes of a job's id on a page: 20 digits and a separator.
 const MAX_ID_BYTES: usize = 21;
 
-/// Jobs of a partition in a terminal state that is not recorded yet, and the write under way.
+/// Jobs of a partition whose terminal states are not recorded yet, and the write in flight.
 #[derive(Debug, Default)]
 pub(crate) struct JobArchiver {
     jobs: BTreeSet<JobId>,
@@ -38,7 +39,7 @@
         let (now, revision) = (self.now, self.cache.revision);
         let may_record = self.may_write(CallPriority::UserRequest, 1.0);
         let max_archived = self.settings.state_limits.txn_ops - 1;
-        let capacity = self.max_ids_per_page();
+        let max_ids_per_page = self.max_ids_per_page();
         let may_archive = self.may_write(CallPriority::Background, max_archived as f64 + 1.0);
         let Some(leadership) = self.leaderships.get_mut(&partition) else {
             return;
@@ -52,7 +53,8 @@
             return;
         }
         archiver.jobs.retain(|id| self.cache.jobs.contains_key(id));
-        // A job that another controller's message reports as cancelled waits for the record of that.
+        // A job that only a peer's message reports as cancelled waits until the state cache shows the
+        // cancellation.
         let all_done = |id: &JobId| {
             partition_state
                 .jobs
@@ -67,7 +69,7 @@
                 &self.controllers,
                 partition,
                 &terminal,
-                capacity,
+                max_ids_per_page,
             )
         } else if may_archive {
             match archive_jobs(&self.cache, partition, max_archived) {
@@ -93,12 +95,12 @@
         );
     }
 
-    /// How many ids a page takes.
+    /// Maximum number of job ids on a page.
     pub(super) fn max_ids_per_page(&self) -> usize {
         page_capacity_bytes(self.settings.state_limits.value_bytes) / MAX_ID_BYTES
     }
 
-    /// Takes in the outcome of a write of terminal jobs.
+    /// Handles the reply to a write of terminal jobs.
     pub(super) fn handle_terminal_jobs_written(
         &mut self,
         partition: PartitionId,
@@ -112,7 +114,7 @@
         let Some((_, archiver)) = leadership.partition_state_and_archiver() else {
             return;
         };
-        // The state cache shows the outcome: what is not recorded by then is written anew.
+        // The state cache will show the outcome; jobs that are not recorded then are written again.
         if let WriteOutcome::Unknown(txn) = archiver.writer.handle_reply(reply, now) {
             let kind = CallKind::Job(JobCall::Archive { partition, term });
             self.retry_later(
@@ -124,7 +126,7 @@
         }
     }
 
-    /// Applies a durable terminal state of a job.
+    /// Applies a job's terminal state that has been recorded.
     pub(super) fn handle_terminal_job(&mut self, id: JobId, state: JobState) {
         let now = self.now;
         self.job_status.record_terminal_state(id, state);
@@ -134,13 +136,13 @@
     }
 }
 
-/// A transaction that records these jobs as terminal, as many as their page takes.
+/// A transaction that records these jobs as terminal, as many as fit on one page.
 fn record_jobs(
     cache: &StateCache,
     nodes: &[(ControllerName, ZoneName)],
     partition: PartitionId,
     jobs: &BTreeSet<JobId>,
-    capacity: usize,
+    max_ids_per_page: usize,
 ) -> Transaction {
     let mut number = 0;
     let (page_version, mut page) = loop {
@@ -149,13 +151,13 @@
         };
         let mut page = recorded.record.clone();
         page.drop_unregistered(|id| cache.is_registered(id));
-        if page.len() < capacity {
+        if page.len() < max_ids_per_page {
             break (recorded.version.0, page);
         }
         number += 1;
     };
-    let free = capacity.saturating_sub(page.len());
-    for id in jobs.iter().take(free) {
+    let free_entries = max_ids_per_page.saturating_sub(page.len());
+    for id in jobs.iter().take(free_entries) {
         let cancelled = cache.is_cancelled(*id);
         page.push(
             *id,
@@ -183,8 +185,8 @@
     ))
 }
 
-/// A transaction that archives `count` final states; none if there are fewer, which are not worth a
-/// put of the page.
+/// A transaction that archives `count` final states, or none if there are fewer: they would not justify
+/// rewriting the page.
 fn archive_jobs(cache: &StateCache, partition: PartitionId, count: usize) -> Option<Transaction> {
     let pages = cache
         .terminal_job_pages
--- a/crates/controller/src/controller/leadership/advance.rs
+++ b/crates/controller/src/controller/leadership/advance.rs
@@ -1,4 +1,5 @@
-//! The recurring work of a leader: scheduling cycles, commits, and scans of the partition's machines.
+//! The recurring work of a partition leader: scheduling cycles, commits, and scans of the
+//! partition's machines.
 
 use super::PartitionLeadership;
 use crate::controller::{Controller, MAX_LAUNCH_READ_AGE};
@@ -6,13 +7,13 @@
 use model::PartitionId;
 use std::time::Duration;
 
-/// Time between two scans of all machines of a partition, for what comes with time and not with an
-/// event. Events come a thousand a second: a scan at each would let the cost grow with the square of
-/// the fleet.
+/// Interval between scans of all machines of a partition, for work that becomes due with time rather
+/// than with an event. Events arrive at about a thousand per second: with a scan on each, the cost
+/// would grow with the square of the fleet size.
 const SCAN_INTERVAL: Duration = Duration::from_millis(100);
-/// Time between two reports of the partitions' statuses.
+/// Interval between reports of partition statuses.
 const STATUS_INTERVAL: Duration = Duration::from_millis(500);
-/// Scheduling cycles of one step; the rest follow in the next.
+/// Maximum number of scheduling cycles in one step; the rest run in the next step.
 const MAX_CYCLES_PER_STEP: usize = 400;
 
 impl Controller {
@@ -54,7 +55,7 @@
         }
     }
 
-    /// Unconfirmed predecessors of whose controllers a later incarnation has started.
+    /// Unconfirmed predecessors that have exited: their controllers run under a later incarnation.
     fn exited_predecessors(&self, partition: PartitionId) -> Vec<ControllerIncarnation> {
         let predecessors = self
             .leaderships
@@ -68,10 +69,11 @@
             .collect()
     }
 
-    /// Expires leases and runs scheduling cycles. Returns whether the partition is loaded.
+    /// Drains reclaimed machines, expires leases, runs scheduling cycles and consolidates replicas.
+    /// Returns whether the partition is loaded.
     fn run_scheduling(&mut self, partition: PartitionId, scan_due: bool) -> bool {
         let now = self.now;
-        let state_is_recent = self.has_recent_state_read(MAX_LAUNCH_READ_AGE);
+        let is_state_recent = self.has_recent_state_read(MAX_LAUNCH_READ_AGE);
         let Some(leadership) = self.leaderships.get_mut(&partition) else {
             return false;
         };
@@ -86,12 +88,13 @@
         };
         if scan_due {
             loaded.partition_state.drain_reclaimed_machines(now);
-            if state_is_recent {
-                // Without a recent read a successor may be answering them.
+            if is_state_recent {
+                // Without a recent read of the state service, a successor may already be answering
+                // these workers and renewing their leases.
                 loaded.partition_state.expire_leases(now);
             }
         }
-        if state_is_recent {
+        if is_state_recent {
             loaded.more_cycles = loaded.partition_state.run_cycles(now, MAX_CYCLES_PER_STEP);
             loaded.partition_state.consolidate(now);
         }
@@ -104,7 +107,7 @@
         true
     }
 
-    /// Work that follows from time that has passed, for all machines of a partition.
+    /// Does the work on a partition's machines that becomes due with time.
     fn scan_machines(&mut self, partition: PartitionId) {
         self.request_token_raises(partition);
         self.raise_partition_token(partition);
--- a/crates/controller/src/controller/leadership/commits.rs
+++ b/crates/controller/src/controller/leadership/commits.rs
@@ -1,4 +1,4 @@
-//! Commits of the placement log, one at a time.
+//! Commits of a partition's placement log, one at a time.
 
 use super::{LoadedPartition, PartitionLeadership, PendingCommit, PLACEMENT_COMMIT_INTERVAL};
 use crate::controller::call_kind::LogCall;
@@ -9,18 +9,18 @@
 use std::time::Duration;
 use wire::state::{StateReply, StateRequest, Transaction};
 
-/// Pause between commits that carry outcomes only.
+/// Minimum time between a commit and a following commit that carries task outcomes only.
 const OUTCOME_COMMIT_INTERVAL: Duration = Duration::from_millis(400);
-/// Pause before a commit is sent again that the state service has throttled.
+/// Delay before a commit that the state service has throttled is sent again.
 const THROTTLED_RETRY_DELAY: Duration = Duration::from_millis(80);
-/// Pause before a commit is sent again whose outcome is unknown.
+/// Delay before a commit with an unknown outcome is sent again.
 const COMMIT_RETRY_DELAY: Duration = Duration::from_millis(200);
-/// Pause before a page is read again that shows whether a commit was applied.
+/// Delay before the page that shows whether a commit was applied is read again.
 const VERIFICATION_RETRY_DELAY: Duration = Duration::from_millis(150);
 
 impl LoadedPartition {
-    /// Prepares a commit of what has changed, if anything has and the pause since the last one is
-    /// over, and returns its transaction.
+    /// Prepares a commit of the changed chunks and returns its transaction. Returns none if nothing has
+    /// changed, a commit is pending, or the last one is too recent.
     fn prepare_commit(
         &mut self,
         version: Version,
@@ -41,15 +41,15 @@
         if changes.is_empty() {
             return None;
         }
-        let (commit, left) = self.log.prepare_commit(version, changes);
-        self.partition_state.mark_chunks_dirty(left);
+        let (commit, left_out) = self.log.prepare_commit(version, changes);
+        self.partition_state.mark_chunks_dirty(left_out);
         let changes = self.partition_state.changes_in_chunks(&commit.chunk_keys);
         let txn = commit.txn.clone();
         self.pending_commit = Some(PendingCommit { commit, changes });
         Some(txn)
     }
 
-    /// The open commit is durable at this revision.
+    /// Records that the pending commit is durable at this revision.
     fn confirm_commit(&mut self, revision: u64) {
         if let Some(pending) = self.pending_commit.take() {
             self.log.confirm_commit(&pending.commit, revision);
@@ -73,7 +73,7 @@
         self.loaded()?.pending_commit.as_ref()
     }
 
-    /// Key of a page that shows whether the open commit was applied.
+    /// Key of a page that shows whether the pending commit was applied, and the commit's id.
     fn verification_page(&self) -> Option<(String, CommitId)> {
         let loaded = self.loaded()?;
         loaded
@@ -89,8 +89,8 @@
 }
 
 impl Controller {
-    /// Writes what has changed in a partition, if the budget allows the write at once: a commit that
-    /// is prepared only then carries more and is fresher.
+    /// Commits a partition's changes if the budget allows the write at once. A commit that was prepared
+    /// earlier and queued would lack the changes made while it waits.
     pub(super) fn write_commit(&mut self, partition: PartitionId) {
         let now = self.now;
         if self.machine_changes.is_delayed(now) || !self.may_write(CallPriority::Placement, 1.0) {
@@ -110,7 +110,7 @@
         );
     }
 
-    /// Handles the reply to a commit's transaction.
+    /// Handles the reply to the transaction of a commit.
     pub(in crate::controller) fn handle_commit_reply(
         &mut self,
         partition: PartitionId,
@@ -129,47 +129,48 @@
                 leadership.confirm_commit(revision);
                 leadership.committed_at = now;
             }
-            // Either an earlier copy of this very commit was applied, or the leadership is lost.
+            // Either an earlier copy of this commit was applied, or the leadership is lost.
             StateReply::Conflict { .. } => self.verify_commit(partition, term, None),
             StateReply::Invalid(problem) => {
                 tracing::error!(%partition, problem, "commit rejected as invalid");
                 self.reload_partition(partition);
             }
-            // The same commit again: its conditions let it be applied once at most.
+            // Sends the same commit again: its conditions allow it to be applied at most once.
             other => {
                 let request = StateRequest::Transaction(pending.commit.txn.clone());
                 let delay = match other {
                     StateReply::Refused { throttled: true } => THROTTLED_RETRY_DELAY,
                     _ => COMMIT_RETRY_DELAY,
                 };
-                let purpose = CallKind::Log(LogCall::Commit { partition, term });
-                self.retry_later(delay, CallPriority::Placement, request, purpose);
+                let kind = CallKind::Log(LogCall::Commit { partition, term });
+                self.retry_later(delay, CallPriority::Placement, request, kind);
             }
         }
     }
 
-    /// Reads a page that the open commit writes, at once or after a delay.
+    /// Reads a page that the pending commit writes, at once or after a delay, to find out whether the
+    /// commit was applied.
     fn verify_commit(&mut self, partition: PartitionId, term: u64, delay: Option<Duration>) {
-        let proof = self
+        let page = self
             .leaderships
             .get(&partition)
             .and_then(PartitionLeadership::verification_page);
-        let Some((key, id)) = proof else {
+        let Some((key, id)) = page else {
             return;
         };
         let request = StateRequest::Get { key };
-        let purpose = CallKind::Log(LogCall::VerifyCommit {
+        let kind = CallKind::Log(LogCall::VerifyCommit {
             partition,
             term,
             id,
         });
         match delay {
-            None => self.queue_state_request(CallPriority::Placement, request, purpose),
-            Some(delay) => self.retry_later(delay, CallPriority::Placement, request, purpose),
+            None => self.queue_state_request(CallPriority::Placement, request, kind),
+            Some(delay) => self.retry_later(delay, CallPriority::Placement, request, kind),
         }
     }
 
-    /// Handles the page that shows whether a commit was applied.
+    /// Handles the read of the page that shows whether a commit was applied.
     pub(in crate::controller) fn handle_commit_verification(
         &mut self,
         partition: PartitionId,
--- a/crates/controller/src/controller/leadership/loading.rs
+++ b/crates/controller/src/controller/leadership/loading.rs
@@ -1,5 +1,5 @@
-//! A leadership whose partition is not loaded yet: pages of the placement log as they are read, and
-//! what arrives meanwhile.
+//! A leadership whose partition is not loaded yet: it keeps the pages of the placement log read so
+//! far, the failed readiness checks, and the heartbeats that arrive meanwhile.
 
 use super::{LoadState, LoadedPartition, PartitionLeadership};
 use crate::controller::job_archiver::JobArchiver;
@@ -12,13 +12,13 @@
 use wire::state::{Item, ListPage};
 use wire::workers::Heartbeat;
 
-/// What is known before the partition's state can be built.
+/// What a leader keeps until the partition's state can be built.
 #[derive(Debug, Default)]
 pub(super) struct Loading {
     log_read: LogReadProgress,
     /// Readiness checks that failed when they were last evaluated.
     failed_checks: Vec<ReadinessCheck>,
-    /// Heartbeats that were answered meanwhile. They are reconciled once the state is built.
+    /// Heartbeats that were answered while loading. They are reconciled once the state is built.
     heartbeats: BTreeMap<MachineName, EarlyHeartbeat>,
 }
 
@@ -31,10 +31,10 @@
     pub received_at: Timestamp,
 }
 
-/// How far the placement log has been read.
+/// Progress of reading the placement log.
 #[derive(Debug)]
 enum LogReadProgress {
-    /// Pages so far, and the state service's revision at the read of the first one.
+    /// The pages read so far, and the state service's revision when the first one was read.
     Reading {
         pages: Vec<Item>,
         revision: Option<Revision>,
@@ -51,21 +51,21 @@
     }
 }
 
-/// A placement log that has been read whole.
+/// A placement log of which all pages have been read.
 #[derive(Debug)]
 pub(in crate::controller) struct CompletedLogRead {
-    /// Revision of the state service at the read of the first page; later pages may be newer.
+    /// Revision of the state service when the first page was read; later pages may be newer.
     pub revision: Revision,
     /// The log.
     pub log: PlacementLog,
 }
 
-/// What follows from a page of the placement log.
+/// Result of adding a page to the placement log being read.
 #[derive(Debug)]
 pub(in crate::controller) enum LogPageOutcome {
-    /// The page does not follow the one with this last key.
+    /// The page does not continue the list after this key, the last one read.
     OutOfOrder { last_key: String },
-    /// The log goes on after this key.
+    /// The log continues after this key.
     More { after: String },
     /// All pages have been read.
     Complete { unreadable_pages: u64 },
@@ -74,7 +74,7 @@
 }
 
 impl Loading {
-    /// Keeps a heartbeat that is answered before the partition's state is built.
+    /// Keeps a heartbeat until the partition's state is built.
     pub(super) fn record_heartbeat(
         &mut self,
         machine: &MachineName,
@@ -109,15 +109,15 @@
         }
     }
 
-    /// Begins to read the placement log anew; pages read before do not count.
+    /// Discards the pages read so far: the placement log is read again from its first page.
     pub(in crate::controller) fn restart_log_read(&mut self) {
         if let Some(loading) = self.loading_mut() {
             loading.log_read = LogReadProgress::default();
         }
     }
 
-    /// Adds a page to the read of the placement log. `value_bytes` bounds a page of the log and
-    /// `txn_ops` a commit.
+    /// Adds a page to the placement log being read. `value_bytes` limits the size of a page and
+    /// `txn_ops` the number of operations in a commit.
     pub(in crate::controller) fn add_log_page(
         &mut self,
         partition: PartitionId,
@@ -148,7 +148,7 @@
         LogPageOutcome::Complete { unreadable_pages }
     }
 
-    /// The placement log, if it has been read whole and the partition is not loaded yet.
+    /// The placement log, if all of its pages have been read and the partition is not loaded yet.
     pub(in crate::controller) fn completed_log_read(&self) -> Option<&CompletedLogRead> {
         match &self.loading()?.log_read {
             LogReadProgress::Complete(read) => Some(read),
@@ -156,7 +156,8 @@
         }
     }
 
-    /// Takes the placement log that has been read, to build the partition's state from it.
+    /// Takes the placement log out, to build the partition's state from it, if all of its pages have
+    /// been read.
     pub(in crate::controller) fn take_completed_log_read(&mut self) -> Option<CompletedLogRead> {
         let loading = self.loading_mut()?;
         match std::mem::take(&mut loading.log_read) {
@@ -180,14 +181,14 @@
             .map_or(&[], |loading| loading.failed_checks.as_slice())
     }
 
-    /// Records which readiness checks have failed.
+    /// Records which readiness checks have just failed.
     pub(in crate::controller) fn set_failed_checks(&mut self, failed: &[ReadinessCheck]) {
         if let Some(loading) = self.loading_mut() {
             loading.failed_checks = failed.to_vec();
         }
     }
 
-    /// The partition's state has been built: scheduling begins.
+    /// Records that the partition's state has been built, so that scheduling begins.
     pub(in crate::controller) fn finish_loading(
         &mut self,
         log: PlacementLog,
--- a/crates/controller/src/controller/leadership/machine_failures.rs
+++ b/crates/controller/src/controller/leadership/machine_failures.rs
@@ -1,5 +1,5 @@
-//! Machines that have stopped responding: liveness probes, release, and a partition whose workers do
-//! not reach this controller at all.
+//! Handling of machines that have stopped responding: liveness probes, release, and detection of a
+//! partition whose workers do not reach this controller at all.
 
 use crate::controller::call_kind::WorkerCall;
 use crate::controller::machine_records::MachineChange;
@@ -8,24 +8,25 @@
 use scheduler::Probe;
 use std::time::Duration;
 
-/// Time limit of a liveness probe.
+/// Timeout of a liveness probe.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(900);
-/// Time that workers need beyond a missed heartbeat to find a new leader before any of them is
-/// released.
+/// Time that workers get, beyond the timeout for missing heartbeats, to find a new leader before it
+/// releases any of their machines.
 const RELEASE_GRACE: Duration = Duration::from_millis(1_500);
-/// Time that workers need beyond a missed heartbeat to find a new leader before it resigns.
+/// Time that workers get, beyond the timeout for missing heartbeats, to find a new leader before it
+/// resigns.
 const RESIGNATION_GRACE: Duration = Duration::from_secs(3);
 
-/// Heartbeat timeouts of a machine that is to be released.
+/// Ages of the last heartbeat that decide whether a machine is released.
 struct ReleaseTimeouts {
-    /// A heartbeat is late.
+    /// An age that heartbeats do not normally reach.
     regular_timeout: Duration,
-    /// Heartbeats have been missing for too long.
+    /// The age at which a machine is taken to have failed.
     timeout: Duration,
 }
 
 impl ReleaseTimeouts {
-    /// Workers send heartbeats every 1.25 times the interval at the latest.
+    /// Workers send the next heartbeat after at most 1.25 times the interval.
     fn new(heartbeat_interval: Duration) -> Self {
         let interval_ms = heartbeat_interval.whole_millis();
         ReleaseTimeouts {
@@ -36,12 +37,12 @@
 }
 
 impl Controller {
-    /// Whether hardly any worker of the partition sends heartbeats to this controller, though they
-    /// had time to find it.
+    /// Whether at least nine in ten of the partition's workers send no heartbeats to this controller,
+    /// although they have had time to find it.
     pub(super) fn workers_are_unreachable(&self, partition: PartitionId) -> bool {
         let now = self.now;
-        // Workers send heartbeats every 1.25 times the interval at the latest; their leases run
-        // meanwhile.
+        // Workers send the next heartbeat after at most 1.25 times the interval. Their leases run
+        // down while this timeout does.
         let timeout = Duration::from_millis(
             self.settings.workers.heartbeat_interval.whole_millis() * 2 + 500,
         );
@@ -51,7 +52,7 @@
         let Some(partition_state) = leadership.partition_state() else {
             return false;
         };
-        // Machines that are still booting prove nothing about this controller.
+        // Machines that are still booting say nothing about whether this controller can be reached.
         let booted = partition_state
             .machines
             .values()
@@ -65,8 +66,8 @@
                     .is_none_or(|at| now.duration_since(at) > timeout),
             );
         }
-        // Workers turn to other controllers while this one is paused, and need as long to find it
-        // again.
+        // While this controller is paused, workers turn to others; afterwards they need the same time
+        // to find it again.
         let since = leadership.leading_since.max(self.running_since);
         now.duration_since(since) >= timeout + RESIGNATION_GRACE
             && count >= 2
@@ -90,13 +91,13 @@
                 token,
                 worker_epoch,
             } = probe;
-            let purpose = CallKind::Worker(WorkerCall::LivenessProbe { partition, machine });
-            self.send_probe(address, token, worker_epoch, purpose, PROBE_TIMEOUT);
+            let kind = CallKind::Worker(WorkerCall::LivenessProbe { partition, machine });
+            self.send_probe(address, token, worker_epoch, kind, PROBE_TIMEOUT);
         }
     }
 
-    /// Releases machines that have stopped responding. The cloud's confirmation proves that
-    /// everything on them is gone.
+    /// Requests the release of machines that have stopped responding. Once the cloud confirms the
+    /// release, no task can be running on them any more.
     pub(super) fn release_unresponsive_machines(&mut self, partition: PartitionId) {
         let now = self.now;
         if !self.has_recent_state_read(MAX_LAUNCH_READ_AGE) {
@@ -106,7 +107,7 @@
         let Some(leadership) = self.leaderships.get_mut(&partition) else {
             return;
         };
-        // Workers need time to find a new leader, or one that was paused.
+        // Workers need time to find a new leader, or to find this one again after a pause.
         let since = leadership.leading_since.max(self.running_since);
         let Some(partition_state) = leadership.partition_state_mut() else {
             return;
@@ -122,7 +123,7 @@
         }
         unresponsive.retain(|name| !self.machine_changes.has_change(name));
         for name in unresponsive {
-            tracing::info!(%partition, machine = %name, "machine unresponsive, requesting its release");
+            tracing::info!(%partition, machine = %name, "release of unresponsive machine requested");
             if let Some(machine) = partition_state.machines.get_mut(&name) {
                 machine.leaving = true;
             }
--- a/crates/controller/src/controller/leadership/machine_transfers.rs
+++ b/crates/controller/src/controller/leadership/machine_transfers.rs
@@ -1,5 +1,5 @@
-//! Machines that leave a partition on a request of the fleet planner: for another partition, or
-//! released to the cloud.
+//! Machines that leave a partition at the request of the fleet planner: they are transferred to
+//! another partition or released to the cloud.
 
 use super::PartitionLeadership;
 use crate::controller::machine_records::MachineChange;
@@ -22,7 +22,8 @@
             .and_then(PartitionLeadership::partition_state_mut)
     }
 
-    /// The fleet planner requests an idle machine, for another partition or for the cloud.
+    /// Handles the fleet planner's request for an idle machine: it is transferred to the partition `to`,
+    /// or released to the cloud if there is none.
     pub(in crate::controller) fn handle_release_request(&mut self, machine: &str, to: Option<u32>) {
         let name = MachineName::from(machine);
         let Some(partition) = self
@@ -47,7 +48,7 @@
         if !machine.tasks.is_empty() || machine.leaving || has_pending_change {
             return;
         }
-        // Nothing is placed here from now on, whether or not the write succeeds at once.
+        // No task is placed on the machine from now on, even if the write does not succeed at once.
         machine.leaving = true;
         let change = match to {
             None => MachineChange::Release,
@@ -56,7 +57,8 @@
         self.machine_changes.request(&name, change);
     }
 
-    /// The fleet planner requests machines, as they become idle, for a partition with a greater need.
+    /// Handles the fleet planner's request to transfer machines, as they become idle, to a partition
+    /// with greater demand.
     pub(in crate::controller) fn handle_transfer_request(&mut self, message: &MeshMessage) {
         let MeshMessage::TransferMachines {
             from,
@@ -77,7 +79,7 @@
         }
     }
 
-    /// Transfers machines that were requested and are idle now.
+    /// Requests the transfer of machines that the fleet planner has asked for and that are idle now.
     pub(super) fn transfer_drained_machines(&mut self, partition: PartitionId) {
         let now = self.now;
         let Some(partition_state) = self
@@ -92,10 +94,10 @@
                 continue;
             }
             if let Some(machine) = partition_state.machines.get_mut(&name) {
-                // Nothing is placed here from now on, whether or not the write succeeds.
+                // No task is placed on the machine from now on, even if the write does not succeed.
                 machine.leaving = true;
             }
-            tracing::debug!(%partition, machine = %name, %to, "transferring idle machine");
+            tracing::debug!(%partition, machine = %name, %to, "transfer of idle machine requested");
             self.machine_changes
                 .request(&name, MachineChange::Transfer(to));
         }
--- a/crates/controller/src/controller/leadership/mod.rs
+++ b/crates/controller/src/controller/leadership/mod.rs
@@ -1,9 +1,9 @@
 //! Leadership of a partition: its state from the acquisition to the loss of the partition's record.
 //!
-//! [`PartitionLeadership`] keeps what a leader knows under one term. The submodules drive it, one
-//! concern each: scheduling cycles, commits of the placement log, machines that
-//! have stopped responding, fencing tokens, transfers of machines, changes of records, and the
-//! statuses that the fleet planner receives.
+//! [`PartitionLeadership`] holds what a leader knows under one term. The submodules drive it, one
+//! concern each: scheduling cycles, loading of the partition, commits of the placement log, machines
+//! that have stopped responding, fencing tokens, transfers of machines, changes of records, and the
+//! statuses that are sent to the fleet planner.
 
 mod advance;
 mod commits;
@@ -28,15 +28,15 @@
 use token_raises::TokenRaise;
 use wire::workers::{Command, Heartbeat};
 
-/// Pause between commits that carry placements.
+/// Minimum time between a commit and a following commit that carries placements.
 const PLACEMENT_COMMIT_INTERVAL: Duration = Duration::from_millis(60);
 /// Delay of the next wakeup while scheduling cycles remain to be run.
 const NEXT_CYCLE_DELAY: Duration = Duration::from_millis(2);
 
 /// A partition that this controller leads under one term.
 ///
-/// Invariants: `token()` never falls; workers are answered only while no transfer is open and no
-/// successor is known; at most one commit of the placement log is open at a time.
+/// Invariants: `token()` never decreases; workers are answered only while no transfer is pending and
+/// no successor is known; at most one commit of the placement log is pending at a time.
 #[derive(Debug)]
 pub(crate) struct PartitionLeadership {
     term: FencingToken,
@@ -59,15 +59,15 @@
     Loaded(Box<LoadedPartition>),
 }
 
-/// Whether a transaction that ends this leadership is open. A successor that is known is a separate
-/// fact: it may show itself during a transfer as well as without one.
+/// Whether a transaction that ends this leadership is pending. Whether a successor is known is kept
+/// separately, since a successor may announce itself with or without such a transaction.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum TransferState {
-    /// None is open.
+    /// No such transaction is pending.
     Leading,
-    /// The transaction's reply is awaited.
+    /// The transaction was sent and its reply is awaited.
     Transferring,
-    /// The transaction may yet be applied, until then at the latest.
+    /// The outcome is unknown: the transaction may still be applied until this time.
     OutcomeUnknown { until: Timestamp },
 }
 
@@ -92,15 +92,15 @@
 #[derive(Debug)]
 pub(super) enum HeartbeatOutcome {
     Answered(Vec<Command>),
-    /// A newer status of the machine is known: this one proves nothing, and is answered with these
-    /// commands.
+    /// A newer status of the machine is known, so this one is no evidence of its state. It is answered
+    /// with these commands.
     Stale(Vec<Command>),
-    /// It must not be answered.
+    /// The heartbeat must not be answered.
     Withheld,
 }
 
 impl PartitionLeadership {
-    /// A leadership that begins: the record with this term has just been read at this version.
+    /// A new leadership: the partition's record with this term has just been read, at this version.
     /// Unconfirmed predecessors may answer workers until `predecessors_valid_until`.
     pub(super) fn new(
         term: FencingToken,
@@ -129,17 +129,17 @@
         self.term
     }
 
-    /// The lowest token with which the partition's machines are answered.
+    /// The lower bound of the tokens in replies to the partition's machines.
     pub(super) fn token(&self) -> FencingToken {
         self.term.max(self.token_raise.token())
     }
 
-    /// The version of the partition's record, on which every write of the leader depends.
+    /// The version of the partition's record, on which every write of the leader is conditional.
     pub(super) fn version(&self) -> Version {
         self.version
     }
 
-    /// The partition's record has been written again under the same term.
+    /// Records the new version after the partition's record was written again under the same term.
     pub(super) fn set_version(&mut self, version: Version) {
         self.version = version;
     }
@@ -169,27 +169,28 @@
         self.successor = Some(successor);
     }
 
-    /// Whether a transaction that ends this leadership may be applied.
+    /// Whether a transaction that ends this leadership is pending or may still be applied.
     pub(super) fn is_transferring(&self) -> bool {
         self.transfer != TransferState::Leading
     }
 
-    /// A transaction that ends this leadership is sent: no worker is answered from here on.
+    /// Records that a transaction that ends this leadership is being sent. No worker is answered from
+    /// now on.
     pub(super) fn begin_transfer(&mut self) {
         self.transfer = TransferState::Transferring;
     }
 
-    /// The transaction has failed: the leadership goes on.
+    /// Records that the transaction has failed: the leadership continues.
     pub(super) fn abort_transfer(&mut self) {
         self.transfer = TransferState::Leading;
     }
 
-    /// The transaction's outcome is unknown: it may be applied until then.
+    /// Records that the transaction's outcome is unknown: it may be applied until the given time.
     pub(super) fn await_transfer_outcome(&mut self, until: Timestamp) {
         self.transfer = TransferState::OutcomeUnknown { until };
     }
 
-    /// Ends the wait for a transfer whose outcome stayed unknown for too long.
+    /// Resumes the leadership once a transfer with an unknown outcome can no longer be applied.
     fn expire_transfer(&mut self, now: Timestamp) {
         match self.transfer {
             TransferState::OutcomeUnknown { until } if now >= until => self.abort_transfer(),
@@ -197,7 +198,7 @@
         }
     }
 
-    /// Whether the partition may be transferred: no write is open whose outcome a successor would
+    /// Whether the partition may be transferred: no commit is pending whose outcome a successor would
     /// have to find out.
     pub(super) fn may_transfer(&self) -> bool {
         !self.is_transferring()
@@ -247,8 +248,9 @@
         }
     }
 
-    /// A peer has read all changes up to this revision: from the partition's record on it knows that
-    /// it no longer leads, and does not answer for the partition any more.
+    /// Records that a peer has read all changes up to this revision. A former leader that has read this
+    /// leader's record knows that it no longer leads and no longer answers the partition's workers, so
+    /// it is removed from the unconfirmed predecessors.
     pub(super) fn record_peer_revision(
         &mut self,
         peer: &ControllerName,
@@ -259,9 +261,9 @@
         if revision < self.version.0 || self.unconfirmed_predecessors.is_empty() {
             return;
         }
-        let run = ControllerIncarnation::from((peer.clone(), incarnation));
+        let informed = ControllerIncarnation::from((peer.clone(), incarnation));
         self.unconfirmed_predecessors
-            .retain(|predecessor| *predecessor != run);
+            .retain(|predecessor| *predecessor != informed);
         self.end_predecessor_wait_if_none_left(now);
     }
 
@@ -275,6 +277,7 @@
         self.end_predecessor_wait_if_none_left(now);
     }
 
+    /// If no unconfirmed predecessor is left, none can answer workers from now on.
     fn end_predecessor_wait_if_none_left(&mut self, now: Timestamp) {
         if self.unconfirmed_predecessors.is_empty() && self.predecessors_valid_until > now {
             self.predecessors_valid_until = now;
@@ -284,7 +287,7 @@
         }
     }
 
-    /// Done and running tasks of a job of this partition.
+    /// Numbers of done and running tasks of a job of this partition.
     pub(super) fn task_counts(&self, id: JobId) -> Option<TaskCounts> {
         let job = self.partition_state()?.jobs.get(&id)?;
         Some(TaskCounts {
@@ -293,25 +296,27 @@
         })
     }
 
-    /// Reconciles a heartbeat with the partition's state and returns the commands for its answer.
+    /// Reconciles a heartbeat with the partition's state and returns the commands for the response;
+    /// none of them starts a task unless `may_launch` is set.
     ///
-    /// `kill_commands` gives those for tasks that the records alone show as cancelled; it is called
-    /// only where the partition's state cannot tell.
+    /// `kill_commands` returns the commands for tasks that are cancelled according to the records. It is
+    /// called only where the partition's state gives no commands: while it is not loaded, and for an
+    /// unknown machine or a stale heartbeat.
     pub(super) fn handle_heartbeat(
         &mut self,
         name: &MachineName,
         heartbeat: &Heartbeat,
         token: FencingToken,
-        launches: bool,
+        may_launch: bool,
         kill_commands: impl FnOnce() -> Vec<Command>,
         now: Timestamp,
     ) -> HeartbeatOutcome {
         let loaded = match &mut self.load_state {
             LoadState::Loaded(loaded) => loaded,
             LoadState::Loading(loading) => {
-                // The worker's lease is renewed; which of its tasks to keep is not known yet, but
-                // for those that a user has cancelled. The token of this term voids commands that
-                // a predecessor has sent.
+                // The response renews the worker's lease. Which of its tasks it is to keep is not
+                // known yet, except that tasks cancelled by a user are killed. The token of this
+                // term voids commands that a predecessor has sent.
                 loading.record_heartbeat(name, heartbeat, now);
                 return HeartbeatOutcome::Answered(kill_commands());
             }
@@ -321,32 +326,33 @@
             return HeartbeatOutcome::Answered(kill_commands());
         };
         machine.token = machine.token.max(token);
-        let newer = partition_state.reconcile(heartbeat, StatusSource::Heartbeat, now);
+        let is_newer = partition_state.reconcile(heartbeat, StatusSource::Heartbeat, now);
         if !partition_state.may_renew_lease(name, now) {
             return HeartbeatOutcome::Withheld;
         }
         if let Some(machine) = partition_state.machines.get_mut(name) {
-            machine.renew_lease(newer, now);
+            machine.renew_lease(is_newer, now);
         }
-        if !newer {
+        if !is_newer {
             return HeartbeatOutcome::Stale(kill_commands());
         }
         let mut commands = partition_state.commands_for(name, CommandRoute::HeartbeatResponse, now);
-        if !launches {
+        if !may_launch {
             commands.retain(|command| !matches!(command, Command::Start { .. }));
         }
         HeartbeatOutcome::Answered(commands)
     }
 
-    /// When the partition next has work to do without an event.
+    /// When the partition next has work to do if no event occurs.
     pub(super) fn next_wakeup(&self, now: Timestamp) -> Option<Timestamp> {
         let loaded = self.loaded()?;
         if loaded.more_cycles {
             return Some(now + NEXT_CYCLE_DELAY);
         }
-        let flush = loaded.partition_state.queue.next_flush_at();
-        let commit = (loaded.pending_commit.is_none() && loaded.partition_state.has_dirty_chunks())
-            .then(|| self.committed_at + PLACEMENT_COMMIT_INTERVAL);
-        [flush, commit].into_iter().flatten().min()
+        let flush_at = loaded.partition_state.queue.next_flush_at();
+        let commit_at = (loaded.pending_commit.is_none()
+            && loaded.partition_state.has_dirty_chunks())
+        .then(|| self.committed_at + PLACEMENT_COMMIT_INTERVAL);
+        [flush_at, commit_at].into_iter().flatten().min()
     }
 }
--- a/crates/controller/src/controller/leadership/partition_status.rs
+++ b/crates/controller/src/controller/leadership/partition_status.rs
@@ -1,5 +1,5 @@
-//! Statuses of the partitions that this controller leads: unmet demand and machines for the fleet
-//! planner, progress of jobs for all peers.
+//! Reports on the partitions that this controller leads: unmet demand and machines for the fleet
+//! planner, and progress of jobs for all peers.
 
 use super::{LoadedPartition, PartitionLeadership};
 use crate::controller::call_kind::RecordCall;
@@ -11,13 +11,13 @@
 use wire::mesh::{MeshMessage, PartitionStatus};
 use wire::state::{StateRequest, Transaction, Write};
 
-/// Time between writes of a partition's unmet demand while the fleet planner cannot be reached.
+/// Minimum time between writes of a partition's unmet demand while the fleet planner cannot be reached.
 const DEMAND_WRITE_INTERVAL: Duration = Duration::from_secs(2);
-/// Shapes of waiting work in such a write.
+/// Maximum number of demand shapes in a written demand record.
 const MAX_DEMAND_SHAPES: usize = 8;
-/// A summary of each partition is logged in the first `SUMMARY_LOG_WINDOW_MS` of each period.
+/// A summary of each partition is logged once per period, in its first `SUMMARY_LOG_WINDOW_MS`.
 const SUMMARY_LOG_PERIOD_MS: u64 = 5_000;
-/// Equals the interval of the statuses, so that one of them falls into the window.
+/// Equals the interval between status reports, so that one of them falls into the window.
 const SUMMARY_LOG_WINDOW_MS: u64 = 500;
 
 /// The last write of a partition's unmet demand.
@@ -28,7 +28,7 @@
 }
 
 impl LoadedPartition {
-    /// Done and running tasks of each job with tasks placed, as sent to peers.
+    /// Id and numbers of done and running tasks of each job with placed tasks, as sent to peers.
     fn job_progress(&self) -> impl Iterator<Item = (u64, u64, u64)> + '_ {
         self.partition_state
             .jobs
@@ -45,8 +45,8 @@
 }
 
 impl Controller {
-    /// Writes a partition's unmet demand to the state service, where the fleet planner is not reached
-    /// over the mesh: machines are rented for it all the same.
+    /// Writes a partition's unmet demand to the state service. The fleet planner reads it there and
+    /// rents machines for it even if this controller does not reach it over the mesh.
     fn write_demand(&mut self, status: PartitionStatus) {
         let partition = PartitionId(status.partition);
         let has_demand = !status.demand.is_empty();
@@ -70,7 +70,8 @@
         );
     }
 
-    /// The write depends on the partition's record: a late one would carry demand that has been met,
+    /// The transaction that writes a partition's unmet demand. It is conditional on the records of the
+    /// partition and of its demand, since a late write could carry demand that has been met meanwhile,
     /// or that of an earlier leader.
     fn demand_txn(&self, partition: PartitionId, status: PartitionStatus) -> Transaction {
         let mut demand = status.demand;
@@ -127,7 +128,8 @@
         }
     }
 
-    /// A change of a record that came to nothing leaves the machine as recorded.
+    /// Resets machines marked as leaving to what their records say if their requested change was
+    /// dropped.
     fn reset_leaving_machines(&mut self, partition: PartitionId) {
         let Some(partition_state) = self
             .leaderships
@@ -162,8 +164,9 @@
 }
 
 impl PartitionLeadership {
-    /// The partition's status for the fleet planner, once it is loaded. Best-effort work is evicted
-    /// first, where the status would otherwise show demand that its machines could meet.
+    /// The partition's status for the fleet planner, once the partition is loaded. Best-effort and
+    /// co-located work is evicted first where the status would otherwise show demand that the machines
+    /// it occupies could meet.
     fn status(&mut self, partition: PartitionId, now: Timestamp) -> Option<PartitionStatus> {
         let term = self.term.0;
         let partition_state = self.partition_state_mut()?;
--- a/crates/controller/src/controller/leadership/record_changes.rs
+++ b/crates/controller/src/controller/leadership/record_changes.rs
@@ -1,4 +1,4 @@
-//! Changes of the records of jobs and machines, applied to the partitions that they concern.
+//! Application of changed job and machine records to the partitions that this controller leads.
 
 use super::PartitionLeadership;
 use crate::controller::Controller;
@@ -6,7 +6,8 @@
 use model::{FencingToken, JobId, MachineName, PartitionId, TeamName};
 use std::time::Duration;
 
-/// A machine that a record has brought to a partition which this controller leads.
+/// A machine that its record assigns to a partition led by this controller, and that is not part of the
+/// partition's state yet.
 struct NewMachine {
     partition: PartitionId,
     record: MachineRecord,
@@ -14,7 +15,8 @@
 }
 
 impl Controller {
-    /// The partition of a team: teams are assigned round-robin in the order of the settings.
+    /// The partition of a team. Teams are assigned to partitions round-robin, in the order of the
+    /// settings.
     pub(in crate::controller) fn partition_of_team(&self, team: &TeamName) -> Option<PartitionId> {
         let index = self
             .settings
@@ -35,16 +37,16 @@
             .filter(|leadership| leadership.term.0 == term)
     }
 
-    /// A job's record has changed.
+    /// Applies a job's changed record.
     pub(in crate::controller) fn handle_job_record(&mut self, id: JobId) {
-        let Some(open) = self.cache.jobs.get(&id).cloned() else {
+        let Some(job) = self.cache.jobs.get(&id).cloned() else {
             self.job_status.forget_progress(id);
             return;
         };
         self.logical_clock_offset = self.logical_clock_offset.max(Duration::from_millis(
-            open.submitted_at_ms().saturating_sub(self.now.as_millis()),
+            job.submitted_at_ms().saturating_sub(self.now.as_millis()),
         ));
-        let Some(partition) = self.partition_of_team(&open.spec.team) else {
+        let Some(partition) = self.partition_of_team(&job.spec.team) else {
             return;
         };
         let cancelled = self.cache.is_cancelled(id);
@@ -61,20 +63,20 @@
         };
         partition_state.logical_clock_offset = logical_clock_offset;
         if !partition_state.jobs.contains_key(&id) {
-            partition_state.add_job(open.spec.clone(), open.submitted_at_ms(), &[], now);
+            partition_state.add_job(job.spec.clone(), job.submitted_at_ms(), &[], now);
         }
         if cancelled {
             partition_state.cancel_job(id, now);
-            // The cancellation was confirmed after the previous read of changes at the earliest.
+            // The cancellation was confirmed no earlier than the previous read of changes.
             partition_state.bound_lease_renewal(id, until);
         }
     }
 
-    /// A peer has announced that a job is recorded as cancelled, which stays true however late the
-    /// message arrives. The job's tasks are stopped at once, also by a leader that cannot read the
-    /// state service; the job's status and its terminal state follow the records.
+    /// Stops the tasks of a job that a peer has announced as recorded as cancelled. This stays true
+    /// however late the message arrives, so the tasks are stopped at once, also by a leader that cannot
+    /// read the state service. The job's status and terminal state follow the records.
     pub(in crate::controller) fn stop_cancelled_job(&mut self, id: JobId) {
-        let Some(team) = self.cache.jobs.get(&id).map(|open| open.spec.team.clone()) else {
+        let Some(team) = self.cache.jobs.get(&id).map(|job| job.spec.team.clone()) else {
             return;
         };
         let Some(partition) = self.partition_of_team(&team) else {
@@ -100,7 +102,7 @@
         partition_state.bound_lease_renewal(id, until);
     }
 
-    /// A machine's record has changed.
+    /// Applies a machine's changed record.
     pub(in crate::controller) fn handle_machine_record(&mut self, name: &MachineName) {
         let record = self
             .cache
@@ -115,8 +117,8 @@
         }
     }
 
-    /// Updates or removes a machine in all partitions that this controller leads; returns it if it
-    /// has to be added to one of them.
+    /// Updates a machine in the partition that its record names and removes it from all others that
+    /// this controller leads. Returns the machine if it has to be added to a partition.
     fn update_machine(
         &mut self,
         name: &MachineName,
--- a/crates/controller/src/controller/leadership/token_raises.rs
+++ b/crates/controller/src/controller/leadership/token_raises.rs
@@ -1,4 +1,4 @@
-//! Higher fencing tokens for the machines of a partition, under an unchanged term.
+//! Raising of the fencing tokens of a partition's machines within one term.
 
 use super::PartitionLeadership;
 use crate::controller::call_kind::LeadershipCall;
@@ -10,22 +10,23 @@
 use std::time::Duration;
 use wire::state::{StateReply, StateRequest, Transaction, Write};
 
-/// Time between two attempts to raise the token of all machines of a partition.
+/// Minimum time between attempts to raise the token of all machines of a partition.
 const TOKEN_RAISE_INTERVAL: Duration = Duration::from_secs(2);
 
-/// The token that was drawn last for all machines of a partition, and the draw that may be open.
+/// The token allocated last for all machines of a partition, and the state of the next allocation.
 #[derive(Debug, Default)]
 pub(super) struct TokenRaise {
     token: FencingToken,
     state: TokenRaiseState,
 }
 
-/// Whether a draw of a token is open.
+/// Whether an allocation of a token is pending.
 #[derive(Debug)]
 enum TokenRaiseState {
-    /// None is open; the next may begin then.
+    /// None is pending; the next may begin at this time.
     Idle { next_attempt_at: Timestamp },
-    /// The transaction's reply is awaited; after it the next may begin then.
+    /// The transaction's reply is awaited; the next allocation may begin after it, and not before this
+    /// time.
     Pending { next_attempt_at: Timestamp },
 }
 
@@ -38,7 +39,7 @@
 }
 
 impl TokenRaise {
-    /// The highest token drawn so far.
+    /// The highest token allocated so far.
     pub(super) fn token(&self) -> FencingToken {
         self.token
     }
@@ -67,7 +68,8 @@
 }
 
 impl PartitionLeadership {
-    /// Whether a worker of the partition has kept exited tasks for long.
+    /// Whether a worker of the partition has retained exited tasks for so long that it needs a higher
+    /// token.
     fn exited_tasks_need_higher_token(&self, now: Timestamp) -> bool {
         self.partition_state().is_some_and(|partition_state| {
             partition_state
@@ -90,7 +92,8 @@
 }
 
 impl Controller {
-    /// Requests higher tokens for machines whose lost direct launches can only be voided by one.
+    /// Requests a higher token for each machine with a lost direct launch that only a higher token can
+    /// void.
     pub(super) fn request_token_raises(&mut self, partition: PartitionId) {
         let Some(partition_state) = self
             .leaderships
@@ -107,11 +110,12 @@
         }
     }
 
-    /// Draws a higher token for all machines of a partition, where some have kept exited tasks for
-    /// long: a worker that has seen it executes no copy of an earlier launch, and may forget them.
+    /// Allocates a higher token for all machines of a partition if some of them have retained exited
+    /// tasks for long: a worker that has seen it executes no copy of an earlier launch, and may forget
+    /// those tasks.
     ///
-    /// The counter is written first, so that every later leader has a higher token still; the
-    /// partition's record and its term stay as they are.
+    /// The token counter is written before the token is used, so that every later leader has a still
+    /// higher one. The partition's record and its term do not change.
     pub(super) fn raise_partition_token(&mut self, partition: PartitionId) {
         let now = self.now;
         let Some(leadership) = self.leaderships.get_mut(&partition) else {
@@ -135,7 +139,7 @@
             .when(partition_key(partition), version)
             .when(TOKEN_COUNTER_KEY, self.cache.token_counter_version())
             .write(Write::put(TOKEN_COUNTER_KEY, value));
-        let purpose = CallKind::Leadership(LeadershipCall::RaiseToken {
+        let kind = CallKind::Leadership(LeadershipCall::RaiseToken {
             partition,
             term,
             token,
@@ -143,12 +147,12 @@
         self.queue_state_request(
             CallPriority::Placement,
             StateRequest::Transaction(txn),
-            purpose,
+            kind,
         );
     }
 
-    /// Applies a token once the counter is written. After any other reply the number stays unused,
-    /// and a later attempt draws another one.
+    /// Applies a token once the token counter is written. After any other reply the token stays unused,
+    /// and a later attempt allocates another one.
     pub(in crate::controller) fn handle_token_raised(
         &mut self,
         partition: PartitionId,
--- a/crates/controller/src/controller/load_partition.rs
+++ b/crates/controller/src/controller/load_partition.rs
@@ -1,6 +1,6 @@
 //! Loading of a partition by its new leader: reads of the placement log, readiness checks, and the
-//! construction of the partition's state. With and without a replica of the former leader's state the
-//! way is the same; they differ only in what [`Controller::apply_replica`] adds.
+//! construction of the partition's state. The steps are the same with and without a replica of the
+//! former leader's state, except for what [`Controller::apply_replica`] adds.
 
 use super::call_kind::LogCall;
 use super::leadership::{CompletedLogRead, LogPageOutcome, PartitionLeadership};
@@ -16,20 +16,20 @@
 use std::time::Duration;
 use wire::state::{StateReply, StateRequest};
 
-/// Pause before the placement log is read again after a read that failed.
+/// Delay before the placement log is read again after a failed read.
 const LOG_READ_RETRY_INTERVAL: Duration = Duration::from_millis(150);
-/// Pause before the placement log is read again after a read of unreadable pages.
+/// Delay before the placement log is read again after a read that returned unreadable pages.
 const UNREADABLE_LOG_RETRY_INTERVAL: Duration = Duration::from_secs(2);
-/// Pages of the placement log in one read.
+/// Maximum number of placement log pages in one read.
 const LOG_READ_LIMIT: u32 = 100;
 
 impl Controller {
-    /// Begins to read a partition's placement log.
+    /// Starts reading a partition's placement log.
     pub(super) fn read_placement_log(&mut self, partition: PartitionId) {
         self.list_log_pages(partition, String::new());
     }
 
-    /// A read of the placement log's pages after a key, with the kind of its call.
+    /// The request for the pages of the placement log after a key, with the kind of its call.
     fn log_page_request(
         &self,
         partition: PartitionId,
@@ -48,25 +48,25 @@
     }
 
     fn list_log_pages(&mut self, partition: PartitionId, after: String) {
-        let Some((request, purpose)) = self.log_page_request(partition, after) else {
+        let Some((request, kind)) = self.log_page_request(partition, after) else {
             return;
         };
-        self.queue_state_request(CallPriority::Coordination, request, purpose);
+        self.queue_state_request(CallPriority::Coordination, request, kind);
     }
 
-    fn restart_log_read(&mut self, partition: PartitionId, after: Duration) {
+    fn restart_log_read(&mut self, partition: PartitionId, delay: Duration) {
         let Some(leadership) = self.leaderships.get_mut(&partition) else {
             return;
         };
         leadership.restart_log_read();
-        let Some((request, purpose)) = self.log_page_request(partition, String::new()) else {
+        let Some((request, kind)) = self.log_page_request(partition, String::new()) else {
             return;
         };
-        self.retry_later(after, CallPriority::Coordination, request, purpose);
+        self.retry_later(delay, CallPriority::Coordination, request, kind);
     }
 
-    /// Handles a page of the placement log: requests the next one, or tries to load the partition
-    /// after the last.
+    /// Handles a read of placement log pages: requests the next ones or, after the last, tries to load
+    /// the partition.
     pub(super) fn handle_log_page(&mut self, partition: PartitionId, term: u64, reply: StateReply) {
         let value_bytes = self.settings.state_limits.value_bytes;
         let txn_ops = self.settings.state_limits.txn_ops;
@@ -98,38 +98,38 @@
             .add_many(MessageSource::State, MessageFault::Malformed, count);
     }
 
-    /// Builds the partition's state once all readiness checks pass. Until then heartbeats are
-    /// answered with no commands but those that stop tasks recorded as cancelled.
+    /// Builds the partition's state once all readiness checks pass. Until then heartbeats are answered
+    /// without commands, except to kill tasks of jobs recorded as cancelled.
     pub(super) fn try_load_partition(&mut self, partition: PartitionId) {
         let Some(facts) = self.leadership_facts(partition) else {
             return;
         };
-        let failed = failed_checks(&facts);
+        let failed_checks = failed_checks(&facts);
         let Some(leadership) = self.leaderships.get_mut(&partition) else {
             return;
         };
-        if failed != leadership.failed_checks() && !failed.is_empty() {
-            let unreadable = leadership
+        if failed_checks != leadership.failed_checks() && !failed_checks.is_empty() {
+            let unreadable_pages = leadership
                 .completed_log_read()
                 .map(|read| read.log.unreadable_pages());
-            tracing::warn!(%partition, ?failed, ?unreadable, "partition not ready: checks failed");
+            tracing::warn!(%partition, ?failed_checks, ?unreadable_pages, "partition not ready");
         }
-        leadership.set_failed_checks(&failed);
-        if failed.is_empty() {
+        leadership.set_failed_checks(&failed_checks);
+        if failed_checks.is_empty() {
             self.load_partition(partition);
-        } else if failed.contains(&ReadinessCheck::PagesSound) {
+        } else if failed_checks.contains(&ReadinessCheck::PagesSound) {
             self.restart_log_read(partition, UNREADABLE_LOG_RETRY_INTERVAL);
-        } else if failed.contains(&ReadinessCheck::LedgerRead) {
+        } else if failed_checks.contains(&ReadinessCheck::LedgerRead) {
             self.restart_log_read(partition, LOG_READ_RETRY_INTERVAL);
         }
     }
 
-    /// The facts that the readiness checks are about, once the placement log has been read.
+    /// The facts that the readiness checks evaluate, once the placement log has been read.
     fn leadership_facts(&self, partition: PartitionId) -> Option<LeadershipFacts> {
         let leadership = self.leaderships.get(&partition)?;
-        let read = leadership.completed_log_read()?;
-        let names_this_leadership = |held: &&Versioned<PartitionRecord>| {
-            let record = &held.record;
+        let log_read = leadership.completed_log_read()?;
+        let names_this_leadership = |recorded: &&Versioned<PartitionRecord>| {
+            let record = &recorded.record;
             record.leader == *self.own_name()
                 && record.incarnation == self.registration.incarnation()
                 && record.term == leadership.term().0
@@ -140,20 +140,20 @@
                 .partitions
                 .get(&partition)
                 .filter(names_this_leadership)
-                .map(|held| held.version),
+                .map(|recorded| recorded.version),
             own_version: leadership.version(),
             term: leadership.term(),
             next_token: FencingToken(self.cache.next_token()),
             cache_revision: self.cache.revision,
-            log_revision: Some(read.revision),
-            unreadable_pages: read.log.unreadable_pages().len(),
+            log_revision: Some(log_read.revision),
+            unreadable_pages: log_read.log.unreadable_pages().len(),
             has_rival: leadership.is_transferring() || leadership.successor().is_some(),
             state_is_fresh: self.has_recent_state_read(MAX_LAUNCH_READ_AGE),
         })
     }
 
-    /// Builds the partition's state from the records, the placement log, the heartbeats answered
-    /// meanwhile and the replica of the former leader's state. All readiness checks have passed.
+    /// Builds the partition's state from the records, the placement log, the replica of the former
+    /// leader's state and the heartbeats answered so far. All readiness checks have passed.
     fn load_partition(&mut self, partition: PartitionId) {
         let Some(mut leadership) = self.leaderships.remove(&partition) else {
             return;
@@ -187,7 +187,7 @@
         self.leaderships.insert(partition, leadership);
     }
 
-    /// The state of a partition without machines and jobs.
+    /// The state of a partition, still without machines and jobs.
     fn new_partition_state(
         &self,
         partition: PartitionId,
@@ -257,12 +257,17 @@
         }
     }
 
-    /// Zones in which machines can be rented, that of the partition's preferred leader first.
+    /// Zones in which machines can be rented, that of the partition's preferred leader first and the
+    /// others by name.
     pub(super) fn zones_near(&self, partition: PartitionId) -> Vec<ZoneName> {
         let mut zones: Vec<ZoneName> = Vec::new();
         if let Some(types) = &self.cache.machine_types {
-            let named = types.record.types.iter().flat_map(|t| &t.zones);
-            zones.extend(named.map(|zone| ZoneName::from(zone.as_str())));
+            let offered = types
+                .record
+                .types
+                .iter()
+                .flat_map(|machine_type| &machine_type.zones);
+            zones.extend(offered.map(|zone| ZoneName::from(zone.as_str())));
         }
         let preferred = self
             .controllers
@@ -273,24 +278,25 @@
         zones
     }
 
-    /// The state of a recorded machine, unless its type is not known.
+    /// The scheduling state of a recorded machine, or none if its type is unknown. Its token is at least
+    /// `min_token`.
     pub(super) fn machine_from_record(
         &self,
         name: &MachineName,
         record: &MachineRecord,
-        term: FencingToken,
+        min_token: FencingToken,
     ) -> Option<Machine> {
-        let kind = self
+        let machine_type = self
             .cache
             .machine_types
             .as_ref()?
             .record
             .types
             .iter()
-            .find(|t| t.name == record.machine_type)?;
-        let token = term.max(FencingToken(record.token));
+            .find(|known| known.name == record.machine_type)?;
+        let token = min_token.max(FencingToken(record.token));
         let zone = ZoneName::from(record.zone.as_str());
-        let mut machine = Machine::new(name.clone(), kind, zone, record.spot, token);
+        let mut machine = Machine::new(name.clone(), machine_type, zone, record.spot, token);
         machine.leaving = record.leaving || self.machine_changes.removes_from_partition(name);
         machine.idle_since = self.now;
         Some(machine)
--- a/crates/controller/src/controller/machine_records.rs
+++ b/crates/controller/src/controller/machine_records.rs
@@ -1,5 +1,5 @@
-//! Changes of machines' records: requested changes are collected and written together, many
-//! machines to a put.
+//! Changes of machines' records. Requested changes are collected and written together, many machines
+//! in one write.
 
 use super::call_kind::RecordCall;
 use super::{CallKind, Controller, FLEET_PLANNER_PARTITION};
@@ -14,11 +14,11 @@
 use std::time::Duration;
 use wire::state::{StateReply, StateRequest, Transaction, Write};
 
-/// How long a write waits behind commits of placement logs.
+/// How long a write waits for the write budget before commits of placement logs yield to it.
 const MAX_WRITE_DELAY: Duration = Duration::from_secs(1);
-/// Least time between two writes, so that several changes go together.
+/// Minimum time between two writes, so that several changes are written together.
 const WRITE_INTERVAL: Duration = Duration::from_millis(100);
-/// Pages of machines that one transaction writes at most.
+/// Maximum number of machine pages that one transaction writes.
 const MAX_PAGES_PER_WRITE: usize = 4;
 
 /// A requested change of a machine's record.
@@ -26,33 +26,33 @@
 pub(crate) enum MachineChange {
     /// The fleet planner registers a machine that has been rented or discovered.
     Create(MachineRecord),
-    /// The partition leader gives the machine up.
+    /// The partition leader gives the machine up, for the fleet planner to release.
     Release,
     /// The partition leader transfers the machine, idle, to another partition.
     Transfer(PartitionId),
-    /// The partition leader needs a higher fencing token.
+    /// The partition leader needs a higher fencing token for the machine.
     RaiseToken,
-    /// The fleet planner drops a machine whose release the cloud has confirmed.
+    /// The fleet planner deletes a machine whose release the cloud has confirmed.
     Delete,
 }
 
-/// Requested changes of machines' records and the write under way.
+/// Requested changes of machines' records and the write in flight.
 #[derive(Debug, Default)]
 pub(crate) struct MachineChanges {
     requested: BTreeMap<MachineName, MachineChange>,
     writer: SerialWriter<()>,
-    /// Since when only the budget has prevented a write.
+    /// Since when only the write budget has prevented a write.
     delayed_since: Option<Timestamp>,
 }
 
 impl MachineChanges {
-    /// Whether the machine's record is about to change, or may be.
+    /// Whether a change of the machine's record is requested, or may be in flight.
     pub fn has_change(&self, name: &MachineName) -> bool {
         self.requested.contains_key(name)
     }
 
-    /// Requests a change. A change that is already requested for the machine goes first, unless the
-    /// machine is to be deleted.
+    /// Requests a change. It is dropped if another change of the machine is already requested, except
+    /// that a deletion replaces that.
     pub fn request(&mut self, name: &MachineName, change: MachineChange) {
         if change == MachineChange::Delete {
             self.requested.insert(name.clone(), change);
@@ -61,9 +61,9 @@
         }
     }
 
-    /// Whether a write has waited for its share of the budget for too long. Commits of placement
-    /// logs, which are tried first and whenever a put is free, then let it pass: otherwise a leader
-    /// of two busy partitions could not give up its dead machines, and their tasks would wait.
+    /// Whether a write has waited for the write budget for too long. Commits of placement logs, which
+    /// are tried first and as soon as the budget allows a write, then yield to it: otherwise a leader of
+    /// two busy partitions could not give up its failed machines, and their tasks would wait.
     pub fn is_delayed(&self, now: Timestamp) -> bool {
         self.delayed_since
             .is_some_and(|since| now.duration_since(since) >= MAX_WRITE_DELAY)
@@ -80,16 +80,17 @@
 
 /// A transaction of machine changes, while it is assembled.
 struct MachineBatch<'a> {
-    /// Most pages that the transaction may write.
+    /// Maximum number of pages that the transaction writes.
     max_pages: usize,
     /// Bytes for entries on a page.
     page_capacity_bytes: usize,
-    /// The next fencing token.
+    /// The next unused fencing token.
     next_token: u64,
-    /// Whether the token is used by a record of the batch.
+    /// Whether a record of the batch uses that token.
     uses_token: bool,
-    /// Bytes that entries take on each page, as far as needed for new machines.
+    /// Bytes that entries take on each page; empty unless the batch creates machines.
     page_bytes: BTreeMap<u32, usize>,
+    /// All records of each page to be written.
     pages: BTreeMap<u32, BTreeMap<&'a MachineName, MachineRecord>>,
     /// Partitions whose leadership the transaction is conditional on.
     required_leaderships: BTreeSet<PartitionId>,
@@ -101,19 +102,19 @@
         self.pages.contains_key(&page) || self.pages.len() < self.max_pages
     }
 
-    /// The page for a new machine of this size: the first with room, or a new one.
-    fn allocate_page(&mut self, size: usize) -> u32 {
+    /// The page for a new machine that takes up to `bytes`: the first with room, or a new one.
+    fn allocate_page(&mut self, bytes: usize) -> u32 {
         let with_room = self
             .page_bytes
             .iter()
-            .find(|(_, used)| **used + size <= self.page_capacity_bytes)
+            .find(|(_, used)| **used + bytes <= self.page_capacity_bytes)
             .map(|(page, _)| *page);
         let page = with_room.unwrap_or_else(|| {
             let last = self.page_bytes.keys().next_back();
             last.map_or(0, |last| last + 1)
         });
         if self.accepts_page(page) {
-            *self.page_bytes.entry(page).or_default() += size;
+            *self.page_bytes.entry(page).or_default() += bytes;
         }
         page
     }
@@ -128,7 +129,7 @@
             MachineChange::Create(_) => {
                 self.required_leaderships.insert(FLEET_PLANNER_PARTITION);
             }
-            // The cloud has confirmed the release: that holds whoever leads the partition.
+            // The cloud has confirmed the release, which holds whoever leads the partition.
             MachineChange::Delete => return None,
             MachineChange::Release => {
                 self.required_leaderships.insert(record.partition);
@@ -151,8 +152,8 @@
 }
 
 impl Controller {
-    /// Whether the change still applies, given the state cache and the partitions led here. What
-    /// does not is dropped; its requester decides again.
+    /// Whether the change still applies, given the state cache and the partitions led here. A change
+    /// that does not is dropped, and its requester decides again.
     fn still_applies(&self, name: &MachineName, change: &MachineChange) -> bool {
         let known = self.cache.machines.get(name).map(|known| &known.record);
         let partition_state = known
@@ -169,7 +170,7 @@
             MachineChange::Release => {
                 machine.is_some() && known.is_some_and(|record| !record.leaving)
             }
-            // Only an idle machine that takes nothing new may be transferred.
+            // Only an idle machine on which no tasks are placed any more may be transferred.
             MachineChange::Transfer(to) => {
                 machine.is_some_and(|machine| machine.tasks.is_empty() && machine.leaving)
                     && known.is_some_and(|record| record.partition != *to && !record.leaving)
@@ -180,7 +181,7 @@
         }
     }
 
-    /// Writes requested changes if the writer and the budget allow it.
+    /// Writes requested changes if the previous write is settled and the write budget allows it.
     pub(super) fn write_machine_changes(&mut self) {
         let (now, revision) = (self.now, self.cache.revision);
         if self.machine_changes.requested.is_empty()
@@ -198,7 +199,8 @@
         let mut requested = std::mem::take(&mut self.machine_changes.requested);
         requested.retain(|name, change| self.still_applies(name, change));
         let txn = self.machine_changes_transaction(&requested);
-        // Changes stay requested, and so known to be under way, until the state cache shows them.
+        // Changes stay requested until the state cache shows them, so that `has_change` covers the
+        // write in flight.
         self.machine_changes.requested = requested;
         if txn.writes.is_empty() {
             return;
@@ -213,7 +215,7 @@
         );
     }
 
-    /// A transaction with as many of the changes as it takes.
+    /// A transaction with as many of the changes as fit into one.
     fn machine_changes_transaction(
         &self,
         requested: &BTreeMap<MachineName, MachineChange>,
@@ -239,8 +241,8 @@
             let (page, record) = match (self.cache.machines.get(name), change) {
                 (Some(known), _) => (known.page, known.record.clone()),
                 (None, MachineChange::Create(record)) => {
-                    let size = PackedMachine::max_packed_bytes(name, record);
-                    (batch.allocate_page(size), record.clone())
+                    let bytes = PackedMachine::max_packed_bytes(name, record);
+                    (batch.allocate_page(bytes), record.clone())
                 }
                 (None, _) => continue,
             };
@@ -311,7 +313,7 @@
             .collect()
     }
 
-    /// Bytes that entries take on each page.
+    /// Bytes that entries take on each page, by page number.
     fn machine_page_bytes(&self) -> BTreeMap<u32, usize> {
         self.cache
             .machine_pages
@@ -320,9 +322,9 @@
             .collect()
     }
 
-    /// Takes in the outcome of a write of machine changes.
+    /// Handles the reply to a write of machine changes.
     pub(super) fn handle_machine_records_written(&mut self, reply: StateReply) {
-        // Changes that are still requested are written anew once the state cache has caught up.
+        // Changes that are still requested are written again once the state cache has caught up.
         if let WriteOutcome::Unknown(txn) =
             self.machine_changes.writer.handle_reply(reply, self.now)
         {
