--- a/crates/scheduler/tests/gangs.rs
+++ b/crates/scheduler/tests/gangs.rs
@@ -31,11 +31,11 @@
     ]
 }
 
-/// An empty partition whose only team has a limit of so many CPUs.
+/// An empty partition whose only team has a limit of `cpu_limit` CPUs.
 fn new_partition(cpu_limit: f64) -> PartitionState {
     let limit = Resources::offered(cpu_limit, 100.0, 0.0);
     let teams = [(TeamName::from("t"), Resources::default(), limit)];
-    // In these tests machines send heartbeats rarely.
+    // Machines send heartbeats rarely in these tests.
     let policy = Policy {
         heartbeat_grace: Duration::from_secs(60),
         ..Policy::default()
@@ -94,7 +94,7 @@
     partition.reconcile(&heartbeat, StatusSource::Heartbeat, now);
 }
 
-/// A task as a worker reports it.
+/// The status of a task in a worker's heartbeat.
 fn task_status(task: String, attempt: u64, state: TaskState) -> TaskStatus {
     TaskStatus {
         task,
@@ -105,7 +105,7 @@
     }
 }
 
-/// All machines report the tasks that are placed on them as running.
+/// All machines send a heartbeat that shows the tasks placed on them as running.
 fn report_all_running(partition: &mut PartitionState, sequence_number: u64, now: Timestamp) {
     let names: Vec<MachineName> = partition.machines.keys().cloned().collect();
     for name in names {
@@ -167,11 +167,11 @@
     partition.jobs[&id].placed.len()
 }
 
-/// Runs cycles every 100 ms; entries that back off are tried again at once.
-fn retry_all(partition: &mut PartitionState, from: u64, until: u64) {
-    for at in (from..until).step_by(100) {
-        partition.queue.move_all(Timestamp::from_millis(at));
-        partition.run_cycles(Timestamp::from_millis(at), 1_000);
+/// Runs cycles every 100 ms; entries in backoff are retried at once.
+fn retry_all(partition: &mut PartitionState, from_ms: u64, until_ms: u64) {
+    for at_ms in (from_ms..until_ms).step_by(100) {
+        partition.queue.move_all(Timestamp::from_millis(at_ms));
+        partition.run_cycles(Timestamp::from_millis(at_ms), 1_000);
     }
 }
 
@@ -185,8 +185,8 @@
     partition.confirm_commit(&written);
 }
 
-/// Arrays that fill each machine that becomes free are preempted as soon as a gang has enough machines, and
-/// their work is lost.
+/// If arrays took each machine that becomes free, they would be preempted as soon as there are enough machines for
+/// the gang, and their work would be lost.
 #[test]
 fn array_leaves_machines_to_waiting_gang_when_other_types_fit() {
     let mut partition = new_partition(1_000.0);
@@ -223,7 +223,7 @@
     assert_eq!(placed_tasks(&partition, gang), 3);
 }
 
-/// Two gangs that each hold half of the machines that the other needs would deadlock.
+/// Two gangs that each have half of the machines that the other needs would deadlock.
 #[test]
 fn two_gangs_competing_for_machines_start_one_after_the_other() {
     let mut partition = new_partition(1_000.0);
@@ -272,7 +272,7 @@
     assert_eq!(placed_tasks(&partition, second), 4);
 }
 
-/// A reservation is released as soon as one of its machines is of no use any more.
+/// A reservation is released as soon as one of its machines can no longer be used.
 #[test]
 fn gang_reservation_moves_to_another_zone_when_a_machine_is_removed() {
     let mut partition = new_partition(1_000.0);
@@ -303,24 +303,24 @@
     assert_eq!(zones, ["b", "b", "b"]);
 }
 
-/// A task that is launched at once would wait for the others for longer than tasks of a gang may, and the gang
-/// would be restarted again and again.
+/// A task that is launched at once would wait for the others for longer than the tasks of a gang may wait for each
+/// other, and the gang would be restarted again and again.
 #[test]
 fn gang_task_with_cached_image_is_launched_after_fetches_of_the_others() {
     let mut partition = new_partition(1_000.0);
     add_machine(&mut partition, 1, "large", "a");
-    let image = |request: JobRequest| JobRequest {
+    let with_large_image = |request: JobRequest| JobRequest {
         image_gb: 8.0,
         ..request
     };
-    let before = submit(
+    let earlier = submit(
         &mut partition,
-        &image(job(1, JobKind::Array, 1, 1.0, 0.0)),
+        &with_large_image(job(1, JobKind::Array, 1, 1.0, 0.0)),
         Timestamp::from_millis(0),
     );
     retry_all(&mut partition, 0, 300);
     report_all_running(&mut partition, 2, Timestamp::from_millis(300));
-    partition.cancel_job(before, Timestamp::from_millis(300));
+    partition.cancel_job(earlier, Timestamp::from_millis(300));
     send_heartbeat(
         &mut partition,
         1,
@@ -331,15 +331,15 @@
     add_machine(&mut partition, 2, "large", "a");
     let gang = submit(
         &mut partition,
-        &image(job(2, JobKind::Gang, 2, 18.0, 0.0)),
+        &with_large_image(job(2, JobKind::Gang, 2, 18.0, 0.0)),
         Timestamp::from_millis(400),
     );
     retry_all(&mut partition, 400, 1_000);
     assert_eq!(placed_tasks(&partition, gang), 2);
     make_durable(&mut partition);
-    let launches = |partition: &mut PartitionState, n: u32| {
+    let launches = |partition: &mut PartitionState, machine: u32| {
         let commands = partition.commands_for(
-            &machine_name(n),
+            &machine_name(machine),
             CommandRoute::HeartbeatResponse,
             Timestamp::from_millis(1_000),
         );
@@ -351,14 +351,18 @@
     assert_eq!(
         launches(&mut partition, 1),
         0,
-        "it waits for the fetch of the other task"
+        "this task waits until the other one has fetched its image"
+    );
+    assert_eq!(
+        launches(&mut partition, 2),
+        1,
+        "this task fetches its image for 40 s"
     );
-    assert_eq!(launches(&mut partition, 2), 1, "it fetches for 40 s");
     let (index, placement) = partition.jobs[&gang]
         .placed
         .iter()
         .find(|(_, placement)| placement.machine == machine_name(2))
-        .expect("one there");
+        .expect("a task on machine 2");
     let (task, attempt) = (format!("{gang}/{index}"), placement.attempt.0);
     let status = task_status(task, attempt, TaskState::Waiting);
     send_heartbeat(
@@ -372,7 +376,7 @@
     assert_eq!(launches(&mut partition, 1), 1);
 }
 
-/// On a machine with four GPUs and 24 CPUs each free GPU keeps its six CPUs.
+/// On a machine with 4 GPUs and 24 CPUs, co-located tasks leave 6 CPUs to each free GPU.
 #[test]
 fn colocated_tasks_use_what_gpu_work_leaves_and_are_evicted_after_it() {
     let mut partition = new_partition(1_000.0);
@@ -386,7 +390,7 @@
     assert_eq!(
         placed_tasks(&partition, cpu_array),
         0,
-        "no GPU work runs there"
+        "no GPU work runs on the machine"
     );
     let gpu_array = submit(
         &mut partition,
@@ -398,18 +402,18 @@
     assert_eq!(
         placed_tasks(&partition, cpu_array),
         4,
-        "two for each of two GPUs in use"
+        "two for each of the two GPUs in use"
     );
-    let more = submit(
+    let more_gpu_tasks = submit(
         &mut partition,
         &job(3, JobKind::Array, 2, 6.0, 1.0),
         Timestamp::from_millis(2_000),
     );
     retry_all(&mut partition, 2_000, 2_200);
     assert_eq!(
-        placed_tasks(&partition, more),
+        placed_tasks(&partition, more_gpu_tasks),
         2,
-        "the free GPUs have kept their CPUs"
+        "the CPUs of the free GPUs were left free"
     );
     make_durable(&mut partition);
     partition.commands_for(
@@ -419,8 +423,8 @@
     );
     report_all_running(&mut partition, 2, Timestamp::from_millis(2_200));
     partition.cancel_job(gpu_array, Timestamp::from_millis(2_300));
-    partition.cancel_job(more, Timestamp::from_millis(2_300));
-    let not_stopping = |partition: &PartitionState| {
+    partition.cancel_job(more_gpu_tasks, Timestamp::from_millis(2_300));
+    let count_not_stopping = |partition: &PartitionState| {
         partition.jobs[&cpu_array]
             .placed
             .values()
@@ -428,7 +432,7 @@
             .count()
     };
     partition.evict_colocated(Timestamp::from_millis(2_300));
-    assert_eq!(not_stopping(&partition), 4);
+    assert_eq!(count_not_stopping(&partition), 4);
     let running: Vec<TaskStatus> = partition.jobs[&cpu_array]
         .placed
         .iter()
@@ -441,41 +445,51 @@
     partition.evict_colocated(Timestamp::from_millis(2_500));
     partition.evict_colocated(Timestamp::from_millis(6_000));
     assert_eq!(
-        not_stopping(&partition),
+        count_not_stopping(&partition),
         0,
         "no GPU work is left on the machine"
     );
 }
 
-/// As best-effort work it would wait for spot machines and miss its deadline.
+/// As best-effort work, such an array would wait for spot machines and miss its deadline.
 #[test]
 fn low_priority_array_with_deadline_is_not_best_effort() {
     let low = JobRequest {
         priority: Priority::Low,
         ..job(1, JobKind::Array, 4, 2.0, 1.0)
     };
-    let due = JobRequest {
+    let with_deadline = JobRequest {
         deadline_s: Some(100.0),
         ..low.clone()
     };
-    let best_effort = |request| {
+    let is_best_effort = |request| {
         JobSpec::try_from(request)
             .expect("a valid job")
             .is_best_effort()
     };
-    assert_eq!((best_effort(&low), best_effort(&due)), (true, false));
+    assert_eq!(
+        (is_best_effort(&low), is_best_effort(&with_deadline)),
+        (true, false)
+    );
     let mut partition = new_partition(1_000.0);
     add_machine(&mut partition, 1, "graphics", "a");
-    let due = submit(
+    let array = submit(
         &mut partition,
-        &JobRequest { spot: true, ..due },
+        &JobRequest {
+            spot: true,
+            ..with_deadline
+        },
         Timestamp::from_millis(0),
     );
     retry_all(&mut partition, 0, 500);
-    assert_eq!(placed_tasks(&partition, due), 4, "on an on-demand machine");
+    assert_eq!(
+        placed_tasks(&partition, array),
+        4,
+        "on an on-demand machine"
+    );
 }
 
-/// A job that fits on machines with GPUs only may use them without GPU work.
+/// A job that fits only on machines with GPUs may use them even while no GPU work runs there.
 #[test]
 fn cpu_job_runs_on_gpu_machine_when_no_other_type_fits() {
     let mut partition = new_partition(1_000.0);
@@ -485,22 +499,22 @@
         &job(1, JobKind::Array, 1, 22.0, 0.0),
         Timestamp::from_millis(0),
     );
-    let named = JobRequest {
+    let gpu_type_only = JobRequest {
         types: Some(vec!["graphics".into()]),
         ..job(2, JobKind::Array, 1, 1.0, 0.0)
     };
-    let named = submit(&mut partition, &named, Timestamp::from_millis(0));
+    let gpu_type_only = submit(&mut partition, &gpu_type_only, Timestamp::from_millis(0));
     retry_all(&mut partition, 0, 1_000);
     assert_eq!(
         (
             placed_tasks(&partition, large),
-            placed_tasks(&partition, named)
+            placed_tasks(&partition, gpu_type_only)
         ),
         (1, 1)
     );
 }
 
-/// If arrays took each part of the limit that becomes free, the gang would never have all of its part.
+/// If arrays took each part of the team's limit that becomes free, the gang would never fit within the limit.
 #[test]
 fn array_leaves_team_limit_reserved_for_waiting_gang() {
     let mut partition = new_partition(80.0);
@@ -528,7 +542,7 @@
     assert_eq!(
         placed_tasks(&partition, array),
         26,
-        "80 less 18 in use and 36 reserved"
+        "80 CPUs less 18 in use and 36 reserved"
     );
     partition.cancel_job(first, Timestamp::from_millis(3_000));
     retry_all(&mut partition, 3_000, 4_000);
@@ -536,13 +550,13 @@
 }
 
 /// Runs cycles every 100 ms; entries back off as in production.
-fn run_cycles(partition: &mut PartitionState, from: u64, until: u64) {
-    for at in (from..until).step_by(100) {
-        partition.run_cycles(Timestamp::from_millis(at), 1_000);
+fn run_cycles(partition: &mut PartitionState, from_ms: u64, until_ms: u64) {
+    for at_ms in (from_ms..until_ms).step_by(100) {
+        partition.run_cycles(Timestamp::from_millis(at_ms), 1_000);
     }
 }
 
-/// In how many seconds the machines reserved for a gang should be free, from the job's explanation.
+/// The time until the machines reserved for a gang are expected to be free, as the job's explanation states it.
 fn seconds_until_ready(partition: &PartitionState, gang: JobId, now: Timestamp) -> u64 {
     let explanation = partition.explain(gang, now).expect("a known job");
     let (_, rest) = explanation
@@ -554,59 +568,59 @@
         .expect("a number")
 }
 
-/// If reservations were released before they are chosen again, entries tried in between would take the
-/// machines that are free already.
+/// If there were a gap between the release of a reservation and its renewal, entries tried in between would take
+/// the machines that are free already.
 #[test]
 fn gang_reservation_is_renewed_without_a_gap() {
     let mut partition = new_partition(1_000.0);
     (1..=3).for_each(|n| add_machine(&mut partition, n, "large", "a"));
-    let lasting = JobRequest {
+    let running = JobRequest {
         estimate_s: 200.0,
         ..job(1, JobKind::Gang, 1, 18.0, 0.0)
     };
-    let lasting = submit(&mut partition, &lasting, Timestamp::from_millis(0));
+    let running = submit(&mut partition, &running, Timestamp::from_millis(0));
     run_cycles(&mut partition, 0, 500);
-    assert_eq!(placed_tasks(&partition, lasting), 1);
+    assert_eq!(placed_tasks(&partition, running), 1);
     let gang = submit(
         &mut partition,
         &job(2, JobKind::Gang, 3, 18.0, 0.0),
         Timestamp::from_millis(500),
     );
     retry_all(&mut partition, 500, 4_000);
-    for (id, at) in (3..).zip((4_000..80_000).step_by(500)) {
-        report_all_running(&mut partition, id, Timestamp::from_millis(at));
+    for (id, at_ms) in (3..).zip((4_000..80_000).step_by(500)) {
+        report_all_running(&mut partition, id, Timestamp::from_millis(at_ms));
         let later = JobRequest {
             estimate_s: 300.0,
             ..job(id, JobKind::Gang, 1, 18.0, 0.0)
         };
-        let later = submit(&mut partition, &later, Timestamp::from_millis(at));
-        run_cycles(&mut partition, at, at + 500);
-        assert_eq!(placed_tasks(&partition, later), 0, "after {at} ms");
-        partition.cancel_job(later, Timestamp::from_millis(at + 499));
+        let later = submit(&mut partition, &later, Timestamp::from_millis(at_ms));
+        run_cycles(&mut partition, at_ms, at_ms + 500);
+        assert_eq!(placed_tasks(&partition, later), 0, "after {at_ms} ms");
+        partition.cancel_job(later, Timestamp::from_millis(at_ms + 499));
     }
-    partition.cancel_job(lasting, Timestamp::from_millis(80_000));
+    partition.cancel_job(running, Timestamp::from_millis(80_000));
     report_all_empty(&mut partition, 1_000, Timestamp::from_millis(80_000));
     run_cycles(&mut partition, 80_000, 82_000);
     assert_eq!(placed_tasks(&partition, gang), 3);
 }
 
-/// All machines report that nothing runs on them.
-fn report_all_empty(partition: &mut PartitionState, seq: u64, now: Timestamp) {
-    for n in 1..=partition.machines.len() as u32 {
-        send_heartbeat(partition, n, seq, Vec::new(), now);
+/// All machines send a heartbeat that shows no tasks.
+fn report_all_empty(partition: &mut PartitionState, sequence_number: u64, now: Timestamp) {
+    for number in 1..=partition.machines.len() as u32 {
+        send_heartbeat(partition, number, sequence_number, Vec::new(), now);
     }
 }
 
-/// With too short estimates a gang would wait for the machines that are free last.
+/// If tasks were expected to end too early, a gang would wait for the machines that become free last.
 #[test]
 fn estimated_end_includes_fetch_time_and_overrun() {
     let mut partition = new_partition(1_000.0);
     add_machine(&mut partition, 1, "large", "a");
-    let before = JobRequest {
+    let running = JobRequest {
         image_gb: 8.0,
         ..job(1, JobKind::Gang, 1, 18.0, 0.0)
     };
-    submit(&mut partition, &before, Timestamp::from_millis(0));
+    submit(&mut partition, &running, Timestamp::from_millis(0));
     retry_all(&mut partition, 0, 500);
     let gang = submit(
         &mut partition,
@@ -614,29 +628,29 @@
         Timestamp::from_millis(500),
     );
     retry_all(&mut partition, 500, 3_000);
-    let expected = seconds_until_ready(&partition, gang, Timestamp::from_millis(3_000));
+    let ready_in_s = seconds_until_ready(&partition, gang, Timestamp::from_millis(3_000));
     assert!(
-        (95..=98).contains(&expected),
-        "40 s of fetch and 60 of its estimate: {expected}"
+        (95..=98).contains(&ready_in_s),
+        "40 s for the fetch and 60 s by the estimate, less 3 s: {ready_in_s}"
     );
     report_all_running(&mut partition, 2, Timestamp::from_millis(40_000));
     retry_all(&mut partition, 40_000, 43_000);
     assert_eq!(
         seconds_until_ready(&partition, gang, Timestamp::from_millis(43_000)),
         57,
-        "it started after 40 s"
+        "the running gang started after 40 s"
     );
     report_all_running(&mut partition, 3, Timestamp::from_millis(90_000));
     report_all_running(&mut partition, 4, Timestamp::from_millis(140_000));
     retry_all(&mut partition, 140_000, 143_000);
-    let expected = seconds_until_ready(&partition, gang, Timestamp::from_millis(143_000));
+    let ready_in_s = seconds_until_ready(&partition, gang, Timestamp::from_millis(143_000));
     assert!(
-        (24..=26).contains(&expected),
-        "a quarter of 102 s once more: {expected}"
+        (24..=26).contains(&ready_in_s),
+        "another quarter of its run time of 102 s: {ready_in_s}"
     );
 }
 
-/// A machine that is free already would be idle until the last of the gang's machines is free.
+/// If a machine that is free already were reserved, it would be idle until the last of the gang's machines is free.
 #[test]
 fn gang_reservation_prefers_machines_that_become_free_last() {
     let mut partition = new_partition(1_000.0);
@@ -660,27 +674,28 @@
         ),
         (2, 0)
     );
-    let lasting = JobRequest {
+    let long = JobRequest {
         estimate_s: 300.0,
         ..job(3, JobKind::Gang, 1, 18.0, 0.0)
     };
-    let lasting = submit(&mut partition, &lasting, Timestamp::from_millis(3_000));
+    let long = submit(&mut partition, &long, Timestamp::from_millis(3_000));
     retry_all(&mut partition, 3_000, 4_000);
     assert_eq!(
-        placed_tasks(&partition, lasting),
+        placed_tasks(&partition, long),
         1,
-        "the two machines that become free together are reserved"
+        "only the two machines that become free together are reserved"
     );
     partition.cancel_job(running, Timestamp::from_millis(4_000));
     retry_all(&mut partition, 4_000, 5_000);
     assert_eq!(placed_tasks(&partition, gang), 2);
 }
 
-/// Seen in this test, at first: an array left two machines with free capacity to a gang of three tasks for 120 s,
-/// counted from when the present leader first saw the array. It could have run on machines of another type, of which
-/// there were none. No job may wait for 90 s beside free capacity, and a new leader must not begin that time anew.
+/// Guards against a fault in which an array left two machines with free capacity to a gang of three tasks for 120 s,
+/// counted from when the current leader first saw the array, because it could also run on machines of another type,
+/// of which there were none. No job may wait for 90 s while there is free capacity for it, and a new leader must not
+/// restart that time.
 #[test]
-fn array_takes_machines_left_to_waiting_gang_within_the_limit_on_waiting() {
+fn array_takes_machines_left_to_waiting_gang_within_the_wait_limit() {
     let mut partition = new_partition(1_000.0);
     (1..=2).for_each(|n| add_machine(&mut partition, n, "large", "a"));
     let gang = submit(
@@ -689,14 +704,14 @@
         Timestamp::from_millis(0),
     );
     retry_all(&mut partition, 0, 2_000);
-    // Its former leader saw it at 2 ms on the clock of submissions, this one sees it at 50 s.
-    let seen_ms = 50_000;
+    // The array was submitted at 2 ms on the logical clock; this leader first sees it at 50 s.
+    let first_seen_ms = 50_000;
     let array = submit(
         &mut partition,
         &job(2, JobKind::Array, 40, 1.0, 0.0),
-        Timestamp::from_millis(seen_ms),
+        Timestamp::from_millis(first_seen_ms),
     );
-    for at_ms in (seen_ms..85_000).step_by(1_000) {
+    for at_ms in (first_seen_ms..85_000).step_by(1_000) {
         for machine in 1..=2 {
             let now = Timestamp::from_millis(at_ms);
             send_heartbeat(&mut partition, machine, at_ms, Vec::new(), now);
@@ -708,5 +723,5 @@
         }
     }
     assert_eq!(placed_tasks(&partition, gang), 0);
-    assert!(placed_tasks(&partition, array) > 0, "beside 40 free CPUs");
+    assert!(placed_tasks(&partition, array) > 0, "40 CPUs are free");
 }
