--- a/crates/scheduler/src/capacity_index/tests.rs
+++ b/crates/scheduler/src/capacity_index/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the capacity index.
+//! The capacity index finds the same machine as a scan of all machines.
 
 use super::*;
 use crate::job::Job;
@@ -8,7 +8,7 @@
 use wire::cloud::MachineType;
 use wire::users::{JobKind, JobRequest, Priority};
 
-fn job(rng: &mut SmallRng) -> Job {
+fn random_job(rng: &mut SmallRng) -> Job {
     let request = JobRequest {
         id: format!("j-{:06}", rng.random_range(1..999_999)),
         class: "c".into(),
@@ -36,14 +36,14 @@
         deadline_s: None,
     };
     Job::new(
-        JobSpec::try_from(&request).expect("a good job"),
+        JobSpec::try_from(&request).expect("the request is valid"),
         0,
         Timestamp::from_millis(0),
     )
 }
 
-fn machine(n: u64, rng: &mut SmallRng) -> Machine {
-    let kind = MachineType {
+fn random_machine(number: u64, rng: &mut SmallRng) -> Machine {
+    let machine_type = MachineType {
         name: format!("m{}", rng.random_range(0..2)),
         cpus: 4.0,
         gpus: 2.0,
@@ -56,97 +56,107 @@
         zones: vec!["a".into(), "b".into()],
     };
     let zone = ZoneName::from(if rng.random_bool(0.5) { "a" } else { "b" });
-    let name = MachineName::from(format!("host-{n:06}").as_str());
-    Machine::new(name, &kind, zone, rng.random_bool(0.4), FencingToken(1))
+    let name = MachineName::from(format!("host-{number:06}").as_str());
+    Machine::new(
+        name,
+        &machine_type,
+        zone,
+        rng.random_bool(0.4),
+        FencingToken(1),
+    )
 }
 
-/// The least is the best: the order of the levels, and of the machines within a level.
+/// The score of a machine; the lowest is the best. It agrees with the order of the levels, and of the machines
+/// within a level.
 fn score(job: &Job, machine: &Machine) -> (bool, bool, u64, u64, u64) {
-    let pinned = MAX_RANKED_REPLICAS - machine.replica_count.min(MAX_RANKED_REPLICAS);
+    let replicas_below_max = MAX_RANKED_REPLICAS - machine.replica_count.min(MAX_RANKED_REPLICAS);
     let free = machine.free();
     let cached = machine.has_image(&job.spec.image);
     (
         !cached,
         !machine.spot,
-        pinned,
+        replicas_below_max,
         free.milli_gpus,
         free.milli_cpus,
     )
 }
 
-/// After any sequence of changes, the index finds the same machine as a scan of all machines.
+/// Adds, removes and changes machines at random, and compares the index with a full scan after each change.
 #[test]
-fn best_equals_minimum_of_full_scan_after_random_changes() {
+fn best_machine_is_best_of_full_scan_after_random_changes() {
     let mut found = 0;
     for seed in 0..40 {
         let mut rng = SmallRng::seed_from_u64(seed);
         let mut index = CapacityIndex::default();
         let mut machines: BTreeMap<MachineName, Machine> = BTreeMap::new();
-        let mut held: Vec<(MachineName, TaskId, Arc<JobSpec>)> = Vec::new();
+        let mut placements: Vec<(MachineName, TaskId, Arc<JobSpec>)> = Vec::new();
         for step in 0..400u64 {
-            let some = rng.random_range(0..machines.len().max(1));
-            let some = machines.keys().nth(some).cloned();
-            let job = job(&mut rng);
-            match (rng.random_range(0..7), some) {
+            let picked = rng.random_range(0..machines.len().max(1));
+            let picked = machines.keys().nth(picked).cloned();
+            let job = random_job(&mut rng);
+            match (rng.random_range(0..7), picked) {
                 (0, Some(name)) if machines.len() > 25 => {
-                    let mut gone = machines.remove(&name).expect("it is there");
-                    held.retain(|(on, ..)| *on != name);
-                    index.remove(&mut gone);
+                    let mut removed = machines.remove(&name).expect("the machine exists");
+                    placements.retain(|(machine, ..)| *machine != name);
+                    index.remove(&mut removed);
                 }
                 (0 | 1, _) => {
-                    let mut new = machine(step, &mut rng);
+                    let mut new = random_machine(step, &mut rng);
                     index.add_or_update(&mut new);
                     machines.insert(new.name.clone(), new);
                 }
                 (2, Some(name)) => {
-                    let on = machines.get_mut(&name).expect("it is there");
-                    match on.capacity_key {
-                        Some(_) => index.remove(on),
-                        None => index.add_or_update(on),
+                    let machine = machines.get_mut(&name).expect("the machine exists");
+                    match machine.capacity_key {
+                        Some(_) => index.remove(machine),
+                        None => index.add_or_update(machine),
                     }
                 }
-                (3, _) if !held.is_empty() => {
-                    let at = rng.random_range(0..held.len());
-                    let (name, task, spec) = held.swap_remove(at);
-                    let on = machines.get_mut(&name).expect("it is there");
-                    on.remove_task(task, &spec, Timestamp::from_millis(step));
-                    index.update(on);
+                (3, _) if !placements.is_empty() => {
+                    let position = rng.random_range(0..placements.len());
+                    let (name, task, spec) = placements.swap_remove(position);
+                    let machine = machines.get_mut(&name).expect("the machine exists");
+                    machine.remove_task(task, &spec, Timestamp::from_millis(step));
+                    index.update(machine);
                 }
                 (4 | 5, Some(name)) => {
-                    let on = machines.get_mut(&name).expect("it is there");
+                    let machine = machines.get_mut(&name).expect("the machine exists");
                     let task = TaskId {
                         job: JobId(step),
                         index: 0,
                     };
-                    if job.spec.needs.fits(&on.free()) {
-                        on.add_task(task, &job.spec);
-                        index.update(on);
-                        index.touch_image(on, &job.spec.image, job.spec.image_gb);
-                        held.push((name, task, job.spec.clone()));
+                    if job.spec.needs.fits(&machine.free()) {
+                        machine.add_task(task, &job.spec);
+                        index.update(machine);
+                        index.touch_image(machine, &job.spec.image, job.spec.image_gb);
+                        placements.push((name, task, job.spec.clone()));
                     }
                 }
                 _ => {}
             }
-            let fit = |m: &Machine| job.spec.needs.fits(&m.free());
-            let scan = machines
+            let fits = |machine: &Machine| job.spec.needs.fits(&machine.free());
+            let expected = machines
                 .values()
-                .filter(|m| m.capacity_key.is_some() && fit(m))
-                .filter(|m| job.spec.allows(&m.machine_type, &m.zone, m.spot))
-                .min_by_key(|m| score(&job, m));
+                .filter(|machine| machine.capacity_key.is_some() && fits(machine))
+                .filter(|machine| {
+                    job.spec
+                        .allows(&machine.machine_type, &machine.zone, machine.spot)
+                })
+                .min_by_key(|machine| score(&job, machine));
             let best = index.best_machine(
                 &job.spec,
                 false,
-                |n| machines.get(n),
-                fit,
-                |m| score(&job, m),
+                |name| machines.get(name),
+                fits,
+                |machine| score(&job, machine),
             );
             assert_eq!(
-                best.map(|m| &m.name),
-                scan.map(|m| &m.name),
-                "seed {seed}, {step}"
+                best.map(|machine| &machine.name),
+                expected.map(|machine| &machine.name),
+                "seed {seed}, step {step}"
             );
             found += u32::from(best.is_some());
         }
     }
-    assert!(found > 5_000, "{found}");
+    assert!(found > 5_000, "a machine was found in only {found} steps");
 }
--- a/crates/scheduler/tests/partition_state/explanations.rs
+++ b/crates/scheduler/tests/partition_state/explanations.rs
@@ -1,4 +1,4 @@
-//! Explanations for operators: why a job waits.
+//! Why jobs wait: explanations for operators, and counts of unplaced tasks by reason.
 
 use crate::builders::{add_machine, job, partition_without_guarantees, send_heartbeat};
 use model::{JobId, JobSpec, Timestamp};
@@ -6,17 +6,17 @@
 use wire::users::{JobKind, Priority};
 
 #[test]
-fn explanation_counts_machines_by_their_reasons() {
-    let mut share = partition_without_guarantees(false);
-    add_machine(&mut share, 2);
+fn explanation_counts_machines_by_rejection() {
+    let mut partition = partition_without_guarantees(false);
+    add_machine(&mut partition, 2);
     let now = Timestamp::from_millis(100);
-    let low = JobSpec {
+    let best_effort = JobSpec {
         spot: true,
         ..job(1, "t", JobKind::Array, Priority::Low, 1)
     };
-    share.add_job(low, 1, &[], now);
-    share.run_cycles(now, 100);
-    let explanation = share.explain(JobId(1), now).expect("a known job");
+    partition.add_job(best_effort, 1, &[], now);
+    partition.run_cycles(now, 100);
+    let explanation = partition.explain(JobId(1), now).expect("the job is known");
     assert!(
         explanation.ends_with("; machines that do not take it: [unusable: 1, not_spare: 1]"),
         "{explanation}"
@@ -24,12 +24,12 @@
 }
 
 #[test]
-fn unplaced_tasks_are_counted_by_their_closest_machine() {
-    let mut share = partition_without_guarantees(false);
-    add_machine(&mut share, 2);
+fn unplaced_tasks_are_counted_by_closest_rejection() {
+    let mut partition = partition_without_guarantees(false);
+    add_machine(&mut partition, 2);
     let now = Timestamp::from_millis(100);
-    send_heartbeat(&mut share, 2, 1, Vec::new(), now);
-    let spot_only = JobSpec {
+    send_heartbeat(&mut partition, 2, 1, Vec::new(), now);
+    let best_effort = JobSpec {
         spot: true,
         ..job(1, "t", JobKind::Array, Priority::Low, 1)
     };
@@ -38,10 +38,10 @@
         needs: model::Resources::offered(4.0, 0.0, 64.0),
         ..too_large
     };
-    share.add_job(spot_only, 1, &[], now);
-    share.add_job(too_large, 2, &[], now);
-    share.run_cycles(now, 100);
-    let counts: Vec<_> = share.rejections.drain().collect();
+    partition.add_job(best_effort, 1, &[], now);
+    partition.add_job(too_large, 2, &[], now);
+    partition.run_cycles(now, 100);
+    let counts: Vec<_> = partition.rejections.drain().collect();
     assert_eq!(
         counts,
         [
@@ -49,5 +49,9 @@
             (MachineRejection::NotSpare, 1),
         ]
     );
-    assert_eq!(share.rejections.drain().count(), 0, "counts begin anew");
+    assert_eq!(
+        partition.rejections.drain().count(),
+        0,
+        "drain resets the counts"
+    );
 }
--- a/crates/scheduling-queue/src/config.rs
+++ b/crates/scheduling-queue/src/config.rs
@@ -1,17 +1,17 @@
-//! Settings of the queue.
+//! The settings of the scheduling queue.
 
 use model::DurationExt;
 use std::time::Duration;
 
-/// Times that operators may tune. Backoffs are short since capacity becomes free within seconds; see
-/// `docs/design.md` for the measurement.
+/// Settings of the queue that operators may change at run time. Backoffs are short because capacity becomes free
+/// within seconds; `docs/design.md` has the measurement.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct QueueConfig {
-    /// Backoff after the first failure.
+    /// Backoff after the first failure; it doubles with each further one.
     pub initial_backoff: Duration,
-    /// Longest backoff.
+    /// Upper limit of the backoff.
     pub max_backoff: Duration,
-    /// How long an entry stays unschedulable before it is released without an event.
+    /// How long an entry stays unschedulable before it is released without a move request.
     pub unschedulable_timeout: Duration,
 }
 
@@ -26,7 +26,7 @@
 }
 
 impl QueueConfig {
-    /// The backoff after this many failures: doubled each time up to the limit.
+    /// The backoff after this many failures.
     pub(crate) fn backoff_after(&self, failures: u32) -> Duration {
         let factor = 1u64 << failures.saturating_sub(1).min(32);
         Duration::from_millis(self.initial_backoff.whole_millis().saturating_mul(factor))
--- a/crates/scheduling-queue/src/lib.rs
+++ b/crates/scheduling-queue/src/lib.rs
@@ -1,9 +1,10 @@
-//! The scheduling queue: an active heap ordered by priority, a backoff heap ordered by the end of
-//! the backoff, and entries that wait for an event that may make them schedulable.
+//! The scheduling queue. It consists of three queues: active entries ordered by rank, entries in backoff ordered
+//! by the end of their backoff, and unschedulable entries, which wait for a change in the cluster.
 //!
-//! One scheduling cycle tries one entry. An entry that fails becomes unschedulable, unless a move
-//! request came in the cycle in which it was tried or later: then it backs off, since the change
-//! that it missed may be the one that it needs.
+//! Each scheduling cycle tries one active entry. When something changes that may make entries schedulable, such
+//! as capacity becoming free, the scheduler sends a move request, which releases the unschedulable entries. An
+//! entry that fails becomes unschedulable, unless a move request came since its cycle began: the change behind
+//! that request may be the one that the entry needs, so the entry backs off instead and is then tried again.
 
 #![warn(missing_docs)]
 
--- a/crates/scheduling-queue/src/metrics.rs
+++ b/crates/scheduling-queue/src/metrics.rs
@@ -1,20 +1,20 @@
-//! Labels of the queue's metrics, as they stand in metrics and in the admin API.
+//! The queues and the events that move entries between them, with their labels in metrics and the admin API.
 
 use std::fmt;
 
-/// One of the queues.
+/// One of the three queues that make up the scheduling queue.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum QueueKind {
-    /// Entries that can be tried, by rank.
+    /// Entries that can be tried, ordered by rank.
     Active,
     /// Entries that failed and wait for the end of their backoff.
     Backoff,
-    /// Entries that wait for an event that may make them schedulable.
+    /// Entries that wait for a move request.
     Unschedulable,
 }
 
 impl QueueKind {
-    /// Value of the label in metrics and in the admin API.
+    /// The label value in metrics and in the admin API.
     pub fn as_str(self) -> &'static str {
         match self {
             QueueKind::Active => "active",
@@ -25,7 +25,7 @@
 }
 
 impl fmt::Display for QueueKind {
-    /// The queue's name in explanations of the admin API.
+    /// Writes the queue's name as explanations in the admin API show it.
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         formatter.write_str(match self {
             QueueKind::Active => "Active",
@@ -35,23 +35,23 @@
     }
 }
 
-/// What put an entry into a queue.
+/// What moved an entry into a queue.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum QueueEvent {
-    /// A new entry.
+    /// The entry is new.
     Add,
-    /// Its cycle found no machine.
+    /// The entry could not be placed, or its last run failed.
     Failure,
-    /// A move request.
+    /// A move request released the entry.
     Move,
-    /// The end of its backoff.
+    /// The entry's backoff ended.
     BackoffComplete,
-    /// It was unschedulable for too long.
+    /// The entry stayed unschedulable for the whole timeout without a move request.
     Leftover,
 }
 
 impl QueueEvent {
-    /// Value of the label in metrics and in the admin API.
+    /// The label value in metrics and in the admin API.
     pub fn as_str(self) -> &'static str {
         match self {
             QueueEvent::Add => "add",
--- a/crates/scheduling-queue/src/queue.rs
+++ b/crates/scheduling-queue/src/queue.rs
@@ -1,4 +1,4 @@
-//! The queue and its transitions.
+//! The scheduling queue and the transitions of its entries.
 
 use crate::config::QueueConfig;
 use crate::metrics::{QueueEvent, QueueKind};
@@ -7,7 +7,7 @@
 use std::hash::Hash;
 use std::time::Duration;
 
-/// Where an entry is. Each state names what its position in the queue is ordered by.
+/// The state of an entry, with the value by which its queue is ordered. Every state keeps the entry's rank.
 #[derive(Debug, Clone, Copy)]
 enum State<R> {
     Active {
@@ -21,7 +21,7 @@
         rank: R,
         since: Timestamp,
     },
-    /// Removed from the queue by the running cycle.
+    /// Taken from the active queue and being tried in this cycle.
     InCycle {
         rank: R,
         cycle: u64,
@@ -45,7 +45,8 @@
     failed_at: Timestamp,
 }
 
-/// The queue. `K` identifies an entry, `R` is its rank: the lowest rank is tried first.
+/// The scheduling queue. `K` is the key of an entry and `R` its rank: the entry with the lowest rank is tried
+/// first.
 #[derive(Debug)]
 pub struct SchedulingQueue<K, R> {
     config: QueueConfig,
@@ -53,10 +54,11 @@
     active: BTreeSet<(R, K)>,
     backoff: BTreeSet<(Timestamp, K)>,
     unschedulable: BTreeSet<(Timestamp, K)>,
-    /// Number of the last cycle.
+    /// Number of the latest cycle.
     cycle: u64,
-    /// The cycle in which the last move request came.
-    move_cycle: Option<u64>,
+    /// Number of the latest cycle when the last move request came.
+    move_request_cycle: Option<u64>,
+    /// Number of entries that came into each queue, by event.
     incoming: HashMap<(QueueKind, QueueEvent), u64>,
 }
 
@@ -70,22 +72,22 @@
             backoff: BTreeSet::new(),
             unschedulable: BTreeSet::new(),
             cycle: 0,
-            move_cycle: None,
+            move_request_cycle: None,
             incoming: HashMap::new(),
         }
     }
 
-    /// Changes the settings from now on.
+    /// Changes the settings. Backoffs that are running are not changed.
     pub fn configure(&mut self, config: QueueConfig) {
         self.config = config;
     }
 
-    /// The backoff that follows the given number of failures.
+    /// The backoff after this many failures.
     pub fn backoff_after(&self, failures: u32) -> Duration {
         self.config.backoff_after(failures)
     }
 
-    /// Adds an entry to the active heap; one that is already queued stays where it is.
+    /// Adds an entry to the active queue. An entry that is already queued stays where it is.
     pub fn add(&mut self, key: K, rank: R) {
         if self.entries.contains_key(&key) {
             return;
@@ -102,7 +104,8 @@
         self.enqueue(key, state, QueueEvent::Add);
     }
 
-    /// Adds an entry whose last run failed: it backs off as if a cycle had failed so often.
+    /// Adds an entry whose last run failed, with the backoff for its number of failures. An entry that is already
+    /// queued stays where it is.
     pub fn add_with_backoff(&mut self, key: K, rank: R, failures: u32, now: Timestamp) {
         if self.entries.contains_key(&key) {
             return;
@@ -122,7 +125,7 @@
         self.enqueue(key, state, QueueEvent::Failure);
     }
 
-    /// Removes an entry from whatever queue it is in.
+    /// Removes an entry from the queue that it is in.
     pub fn remove(&mut self, key: K) {
         if let Some(entry) = self.entries.remove(&key) {
             self.dequeue(key, entry.state);
@@ -146,8 +149,8 @@
         }
     }
 
-    /// Starts a cycle with the entry of the lowest rank. It must be ended with `scheduled` or
-    /// `failed`.
+    /// Starts a cycle with the active entry of the lowest rank. The caller ends the cycle with
+    /// [`record_placed`](Self::record_placed) or [`record_failure`](Self::record_failure).
     pub fn pop(&mut self) -> Option<K> {
         let (rank, key) = self.active.pop_first()?;
         self.cycle += 1;
@@ -160,12 +163,12 @@
         Some(key)
     }
 
-    /// Ends the entry's cycle: it has been placed.
+    /// Ends the cycle of an entry that was placed, or needs no placement any more, and removes the entry.
     pub fn record_placed(&mut self, key: K) {
         self.remove(key);
     }
 
-    /// Ends the entry's cycle: it found no machine.
+    /// Ends the cycle of an entry that could not be placed.
     pub fn record_failure(&mut self, key: K, now: Timestamp) {
         let Some(entry) = self.entries.get_mut(&key) else {
             return;
@@ -175,8 +178,11 @@
         };
         entry.failures = entry.failures.saturating_add(1);
         entry.failed_at = now;
-        // A change that came while the entry was tried may be the one that it needs.
-        let state = if self.move_cycle.is_some_and(|moved| moved >= cycle) {
+        // The change behind a move request since the cycle began may be the one that the entry needs.
+        let state = if self
+            .move_request_cycle
+            .is_some_and(|request_cycle| request_cycle >= cycle)
+        {
             State::Backoff {
                 rank,
                 until: now + self.config.backoff_after(entry.failures),
@@ -187,17 +193,18 @@
         self.enqueue(key, state, QueueEvent::Failure);
     }
 
-    /// A move request: unschedulable entries become active, or back off for the rest of their
-    /// backoff.
+    /// Handles a move request: something has changed that may make entries schedulable. All unschedulable
+    /// entries become active, or back off for the rest of their backoff.
     pub fn move_all(&mut self, now: Timestamp) {
-        self.move_cycle = Some(self.cycle);
+        self.move_request_cycle = Some(self.cycle);
         let unschedulable: Vec<K> = self.unschedulable.iter().map(|(_, key)| *key).collect();
         for key in unschedulable {
             self.release(key, now, QueueEvent::Move);
         }
     }
 
-    /// Releases entries whose backoff has ended, and those unschedulable for too long.
+    /// Makes entries active whose backoff has ended, and releases those that have been unschedulable for the
+    /// whole timeout.
     pub fn flush(&mut self, now: Timestamp) {
         while let Some(&(until, key)) = self.backoff.first() {
             if until > now {
@@ -220,34 +227,34 @@
         }
     }
 
-    /// When the next flush has something to do.
+    /// The time from which the next flush has something to do.
     pub fn next_flush_at(&self) -> Option<Timestamp> {
-        let backoff = self.backoff.first().map(|(until, _)| *until);
-        let unschedulable_timeout = self
+        let backoff_end = self.backoff.first().map(|(until, _)| *until);
+        let unschedulable_end = self
             .unschedulable
             .first()
             .map(|(since, _)| *since + self.config.unschedulable_timeout);
-        [backoff, unschedulable_timeout].into_iter().flatten().min()
+        [backoff_end, unschedulable_end].into_iter().flatten().min()
     }
 
-    /// Whether a cycle can run.
+    /// Whether any entry is active, so that a cycle can run.
     pub fn has_active(&self) -> bool {
         !self.active.is_empty()
     }
 
-    /// Whether an entry is queued anywhere.
+    /// Whether an entry is in any of the queues.
     pub fn contains(&self, key: K) -> bool {
         self.entries.contains_key(&key)
     }
 
-    /// Where an entry waits and how often it has failed.
+    /// The queue that an entry is in, and how often the entry has failed.
     pub fn location(&self, key: K) -> Option<(QueueKind, u32)> {
         self.entries
             .get(&key)
             .map(|entry| (entry.state.kind(), entry.failures))
     }
 
-    /// Entries in each queue (metric `pending`).
+    /// Number of entries in each queue (metric `trackcrank_pending_tasks`).
     pub fn pending(&self) -> [(QueueKind, usize); 3] {
         [
             (QueueKind::Active, self.active.len()),
@@ -256,12 +263,12 @@
         ]
     }
 
-    /// Entries that came into each queue, by event (metric `queue_incoming`).
+    /// Number of entries that came into each queue, by event (metric `trackcrank_queue_incoming_tasks_total`).
     pub fn incoming(&self) -> &HashMap<(QueueKind, QueueEvent), u64> {
         &self.incoming
     }
 
-    /// All entries, in no order.
+    /// The keys of all entries, in no particular order.
     pub fn keys(&self) -> impl Iterator<Item = K> + '_ {
         self.entries.keys().copied()
     }
@@ -284,7 +291,7 @@
         self.enqueue(key, state, event);
     }
 
-    /// Gives a known entry a state, and the position in the queue that goes with it.
+    /// Sets the state of a known entry and inserts the entry into the queue of that state.
     fn enqueue(&mut self, key: K, state: State<R>, event: QueueEvent) {
         match state {
             State::Active { rank } => self.active.insert((rank, key)),
@@ -298,7 +305,7 @@
         *self.incoming.entry((state.kind(), event)).or_default() += 1;
     }
 
-    /// Removes the position in the queue that goes with a state.
+    /// Removes an entry from the queue of a state.
     fn dequeue(&mut self, key: K, state: State<R>) {
         match state {
             State::Active { rank } => self.active.remove(&(rank, key)),
--- a/crates/scheduling-queue/tests/labels.rs
+++ b/crates/scheduling-queue/tests/labels.rs
@@ -1,4 +1,4 @@
-//! Labels of queues and events in metrics and in the admin API.
+//! The labels of queues and events in metrics and in the admin API do not change.
 
 use scheduling_queue::{QueueEvent, QueueKind};
 
--- a/crates/scheduling-queue/tests/queue.rs
+++ b/crates/scheduling-queue/tests/queue.rs
@@ -1,11 +1,11 @@
-//! Order, backoff and release of queued entries.
+//! The order, the backoff and the release of queued entries.
 
 use model::DurationExt;
 use model::Timestamp;
 use scheduling_queue::{QueueConfig, QueueEvent, QueueKind, SchedulingQueue};
 use std::time::Duration;
 
-fn queue() -> SchedulingQueue<u32, u32> {
+fn new_queue() -> SchedulingQueue<u32, u32> {
     SchedulingQueue::new(QueueConfig {
         initial_backoff: Duration::from_secs(1),
         max_backoff: Duration::from_secs(10),
@@ -14,8 +14,8 @@
 }
 
 #[test]
-fn lowest_rank_is_popped_first_and_reranking_counts() {
-    let mut queue = queue();
+fn lowest_rank_is_popped_first_also_after_rerank() {
+    let mut queue = new_queue();
     queue.add(1, 30);
     queue.add(2, 10);
     queue.add(3, 20);
@@ -25,8 +25,8 @@
 }
 
 #[test]
-fn failed_entry_is_unschedulable_until_a_move_request() {
-    let mut queue = queue();
+fn failed_entry_is_unschedulable_until_move_request() {
+    let mut queue = new_queue();
     queue.add(1, 0);
     queue.pop();
     queue.record_failure(1, Timestamp::from_millis(0));
@@ -35,7 +35,7 @@
     assert_eq!(
         queue.location(1),
         Some((QueueKind::Backoff, 1)),
-        "its backoff still runs"
+        "the backoff has not ended"
     );
     queue.flush(Timestamp::from_millis(999));
     assert!(!queue.has_active());
@@ -44,14 +44,14 @@
 }
 
 #[test]
-fn move_request_during_the_cycle_leads_to_backoff() {
-    let mut queue = queue();
+fn entry_backs_off_if_move_request_came_during_its_cycle() {
+    let mut queue = new_queue();
     queue.add(1, 0);
     queue.pop();
     queue.move_all(Timestamp::from_millis(0));
     queue.record_failure(1, Timestamp::from_millis(0));
     assert_eq!(queue.location(1), Some((QueueKind::Backoff, 1)));
-    // The request of an earlier cycle does not count.
+    // A move request during an earlier cycle has no effect on this one.
     queue.add(2, 0);
     queue.pop();
     queue.record_failure(2, Timestamp::from_millis(1));
@@ -59,12 +59,12 @@
 }
 
 #[test]
-fn backoff_doubles_up_to_the_limit_and_leftovers_are_flushed() {
-    let mut queue = queue();
-    let spans: Vec<u64> = (1..=6)
-        .map(|n| queue.backoff_after(n).whole_millis())
+fn backoff_doubles_up_to_limit_and_unschedulable_entry_is_released_after_timeout() {
+    let mut queue = new_queue();
+    let backoffs_ms: Vec<u64> = (1..=6)
+        .map(|failures| queue.backoff_after(failures).whole_millis())
         .collect();
-    assert_eq!(spans, [1000, 2000, 4000, 8000, 10_000, 10_000]);
+    assert_eq!(backoffs_ms, [1000, 2000, 4000, 8000, 10_000, 10_000]);
     queue.add(1, 0);
     queue.pop();
     queue.record_failure(1, Timestamp::from_millis(0));
@@ -80,8 +80,8 @@
 }
 
 #[test]
-fn removal_covers_every_queue() {
-    let mut queue = queue();
+fn entry_is_removed_from_any_queue() {
+    let mut queue = new_queue();
     for key in 0..4 {
         queue.add(key, key);
     }
@@ -92,7 +92,7 @@
         queue.remove(key);
         assert!(!queue.contains(key));
     }
-    assert_eq!(queue.pending().map(|(_, n)| n), [0, 0, 0]);
+    assert_eq!(queue.pending().map(|(_, count)| count), [0, 0, 0]);
     queue.flush(Timestamp::from_millis(100_000));
     assert_eq!(queue.pop(), None);
 }
