--- a/crates/autoscaler/src/capacity.rs
+++ b/crates/autoscaler/src/capacity.rs
@@ -1,4 +1,4 @@
-//! Capacity of machines that are booting or being transferred.
+//! Capacity of incoming machines: those that boot, are being transferred, or are about to be rented.
 
 use crate::machine::FleetMachine;
 use crate::pending::PendingWork;
@@ -7,17 +7,18 @@
 use std::time::Duration;
 use wire::cloud::MachineType;
 
-/// Unit of [`IncomingMachine::time_left`]: a machine's whole time within the horizon.
+/// A machine's whole time within the planning horizon, in millionths.
 const WHOLE_HORIZON_PPM: u64 = 1_000_000;
 
-/// A machine that will soon be able to run tasks: it boots or is being transferred.
+/// A machine that will soon be able to run tasks, and what is left of it for waiting work.
 pub(crate) struct IncomingMachine {
     pub(crate) machine_type: String,
     pub(crate) zone: ZoneName,
     pub(crate) spot: bool,
-    /// Resources not yet assigned to services and gangs.
+    /// Resources that are not yet assigned to services and gangs.
     pub(crate) free: Resources,
-    /// Part of its time within the horizon that is not yet assigned to array work, in millionths.
+    /// Part of its time within the planning horizon that is not yet assigned to array work, in
+    /// millionths.
     time_left_ppm: u64,
 }
 
@@ -27,7 +28,7 @@
 }
 
 impl IncomingMachine {
-    /// An empty machine of this type.
+    /// A machine of this type without any work assigned.
     pub(crate) fn new(machine_type: &MachineType, zone: ZoneName, spot: bool) -> Self {
         IncomingMachine {
             machine_type: machine_type.name.clone(),
@@ -38,13 +39,14 @@
         }
     }
 
-    /// An existing machine, once it is empty.
+    /// An existing machine as it will be once it is empty.
     pub(crate) fn emptied(machine: &FleetMachine, machine_type: &MachineType) -> Self {
         IncomingMachine::new(machine_type, machine.zone.clone(), machine.spot)
     }
 
-    /// Assigns as many waiting tasks as possible. Services and gangs occupy resources; array work
-    /// occupies time within the horizon, at least one task per slot. Returns the number of tasks.
+    /// Assigns as many waiting tasks as possible and returns their number. Concurrent work, such as
+    /// services and gangs, takes resources. Other array work takes time within the horizon, and gets at
+    /// least one task per slot.
     pub(crate) fn assign(&mut self, work: &PendingWork<'_>, horizon: Duration) -> u64 {
         if work.waiting == 0 || !work.task_size.fits(&self.free) {
             return 0;
@@ -59,12 +61,12 @@
             return 0;
         }
         // The scarcest resource limits how many tasks run at the same time.
-        let time_per_task =
+        let task_time_ppm =
             (WHOLE_HORIZON_PPM * work.task_ms / (slots * horizon.whole_millis()).max(1)).max(1);
-        let assigned = (self.time_left_ppm / time_per_task)
+        let assigned = (self.time_left_ppm / task_time_ppm)
             .max(slots)
             .min(work.waiting);
-        self.time_left_ppm = self.time_left_ppm.saturating_sub(assigned * time_per_task);
+        self.time_left_ppm = self.time_left_ppm.saturating_sub(assigned * task_time_ppm);
         assigned
     }
 }
--- a/crates/autoscaler/src/lib.rs
+++ b/crates/autoscaler/src/lib.rs
@@ -1,7 +1,8 @@
 //! Decides which machines to rent, to transfer between partitions and to return to the cloud.
 //!
-//! [`plan`] is a pure function: the fleet planner (the leader of the first partition) passes in a
-//! snapshot of the fleet and of the waiting work and carries out the returned actions.
+//! [`plan`] is a pure function. The fleet planner, which runs on the leader of the first partition,
+//! passes a snapshot of the fleet and of the waiting work to it and carries out the actions that it
+//! returns.
 
 mod capacity;
 mod machine;
--- a/crates/autoscaler/src/machine.rs
+++ b/crates/autoscaler/src/machine.rs
@@ -1,4 +1,4 @@
-//! Inputs and outputs of a plan: machines, the needs of partitions, actions.
+//! Inputs and outputs of [`plan`](crate::plan): machines, the needs of partitions, and actions.
 
 use model::{MachineName, PartitionId, ZoneName};
 use std::time::Duration;
@@ -12,33 +12,34 @@
     pub zone: ZoneName,
     pub spot: bool,
     pub partition: PartitionId,
-    /// Its worker reports to the partition leader.
+    /// Its worker sends heartbeats to the partition leader.
     pub reporting: bool,
     pub tasks: u32,
     pub idle_for: Duration,
     pub quarantined: bool,
     pub leaving: bool,
     pub age: Duration,
-    /// How long its partition leader could have received a report: since the machine joined the
-    /// partition, or since the leader took the partition over. Before that, a missing report is
-    /// no evidence against the machine.
+    /// For how long its partition leader could have received a heartbeat: since the machine joined the
+    /// partition, or since the leader acquired the partition. A heartbeat that was missing before is no
+    /// evidence against the machine.
     pub observable_for: Duration,
-    /// Time since its last report, if it has ever reported.
+    /// Time since its last heartbeat; zero if it has never sent one.
     pub since_heartbeat: Duration,
-    /// The cloud reports that it stopped of its own accord.
+    /// The cloud lists it as failed for good.
     pub failed: bool,
-    /// Whether the partition leader's view of it is fresh.
+    /// Whether its status from the partition leader is recent enough to act on.
     pub status_is_recent: bool,
-    /// It runs neither work that its partition's teams are guaranteed nor replicas.
+    /// It runs neither work within a guarantee nor replicas of services.
     pub transferable: bool,
-    /// It runs best-effort work only, which can be preempted within seconds.
+    /// All its tasks are best-effort work, which can be preempted within seconds.
     pub best_effort: bool,
-    /// The partition to which it is transferred as soon as it is empty.
+    /// Partition to which it is transferred once it is empty.
     pub transfer_to: Option<PartitionId>,
 }
 
 impl FleetMachine {
-    /// Whether it may be transferred or preempted: it reports, and nothing else is planned for it.
+    /// Whether it may be transferred or its work preempted: it is up, its status is recent, it is neither
+    /// leaving nor quarantined, and no transfer of it is pending.
     pub(crate) fn is_available(&self) -> bool {
         self.status_is_recent
             && self.reporting
@@ -48,15 +49,16 @@
     }
 }
 
-/// The waiting work of a partition.
+/// The waiting work of a partition, for which it needs machines.
 #[derive(Debug, Clone)]
 pub struct PartitionNeed {
     pub partition: PartitionId,
+    /// Zone of the partition's preferred leader.
     pub preferred_zone: ZoneName,
     pub demand: Vec<DemandShape>,
 }
 
-/// A step for the fleet planner to carry out.
+/// An action for the fleet planner to carry out.
 #[derive(Debug, Clone, PartialEq)]
 pub enum FleetAction {
     /// Rent machines from the cloud.
@@ -72,8 +74,8 @@
         machine: MachineName,
         to: PartitionId,
     },
-    /// Have a partition leader transfer machines that suit the shape as they become empty:
-    /// `count` in all, including those it is transferring already.
+    /// Have a partition leader transfer machines that suit the shape once they are empty: `count` in
+    /// all, including those that are to be transferred to that partition already.
     TransferWhenEmpty {
         from: PartitionId,
         to: PartitionId,
@@ -84,7 +86,7 @@
     Return { machine: MachineName },
 }
 
-/// A kind of machine that can be rented.
+/// A kind of machine that the cloud offers for rent.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Offer {
     pub machine_type: String,
--- a/crates/autoscaler/src/offers.rs
+++ b/crates/autoscaler/src/offers.rs
@@ -1,17 +1,17 @@
-//! Choice of the cheapest machines that can be rented, and rentals.
+//! Rentals: the choice of the cheapest machine that the cloud offers for some work.
 
 use crate::capacity::{capacity_of, IncomingMachine};
 use crate::machine::Offer;
 use crate::pending::PendingWork;
-use crate::planner::{Planner, Rental};
+use crate::planner::{Planner, RentalKey};
 use model::ZoneName;
 use wire::cloud::MachineType;
 
-/// Factor on the price of machines outside the partition's home zone: being near the partition
-/// leader is worth a little, but never as much as a cheap offer.
-const OTHER_ZONE_FACTOR: f64 = 1.05;
+/// Factor on the price of machines outside the partition's preferred zone: a machine close to the
+/// partition leader is worth slightly more, but a clearly cheaper offer elsewhere wins.
+const OTHER_ZONE_PRICE_FACTOR: f64 = 1.05;
 
-/// Limit on the slots of a machine when prices per task are compared.
+/// Upper limit on the number of slots of a machine when prices per task are compared.
 const MAX_SLOTS: u64 = 1_000_000;
 
 /// A machine that can be rented.
@@ -50,12 +50,12 @@
         let mut cheapest: Option<(f64, RentableMachine<'a>)> = None;
         for machine in self.rentable_machines(work, spot_only) {
             let slots = capacity_of(machine.machine_type).how_many_fit(&work.task_size);
-            let distance = if machine.zone == *preferred_zone {
+            let zone_factor = if machine.zone == *preferred_zone {
                 1.0
             } else {
-                OTHER_ZONE_FACTOR
+                OTHER_ZONE_PRICE_FACTOR
             };
-            let cost = machine.price() * distance / slots.min(MAX_SLOTS) as f64;
+            let cost = machine.price() * zone_factor / slots.min(MAX_SLOTS) as f64;
             if cheapest.as_ref().is_none_or(|(lowest, _)| cost < *lowest) {
                 cheapest = Some((cost, machine));
             }
@@ -63,7 +63,7 @@
         cheapest.map(|(_, machine)| machine)
     }
 
-    /// Machines that suit the work, are not left to gangs and were not refused lately.
+    /// Machines that suit the work, are not left to gangs, and were not refused recently.
     fn rentable_machines(
         &self,
         work: &PendingWork<'_>,
@@ -96,21 +96,22 @@
         rentable
     }
 
-    /// Whether gangs wait for such machines and the work can run on others.
+    /// Whether gangs wait for machines of this type while the work can run on other types.
     fn is_left_to_gangs(&self, work: &PendingWork<'_>, machine_type: &str, spot: bool) -> bool {
         let mut gang_types = self.gang_types.iter();
         work.shape.gang == 0
             && work.machine_types.len() > 1
-            && gang_types.any(|gangs| gangs.name == machine_type && (gangs.spot || !spot))
+            && gang_types
+                .any(|gang_type| gang_type.name == machine_type && (gang_type.spot || !spot))
     }
 
-    /// Whether one more machine may be requested.
+    /// Whether one more machine may be requested of an offer.
     fn may_rent(&self, offer: &Offer) -> bool {
         let limit = self.refused.get(offer).copied().unwrap_or(u32::MAX);
         self.rented_by_offer.get(offer).copied().unwrap_or(0) < limit
     }
 
-    /// Rents the cheapest machine for the work, if there is one.
+    /// Rents the cheapest machine for the work, if any can be rented.
     pub(crate) fn rent(
         &mut self,
         work: &PendingWork<'_>,
@@ -121,7 +122,7 @@
         *self.rented_by_offer.entry(offer.clone()).or_default() += 1;
         *self
             .rentals
-            .entry(Rental {
+            .entry(RentalKey {
                 need_index: work.need_index,
                 offer,
             })
--- a/crates/autoscaler/src/pending.rs
+++ b/crates/autoscaler/src/pending.rs
@@ -1,4 +1,4 @@
-//! Waiting work, grouped by shape, for which machines are planned.
+//! Pending work, for which machines are planned: the waiting tasks of a partition, grouped by shape.
 
 use crate::machine::PartitionNeed;
 use crate::planner::Planner;
@@ -6,14 +6,15 @@
 use wire::mesh::DemandShape;
 use wire::users::Priority;
 
-/// Tasks are planned as if they ran at least this long.
+/// Minimum run time that is planned for a task.
 const MIN_TASK_MS: u64 = 1_000;
 
-/// Work that is planned for together. Earlier tiers are planned first.
+/// A group of work by its precedence in a plan. Machines for earlier tiers are planned first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Tier {
-    /// Replicas of services and work inside a guarantee.
+    /// Replicas of services and work within a guarantee.
     Urgent,
+    /// All other work that is not best-effort.
     Regular,
     BestEffort,
 }
@@ -22,7 +23,7 @@
     /// All tiers in the order of planning.
     pub(crate) const ALL: [Tier; 3] = [Tier::Urgent, Tier::Regular, Tier::BestEffort];
 
-    /// Waiting tasks of the shape that belong to this tier.
+    /// Number of waiting tasks of the shape that belong to this tier.
     fn waiting_tasks(self, shape: &DemandShape) -> u64 {
         let best_effort = shape.priority == Priority::Low && shape.estimate_ms > 0;
         match self {
@@ -41,22 +42,22 @@
     pub(crate) shape: &'a DemandShape,
     /// Resources of one task.
     pub(crate) task_size: Resources,
-    /// All its tasks run at the same time (services, gangs, and work that precedes waiting
-    /// services), rather than one after another.
+    /// It gets machines for all its tasks at the same time, rather than one after another: services,
+    /// gangs, and array work that precedes waiting services.
     pub(crate) concurrent: bool,
-    /// Estimated run time of a task.
+    /// Estimated run time of a task in milliseconds.
     pub(crate) task_ms: u64,
-    /// Machine types that are planned for it.
+    /// Machine types on which it is planned.
     pub(crate) machine_types: Vec<&'a str>,
     /// The only zone in which it may run.
     pub(crate) zone: Option<String>,
-    /// Tasks for which no capacity is planned yet.
+    /// Number of tasks for which no capacity is planned yet.
     pub(crate) waiting: u64,
-    /// No machine can be had for it at present.
+    /// No machine can be added for it: none can be transferred or rented.
     pub(crate) unavailable: bool,
-    /// Other partitions have no idle machine for it.
+    /// No idle machine of another partition is left for it.
     pub(crate) no_idle_machine: bool,
-    /// Other partitions have no machine for it that runs best-effort work only.
+    /// No machine of another partition with best-effort work only is left for it, or none may be used.
     pub(crate) no_best_effort_machine: bool,
 }
 
@@ -64,21 +65,21 @@
     /// Whether the work is planned for machines of this type in this zone.
     pub(crate) fn suits(&self, machine_type: &str, zone: &str, spot: bool) -> bool {
         self.machine_types.contains(&machine_type)
-            && self.zone.as_deref().is_none_or(|z| z == zone)
+            && self.zone.as_deref().is_none_or(|required| required == zone)
             && (self.shape.spot || !spot)
     }
 
-    /// Number of combinations of machine type and spot or ordinary machines that suit it.
+    /// Number of combinations of a machine type with spot or on-demand machines that suit it.
     pub(crate) fn option_count(&self) -> usize {
         self.machine_types.len() * if self.shape.spot { 2 } else { 1 }
     }
 
-    /// Whether tasks wait for a machine that can still be had.
+    /// Whether tasks wait for a machine and one may still be found.
     pub(crate) fn needs_machine(&self) -> bool {
         self.waiting > 0 && !self.unavailable
     }
 
-    /// Its shape, restricted to the machine types and the zone that are planned for it.
+    /// Its shape, restricted to the machine types and the zone for which it is planned.
     pub(crate) fn planned_shape(&self) -> DemandShape {
         let types = self
             .machine_types
@@ -103,7 +104,7 @@
 }
 
 impl<'a> Planner<'a> {
-    /// The waiting work of all partitions that belongs to the tier.
+    /// The pending work of all partitions in a tier.
     pub(crate) fn pending_work(&self, tier: Tier) -> Vec<PendingWork<'a>> {
         let mut pending = Vec::new();
         for (index, need) in self.needs.iter().enumerate() {
@@ -128,9 +129,9 @@
         pending
     }
 
-    /// Whether guaranteed array work would take the machines that are rented for waiting replicas
-    /// of its partition, since it precedes them in the queue. If it were finished one task after
-    /// another within the horizon, the replicas would wait for as long.
+    /// Whether guaranteed array work would take the machines that are rented for waiting replicas of
+    /// its partition, since it precedes them in the queue. If its tasks were planned one after another
+    /// within the horizon, the replicas would have to wait until they are done.
     fn precedes_replicas(&self, shape: &DemandShape, need: &PartitionNeed) -> bool {
         let types = self.machine_types_for(shape);
         need.demand.iter().any(|replicas| {
--- a/crates/autoscaler/src/policy.rs
+++ b/crates/autoscaler/src/policy.rs
@@ -2,24 +2,25 @@
 
 use std::time::Duration;
 
-/// Thresholds that operators may tune.
+/// Thresholds of the fleet planner that operators may change.
 #[derive(Debug, Clone, PartialEq)]
 pub struct FleetPolicy {
-    /// Time within which waiting array work should be finished; sizes the rentals for it.
+    /// Time within which waiting array work should be finished. It determines how many machines are planned
+    /// for such work.
     pub horizon: Duration,
-    /// How long an ordinary machine may be idle before it is returned.
+    /// How long a machine may be idle before it is returned.
     pub keep_idle: Duration,
-    /// Minimum time billed for a machine: younger machines are kept.
+    /// Minimum time that is billed for a machine: younger machines are not returned for being idle.
     pub minimum_billing: Duration,
-    /// Idle time after which a machine may be transferred to a partition that needs it.
+    /// How long a machine must have been idle before it may be transferred to another partition.
     pub transfer_idle: Duration,
     /// Maximum number of idle machines transferred by one plan.
     pub max_idle_transfers: usize,
-    /// An empty machine that has not reported for this long is returned.
+    /// A machine without tasks that has sent no heartbeat for this long is returned.
     pub report_timeout: Duration,
     /// A booting machine counts as capacity for its boot time multiplied by this factor.
     pub boot_capacity_factor: f64,
-    /// A machine that has not reported after its boot time multiplied by this factor is given up.
+    /// A machine that has sent no heartbeat after its boot time multiplied by this factor is given up.
     pub boot_timeout_factor: u64,
 }
 
--- a/crates/autoscaler/src/rebalance.rs
+++ b/crates/autoscaler/src/rebalance.rs
@@ -1,5 +1,5 @@
-//! Transfers of machines in use, from partitions that run work beyond their teams' guarantees to
-//! partitions whose work gets no machines otherwise.
+//! Rebalancing: partitions that run work beyond their teams' guarantees transfer machines to partitions
+//! with work for which no machines can be rented.
 
 use crate::capacity::capacity_of;
 use crate::pending::PendingWork;
@@ -7,26 +7,28 @@
 use model::PartitionId;
 use std::collections::BTreeMap;
 
-/// Machines by which partitions may differ in the work they run beyond guarantees, in addition to
-/// a quarter: a transferred machine is idle for a few seconds.
+/// Number of machines for work beyond guarantees by which two partitions may differ, in addition to a
+/// quarter. Smaller differences are not worth a transfer, since a transferred machine is idle for a few
+/// seconds.
 const TOLERATED_MACHINE_DIFFERENCE: i64 = 3;
 
-/// A partition and the machine types that it gave away: many small machines do not make up for a large one.
+/// A partition and the types of the machines that it gave away. Donations are counted separately for
+/// each set of types, because many small machines do not make up for a large one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct DonationKey<'w> {
     machine_types: &'w [&'w str],
     partition: PartitionId,
 }
 
-/// Number of machines that partitions gave away by earlier transfers of the same plan (received, if
-/// negative).
+/// Number of machines that partitions give away by earlier transfers of the same plan; negative if they
+/// receive machines.
 type Donations<'w> = BTreeMap<DonationKey<'w>, i64>;
 
-/// Machines suitable for some work that run nothing guaranteed.
+/// The machines that suit some work and run nothing guaranteed, counted by partition.
 struct UnguaranteedMachines {
-    /// Number by partition, less those that earlier transfers give away.
+    /// Number of these machines, less those that earlier transfers of the plan give away.
     counts: BTreeMap<PartitionId, i64>,
-    /// Number that can still be given away, by partition.
+    /// Number of these machines that the partition can still give away.
     transferable: BTreeMap<PartitionId, u32>,
 }
 
@@ -40,7 +42,7 @@
         let donors = self.transferable.iter().filter(|(_, left)| **left > 0);
         donors
             .map(|(partition, _)| (self.count(*partition), *partition))
-            // Machines may be planned for other work already.
+            // Earlier transfers of the plan may already take all machines.
             .filter(|(count, _)| *count > 0)
             .max()
             .map(|(_, partition)| partition)
@@ -48,8 +50,8 @@
 }
 
 impl Planner<'_> {
-    /// Has other partitions transfer machines for work that no machine can be rented for. For
-    /// urgent work they give all they can, otherwise until the partitions are about even.
+    /// Has other partitions transfer machines for work for which no machine can be rented. For urgent
+    /// work they give away all they can, otherwise only until the partitions are balanced.
     pub(crate) fn rebalance(&mut self, pending: &[PendingWork<'_>], urgent: bool) {
         let mut donations = Donations::new();
         for work in pending
@@ -64,7 +66,7 @@
         }
     }
 
-    /// How many machines each other partition should give away for the work.
+    /// How many machines each of the other partitions gives away for the work.
     fn choose_donors<'w>(
         &self,
         work: &'w PendingWork<'w>,
@@ -85,15 +87,18 @@
                 break;
             };
             let (donor_count, own_count) = (unguaranteed.count(from), unguaranteed.count(to));
-            // Machines are not taken from where as much work waits for each of them.
-            let worse_off = self.missing_machines(work, pending, from, slots) as i64 * own_count
+            // No machine is taken from a partition in which more work waits per machine than in the
+            // receiving one.
+            let donor_is_worse_off = self.missing_machines(work, pending, from, slots) as i64
+                * own_count
                 > self.missing_machines(work, pending, to, slots) as i64 * donor_count;
-            let about_even = donor_count < own_count + own_count / 4 + TOLERATED_MACHINE_DIFFERENCE;
-            if !urgent && (about_even || worse_off) {
+            let is_balanced =
+                donor_count < own_count + own_count / 4 + TOLERATED_MACHINE_DIFFERENCE;
+            if !urgent && (is_balanced || donor_is_worse_off) {
                 break;
             }
             *unguaranteed.transferable.entry(from).or_default() -= 1;
-            let mut record = |partition, count: i64| {
+            let mut record_donation = |partition, count: i64| {
                 *unguaranteed.counts.entry(partition).or_default() -= count;
                 *donations
                     .entry(DonationKey {
@@ -102,16 +107,16 @@
                     })
                     .or_default() += count;
             };
-            record(from, 1);
+            record_donation(from, 1);
             if !urgent {
-                record(to, -1);
+                record_donation(to, -1);
             }
             *donors.entry(from).or_default() += 1;
         }
         donors
     }
 
-    /// Counts the machines suitable for the work that run nothing guaranteed.
+    /// Counts the machines that suit the work and run nothing guaranteed.
     fn count_unguaranteed(
         &self,
         work: &PendingWork<'_>,
@@ -124,12 +129,12 @@
         for machine in self
             .machines
             .iter()
-            .filter(|m| m.is_available() && m.transferable)
+            .filter(|machine| machine.is_available() && machine.transferable)
         {
             if work.suits(&machine.machine_type, machine.zone.as_str(), machine.spot) {
                 *counts.entry(machine.partition).or_default() += 1;
-                let may_give = machine.partition != to;
-                *transferable.entry(machine.partition).or_default() += u32::from(may_give);
+                let may_give_away = machine.partition != to;
+                *transferable.entry(machine.partition).or_default() += u32::from(may_give_away);
             }
         }
         for (partition, count) in &mut counts {
@@ -147,7 +152,7 @@
         }
     }
 
-    /// Tasks of the work that fit the largest machine type planned for it.
+    /// How many tasks of the work fit on the largest machine type that is planned for it.
     fn slots_per_machine(&self, work: &PendingWork<'_>) -> u64 {
         let planned = self
             .machine_types
@@ -158,7 +163,7 @@
         slots.max().unwrap_or(1).max(1)
     }
 
-    /// Machines that a partition lacks for all its work of the same machine types.
+    /// Number of machines that a partition lacks for all its pending work of the same machine types.
     fn missing_machines(
         &self,
         work: &PendingWork<'_>,
--- a/crates/autoscaler/src/transfers.rs
+++ b/crates/autoscaler/src/transfers.rs
@@ -1,4 +1,4 @@
-//! Machines added for waiting work: transferred from another partition, or rented.
+//! Addition of machines for pending work: transferred from another partition, or else rented.
 
 use crate::capacity::IncomingMachine;
 use crate::machine::{FleetAction, FleetMachine};
@@ -8,14 +8,14 @@
 use wire::mesh::DemandShape;
 
 impl<'a> Planner<'a> {
-    /// Adds one machine for the work: an idle one that its partition does not need, one with
-    /// best-effort work only, or else a rented one. Returns whether tasks were assigned to it.
+    /// Adds one machine for the work: an idle one that its partition does not need, else one with
+    /// best-effort work only, else a rented one. Returns whether tasks were assigned to it.
     pub(crate) fn add_machine(&mut self, work: &mut PendingWork<'_>, tier: Tier) -> bool {
         let partition = self.needs[work.need_index].partition;
         let spot_only = tier == Tier::BestEffort && work.shape.spot;
         let idle = self.find_idle_machine(work, spot_only);
         let best_effort = self.find_best_effort_machine(work);
-        // The plan only removes machines from both lists: none will appear later.
+        // The plan only removes machines from both lists, so the search need not be repeated.
         work.no_idle_machine = idle.is_none();
         work.no_best_effort_machine = best_effort.is_none();
         let added = match (idle, best_effort) {
@@ -32,13 +32,14 @@
         assigned > 0
     }
 
-    /// Whether the machine is in another partition and suits the work.
+    /// Whether a machine belongs to another partition and suits the work.
     fn is_candidate(&self, machine: &FleetMachine, work: &PendingWork<'_>) -> bool {
         machine.partition != self.needs[work.need_index].partition
             && work.suits(&machine.machine_type, machine.zone.as_str(), machine.spot)
     }
 
-    /// Index of an idle machine for the work that its own partition does not need.
+    /// Index in [`Planner::idle_machines`] of a machine that suits the work and that its own partition
+    /// does not need.
     fn find_idle_machine(&self, work: &PendingWork<'_>, spot_only: bool) -> Option<usize> {
         if work.no_idle_machine || self.idle_transfers >= self.policy.max_idle_transfers {
             return None;
@@ -51,7 +52,7 @@
         })
     }
 
-    /// Index of a machine for the work that runs best-effort work only.
+    /// Index in [`Planner::best_effort_machines`] of a machine that suits the work.
     fn find_best_effort_machine(&self, work: &PendingWork<'_>) -> Option<usize> {
         if work.no_best_effort_machine {
             return None;
@@ -61,7 +62,7 @@
             .position(|machine| self.is_candidate(machine, work))
     }
 
-    /// Whether work waits for such a machine in its own partition.
+    /// Whether work waits in the machine's own partition for which it is suitable.
     fn is_needed_by_own_partition(&self, machine: &FleetMachine) -> bool {
         let own = self
             .needs
@@ -98,13 +99,14 @@
         Some(IncomingMachine::emptied(machine, machine_type))
     }
 
-    /// Has a partition leader transfer `more` machines than before as they become empty.
+    /// Has a partition leader transfer `additional` machines once they are empty, beyond those that
+    /// were requested before.
     pub(crate) fn request_transfer(
         &mut self,
         from: PartitionId,
         to: PartitionId,
         shape: DemandShape,
-        more: u32,
+        additional: u32,
     ) {
         let is_pending =
             |machine: &&FleetMachine| machine.partition == from && machine.transfer_to == Some(to);
@@ -113,7 +115,7 @@
             .requested_transfers
             .entry(TransferRoute { from, to })
             .or_insert_with(already_requested);
-        *total += more;
+        *total += additional;
         let count = *total;
         self.actions.push(FleetAction::TransferWhenEmpty {
             from,
--- a/crates/autoscaler/src/zones.rs
+++ b/crates/autoscaler/src/zones.rs
@@ -4,41 +4,42 @@
 use crate::planner::Planner;
 
 impl Planner<'_> {
-    /// A gang is planned for the zone in which it lacks the least. If no more machines can be had
-    /// there, all of it may go to another zone.
+    /// Moves a gang to another zone as a whole if it still lacks machines in the zone for which it is
+    /// planned and none can be rented there. That zone is at first the one in which the fewest machines
+    /// are missing.
     pub(crate) fn reconsider_zone(&mut self, work: &mut PendingWork<'_>) {
         let is_gang = work.shape.gang > 0;
         if !is_gang || work.waiting == 0 || self.cheapest_machine(work, false).is_some() {
             return;
         }
-        let preferred = work.zone.clone();
+        let planned_zone = work.zone.clone();
         match self.zone_for_gang(work) {
             Some(zone) => {
                 work.zone = Some(zone);
                 work.waiting = work.shape.gang;
                 self.assign_to_incoming(work);
             }
-            None => work.zone = preferred,
+            None => work.zone = planned_zone,
         }
     }
 
-    /// A zone to which enough machines are coming already, or else the first one with an offer.
-    /// Leaves the last zone that was tried in `work.zone`.
+    /// The first other zone in which enough machines for the gang are incoming, or else the first one
+    /// in which machines can be rented. Leaves the zone that was tried last in `work.zone`.
     fn zone_for_gang(&self, work: &mut PendingWork<'_>) -> Option<String> {
-        let mut with_offer = None;
+        let mut rentable_zone = None;
         for zone in self.other_zones(work) {
             work.zone = Some(zone.clone());
             if self.incoming_slots(work) >= work.shape.gang {
                 return Some(zone);
             }
-            if with_offer.is_none() && self.cheapest_machine(work, false).is_some() {
-                with_offer = Some(zone);
+            if rentable_zone.is_none() && self.cheapest_machine(work, false).is_some() {
+                rentable_zone = Some(zone);
             }
         }
-        with_offer
+        rentable_zone
     }
 
-    /// All zones but the one that is planned for the work, the partition's home zone first.
+    /// All zones except the one for which the work is planned, the partition's preferred zone first.
     fn other_zones(&self, work: &PendingWork<'_>) -> Vec<String> {
         let all = self
             .machine_types
@@ -54,11 +55,13 @@
         others
     }
 
-    /// Tasks of the work that fit the machines that are coming to its partition.
+    /// How many tasks of the work fit on the incoming machines of its partition.
     fn incoming_slots(&self, work: &PendingWork<'_>) -> u64 {
         let machines = self.incoming[work.need_index].iter();
         machines
-            .filter(|m| work.suits(&m.machine_type, m.zone.as_str(), m.spot))
+            .filter(|machine| {
+                work.suits(&machine.machine_type, machine.zone.as_str(), machine.spot)
+            })
             .map(|machine| machine.free.how_many_fit(&work.task_size))
             .sum()
     }
--- a/crates/autoscaler/tests/planning.rs
+++ b/crates/autoscaler/tests/planning.rs
@@ -23,9 +23,10 @@
     }
 }
 
-fn machine(n: u32, partition: u32, transferable: bool) -> FleetMachine {
+/// An on-demand machine that sends heartbeats and runs one task.
+fn machine(number: u32, partition: u32, transferable: bool) -> FleetMachine {
     FleetMachine {
-        name: MachineName::from(format!("host-{n}").as_str()),
+        name: MachineName::from(format!("host-{number}").as_str()),
         machine_type: "m4".into(),
         zone: ZoneName::from("a"),
         spot: false,
@@ -46,6 +47,7 @@
     }
 }
 
+/// A partition with waiting array tasks of 4 CPUs and 30 s each, some of them urgent.
 fn need(partition: u32, tasks: u64, urgent: u64) -> PartitionNeed {
     let shape = DemandShape {
         milli_cpus: 4_000,
@@ -76,7 +78,8 @@
     }
 }
 
-/// The transfers that a plan requests of partition leaders: from, to, number of machines.
+/// The transfers that a plan requests of partition leaders, each with the giving partition, the receiving
+/// partition and the number of machines.
 fn requested_transfers(actions: &[FleetAction]) -> Vec<(u32, u32, u32)> {
     let transfer = |action: &FleetAction| match action {
         FleetAction::TransferWhenEmpty {
@@ -87,8 +90,8 @@
     actions.iter().filter_map(transfer).collect()
 }
 
-/// Without transfers, a partition that has rented all machines there are would run arrays beyond its
-/// guarantee while replicas of another one wait.
+/// Without transfers, a partition that has rented all available machines would run arrays beyond its
+/// guarantee while replicas of another partition wait.
 #[test]
 fn partitions_transfer_machines_when_none_can_be_rented() {
     let machines: Vec<FleetMachine> = (0..20).map(|n| machine(n, 0, n >= 4)).collect();
@@ -117,8 +120,8 @@
     );
 }
 
-/// Otherwise best-effort work would fill hundreds of on-demand machines, and keep the spot machines while
-/// other partitions rent on-demand ones.
+/// Otherwise best-effort work would occupy hundreds of on-demand machines, and would keep spot machines
+/// while other partitions rent on-demand ones.
 #[test]
 fn best_effort_work_rents_only_spot_machines_and_is_preempted_for_other_work() {
     let mut low = need(0, 40, 0);
@@ -166,11 +169,11 @@
     );
 }
 
-/// The age of a transferred machine is no evidence against it: its new partition leader has not had the time
-/// to receive a heartbeat.
+/// The age of a transferred machine is no evidence against it: its new partition leader has not had the
+/// time to receive a heartbeat.
 #[test]
 fn transferred_machine_is_not_returned_before_it_can_report() {
-    let moved = FleetMachine {
+    let transferred = FleetMachine {
         reporting: false,
         tasks: 0,
         observable_for: Duration::from_millis(500),
@@ -178,16 +181,16 @@
     };
     let lost = FleetMachine {
         observable_for: Duration::from_secs(100),
-        ..moved.clone()
+        ..transferred.clone()
     };
     let policy = FleetPolicy::default();
     let plan =
         |machine: FleetMachine| plan(&policy, &[machine_type()], &[machine], &[], &HashMap::new());
-    assert_eq!(plan(moved), []);
+    assert_eq!(plan(transferred), []);
     assert_eq!(plan(lost).len(), 1);
 }
 
-/// The rentals of a plan: partition, machine type, zone, number of machines.
+/// The rentals of a plan, each with partition, machine type, zone and number of machines.
 fn rentals(actions: &[FleetAction]) -> Vec<(u32, String, String, u32)> {
     let rental = |action: &FleetAction| match action {
         FleetAction::Rent {
@@ -221,7 +224,8 @@
     ]
 }
 
-fn gang(tasks: u64) -> PartitionNeed {
+/// A partition with a waiting gang whose tasks fit only machines of the type `m20` or `g24`.
+fn gang_need(tasks: u64) -> PartitionNeed {
     let mut need = need(1, tasks, 0);
     let zone = Some("a".to_owned());
     let shape = need.demand[0].clone();
@@ -240,7 +244,7 @@
     let types = three_types();
     let refused = HashMap::from([(offer("m20", "a", false), 0)]);
     let policy = FleetPolicy::default();
-    let mut need = gang(4);
+    let mut need = gang_need(4);
     need.demand[0].tasks = 1;
     let actions = plan(&policy, &types, &[], &[need.clone()], &HashMap::new());
     assert_eq!(
@@ -280,18 +284,24 @@
     };
     let refused = HashMap::from_iter(sold_out("m20"));
     assert_eq!(
-        rentals(&plan(&policy, &types, &[], &[gang(2)], &refused)),
+        rentals(&plan(&policy, &types, &[], &[gang_need(2)], &refused)),
         []
     );
-    let small = need(0, 3, 0);
+    let array = need(0, 3, 0);
     let refused = HashMap::from_iter(sold_out("m4"));
-    let both = plan(&policy, &types, &[], &[small.clone(), gang(2)], &refused);
+    let both = plan(
+        &policy,
+        &types,
+        &[],
+        &[array.clone(), gang_need(2)],
+        &refused,
+    );
     assert_eq!(
         rentals(&both),
         [(1, "m20".into(), "a".into(), 2)],
-        "the array waits for small machines"
+        "the array leaves m20 to the gang"
     );
-    let alone = plan(&policy, &types, &[], &[small], &refused);
+    let alone = plan(&policy, &types, &[], &[array], &refused);
     assert_eq!(rentals(&alone), [(0, "m20".into(), "a".into(), 1)]);
 }
 
@@ -316,8 +326,8 @@
     assert_eq!(rented, [(0, 30), (1, 30)]);
 }
 
-/// Guaranteed array work precedes replicas of low priority in the queue: if it were planned for over the
-/// horizon, it would take each machine that is rented for the replicas.
+/// Guaranteed array work precedes replicas of low priority in the queue. If machines were planned for it so
+/// that its tasks run one after another, it would take each machine that is rented for the replicas.
 #[test]
 fn work_preceding_waiting_replicas_gets_machines_at_once() {
     let mut services = need(0, 1, 1);
@@ -328,7 +338,7 @@
     both.demand[0].estimate_ms = 1_000;
     let arrays = both.clone();
     both.demand.extend(services.demand);
-    let rented = |need: &PartitionNeed| {
+    let rented_count = |need: &PartitionNeed| {
         let needs = [need.clone()];
         let actions = plan(
             &FleetPolicy::default(),
@@ -339,13 +349,17 @@
         );
         rentals(&actions).iter().map(|rent| rent.3).sum::<u32>()
     };
-    assert_eq!(rented(&arrays), 1, "finished within the horizon");
-    assert_eq!(rented(&both), 3, "two for the arrays, one for the replica");
+    assert_eq!(rented_count(&arrays), 1, "finished within the horizon");
+    assert_eq!(
+        rented_count(&both),
+        3,
+        "two for the arrays, one for the replica"
+    );
     both.demand[0].priority = Priority::Low;
     both.demand[1].priority = Priority::High;
-    assert_eq!(rented(&both), 2, "the replica precedes the arrays");
+    assert_eq!(rented_count(&both), 2, "the replica precedes the arrays");
     both.demand[1].priority = Priority::Low;
     both.demand[1].zone = Some("b".into());
     both.demand[0].zone = Some("a".into());
-    assert_eq!(rented(&both), 1, "the replica waits in another zone");
+    assert_eq!(rented_count(&both), 1, "the replica waits in another zone");
 }
