--- a/crates/scheduler/src/best_effort_waits.rs
+++ b/crates/scheduler/src/best_effort_waits.rs
@@ -36,9 +36,9 @@
 pub(crate) struct TeamBestEffort {
     /// Number of its best-effort tasks that are placed.
     pub(crate) placed_tasks: usize,
-    /// The first submitted of its waiting jobs.
+    /// Its waiting job that was submitted first.
     first_waiting: Option<WaitingJob>,
-    /// The first submitted of its waiting jobs that have no task placed.
+    /// Its waiting job without placed tasks that was submitted first.
     first_unplaced: Option<WaitingJob>,
 }
 
@@ -129,8 +129,8 @@
         jobs
     }
 
-    /// The first job of each team that has no task placed, if it has waited for so long that a machine is
-    /// requested for it. Tasks of the team's other jobs can run on that machine, too.
+    /// For each team, its first submitted job without placed tasks, if that job has waited for so long that a
+    /// machine is requested for it. Tasks of the team's other jobs can run on that machine, too.
     fn first_starved_jobs(
         &self,
         teams: &HashMap<TeamName, TeamBestEffort>,
--- a/crates/scheduler/src/consolidation.rs
+++ b/crates/scheduler/src/consolidation.rs
@@ -14,7 +14,7 @@
 
 /// The shortest time between the placement of a replica and its move.
 const MIN_REPLICA_AGE: Duration = Duration::from_secs(45);
-/// Time between the draining of one machine and the next, so that few replicas are down at a time.
+/// The shortest time between the draining of one machine and the next, so that few replicas are down at a time.
 const MOVE_INTERVAL: Duration = Duration::from_millis(1_500);
 /// How long a machine that is being drained takes no tasks, and capacity is reserved for its replicas.
 const MOVE_TIMEOUT: Duration = Duration::from_secs(10);
--- a/crates/scheduler/src/gang_precedence.rs
+++ b/crates/scheduler/src/gang_precedence.rs
@@ -1,5 +1,5 @@
-//! Precedence of waiting gangs: other jobs leave the machines that a waiting gang needs to it if they can run
-//! on machines of another type. Otherwise arrays would take each machine that becomes free, and would be
+//! Precedence of waiting gangs: a job that can run on machines of another type leaves the machines that a
+//! waiting gang needs to that gang. Otherwise arrays would take each machine that becomes free, and would be
 //! preempted as soon as there are enough machines for the gang.
 
 use crate::colocation::tasks_that_fit;
--- a/crates/scheduler/src/gang_reservation_choice.rs
+++ b/crates/scheduler/src/gang_reservation_choice.rs
@@ -79,7 +79,8 @@
                 .get(&gang)
                 .is_some_and(|gang| Rank::of_job(gang) < rank)
         };
-        let mut lists: BTreeMap<Option<&ZoneName>, Vec<CandidateMachine>> = BTreeMap::new();
+        let mut candidates_by_zone: BTreeMap<Option<&ZoneName>, Vec<CandidateMachine>> =
+            BTreeMap::new();
         for machine in self.machines.values() {
             if !self.admits(job, machine, now) {
                 continue;
@@ -92,13 +93,16 @@
                 continue;
             };
             let zone = job.spec.one_zone.then_some(&machine.zone);
-            lists.entry(zone).or_default().push(CandidateMachine {
-                machine,
-                ready_at,
-                max_tasks,
-            });
+            candidates_by_zone
+                .entry(zone)
+                .or_default()
+                .push(CandidateMachine {
+                    machine,
+                    ready_at,
+                    max_tasks,
+                });
         }
-        lists.into_values().collect()
+        candidates_by_zone.into_values().collect()
     }
 
     /// When a task of a gang is expected to fit on a machine, by the estimates of the tasks there, if those that
--- a/crates/scheduler/src/gang_reservations.rs
+++ b/crates/scheduler/src/gang_reservations.rs
@@ -7,7 +7,7 @@
 //! of the machines is free may still run on them. Tasks that would still run by then are stopped if the gang
 //! may preempt them.
 //!
-//! Gangs cannot deadlock: a gang takes no machine that is reserved for a gang with a better rank, and gives up
+//! No two gangs can block each other: a gang takes no machine that is reserved for a gang with a better rank, and gives up
 //! any machine that such a gang takes.
 
 use crate::colocation::tasks_that_fit;
@@ -28,7 +28,7 @@
 /// Time after which the machines reserved for gangs are chosen again: tasks end sooner or later than expected.
 const RESERVATION_REVIEW_INTERVAL: Duration = Duration::from_secs(2);
 /// Scaling out takes longer than this: a gang whose machines are free within this time is not counted as
-/// demand, and tasks that end within this time after the other machines are free are not preempted for it.
+/// demand, and tasks that end within this time after its expected start are not preempted for it.
 const ACCEPTABLE_WAIT: Duration = Duration::from_secs(15);
 /// The estimate of an array's tasks is multiplied by this before they are relied on to end in time: estimates
 /// are often wrong by half, and of an array's many tasks some run long.
--- a/crates/scheduler/src/gangs.rs
+++ b/crates/scheduler/src/gangs.rs
@@ -104,9 +104,9 @@
         zones.into_values().collect()
     }
 
-    /// Whether the launch of a gang's task on a machine that has the image is deferred until the gang's
-    /// other tasks have fetched theirs. If a fetch takes long, a task launched at once would wait for the
-    /// others for longer than `gang_start_timeout` allows, and the gang would be restarted again and again.
+    /// Whether the launch of a gang's task on a machine that has the image is deferred because another task of
+    /// the gang is fetching it for more than half of `gang_start_timeout`. A task launched at once would wait
+    /// for the others for longer than that timeout, and the gang would be restarted again and again.
     pub(crate) fn defers_launch_for_fetches(&self, job: &Job, machine: &Machine) -> bool {
         if job.spec.kind != JobKind::Gang || !machine.has_image(&job.spec.image) {
             return false;
@@ -133,8 +133,8 @@
         job.gang_started_at = Some(now);
     }
 
-    /// Has commands sent at once to the machines of a gang's tasks whose launch is deferred, after another of
-    /// its tasks has fetched its image.
+    /// Requests that commands are sent at once to the machines of a gang's tasks that are not launched yet.
+    /// Called when one of the gang's tasks has fetched its image.
     pub(crate) fn trigger_deferred_launches(&mut self, id: JobId) {
         let Some(job) = self.jobs.get(&id) else {
             return;
--- a/crates/scheduler/src/guarantees.rs
+++ b/crates/scheduler/src/guarantees.rs
@@ -40,7 +40,7 @@
     }
 }
 
-/// Recomputes which of the team's jobs lie within its guarantee; returns those for which that has changed.
+/// Updates which of the team's jobs lie within its guarantee; returns the jobs for which that has changed.
 fn refresh_team(
     team: &mut TeamUsage,
     jobs: &mut BTreeMap<JobId, Job>,
@@ -48,8 +48,7 @@
 ) -> Vec<JobId> {
     let mut order: Vec<JobId> = team.open_jobs.iter().map(|(_, id)| *id).collect();
     if overloaded {
-        // During overload the guarantee goes to the jobs that the team can complete with it rather than to its
-        // oldest jobs.
+        // The guarantee goes to the jobs that the team can complete with it rather than to its oldest jobs.
         order.sort_by_key(|id| jobs.get(id).map(Job::scheduling_time_ms));
     }
     let guaranteed_jobs = prefix_within(&order, jobs, &team.guarantee);
--- a/crates/scheduler/src/overload.rs
+++ b/crates/scheduler/src/overload.rs
@@ -4,8 +4,8 @@
 //! size, and hardly any job is late. In a long shortage of machines that order makes all jobs late, since the
 //! jobs that are late already go first. So while the existing machines would need longer for the waiting work
 //! than a part of the completion objective, each job is also deferred by a multiple of its remaining run time:
-//! most jobs then complete in time, at the cost of the few large ones. None of these starves: if a job is
-//! deferred by some time, jobs that are submitted after more than that time come behind it.
+//! most jobs then complete in time, at the cost of the few large ones. None of these starves: a job comes
+//! behind another one if it is submitted later by more than the time by which the other one is deferred.
 
 use crate::job::Job;
 use crate::partition_state::PartitionState;
--- a/crates/scheduler/src/preemption_search.rs
+++ b/crates/scheduler/src/preemption_search.rs
@@ -11,7 +11,8 @@
 use model::{DurationExt, MachineName, Resources, TaskId, TeamName, Timestamp, ZoneName};
 use std::collections::{BTreeMap, HashSet};
 
-/// No preemption in the scope [`PreemptionScope::CheapBestEffort`] while there are this many reservations.
+/// No preemption in the scope [`PreemptionScope::CheapBestEffort`] while there are this many reservations or
+/// more.
 const MAX_RESERVATIONS: usize = 24;
 /// Added to the cost for each victim: of plans that lose the same work, the one with the fewest victims is the
 /// cheapest.
--- a/crates/scheduler/src/quotas.rs
+++ b/crates/scheduler/src/quotas.rs
@@ -1,4 +1,4 @@
-//! Teams, their quotas and what they use of them.
+//! The teams of a partition, with their quotas and what they use of them.
 
 use crate::job::Job;
 use model::{JobId, JobSpec, Resources, TeamName, Timestamp};
@@ -124,7 +124,7 @@
     pub(crate) reserved_for_gangs: Resources,
     /// Since when too few of its best-effort tasks have been placed while others wait.
     pub underserved_since: Option<Timestamp>,
-    /// Its jobs that are neither finishing nor cancelled, with their submission times, in the order of these.
+    /// Its jobs that are neither finishing nor cancelled, ordered by their submission time in ms.
     pub(crate) open_jobs: BTreeSet<(u64, JobId)>,
     /// The open jobs that lay within the guarantee when this was last computed.
     pub(crate) guaranteed_jobs: BTreeSet<JobId>,
--- a/crates/scheduler/src/reservations.rs
+++ b/crates/scheduler/src/reservations.rs
@@ -74,7 +74,7 @@
         self.cancel_reservations_where(|_, reservation| reservation.machine == *name);
     }
 
-    /// Whether the team's limit, less what is reserved of it for other entries, allows so many more tasks of
+    /// Whether the team's limit, less what is reserved of it for other entries, allows this many more tasks of
     /// an entry's job. Without these reservations, better-ranked tasks of the same team would take each part
     /// of the limit that becomes free, and a replica for which tasks were preempted would never start.
     pub(crate) fn fits_limit(&self, entry: EntryKey, job: &Job, tasks: u64) -> bool {
