--- a/crates/scheduler/src/demand.rs
+++ b/crates/scheduler/src/demand.rs
@@ -1,6 +1,6 @@
 //! Demand for machines: waiting work that does not fit into the free capacity of the partition.
 //!
-//! The fleet planner collects the demand of all partitions and requests machines for it from the cloud.
+//! The fleet planner collects the demand of all partitions and scales the fleet out for it.
 
 use crate::demand_estimate::DemandEstimate;
 use crate::job::Job;
--- a/crates/scheduler/src/demand_estimate.rs
+++ b/crates/scheduler/src/demand_estimate.rs
@@ -236,7 +236,7 @@
     }
 
     /// The zone for a job that has to run in one zone and has no task placed: the zone of the machines that
-    /// are reserved for it, or else the zone whose free capacity fits most of its tasks.
+    /// are reserved for it, or else the zone whose free capacity has room for the largest number of its tasks.
     fn choose_zone(&self, job: &Job) -> Option<ZoneName> {
         let partition = self.partition;
         let reserved = partition
--- a/crates/scheduler/src/job.rs
+++ b/crates/scheduler/src/job.rs
@@ -57,8 +57,9 @@
     /// Whether the job lies within its team's guarantee.
     pub guaranteed: bool,
     /// Whether the job lies within the guarantee even if the team's jobs of higher priority are counted
-    /// first. Only such jobs are protected from preemption by other teams' jobs of higher priority; only
-    /// other jobs may be preempted by other teams' guaranteed jobs of lower priority.
+    /// first. Only such a job is protected from preemption by other teams' jobs of higher priority. A job
+    /// that is not strictly guaranteed may be preempted even by other teams' guaranteed jobs of lower
+    /// priority.
     pub strictly_guaranteed: bool,
     /// Whether the job runs on machines with GPUs only beside GPU work, see the module `colocation`.
     pub colocated_only: bool,
--- a/crates/scheduler/src/policy.rs
+++ b/crates/scheduler/src/policy.rs
@@ -5,9 +5,10 @@
 /// Settings of scheduling that operators may change at run time. No value makes an unsafe placement possible.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Policy {
-    /// By how much a heartbeat may exceed the longest regular interval before the machine gets no new tasks.
+    /// How much longer than the longest regular heartbeat interval a machine may go without a heartbeat before
+    /// it gets no new tasks.
     pub heartbeat_grace: Duration,
-    /// Maximum number of tasks of one job that are in the scheduling queue at a time.
+    /// Maximum number of tasks of one array or service that are in the scheduling queue at a time.
     pub max_queued_tasks_per_job: u32,
     /// Number of failures without a success in between after which a machine is quarantined.
     pub quarantine_threshold: u32,
--- a/crates/scheduling-queue/src/queue.rs
+++ b/crates/scheduling-queue/src/queue.rs
@@ -21,7 +21,7 @@
         rank: R,
         since: Timestamp,
     },
-    /// Taken from the active queue and being tried in this cycle.
+    /// Taken from the active queue to be tried in the cycle of this number.
     InCycle {
         rank: R,
         cycle: u64,
