--- a/crates/controller/src/placement_log/commit.rs
+++ b/crates/controller/src/placement_log/commit.rs
@@ -1,4 +1,4 @@
-//! Preparation of a commit of the placement log: which pages it writes, and what stands on them.
+//! Preparation of a commit of the placement log: which pages it writes, and with which entries.
 
 use super::stored::{StoredEntry, StoredPage};
 use super::{LogEntry, PlacementLog, SizedChunk};
@@ -7,9 +7,9 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use wire::state::{Transaction, Write};
 
-/// Identifies a commit. Every leader goes on counting from what the log holds, so a successor's
-/// commit may have the same number as one of its predecessor that was never written: the version of
-/// the partition's record under which it was made belongs to it.
+/// Identifies a commit. Every leader continues from the highest commit number in the log, so a commit
+/// may have the same number as a commit of the previous leader that was never written. Therefore the id
+/// includes the version of the partition's record under which the commit was made.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct CommitId {
     pub(super) number: u64,
@@ -23,19 +23,19 @@
     pub commit_number: u64,
 }
 
-/// An entry that a commit writes anew.
+/// An entry that a commit adds or updates.
 #[derive(Debug, Clone)]
 pub(super) struct CommittedEntry {
     pub key: ChunkKey,
     pub entry: LogEntry,
 }
 
-/// One write of the log that has been prepared.
+/// A prepared commit of the log.
 #[derive(Debug, Clone)]
 pub struct LogCommit {
-    /// The transaction that writes it.
+    /// The transaction that writes the commit.
     pub txn: Transaction,
-    /// Chunks that it writes anew.
+    /// Chunks that the commit adds or updates.
     pub chunk_keys: Vec<ChunkKey>,
     pub(super) partition_version: Version,
     pub(super) pages: Vec<PageCommit>,
@@ -43,45 +43,48 @@
     pub(super) dropped: Vec<ChunkKey>,
 }
 
-/// The content of a page while a commit is prepared.
+/// The contents of a page while a commit is prepared.
 #[derive(Debug, Default)]
 struct PageDraft {
     entries: BTreeMap<ChunkKey, SizedChunk>,
-    size: usize,
+    estimated_bytes: usize,
 }
 
 impl PageDraft {
     fn new(entries: BTreeMap<ChunkKey, SizedChunk>) -> Self {
-        let size = entries.values().map(|entry| entry.estimated_bytes).sum();
-        PageDraft { entries, size }
+        let estimated_bytes = entries.values().map(|entry| entry.estimated_bytes).sum();
+        PageDraft {
+            entries,
+            estimated_bytes,
+        }
     }
 
-    /// Whether what stays on the page takes more than three quarters of it.
-    fn is_nearly_full(&self, capacity: usize) -> bool {
-        self.size * 4 > capacity * 3
+    /// Whether the entries take more than three quarters of the page.
+    fn is_nearly_full(&self, capacity_bytes: usize) -> bool {
+        self.estimated_bytes * 4 > capacity_bytes * 3
     }
 
-    /// Whether a chunk fits. An empty page takes any.
-    fn has_room(&self, key: &ChunkKey, content: &SizedChunk, capacity: usize) -> bool {
-        self.size_with(key, content) <= capacity || self.entries.is_empty()
+    /// Whether a chunk fits on the page. Any chunk fits on an empty one.
+    fn has_room(&self, key: &ChunkKey, content: &SizedChunk, capacity_bytes: usize) -> bool {
+        self.bytes_with(key, content) <= capacity_bytes || self.entries.is_empty()
     }
 
-    fn size_with(&self, key: &ChunkKey, content: &SizedChunk) -> usize {
-        let replaced = self
+    fn bytes_with(&self, key: &ChunkKey, content: &SizedChunk) -> usize {
+        let replaced_bytes = self
             .entries
             .get(key)
             .map_or(0, |entry| entry.estimated_bytes);
-        self.size - replaced + content.estimated_bytes
+        self.estimated_bytes - replaced_bytes + content.estimated_bytes
     }
 
     fn insert(&mut self, key: ChunkKey, content: SizedChunk) {
-        self.size = self.size_with(&key, &content);
+        self.estimated_bytes = self.bytes_with(&key, &content);
         self.entries.insert(key, content);
     }
 
     fn remove(&mut self, key: &ChunkKey) {
         if let Some(entry) = self.entries.remove(key) {
-            self.size -= entry.estimated_bytes;
+            self.estimated_bytes -= entry.estimated_bytes;
         }
     }
 
@@ -97,15 +100,15 @@
     }
 }
 
-/// A commit while it is prepared.
+/// A commit that is being prepared.
 #[derive(Debug)]
 pub(super) struct CommitBuilder {
     commit: LogCommit,
-    /// Changes that have not found room yet.
+    /// Changes that are not on any page of the commit yet.
     changes: VecDeque<(ChunkKey, TaskChunk)>,
-    /// Entries that are written anew.
+    /// Keys of the changes that are on a page of the commit.
     written: BTreeSet<ChunkKey>,
-    /// Number of pages, those that the commit adds included.
+    /// Number of pages of the log, including those that the commit adds.
     page_count: usize,
     commit_number: u64,
 }
@@ -134,8 +137,8 @@
         }
     }
 
-    /// Adds the page at the cursor, or a new one where that is nearly full. Returns false if the
-    /// commit writes the page already.
+    /// Adds the page that is `step` pages after the cursor, or a new one if that is nearly full. Returns
+    /// false if the commit already writes the page.
     pub(super) fn add_page(&mut self, log: &PlacementLog, step: usize) -> bool {
         let mut page = (log.cursor + step) % self.page_count;
         let mut draft = PageDraft::new(log.kept_entries(page, &self.written));
@@ -154,7 +157,7 @@
         true
     }
 
-    /// Drops empty entries of which no page can hold an older copy.
+    /// Drops the empty entries of which no page can hold an older copy.
     fn drop_empty_entries(&mut self, log: &PlacementLog, draft: &mut PageDraft) {
         let oldest = log.oldest_commit_number();
         let droppable: Vec<ChunkKey> = draft
@@ -170,7 +173,7 @@
         }
     }
 
-    /// Moves changes onto a page until one of them has no room.
+    /// Moves changes onto a page until one of them does not fit.
     fn fill(&mut self, log: &PlacementLog, page: usize, draft: &mut PageDraft) {
         while let Some((key, chunk)) = self.changes.pop_front() {
             let content = SizedChunk::new(chunk);
@@ -203,16 +206,16 @@
         });
     }
 
-    /// Whether all changes have found room.
+    /// Whether all changes are on pages of the commit.
     pub(super) fn is_complete(&self) -> bool {
         self.changes.is_empty()
     }
 
-    /// The commit, and the changes that found no room.
+    /// The commit, and the keys of the changes that did not fit.
     pub(super) fn finish(mut self) -> (LogCommit, Vec<ChunkKey>) {
         let written = &self.written;
         self.commit.dropped.retain(|key| !written.contains(key));
-        let left = self.changes.into_iter().map(|(key, _)| key).collect();
-        (self.commit, left)
+        let left_out = self.changes.into_iter().map(|(key, _)| key).collect();
+        (self.commit, left_out)
     }
 }
--- a/crates/controller/src/placement_log/mod.rs
+++ b/crates/controller/src/placement_log/mod.rs
@@ -1,10 +1,10 @@
 //! The placement log of a partition: placements and progress of its jobs, packed into pages.
 //!
-//! Each commit writes one page (more when much has changed): those entries of the page that are
-//! still the newest, and all that changed since. An entry's newest copy is the one on the page with
-//! the highest commit number; older copies stay behind on other pages until those are written again.
-//! An entry that has become empty is kept until every page that may hold an older copy of it has
-//! been rewritten.
+//! An entry holds one chunk of a job's tasks. Each commit rewrites one page, or several if much has
+//! changed: it keeps those entries of the page that are the newest copies, and adds the chunks that have
+//! changed since the last commit. The newest copy of an entry is the one on the page with the highest
+//! commit number; older copies stay on other pages until those are rewritten. An entry that has become
+//! empty is kept until every page that may hold an older copy of it has been rewritten.
 
 mod commit;
 mod stored;
@@ -19,23 +19,23 @@
 use stored::{parse_page_number, read_page, StoredPage};
 use wire::state::Item;
 
-/// Pages that a partition starts with.
+/// Number of pages of a new placement log.
 const INITIAL_PAGES: usize = 4;
-/// Most pages that one commit writes.
+/// Maximum number of pages that one commit writes.
 const MAX_PAGES_PER_COMMIT: usize = 4;
-/// Conditions and writes that a commit spends on each page.
+/// Operations of a commit for each page: a condition and a write.
 const TXN_OPS_PER_PAGE: usize = 2;
-/// Bytes of a page that are kept free for its frame.
+/// Bytes of a page that are not available for entries.
 const PAGE_OVERHEAD_BYTES: usize = 128;
-/// Estimated bytes of an entry or of one of its placements, besides their texts.
+/// Estimated bytes of an entry, or of one of its placements, in addition to their strings.
 const ENTRY_OVERHEAD_BYTES: usize = 32;
 
-/// What is known of a page.
+/// A page of the log, as far as it is known to be durable.
 #[derive(Debug, Clone, Default)]
 struct Page {
     version: Version,
     commit_number: u64,
-    /// Entries whose newest copies it holds.
+    /// Entries whose newest copies are on this page.
     entries: BTreeSet<ChunkKey>,
 }
 
@@ -48,20 +48,20 @@
 
 impl SizedChunk {
     fn new(chunk: TaskChunk) -> Self {
-        let placed: usize = chunk
+        let placed_bytes: usize = chunk
             .placed
             .iter()
             .map(|task| task.machine.len() + ENTRY_OVERHEAD_BYTES)
             .sum();
-        let size = ENTRY_OVERHEAD_BYTES + chunk.done.len() + placed;
+        let estimated_bytes = ENTRY_OVERHEAD_BYTES + chunk.done.len() + placed_bytes;
         SizedChunk {
             chunk,
-            estimated_bytes: size,
+            estimated_bytes,
         }
     }
 }
 
-/// An entry's newest copy, which is as new as the page that holds it.
+/// The newest copy of an entry. Its commit number is that of the page that holds it.
 #[derive(Debug, Clone)]
 struct LogEntry {
     page: usize,
@@ -88,7 +88,8 @@
         format!("{}{page:04}", crate::records::log_prefix(self.partition))
     }
 
-    /// Builds the log from its pages. `value_bytes` bounds a page, `txn_ops` a commit.
+    /// Builds the log from its pages. `value_bytes` limits the size of a page and `txn_ops` the number of
+    /// operations in a commit.
     pub fn load(
         partition: PartitionId,
         items: &[Item],
@@ -142,7 +143,7 @@
         }
     }
 
-    /// A page, which is added if it does not exist yet.
+    /// The page with this number, which is added if it does not exist yet.
     fn page_mut(&mut self, number: usize) -> &mut Page {
         if self.pages.len() <= number {
             self.pages.resize(number + 1, Page::default());
@@ -164,7 +165,7 @@
             .unwrap_or(0)
     }
 
-    /// Keys of pages that could not be read: their entries are not known.
+    /// Keys of the pages that could not be read, so that their entries are unknown.
     pub fn unreadable_pages(&self) -> &[String] {
         &self.unreadable_pages
     }
@@ -208,7 +209,7 @@
         self.entries.insert(key, entry);
     }
 
-    /// Prepares a commit of these changes; returns it with the keys of those that found no room.
+    /// Prepares a commit of these changes. Returns it with the keys of the changes that did not fit.
     pub fn prepare_commit(
         &self,
         partition_version: Version,
@@ -226,8 +227,8 @@
         builder.finish()
     }
 
-    /// Entries of a page that a rewrite keeps: also the old copy of a change that finds no room in
-    /// the commit, since dropping it would lose what is durable.
+    /// Entries of a page that a rewrite keeps. The old copy of a change that does not fit into the commit
+    /// is among them, since dropping it would lose durable progress.
     fn kept_entries(
         &self,
         page: usize,
@@ -243,7 +244,7 @@
             .collect()
     }
 
-    /// The commit is durable at this revision.
+    /// Applies a commit that is durable at this revision.
     pub fn confirm_commit(&mut self, commit: &LogCommit, revision: u64) {
         for written in &commit.pages {
             let page = self.page_mut(written.page);
@@ -263,8 +264,8 @@
         }
     }
 
-    /// Key of a page that the commit writes, and the identity by which the page read back shows
-    /// whether the commit was applied.
+    /// Key of a page that the commit writes, and the commit's id. By them [`Self::is_page_of_commit`] can
+    /// tell from a read of the page whether the commit was applied.
     pub fn verification_page(&self, commit: &LogCommit) -> Option<(String, CommitId)> {
         let written = commit.pages.first()?;
         let id = CommitId {
@@ -274,7 +275,7 @@
         Some((self.page_key(written.page), id))
     }
 
-    /// Whether a page read back was written by this commit.
+    /// Whether a page that was read back has been written by this commit.
     pub fn is_page_of_commit(value: &serde_json::Value, id: CommitId) -> bool {
         StoredPage::deserialize(value).is_ok_and(|page| page.commit_id() == id)
     }
--- a/crates/controller/src/placement_log/stored.rs
+++ b/crates/controller/src/placement_log/stored.rs
@@ -1,4 +1,4 @@
-//! Stored forms of the placement log's pages, and their validation.
+//! The stored form of the placement log's pages, and its validation.
 
 use super::CommitId;
 use model::job::MAX_TASKS;
@@ -6,13 +6,15 @@
 use scheduler::{ChunkKey, TaskChunk, TASKS_PER_CHUNK};
 use serde::{Deserialize, Serialize};
 
-/// Highest number of a page: far more than a partition fills.
+/// Highest accepted page number, far above what a partition uses.
 const MAX_PAGE_NUMBER: usize = 100_000;
-/// Commit numbers at or above this are never reached, and would leave no room to count on.
+/// Exclusive upper bound of commit numbers. It is never reached in practice, and leaves room for the
+/// numbers that follow.
 const MAX_COMMIT_NUMBER: u64 = 1 << 62;
-/// Chunks that the largest job has.
+/// Number of chunks of the largest job.
 const MAX_CHUNKS: u32 = (MAX_TASKS as u32).div_ceil(TASKS_PER_CHUNK);
-/// An entry as it is stored: a JSON array of the job, the number of the chunk, and the chunk.
+
+/// An entry as it is stored: a JSON array of the job's number, the chunk's number, and the chunk.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(from = "(u64, u32, TaskChunk)", into = "(u64, u32, TaskChunk)")]
 pub(super) struct StoredEntry {
@@ -71,18 +73,19 @@
     }
 }
 
-/// Why a page of the log is not used.
+/// Why a stored page of the log is rejected.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum PageError {
     #[error(transparent)]
     Unreadable(#[from] serde_json::Error),
-    #[error("commit number {0} leaves no room to count on")]
+    #[error("commit number {0} is out of range")]
     CommitNumber(u64),
-    #[error("entry of chunk {chunk_number} of job {job} is not sound")]
+    #[error("invalid entry for chunk {chunk_number} of job {job}")]
     Entry { job: u64, chunk_number: u32 },
 }
 
-/// Reads a page, and checks that all of it can be used: a part left out would be work done twice.
+/// Decodes a page. It is rejected as a whole if any entry is invalid: the tasks of an entry that was
+/// left out would run a second time.
 pub(super) fn read_page(value: &serde_json::Value) -> Result<StoredPage, PageError> {
     let page = StoredPage::deserialize(value)?;
     if page.commit_number >= MAX_COMMIT_NUMBER {
@@ -97,7 +100,7 @@
     }
 }
 
-/// The number of a page, from its key.
+/// Parses the number of a page from its key.
 pub(super) fn parse_page_number(key: &str) -> Option<usize> {
     let number: usize = key.rsplit('/').next()?.parse().ok()?;
     (number <= MAX_PAGE_NUMBER).then_some(number)
--- a/crates/controller/src/records.rs
+++ b/crates/controller/src/records.rs
@@ -1,12 +1,12 @@
-//! Records of the state service: what is stored and under which keys.
+//! Records in the state service: what is stored, and under which keys.
 //!
-//! Every controller watches all records under [`WATCHED_PREFIX`]; `f/` holds the final states of
-//! jobs and `l/` the placement logs of partitions, both read on demand. The state service counts
-//! each put, so numerous records (accepted jobs, cancellations, terminal jobs, machines) are packed
-//! into pages, many to a value.
+//! Every controller watches all records under [`WATCHED_PREFIX`]. Archived final states of jobs (`f/`)
+//! and the placement logs of partitions (`l/`) are not watched but read on demand. The state service
+//! counts each put against a write limit, so numerous records (accepted jobs, cancellations, terminal
+//! jobs, machines) are packed into pages, with many records in one value.
 //!
-//! Field names in the stored form are fixed: controllers of two builds share the records. Where a
-//! Rust name differs from the stored one, a serde rename maps it.
+//! Field names of the stored form are fixed, because controllers of different builds share the records.
+//! Where a Rust name differs from the stored one, a serde rename maps it.
 
 mod keys;
 mod packed_job;
@@ -24,40 +24,41 @@
 use wire::mesh::DemandShape;
 use wire::users::JobState;
 
-/// Largest value of a page, whatever the state service allows: a change of a page sends the whole
-/// page to all controllers.
+/// Maximum size of a page, even if the state service allows larger values: each change of a page sends
+/// the whole page to all controllers.
 const MAX_PAGE_BYTES: usize = 4 * 1024;
-/// Bytes of a page besides its entries.
+/// Bytes of a page that are not available for entries.
 const PAGE_OVERHEAD_BYTES: usize = 64;
 
-/// Bytes for entries on a page of packed records, under the state service's limit for a value.
+/// Bytes available for entries on a page of packed records. `value_bytes` is the state service's limit
+/// for a value.
 pub fn page_capacity_bytes(value_bytes: usize) -> usize {
     value_bytes
         .min(MAX_PAGE_BYTES)
         .saturating_sub(PAGE_OVERHEAD_BYTES)
 }
 
-/// Bytes of a packed entry on its page, including the separator. An entry that cannot be encoded
-/// fits on no page.
+/// Size of a packed entry on its page, including the separator. An entry that cannot be encoded gets a
+/// size that fits on no page.
 pub fn packed_bytes<T: Serialize>(entry: &T) -> usize {
     serde_json::to_vec(entry).map_or(usize::MAX / 2, |bytes| bytes.len() + 1)
 }
 
-/// A page of accepted jobs ([`PackedJob`]). Entries stay undecoded until it is known which of them
-/// are new.
+/// A page of accepted jobs. Its entries are [`PackedJob`]s, which stay undecoded until it is known which
+/// of them are new.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct AcceptedJobsPage {
     pub jobs: Vec<serde_json::Value>,
 }
 
-/// A controller's cancellations of jobs that are not in a terminal state.
+/// The cancellations that a controller has accepted, of jobs that are not in a terminal state yet.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CancellationsRecord {
     pub jobs: Vec<u64>,
 }
 
-/// Jobs in a terminal state. A job stays on the page until its final state is archived under its
-/// id and no page of accepted jobs lists it any more.
+/// A page of jobs in a terminal state. A job stays on it until its final state is archived under its id
+/// and no page of accepted jobs lists it any more.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TerminalJobsPage {
     #[serde(rename = "d", default)]
@@ -135,7 +136,7 @@
     pub state: JobState,
 }
 
-/// One run of a controller process. Stored as an array of the name and the number.
+/// One run of a controller process, stored as an array of the controller's name and a number.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "(ControllerName, u64)", into = "(ControllerName, u64)")]
 pub struct ControllerIncarnation {
@@ -153,12 +154,12 @@
 }
 
 impl From<ControllerIncarnation> for (ControllerName, u64) {
-    fn from(run: ControllerIncarnation) -> Self {
-        (run.controller, run.incarnation)
+    fn from(stored: ControllerIncarnation) -> Self {
+        (stored.controller, stored.incarnation)
     }
 }
 
-/// The leadership of a partition. Bound to the leader's lease.
+/// The leadership of a partition. The record is bound to the leader's lease.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PartitionRecord {
     #[serde(rename = "holder")]
@@ -173,7 +174,7 @@
 }
 
 impl PartitionRecord {
-    /// The run of the leader that the record names.
+    /// The incarnation of the leader that the record names.
     pub fn leader_incarnation(&self) -> ControllerIncarnation {
         ControllerIncarnation {
             controller: self.leader.clone(),
@@ -182,20 +183,20 @@
     }
 }
 
-/// A page of machines.
+/// A page of machines' records.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MachinesPage {
     pub machines: Vec<PackedMachine>,
 }
 
-/// A preferred leader's request for its partition.
+/// A request of a partition's preferred leader to get its partition back.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ReclaimRecord {
     #[serde(rename = "node")]
     pub controller: ControllerName,
     #[serde(rename = "boot")]
     pub incarnation: u64,
-    /// The lease to which its leadership would be bound.
+    /// The lease to which the controller's leadership would be bound.
     pub lease: u64,
 }
 
@@ -215,8 +216,8 @@
     #[serde(rename = "takers")]
     #[serde(default)]
     pub last_leaders: BTreeMap<u32, ControllerIncarnation>,
-    /// Leaders before the last one that might still have been running when it acquired the
-    /// partition.
+    /// Leaders before the last one of each partition that might still have been running when the last
+    /// one acquired it.
     #[serde(rename = "suspects")]
     #[serde(default)]
     pub unconfirmed_predecessors: BTreeMap<u32, Vec<ControllerIncarnation>>,
@@ -227,8 +228,8 @@
 pub struct IncarnationRecord {
     #[serde(rename = "boot")]
     pub incarnation: u64,
-    /// Short runs of the controller in a row, including the current one unless it has proved
-    /// stable.
+    /// Number of consecutive short runs of the controller, including the current one unless that has
+    /// proved stable.
     #[serde(rename = "short_lives", default)]
     pub short_runs: u32,
 }
--- a/crates/controller/src/records/keys.rs
+++ b/crates/controller/src/records/keys.rs
@@ -1,6 +1,6 @@
 //! Keys of the records in the state service.
 //!
-//! Keys are part of the stored form: controllers of two builds share them.
+//! Keys are part of the stored form, which controllers of different builds share.
 
 use model::{ControllerName, JobId, PartitionId};
 
@@ -10,10 +10,10 @@
 pub const TOKEN_COUNTER_KEY: &str = "s/t";
 /// Key of the machine types, as a fleet planner last read them from the cloud.
 pub const MACHINE_TYPES_KEY: &str = "s/k";
-/// Key of the operators' settings.
+/// Key of the settings that operators change at run time.
 pub const TUNING_KEY: &str = "s/c";
 
-/// Key of a page of accepted jobs. Only the controller named writes it.
+/// Key of a page of accepted jobs. Only the given controller writes it.
 pub fn accepted_jobs_key(controller: &ControllerName, page: u32) -> String {
     format!("{}{page:04}", accepted_jobs_prefix(controller))
 }
@@ -48,12 +48,13 @@
     format!("s/p/{id}")
 }
 
-/// Key of a preferred leader's reclaim request. Bound to that controller's lease.
+/// Key of the reclaim request of a partition's preferred leader. The record is bound to that
+/// controller's lease.
 pub fn reclaim_key(id: PartitionId) -> String {
     format!("s/w/{id}")
 }
 
-/// Key of a partition's demand, for a fleet planner that the partition leader does not reach over
+/// Key of a partition's unmet demand, for a fleet planner that the partition leader does not reach over
 /// the mesh.
 pub fn demand_key(id: PartitionId) -> String {
     format!("s/d/{id}")
--- a/crates/controller/src/records/packed_job.rs
+++ b/crates/controller/src/records/packed_job.rs
@@ -3,7 +3,7 @@
 use serde::{Deserialize, Serialize};
 use wire::users::{JobKind, JobRequest, Priority};
 
-/// An accepted job on its page, stored as an array without field names since many jobs share a
+/// An accepted job on its page. It is stored as an array without field names, to fit many jobs into one
 /// value.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(from = "PackedJobFields", into = "PackedJobFields")]
@@ -31,7 +31,7 @@
     }
 }
 
-/// The array as it is stored. The order of the elements is the stored form.
+/// The array as it is stored. The order of its elements is part of the stored form.
 #[derive(Serialize, Deserialize)]
 struct PackedJobFields(
     /// `submitted_at_ms`
--- a/crates/controller/src/records/packed_machine.rs
+++ b/crates/controller/src/records/packed_machine.rs
@@ -13,11 +13,12 @@
     pub partition: PartitionId,
     /// The fencing token for commands to the machine.
     pub token: u64,
-    /// Given up by its partition leader: the fleet planner is to release it.
+    /// Whether its partition leader has given it up, so that the fleet planner releases it.
     pub leaving: bool,
 }
 
-/// A machine on its page, stored as an array without field names since many machines share a value.
+/// A machine on its page. It is stored as an array without field names, to fit many machines into one
+/// value.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "PackedMachineFields", into = "PackedMachineFields")]
 pub struct PackedMachine {
@@ -35,8 +36,8 @@
         }
     }
 
-    /// Most bytes that the machine can take on its page. Its token and its partition change while
-    /// it stays there, and a page that outgrows the limit could not be written any more.
+    /// Maximum size of the machine's entry on its page. The token and the partition change while the
+    /// entry stays on the page, and a page that outgrows the limit could not be written any more.
     pub fn max_packed_bytes(name: &MachineName, record: &MachineRecord) -> usize {
         let widest = MachineRecord {
             partition: PartitionId(u32::MAX),
@@ -48,7 +49,7 @@
     }
 }
 
-/// The array as it is stored. The order of the elements is the stored form.
+/// The array as it is stored. The order of its elements is part of the stored form.
 #[derive(Serialize, Deserialize)]
 struct PackedMachineFields(
     /// `name`
--- a/crates/controller/src/records/tests.rs
+++ b/crates/controller/src/records/tests.rs
@@ -1,14 +1,14 @@
-//! Packing of jobs and machines into pages.
+//! Tests of the packed form of jobs and machines.
 
 use super::*;
 use model::{MachineName, PartitionId};
 use wire::users::{JobKind, JobRequest, Priority};
 
-/// Tokens and partitions of machines grow in place: a page filled with machines under token 0 must
-/// stay writable under the widest token.
+/// Tokens and partition numbers of machines grow while the machines stay on their page: a page filled
+/// with machines with token 0 must stay writable with the widest token.
 #[test]
-fn full_machines_page_stays_within_capacity_under_widest_token() {
-    let capacity = page_capacity_bytes(4096);
+fn full_machines_page_stays_within_limit_with_widest_token() {
+    let capacity_bytes = page_capacity_bytes(4096);
     let record = |token, partition| MachineRecord {
         machine_type: "m4".into(),
         zone: "north".into(),
@@ -18,9 +18,9 @@
         leaving: token > 0,
     };
     let name = |number: usize| MachineName::from(format!("host-{number:06}").as_str());
-    let machine_size = PackedMachine::max_packed_bytes(&name(1), &record(0, 0));
+    let machine_bytes = PackedMachine::max_packed_bytes(&name(1), &record(0, 0));
     let page = |token, partition| MachinesPage {
-        machines: (0..capacity / machine_size)
+        machines: (0..capacity_bytes / machine_bytes)
             .map(|number| PackedMachine::new(&name(number), &record(token, partition)))
             .collect(),
     };
@@ -53,7 +53,7 @@
         deadline_s: Some(900.0),
     };
     let packed = PackedJob::new(7, job.clone());
-    let value = serde_json::to_value(&packed).expect("it can be packed");
-    let read: PackedJob = serde_json::from_value(value).expect("it can be read");
+    let value = serde_json::to_value(&packed).expect("encode packed job");
+    let read: PackedJob = serde_json::from_value(value).expect("decode packed job");
     assert_eq!(read.request, job);
 }
--- a/crates/controller/src/state_cache/apply.rs
+++ b/crates/controller/src/state_cache/apply.rs
@@ -8,13 +8,13 @@
 use std::collections::BTreeSet;
 use wire::state::{Changes, Item};
 
-/// Highest number of a page of packed records: far more than a site fills.
+/// Highest accepted number of a page of packed records, far above what a deployment uses.
 const MAX_PAGE_NUMBER: u32 = 99_999;
-/// Exclusive upper bound of fencing tokens, never reached by a site. Attempt numbers hold a token,
-/// shifted, so it needs a bound.
+/// Exclusive upper bound of fencing tokens, which no deployment reaches. Tokens need a bound because
+/// attempt numbers contain a token, shifted to the left.
 const TOKEN_LIMIT: u64 = 1 << 39;
 
-/// Parses a number in a key: digits only.
+/// Parses a number in a key. It must consist of digits only.
 pub(super) fn parse_number(text: &str) -> Option<u32> {
     text.bytes()
         .all(|byte| byte.is_ascii_digit())
@@ -22,24 +22,24 @@
         .flatten()
 }
 
-/// Parses a partition in a key.
+/// Parses the partition in a key.
 fn parse_partition(text: &str) -> Option<PartitionId> {
     parse_number(text).map(PartitionId)
 }
 
-/// Parses the number of a page in a key.
+/// Parses the page number in a key.
 pub(super) fn parse_page_number(text: &str) -> Option<u32> {
     parse_number(text).filter(|page| *page <= MAX_PAGE_NUMBER)
 }
 
-/// Splits `s/KIND/NAME` into kind and name.
+/// Splits a key `s/KIND/NAME` into kind and name. The name is empty if the key has none.
 fn split_key(key: &str) -> Option<(&str, &str)> {
     let rest = key.strip_prefix(WATCHED_PREFIX)?;
     Some(rest.split_once('/').unwrap_or((rest, "")))
 }
 
 impl StateCache {
-    /// Counts a record or an entry that cannot be used; what was known stays.
+    /// Counts and logs a record or an entry that cannot be used. The cached state stays unchanged.
     pub(super) fn reject(&mut self, key: &str, problem: &dyn std::fmt::Display) {
         tracing::error!(key, %problem, "record rejected");
         self.rejected_count += 1;
@@ -51,7 +51,7 @@
             .ok()
     }
 
-    /// Decodes a record whose key holds a number.
+    /// Decodes a record whose key contains a number, which is none if it could not be parsed.
     pub(super) fn decode_numbered<N, T: DeserializeOwned>(
         &mut self,
         key: &str,
@@ -59,37 +59,37 @@
         value: &Value,
     ) -> Option<(N, T)> {
         let Some(number) = number else {
-            self.reject(key, &"its key has no such number");
+            self.reject(key, &"key without a valid number");
             return None;
         };
         self.decode(key, value).map(|record| (number, record))
     }
 
-    /// Applies the token counter. Tokens never decrease, whatever is written there.
+    /// Applies the token counter. The next token never decreases in the cache, whatever is written.
     fn apply_counter(&mut self, key: &str, value: &Value, version: Version) {
         let Some(mut record) = self.decode::<TokenCounterRecord>(key, value) else {
             return;
         };
         if record.next >= TOKEN_LIMIT {
-            self.reject(key, &"no tokens are left");
+            self.reject(key, &"token counter has reached its limit");
             return;
         }
-        let known = self
+        let cached_next = self
             .token_counter
             .as_ref()
             .map_or(0, |counter| counter.record.next);
-        if record.next < known {
-            self.reject(key, &"tokens were given out beyond it");
-            record.next = known;
+        if record.next < cached_next {
+            self.reject(key, &"token counter has decreased");
+            record.next = cached_next;
         }
         self.token_counter = Some(Versioned { record, version });
     }
 
-    /// Applies a record by the kind in its key.
+    /// Applies a created or changed record, according to the kind in its key.
     fn apply_put(&mut self, key: &str, value: &Value, version: u64, changed: &mut Vec<CacheEvent>) {
         let version = Version(version);
         let Some((kind, name)) = split_key(key) else {
-            self.reject(key, &"it is not under the watched prefix");
+            self.reject(key, &"key is not under the watched prefix");
             return;
         };
         match kind {
@@ -162,7 +162,7 @@
                 });
                 changed.push(CacheEvent::Tuning);
             }
-            _ => self.reject(key, &"nothing of this kind is kept"),
+            _ => self.reject(key, &"unknown kind of record"),
         }
     }
 
@@ -186,13 +186,13 @@
                 self.tuning = None;
                 changed.push(CacheEvent::Tuning);
             }
-            // Pages are overwritten, never deleted.
+            // Other records are overwritten, never deleted.
             _ => {}
         }
     }
 
-    /// Applies the reply to a watch. Changes that are known already are skipped, so that overlapping
-    /// replies cannot restore what has been deleted since.
+    /// Applies the changes in a reply of the state service. Changes that have been applied already are
+    /// skipped, so that overlapping replies cannot restore a record that has been deleted since.
     pub fn apply(&mut self, changes: &Changes) -> Vec<CacheEvent> {
         let mut changed = Vec::new();
         let mut events: Vec<_> = changes
@@ -213,7 +213,7 @@
             } else if let Some(key) = &event.delete {
                 self.apply_delete(key, &mut changed);
             } else {
-                self.reject("", &"a change names no key");
+                self.reject("", &"change without a key");
             }
         }
         self.revision = self.revision.max(Revision(changes.revision));
@@ -221,41 +221,39 @@
     }
 
     /// Keeps the token counter at least as high as it was before a full read.
-    fn keep_token_counter_monotonic(&mut self, before: Option<Versioned<TokenCounterRecord>>) {
-        let (Some(counter), Some(before)) = (&mut self.token_counter, before) else {
+    fn keep_token_counter_monotonic(&mut self, previous: Option<Versioned<TokenCounterRecord>>) {
+        let (Some(counter), Some(previous)) = (&mut self.token_counter, previous) else {
             return;
         };
-        counter.record.next = counter.record.next.max(before.record.next);
+        counter.record.next = counter.record.next.max(previous.record.next);
     }
 
-    /// Replaces the cache by a full read that began at `revision`. Items are in the order of their
-    /// keys, so terminal jobs are known before the pages of accepted jobs that name them.
+    /// Replaces the cache by a full read that began at `revision`. Items are in the order of their keys,
+    /// so terminal jobs are known before the pages of accepted jobs that list them.
     pub fn replace(&mut self, items: &[Item], revision: u64) -> Vec<CacheEvent> {
         let old = std::mem::take(self);
         self.rejected_count = old.rejected_count;
-        let mut list = Vec::new();
+        let mut changed = Vec::new();
         for item in items {
-            self.apply_put(&item.key, &item.value, item.version, &mut list);
+            self.apply_put(&item.key, &item.value, item.version, &mut changed);
         }
         self.keep_token_counter_monotonic(old.token_counter);
-        let gone = |kept: bool, change: CacheEvent| (!kept).then_some(change);
-        list.extend(
-            old.partitions.keys().filter_map(|id| {
-                gone(self.partitions.contains_key(id), CacheEvent::Partition(*id))
-            }),
-        );
-        list.extend(old.machines.keys().filter_map(|name| {
-            gone(
+        let unless_kept = |kept: bool, event: CacheEvent| (!kept).then_some(event);
+        changed.extend(old.partitions.keys().filter_map(|id| {
+            unless_kept(self.partitions.contains_key(id), CacheEvent::Partition(*id))
+        }));
+        changed.extend(old.machines.keys().filter_map(|name| {
+            unless_kept(
                 self.machines.contains_key(name),
                 CacheEvent::Machine(name.clone()),
             )
         }));
-        list.extend(
+        changed.extend(
             old.jobs
                 .keys()
-                .filter_map(|id| gone(self.jobs.contains_key(id), CacheEvent::Job(*id))),
+                .filter_map(|id| unless_kept(self.jobs.contains_key(id), CacheEvent::Job(*id))),
         );
         self.revision = Revision(revision);
-        list
+        changed
     }
 }
--- a/crates/controller/src/state_cache/mod.rs
+++ b/crates/controller/src/state_cache/mod.rs
@@ -1,7 +1,7 @@
 //! This controller's cache of the watched records of the state service.
 //!
-//! `apply` decodes changes, `pages` applies those of packed pages. Records that cannot be decoded are
-//! counted and leave what was known before in place.
+//! `apply` decodes changes, and `pages` applies changes of packed pages. Records that cannot be decoded
+//! are counted as rejected, and the records cached before stay.
 
 mod apply;
 mod pages;
@@ -20,17 +20,17 @@
 use std::sync::Arc;
 use wire::cloud::MachineTypes;
 
-/// A job that is accepted and not in a terminal state, as recorded.
+/// An accepted job that is not in a terminal state.
 #[derive(Debug, Clone)]
 pub struct OpenJob {
     pub packed: Arc<PackedJob>,
-    /// Bytes that it takes on its page.
+    /// Bytes that the job takes on its page.
     pub packed_bytes: usize,
     pub spec: Arc<JobSpec>,
 }
 
 impl OpenJob {
-    /// Time of submission (ms) by the controllers' logical clock.
+    /// Time of submission in ms on the controllers' logical clock.
     pub fn submitted_at_ms(&self) -> u64 {
         self.packed.submitted_at_ms
     }
@@ -48,7 +48,7 @@
 pub struct CachedMachine {
     pub record: MachineRecord,
     pub page: u32,
-    /// Upper bound of the bytes that it may take there.
+    /// Upper bound of the bytes that the record takes on its page.
     pub max_bytes: usize,
 }
 
@@ -56,19 +56,19 @@
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct MachinePage {
     pub names: BTreeSet<MachineName>,
-    /// Upper bound of the bytes that its machines may take.
+    /// Upper bound of the bytes that the machines on the page take.
     pub max_bytes: usize,
 }
 
-/// A change of the cache, for the components that act on it.
+/// A change of the cache, to be handled by the component that is concerned.
 #[derive(Debug, Clone, PartialEq)]
 pub enum CacheEvent {
-    /// A job was accepted or cancelled.
+    /// A job was accepted or cancelled, or a full read no longer contains it.
     Job(JobId),
     /// A job is in a terminal state.
     JobTerminated(JobId, JobState),
     Partition(PartitionId),
-    /// A leader has written the capacity that its partition lacks.
+    /// A leader has written the unmet demand of its partition.
     Demand(PartitionId, DemandRecord),
     Machine(MachineName),
     Incarnation(ControllerName),
@@ -81,18 +81,17 @@
 pub struct StateCache {
     /// Jobs that are accepted and not in a terminal state.
     pub jobs: BTreeMap<JobId, OpenJob>,
-    /// The jobs on each page of accepted jobs, by key, whether in a terminal state or not.
+    /// The jobs on each page of accepted jobs, by the page's key, whether in a terminal state or not.
     pub accepted_job_pages: BTreeMap<String, Versioned<Vec<JobId>>>,
-    /// Entries of pages of accepted jobs that cannot be read, by the key of their page. They stay in the state
-    /// service as they are: another version may have written them.
+    /// Entries of pages of accepted jobs that cannot be read, by the page's key. They are kept unchanged
+    /// in the state service, since another version may have written them.
     unreadable_jobs: BTreeMap<String, Vec<Value>>,
-    /// Cancelled jobs by the controller that accepted the cancellation.
+    /// Cancelled jobs, by the controller that accepted their cancellation.
     pub cancellations: BTreeMap<ControllerName, Versioned<BTreeSet<JobId>>>,
-    /// Pages of terminal jobs by partition and number.
+    /// Pages of terminal jobs, by partition and page number.
     pub terminal_job_pages: BTreeMap<(PartitionId, u32), Versioned<TerminalJobsPage>>,
-    /// Jobs in a terminal state, with the number of pages that name them. This and the next are
-    /// counted as pages change, since collecting them from all pages at each completion of a job is
-    /// expensive with a thousand machines.
+    /// Jobs on pages of terminal jobs. These counts and `registered` are updated as pages change, since
+    /// collecting the jobs from all pages whenever a job completes is expensive with a thousand machines.
     terminal: ReferenceCounts,
     /// Jobs on pages of accepted jobs, whether in a terminal state or not.
     registered: ReferenceCounts,
@@ -106,9 +105,9 @@
     pub token_counter: Option<Versioned<TokenCounterRecord>>,
     pub machine_types: Option<Versioned<MachineTypes>>,
     pub tuning: Option<Versioned<Value>>,
-    /// All changes up to here have been applied.
+    /// All changes up to this revision have been applied.
     pub revision: Revision,
-    /// Number of unusable records and entries since it was taken last.
+    /// Number of records and entries rejected since this count was last taken.
     rejected_count: u64,
 }
 
@@ -139,14 +138,14 @@
         self.registered.contains(id)
     }
 
-    /// Whether a job is on a page of accepted jobs in a form that cannot be read, and is in no terminal state
-    /// that is known: nothing can be said of it.
+    /// Whether a job is on a page of accepted jobs in a form that cannot be read and not known to be in a
+    /// terminal state, so that its state is unknown.
     pub fn is_unreadable(&self, id: JobId) -> bool {
         self.registered.contains(id) && !self.jobs.contains_key(&id) && !self.terminal.contains(id)
     }
 
-    /// The entries that a page of accepted jobs keeps when it is written again: open jobs, and what cannot be
-    /// read.
+    /// The entries that a page of accepted jobs keeps when it is rewritten: open jobs, and entries that
+    /// cannot be read.
     pub fn kept_entries(&self, page_key: &str) -> Vec<Value> {
         let unreadable = self.unreadable_jobs.get(page_key).into_iter().flatten();
         self.open_jobs_on(page_key)
@@ -155,7 +154,7 @@
             .collect()
     }
 
-    /// Bytes of the entries that a page of accepted jobs keeps when it is written again.
+    /// Bytes of the entries that a page of accepted jobs keeps when it is rewritten.
     pub fn kept_bytes(&self, page_key: &str) -> usize {
         let unreadable = self.unreadable_jobs.get(page_key).into_iter().flatten();
         let open_bytes: usize = self
@@ -173,7 +172,7 @@
             .filter_map(|id| self.jobs.get(id))
     }
 
-    /// Takes the number of records and entries that could not be used since the last call.
+    /// Returns the number of records and entries rejected since the last call.
     pub fn take_rejected_count(&mut self) -> u64 {
         std::mem::take(&mut self.rejected_count)
     }
--- a/crates/controller/src/state_cache/pages.rs
+++ b/crates/controller/src/state_cache/pages.rs
@@ -1,4 +1,4 @@
-//! Application of the packed pages: accepted jobs, terminal jobs and machines.
+//! Application of changes of packed pages: accepted jobs, terminal jobs and machines.
 
 use super::apply::{parse_number, parse_page_number};
 use super::{CacheEvent, CachedMachine, MachinePage, OpenJob, StateCache, Versioned};
@@ -27,13 +27,13 @@
         let mut unreadable = Vec::new();
         for entry in page.jobs {
             let Some(id) = entry.get(1).and_then(Value::as_str).and_then(JobId::parse) else {
-                self.reject(key, &"an entry has no job id");
+                self.reject(key, &"entry without a valid job id");
                 unreadable.push(entry);
                 continue;
             };
             ids.push(id);
             // Two controllers may have accepted the same job, and a terminal job stays on its page
-            // until that is written again.
+            // until the page is rewritten.
             if self.jobs.contains_key(&id) || self.terminal.contains(id) {
                 continue;
             }
@@ -60,16 +60,16 @@
         }
     }
 
-    /// Decodes an accepted job; none if its form or its content is not known.
+    /// Decodes an accepted job, or returns none if its encoding or its contents are unknown.
     fn decode_job(&mut self, key: &str, entry: &Value) -> Option<OpenJob> {
         let packed = self.decode::<PackedJob>(key, entry)?;
         let spec = JobSpec::try_from(&packed.request)
             .map_err(|error| self.reject(key, &error))
             .ok()?;
-        let size = packed_bytes(&packed);
+        let packed_bytes = packed_bytes(&packed);
         Some(OpenJob {
             packed: Arc::new(packed),
-            packed_bytes: size,
+            packed_bytes,
             spec: Arc::new(spec),
         })
     }
@@ -90,24 +90,26 @@
         version: Version,
         changed: &mut Vec<CacheEvent>,
     ) {
-        let place = name.split_once('/').and_then(|(partition, page)| {
+        let partition_and_page = name.split_once('/').and_then(|(partition, page)| {
             Some((
                 PartitionId(parse_number(partition)?),
                 parse_page_number(page)?,
             ))
         });
-        let read = self.decode_numbered::<_, TerminalJobsPage>(key, place, value);
-        let Some((place, record)) = read else { return };
+        let read = self.decode_numbered::<_, TerminalJobsPage>(key, partition_and_page, value);
+        let Some((partition_and_page, record)) = read else {
+            return;
+        };
         for (id, state) in record.jobs() {
             if self.terminal.add(id) {
                 self.jobs.remove(&id);
                 changed.push(CacheEvent::JobTerminated(id, state));
             }
         }
-        // A page drops a job only once no page of accepted jobs names it any more.
+        // A page drops a job only once no page of accepted jobs lists it any more.
         let old = self
             .terminal_job_pages
-            .insert(place, Versioned { record, version });
+            .insert(partition_and_page, Versioned { record, version });
         for (id, _) in old.iter().flat_map(|page| page.record.jobs()) {
             self.terminal.remove(id);
         }
@@ -120,54 +122,54 @@
         version: Version,
         changed: &mut Vec<CacheEvent>,
     ) {
-        let mut new = MachinePage::default();
+        let mut new_page = MachinePage::default();
         for packed in record.machines {
             if packed.name.is_empty() {
-                self.reject(&machines_key(page), &"a machine has no name");
+                self.reject(&machines_key(page), &"machine without a name");
                 continue;
             }
             let name = MachineName::from(packed.name.as_str());
             let record = packed.record;
-            let size = match self.machines.get(&name) {
+            let max_bytes = match self.machines.get(&name) {
                 Some(known) if known.record == record && known.page == page => known.max_bytes,
                 _ => {
-                    let size = PackedMachine::max_packed_bytes(&name, &record);
+                    let max_bytes = PackedMachine::max_packed_bytes(&name, &record);
                     self.machines.insert(
                         name.clone(),
                         CachedMachine {
                             record,
                             page,
-                            max_bytes: size,
+                            max_bytes,
                         },
                     );
                     changed.push(CacheEvent::Machine(name.clone()));
-                    size
+                    max_bytes
                 }
             };
-            if new.names.insert(name) {
-                new.max_bytes += size;
+            if new_page.names.insert(name) {
+                new_page.max_bytes += max_bytes;
             }
         }
         let old = self.machine_pages.get(&page).map(|old| &old.record.names);
-        let gone: Vec<MachineName> = old
+        let removed: Vec<MachineName> = old
             .into_iter()
-            .flat_map(|old| old.difference(&new.names))
+            .flat_map(|old| old.difference(&new_page.names))
             .cloned()
             .collect();
         self.machine_pages.insert(
             page,
             Versioned {
-                record: new,
+                record: new_page,
                 version,
             },
         );
-        for name in gone {
+        for name in removed {
             if self
                 .machines
                 .get(&name)
                 .is_some_and(|known| known.page != page)
             {
-                // It was moved to another page meanwhile.
+                // The machine was moved to another page.
                 continue;
             }
             self.machines.remove(&name);
--- a/crates/controller/src/state_cache/reference_counts.rs
+++ b/crates/controller/src/state_cache/reference_counts.rs
@@ -1,21 +1,21 @@
-//! Counts of the pages that name a job.
+//! Counts of the pages that list a job.
 
 use model::JobId;
 use std::collections::HashMap;
 
-/// Number of pages that name each job.
+/// Number of pages that list each job.
 #[derive(Debug, Default)]
 pub(super) struct ReferenceCounts(HashMap<JobId, u32>);
 
 impl ReferenceCounts {
-    /// Counts a page that names the job; true if it is the first.
+    /// Counts a page that lists the job. Returns whether it is the only one.
     pub(super) fn add(&mut self, id: JobId) -> bool {
         let pages = self.0.entry(id).or_default();
         *pages += 1;
         *pages == 1
     }
 
-    /// Discounts a page that names the job.
+    /// Removes a page that listed the job from its count.
     pub(super) fn remove(&mut self, id: JobId) {
         if let Some(pages) = self.0.get_mut(&id) {
             *pages -= 1;
@@ -25,7 +25,7 @@
         }
     }
 
-    /// Whether any page names the job.
+    /// Whether any page lists the job.
     pub(super) fn contains(&self, id: JobId) -> bool {
         self.0.contains_key(&id)
     }
--- a/crates/controller/tests/foreign_records.rs
+++ b/crates/controller/tests/foreign_records.rs
@@ -1,5 +1,5 @@
-//! Records of the state service that no controller has written: they are counted as rejected, the
-//! cached records stay, and nothing panics.
+//! Tests with records in the state service that no controller has written: they are counted as
+//! rejected, the cached records stay, and nothing panics.
 
 use controller::placement_log::PlacementLog;
 use controller::records::{MachineRecord, MachinesPage, PackedMachine, TokenCounterRecord};
@@ -11,7 +11,7 @@
 use serde_json::{json, Value};
 use wire::state::{Change, Changes, Item};
 
-fn config(seed: u64) -> ProptestConfig {
+fn proptest_config(seed: u64) -> ProptestConfig {
     ProptestConfig {
         cases: 300,
         failure_persistence: None,
@@ -52,7 +52,7 @@
     apply(&mut cache, "s/x/n0", json!({ "jobs": [412] }));
     apply(&mut cache, "s/b/n0", json!({ "boot": 1 }));
     assert_eq!(cache.take_rejected_count(), 0);
-    let foreign = [
+    let foreign_records = [
         ("s/t", json!({ "next": -1 })),
         ("s/t", json!({ "next": 4.5 })),
         ("s/t", json!({ "next": u64::MAX })),
@@ -74,11 +74,11 @@
         ("s/e/0", json!({})),
         ("s/zz/0", json!({})),
     ];
-    let count = foreign.len() as u64;
-    for (key, value) in foreign {
+    let record_count = foreign_records.len() as u64;
+    for (key, value) in foreign_records {
         apply(&mut cache, key, value);
     }
-    assert_eq!(cache.take_rejected_count(), count);
+    assert_eq!(cache.take_rejected_count(), record_count);
     assert_eq!(cache.next_token(), 41);
     assert!(cache.machine_types.is_some());
     let partitions: Vec<_> = cache.partitions.keys().copied().collect();
@@ -98,7 +98,7 @@
 }
 
 #[test]
-fn next_token_never_falls() {
+fn next_token_never_decreases() {
     let mut cache = StateCache::default();
     apply(&mut cache, "s/t", json!({ "next": 41 }));
     apply(&mut cache, "s/t", json!({ "next": 7 }));
@@ -108,7 +108,7 @@
         next: 9,
         ..TokenCounterRecord::default()
     };
-    let value = serde_json::to_value(counter).expect("a record");
+    let value = serde_json::to_value(counter).expect("encode token counter");
     cache.replace(
         &[Item {
             key: "s/t".into(),
@@ -135,7 +135,7 @@
     let packed = |name: &str| PackedMachine::new(&MachineName::from(name), &record);
     let page = |names: &[&str]| {
         let machines = names.iter().map(|name| packed(name)).collect();
-        serde_json::to_value(MachinesPage { machines }).expect("a page")
+        serde_json::to_value(MachinesPage { machines }).expect("encode machines page")
     };
     apply(
         &mut cache,
@@ -163,7 +163,7 @@
     }
 }
 
-/// The contents of an invalid page are unknown: the partition decides nothing on it.
+/// The contents of an invalid page are unknown, so a leader must not make decisions without it.
 #[test]
 fn invalid_placement_log_pages_are_unreadable() {
     let pages = [
@@ -218,7 +218,7 @@
 }
 
 proptest! {
-    #![proptest_config(config(3))]
+    #![proptest_config(proptest_config(3))]
 
     #[test]
     fn random_records_are_rejected_or_read(
@@ -236,10 +236,10 @@
             };
             cache.apply(&Changes { revision: version, events: vec![change] });
         }
-        let tokens = cache.next_token();
+        let next_token_before = cache.next_token();
         let revision = cache.revision.0;
         cache.replace(&items, revision);
-        prop_assert!(cache.next_token() >= tokens || cache.token_counter.is_none());
+        prop_assert!(cache.next_token() >= next_token_before || cache.token_counter.is_none());
     }
 
     #[test]
@@ -253,7 +253,7 @@
             log.chunks_of(job);
         }
         let (commit, _) = log.prepare_commit(Version(3), Vec::new());
-        let mut after = log;
-        after.confirm_commit(&commit, 9);
+        let mut log = log;
+        log.confirm_commit(&commit, 9);
     }
 }
--- a/crates/controller/tests/golden_records.rs
+++ b/crates/controller/tests/golden_records.rs
@@ -1,4 +1,5 @@
-//! Records and keys of the state service as bytes: controllers of two builds share them.
+//! Tests of the bytes of records and keys in the state service, which controllers of different builds
+//! share.
 
 #[path = "../../wire/tests/golden/mod.rs"]
 mod golden;
@@ -23,7 +24,7 @@
 use wire::state::{Item, Write};
 use wire::users::{JobKind, JobRequest, JobState, Priority};
 
-fn node(name: &str) -> ControllerName {
+fn controller_name(name: &str) -> ControllerName {
     ControllerName::from(name)
 }
 
@@ -71,14 +72,14 @@
     }
 }
 
-/// A page of one job, whose entry is decoded by itself as the state cache does.
+/// A page with one job, whose entry is decoded separately from the page, as in the state cache.
 fn accepted_jobs_page(name: &'static str, job: JobRequest) -> Entry {
     let encode = |job: &JobRequest| {
         let packed = serde_json::to_value(PackedJob::new(86_400_007, job.clone()));
         let page = AcceptedJobsPage {
-            jobs: vec![packed.expect("a value")],
+            jobs: vec![packed.expect("encode packed job")],
         };
-        golden::to_json(&serde_json::to_value(page).expect("a value"))
+        golden::to_json(&serde_json::to_value(page).expect("encode page"))
     };
     let decode = |text: &str| -> Result<JobRequest, serde_json::Error> {
         let page: AcceptedJobsPage = serde_json::from_str(text)?;
@@ -93,7 +94,7 @@
 }
 
 #[test]
-fn pages_of_accepted_jobs_keep_their_bytes() {
+fn accepted_jobs_pages_keep_their_bytes() {
     let entries = [
         accepted_jobs_page("batch_low_plain", plain_job()),
         accepted_jobs_page("batch_standard", spot_job()),
@@ -116,13 +117,13 @@
     }
 }
 
-fn run(name: &str, incarnation: u64) -> ControllerIncarnation {
-    (node(name), incarnation).into()
+fn incarnation(name: &str, number: u64) -> ControllerIncarnation {
+    (controller_name(name), number).into()
 }
 
 fn partition(unconfirmed_predecessors: Vec<ControllerIncarnation>) -> PartitionRecord {
     PartitionRecord {
-        leader: node("n0"),
+        leader: controller_name("n0"),
         incarnation: 3,
         term: 41,
         unconfirmed_predecessors,
@@ -139,8 +140,8 @@
         leaving,
     };
     let packed = PackedMachine::new(&MachineName::from("host-000007"), &record);
-    let value = serde_json::to_value(&packed).expect("a value");
-    let read: PackedMachine = serde_json::from_value(value).expect("a machine");
+    let value = serde_json::to_value(&packed).expect("encode machine");
+    let read: PackedMachine = serde_json::from_value(value).expect("decode machine");
     assert_eq!((&read.name, &read.record), (&packed.name, &record));
     packed
 }
@@ -172,8 +173,11 @@
 fn counter() -> TokenCounterRecord {
     TokenCounterRecord {
         next: 42,
-        last_leaders: BTreeMap::from([(0, run("n0", 3)), (10, run("n2", 4))]),
-        unconfirmed_predecessors: BTreeMap::from([(2, vec![run("n1", 5), run("n0", 6)])]),
+        last_leaders: BTreeMap::from([(0, incarnation("n0", 3)), (10, incarnation("n2", 4))]),
+        unconfirmed_predecessors: BTreeMap::from([(
+            2,
+            vec![incarnation("n1", 5), incarnation("n0", 6)],
+        )]),
     }
 }
 
@@ -224,7 +228,7 @@
     let page = MachinesPage {
         machines: vec![machine(true, false), machine(false, true)],
     };
-    let unconfirmed_predecessors = vec![run("n1", 5), run("n2", 6)];
+    let unconfirmed_predecessors = vec![incarnation("n1", 5), incarnation("n2", 6)];
     let entries = [
         record("cancellations", CancellationsRecord { jobs: vec![7, 412] }),
         record("cancellations_none", CancellationsRecord::default()),
@@ -249,7 +253,7 @@
         record(
             "wish",
             ReclaimRecord {
-                controller: node("n0"),
+                controller: controller_name("n0"),
                 incarnation: 3,
                 lease: 500,
             },
@@ -282,13 +286,13 @@
     assert_eq!(listed, [&done[..], &cancelled[..]].concat());
 }
 
-/// The stored form of a record in which optional fields are absent.
+/// Decodes the stored record with this name, in which optional fields are absent.
 fn record_with_absent_fields<T: serde::de::DeserializeOwned>(name: &str) -> T {
     let stored = golden::read("absent_fields.txt");
     let (_, text) = stored
         .iter()
         .find(|(other, _)| other == name)
-        .expect("an entry of this name");
+        .unwrap_or_else(|| panic!("absent_fields.txt has no entry {name}"));
     serde_json::from_str(text).unwrap_or_else(|error| panic!("{name}: {error}"))
 }
 
@@ -325,16 +329,22 @@
         Entry::text("counter", TOKEN_COUNTER_KEY),
         Entry::text("types", MACHINE_TYPES_KEY),
         Entry::text("settings", TUNING_KEY),
-        Entry::text("accepted_jobs", accepted_jobs_key(&node("n0"), 7)),
-        Entry::text("accepted_jobs_wide", accepted_jobs_key(&node("n0"), 12_345)),
-        Entry::text("cancellations", cancellations_key(&node("n0"))),
+        Entry::text(
+            "accepted_jobs",
+            accepted_jobs_key(&controller_name("n0"), 7),
+        ),
+        Entry::text(
+            "accepted_jobs_wide",
+            accepted_jobs_key(&controller_name("n0"), 12_345),
+        ),
+        Entry::text("cancellations", cancellations_key(&controller_name("n0"))),
         Entry::text("ended_jobs", terminal_jobs_key(PartitionId(2), 7)),
         Entry::text("machines", machines_key(7)),
         Entry::text("final", final_state_key(JobId(412))),
         Entry::text("partition", partition_key(PartitionId(2))),
         Entry::text("wish", reclaim_key(PartitionId(2))),
         Entry::text("demand", demand_key(PartitionId(2))),
-        Entry::text("boot", incarnation_key(&node("n0"))),
+        Entry::text("boot", incarnation_key(&controller_name("n0"))),
         Entry::text("ledger", log_prefix(PartitionId(2))),
     ];
     golden::check("keys.txt", &entries);
@@ -407,7 +417,7 @@
             value,
             lease: None,
         } => (put.clone(), value.clone()),
-        other => panic!("a commit puts pages without a lease: {other:?}"),
+        other => panic!("expected a put without a lease: {other:?}"),
     };
     commit.txn.writes.iter().map(page).collect()
 }
@@ -415,7 +425,7 @@
 /// A placement log loaded from stored pages.
 fn stored_log(value_bytes: usize) -> PlacementLog {
     let item = |(key, text): (String, String)| {
-        let value = serde_json::from_str(&text).expect("JSON");
+        let value = serde_json::from_str(&text).expect("decode stored page");
         Item {
             key,
             value,
@@ -433,9 +443,11 @@
 #[test]
 fn placement_log_commits_keep_their_bytes() {
     let log = PlacementLog::load(PartitionId(2), &[], 4_096, 6);
-    let (commit, remaining) = log.prepare_commit(Version(10), chunks());
-    assert!(remaining.is_empty(), "{remaining:?}");
-    let (key, _) = log.verification_page(&commit).expect("a page");
+    let (commit, left_out) = log.prepare_commit(Version(10), chunks());
+    assert!(left_out.is_empty(), "{left_out:?}");
+    let (key, _) = log
+        .verification_page(&commit)
+        .expect("the commit writes a page");
     let entries = [
         Entry::text("l/2/0000", golden::to_json(&written_pages(&commit)[0].1)),
         Entry::text("transaction", golden::to_json(&commit.txn)),
@@ -448,9 +460,9 @@
 fn stored_placement_log_pages_are_read_and_rewritten() {
     let mut log = stored_log(4_096);
     assert!(log.unreadable_pages().is_empty());
-    for (key, body) in chunks() {
+    for (key, chunk) in chunks() {
         assert!(
-            log.chunks_of(key.job).contains(&(key.chunk, body)),
+            log.chunks_of(key.job).contains(&(key.chunk, chunk)),
             "{key:?}"
         );
     }
@@ -459,12 +471,12 @@
         let (commit, _) = log.prepare_commit(Version(10), Vec::new());
         log.confirm_commit(&commit, 11);
     }
-    let entries = [Entry::text("l/2/0000", rewritten(&log))];
+    let entries = [Entry::text("l/2/0000", next_written_page(&log))];
     golden::check("ledger_rewritten.txt", &entries);
 }
 
-/// The next page of the log, which has what was read and nothing new.
-fn rewritten(log: &PlacementLog) -> String {
+/// The page that the next commit writes, with the entries that were read and no new ones.
+fn next_written_page(log: &PlacementLog) -> String {
     let (commit, _) = log.prepare_commit(Version(10), Vec::new());
     golden::to_json(&written_pages(&commit)[0].1)
 }
--- a/crates/controller/tests/placement_log.rs
+++ b/crates/controller/tests/placement_log.rs
@@ -1,4 +1,4 @@
-//! Commits of the placement log across changes of leader.
+//! Tests of placement log commits across a change of leader.
 
 use controller::placement_log::{LogCommit, PlacementLog};
 use model::{JobId, PartitionId, Version};
@@ -10,15 +10,15 @@
 fn written_page(commit: &LogCommit) -> (String, Value) {
     match &commit.txn.writes[..] {
         [Write::Put { put, value, .. }] => (put.clone(), value.clone()),
-        other => panic!("one page: {other:?}"),
+        other => panic!("expected one written page: {other:?}"),
     }
 }
 
-/// A former leader whose commit met a conflict reads the page back, and may do so before it learns of
-/// its successor. The successor counts on from what is written, so its commit has the same number on
-/// the same page.
+/// A former leader whose commit met a conflict reads the page back, to find out whether the commit was
+/// applied, and may do so before it learns of its successor. The successor continues from the commit
+/// numbers in the log, so its commit may write the same page with the same number.
 #[test]
-fn commit_of_successor_with_same_number_does_not_prove_own_commit() {
+fn successors_commit_with_same_number_does_not_confirm_own_commit() {
     let key = ChunkKey {
         job: JobId(7),
         chunk: 0,
@@ -27,14 +27,16 @@
     let log = || PlacementLog::load(PartitionId(1), &[], 4_096, 6);
     let (own, _) = log().prepare_commit(Version(10), changes());
     let (successors, _) = log().prepare_commit(Version(12), changes());
-    let (proof_key, id) = log().verification_page(&own).expect("it writes a page");
+    let (verification_key, id) = log()
+        .verification_page(&own)
+        .expect("the commit writes a page");
     let (own_key, own_page) = written_page(&own);
     let (successors_key, successors_page) = written_page(&successors);
-    assert_eq!(own_key, proof_key);
-    assert_eq!(successors_key, proof_key, "the same page");
+    assert_eq!(own_key, verification_key);
+    assert_eq!(successors_key, verification_key, "different pages");
     assert_eq!(
         own_page["round"], successors_page["round"],
-        "the same number"
+        "different commit numbers"
     );
     assert!(PlacementLog::is_page_of_commit(&own_page, id));
     assert!(!PlacementLog::is_page_of_commit(&successors_page, id));
