--- a/crates/autoscaler/src/planner.rs
+++ b/crates/autoscaler/src/planner.rs
@@ -85,12 +85,12 @@
 /// partitions have about the same number of machines for work beyond guarantees.
 pub fn plan(
     policy: &FleetPolicy,
-    types: &[MachineType],
+    machine_types: &[MachineType],
     machines: &[FleetMachine],
     needs: &[PartitionNeed],
     refused: &HashMap<Offer, u32>,
 ) -> Vec<FleetAction> {
-    let mut planner = Planner::new(policy, types, machines, needs, refused);
+    let mut planner = Planner::new(policy, machine_types, machines, needs, refused);
     for tier in Tier::ALL {
         planner.plan_tier(tier);
     }
--- a/crates/autoscaler/src/policy.rs
+++ b/crates/autoscaler/src/policy.rs
@@ -17,7 +17,7 @@
     /// Maximum number of idle machines transferred by one plan.
     pub max_idle_transfers: usize,
     /// A machine without tasks that has sent no heartbeat for this long is returned.
-    pub report_timeout: Duration,
+    pub heartbeat_timeout: Duration,
     /// A booting machine counts as capacity for its boot time multiplied by this factor.
     pub boot_capacity_factor: f64,
     /// A machine that has sent no heartbeat after its boot time multiplied by this factor is given up.
@@ -32,7 +32,7 @@
             minimum_billing: Duration::from_secs(55),
             transfer_idle: Duration::from_secs(1),
             max_idle_transfers: 16,
-            report_timeout: Duration::from_secs(15),
+            heartbeat_timeout: Duration::from_secs(15),
             boot_capacity_factor: 1.6,
             boot_timeout_factor: 3,
         }
--- a/crates/autoscaler/src/returns.rs
+++ b/crates/autoscaler/src/returns.rs
@@ -59,7 +59,7 @@
     fn is_lost(&self, machine: &FleetMachine) -> bool {
         let is_faulty = machine.quarantined
             || machine.failed
-            || machine.since_heartbeat >= self.policy.report_timeout;
+            || machine.since_heartbeat >= self.policy.heartbeat_timeout;
         machine.tasks == 0 && is_faulty
     }
 }
--- a/crates/autoscaler/src/zones.rs
+++ b/crates/autoscaler/src/zones.rs
@@ -55,7 +55,7 @@
         others
     }
 
-    /// How many tasks of the work fit on the incoming machines of its partition.
+    /// How many tasks of the work fit on those incoming machines of its partition that suit it.
     fn incoming_slots(&self, work: &PendingWork<'_>) -> u64 {
         let machines = self.incoming[work.need_index].iter();
         machines
--- a/crates/autoscaler/tests/planning.rs
+++ b/crates/autoscaler/tests/planning.rs
@@ -172,7 +172,7 @@
 /// The age of a transferred machine is no evidence against it: its new partition leader has not had the
 /// time to receive a heartbeat.
 #[test]
-fn transferred_machine_is_not_returned_before_it_can_report() {
+fn transferred_machine_is_not_returned_before_it_can_send_heartbeat() {
     let transferred = FleetMachine {
         reporting: false,
         tasks: 0,
--- a/crates/controller/src/controller/admin/settings.rs
+++ b/crates/controller/src/controller/admin/settings.rs
@@ -137,7 +137,7 @@
             minimum_billing_s: fleet.minimum_billing.as_secs_f64(),
             transfer_idle_s: fleet.transfer_idle.as_secs_f64(),
             max_idle_transfers: fleet.max_idle_transfers,
-            report_timeout_s: fleet.report_timeout.as_secs_f64(),
+            report_timeout_s: fleet.heartbeat_timeout.as_secs_f64(),
             boot_capacity_factor: fleet.boot_capacity_factor,
             boot_timeout_factor: fleet.boot_timeout_factor,
         }
@@ -217,7 +217,7 @@
                 minimum_billing: duration_from_secs(record.minimum_billing_s),
                 transfer_idle: duration_from_secs(record.transfer_idle_s),
                 max_idle_transfers: record.max_idle_transfers,
-                report_timeout: duration_from_secs(record.report_timeout_s),
+                heartbeat_timeout: duration_from_secs(record.report_timeout_s),
                 boot_capacity_factor: record.boot_capacity_factor,
                 boot_timeout_factor: record.boot_timeout_factor,
             },
--- a/crates/scheduler/src/machine.rs
+++ b/crates/scheduler/src/machine.rs
@@ -37,6 +37,7 @@
 /// fields matters.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct CapacityKey {
+    /// Index of the machine's class: its type, its zone, and whether it is a spot machine.
     pub class: u32,
     pub replica_count: u64,
     pub milli_gpus: u64,
--- a/crates/scheduler/src/partition_state.rs
+++ b/crates/scheduler/src/partition_state.rs
@@ -43,8 +43,8 @@
     pub leading_since: Timestamp,
     /// Most machines have sent a heartbeat to this leader, or have had the time to.
     pub(crate) inventory_known: bool,
-    /// How far the clock of [`Job::submitted_at_ms`], which all controllers share, is ahead of this controller's
-    /// steady clock.
+    /// How far the clock of [`Job::submitted_at_ms`], which all controllers share, is ahead of this
+    /// controller's steady clock.
     pub logical_clock_offset: Duration,
     /// The latest time at which a previous leader may have renewed the lease of a worker.
     pub predecessors_valid_until: Timestamp,
