--- a/crates/controller/src/controller/call_kind.rs
+++ b/crates/controller/src/controller/call_kind.rs
@@ -1,4 +1,4 @@
-//! What the controller's calls are for: it tells how to handle their replies.
+//! The purpose of each call that the controller makes, which decides how its reply is handled.
 
 use super::{PendingRequest, Ticket};
 use crate::controller_lease::LeaseCall;
@@ -9,7 +9,7 @@
 use scheduler::TaskAttempt;
 use wire::cloud::{ListedMachine, RentRequest};
 
-/// The purpose of a call, by the component that handles the reply.
+/// The purpose of a call, grouped by the component that handles the reply.
 #[derive(Debug)]
 pub(crate) enum CallKind {
     /// A read that keeps the state cache up to date.
@@ -35,8 +35,8 @@
 }
 
 impl CallKind {
-    /// The budget that is taken to be exhausted when the state service refuses the call as throttled.
-    /// A write may have met either limit; a read only that of requests.
+    /// The budget that is assumed to be exhausted when the state service throttles this call. A read can
+    /// only have met the request limit; a write may have met either limit and counts against the writes.
     pub(super) fn throttled_budget(&self) -> Budget {
         match self {
             CallKind::Sync(_)
@@ -53,11 +53,11 @@
 /// A linearizable read for user requests.
 #[derive(Debug)]
 pub(crate) enum ReadCall {
-    /// A read of changes that answers these requests.
+    /// A read of changes, after which these requests can be answered.
     Changes(Vec<PendingRequest>),
-    /// A comparison whether these requests' jobs have no terminal state.
+    /// A transaction of conditions only, which tells which of these requests' jobs have a terminal state.
     TerminalStates(Vec<PendingRequest>),
-    /// A read of the terminal state of one request's job.
+    /// A read of the terminal state of this request's job.
     TerminalRecord { request: PendingRequest },
 }
 
@@ -69,15 +69,15 @@
         partition: PartitionId,
         to: ControllerName,
     },
-    /// A higher fencing token for all machines of a partition.
+    /// A raise of the fencing token for all machines of a partition.
     RaiseToken {
         partition: PartitionId,
         term: u64,
         token: u64,
     },
-    /// A reclaim request for the preferred partition.
+    /// A write of this controller's request for its preferred partition.
     Reclaim,
-    /// A partition whose leadership is given up.
+    /// A resignation of a partition's leadership.
     Resign(PartitionId),
 }
 
@@ -103,23 +103,23 @@
 /// A write of jobs' records.
 #[derive(Debug)]
 pub(crate) enum JobCall {
-    /// Accepted jobs.
+    /// A write of accepted jobs.
     Accept,
-    /// Cancellations.
+    /// A write of cancellations.
     Cancel,
-    /// Terminal jobs of a partition.
+    /// A write of a partition's jobs in a terminal state.
     Archive { partition: PartitionId, term: u64 },
 }
 
 /// A write of records that belong to no job.
 #[derive(Debug)]
 pub(crate) enum RecordCall {
-    /// The capacity that a partition lacks.
+    /// A partition's unmet demand.
     Demand,
     /// Changes of machines' records.
     Machines,
     MachineTypes,
-    /// Settings that operators change at run time; the ticket is the request that waits.
+    /// Settings that operators change at run time. `ticket` identifies the operator's request.
     Tuning {
         ticket: Ticket,
     },
@@ -134,7 +134,7 @@
         partition: PartitionId,
     },
     Release(Vec<MachineName>),
-    /// A page of the list of machines, with those of the pages before.
+    /// A read of a page of the list of machines. `gathered` holds the machines of the earlier pages.
     ListMachines {
         gathered: Vec<ListedMachine>,
     },
@@ -148,12 +148,12 @@
         machine: MachineName,
         launches: Vec<TaskAttempt>,
     },
-    /// A call to a worker of a partition that was given up: can it be reached again?
+    /// A probe that tells whether this controller reaches a worker of a partition that it has resigned.
     ReachabilityProbe {
         partition: PartitionId,
         machine: MachineName,
     },
-    /// A call to a machine that has missed heartbeats.
+    /// A probe of a machine that has missed heartbeats.
     LivenessProbe {
         partition: PartitionId,
         machine: MachineName,
--- a/crates/controller/src/controller/crash_loop.rs
+++ b/crates/controller/src/controller/crash_loop.rs
@@ -1,6 +1,6 @@
-//! Writing the registration of this incarnation, and crash-loop backoff.
+//! Writes the registration of this incarnation, and tells which controllers are in a crash loop.
 //!
-//! See [`registration`](crate::registration) for the rule.
+//! See [`registration`](crate::registration) for the rules.
 
 use super::{CallKind, Controller};
 use crate::records::incarnation_key;
@@ -10,7 +10,8 @@
 use wire::state::{StateRequest, Transaction, Write};
 
 impl Controller {
-    /// Writes this incarnation's record if it is not durable yet, or if its count has to be reset.
+    /// Writes this incarnation's record if it is not durable yet, or if its count of short-lived
+    /// incarnations has to be reset.
     pub(super) fn maintain_registration(&mut self) {
         let recorded = self.cache.incarnations.get(&self.settings.name);
         let version = recorded.map_or(0, |recorded| recorded.version.0);
@@ -38,8 +39,8 @@
             .is_some_and(|recorded| is_crash_loop(&recorded.record))
     }
 
-    /// Whether this controller leaves even its preferred partition to others for now. If all are in a
-    /// crash loop, each acquires its own partition as usual.
+    /// Whether this controller is in a crash loop and leaves even its preferred partition to its peers.
+    /// If no peer is stable either, every controller acquires its preferred partition as usual.
     pub(super) fn defers_to_peers(&self) -> bool {
         self.is_crash_looping(self.own_name())
             && self
--- a/crates/controller/src/controller/events.rs
+++ b/crates/controller/src/controller/events.rs
@@ -20,10 +20,10 @@
     pub fleet: FleetPolicy,
 }
 
-/// Identifies a request from outside that waits for its reply.
+/// Identifies a request of a user, a worker or an operator until its reply is sent.
 pub type Ticket = u64;
 
-/// A user's request, its body already decoded.
+/// A user's request with its body decoded.
 #[derive(Debug, Clone)]
 pub enum UserRequest {
     Submit(Box<JobRequest>),
@@ -39,7 +39,7 @@
     NotFound,
     Invalid(String),
     Rejected(RejectReason),
-    /// Refused for now; to be sent again after so many seconds.
+    /// Refused for now; the user may retry after `retry_after_s` seconds.
     Busy {
         retry_after_s: u64,
     },
@@ -49,7 +49,9 @@
 #[derive(Debug, Clone, PartialEq)]
 pub enum HeartbeatReply {
     Response(HeartbeatResponse),
+    /// Another controller leads the machine's partition; `None` if it is not known which.
     Redirect(Option<ControllerName>),
+    /// Neither a response nor a redirect is possible for now: the worker is asked to retry later.
     Unavailable,
     /// Status 400: the heartbeat was ignored.
     Malformed,
@@ -58,9 +60,9 @@
 /// The result of a direct call to a worker.
 #[derive(Debug, Clone)]
 pub enum DirectReply {
-    /// The commands were executed, or refused as a whole: they will not be executed later.
+    /// The commands were executed or all refused: none of them will be executed later.
     Answered(Box<Heartbeat>),
-    /// No usable reply: the commands may be executed later.
+    /// No usable reply came: the commands may still be executed later.
     Unknown,
 }
 
@@ -98,7 +100,7 @@
     },
 }
 
-/// An output of the controller, to be carried out by the program that runs it.
+/// An output of the controller, executed by the program that runs it.
 #[derive(Debug, Clone)]
 pub enum Effect {
     State {
--- a/crates/controller/src/controller/leader_election/acquisition.rs
+++ b/crates/controller/src/controller/leader_election/acquisition.rs
@@ -1,7 +1,9 @@
-//! Acquisition of partitions: vacant ones in an order among the controllers, and those whose leader
-//! is known or suspected to have crashed while its record still stands.
+//! Acquisition of vacant partitions, for which the controllers are ranked, and early failover.
+//!
+//! An early failover acquires a partition whose record still exists, because the leader's incarnation is
+//! known to have exited or suspected to have crashed.
 
-use super::resignation::UNCLAIMED_AFTER;
+use super::resignation::MAX_RESIGNED_VACANCY;
 use crate::controller::call_kind::LeadershipCall;
 use crate::controller::{CallKind, Controller};
 use crate::records::{partition_key, ControllerIncarnation, PartitionRecord, TOKEN_COUNTER_KEY};
@@ -13,34 +15,35 @@
 use std::time::Duration;
 use wire::state::{StateReply, StateRequest, Transaction, Write};
 
-/// How long a vacant partition is left to its preferred leader while that seems alive.
+/// How long a vacant partition is left to its preferred leader while that leader seems alive.
 const PREFERRED_LEADER_GRACE: Duration = Duration::from_millis(600);
-/// How long a vacant partition is left to a preferred leader that has not been seen yet.
+/// How long a vacant partition is left to a preferred leader that has sent no heartbeat yet.
 const STARTUP_GRACE: Duration = Duration::from_millis(1_500);
-/// For so long after its own start a controller expects others to start as well.
+/// How long after its own start a controller expects that others are still starting.
 const STARTUP_PERIOD: Duration = Duration::from_secs(3);
 /// How long a controller in a crash loop leaves its vacant preferred partition to others.
 const CRASH_LOOP_GRACE: Duration = Duration::from_millis(1_500);
 /// How long a vacant partition is left to each controller that ranks before this one.
 const RANK_DELAY: Duration = Duration::from_millis(250);
-/// Time between two attempts to acquire a partition whose record stands.
+/// Minimum time between two attempts at early failovers, across all partitions.
 const FAILOVER_ATTEMPT_INTERVAL: Duration = Duration::from_millis(300);
 /// Time between two attempts to renew the term of a partition that this controller leads.
 const TERM_RENEWAL_INTERVAL: Duration = Duration::from_secs(2);
 
-/// Acquisitions that are open, and what decides about the next ones.
+/// Pending acquisitions, and the state that decides when the next ones are attempted.
 #[derive(Debug, Default)]
 pub(super) struct Acquisitions {
     /// Partitions with an acquisition whose reply is awaited.
     pending: HashSet<PartitionId>,
     vacant_since: HashMap<PartitionId, Timestamp>,
-    /// Terms that this controller has given up: it does not lead under them again.
+    /// The last term of each partition that this controller has given up; it does not lead under that
+    /// term again.
     relinquished_terms: HashMap<PartitionId, FencingToken>,
     term_renewals: HashMap<PartitionId, TermRenewal>,
 }
 
-/// A partition that this controller is to lead under a new term, since its state under the old one
-/// was wrong.
+/// A partition that this controller has to acquire again under a new term, because its state under the
+/// old term was wrong.
 #[derive(Debug, Clone, Copy)]
 struct TermRenewal {
     old_term: FencingToken,
@@ -59,8 +62,8 @@
         self.pending.contains(&partition)
     }
 
-    /// Since when a partition has been vacant, from now on if it was not.
-    fn vacant_since(&mut self, partition: PartitionId, now: Timestamp) -> Timestamp {
+    /// Records that a partition is vacant, and returns since when.
+    fn record_vacancy(&mut self, partition: PartitionId, now: Timestamp) -> Timestamp {
         *self.vacant_since.entry(partition).or_insert(now)
     }
 
@@ -74,7 +77,8 @@
         }
     }
 
-    /// This controller leads a partition no more under this term, whatever the cache still shows.
+    /// Records that this controller no longer leads a partition under this term, whatever the cache
+    /// still shows.
     pub(super) fn relinquish(&mut self, partition: PartitionId, term: FencingToken) {
         self.relinquished_terms.insert(partition, term);
     }
@@ -91,25 +95,27 @@
         let vacant_since = self
             .leader_election
             .acquisitions
-            .vacant_since(partition, now);
-        let backs_off = self.is_backing_off_from(partition) && now < vacant_since + UNCLAIMED_AFTER;
-        let waits = now < vacant_since + self.acquisition_delay(partition);
-        if self.leader_election.acquisitions.is_pending(partition) || waits || backs_off {
+            .record_vacancy(partition, now);
+        let backs_off =
+            self.is_backing_off_from(partition) && now < vacant_since + MAX_RESIGNED_VACANCY;
+        let is_left_to_others = now < vacant_since + self.acquisition_delay(partition);
+        if self.leader_election.acquisitions.is_pending(partition) || is_left_to_others || backs_off
+        {
             return;
         }
         self.acquire(partition, 0);
     }
 
-    /// Acquires a partition whose record stands, if its leader's incarnation is known to have exited
-    /// or suspected to have crashed.
+    /// Acquires a partition whose record still exists, if its leader's incarnation is known to have
+    /// exited or suspected to have crashed.
     pub(super) fn try_early_failover(&mut self, partition: PartitionId) {
-        let Some(held) = self.cache.partitions.get(&partition) else {
+        let Some(recorded) = self.cache.partitions.get(&partition) else {
             return;
         };
-        let leader = held.record.leader.clone();
-        let incarnation = held.record.incarnation;
-        let run = held.record.leader_incarnation();
-        let version = held.version.0;
+        let leader = recorded.record.leader.clone();
+        let incarnation = recorded.record.incarnation;
+        let leader_incarnation = recorded.record.leader_incarnation();
+        let version = recorded.version.0;
         let attempted_recently = self
             .standby
             .has_attempted_failover(FAILOVER_ATTEMPT_INTERVAL, self.now);
@@ -119,14 +125,14 @@
         {
             return;
         }
-        if self.incarnation_has_exited(&run) {
+        if self.incarnation_has_exited(&leader_incarnation) {
             if self.may_replace_exited_leader(partition) {
                 self.standby.record_failover_attempt(self.now);
                 self.acquire(partition, version);
             }
             return;
         }
-        // The most frequent blocker first: this is checked at each event.
+        // The most frequent blocker is checked first, because this function runs at each event.
         if self
             .peers
             .heartbeat_age(&leader, self.now)
@@ -142,8 +148,9 @@
         }
     }
 
-    /// A later incarnation of the leader has started. Its preferred partition is left to it; others go
-    /// to their preferred leader or to the standby.
+    /// Whether this controller may acquire a partition of whose leader a later incarnation has started.
+    /// The partition goes to its preferred leader, which may be that later incarnation, or to its standby
+    /// while the preferred leader is not stable.
     fn may_replace_exited_leader(&self, partition: PartitionId) -> bool {
         let is_preferred = self.preferred_leader(partition) == Some(self.own_name());
         is_preferred && !self.defers_to_peers()
@@ -154,8 +161,8 @@
         self.standbys().get(&partition) == Some(self.own_name())
     }
 
-    /// How long a vacant partition is left to others: first its preferred leader, then its last
-    /// standby, then the controllers with the fewest partitions.
+    /// How long this controller leaves a vacant partition to others: the preferred leader comes first,
+    /// then the last standby, then the controllers that lead the fewest partitions.
     fn acquisition_delay(&self, partition: PartitionId) -> Duration {
         let Some(preferred) = self.preferred_leader(partition) else {
             return Duration::ZERO;
@@ -191,35 +198,38 @@
         let has_just_started = self.now < Timestamp::default() + STARTUP_PERIOD;
         if !self.peers.is_known(preferred) && has_just_started {
             STARTUP_GRACE
-        } else if self.preferred_leader_is_stable(partition) && !self.was_resigned(partition) {
+        } else if self.preferred_leader_is_stable(partition)
+            && !self.was_recently_resigned(partition)
+        {
             PREFERRED_LEADER_GRACE
         } else {
             Duration::ZERO
         }
     }
 
-    /// The rank of a controller for a vacant partition; the lowest acquires it first.
+    /// The rank of a controller for a vacant partition; the controller with the lowest rank acquires it
+    /// first.
     fn acquisition_rank<'a>(
         &self,
         partition: PartitionId,
         controller: &'a ControllerName,
     ) -> AcquisitionRank<'a> {
-        let led_partitions = self
+        let led_partition_count = self
             .cache
             .partitions
             .values()
-            .filter(|held| held.record.leader == *controller)
+            .filter(|recorded| recorded.record.leader == *controller)
             .count();
         AcquisitionRank {
             is_not_standby: self.standby.last_standby_of(partition) != Some(controller),
-            led_partitions,
+            led_partition_count,
             controller,
         }
     }
 
-    /// A transaction that writes a partition's record under the next term and under its new leader's
-    /// lease, together with the counter.
-    pub(super) fn partition_txn(
+    /// A transaction that writes a partition's record with its new leader, bound to that leader's lease,
+    /// and advances the token counter past the record's term.
+    pub(super) fn leader_change_txn(
         &self,
         partition: PartitionId,
         version: u64,
@@ -249,7 +259,8 @@
             .write(Write::put(TOKEN_COUNTER_KEY, counter))
     }
 
-    /// Writes this controller into a partition's record, which must still have this version (0: none).
+    /// Writes a partition's record with this controller as its leader. The present record must have this
+    /// version; 0 means that there must be none.
     fn acquire(&mut self, partition: PartitionId, version: u64) {
         let Some(lease) = self.lease.current() else {
             return;
@@ -258,10 +269,10 @@
             leader: self.own_name().clone(),
             incarnation: self.registration.incarnation(),
             term: self.cache.next_token(),
-            // They may still answer workers; every later leader has to wait for them as well.
+            // These may still answer workers, so every later leader has to wait for them too.
             unconfirmed_predecessors: self.unconfirmed_predecessors_of(partition),
         };
-        let txn = self.partition_txn(partition, version, &record, lease.0);
+        let txn = self.leader_change_txn(partition, version, &record, lease.0);
         self.leader_election.acquisitions.pending.insert(partition);
         self.queue_state_request(
             CallPriority::Coordination,
@@ -270,7 +281,7 @@
         );
     }
 
-    /// Former leaders of a partition that may not know yet that they lost it.
+    /// Former leaders of a partition that may not know yet that they have lost it.
     fn unconfirmed_predecessors_of(&self, partition: PartitionId) -> Vec<ControllerIncarnation> {
         let Some(counter) = &self.cache.token_counter else {
             return Vec::new();
@@ -282,7 +293,7 @@
             .cloned()
             .unwrap_or_default();
         predecessors.extend(counter.record.last_leaders.get(&partition.0).cloned());
-        // This controller has stopped to answer with the loss of its own leadership.
+        // This controller stopped answering workers when it lost its own leadership.
         predecessors.retain(|predecessor| {
             !self.incarnation_has_exited(predecessor) && predecessor.controller != *self.own_name()
         });
@@ -293,16 +304,16 @@
     /// Whether an incarnation is known to have exited: a later one has been recorded.
     pub(in crate::controller) fn incarnation_has_exited(
         &self,
-        run: &ControllerIncarnation,
+        incarnation: &ControllerIncarnation,
     ) -> bool {
         self.cache
             .incarnations
-            .get(&run.controller)
-            .is_some_and(|recorded| recorded.record.incarnation != run.incarnation)
+            .get(&incarnation.controller)
+            .is_some_and(|recorded| recorded.record.incarnation != incarnation.incarnation)
     }
 
-    /// Handles the reply to an acquisition. Whatever it was, the watch brings the partition's record,
-    /// and the leadership begins with that.
+    /// Handles the reply to an acquisition. Whatever the reply, the leadership begins only when the watch
+    /// delivers the partition's record.
     pub(in crate::controller) fn handle_acquisition_reply(
         &mut self,
         partition: PartitionId,
@@ -321,9 +332,9 @@
         }
     }
 
-    /// The state of a partition is wrong: it is acquired again under a new term. Under the same term,
-    /// attempts would be numbered like those already launched, and commands that were sent would still
-    /// be executed.
+    /// Gives up a partition whose state has turned out to be wrong, and acquires it again under a new
+    /// term. Under the same term, new attempts would get the numbers of attempts that were already
+    /// launched, and commands that were already sent would still be executed.
     pub(in crate::controller) fn reload_partition(&mut self, partition: PartitionId) {
         let Some(leadership) = self.leaderships.remove(&partition) else {
             return;
@@ -340,13 +351,14 @@
         self.renew_term(partition);
     }
 
-    /// Acquires a partition whose record names this controller under the next term.
+    /// Acquires a partition again under the next term, if its term has to be renewed and the next attempt
+    /// is due.
     pub(super) fn renew_term(&mut self, partition: PartitionId) {
-        let Some(held) = self.cache.partitions.get(&partition) else {
+        let Some(recorded) = self.cache.partitions.get(&partition) else {
             return;
         };
-        let version = held.version.0;
-        let term = FencingToken(held.record.term);
+        let version = recorded.version.0;
+        let term = FencingToken(recorded.record.term);
         let acquisitions = &mut self.leader_election.acquisitions;
         let is_pending = acquisitions.is_pending(partition);
         let Some(renewal) = acquisitions.term_renewals.get_mut(&partition) else {
@@ -363,11 +375,11 @@
     }
 }
 
-/// Order of the controllers for a vacant partition, by the fields from first to last.
+/// The rank of a controller for a vacant partition. Ranks are compared field by field, in this order.
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct AcquisitionRank<'a> {
-    /// The last standby knows most of the partition.
+    /// False for the last standby, which ranks first because it knows most of the partition's state.
     is_not_standby: bool,
-    led_partitions: usize,
+    led_partition_count: usize,
     controller: &'a ControllerName,
 }
--- a/crates/controller/src/controller/leader_election/mod.rs
+++ b/crates/controller/src/controller/leader_election/mod.rs
@@ -1,5 +1,10 @@
-//! Which controller leads which partition: acquisition of vacant ones, failover, resignation, and the
-//! return of a partition to its preferred leader.
+//! Leader election: which controller leads which partition.
+//!
+//! A controller leads a partition while the partition's record in the state service names it with its
+//! present incarnation. The record is bound to the leader's lease and is deleted with it; a partition
+//! without a record is vacant. The submodules acquire vacant partitions, fail over those whose leader has
+//! crashed, resign those whose workers do not reach this controller, and return partitions to their
+//! preferred leaders.
 
 mod acquisition;
 mod reacquisition;
@@ -16,12 +21,12 @@
 use resignation::PeerResignations;
 use std::time::Duration;
 
-/// A controller acquires and transfers partitions only while its last read of changes is not older.
+/// Maximum age of the last read of changes at which a controller acquires or transfers partitions.
 const MAX_STATE_READ_AGE: Duration = Duration::from_secs(3);
-/// How long a transaction that ends a leadership may be applied after its outcome became unknown.
+/// How long a transaction that ends a leadership may still be applied after its outcome became unknown.
 const UNKNOWN_OUTCOME_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// What a controller remembers for its decisions about leaderships.
+/// The state on which a controller bases its decisions about leaderships.
 #[derive(Debug, Default)]
 pub(super) struct LeaderElection {
     acquisitions: Acquisitions,
@@ -31,24 +36,24 @@
 }
 
 impl LeaderElection {
-    /// This controller was paused until now: vacancies count from here on.
+    /// Restarts the waiting times for vacant partitions after a pause of this process.
     pub(super) fn restart_vacancies(&mut self, now: Timestamp) {
         self.acquisitions.restart_vacancies(now);
     }
 
-    /// The write of a reclaim record has been answered.
+    /// Records that the write of a reclaim record was answered.
     pub(super) fn finish_reclaim_write(&mut self) {
         self.reclaim.finish_write();
     }
 }
 
 impl Controller {
-    /// Number of partitions: one for each controller of the settings.
+    /// Number of partitions: one for each controller in the settings.
     pub(super) fn partition_count(&self) -> u32 {
         self.controllers.len() as u32
     }
 
-    /// The controller to which a partition returns when it can lead it.
+    /// The controller to which a partition is returned whenever that controller can lead it.
     pub(super) fn preferred_leader(&self, partition: PartitionId) -> Option<&ControllerName> {
         self.controllers
             .get(partition.0 as usize)
@@ -65,7 +70,8 @@
         self.peers.is_receiving_from(peer, self.own_name())
     }
 
-    /// Acquires partitions that this controller should lead, and returns those that it should not.
+    /// Acquires and reclaims the partitions that this controller should lead, and transfers those that
+    /// other controllers have reclaimed.
     pub(super) fn maintain_leadership(&mut self) {
         if !self.state_sync.is_synced()
             || !self.registration.is_registered()
@@ -83,13 +89,13 @@
     }
 
     fn maintain_partition(&mut self, partition: PartitionId) {
-        let Some(held) = self.cache.partitions.get(&partition) else {
+        let Some(recorded) = self.cache.partitions.get(&partition) else {
             self.try_acquire_vacant(partition);
             return;
         };
         self.leader_election.acquisitions.end_vacancy(partition);
-        let is_own = held.record.leader == *self.own_name()
-            && held.record.incarnation == self.registration.incarnation();
+        let is_own = recorded.record.leader == *self.own_name()
+            && recorded.record.incarnation == self.registration.incarnation();
         if !is_own {
             self.try_early_failover(partition);
         } else if !self.leaderships.contains_key(&partition) {
--- a/crates/controller/src/controller/leader_election/reacquisition.rs
+++ b/crates/controller/src/controller/leader_election/reacquisition.rs
@@ -1,4 +1,7 @@
-//! Backoff before a partition is acquired again whose workers did not reach this controller.
+//! Backoff before this controller acquires a partition again that it has resigned because the partition's
+//! workers did not reach it.
+//!
+//! The backoff of a partition is a pause, followed by a wait until one of the workers answers a probe.
 
 use crate::controller::call_kind::WorkerCall;
 use crate::controller::heartbeats::WORKER_TIMEOUT;
@@ -8,46 +11,47 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Pause after the first resignation; it doubles with every further one, up to a limit.
+/// Pause after the first resignation of a partition; it doubles with every further one, up to a limit.
 const INITIAL_REACQUISITION_BACKOFF: Duration = Duration::from_secs(15);
-/// The longest pause. For so long after it, only a worker that answers ends the backoff.
+/// The longest pause, and also the longest wait after a pause for a worker that answers.
 pub(super) const MAX_REACQUISITION_BACKOFF: Duration = Duration::from_secs(120);
-/// Time between probes of the partition's workers after the pause.
+/// Time between probes of a partition's workers after the pause.
 const REACHABILITY_PROBE_INTERVAL: Duration = Duration::from_secs(2);
 
-/// A worker that is probed.
+/// A worker that is probed, with its network address.
 pub(super) type WorkerAddress = (MachineName, String);
 
-/// Partitions that this controller has resigned since their workers did not reach it.
+/// Backoffs of the partitions that this controller has resigned because their workers did not reach it.
 #[derive(Debug, Default)]
 pub(super) struct ReacquisitionBackoffs(BTreeMap<PartitionId, ReacquisitionBackoff>);
 
 /// The backoff for one partition.
 #[derive(Debug)]
 struct ReacquisitionBackoff {
-    /// The partition is not acquired before then, whether or not its workers answer.
-    until: Timestamp,
+    /// Until then the partition is not acquired, whether or not its workers answer.
+    pause_ends_at: Timestamp,
     /// The pause after the next resignation.
     next_pause: Duration,
-    /// Some of the partition's machines.
+    /// Workers of some of the partition's machines.
     workers: Vec<WorkerAddress>,
     probed_at: Timestamp,
-    /// Whether one of them has answered since.
-    reached: bool,
+    /// Whether one of these workers has answered since the pause.
+    worker_reached: bool,
 }
 
 impl ReacquisitionBackoff {
-    /// Until when the backoff lasts if no worker answers.
+    /// When the backoff ends even if no worker answers.
     fn expires_at(&self) -> Timestamp {
-        self.until + MAX_REACQUISITION_BACKOFF
+        self.pause_ends_at + MAX_REACQUISITION_BACKOFF
     }
 
     fn is_active(&self, now: Timestamp) -> bool {
-        now < self.until || (!self.reached && now < self.expires_at())
+        now < self.pause_ends_at || (!self.worker_reached && now < self.expires_at())
     }
 
     fn is_probe_due(&self, now: Timestamp) -> bool {
-        let waits_for_worker = now >= self.until && !self.reached && now < self.expires_at();
+        let waits_for_worker =
+            now >= self.pause_ends_at && !self.worker_reached && now < self.expires_at();
         waits_for_worker && now.duration_since(self.probed_at) >= REACHABILITY_PROBE_INTERVAL
     }
 }
@@ -72,16 +76,16 @@
             .map_or(INITIAL_REACQUISITION_BACKOFF, |backoff| backoff.next_pause);
         let doubled = Duration::from_millis(pause.whole_millis() * 2);
         let backoff = ReacquisitionBackoff {
-            until: now + pause,
+            pause_ends_at: now + pause,
             next_pause: doubled.min(MAX_REACQUISITION_BACKOFF),
             workers,
             probed_at: Timestamp::default(),
-            reached: false,
+            worker_reached: false,
         };
         self.0.insert(partition, backoff);
     }
 
-    /// Workers that are to be probed now.
+    /// Returns the workers whose probes are due, and counts them as probed now.
     fn take_due_probes(&mut self, now: Timestamp) -> Vec<(PartitionId, WorkerAddress)> {
         let mut due = Vec::new();
         for (partition, backoff) in &mut self.0 {
@@ -96,14 +100,14 @@
 
     fn record_probe(&mut self, partition: PartitionId, reached: bool, now: Timestamp) {
         if let Some(backoff) = self.0.get_mut(&partition) {
-            backoff.reached |= reached && now >= backoff.until;
+            backoff.worker_reached |= reached && now >= backoff.pause_ends_at;
         }
     }
 }
 
 impl Controller {
-    /// Probes workers of partitions that were resigned. To acquire one again while its workers still
-    /// do not reach this controller would cost their leases.
+    /// Probes workers of partitions that this controller has resigned. If it acquired such a partition
+    /// while the workers still cannot reach it, their leases would expire.
     pub(super) fn probe_workers(&mut self) {
         for (partition, (machine, address)) in
             self.leader_election.backoffs.take_due_probes(self.now)
@@ -119,7 +123,7 @@
         }
     }
 
-    /// Handles the outcome of such a probe.
+    /// Handles the outcome of a reachability probe.
     pub(in crate::controller) fn handle_reachability_reply(
         &mut self,
         partition: PartitionId,
--- a/crates/controller/src/controller/leader_election/reclaim.rs
+++ b/crates/controller/src/controller/leader_election/reclaim.rs
@@ -1,8 +1,10 @@
-//! Reclaim requests: a preferred leader requests its partition, over the mesh or, where the two
-//! controllers do not reach each other, through the state service.
+//! Reclaim requests: a preferred leader asks the present leader to transfer the partition to it.
+//!
+//! The request goes over the mesh or, where the two controllers do not reach each other, through a
+//! reclaim record in the state service.
 
 use crate::controller::call_kind::LeadershipCall;
-use crate::controller::standby::REPLICA_CATCH_UP_LIMIT;
+use crate::controller::standby::MAX_REPLICA_CATCH_UP;
 use crate::controller::{CallKind, Controller};
 use crate::records::{partition_key, reclaim_key, ReclaimRecord};
 use crate::request_budget::CallPriority;
@@ -11,26 +13,26 @@
 use wire::mesh::MeshMessage;
 use wire::state::{StateRequest, Transaction, Write};
 
-/// How long another controller may lead the preferred partition before a request goes through the state
-/// service as well.
-const RECLAIM_AFTER: Duration = Duration::from_secs(2);
+/// How long another controller may lead the preferred partition before it is requested through the state
+/// service too.
+const RECLAIM_RECORD_DELAY: Duration = Duration::from_secs(2);
 /// Time between two reclaim requests over the mesh.
 const RECLAIM_REQUEST_INTERVAL: Duration = Duration::from_secs(1);
 
-/// The preferred partition of this controller, while another one leads it.
+/// What this controller has done to reclaim its preferred partition while another controller leads it.
 #[derive(Debug, Default)]
 pub(super) struct Reclaim {
-    /// Since when another controller has led it while this one could.
+    /// Since when another controller has led the partition although this one could.
     displaced_since: Option<Timestamp>,
-    /// When it was requested last over the mesh.
+    /// When the partition was last requested over the mesh.
     requested_at: Option<Timestamp>,
-    /// Whether the write of a reclaim record is open.
+    /// Whether the write of a reclaim record is in flight.
     write_pending: bool,
 }
 
 impl Reclaim {
-    /// How long the partition has been displaced, counted from now on if it was not.
-    fn displaced_for(&mut self, now: Timestamp) -> Duration {
+    /// Records that another controller leads the partition, and returns for how long it has.
+    fn record_displacement(&mut self, now: Timestamp) -> Duration {
         now.duration_since(*self.displaced_since.get_or_insert(now))
     }
 
@@ -62,10 +64,10 @@
         let Some(lease) = self.lease.current() else {
             return;
         };
-        let Some(held) = self.cache.partitions.get(&partition) else {
+        let Some(recorded) = self.cache.partitions.get(&partition) else {
             return;
         };
-        let leader = held.record.leader.clone();
+        let leader = recorded.record.leader.clone();
         if leader == *self.own_name() || self.leader_election.acquisitions.is_pending(partition) {
             self.leader_election.reclaim.displaced_since = None;
             return;
@@ -76,13 +78,14 @@
         {
             return;
         }
-        let displaced_for = self.leader_election.reclaim.displaced_for(self.now);
+        let displaced_for = self.leader_election.reclaim.record_displacement(self.now);
         self.write_reclaim_record(partition, &leader, lease, displaced_for);
         self.send_reclaim_request(partition, &leader, lease, displaced_for);
     }
 
-    /// Writes a reclaim record, if the mesh does not help: a leader that receives requests transfers
-    /// the partition once this controller's replica is in sync.
+    /// Writes a reclaim record if requests over the mesh cannot reach the leader or have had no effect. A
+    /// leader that receives them transfers the partition, but they are sent only when this controller's
+    /// replica is in sync or the wait for that has reached its limit.
     fn write_reclaim_record(
         &mut self,
         partition: PartitionId,
@@ -90,10 +93,10 @@
         lease: LeaseId,
         displaced_for: Duration,
     ) {
-        let mesh_does_not_help =
-            !self.peer_is_alive(leader) || displaced_for >= RECLAIM_AFTER + REPLICA_CATCH_UP_LIMIT;
-        if displaced_for < RECLAIM_AFTER
-            || !mesh_does_not_help
+        let mesh_requests_fail = !self.peer_is_alive(leader)
+            || displaced_for >= RECLAIM_RECORD_DELAY + MAX_REPLICA_CATCH_UP;
+        if displaced_for < RECLAIM_RECORD_DELAY
+            || !mesh_requests_fail
             || self.leader_election.reclaim.write_pending
         {
             return;
@@ -107,15 +110,15 @@
             .cache
             .partitions
             .get(&partition)
-            .map_or(0, |held| held.version.0);
+            .map_or(0, |partition| partition.version.0);
         let record = ReclaimRecord {
             controller: self.own_name().clone(),
             incarnation: self.registration.incarnation(),
             lease: lease.0,
         };
         let value = serde_json::to_value(record).unwrap_or_default();
-        // Without the conditions a late write would ask again for what has been granted, and may have
-        // moved on since.
+        // Without these conditions, a write that is applied late would request the partition once more,
+        // although it has been transferred already and may have another leader by now.
         let txn = Transaction::default()
             .when(reclaim_key(partition), reclaim_version)
             .when(partition_key(partition), partition_version)
--- a/crates/controller/src/controller/leader_election/record_changes.rs
+++ b/crates/controller/src/controller/leader_election/record_changes.rs
@@ -1,4 +1,4 @@
-//! Changes of partitions' records: the begin and the loss of leaderships.
+//! Beginning and loss of leaderships, as partitions' records change.
 
 use crate::controller::leadership::PartitionLeadership;
 use crate::controller::Controller;
@@ -8,15 +8,15 @@
 use wire::mesh::MeshMessage;
 
 impl Controller {
-    /// A partition's record has changed.
+    /// Handles a change of a partition's record.
     pub(in crate::controller) fn handle_partition_record(&mut self, partition: PartitionId) {
-        let Some(held) = self.cache.partitions.get(&partition).cloned() else {
+        let Some(recorded) = self.cache.partitions.get(&partition).cloned() else {
             if self.leaderships.remove(&partition).is_some() {
                 tracing::warn!(%partition, "partition leadership lost: record deleted");
             }
             return;
         };
-        let record = held.record;
+        let record = recorded.record;
         if record.leader != *self.own_name()
             || record.incarnation != self.registration.incarnation()
         {
@@ -26,7 +26,7 @@
             return;
         }
         let term = FencingToken(record.term);
-        // The cache may still show a term that was transferred just now.
+        // The cache may still show a term that this controller has just given up.
         if self
             .leader_election
             .acquisitions
@@ -35,8 +35,10 @@
             return;
         }
         match self.leaderships.get_mut(&partition) {
-            Some(leadership) if leadership.term() == term => leadership.set_version(held.version),
-            _ => self.begin_leadership(partition, record, held.version),
+            Some(leadership) if leadership.term() == term => {
+                leadership.set_version(recorded.version);
+            }
+            _ => self.begin_leadership(partition, record, recorded.version),
         }
     }
 
--- a/crates/controller/src/controller/leader_election/resignation.rs
+++ b/crates/controller/src/controller/leader_election/resignation.rs
@@ -1,4 +1,4 @@
-//! Resignation of a partition whose workers do not reach this controller.
+//! Resignation of partitions whose workers do not reach this controller, and what peers announce of theirs.
 
 use super::reacquisition::MAX_REACQUISITION_BACKOFF;
 use super::UNKNOWN_OUTCOME_TIMEOUT;
@@ -12,13 +12,13 @@
 use wire::mesh::MeshMessage;
 use wire::state::{StateReply, StateRequest, Transaction, Write};
 
-/// A resigned partition that nobody has acquired for so long is acquired again: a leader that few
-/// workers reach is better than none.
-pub(super) const UNCLAIMED_AFTER: Duration = Duration::from_secs(5);
-/// Workers that are probed before a resigned partition is acquired again.
+/// A resigned partition that has been vacant for longer may be acquired again by a controller that
+/// resigned it: a leader that few workers reach is better than none.
+pub(super) const MAX_RESIGNED_VACANCY: Duration = Duration::from_secs(5);
+/// Number of workers that are probed before a resigned partition is acquired again.
 const REACHABILITY_PROBE_COUNT: usize = 6;
 
-/// When peers announced that they resigned partitions.
+/// When each peer last announced that it resigned a partition.
 #[derive(Debug, Default)]
 pub(super) struct PeerResignations(HashMap<PartitionId, HashMap<ControllerName, Timestamp>>);
 
@@ -50,7 +50,7 @@
 }
 
 impl Controller {
-    /// A peer has resigned the leadership of a partition.
+    /// Records that a peer has resigned the leadership of a partition.
     pub(in crate::controller) fn record_peer_resignation(
         &mut self,
         partition: PartitionId,
@@ -61,15 +61,18 @@
             .record(partition, peer, self.now);
     }
 
-    /// Whether a peer has just resigned this partition.
-    pub(super) fn was_resigned(&self, partition: PartitionId) -> bool {
-        self.leader_election
-            .resignations
-            .any_has_resigned(partition, UNCLAIMED_AFTER, self.now)
+    /// Whether a peer has resigned this partition within [`MAX_RESIGNED_VACANCY`].
+    pub(super) fn was_recently_resigned(&self, partition: PartitionId) -> bool {
+        self.leader_election.resignations.any_has_resigned(
+            partition,
+            MAX_RESIGNED_VACANCY,
+            self.now,
+        )
     }
 
-    /// Whether any live peer may lead a partition. Peers that resigned it lately would do no better:
-    /// if all machines of a partition were dead, its leaders would resign it in turn for ever.
+    /// Whether a live peer may lead a partition instead of this controller. Peers that resigned it recently
+    /// do not count: if all machines of a partition were dead, the controllers would resign it in turn
+    /// forever.
     fn has_candidate(&self, partition: PartitionId) -> bool {
         self.peers.eligible_leaders(self.now).any(|peer| {
             !self.leader_election.resignations.has_resigned(
@@ -92,8 +95,9 @@
             return;
         }
         tracing::warn!(%partition, "workers unreachable, resigning partition leadership");
-        // No worker is answered from here on. The counter names this controller as the last leader, so
-        // the next one counts with its answers until it shows that it has read the change.
+        // No worker is answered from here on. The token counter names this controller as the last leader,
+        // so the next leader assumes that this one may still answer workers until it reports that it has
+        // read the change.
         leadership.begin_transfer();
         let key = partition_key(partition);
         let txn = Transaction::default()
@@ -133,7 +137,7 @@
                     .relinquish(partition, term);
                 self.leaderships.remove(&partition);
             }
-            // It may yet be applied.
+            // The transaction may still be applied.
             StateReply::Unknown => {
                 leadership.await_transfer_outcome(self.now + UNKNOWN_OUTCOME_TIMEOUT);
             }
--- a/crates/controller/src/controller/leader_election/transfer.rs
+++ b/crates/controller/src/controller/leader_election/transfer.rs
@@ -9,7 +9,7 @@
 use wire::state::{StateReply, StateRequest, Write};
 
 impl Controller {
-    /// Transfers a partition to its preferred leader, under that controller's lease.
+    /// Transfers a partition to its preferred leader by a record that is bound to that controller's lease.
     pub(in crate::controller) fn transfer_leadership(
         &mut self,
         partition: PartitionId,
@@ -28,11 +28,12 @@
         if !leadership.may_transfer() {
             return;
         }
-        // No worker is answered from here on, so the successor need not wait for this controller.
+        // No worker is answered from here on, as long as the transaction may be applied.
         leadership.begin_transfer();
         let version = leadership.version();
-        // If the outcome stays unknown, this controller may answer again before it learns of it; so the
-        // successor waits until this controller shows that it has read the change.
+        // If the outcome stays unknown, this controller may answer workers again before it learns that the
+        // transaction was applied. So the successor waits until this controller reports that it has read
+        // the change.
         let mut unconfirmed_predecessors = leadership.unconfirmed_predecessors().to_vec();
         unconfirmed_predecessors.push(ControllerIncarnation {
             controller: self.settings.name.clone(),
@@ -44,7 +45,7 @@
             term: self.cache.next_token(),
             unconfirmed_predecessors,
         };
-        let mut txn = self.partition_txn(partition, version.0, &record, lease);
+        let mut txn = self.leader_change_txn(partition, version.0, &record, lease);
         if self.cache.reclaim_requests.contains_key(&partition) {
             txn = txn.write(Write::delete(reclaim_key(partition)));
         }
@@ -79,7 +80,7 @@
                         .relinquish(partition, term);
                 }
             }
-            // It may yet be applied.
+            // The transaction may still be applied.
             StateReply::Unknown => {
                 if let Some(leadership) = leadership {
                     leadership.await_transfer_outcome(self.now + UNKNOWN_OUTCOME_TIMEOUT);
--- a/crates/controller/src/controller/mesh_messages.rs
+++ b/crates/controller/src/controller/mesh_messages.rs
@@ -1,4 +1,4 @@
-//! Messages between controllers: heartbeats, and the dispatch of what peers send.
+//! Messages between controllers: sends heartbeats, and dispatches the messages of peers.
 
 use super::peers::{PeerHeartbeatAge, PeerStatus};
 use super::Controller;
@@ -8,11 +8,10 @@
 use std::time::Duration;
 use wire::mesh::MeshMessage;
 
-/// With an older last read of changes a controller's heartbeats say that it has no contact with the
-/// state service.
-const STATE_CONTACT_MAX_AGE: Duration = Duration::from_secs(3);
+/// Maximum age of the last read of changes at which heartbeats report contact with the state service.
+const MAX_STATE_CONTACT_AGE: Duration = Duration::from_secs(3);
 
-/// A peer's heartbeat as it was received.
+/// A peer's heartbeat, decoded.
 struct PeerHeartbeat {
     status: PeerStatus,
     /// The revision of the state service up to which the peer has read all changes.
@@ -30,7 +29,7 @@
             peer_heartbeat_ages: self.peers.heartbeat_ages(self.now),
             incarnation: self.registration.incarnation(),
             revision: if is_synced { self.cache.revision.0 } else { 0 },
-            state_contact: is_synced && self.has_recent_state_read(STATE_CONTACT_MAX_AGE),
+            state_contact: is_synced && self.has_recent_state_read(MAX_STATE_CONTACT_AGE),
             ready: is_synced && self.registration.is_registered(),
         };
         self.broadcast(message);
@@ -113,7 +112,8 @@
         }
     }
 
-    /// A peer has acquired a partition: if its term is higher, workers are redirected to it.
+    /// Handles a peer's announcement that it has acquired a partition. If the announced term is higher
+    /// than this controller's, workers are redirected to the peer.
     fn handle_leader_change(
         &mut self,
         leader: ControllerName,
--- a/crates/controller/src/controller/mod.rs
+++ b/crates/controller/src/controller/mod.rs
@@ -1,7 +1,7 @@
-//! The controller: it routes events to its components and orders their work.
+//! The [`Controller`], which passes events to its components and runs their recurring work.
 //!
-//! Components own their state. [`Controller::handle`] passes an event to the component that it is for
-//! and then lets all of them advance, in a fixed order, and returns their effects.
+//! Each component owns its state. [`Controller::handle`] passes an event to the component that handles it,
+//! then runs the recurring work of all components in a fixed order, and returns the effects.
 
 pub mod admin;
 mod admission;
@@ -68,10 +68,10 @@
     controllers: Vec<(ControllerName, ZoneName)>,
     cache: StateCache,
     state_sync: StateSync,
-    /// Start of the process or end of its last pause: a message that did not arrive before then may
-    /// have been missed.
+    /// Start of the process or end of its last pause. Messages from before this time may have been missed,
+    /// so their absence proves nothing.
     running_since: Timestamp,
-    /// How far the controllers' logical clock is ahead of this one's steady clock.
+    /// How far the controllers' logical clock is ahead of this controller's monotonic clock.
     logical_clock_offset: Duration,
     lease: ControllerLease,
     calls: PendingCalls<CallKind>,
@@ -80,7 +80,7 @@
     leader_election: LeaderElection,
     peers: PeerRegistry,
     statuses_reported_at: Timestamp,
-    /// The last writes of partitions' unmet demand.
+    /// The last write of each partition's unmet demand.
     demand_writes: HashMap<PartitionId, leadership::DemandWrite>,
     job_status: JobStatusCache,
     reads: LinearizableReads,
@@ -93,19 +93,27 @@
     pub counters: Counters,
 }
 
-/// The loop runs ten times a second; a gap longer than this means that the process was paused.
+/// [`Controller::handle`] is called at least ten times a second; a gap of this length or more means that
+/// the process was paused.
 const PAUSE_THRESHOLD: Duration = Duration::from_secs(1);
-/// A peer without a heartbeat for longer does not serve users.
+/// Longest time between two ticks.
+const MAX_TICK_INTERVAL: Duration = Duration::from_millis(100);
+/// Shortest time between two ticks.
+const MIN_TICK_INTERVAL: Duration = Duration::from_millis(2);
+/// Maximum age of the last read of changes at which a controller is healthy regardless of its peers.
+const MAX_HEALTHY_READ_AGE: Duration = Duration::from_secs(4);
+/// A peer whose last heartbeat is older is assumed not to serve users.
 const MAX_PEER_SILENCE: Duration = Duration::from_secs(2);
-/// Longest wait of the watch.
+/// Longest time for which a watch asks the state service to wait for changes.
 const MAX_WATCH_WAIT: Duration = Duration::from_millis(1_500);
-/// Maximum age of the last read of changes for launches.
+/// Maximum age of the last read of changes at which tasks may be launched.
 const MAX_LAUNCH_READ_AGE: Duration = Duration::from_millis(4_500);
-/// The partition whose leader is the fleet planner.
+/// The partition whose leader also runs the fleet planner.
 pub(crate) const FLEET_PLANNER_PARTITION: PartitionId = PartitionId(0);
 
 impl Controller {
-    /// A controller that has just started. `seed` must be random: it determines the incarnation.
+    /// Creates the controller of a process that has just started. `seed` must be random: the incarnation
+    /// is derived from it.
     pub fn new(settings: Settings, seed: u64) -> Self {
         let controllers = settings.nodes();
         let state_client = StateClient::new(&settings.state_limits, controllers.len());
@@ -140,7 +148,7 @@
         }
     }
 
-    /// Handles an event at a time since the start of the process and returns its effects.
+    /// Handles an event and returns the effects. `now` is the time since the start of the process.
     pub fn handle(&mut self, now: Timestamp, event: Event) -> Vec<Effect> {
         if now.duration_since(self.now) >= PAUSE_THRESHOLD {
             self.handle_pause(now);
@@ -160,8 +168,9 @@
         std::mem::take(&mut self.effects)
     }
 
-    /// The process was paused while clocks ran on. The validity of leases counts from when their evidence
-    /// was sent, so a pause does not affect it; but missing messages prove nothing about their senders.
+    /// Handles a pause of the process, during which all clocks ran on. Lease validity counts from when the
+    /// confirming request was sent, so a pause does not affect it. But messages that are missing after a
+    /// pause prove nothing about their senders, so timeouts for them are extended or start again.
     fn handle_pause(&mut self, now: Timestamp) {
         let pause = now.duration_since(self.now);
         tracing::warn!(pause_ms = pause.whole_millis(), "process was paused");
@@ -176,7 +185,7 @@
         }
     }
 
-    /// Advances all components. The order is part of the controller's behaviour.
+    /// Runs the recurring work of all components. Their order is part of the controller's behaviour.
     fn step(&mut self) {
         self.drive_state_sync();
         self.maintain_lease();
@@ -192,9 +201,9 @@
         self.dispatch_state_calls();
     }
 
-    /// When the next `Tick` is due at the latest.
+    /// When the next [`Event::Tick`] is due at the latest.
     pub fn next_tick(&self) -> Timestamp {
-        let mut next = self.now + Duration::from_millis(100);
+        let mut next = self.now + MAX_TICK_INTERVAL;
         for leadership in self.leaderships.values() {
             if let Some(at) = leadership.next_wakeup(self.now) {
                 next = next.min(at);
@@ -206,20 +215,21 @@
         if let Some(at) = self.state_client.next_wakeup(self.now) {
             next = next.min(at);
         }
-        next.max(self.now + Duration::from_millis(2))
+        next.max(self.now + MIN_TICK_INTERVAL)
     }
 
     /// Whether user requests may be routed to this controller.
     pub fn healthy(&self) -> bool {
         let is_synced = self.state_sync.is_synced();
-        if is_synced && self.has_recent_state_read(Duration::from_secs(4)) {
+        if is_synced && self.has_recent_state_read(MAX_HEALTHY_READ_AGE) {
             return true;
         }
         // If no controller reaches the state service, reporting unhealthy helps no user and delays
-        // recovery. A controller that hears from no peer either is itself cut off: the others may serve.
-        let peer_serves = self.peers.any_has_state_contact(MAX_PEER_SILENCE, self.now);
-        let alone = self.peers.are_all_silent(MAX_PEER_SILENCE, self.now);
-        is_synced && !peer_serves && !alone
+        // recovery. A controller that receives no peer heartbeats either is cut off itself, and its peers
+        // may still serve users.
+        let any_peer_serves = self.peers.any_has_state_contact(MAX_PEER_SILENCE, self.now);
+        let is_isolated = self.peers.are_all_silent(MAX_PEER_SILENCE, self.now);
+        is_synced && !any_peer_serves && !is_isolated
     }
 
     /// Whether a confirmed read of changes was sent at most `max_age` ago.
@@ -227,9 +237,9 @@
         self.state_sync.has_recent_read(self.now, max_age)
     }
 
-    /// Time (ms) on the controllers' logical clock: the steady clock, moved ahead to the records that
-    /// were seen (a Lamport clock). It orders submissions across restarts and failovers; no safety rule
-    /// depends on it.
+    /// Time on the controllers' logical clock in milliseconds. This is a Lamport clock: it follows the
+    /// monotonic clock and is moved ahead to the times in records that this controller has read. It orders
+    /// submissions across restarts and failovers; no safety rule depends on it.
     fn logical_time_ms(&self) -> u64 {
         self.now
             .as_millis()
@@ -281,7 +291,7 @@
         }
     }
 
-    /// Repeats a call after a pause: its outcome is unknown, or it was refused.
+    /// Queues a call again after a delay, because its outcome is unknown or it was refused.
     fn retry_later(
         &mut self,
         delay: Duration,
@@ -299,7 +309,7 @@
         );
     }
 
-    /// Whether a transaction of so many writes would be sent at once.
+    /// Whether a transaction with this many writes would be sent immediately.
     fn may_write(&mut self, priority: CallPriority, writes: f64) -> bool {
         self.state_client.may_write(self.now, priority, writes)
     }
--- a/crates/controller/src/controller/peers/mod.rs
+++ b/crates/controller/src/controller/peers/mod.rs
@@ -9,7 +9,7 @@
 
 /// Time between two heartbeats to peers.
 const PEER_HEARTBEAT_INTERVAL: Duration = Duration::from_millis(400);
-/// A peer without a heartbeat for longer is not counted as alive.
+/// A peer whose last heartbeat is older is not considered alive.
 const PEER_TIMEOUT: Duration = Duration::from_millis(1_500);
 
 /// The last heartbeat of a peer.
@@ -23,12 +23,12 @@
     pub state_contact: bool,
     /// Whether the peer may lead partitions.
     pub ready: bool,
-    /// How long before that heartbeat the peer had received the last ones of others.
+    /// Ages of the last heartbeats that the peer had received from other controllers when it sent this one.
     pub peer_heartbeat_ages: Vec<PeerHeartbeatAge>,
 }
 
 impl PeerStatus {
-    /// How long before its own heartbeat the peer had received the last one of this controller.
+    /// Age of the last heartbeat that the peer had received from `controller` when it sent its own.
     pub(super) fn heartbeat_age_of(&self, controller: &ControllerName) -> Option<Duration> {
         self.peer_heartbeat_ages
             .iter()
@@ -37,14 +37,14 @@
     }
 }
 
-/// The age of a controller's last heartbeat, as a peer reports it.
+/// The age of a controller's last heartbeat, as reported by a peer.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(super) struct PeerHeartbeatAge {
     pub controller: ControllerName,
     pub age: Duration,
 }
 
-/// The peers that have sent a heartbeat, and the time of this controller's own heartbeats.
+/// The peers that have sent a heartbeat, and the time of this controller's own last heartbeat.
 #[derive(Debug, Default)]
 pub(super) struct PeerRegistry {
     peers: BTreeMap<ControllerName, PeerStatus>,
@@ -79,13 +79,13 @@
             .is_some_and(|age| age <= PEER_TIMEOUT)
     }
 
-    /// Whether a peer with a heartbeat no older than this has read the state service recently.
+    /// Whether any peer with a heartbeat no older than `max_age` has read the state service recently.
     pub(super) fn any_has_state_contact(&self, max_age: Duration, now: Timestamp) -> bool {
         self.with_heartbeat_within(max_age, now)
             .any(|status| status.state_contact)
     }
 
-    /// Whether peers are known, and all their heartbeats are older than this.
+    /// Whether any peers are known, and all their last heartbeats are older than `max_age`.
     pub(super) fn are_all_silent(&self, max_age: Duration, now: Timestamp) -> bool {
         !self.peers.is_empty() && self.with_heartbeat_within(max_age, now).next().is_none()
     }
@@ -100,13 +100,14 @@
             .filter(move |status| now.duration_since(status.last_seen_at) <= max_age)
     }
 
-    /// Whether a peer may lead partitions, by its last heartbeat.
+    /// Whether a peer may lead partitions, according to its last heartbeat.
     pub(super) fn is_ready(&self, peer: &ControllerName) -> bool {
         self.peers.get(peer).is_some_and(|status| status.ready)
     }
 
-    /// Whether a peer receives the heartbeats of this controller, by its own last heartbeat. Each
-    /// direction is a connection of its own, and one may be cut without the other.
+    /// Whether a peer receives the heartbeats of `controller`, according to the peer's own last heartbeat.
+    /// Each direction between two controllers is a separate connection, and one may be cut without the
+    /// other.
     pub(super) fn is_receiving_from(
         &self,
         peer: &ControllerName,
@@ -126,7 +127,7 @@
             .map(|(name, _)| name)
     }
 
-    /// Names of the live peers that may lead partitions and read the state service.
+    /// Names of the live peers that may lead partitions and have read the state service recently.
     pub(super) fn eligible_leaders(
         &self,
         now: Timestamp,
@@ -139,7 +140,7 @@
             .map(|(name, _)| name)
     }
 
-    /// Age of the latest heartbeat of a controller that any other live peer has received.
+    /// Age of the latest heartbeat that any other live peer has received from a controller.
     pub(super) fn latest_heartbeat_age(
         &self,
         controller: &ControllerName,
@@ -155,7 +156,7 @@
             .min()
     }
 
-    /// Ages of all peers' last heartbeats in milliseconds, for this controller's own heartbeat.
+    /// Ages of all peers' last heartbeats in milliseconds, to be sent with this controller's own heartbeat.
     pub(super) fn heartbeat_ages(&self, now: Timestamp) -> Vec<(String, u64)> {
         self.peers
             .iter()
@@ -166,7 +167,7 @@
             .collect()
     }
 
-    /// Whether this controller's next heartbeat is due; if so, its time counts from now.
+    /// Whether this controller's next heartbeat is due. If it is, it counts as sent now.
     pub(super) fn take_due_heartbeat(&mut self, now: Timestamp) -> bool {
         let never_sent = self.heartbeat_sent_at == Timestamp::default();
         let due =
@@ -177,7 +178,8 @@
         due
     }
 
-    /// This controller was paused: peers were not silent for that time, they could not be received.
+    /// Moves the times of all last heartbeats ahead by a pause of this controller. Heartbeats could not be
+    /// received during the pause, so it does not count as silence of the peers.
     pub(super) fn shift_heartbeats(&mut self, pause: Duration) {
         for status in self.peers.values_mut() {
             status.last_seen_at += pause;
--- a/crates/controller/src/controller/peers/tests.rs
+++ b/crates/controller/src/controller/peers/tests.rs
@@ -1,11 +1,11 @@
-//! Liveness of peers as their heartbeats show it.
+//! Tests which peers are considered alive, reachable and eligible according to their heartbeats.
 
 use super::{PeerHeartbeatAge, PeerRegistry, PeerStatus, PEER_HEARTBEAT_INTERVAL, PEER_TIMEOUT};
 use model::{ControllerName, Timestamp};
 use std::time::Duration;
 
 const START: Timestamp = Timestamp::from_millis(10_000);
-const TOO_EARLY: Timestamp = Timestamp::from_millis(9_999);
+const BEFORE_START: Timestamp = Timestamp::from_millis(9_999);
 const MILLISECOND: Duration = Duration::from_millis(1);
 
 fn name(text: &str) -> ControllerName {
@@ -22,7 +22,7 @@
     }
 }
 
-fn status_with_age(last_seen_at: Timestamp, controller: &str, age: Duration) -> PeerStatus {
+fn status_reporting_age(last_seen_at: Timestamp, controller: &str, age: Duration) -> PeerStatus {
     PeerStatus {
         peer_heartbeat_ages: vec![PeerHeartbeatAge {
             controller: name(controller),
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn peer_is_alive_until_its_timeout() {
+fn peer_is_alive_until_the_timeout_after_its_last_heartbeat() {
     let mut peers = PeerRegistry::default();
     assert!(!peers.is_alive(&name("a"), START));
     peers.record_heartbeat(name("a"), status(START));
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn pause_does_not_count_as_missed_heartbeats() {
+fn pause_does_not_count_as_silence_of_the_peers() {
     let pause = Duration::from_secs(20);
     let mut peers = PeerRegistry::default();
     peers.record_heartbeat(name("a"), status(START));
@@ -51,11 +51,11 @@
 }
 
 #[test]
-fn each_direction_between_two_controllers_is_judged_alone() {
+fn each_direction_between_two_controllers_is_checked_separately() {
     let mut peers = PeerRegistry::default();
-    peers.record_heartbeat(name("a"), status_with_age(START, "own", PEER_TIMEOUT));
+    peers.record_heartbeat(name("a"), status_reporting_age(START, "own", PEER_TIMEOUT));
     let late = PEER_TIMEOUT + MILLISECOND;
-    peers.record_heartbeat(name("b"), status_with_age(START, "own", late));
+    peers.record_heartbeat(name("b"), status_reporting_age(START, "own", late));
     assert!(peers.is_receiving_from(&name("a"), &name("own")));
     assert!(!peers.is_receiving_from(&name("b"), &name("own")));
     assert!(peers.is_alive(&name("b"), START));
@@ -66,9 +66,12 @@
     let mut peers = PeerRegistry::default();
     let now = START + PEER_TIMEOUT;
     let age = Duration::from_millis(300);
-    peers.record_heartbeat(name("a"), status_with_age(now, "a", Duration::ZERO));
-    peers.record_heartbeat(name("b"), status_with_age(START, "a", age));
-    peers.record_heartbeat(name("c"), status_with_age(TOO_EARLY, "a", MILLISECOND));
+    peers.record_heartbeat(name("a"), status_reporting_age(now, "a", Duration::ZERO));
+    peers.record_heartbeat(name("b"), status_reporting_age(START, "a", age));
+    peers.record_heartbeat(
+        name("c"),
+        status_reporting_age(BEFORE_START, "a", MILLISECOND),
+    );
     let expected = age + PEER_TIMEOUT;
     assert_eq!(peers.latest_heartbeat_age(&name("a"), now), Some(expected));
 }
@@ -94,7 +97,7 @@
 }
 
 #[test]
-fn heartbeats_are_sent_at_their_interval() {
+fn next_heartbeat_is_due_after_the_interval() {
     let mut peers = PeerRegistry::default();
     assert!(peers.take_due_heartbeat(START));
     assert!(!peers.take_due_heartbeat(START + (PEER_HEARTBEAT_INTERVAL - MILLISECOND)));
--- a/crates/controller/src/controller/standby/detection.rs
+++ b/crates/controller/src/controller/standby/detection.rs
@@ -1,4 +1,4 @@
-//! Failover before the leader's lease expires: the evidence of a crash, and the detection of false
+//! Early failover, before the leader's lease expires: the evidence of a crash, and the detection of false
 //! suspicions.
 
 use crate::controller::Controller;
@@ -8,10 +8,10 @@
 use model::{ControllerName, PartitionId, Timestamp};
 use std::time::Duration;
 
-/// How much later than its duration a lease may expire, the news of it included.
-const LEASE_SLACK: Duration = Duration::from_secs(1);
+/// How much later than [`LEASE_DURATION`] a lease may expire and other controllers may learn of it.
+const LEASE_EXPIRY_DELAY: Duration = Duration::from_secs(1);
 
-/// An acquisition of a partition whose record stood.
+/// An acquisition of a partition whose record still existed, from a leader suspected to have crashed.
 #[derive(Debug)]
 pub(super) struct EarlyFailover {
     former_leader: ControllerName,
@@ -20,17 +20,17 @@
 }
 
 impl Controller {
-    /// What speaks against the failover of a partition whose record stands.
+    /// The reasons against an early failover of a partition; none if the partition has no record.
     pub(in crate::controller) fn failover_blockers(
         &self,
         partition: PartitionId,
     ) -> Vec<FailoverBlocker> {
-        let Some(held) = self.cache.partitions.get(&partition) else {
+        let Some(recorded) = self.cache.partitions.get(&partition) else {
             return Vec::new();
         };
-        let leader = &held.record.leader;
-        let incarnation = held.record.incarnation;
-        let term = held.record.term;
+        let leader = &recorded.record.leader;
+        let incarnation = recorded.record.incarnation;
+        let term = recorded.record.term;
         let is_current = |replica: &&PartitionReplica| {
             replica.source().incarnation == incarnation && replica.source().term == term
         };
@@ -53,7 +53,8 @@
             .failover_blockers(partition, &evidence)
     }
 
-    /// This controller acquires a partition from a leader whose record stands.
+    /// Records that this controller acquires a partition whose leader is suspected to have crashed while
+    /// the leader's record still exists.
     pub(in crate::controller) fn record_early_failover(
         &mut self,
         partition: PartitionId,
@@ -71,8 +72,9 @@
             .insert(partition, early_failover);
     }
 
-    /// A peer is alive: partitions that were acquired from this very incarnation just now were acquired
-    /// on a false suspicion. One that comes back after its lease had lost them anyway.
+    /// Detects false suspicions when a peer shows that it is alive: partitions that were acquired from this
+    /// same incarnation a short time ago were acquired on a false suspicion. A peer that returns only after
+    /// its lease has expired had lost its partitions anyway.
     pub(in crate::controller) fn detect_false_suspicion(
         &mut self,
         peer: &ControllerName,
@@ -80,7 +82,7 @@
     ) {
         let now = self.now;
         self.standby.early_failovers.retain(|_, failover| {
-            now.duration_since(failover.acquired_at) <= LEASE_DURATION + LEASE_SLACK
+            now.duration_since(failover.acquired_at) <= LEASE_DURATION + LEASE_EXPIRY_DELAY
         });
         let falsely_acquired: Vec<PartitionId> = self
             .standby
--- a/crates/controller/src/controller/standby/mod.rs
+++ b/crates/controller/src/controller/standby/mod.rs
@@ -16,12 +16,13 @@
 use std::time::Duration;
 use wire::mesh::{MeshMessage, ReplicationBatch};
 
-/// Up to so many controllers each replicate all partitions.
+/// If there are at most this many controllers, each of them replicates all partitions.
 const MAX_CONTROLLERS_REPLICATING_ALL: usize = 4;
 /// Time between two updates of subscriptions and replication streams.
 const REPLICATION_INTERVAL: Duration = Duration::from_millis(500);
-/// How long a preferred leader leaves its partition to another one while its replica is not in sync.
-pub(super) const REPLICA_CATCH_UP_LIMIT: Duration = Duration::from_secs(4);
+/// Longest time for which a preferred leader waits for its replica to be in sync before it reclaims its
+/// partition.
+pub(super) const MAX_REPLICA_CATCH_UP: Duration = Duration::from_secs(4);
 
 /// The replicas that this controller keeps, and the streams that it sends.
 #[derive(Debug, Default)]
@@ -30,15 +31,15 @@
     /// Streams of the partitions that this controller leads.
     streams: BTreeMap<PartitionId, TermStream>,
     failure_detector: FailureDetector,
-    /// The standby of each partition when it last had a leader.
-    assigned: BTreeMap<PartitionId, ControllerName>,
+    /// The standby of each partition when the partition last had a leader.
+    last_standbys: BTreeMap<PartitionId, ControllerName>,
     updated_at: Timestamp,
-    /// When this controller last tried to acquire a partition whose record stood.
+    /// When this controller last attempted an early failover.
     failover_attempted_at: Timestamp,
     early_failovers: HashMap<PartitionId, EarlyFailover>,
 }
 
-/// A replication stream, which begins anew with each term.
+/// The replication stream of a partition in one term. Each term starts a new stream.
 #[derive(Debug, Default)]
 struct TermStream {
     term: u64,
@@ -46,24 +47,24 @@
 }
 
 impl Standby {
-    /// The standby of a partition when it last had a leader.
+    /// The standby of a partition when the partition last had a leader.
     pub(super) fn last_standby_of(&self, partition: PartitionId) -> Option<&ControllerName> {
-        self.assigned.get(&partition)
+        self.last_standbys.get(&partition)
     }
 
-    /// Whether an acquisition of a partition whose record stood was attempted within this time.
+    /// Whether an early failover of any partition was attempted within this time.
     pub(super) fn has_attempted_failover(&self, within: Duration, now: Timestamp) -> bool {
         now.duration_since(self.failover_attempted_at) < within
     }
 
-    /// An acquisition of a partition whose record stands is attempted now.
+    /// Records that an early failover is attempted now.
     pub(super) fn record_failover_attempt(&mut self, now: Timestamp) {
         self.failover_attempted_at = now;
     }
 }
 
 impl Controller {
-    /// The standby of each partition, as far as this controller knows which peers are alive.
+    /// The standby of each partition, assigned according to which peers this controller sees alive.
     pub(super) fn standbys(&self) -> BTreeMap<PartitionId, ControllerName> {
         let names: Vec<ControllerName> = self
             .controllers
@@ -74,7 +75,7 @@
             .cache
             .partitions
             .iter()
-            .map(|(partition, held)| (*partition, held.record.leader.clone()))
+            .map(|(partition, recorded)| (*partition, recorded.record.leader.clone()))
             .collect();
         let is_live = |name: &ControllerName| {
             name == self.own_name() || (self.peer_is_alive(name) && self.peers.is_ready(name))
@@ -82,17 +83,17 @@
         assign(&names, is_live, &leaders)
     }
 
-    /// What this controller replicates: partitions that it is the standby of, and its preferred one
-    /// while another controller leads it. A few controllers each replicate all, so that a leader may
-    /// crash together with its standby.
+    /// The partitions that this controller replicates, with their sources: those whose standby it is, and
+    /// its preferred one while another controller leads it. Where there are few controllers, each of them
+    /// replicates all partitions, so that a replica is left if a leader crashes together with its standby.
     fn replication_sources(
         &self,
         standbys: &BTreeMap<PartitionId, ControllerName>,
     ) -> BTreeMap<PartitionId, ReplicationSource> {
         let replicates_all = self.controllers.len() <= MAX_CONTROLLERS_REPLICATING_ALL;
         let mut sources = BTreeMap::new();
-        for (partition, held) in &self.cache.partitions {
-            let record = &held.record;
+        for (partition, recorded) in &self.cache.partitions {
+            let record = &recorded.record;
             let replicates = replicates_all
                 || standbys.get(partition) == Some(self.own_name())
                 || self.preferred_leader(*partition) == Some(self.own_name());
@@ -119,7 +120,7 @@
         self.standby.updated_at = self.now;
         let standbys = self.standbys();
         let sources = self.replication_sources(&standbys);
-        self.standby.assigned.extend(standbys);
+        self.standby.last_standbys.extend(standbys);
         for (to, message) in self.standby.replicas.subscribe(&sources, self.now) {
             self.send_to_peer(&to, message);
         }
@@ -159,7 +160,8 @@
         }
     }
 
-    /// A peer subscribes to a partition's stream, and has applied the changes up to this one.
+    /// Handles a peer's subscription to a partition's stream. The peer has applied the changes up to the
+    /// sequence number `applied`.
     pub(super) fn handle_subscription(
         &mut self,
         from: &ControllerName,
@@ -173,8 +175,8 @@
             .leaderships
             .get(&partition)
             .is_some_and(|leadership| leadership.term().0 == term);
-        // A peer that subscribes to another incarnation of this controller reads the record of this one
-        // soon.
+        // A peer that subscribes to another incarnation of this controller will soon read the record of
+        // the present one, and then subscribe to it.
         if !leads_in_term || incarnation != self.registration.incarnation() {
             self.counters
                 .rejections
@@ -203,17 +205,19 @@
         }
     }
 
-    /// Whether the replica of the preferred partition is in sync, or has been waited for long enough.
+    /// Whether the replica of the preferred partition is in sync, or the wait for that has reached its
+    /// limit.
     pub(super) fn is_ready_to_reclaim(
         &self,
         partition: PartitionId,
         displaced_for: Duration,
     ) -> bool {
-        displaced_for >= REPLICA_CATCH_UP_LIMIT
+        displaced_for >= MAX_REPLICA_CATCH_UP
             || self.standby.replicas.is_in_sync(partition, self.now)
     }
 
-    /// A worker that the replica shows as reporting to its leader has sent a heartbeat here.
+    /// Records a worker's heartbeat to this controller as evidence of a crash of the leader, if the replica
+    /// shows that the worker reports to the leader.
     pub(super) fn record_worker_contact(&mut self, partition: PartitionId, machine: &MachineName) {
         let reports_to_leader = |replica: &PartitionReplica| {
             replica
@@ -233,7 +237,8 @@
         }
     }
 
-    /// Applies the replica of the former leader's state. Returns how many machines it held.
+    /// Applies the replica of the former leader's state to the partition's state and drops the replica.
+    /// Returns the number of machines that the replica held.
     pub(super) fn apply_replica(
         &mut self,
         partition: PartitionId,
@@ -245,12 +250,13 @@
         for machine in replica.machines.values() {
             partition_state.apply_machine_snapshot(&machine.snapshot, machine.idle_since);
         }
-        for hint in replica.jobs.values() {
-            partition_state.apply_job_snapshot(hint, self.now);
+        for snapshot in replica.jobs.values() {
+            partition_state.apply_job_snapshot(snapshot, self.now);
         }
         replica.machines.len()
     }
-    /// Partitions of other leaders whose replicas are in sync.
+
+    /// Number of replicas that are in sync with their leaders.
     pub(super) fn replicas_in_sync(&self) -> usize {
         let replicas = &self.standby.replicas;
         replicas
--- a/crates/controller/src/controller/standby/view.rs
+++ b/crates/controller/src/controller/standby/view.rs
@@ -1,4 +1,5 @@
-//! The operators' view of standbys, replicas and streams. Its field names are part of the admin API.
+//! The view of standbys, replicas and replication streams for operators. Its field names are part of the
+//! admin API.
 
 use super::TermStream;
 use crate::controller::Controller;
@@ -9,15 +10,16 @@
 use std::collections::BTreeMap;
 
 impl Controller {
-    /// The standby of each partition, and how far behind each replica is.
+    /// The standby of each partition, the lag of this controller's replicas, and the subscribers of its
+    /// streams.
     pub(in crate::controller) fn standby_view(&self) -> Value {
         let standbys = self.standbys();
         let partitions: Vec<Value> = self
             .cache
             .partitions
             .iter()
-            .map(|(partition, held)| {
-                self.partition_standby_view(*partition, &held.record, &standbys)
+            .map(|(partition, recorded)| {
+                self.partition_standby_view(*partition, &recorded.record, &standbys)
             })
             .collect();
         let replicas: Vec<Value> = self
@@ -62,7 +64,7 @@
             "term": record.term,
             "standby": standby,
             "failover_blockers": blockers,
-            // The name of an earlier version, kept for one release.
+            // The former name of `failover_blockers`, kept for one release.
             "doubts": blockers,
         })
     }
@@ -89,6 +91,6 @@
     stream: &TermStream,
 ) -> impl Iterator<Item = Value> + '_ {
     stream.stream.subscribers().map(
-        move |(node, behind)| json!({ "partition": partition.0, "node": node, "behind": behind }),
+        move |(peer, behind)| json!({ "partition": partition.0, "node": peer, "behind": behind }),
     )
 }
--- a/crates/controller/src/controller/state_replies.rs
+++ b/crates/controller/src/controller/state_replies.rs
@@ -7,7 +7,7 @@
 use wire::state::StateReply;
 
 impl Controller {
-    /// Handles a reply of the state service. One whose call is not pending changes nothing.
+    /// Handles a reply of the state service. A reply to a call that is not pending is only counted.
     pub(super) fn handle_state_reply(&mut self, call: CallId, reply: StateReply) {
         let sent_at = self.state_client.complete(call).unwrap_or(self.now);
         let Some(kind) = self.calls.complete(call) else {
@@ -87,7 +87,7 @@
 
     fn handle_record_reply(&mut self, call: RecordCall, reply: StateReply) {
         match call {
-            // The cache shows what came of it.
+            // The state cache shows whether the write was applied.
             RecordCall::Demand => {}
             RecordCall::Machines => self.handle_machine_records_written(reply),
             RecordCall::MachineTypes => self.fleet_planner.handle_machine_types_written(),
--- a/crates/controller/src/controller/state_sync.rs
+++ b/crates/controller/src/controller/state_sync.rs
@@ -1,4 +1,4 @@
-//! Keeping the state cache and the controller's lease up to date.
+//! Keeps the state cache and the controller's lease up to date.
 
 use super::{CallKind, Controller, MAX_WATCH_WAIT};
 use crate::controller_lease::LeaseCall;
@@ -10,9 +10,9 @@
 use std::time::Duration;
 use wire::state::{Changes, StateReply};
 
-/// Shortest wait of a watch.
+/// Shortest time for which a watch asks the state service to wait for changes.
 const MIN_WATCH_WAIT: Duration = Duration::from_millis(100);
-/// Pause before a failed read is sent again.
+/// Delay before a failed read is sent again.
 const READ_RETRY_DELAY: Duration = Duration::from_millis(200);
 
 impl Controller {
@@ -42,7 +42,8 @@
         );
     }
 
-    /// How long a watch waits: the shorter a read stays valid, the more often one is sent.
+    /// How long a watch waits for changes: the shorter the lease validity, the sooner the next read has
+    /// to be sent.
     fn watch_wait(&self) -> Duration {
         MAX_WATCH_WAIT.min((self.settings.lease_validity() / 2).max(MIN_WATCH_WAIT))
     }
@@ -66,7 +67,7 @@
         }
     }
 
-    /// Handles the reply to a read of a full read's page or to a watch.
+    /// Handles the reply to a page of a full read or to a watch.
     pub(super) fn handle_sync_reply(
         &mut self,
         call: SyncCall,
@@ -79,7 +80,7 @@
         }
     }
 
-    /// Handles the reply to a call of the controller's lease.
+    /// Handles the reply to the creation or a renewal of the controller's lease.
     pub(super) fn handle_lease_reply(
         &mut self,
         call: LeaseCall,
@@ -108,8 +109,8 @@
     }
 
     fn replace_cache(&mut self, read: &FullRead) {
-        let changed = self.cache.replace(&read.items, read.revision());
-        self.handle_cache_events(changed);
+        let events = self.cache.replace(&read.items, read.revision());
+        self.handle_cache_events(events);
     }
 
     fn handle_watch_reply(&mut self, reply: &StateReply, sent_at: Timestamp) {
@@ -129,19 +130,19 @@
     /// Applies the reply to a read of changes that was sent at `sent_at`.
     pub(super) fn apply_changes(&mut self, changes: &Changes, sent_at: Timestamp) {
         self.state_sync.record_read(sent_at);
-        let changed = self.cache.apply(changes);
-        self.handle_cache_events(changed);
+        let events = self.cache.apply(changes);
+        self.handle_cache_events(events);
     }
 
-    fn handle_cache_events(&mut self, changed: Vec<CacheEvent>) {
+    fn handle_cache_events(&mut self, events: Vec<CacheEvent>) {
         let unreadable = self.cache.take_rejected_count();
         self.counters.rejections.add_many(
             MessageSource::State,
             MessageFault::Malformed,
             unreadable,
         );
-        for change in changed {
-            match change {
+        for event in events {
+            match event {
                 CacheEvent::Job(id) => self.handle_job_record(id),
                 CacheEvent::JobTerminated(id, state) => self.handle_terminal_job(id, state),
                 CacheEvent::Demand(id, record) => self.handle_demand_record(id, record),
--- a/crates/controller/src/controller_lease.rs
+++ b/crates/controller/src/controller_lease.rs
@@ -1,6 +1,7 @@
 //! The controller's own lease in the state service: creation, renewal and loss.
 //!
-//! Records that a controller writes name its lease, so that the others see when it has gone.
+//! A controller binds some of its records to its lease. The state service deletes them when the lease
+//! expires, so that the other controllers see that this one has gone.
 
 use model::{DurationExt, LeaseId, Timestamp};
 use std::time::Duration;
@@ -10,10 +11,10 @@
 pub const LEASE_DURATION: Duration = Duration::from_millis(3_500);
 /// Time between renewals.
 const LEASE_RENEWAL_INTERVAL: Duration = Duration::from_millis(900);
-/// Pause after a call that did not succeed.
+/// Delay of the next call after one that did not succeed.
 const RETRY_DELAY: Duration = Duration::from_millis(200);
 
-/// The next call that the lease needs.
+/// A call that creates or renews the lease.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LeaseCall {
     Create,
@@ -41,12 +42,12 @@
 }
 
 impl ControllerLease {
-    /// The lease, unless it was not created yet or has expired.
+    /// The lease; `None` before it is created and after it has expired.
     pub fn current(&self) -> Option<LeaseId> {
         self.current
     }
 
-    /// The call that is due now; until its reply is handled, no other is.
+    /// Returns the call that is due, if any. No other call is due until the reply to it is handled.
     pub fn begin_call(&mut self, now: Timestamp) -> Option<LeaseCall> {
         if self.call_pending || now < self.next_call_at {
             return None;
@@ -55,7 +56,7 @@
         Some(self.current.map_or(LeaseCall::Create, LeaseCall::Renew))
     }
 
-    /// Handles the reply to a creation.
+    /// Handles the reply to the creation of the lease.
     pub fn handle_creation(&mut self, reply: &StateReply, now: Timestamp) {
         self.call_pending = false;
         match reply {
--- a/crates/controller/src/lib.rs
+++ b/crates/controller/src/lib.rs
@@ -1,7 +1,9 @@
-//! A controller as a pure state machine: leadership of partitions and failover, records in the state
-//! service, replies to users and workers.
+//! The controller as a state machine without I/O: it takes part in the election of partition leaders,
+//! schedules the partitions that it leads, keeps records in the state service, and replies to users and
+//! workers.
 //!
-//! [`Controller::handle`] takes events and a steady time and returns effects; it does no I/O.
+//! [`Controller::handle`] takes an event and the time of a monotonic clock, and returns the effects that
+//! the caller has to execute.
 
 pub mod controller;
 pub mod controller_lease;
--- a/crates/controller/src/pending_calls.rs
+++ b/crates/controller/src/pending_calls.rs
@@ -1,9 +1,9 @@
-//! Calls that are not answered yet, each with the purpose that tells how to handle its reply.
+//! Calls that are not answered yet, each with its purpose, which decides how its reply is handled.
 
 use model::CallId;
 use std::collections::HashMap;
 
-/// Unanswered calls by id. Ids count up from 1 and are never used again by this process.
+/// Unanswered calls by id. Ids count up from 1 and are never reused by this process.
 #[derive(Debug)]
 pub struct PendingCalls<K> {
     kinds: HashMap<CallId, K>,
@@ -28,7 +28,8 @@
         call
     }
 
-    /// Removes a call whose reply has come; `None` for one that is unknown or was answered before.
+    /// Removes an answered call and returns its purpose; `None` if the call is unknown or was answered
+    /// before.
     pub fn complete(&mut self, call: CallId) -> Option<K> {
         self.kinds.remove(&call)
     }
--- a/crates/controller/src/registration.rs
+++ b/crates/controller/src/registration.rs
@@ -1,24 +1,24 @@
 //! Registration of this process's incarnation in the state service, and detection of crash loops.
 //!
-//! A process that ends may be back within a fraction of a second, and end again. Each of its
-//! incarnations would acquire its preferred partition, be gone before it has heard from the
-//! machines, and leave their leases to run out. So each incarnation's record counts how many short-lived
-//! ones there were in a row, this one included. After a few, the preferred partition is left to the other
-//! controllers until an incarnation has run for a while; then the count goes back to zero. No clock is
-//! shared for that. The count decides only which controller acquires what when; no safety rule depends
-//! on it.
+//! An incarnation is one run of a controller's process. A process that crashes may restart within a
+//! fraction of a second and crash again. Each of its incarnations would acquire its preferred partition
+//! and exit before it has received heartbeats from the machines, whose leases would then expire. So each
+//! incarnation's record counts the short-lived incarnations in a row, including itself. After a few of
+//! them the preferred partition is left to the other controllers, until an incarnation has run for a
+//! while and resets the count to zero. This needs no clock that the incarnations share. The count decides
+//! only which controller acquires which partition when; no safety rule depends on it.
 
 use crate::records::IncarnationRecord;
 use model::Timestamp;
 use std::time::Duration;
 
-/// An incarnation that ran for so long does not count as short-lived.
+/// An incarnation that has run for this long does not count as short-lived.
 const STABLE_AFTER: Duration = Duration::from_secs(10);
-/// So many short-lived incarnations in a row, the present one among them, are a crash loop.
+/// This many short-lived incarnations in a row, including the present one, are a crash loop.
 const CRASH_LOOP_THRESHOLD: u32 = 3;
 
-/// The registration of this process. It must be durable before the process acquires anything, so that
-/// others can tell that the incarnation before has ended.
+/// The registration of this process. It must be durable before the process acquires a partition, so that
+/// other controllers can tell that the previous incarnation has exited.
 #[derive(Debug)]
 pub struct Registration {
     incarnation: u64,
@@ -27,7 +27,7 @@
 }
 
 impl Registration {
-    /// The registration of an incarnation that no record names yet.
+    /// Creates the registration of an incarnation that has no record yet.
     pub fn new(incarnation: u64) -> Self {
         Registration {
             incarnation,
@@ -41,26 +41,26 @@
         self.incarnation
     }
 
-    /// Whether the incarnation's record was seen to be durable.
+    /// Whether the state cache has shown that the incarnation's record is durable.
     pub fn is_registered(&self) -> bool {
         self.registered
     }
 
-    /// Compares the durable record of this controller, if there is one, with this incarnation.
-    /// Returns the record that has to be written; it counts as sent until
-    /// [`Registration::handle_write_reply`]. `now` is a time since the start of the process.
+    /// Compares this controller's durable record, if there is one, with this incarnation. Returns the
+    /// record that has to be written, if any; its write is pending until
+    /// [`Registration::handle_write_reply`] is called. `now` is the time since the start of the process.
     pub fn begin_write(
         &mut self,
         recorded: Option<&IncarnationRecord>,
         now: Timestamp,
     ) -> Option<IncarnationRecord> {
-        let short_runs_before = recorded.map_or(0, |record| record.short_runs);
-        let recorded_now = recorded.is_some_and(|record| record.incarnation == self.incarnation);
-        self.registered |= recorded_now;
+        let recorded_short_runs = recorded.map_or(0, |record| record.short_runs);
+        let is_recorded = recorded.is_some_and(|record| record.incarnation == self.incarnation);
+        self.registered |= is_recorded;
         let is_stable = now >= Timestamp::default() + STABLE_AFTER;
-        let short_runs = if !recorded_now {
-            short_runs_before.saturating_add(1)
-        } else if is_stable && short_runs_before > 0 {
+        let short_runs = if !is_recorded {
+            recorded_short_runs.saturating_add(1)
+        } else if is_stable && recorded_short_runs > 0 {
             0
         } else {
             return None;
@@ -75,7 +75,8 @@
         })
     }
 
-    /// Records that the write of the record was answered, with whatever result: the cache shows it.
+    /// Records that the write was answered. Its result does not matter here, because the state cache shows
+    /// whether the record is durable.
     pub fn handle_write_reply(&mut self) {
         self.write_pending = false;
     }
--- a/crates/controller/src/request_budget.rs
+++ b/crates/controller/src/request_budget.rs
@@ -5,18 +5,18 @@
 
 /// Maximum multiple of its even share of a budget that a controller uses while others use less.
 const MAX_RATE_FACTOR: f64 = 2.0;
-/// The multiple that a controller starts with.
+/// The multiple of its even share with which a controller starts.
 const INITIAL_RATE_FACTOR: f64 = 1.5;
-/// Multiplicative decrease of the factor after a refusal because the budget was exhausted.
+/// The rate factor is multiplied by this after a refusal because the budget was exhausted.
 const RATE_DECREASE: f64 = 0.8;
-/// Additive increase of the factor in a second without a refusal.
+/// Increase of the rate factor per second without a refusal.
 const RATE_INCREASE_PER_S: f64 = 0.05;
 
-/// A token bucket.
+/// A token bucket, optionally with an adaptive rate.
 #[derive(Debug, Clone)]
 pub struct TokenBucket {
     rate_per_ms: f64,
-    /// Multiple of the rate that is used now.
+    /// The bucket is refilled at this multiple of its rate at present.
     rate_factor: f64,
     max_rate_factor: f64,
     capacity: f64,
@@ -40,19 +40,19 @@
     /// A full bucket with an even share of a budget that other controllers use too. They are often idle,
     /// so the rate varies between that share and a multiple of it: it grows until the service
     /// refuses a call (additive increase, multiplicative decrease).
-    pub fn shared(even_per_s: f64, capacity: f64) -> Self {
+    pub fn shared(even_share_per_s: f64, capacity: f64) -> Self {
         TokenBucket {
             rate_factor: INITIAL_RATE_FACTOR,
             max_rate_factor: MAX_RATE_FACTOR,
-            ..TokenBucket::new(even_per_s, capacity)
+            ..TokenBucket::new(even_share_per_s, capacity)
         }
     }
 
     fn refill(&mut self, now: Timestamp) {
-        let passed_ms = now.duration_since(self.refilled_at).whole_millis() as f64;
-        let added = passed_ms * self.rate_per_ms * self.rate_factor;
+        let elapsed_ms = now.duration_since(self.refilled_at).whole_millis() as f64;
+        let added = elapsed_ms * self.rate_per_ms * self.rate_factor;
         self.level = (self.level + added).min(self.capacity);
-        let increase = passed_ms / 1000.0 * RATE_INCREASE_PER_S;
+        let increase = elapsed_ms / 1000.0 * RATE_INCREASE_PER_S;
         self.rate_factor = (self.rate_factor + increase).min(self.max_rate_factor);
         self.refilled_at = self.refilled_at.max(now);
     }
@@ -63,8 +63,8 @@
         self.level
     }
 
-    /// Takes `amount` tokens if at least `reserve` remain, for more important calls. A full bucket
-    /// without a reserve always gives, so that an amount above its capacity is possible at all.
+    /// Takes `amount` tokens if at least `reserve` tokens remain for more important calls. If the reserve
+    /// is 0, a full bucket grants any amount; otherwise no amount above its capacity could ever be taken.
     pub fn take(&mut self, now: Timestamp, amount: f64, reserve: f64) -> bool {
         self.refill(now);
         let is_enough = self.level >= amount + reserve;
@@ -76,7 +76,8 @@
         false
     }
 
-    /// Empties the bucket and lowers its rate: the service refused a call because the budget was exhausted.
+    /// Empties the bucket and lowers its rate, after the service refused a call because the budget was
+    /// exhausted.
     pub fn throttle(&mut self, now: Timestamp) {
         self.refill(now);
         self.level = self.level.min(0.0);
@@ -84,15 +85,15 @@
     }
 }
 
-/// Tokens that calls of a priority leave for more important ones. A negative reserve lets a call
-/// overdraw the budget by as much.
+/// Tokens that calls of a priority leave for more important calls. A negative reserve lets calls overdraw
+/// the budget by that amount.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Reserves {
     pub requests: f64,
     pub writes: f64,
 }
 
-/// Priority of a call to the state service, the highest first.
+/// Priority of a call to the state service, from the highest to the lowest.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum CallPriority {
     /// Leases, terms and the reads that keep the cache up to date.
--- a/crates/controller/src/serial_writer.rs
+++ b/crates/controller/src/serial_writer.rs
@@ -1,18 +1,24 @@
-//! One conditional write at a time.
+//! Serialises conditional writes to the state service: at most one is in flight.
 //!
 //! A component that packs many records into a value must know the value that it replaces. So the next
-//! write may be built only when the state cache shows the result of the one before. A write
+//! write may be built only when the state cache shows the result of the previous one. A write
 //! whose outcome is unknown is sent again unchanged: its conditions let it be applied at most
-//! once, and a conflict says that no copy of it can be applied any more.
+//! once, and a conflict means that no copy of it can be applied any more.
 
 use model::{Revision, Timestamp};
 use std::time::Duration;
 use wire::state::{StateReply, Transaction};
 
-/// Pause before a write with an unknown outcome is sent again.
+/// Delay before a write with an unknown outcome is sent again.
 pub(crate) const UNKNOWN_OUTCOME_RETRY_DELAY: Duration = Duration::from_millis(200);
+/// Delay of the next write after a throttled one.
+const THROTTLED_DELAY: Duration = Duration::from_millis(80);
+/// Delay of the next write after one that was refused for another reason.
+const REFUSED_DELAY: Duration = Duration::from_millis(200);
+/// Delay of the next write after one that the service rejected as invalid.
+const INVALID_DELAY: Duration = Duration::from_secs(1);
 
-/// Serialises writes; `T` is what the write in flight contains.
+/// Serialises writes. `T` describes the contents of the write in flight.
 #[derive(Debug)]
 pub(crate) struct SerialWriter<T> {
     in_flight: Option<(T, Transaction)>,
@@ -27,7 +33,7 @@
     Committed(T),
     /// These keys had changed: the write was not applied, unless an earlier copy was.
     Conflict(T, Vec<String>),
-    /// Certainly not applied.
+    /// The write was certainly not applied.
     Refused { contents: T, throttled: bool },
     /// The outcome is unknown: the write has to be sent again.
     Unknown(Transaction),
@@ -46,20 +52,20 @@
 }
 
 impl<T> SerialWriter<T> {
-    /// Whether the next write may be built from a cache at revision `known`.
-    pub fn is_ready(&self, now: Timestamp, known: Revision) -> bool {
-        self.in_flight.is_none() && now >= self.not_before && known >= self.settled_revision
+    /// Whether the next write may be built from a state cache at revision `cached`.
+    pub fn is_ready(&self, now: Timestamp, cached: Revision) -> bool {
+        self.in_flight.is_none() && now >= self.not_before && cached >= self.settled_revision
     }
 
-    /// Revision at which the last write was applied or met a conflict.
+    /// Revision at which the last write was applied or conflicted.
     pub fn settled_revision(&self) -> Revision {
         self.settled_revision
     }
 
-    /// Records a write that is sent; the next one may follow after `gap` at the earliest.
-    pub fn send(&mut self, contents: T, txn: Transaction, now: Timestamp, gap: Duration) {
+    /// Records that a write is sent. The next one is ready after `min_interval` at the earliest.
+    pub fn send(&mut self, contents: T, txn: Transaction, now: Timestamp, min_interval: Duration) {
         self.in_flight = Some((contents, txn));
-        self.not_before = now + gap;
+        self.not_before = now + min_interval;
     }
 
     /// The contents of the write in flight.
@@ -78,34 +84,34 @@
                 WriteOutcome::Committed(contents)
             }
             StateReply::Conflict { failed, revision } => {
-                tracing::debug!(?failed, puts = txn.writes.len(), "write conflicted");
+                tracing::debug!(?failed, writes = txn.writes.len(), "write conflicted");
                 self.settled_revision = Revision(revision);
                 WriteOutcome::Conflict(contents, failed)
             }
             StateReply::Refused { throttled } => {
-                let pause = if throttled {
-                    Duration::from_millis(80)
+                let delay = if throttled {
+                    THROTTLED_DELAY
                 } else {
-                    Duration::from_millis(200)
+                    REFUSED_DELAY
                 };
-                self.not_before = now + pause;
+                self.not_before = now + delay;
                 WriteOutcome::Refused {
                     contents,
                     throttled,
                 }
             }
             StateReply::Invalid(problem) => {
-                tracing::error!(problem, "write rejected as malformed");
-                self.not_before = now + Duration::from_secs(1);
+                tracing::error!(problem, "write rejected as invalid");
+                self.not_before = now + INVALID_DELAY;
                 WriteOutcome::Refused {
                     contents,
                     throttled: false,
                 }
             }
             _ => {
-                let again = txn.clone();
+                let retry = txn.clone();
                 self.in_flight = Some((contents, txn));
-                WriteOutcome::Unknown(again)
+                WriteOutcome::Unknown(retry)
             }
         }
     }
--- a/crates/controller/src/serial_writer/tests.rs
+++ b/crates/controller/src/serial_writer/tests.rs
@@ -1,9 +1,9 @@
-//! Serialised writes: what may be sent when, by the replies.
+//! Tests when the next write may be sent, depending on the reply to the previous one.
 
 use super::*;
 
 #[test]
-fn next_write_waits_for_the_cache_to_show_the_last() {
+fn next_write_waits_until_the_cache_shows_the_previous_one() {
     let mut writer = SerialWriter::default();
     let now = Timestamp::from_millis(10);
     assert!(writer.is_ready(now, Revision(3)));
@@ -11,7 +11,7 @@
     assert!(!writer.is_ready(now, Revision(3)));
     let outcome = writer.handle_reply(StateReply::Unknown, now);
     assert!(matches!(outcome, WriteOutcome::Unknown(_)), "{outcome:?}");
-    assert!(!writer.is_ready(now, Revision(3)), "the outcome is open");
+    assert!(!writer.is_ready(now, Revision(3)), "the outcome is unknown");
     let outcome = writer.handle_reply(StateReply::Committed { revision: 5 }, now);
     assert!(
         matches!(outcome, WriteOutcome::Committed("a")),
@@ -19,7 +19,7 @@
     );
     assert!(
         !writer.is_ready(now, Revision(4)),
-        "the cache does not show it yet"
+        "the cache does not show the write yet"
     );
     assert!(writer.is_ready(now, Revision(5)));
 }
--- a/crates/controller/src/state_sync.rs
+++ b/crates/controller/src/state_sync.rs
@@ -1,6 +1,6 @@
-//! Progress of keeping the state cache up to date: a full read in pages, then watches.
+//! The reads that keep the state cache up to date: a full read in pages, then watches.
 //!
-//! The component decides which read is due and records when reads were sent; the
+//! [`StateSync`] decides which read is due and records when reads were sent; the
 //! [`StateCache`](crate::state_cache::StateCache) holds what they returned. Every rule that needs
 //! recent knowledge counts from the time at which a read was *sent*.
 
@@ -26,7 +26,7 @@
     pub request: StateRequest,
 }
 
-/// A full read: complete, or as far as its pages have come.
+/// A full read: complete, or the pages that were read so far.
 #[derive(Debug, Default, PartialEq)]
 pub struct FullRead {
     pub items: Vec<Item>,
@@ -34,33 +34,33 @@
 }
 
 impl FullRead {
-    /// Revision of the first page. Later pages may be newer; the watch repeats what lies between.
+    /// Revision of the first page. Later pages may be newer; the watch then repeats the changes in between.
     pub fn revision(&self) -> u64 {
         self.revision.unwrap_or(0)
     }
 }
 
-/// What follows from the reply to a page of the full read.
+/// The next step after the reply to a page of the full read.
 #[derive(Debug, PartialEq)]
 pub enum FullReadStep {
     /// No full read is in progress.
     Ignored,
-    /// The next page is to be read.
+    /// The next page has to be read.
     NextPage(SyncRequest),
-    /// All pages are there: the cache is to be replaced by them.
+    /// All pages have been read: they replace the contents of the cache.
     Complete(FullRead),
-    /// The read has to start again: there was no page.
+    /// The full read has to start again, because the reply held no page.
     Failed(SyncRequest),
-    /// The read has to start again: the page does not follow the one before.
+    /// The full read has to start again, because the page does not follow the previous one.
     Malformed(SyncRequest),
 }
 
-/// What follows from the reply to a watch.
+/// The next step after the reply to a watch.
 #[derive(Debug, PartialEq)]
 pub enum WatchStep<'a> {
-    /// Changes for the cache.
+    /// These changes have to be applied to the cache.
     Changed(&'a Changes),
-    /// The changes are no longer kept: a full read is due.
+    /// The service no longer keeps the requested changes: a full read is due.
     Compacted,
     /// The watch has to be sent again.
     Failed,
@@ -87,7 +87,8 @@
         self.last_read_at
     }
 
-    /// Sending time of the one before: a change that the last read showed was made after it.
+    /// Sending time of the confirmed read before the last one. A change that only the last one showed was
+    /// made after this time.
     pub fn previous_read_at(&self) -> Option<Timestamp> {
         self.previous_read_at
     }
@@ -98,8 +99,8 @@
             .is_some_and(|at| now.duration_since(at) <= max_age)
     }
 
-    /// The read that is due, if any; it counts as sent. A watch asks for the changes after
-    /// `revision` and lets the service wait for `watch_wait`.
+    /// Returns the read that is due, if any, and counts it as sent. A watch requests the changes after
+    /// `revision` and lets the service wait up to `watch_wait` for one.
     pub fn begin_read(&mut self, revision: Revision, watch_wait: Duration) -> Option<SyncRequest> {
         if !self.synced && self.full_read.is_none() {
             self.full_read = Some(FullRead::default());
@@ -127,9 +128,9 @@
         let Some(read) = self.full_read.as_mut() else {
             return FullReadStep::Ignored;
         };
-        let last = read.items.last().map_or("", |item| item.key.as_str());
-        if !page.follows(WATCHED_PREFIX, last) {
-            tracing::error!(last, "full read page out of order");
+        let last_key = read.items.last().map_or("", |item| item.key.as_str());
+        if !page.follows(WATCHED_PREFIX, last_key) {
+            tracing::error!(last_key, "full read page out of order");
             return FullReadStep::Malformed(self.restart_full_read());
         }
         read.revision.get_or_insert(page.revision);
@@ -166,7 +167,7 @@
         }
     }
 
-    /// Records that the changes after the cache's revision are no longer kept: a full read is due.
+    /// Records that the service no longer keeps the changes after the cache's revision: a full read is due.
     pub fn require_full_read(&mut self) {
         self.synced = false;
     }
--- a/crates/controller/tests/controller_lease.rs
+++ b/crates/controller/tests/controller_lease.rs
@@ -1,4 +1,4 @@
-//! The controller's own lease: creation, renewal and expiry.
+//! Tests of the controller's own lease: creation, renewal and expiry.
 
 use controller::controller_lease::{ControllerLease, LeaseCall};
 use model::{LeaseId, Timestamp};
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn one_call_is_pending_at_a_time() {
+fn no_second_call_is_due_while_one_is_pending() {
     let mut lease = ControllerLease::default();
     assert_eq!(lease.begin_call(at(0)), Some(LeaseCall::Create));
     assert_eq!(lease.begin_call(at(5_000)), None);
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn renewal_interval_counts_from_sending_time() {
+fn renewal_interval_counts_from_the_sending_time_of_the_last_renewal() {
     let mut lease = created_lease();
     let renewal = LeaseCall::Renew(LeaseId(7));
     assert_eq!(lease.begin_call(at(909)), None);
@@ -40,13 +40,13 @@
     assert_eq!(
         lease.current(),
         Some(LeaseId(7)),
-        "it may have been renewed"
+        "the lease may have been renewed"
     );
     assert_eq!(lease.begin_call(at(2_200)), Some(renewal));
 }
 
 #[test]
-fn expired_lease_is_replaced_at_once() {
+fn expired_lease_is_replaced_immediately() {
     let mut lease = created_lease();
     assert!(lease.begin_call(at(910)).is_some());
     lease.handle_renewal(LeaseId(7), &StateReply::LeaseGone, at(910), at(920));
--- a/crates/controller/tests/pending_calls.rs
+++ b/crates/controller/tests/pending_calls.rs
@@ -1,4 +1,4 @@
-//! Unanswered calls.
+//! Tests of the registry of unanswered calls.
 
 use controller::pending_calls::PendingCalls;
 use model::CallId;
@@ -12,5 +12,5 @@
     assert_eq!(calls.complete(first), Some("first"));
     assert_eq!(calls.complete(first), None);
     assert_eq!(calls.complete(CallId(3)), None);
-    assert_eq!(calls.register("third"), CallId(3), "ids are not used again");
+    assert_eq!(calls.register("third"), CallId(3), "ids are not reused");
 }
--- a/crates/controller/tests/registration.rs
+++ b/crates/controller/tests/registration.rs
@@ -1,4 +1,4 @@
-//! Registration of incarnations and detection of crash loops.
+//! Tests of the registration of incarnations and of the detection of crash loops.
 
 use controller::records::IncarnationRecord;
 use controller::registration::{is_crash_loop, Registration};
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn unanswered_or_failed_write_is_repeated_after_its_reply() {
+fn write_is_repeated_if_the_record_does_not_appear_after_its_reply() {
     let mut registration = Registration::new(9);
     let now = Timestamp::default();
     assert!(registration.begin_write(None, now).is_some());
--- a/crates/controller/tests/request_budget.rs
+++ b/crates/controller/tests/request_budget.rs
@@ -1,10 +1,10 @@
-//! Token buckets: rate, reserve and the adaptive rate of a shared budget.
+//! Tests of token buckets: their rate, their reserve and the adaptive rate of a shared budget.
 
 use controller::request_budget::TokenBucket;
 use model::Timestamp;
 
 #[test]
-fn bucket_keeps_its_rate_and_its_reserve() {
+fn bucket_limits_the_rate_and_keeps_the_reserve() {
     let mut bucket = TokenBucket::new(10.0, 5.0);
     let taken = (0..20)
         .filter(|_| bucket.take(Timestamp::from_millis(0), 1.0, 0.0))
@@ -13,7 +13,7 @@
     assert!(!bucket.take(Timestamp::from_millis(50), 1.0, 0.0));
     assert!(
         !bucket.take(Timestamp::from_millis(100), 1.0, 2.0),
-        "the reserve stays"
+        "the reserve must be kept"
     );
     assert!(bucket.take(Timestamp::from_millis(100), 1.0, 0.0));
     bucket.throttle(Timestamp::from_millis(200));
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn shared_bucket_shrinks_to_its_even_share_and_grows_again() {
+fn rate_of_a_shared_bucket_falls_to_its_even_share_and_recovers() {
     let mut bucket = TokenBucket::shared(10.0, 100.0);
     for _ in 0..10 {
         bucket.throttle(Timestamp::from_millis(0));
--- a/crates/controller/tests/state_client.rs
+++ b/crates/controller/tests/state_client.rs
@@ -1,4 +1,4 @@
-//! Outgoing calls to the state service: order, budgets and retries.
+//! Tests of outgoing calls to the state service: order, budgets and retries.
 
 use controller::request_budget::CallPriority;
 use controller::state_client::{Budget, QueuedCall, StateClient};
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn reads_pass_a_write_that_waits_for_budget() {
+fn reads_overtake_a_write_that_waits_for_its_budget() {
     let mut client = client();
     let now = Timestamp::default();
     client.handle_throttled(now, Budget::Writes);
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn queued_transaction_forbids_writes_of_its_priority_and_below() {
+fn queued_transaction_blocks_further_writes_of_its_priority_and_below() {
     let mut client = client();
     let now = Timestamp::default();
     assert!(client.may_write(now, CallPriority::UserRequest, 1.0));
@@ -81,7 +81,7 @@
 }
 
 #[test]
-fn retry_waits_for_its_delay_and_then_goes_first() {
+fn retry_waits_for_its_delay_and_is_then_dispatched_first() {
     let mut client = client();
     let mut rng = SmallRng::seed_from_u64(7);
     let now = Timestamp::default();
@@ -99,7 +99,7 @@
 }
 
 #[test]
-fn completion_returns_the_sending_time_once() {
+fn completing_a_call_returns_its_sending_time_once() {
     let mut client = client();
     let sent_at = Timestamp::from_millis(5);
     client.enqueue(CallPriority::Coordination, read(1));
@@ -110,7 +110,7 @@
 }
 
 #[test]
-fn watch_may_take_its_waiting_time_longer() {
+fn timeout_of_a_watch_includes_its_waiting_time() {
     let mut client = client();
     client.enqueue(CallPriority::Coordination, read(1));
     client.enqueue(
--- a/crates/controller/tests/state_sync.rs
+++ b/crates/controller/tests/state_sync.rs
@@ -1,4 +1,4 @@
-//! Progress of the full read and of watches.
+//! Tests of the full reads and watches that keep the state cache up to date.
 
 use controller::state_sync::{FullReadStep, StateSync, SyncCall, WatchStep};
 use model::{Revision, Timestamp};
@@ -40,9 +40,11 @@
 }
 
 #[test]
-fn full_read_collects_its_pages_at_the_revision_of_the_first() {
+fn full_read_collects_all_pages_and_has_the_revision_of_the_first() {
     let mut sync = StateSync::default();
-    let first = sync.begin_read(Revision(0), WATCH_WAIT).expect("due");
+    let first = sync
+        .begin_read(Revision(0), WATCH_WAIT)
+        .expect("a read is due");
     assert_eq!(first.call, SyncCall::FullReadPage);
     assert_eq!(listed_after(&first.request), "");
     assert_eq!(sync.begin_read(Revision(0), WATCH_WAIT), None);
@@ -69,22 +71,28 @@
     let step = sync.handle_full_read_page(page(&["s/b/a"], false, 5));
     assert!(matches!(step, FullReadStep::Malformed(_)), "{step:?}");
     let step = sync.handle_full_read_page(StateReply::Unknown);
-    let FullReadStep::Failed(again) = step else {
+    let FullReadStep::Failed(restart) = step else {
         panic!("{step:?}");
     };
-    assert_eq!(listed_after(&again.request), "");
+    assert_eq!(listed_after(&restart.request), "");
     let step = sync.handle_full_read_page(page(&["s/b/a"], false, 6));
     let FullReadStep::Complete(read) = step else {
         panic!("{step:?}");
     };
-    assert_eq!(read.items.len(), 1, "nothing of the reads before");
+    assert_eq!(
+        read.items.len(),
+        1,
+        "items of the failed reads must be dropped"
+    );
     assert_eq!(read.revision(), 6);
 }
 
 #[test]
-fn watch_follows_the_full_read_and_compaction_requires_another() {
+fn watches_follow_a_full_read_until_compaction_requires_another() {
     let mut sync = synced();
-    let watch = sync.begin_read(Revision(4), WATCH_WAIT).expect("due");
+    let watch = sync
+        .begin_read(Revision(4), WATCH_WAIT)
+        .expect("a read is due");
     assert_eq!(watch.call, SyncCall::Watch);
     assert_eq!(sync.begin_read(Revision(4), WATCH_WAIT), None);
     assert_eq!(
@@ -106,12 +114,14 @@
         WatchStep::Compacted
     );
     assert!(!sync.is_synced());
-    let read = sync.begin_read(Revision(4), WATCH_WAIT).expect("due");
+    let read = sync
+        .begin_read(Revision(4), WATCH_WAIT)
+        .expect("a read is due");
     assert_eq!(read.call, SyncCall::FullReadPage);
 }
 
 #[test]
-fn read_age_counts_from_the_latest_sending_time() {
+fn age_of_the_last_read_counts_from_the_latest_sending_time() {
     let mut sync = synced();
     let age = Duration::from_millis(100);
     assert!(!sync.has_recent_read(Timestamp::from_millis(10), age));
