--- a/crates/controller/src/controller/leadership/machine_failures.rs
+++ b/crates/controller/src/controller/leadership/machine_failures.rs
@@ -42,7 +42,7 @@
     pub(super) fn workers_are_unreachable(&self, partition: PartitionId) -> bool {
         let now = self.now;
         // Workers send the next heartbeat after at most 1.25 times the interval. Their leases run
-        // down while this timeout does.
+        // down during this timeout.
         let timeout = Duration::from_millis(
             self.settings.workers.heartbeat_interval.whole_millis() * 2 + 500,
         );
@@ -68,8 +68,8 @@
         }
         // While this controller is paused, workers turn to others; afterwards they need the same time
         // to find it again.
-        let since = leadership.leading_since.max(self.running_since);
-        now.duration_since(since) >= timeout + RESIGNATION_GRACE
+        let reachable_since = leadership.leading_since.max(self.running_since);
+        now.duration_since(reachable_since) >= timeout + RESIGNATION_GRACE
             && count >= 2
             && unresponsive * 10 >= count * 9
     }
@@ -80,11 +80,11 @@
         let Some(leadership) = self.leaderships.get_mut(&partition) else {
             return;
         };
-        let since = leadership.leading_since;
+        let leading_since = leadership.leading_since;
         let Some(partition_state) = leadership.partition_state_mut() else {
             return;
         };
-        for probe in partition_state.machines_to_probe(since, now) {
+        for probe in partition_state.machines_to_probe(leading_since, now) {
             let Probe {
                 machine,
                 address,
@@ -108,14 +108,14 @@
             return;
         };
         // Workers need time to find a new leader, or to find this one again after a pause.
-        let since = leadership.leading_since.max(self.running_since);
+        let reachable_since = leadership.leading_since.max(self.running_since);
         let Some(partition_state) = leadership.partition_state_mut() else {
             return;
         };
         let mut unresponsive = partition_state.lost_machines();
-        if now.duration_since(since) >= timeouts.timeout + RELEASE_GRACE {
+        if now.duration_since(reachable_since) >= timeouts.timeout + RELEASE_GRACE {
             unresponsive.extend(partition_state.unresponsive_machines_with_replicas(
-                since,
+                reachable_since,
                 now,
                 timeouts.regular_timeout,
                 timeouts.timeout,
--- a/crates/controller/src/controller/leadership/machine_transfers.rs
+++ b/crates/controller/src/controller/leadership/machine_transfers.rs
@@ -22,8 +22,8 @@
             .and_then(PartitionLeadership::partition_state_mut)
     }
 
-    /// Handles the fleet planner's request for an idle machine: it is transferred to the partition `to`,
-    /// or released to the cloud if there is none.
+    /// Handles the fleet planner's request for an idle machine, which is transferred to the partition
+    /// `to`, or released to the cloud if `to` is none.
     pub(in crate::controller) fn handle_release_request(&mut self, machine: &str, to: Option<u32>) {
         let name = MachineName::from(machine);
         let Some(partition) = self
--- a/crates/controller/src/controller/leadership/mod.rs
+++ b/crates/controller/src/controller/leadership/mod.rs
@@ -59,8 +59,8 @@
     Loaded(Box<LoadedPartition>),
 }
 
-/// Whether a transaction that ends this leadership is pending. Whether a successor is known is kept
-/// separately, since a successor may announce itself with or without such a transaction.
+/// Whether a transaction that ends this leadership is pending. A known successor is recorded separately,
+/// since it may announce itself with or without such a transaction.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum TransferState {
     /// No such transaction is pending.
@@ -129,7 +129,7 @@
         self.term
     }
 
-    /// The lower bound of the tokens in replies to the partition's machines.
+    /// Lower bound of the tokens in replies to the partition's machines.
     pub(super) fn token(&self) -> FencingToken {
         self.term.max(self.token_raise.token())
     }
--- a/crates/controller/src/controller/leadership/partition_status.rs
+++ b/crates/controller/src/controller/leadership/partition_status.rs
@@ -23,7 +23,7 @@
 /// The last write of a partition's unmet demand.
 #[derive(Debug, Clone, Copy)]
 pub(in crate::controller) struct DemandWrite {
-    at: Timestamp,
+    written_at: Timestamp,
     had_demand: bool,
 }
 
@@ -52,13 +52,13 @@
         let has_demand = !status.demand.is_empty();
         let last_write = self.demand_writes.get(&partition);
         let due = last_write
-            .is_none_or(|write| self.now.duration_since(write.at) >= DEMAND_WRITE_INTERVAL);
+            .is_none_or(|write| self.now.duration_since(write.written_at) >= DEMAND_WRITE_INTERVAL);
         let had_demand = last_write.is_some_and(|write| write.had_demand);
         if !(has_demand || had_demand) || !due || !self.may_write(CallPriority::Placement, 1.0) {
             return;
         }
         let write = DemandWrite {
-            at: self.now,
+            written_at: self.now,
             had_demand: has_demand,
         };
         self.demand_writes.insert(partition, write);
@@ -109,7 +109,7 @@
             let Some(leadership) = self.leaderships.get_mut(&partition) else {
                 continue;
             };
-            let Some(status) = leadership.status(partition, now) else {
+            let Some(status) = leadership.prepare_status(partition, now) else {
                 continue;
             };
             statuses.push(status);
@@ -167,7 +167,11 @@
     /// The partition's status for the fleet planner, once the partition is loaded. Best-effort and
     /// co-located work is evicted first where the status would otherwise show demand that the machines
     /// it occupies could meet.
-    fn status(&mut self, partition: PartitionId, now: Timestamp) -> Option<PartitionStatus> {
+    fn prepare_status(
+        &mut self,
+        partition: PartitionId,
+        now: Timestamp,
+    ) -> Option<PartitionStatus> {
         let term = self.term.0;
         let partition_state = self.partition_state_mut()?;
         if now.as_millis() % SUMMARY_LOG_PERIOD_MS < SUMMARY_LOG_WINDOW_MS {
--- a/crates/controller/src/controller/leadership/record_changes.rs
+++ b/crates/controller/src/controller/leadership/record_changes.rs
@@ -52,7 +52,7 @@
         let cancelled = self.cache.is_cancelled(id);
         let now = self.now;
         let logical_clock_offset = self.logical_clock_offset;
-        let until =
+        let leases_renewable_until =
             self.state_sync.previous_read_at().unwrap_or_default() + self.settings.lease_validity();
         let Some(partition_state) = self
             .leaderships
@@ -68,13 +68,14 @@
         if cancelled {
             partition_state.cancel_job(id, now);
             // The cancellation was confirmed no earlier than the previous read of changes.
-            partition_state.bound_lease_renewal(id, until);
+            partition_state.bound_lease_renewal(id, leases_renewable_until);
         }
     }
 
-    /// Stops the tasks of a job that a peer has announced as recorded as cancelled. This stays true
-    /// however late the message arrives, so the tasks are stopped at once, also by a leader that cannot
-    /// read the state service. The job's status and terminal state follow the records.
+    /// Stops the tasks of a job whose cancellation a peer has announced. The message says that the
+    /// cancellation is recorded, which stays true however late it arrives. So the tasks are stopped at
+    /// once, also by a leader that cannot read the state service. The job's status and its terminal
+    /// state follow the records.
     pub(in crate::controller) fn stop_cancelled_job(&mut self, id: JobId) {
         let Some(team) = self.cache.jobs.get(&id).map(|job| job.spec.team.clone()) else {
             return;
@@ -83,7 +84,7 @@
             return;
         };
         let now = self.now;
-        let until =
+        let leases_renewable_until =
             self.state_sync.last_read_at().unwrap_or_default() + self.settings.lease_validity();
         let partition_state = self
             .leaderships
@@ -99,7 +100,7 @@
         };
         self.counters.cancelled_by_message += 1;
         partition_state.cancel_job(id, now);
-        partition_state.bound_lease_renewal(id, until);
+        partition_state.bound_lease_renewal(id, leases_renewable_until);
     }
 
     /// Applies a machine's changed record.
--- a/crates/controller/src/controller/machine_records.rs
+++ b/crates/controller/src/controller/machine_records.rs
@@ -51,8 +51,8 @@
         self.requested.contains_key(name)
     }
 
-    /// Requests a change. It is dropped if another change of the machine is already requested, except
-    /// that a deletion replaces that.
+    /// Requests a change. It is ignored if another change of the machine is already requested, unless it
+    /// is a deletion, which replaces that change.
     pub fn request(&mut self, name: &MachineName, change: MachineChange) {
         if change == MachineChange::Delete {
             self.requested.insert(name.clone(), change);
--- a/crates/controller/src/placement_log/commit.rs
+++ b/crates/controller/src/placement_log/commit.rs
@@ -8,8 +8,8 @@
 use wire::state::{Transaction, Write};
 
 /// Identifies a commit. Every leader continues from the highest commit number in the log, so a commit
-/// may have the same number as a commit of the previous leader that was never written. Therefore the id
-/// includes the version of the partition's record under which the commit was made.
+/// may have the same number as one of the previous leader that was never written. Therefore the id also
+/// contains the version of the partition's record under which the commit was made.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct CommitId {
     pub(super) number: u64,
@@ -18,8 +18,9 @@
 
 /// A page that a commit writes.
 #[derive(Debug, Clone, Copy)]
-pub(super) struct PageCommit {
+pub(super) struct WrittenPage {
     pub page: usize,
+    /// Each page of a commit has a number of its own; the numbers are consecutive.
     pub commit_number: u64,
 }
 
@@ -38,7 +39,7 @@
     /// Chunks that the commit adds or updates.
     pub chunk_keys: Vec<ChunkKey>,
     pub(super) partition_version: Version,
-    pub(super) pages: Vec<PageCommit>,
+    pub(super) pages: Vec<WrittenPage>,
     pub(super) entries: Vec<CommittedEntry>,
     pub(super) dropped: Vec<ChunkKey>,
 }
@@ -107,7 +108,7 @@
     /// Changes that are not on any page of the commit yet.
     changes: VecDeque<(ChunkKey, TaskChunk)>,
     /// Keys of the changes that are on a page of the commit.
-    written: BTreeSet<ChunkKey>,
+    written_keys: BTreeSet<ChunkKey>,
     /// Number of pages of the log, including those that the commit adds.
     page_count: usize,
     commit_number: u64,
@@ -131,7 +132,7 @@
         CommitBuilder {
             commit,
             changes: VecDeque::from(changes),
-            written: BTreeSet::new(),
+            written_keys: BTreeSet::new(),
             page_count: log.pages.len(),
             commit_number: log.commit_number,
         }
@@ -141,7 +142,7 @@
     /// false if the commit already writes the page.
     pub(super) fn add_page(&mut self, log: &PlacementLog, step: usize) -> bool {
         let mut page = (log.cursor + step) % self.page_count;
-        let mut draft = PageDraft::new(log.kept_entries(page, &self.written));
+        let mut draft = PageDraft::new(log.kept_entries(page, &self.written_keys));
         if draft.is_nearly_full(log.page_capacity_bytes) && !self.changes.is_empty() {
             page = self.page_count;
             self.page_count += 1;
@@ -159,13 +160,16 @@
 
     /// Drops the empty entries of which no page can hold an older copy.
     fn drop_empty_entries(&mut self, log: &PlacementLog, draft: &mut PageDraft) {
-        let oldest = log.oldest_commit_number();
+        let oldest_number = log.oldest_commit_number();
         let droppable: Vec<ChunkKey> = draft
             .entries
             .iter()
             .filter(|(_, entry)| entry.chunk.is_empty())
             .map(|(key, _)| *key)
-            .filter(|key| log.commit_number_of(key).is_some_and(|kept| oldest >= kept))
+            .filter(|key| {
+                log.commit_number_of(key)
+                    .is_some_and(|number| oldest_number >= number)
+            })
             .collect();
         for key in droppable {
             draft.remove(&key);
@@ -182,7 +186,7 @@
                 return;
             }
             draft.insert(key, content.clone());
-            self.written.insert(key);
+            self.written_keys.insert(key);
             self.commit.chunk_keys.push(key);
             let entry = LogEntry { page, content };
             self.commit.entries.push(CommittedEntry { key, entry });
@@ -200,7 +204,7 @@
         let key = log.page_key(page);
         let txn = std::mem::take(&mut self.commit.txn);
         self.commit.txn = txn.when(&key, version).write(Write::put(&key, value));
-        self.commit.pages.push(PageCommit {
+        self.commit.pages.push(WrittenPage {
             page,
             commit_number: self.commit_number,
         });
@@ -213,8 +217,10 @@
 
     /// The commit, and the keys of the changes that did not fit.
     pub(super) fn finish(mut self) -> (LogCommit, Vec<ChunkKey>) {
-        let written = &self.written;
-        self.commit.dropped.retain(|key| !written.contains(key));
+        let written_keys = &self.written_keys;
+        self.commit
+            .dropped
+            .retain(|key| !written_keys.contains(key));
         let left_out = self.changes.into_iter().map(|(key, _)| key).collect();
         (self.commit, left_out)
     }
--- a/crates/controller/src/placement_log/mod.rs
+++ b/crates/controller/src/placement_log/mod.rs
@@ -232,14 +232,14 @@
     fn kept_entries(
         &self,
         page: usize,
-        written: &BTreeSet<ChunkKey>,
+        written_keys: &BTreeSet<ChunkKey>,
     ) -> BTreeMap<ChunkKey, SizedChunk> {
         let keys = self
             .pages
             .get(page)
             .into_iter()
             .flat_map(|page| &page.entries);
-        keys.filter(|key| !written.contains(*key))
+        keys.filter(|key| !written_keys.contains(*key))
             .filter_map(|key| Some((*key, self.entries.get(key)?.content.clone())))
             .collect()
     }
--- a/crates/controller/src/placement_log/stored.rs
+++ b/crates/controller/src/placement_log/stored.rs
@@ -8,8 +8,8 @@
 
 /// Highest accepted page number, far above what a partition uses.
 const MAX_PAGE_NUMBER: usize = 100_000;
-/// Exclusive upper bound of commit numbers. It is never reached in practice, and leaves room for the
-/// numbers that follow.
+/// Exclusive upper bound of the commit numbers of stored pages. It is never reached, and low enough that
+/// the numbers that follow do not overflow.
 const MAX_COMMIT_NUMBER: u64 = 1 << 62;
 /// Number of chunks of the largest job.
 const MAX_CHUNKS: u32 = (MAX_TASKS as u32).div_ceil(TASKS_PER_CHUNK);
--- a/crates/controller/src/records.rs
+++ b/crates/controller/src/records.rs
@@ -38,8 +38,8 @@
         .saturating_sub(PAGE_OVERHEAD_BYTES)
 }
 
-/// Size of a packed entry on its page, including the separator. An entry that cannot be encoded gets a
-/// size that fits on no page.
+/// Size of a packed entry in bytes, including the separator. An entry that cannot be encoded gets a size
+/// that fits on no page.
 pub fn packed_bytes<T: Serialize>(entry: &T) -> usize {
     serde_json::to_vec(entry).map_or(usize::MAX / 2, |bytes| bytes.len() + 1)
 }
--- a/crates/controller/src/state_cache/apply.rs
+++ b/crates/controller/src/state_cache/apply.rs
@@ -66,7 +66,7 @@
     }
 
     /// Applies the token counter. The next token never decreases in the cache, whatever is written.
-    fn apply_counter(&mut self, key: &str, value: &Value, version: Version) {
+    fn apply_token_counter(&mut self, key: &str, value: &Value, version: Version) {
         let Some(mut record) = self.decode::<TokenCounterRecord>(key, value) else {
             return;
         };
@@ -85,7 +85,7 @@
         self.token_counter = Some(Versioned { record, version });
     }
 
-    /// Applies a created or changed record, according to the kind in its key.
+    /// Applies a created or changed record, according to the kind in its key (see `records/keys.rs`).
     fn apply_put(&mut self, key: &str, value: &Value, version: u64, changed: &mut Vec<CacheEvent>) {
         let version = Version(version);
         let Some((kind, name)) = split_key(key) else {
@@ -100,18 +100,18 @@
                 };
                 let record: BTreeSet<JobId> = record.jobs.into_iter().map(JobId).collect();
                 let name = ControllerName::from(name);
-                let before = self.cancellations.get(&name).map(|known| &known.record);
-                let new = record
+                let previous = self.cancellations.get(&name).map(|known| &known.record);
+                let added = record
                     .iter()
-                    .filter(|id| before.is_none_or(|old| !old.contains(id)));
-                changed.extend(new.map(|id| CacheEvent::Job(*id)));
+                    .filter(|id| previous.is_none_or(|old| !old.contains(id)));
+                changed.extend(added.map(|id| CacheEvent::Job(*id)));
                 self.cancellations
                     .insert(name, Versioned { record, version });
             }
             "e" => self.apply_terminal_jobs_page(key, name, value, version, changed),
             "p" => {
-                let read = self.decode_numbered(key, parse_partition(name), value);
-                let Some((partition, record)) = read else {
+                let decoded = self.decode_numbered(key, parse_partition(name), value);
+                let Some((partition, record)) = decoded else {
                     return;
                 };
                 self.partitions
@@ -119,22 +119,22 @@
                 changed.push(CacheEvent::Partition(partition));
             }
             "w" => {
-                let read = self.decode_numbered(key, parse_partition(name), value);
-                if let Some((partition, record)) = read {
+                let decoded = self.decode_numbered(key, parse_partition(name), value);
+                if let Some((partition, record)) = decoded {
                     self.reclaim_requests
                         .insert(partition, Versioned { record, version });
                 }
             }
             "d" => {
-                let read = self.decode_numbered(key, parse_partition(name), value);
-                if let Some((partition, record)) = read {
+                let decoded = self.decode_numbered(key, parse_partition(name), value);
+                if let Some((partition, record)) = decoded {
                     self.demand_versions.insert(partition, version);
                     changed.push(CacheEvent::Demand(partition, record));
                 }
             }
             "m" => {
-                let read = self.decode_numbered(key, parse_page_number(name), value);
-                if let Some((page, record)) = read {
+                let decoded = self.decode_numbered(key, parse_page_number(name), value);
+                if let Some((page, record)) = decoded {
                     self.apply_machines_page(page, record, version, changed);
                 }
             }
@@ -147,7 +147,7 @@
                     .insert(name.clone(), Versioned { record, version });
                 changed.push(CacheEvent::Incarnation(name));
             }
-            "t" => self.apply_counter(key, value, version),
+            "t" => self.apply_token_counter(key, value, version),
             "k" => {
                 let Some(record) = self.decode(key, value) else {
                     return;
--- a/crates/controller/src/state_cache/mod.rs
+++ b/crates/controller/src/state_cache/mod.rs
@@ -60,7 +60,7 @@
     pub max_bytes: usize,
 }
 
-/// A change of the cache, to be handled by the component that is concerned.
+/// A change of the cache that the controller's components have to handle.
 #[derive(Debug, Clone, PartialEq)]
 pub enum CacheEvent {
     /// A job was accepted or cancelled, or a full read no longer contains it.
--- a/crates/controller/src/state_cache/pages.rs
+++ b/crates/controller/src/state_cache/pages.rs
@@ -21,8 +21,8 @@
         let number = key
             .rsplit_once('/')
             .and_then(|(_, page)| parse_page_number(page));
-        let read = self.decode_numbered::<_, AcceptedJobsPage>(key, number, value);
-        let Some((_, page)) = read else { return };
+        let decoded = self.decode_numbered::<_, AcceptedJobsPage>(key, number, value);
+        let Some((_, page)) = decoded else { return };
         let mut ids = Vec::new();
         let mut unreadable = Vec::new();
         for entry in page.jobs {
@@ -96,8 +96,8 @@
                 parse_page_number(page)?,
             ))
         });
-        let read = self.decode_numbered::<_, TerminalJobsPage>(key, partition_and_page, value);
-        let Some((partition_and_page, record)) = read else {
+        let decoded = self.decode_numbered::<_, TerminalJobsPage>(key, partition_and_page, value);
+        let Some((partition_and_page, record)) = decoded else {
             return;
         };
         for (id, state) in record.jobs() {
