--- a/crates/controller/src/controller/leadership/commits.rs
+++ b/crates/controller/src/controller/leadership/commits.rs
@@ -13,7 +13,7 @@
 const OUTCOME_COMMIT_INTERVAL: Duration = Duration::from_millis(400);
 /// Delay before a commit that the state service has throttled is sent again.
 const THROTTLED_RETRY_DELAY: Duration = Duration::from_millis(80);
-/// Delay before a commit with an unknown outcome is sent again.
+/// Delay before a commit is sent again that was refused for another reason or whose outcome is unknown.
 const COMMIT_RETRY_DELAY: Duration = Duration::from_millis(200);
 /// Delay before the page that shows whether a commit was applied is read again.
 const VERIFICATION_RETRY_DELAY: Duration = Duration::from_millis(150);
