--- a/crates/trackcrank/src/cli.rs
+++ b/crates/trackcrank/src/cli.rs
@@ -1,4 +1,4 @@
-//! The command line: serving, checking a settings file, and admin commands.
+//! The command line: runs a controller, checks a settings file, or sends an admin command.
 
 use crate::clients::HttpClient;
 use crate::error::CliError;
@@ -19,10 +19,10 @@
 #[command(
     name = "trackcrank",
     version,
-    about = "A cluster scheduler's controller node"
+    about = "Controller of the trackcrank cluster scheduler"
 )]
 struct Arguments {
-    /// Serve as the controller that this settings file describes.
+    /// Run the controller that this settings file configures.
     #[arg(long, value_name = "FILE")]
     config: Option<PathBuf>,
     #[command(subcommand)]
@@ -33,25 +33,26 @@
 enum Command {
     /// Check a settings file.
     Check { file: PathBuf },
-    /// Read and change a running controller's settings and views.
+    /// Query a running controller, or change the operators' settings.
     Admin {
         /// Address of the controller, such as 10.0.0.1:8080.
-        #[arg(long, value_name = "ADDRESS")]
-        node: String,
+        #[arg(long = "node", value_name = "ADDRESS")]
+        address: String,
         #[command(subcommand)]
-        what: Admin,
+        command: AdminCommand,
     },
 }
 
 #[derive(Subcommand)]
-enum Admin {
+enum AdminCommand {
     /// Show the operators' settings and their version.
     Settings,
-    /// Change settings: a JSON object of the fields that differ from their default.
+    /// Replace the operators' settings.
     Set {
-        /// The version that was read; a stale one is refused.
+        /// Version that the `settings` command shows; a stale one is refused.
         #[arg(long)]
         version: u64,
+        /// JSON object of the fields that differ from their defaults.
         settings: String,
     },
     /// Show the leader of each partition.
@@ -66,11 +67,11 @@
     Job { id: String },
 }
 
-/// Sends an admin command to a controller and prints the response.
-fn run_admin_command(node: &str, command: Admin) -> Result<(), CliError> {
+/// Sends an admin command to the controller at `address` and prints the response.
+fn run_admin_command(address: &str, command: AdminCommand) -> Result<(), CliError> {
     let (method, path, body) = match command {
-        Admin::Settings => (Method::GET, "settings".to_owned(), None),
-        Admin::Set { version, settings } => {
+        AdminCommand::Settings => (Method::GET, "settings".to_owned(), None),
+        AdminCommand::Set { version, settings } => {
             let settings: serde_json::Value =
                 serde_json::from_str(&settings).map_err(CliError::SettingsJson)?;
             let body = serde_json::json!({ "version": version, "settings": settings });
@@ -80,30 +81,31 @@
                 Some(body.to_string().into_bytes()),
             )
         }
-        Admin::Partitions => (Method::GET, "partitions".to_owned(), None),
-        Admin::Standby => (Method::GET, "standby".to_owned(), None),
-        Admin::Machines => (Method::GET, "machines".to_owned(), None),
-        Admin::Queues => (Method::GET, "queues".to_owned(), None),
-        Admin::Job { id } => (Method::GET, format!("jobs/{id}"), None),
+        AdminCommand::Partitions => (Method::GET, "partitions".to_owned(), None),
+        AdminCommand::Standby => (Method::GET, "standby".to_owned(), None),
+        AdminCommand::Machines => (Method::GET, "machines".to_owned(), None),
+        AdminCommand::Queues => (Method::GET, "queues".to_owned(), None),
+        AdminCommand::Job { id } => (Method::GET, format!("jobs/{id}"), None),
     };
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
         .map_err(CliError::Runtime)?;
     let path = format!("/admin/v1/{path}");
-    match runtime.block_on(HttpClient::new(None).plain(method, node, &path, body)) {
+    let client = HttpClient::new(None);
+    match runtime.block_on(client.call_admin_api(method, address, &path, body)) {
         Some((200, body)) => {
             println!("{body}");
             Ok(())
         }
-        Some((status, body)) => Err(CliError::Status { status, body }),
+        Some((status, body)) => Err(CliError::ErrorStatus { status, body }),
         None => Err(CliError::NoResponse {
-            node: node.to_owned(),
+            address: address.to_owned(),
         }),
     }
 }
 
-fn load(file: &Path) -> Result<Settings, CliError> {
+fn load_settings(file: &Path) -> Result<Settings, CliError> {
     let text = std::fs::read_to_string(file).map_err(|source| CliError::ReadFile {
         file: file.to_owned(),
         source,
@@ -119,18 +121,18 @@
         _ => LevelFilter::INFO,
     };
     // Debug lines of the HTTP libraries would hide those of this program.
-    let is_noisy = |name: &str| name.starts_with("hyper") || name.starts_with("poem");
+    let is_http_library = |target: &str| target.starts_with("hyper") || target.starts_with("poem");
     let filter = filter_fn(move |metadata| {
         *metadata.level() <= level
-            && (*metadata.level() <= Level::INFO || !is_noisy(metadata.target()))
+            && (*metadata.level() <= Level::INFO || !is_http_library(metadata.target()))
     });
-    let lines = tracing_subscriber::fmt::layer()
+    let layer = tracing_subscriber::fmt::layer()
         .with_writer(std::io::stderr)
         .with_ansi(false)
         .without_time()
         .with_target(false);
     tracing_subscriber::registry()
-        .with(lines.with_filter(filter))
+        .with(layer.with_filter(filter))
         .init();
 }
 
@@ -144,18 +146,20 @@
     }
 }
 
-/// Parses the command line and runs it.
+/// Parses the command line and runs the command that it names.
 pub fn run() -> ExitCode {
     let arguments = Arguments::parse();
     match (arguments.config, arguments.command) {
         (Some(file), None) => {
             start_logging();
-            exit_code(load(&file).and_then(|settings| Ok(serve(settings)?)))
+            exit_code(load_settings(&file).and_then(|settings| Ok(serve(settings)?)))
         }
-        (_, Some(Command::Check { file })) => exit_code(load(&file).map(|settings| {
+        (_, Some(Command::Check { file })) => exit_code(load_settings(&file).map(|settings| {
             println!("{}: good, {} teams", settings.name, settings.teams.len());
         })),
-        (_, Some(Command::Admin { node, what })) => exit_code(run_admin_command(&node, what)),
-        (None, None) => exit_code(Err(CliError::NothingToDo)),
+        (_, Some(Command::Admin { address, command })) => {
+            exit_code(run_admin_command(&address, command))
+        }
+        (None, None) => exit_code(Err(CliError::MissingCommand)),
     }
 }
--- a/crates/trackcrank/src/clients.rs
+++ b/crates/trackcrank/src/clients.rs
@@ -1,4 +1,4 @@
-//! HTTP clients of the state service, the cloud and the workers.
+//! HTTP client for the state service, the cloud, the workers and, on the command line, the admin API.
 
 use crate::metrics::RejectedMessages;
 use bytes::Bytes;
@@ -18,7 +18,7 @@
 use wire::state::{LeaseResponse, StateReply, StateRequest, TransactionResponse};
 use wire::workers::{DirectCommands, Heartbeat};
 
-/// Largest response in bytes that is read.
+/// Largest response body that is read; a larger one counts as no response.
 const MAX_RESPONSE_BYTES: usize = 16 * 1024 * 1024;
 
 /// Timeout of a request to the cloud.
@@ -28,19 +28,20 @@
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(1_200);
 /// Time after which an idle connection is closed.
 const IDLE_CONNECTION_TIMEOUT: Duration = Duration::from_secs(20);
-/// Timeout of a request of the command line.
-const COMMAND_LINE_TIMEOUT: Duration = Duration::from_secs(5);
+/// Timeout of a request to the admin API, which the command line sends.
+const ADMIN_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// A client with pooled connections.
+/// An HTTP client with pooled connections, which its clones share.
 #[derive(Clone)]
 pub struct HttpClient {
     client: Client<HttpConnector, Full<Bytes>>,
-    rejected: Option<RejectedMessages>,
+    /// Counter of the responses that cannot be decoded.
+    rejected_messages: Option<RejectedMessages>,
 }
 
 impl HttpClient {
-    /// A client that counts the responses that it cannot decode, if `rejected` is given.
-    pub fn new(rejected: Option<RejectedMessages>) -> Self {
+    /// Creates a client that counts the responses that it cannot decode, if a counter is given.
+    pub fn new(rejected_messages: Option<RejectedMessages>) -> Self {
         let mut connector = HttpConnector::new();
         connector.set_nodelay(true);
         connector.set_connect_timeout(Some(CONNECT_TIMEOUT));
@@ -48,29 +49,32 @@
             .pool_timer(TokioTimer::new())
             .pool_idle_timeout(IDLE_CONNECTION_TIMEOUT)
             .build(connector);
-        HttpClient { client, rejected }
+        HttpClient {
+            client,
+            rejected_messages,
+        }
     }
 
-    /// Counts a response that cannot be decoded.
-    fn reject(&self, source: MessageSource) {
+    /// Logs and counts a response that cannot be decoded.
+    fn record_rejection(&self, source: MessageSource) {
         tracing::warn!(source = source.as_str(), "response rejected");
-        if let Some(rejected) = &self.rejected {
-            rejected.add(source, MessageFault::Malformed);
+        if let Some(rejected_messages) = &self.rejected_messages {
+            rejected_messages.add(source, MessageFault::Malformed);
         }
     }
 
-    /// One request; `None` if there was no complete response in time.
-    async fn call(
+    /// Sends a request; returns `None` if no complete response comes in time.
+    async fn send(
         &self,
         method: Method,
-        to: &str,
+        address: &str,
         path: &str,
         body: Option<Vec<u8>>,
         timeout: Duration,
     ) -> Option<(StatusCode, Bytes)> {
         let request = Request::builder()
             .method(method)
-            .uri(format!("http://{to}{path}"))
+            .uri(format!("http://{address}{path}"))
             .header("content-type", "application/json")
             .body(Full::new(Bytes::from(body.unwrap_or_default())))
             .ok()?;
@@ -86,10 +90,10 @@
         tokio::time::timeout(timeout, exchange).await.ok().flatten()
     }
 
-    /// Sends a request as one of the protocols defines it.
-    async fn send(
+    /// Sends a request that a protocol of the `wire` crate defines.
+    async fn send_call(
         &self,
-        to: &str,
+        address: &str,
         call: HttpCall,
         timeout: Duration,
     ) -> Option<(StatusCode, Bytes)> {
@@ -98,37 +102,43 @@
             HttpMethod::Post => Method::POST,
             HttpMethod::Delete => Method::DELETE,
         };
-        self.call(method, to, &call.path, call.body, timeout).await
+        self.send(method, address, &call.path, call.body, timeout)
+            .await
     }
 
-    /// A request to the state service.
-    pub async fn state(
+    /// Sends a request to the state service. Without a usable response the outcome is unknown.
+    pub async fn call_state_service(
         &self,
-        to: SocketAddr,
+        address: SocketAddr,
         request: &StateRequest,
         timeout: Duration,
     ) -> StateReply {
-        match self.send(&to.to_string(), request.into(), timeout).await {
-            Some((status, body)) => state_reply(request, status, &body).unwrap_or_else(|| {
-                self.reject(MessageSource::State);
-                StateReply::Unknown
-            }),
+        match self
+            .send_call(&address.to_string(), request.into(), timeout)
+            .await
+        {
+            Some((status, body)) => {
+                decode_state_reply(request, status, &body).unwrap_or_else(|| {
+                    self.record_rejection(MessageSource::State);
+                    StateReply::Unknown
+                })
+            }
             None => StateReply::Unknown,
         }
     }
 
-    /// A request to the cloud.
-    pub async fn cloud(&self, to: SocketAddr, request: &CloudRequest) -> CloudReply {
+    /// Sends a request to the cloud. Without a usable response the outcome is unknown.
+    pub async fn call_cloud(&self, address: SocketAddr, request: &CloudRequest) -> CloudReply {
         let Some((status, body)) = self
-            .send(&to.to_string(), request.into(), CLOUD_TIMEOUT)
+            .send_call(&address.to_string(), request.into(), CLOUD_TIMEOUT)
             .await
         else {
             return CloudReply::Unknown;
         };
         if status != StatusCode::OK {
-            let no_capacity = matches!(request, CloudRequest::Rent(_))
+            let is_out_of_capacity = matches!(request, CloudRequest::Rent(_))
                 && String::from_utf8_lossy(&body).contains("no capacity");
-            return match (status.as_u16(), no_capacity) {
+            return match (status.as_u16(), is_out_of_capacity) {
                 (503, true) => CloudReply::NoCapacity,
                 (429 | 503 | 400, _) => CloudReply::Refused,
                 _ => CloudReply::Unknown,
@@ -143,25 +153,25 @@
             CloudRequest::List { .. } => decode(&body).map(CloudReply::List),
         };
         reply.unwrap_or_else(|| {
-            self.reject(MessageSource::Cloud);
+            self.record_rejection(MessageSource::Cloud);
             CloudReply::Unknown
         })
     }
 
-    /// Commands sent to a worker directly.
-    pub async fn worker(
+    /// Sends commands directly to a worker, which responds with a heartbeat.
+    pub async fn send_commands(
         &self,
-        to: &str,
+        address: &str,
         commands: &DirectCommands,
         timeout: Duration,
     ) -> DirectReply {
-        let response = self.send(to, commands.into(), timeout).await;
+        let response = self.send_call(address, commands.into(), timeout).await;
         match response {
             Some((status, body)) if status == StatusCode::OK || status == StatusCode::CONFLICT => {
                 match decode::<Heartbeat>(&body) {
                     Some(heartbeat) => DirectReply::Answered(Box::new(heartbeat)),
                     None => {
-                        self.reject(MessageSource::Worker);
+                        self.record_rejection(MessageSource::Worker);
                         DirectReply::Unknown
                     }
                 }
@@ -170,16 +180,16 @@
         }
     }
 
-    /// A request of the command line; returns the status and the body.
-    pub async fn plain(
+    /// Sends a request to the admin API; returns the status and the body of the response.
+    pub async fn call_admin_api(
         &self,
         method: Method,
-        to: &str,
+        address: &str,
         path: &str,
         body: Option<Vec<u8>>,
     ) -> Option<(u16, String)> {
         let (status, body) = self
-            .call(method, to, path, body, COMMAND_LINE_TIMEOUT)
+            .send(method, address, path, body, ADMIN_TIMEOUT)
             .await?;
         Some((status.as_u16(), String::from_utf8_lossy(&body).into_owned()))
     }
@@ -189,9 +199,13 @@
     from_object(body).ok()
 }
 
-/// Decodes a response of the state service; `None` if its body does not belong to the request.
-pub fn state_reply(request: &StateRequest, status: StatusCode, body: &[u8]) -> Option<StateReply> {
-    let text = || String::from_utf8_lossy(body).into_owned();
+/// Decodes the response of the state service to `request`; `None` if its body is not a valid response to it.
+pub fn decode_state_reply(
+    request: &StateRequest,
+    status: StatusCode,
+    body: &[u8],
+) -> Option<StateReply> {
+    let body_text = || String::from_utf8_lossy(body).into_owned();
     let is_lease_request = matches!(
         request,
         StateRequest::Renew { .. } | StateRequest::EndLease { .. }
@@ -206,8 +220,8 @@
             return Some(StateReply::Conflict { failed, revision });
         }
         410 => return Some(StateReply::Compacted),
-        400 if text().contains("no such lease") => return Some(StateReply::LeaseGone),
-        400 => return Some(StateReply::Invalid(text())),
+        400 if body_text().contains("no such lease") => return Some(StateReply::LeaseGone),
+        400 => return Some(StateReply::Invalid(body_text())),
         200..=299 => {}
         _ => return Some(StateReply::Unknown),
     }
--- a/crates/trackcrank/src/lib.rs
+++ b/crates/trackcrank/src/lib.rs
@@ -1,4 +1,4 @@
-//! trackcrank: the controller process around [`controller::Controller`], and the command line.
+//! The `trackcrank` executable: the process that runs a [`controller::Controller`], and the command line.
 
 #![warn(missing_docs)]
 
--- a/crates/trackcrank/src/main.rs
+++ b/crates/trackcrank/src/main.rs
@@ -1,4 +1,4 @@
-//! The executable; its code is in the library.
+//! Entry point of the executable; its code is in the library.
 
 use std::process::ExitCode;
 
--- a/crates/trackcrank/src/mesh.rs
+++ b/crates/trackcrank/src/mesh.rs
@@ -1,4 +1,4 @@
-//! The mesh: length-delimited MessagePack frames between controllers.
+//! The mesh: connections between controllers, which carry length-delimited MessagePack frames.
 
 use crate::metrics::RejectedMessages;
 use bytes::Bytes;
@@ -15,10 +15,10 @@
 use tokio_util::codec::{Framed, LengthDelimitedCodec};
 use wire::mesh::{Frame, MeshMessage, MAX_FRAME, MESH_VERSION};
 
-/// Frames that may be queued for a peer: the fleet planner sends a message for each machine that is to
-/// be released, all at once. When the peer cannot be reached the newest are dropped, since every
-/// message is repeated while it matters.
-const MAX_QUEUED_FRAMES: usize = 8_192;
+/// Capacity of the queue of messages for a peer: the fleet planner sends a message for each machine that
+/// is to be released, all at once. When the queue is full, because the peer cannot be reached, new
+/// messages are dropped: every message is repeated while it matters.
+const MAX_QUEUED_MESSAGES: usize = 8_192;
 
 /// Timeout of connecting and of sending a frame.
 const IO_TIMEOUT: Duration = Duration::from_millis(1_500);
@@ -26,7 +26,7 @@
 const RECONNECT_INTERVAL: Duration = Duration::from_millis(300);
 /// Pause after a failure to accept a connection, such as a lack of file descriptors.
 const ACCEPT_RETRY_INTERVAL: Duration = Duration::from_millis(200);
-/// A connection without a frame for this long is dead: peers send several a second.
+/// A connection that delivers no frame for this long is dead, since peers send several frames a second.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(60);
 
 fn codec() -> LengthDelimitedCodec {
@@ -35,16 +35,17 @@
         .new_codec()
 }
 
-/// Starts a task that keeps a connection to a peer; returns the queue of messages for it.
+/// Spawns a task that keeps a connection to a peer; returns the queue of messages to send.
 pub fn connect(own_name: ControllerName, peer: Peer) -> mpsc::Sender<MeshMessage> {
-    let (sender, mut queue) = mpsc::channel::<MeshMessage>(MAX_QUEUED_FRAMES);
-    // Detached: a peer that cannot be reached must not delay the event loop.
+    let (sender, mut queue) = mpsc::channel::<MeshMessage>(MAX_QUEUED_MESSAGES);
+    // A detached task, since a peer that cannot be reached must not delay the event loop.
     tokio::spawn(async move {
         loop {
             let stream =
                 tokio::time::timeout(IO_TIMEOUT, TcpStream::connect(peer.mesh_address)).await;
             let Ok(Ok(stream)) = stream else {
                 tokio::time::sleep(RECONNECT_INTERVAL).await;
+                // Messages for an unreachable peer are dropped, see `MAX_QUEUED_MESSAGES`.
                 while queue.try_recv().is_ok() {}
                 continue;
             };
@@ -73,19 +74,24 @@
     sender
 }
 
-/// Binds the mesh listener and starts to accept peers, for as long as the process runs. Each connection
-/// is read in a detached task, which ends with the connection.
+/// Binds the mesh listener and spawns a task that accepts connections of peers until the process exits.
+/// Each connection is read in a detached task of its own, which ends with the connection.
 pub async fn listen(
     address: SocketAddr,
     events: mpsc::Sender<Event>,
-    rejected: RejectedMessages,
+    rejected_messages: RejectedMessages,
 ) -> Result<(), std::io::Error> {
     let listener = crate::listen::bind(address).await?;
     tokio::spawn(async move {
         loop {
             match listener.accept().await {
-                Ok((stream, from)) => {
-                    tokio::spawn(read(stream, from, events.clone(), rejected.clone()));
+                Ok((stream, peer_address)) => {
+                    tokio::spawn(receive_frames(
+                        stream,
+                        peer_address,
+                        events.clone(),
+                        rejected_messages.clone(),
+                    ));
                 }
                 Err(error) => {
                     tracing::error!(%error, "cannot accept mesh connection");
@@ -97,12 +103,13 @@
     Ok(())
 }
 
-/// Reads frames until the connection ends; an invalid frame closes it.
-async fn read(
+/// Passes the messages of a connection to the event loop until the connection ends; an invalid frame
+/// closes it.
+async fn receive_frames(
     stream: TcpStream,
-    from: SocketAddr,
+    peer_address: SocketAddr,
     events: mpsc::Sender<Event>,
-    rejected: RejectedMessages,
+    rejected_messages: RejectedMessages,
 ) {
     let mut frames = Framed::new(stream, codec());
     loop {
@@ -110,12 +117,13 @@
         let bytes = match next {
             Ok(Some(Ok(bytes))) => bytes,
             Ok(Some(Err(error))) if error.kind() != std::io::ErrorKind::InvalidData => {
-                tracing::debug!(%from, %error, "mesh connection closed");
+                tracing::debug!(%peer_address, %error, "mesh connection closed");
                 return;
             }
+            // The codec reports a frame above its length limit as invalid data.
             Ok(Some(Err(error))) => {
-                tracing::warn!(%from, %error, "invalid frame on the mesh");
-                rejected.add(MessageSource::Peer, MessageFault::TooLarge);
+                tracing::warn!(%peer_address, %error, "oversized mesh frame rejected");
+                rejected_messages.add(MessageSource::Peer, MessageFault::TooLarge);
                 return;
             }
             _ => return,
@@ -135,21 +143,22 @@
                 }
             }
             Err(error) => {
-                tracing::warn!(%from, %error, "mesh frame rejected");
-                rejected.add(MessageSource::Peer, error.fault());
+                tracing::warn!(%peer_address, %error, "mesh frame rejected");
+                rejected_messages.add(MessageSource::Peer, error.fault());
                 return;
             }
         }
     }
 }
 
-/// Why a frame is rejected.
+/// Why a frame cannot be decoded.
 #[derive(Debug, thiserror::Error)]
 enum FrameError {
-    /// The peer runs another version. It counts as unreachable, and a failover between the two is cold.
-    #[error("version {0}, expected {MESH_VERSION}")]
+    /// The peer uses another version of the protocol. The two controllers count each other as unreachable,
+    /// and a failover from one to the other is cold: there is no replica of the leader's soft state.
+    #[error("protocol version {0}, expected {MESH_VERSION}")]
     Version(u16),
-    /// The bytes are no frame.
+    /// The bytes are not a frame.
     #[error("malformed: {0}")]
     Malformed(#[from] rmp_serde::decode::Error),
 }
@@ -163,7 +172,7 @@
     }
 }
 
-/// Decodes a frame. The version comes first, so another one is recognised whatever follows it.
+/// Decodes a frame. The version is its first field, so another version is recognised whatever follows.
 fn decode(bytes: &[u8]) -> Result<Frame, FrameError> {
     let (version, ..): (u16, IgnoredAny, IgnoredAny) = rmp_serde::from_slice(bytes)?;
     if version != MESH_VERSION {
--- a/crates/trackcrank/src/mesh/tests.rs
+++ b/crates/trackcrank/src/mesh/tests.rs
@@ -1,15 +1,15 @@
 use super::*;
 use serde::Serialize;
 
-/// Messages of an earlier version: heartbeats had fewer fields, and one message has been removed.
+/// Messages of an earlier protocol version: its heartbeat has fewer fields, and `Gossip` no longer exists.
 #[derive(Serialize)]
 enum EarlierMessage {
-    Alive { boot: u64, revision: u64 },
+    Alive { incarnation: u64, revision: u64 },
     Gossip(Vec<u8>),
 }
 
 #[test]
-fn frames_of_another_version_are_not_misread() {
+fn only_complete_frames_of_the_current_version_are_decoded() {
     let message = MeshMessage::Subscribe {
         partition: 1,
         incarnation: 2,
@@ -21,15 +21,15 @@
         from: "n1".into(),
         message,
     };
-    let bytes = rmp_serde::to_vec(&frame).expect("a frame");
-    assert_eq!(decode(&bytes).expect("valid"), frame);
-    let alive = EarlierMessage::Alive {
-        boot: 1,
+    let bytes = rmp_serde::to_vec(&frame).expect("an encoded frame");
+    assert_eq!(decode(&bytes).expect("a valid frame"), frame);
+    let heartbeat = EarlierMessage::Alive {
+        incarnation: 1,
         revision: 2,
     };
-    for earlier in [alive, EarlierMessage::Gossip(vec![7; 40])] {
-        let frame = (MESH_VERSION - 1, "n1", earlier);
-        let bytes = rmp_serde::to_vec(&frame).expect("a frame");
+    for earlier_message in [heartbeat, EarlierMessage::Gossip(vec![7; 40])] {
+        let frame = (MESH_VERSION - 1, "n1", earlier_message);
+        let bytes = rmp_serde::to_vec(&frame).expect("an encoded frame");
         assert!(
             matches!(decode(&bytes), Err(FrameError::Version(version)) if version == MESH_VERSION - 1)
         );
--- a/crates/trackcrank/src/metrics/tests.rs
+++ b/crates/trackcrank/src/metrics/tests.rs
@@ -1,15 +1,15 @@
 use super::*;
 
 #[test]
-fn page_contains_queues_and_latencies() {
+fn page_contains_queues_unplaced_tasks_and_start_latencies() {
     let metrics = Metrics::new().expect("metrics");
-    metrics.observe_wait(1_500);
-    metrics.add_unplaced(scheduler::MachineRejection::NotSpare, 4);
+    metrics.observe_start_latency(1_500);
+    metrics.add_unplaced_tasks(scheduler::MachineRejection::NotSpare, 4);
     let view = serde_json::json!({
         "pending": { "active": 3 },
         "incoming": [["backoff", "failure", 7]],
     });
-    let page = metrics.page(&view).expect("page");
+    let page = metrics.render(&view).expect("page");
     assert!(
         page.contains("trackcrank_pending_tasks{queue=\"active\"} 3"),
         "{page}"
--- a/crates/trackcrank/src/runtime.rs
+++ b/crates/trackcrank/src/runtime.rs
@@ -1,8 +1,8 @@
-//! The process around the controller: one event loop that passes events to it and executes its effects.
+//! Runs the controller: an event loop passes events to it and executes the effects that it returns.
 
 use crate::clients::HttpClient;
 use crate::error::ServeError;
-use crate::inbound::{request_queue, Inbound, Shared};
+use crate::inbound::{request_queue, InboundRequest, ServerContext};
 use crate::metrics::Metrics;
 use crate::{mesh, server};
 use controller::controller::Ticket;
@@ -10,6 +10,7 @@
 use model::{ControllerName, Settings, Timestamp};
 use rand::Rng;
 use std::collections::HashMap;
+use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::Arc;
 use std::time::Duration;
@@ -17,10 +18,10 @@
 use tokio::time::Instant;
 use wire::mesh::MeshMessage;
 
-/// Results of effects and mesh messages that may be queued for the event loop.
-const MAX_QUEUED_RESULTS: usize = 1024;
+/// Capacity of the queue of events for the event loop: outcomes of effects, and messages of peers.
+const MAX_QUEUED_EVENTS: usize = 1024;
 
-/// Serves until the process is killed, or until the HTTP server fails.
+/// Runs a controller until the process is killed or the HTTP server fails.
 pub fn serve(settings: Settings) -> Result<(), ServeError> {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
@@ -30,25 +31,30 @@
 }
 
 async fn run(settings: Settings) -> Result<(), ServeError> {
-    let (inbound, requests) = request_queue();
-    let (events, results) = mpsc::channel::<Event>(MAX_QUEUED_RESULTS);
+    let (request_sender, requests) = request_queue();
+    let (event_sender, events) = mpsc::channel::<Event>(MAX_QUEUED_EVENTS);
     let metrics = Arc::new(Metrics::new()?);
-    let client = HttpClient::new(Some(metrics.rejected().clone()));
+    let client = HttpClient::new(Some(metrics.rejected_messages().clone()));
     let mesh_address = settings.mesh_address;
-    mesh::listen(mesh_address, events.clone(), metrics.rejected().clone())
-        .await
-        .map_err(|source| ServeError::Mesh {
-            address: mesh_address,
-            source,
-        })?;
-    let shared = Shared {
-        inbound,
+    mesh::listen(
+        mesh_address,
+        event_sender.clone(),
+        metrics.rejected_messages().clone(),
+    )
+    .await
+    .map_err(|source| ServeError::MeshListener {
+        address: mesh_address,
+        source,
+    })?;
+    let context = ServerContext {
+        requests: request_sender,
         healthy: Arc::new(AtomicBool::new(false)),
         metrics,
     };
     let address = settings.listen_address;
-    // A task of its own, so that requests are read while the event loop is busy; its end is awaited below.
-    let server = tokio::spawn(server::run(address, shared.clone()));
+    // In a task of its own, so that requests are read while the event loop is busy. The `select!` below
+    // notices when it ends.
+    let server = tokio::spawn(server::run(address, context.clone()));
     let peers = settings
         .peers
         .iter()
@@ -60,48 +66,51 @@
         })
         .collect();
     let seed = rand::rng().random();
-    let process = Process {
+    let event_loop = EventLoop {
         client,
-        state: settings.state_address,
-        cloud: settings.cloud_address,
-        events,
+        state_address: settings.state_address,
+        cloud_address: settings.cloud_address,
+        event_sender,
         peers,
-        users: HashMap::new(),
-        heartbeats: HashMap::new(),
-        admins: HashMap::new(),
-        next_ticket: 0,
+        user_replies: HashMap::new(),
+        heartbeat_replies: HashMap::new(),
+        admin_replies: HashMap::new(),
+        last_ticket: 0,
     };
     tokio::select! {
-        ended = server => Err(match ended {
-            Ok(Err(source)) => ServeError::Http { address, source },
-            _ => ServeError::ServerEnded,
+        result = server => Err(match result {
+            Ok(Err(source)) => ServeError::HttpServer { address, source },
+            _ => ServeError::ServerStopped,
         }),
-        () = process.run(Controller::new(settings, seed), requests, results, shared) => Ok(()),
+        () = event_loop.run(Controller::new(settings, seed), requests, events, context) => Ok(()),
     }
 }
 
-/// Connections and open requests of the process.
-struct Process {
+/// The event loop, with its connections and the requests that await a reply.
+struct EventLoop {
     client: HttpClient,
-    state: std::net::SocketAddr,
-    cloud: std::net::SocketAddr,
-    events: mpsc::Sender<Event>,
+    state_address: SocketAddr,
+    cloud_address: SocketAddr,
+    /// Sends the outcomes of effects back to the loop.
+    event_sender: mpsc::Sender<Event>,
+    /// Queues of messages for the peers.
     peers: HashMap<ControllerName, mpsc::Sender<MeshMessage>>,
-    /// Senders of the replies to open requests, by ticket.
-    users: HashMap<Ticket, oneshot::Sender<UserReply>>,
-    heartbeats: HashMap<Ticket, oneshot::Sender<HeartbeatReply>>,
-    admins: HashMap<Ticket, oneshot::Sender<AdminReply>>,
-    next_ticket: Ticket,
+    /// Reply channels of the requests that await a reply, by ticket; likewise the two maps below.
+    user_replies: HashMap<Ticket, oneshot::Sender<UserReply>>,
+    heartbeat_replies: HashMap<Ticket, oneshot::Sender<HeartbeatReply>>,
+    admin_replies: HashMap<Ticket, oneshot::Sender<AdminReply>>,
+    /// The ticket that was last given out.
+    last_ticket: Ticket,
 }
 
-impl Process {
-    /// The event loop.
+impl EventLoop {
+    /// Handles events, requests and ticks until the process ends.
     async fn run(
         mut self,
         mut controller: Controller,
-        mut requests: mpsc::Receiver<Inbound>,
-        mut results: mpsc::Receiver<Event>,
-        shared: Shared,
+        mut requests: mpsc::Receiver<InboundRequest>,
+        mut events: mpsc::Receiver<Event>,
+        context: ServerContext,
     ) {
         let start = Instant::now();
         let now = || Timestamp::from_millis(start.elapsed().as_millis() as u64);
@@ -109,70 +118,75 @@
             let next_tick = start + Duration::from_millis(controller.next_tick().as_millis());
             let event = tokio::select! {
                 biased;
-                Some(event) = results.recv() => event,
-                Some(request) = requests.recv() => self.register(request),
+                Some(event) = events.recv() => event,
+                Some(request) = requests.recv() => self.register_request(request),
                 () = tokio::time::sleep_until(next_tick) => Event::Tick,
             };
             for effect in controller.handle(now(), event) {
                 self.execute(effect);
             }
-            shared
+            context
                 .healthy
                 .store(controller.healthy(), Ordering::Relaxed);
-            for wait in controller.counters.placement_waits_ms.drain(..) {
-                shared.metrics.observe_wait(wait);
+            for latency_ms in controller.counters.placement_waits_ms.drain(..) {
+                context.metrics.observe_start_latency(latency_ms);
             }
             for (reason, count) in controller.counters.unplaced.drain() {
-                shared.metrics.add_unplaced(reason, count);
+                context.metrics.add_unplaced_tasks(reason, count);
             }
             for (source, fault, count) in controller.counters.rejections.drain() {
-                shared.metrics.rejected().add_many(source, fault, count);
+                context
+                    .metrics
+                    .rejected_messages()
+                    .add_many(source, fault, count);
             }
         }
     }
 
-    /// Keeps the reply channel of a request under a new ticket, and makes the request an event.
-    fn register(&mut self, request: Inbound) -> Event {
-        self.next_ticket += 1;
-        let ticket = self.next_ticket;
+    /// Stores the reply channel of a request under a new ticket, and turns the request into an event.
+    fn register_request(&mut self, request: InboundRequest) -> Event {
+        self.last_ticket += 1;
+        let ticket = self.last_ticket;
         match request {
-            Inbound::User(request, reply) => {
-                self.users.insert(ticket, reply);
+            InboundRequest::User(request, reply) => {
+                self.user_replies.insert(ticket, reply);
                 Event::User { ticket, request }
             }
-            Inbound::Admin(request, reply) => {
-                self.admins.insert(ticket, reply);
+            InboundRequest::Admin(request, reply) => {
+                self.admin_replies.insert(ticket, reply);
                 Event::Admin { ticket, request }
             }
-            Inbound::Heartbeat(report, reply) => {
-                self.heartbeats.insert(ticket, reply);
+            InboundRequest::Heartbeat(report, reply) => {
+                self.heartbeat_replies.insert(ticket, reply);
                 Event::Heartbeat { ticket, report }
             }
         }
     }
 
-    /// Executes an effect. Calls over HTTP run in a detached task each: every one has a timeout, and its
-    /// outcome comes back as an event.
+    /// Executes an effect. Each HTTP request runs in a detached task: it has a timeout, and its outcome
+    /// comes back as an event.
     fn execute(&mut self, effect: Effect) {
         let client = self.client.clone();
-        let events = self.events.clone();
+        let event_sender = self.event_sender.clone();
         match effect {
             Effect::State {
                 call,
                 request,
                 timeout,
             } => {
-                let to = self.state;
+                let state_address = self.state_address;
                 tokio::spawn(async move {
-                    let reply = client.state(to, &request, timeout).await;
-                    let _ = events.send(Event::State { call, reply }).await;
+                    let reply = client
+                        .call_state_service(state_address, &request, timeout)
+                        .await;
+                    let _ = event_sender.send(Event::State { call, reply }).await;
                 });
             }
             Effect::Cloud { call, request } => {
-                let to = self.cloud;
+                let cloud_address = self.cloud_address;
                 tokio::spawn(async move {
-                    let reply = client.cloud(to, &request).await;
-                    let _ = events.send(Event::Cloud { call, reply }).await;
+                    let reply = client.call_cloud(cloud_address, &request).await;
+                    let _ = event_sender.send(Event::Cloud { call, reply }).await;
                 });
             }
             Effect::Worker {
@@ -182,8 +196,8 @@
                 timeout,
             } => {
                 tokio::spawn(async move {
-                    let reply = client.worker(&address, &body, timeout).await;
-                    let _ = events.send(Event::Worker { call, reply }).await;
+                    let reply = client.send_commands(&address, &body, timeout).await;
+                    let _ = event_sender.send(Event::Worker { call, reply }).await;
                 });
             }
             Effect::Mesh { to, message } => {
@@ -192,17 +206,17 @@
                 }
             }
             Effect::User { ticket, reply } => {
-                if let Some(sender) = self.users.remove(&ticket) {
+                if let Some(sender) = self.user_replies.remove(&ticket) {
                     let _ = sender.send(reply);
                 }
             }
             Effect::Admin { ticket, reply } => {
-                if let Some(sender) = self.admins.remove(&ticket) {
+                if let Some(sender) = self.admin_replies.remove(&ticket) {
                     let _ = sender.send(reply);
                 }
             }
             Effect::Heartbeat { ticket, reply } => {
-                if let Some(sender) = self.heartbeats.remove(&ticket) {
+                if let Some(sender) = self.heartbeat_replies.remove(&ticket) {
                     let _ = sender.send(reply);
                 }
             }
--- a/crates/trackcrank/src/server.rs
+++ b/crates/trackcrank/src/server.rs
@@ -1,6 +1,7 @@
-//! The HTTP server for users, workers and health checks.
+//! The HTTP server for users, workers, operators and monitoring. Its handlers pass requests to the event
+//! loop and wait for the replies.
 
-use crate::inbound::{Inbound, Shared};
+use crate::inbound::{InboundRequest, ServerContext};
 use controller::rejections::{MessageFault, MessageSource};
 use controller::{AdminReply, AdminRequest, HeartbeatReply, UserReply, UserRequest};
 use model::JobId;
@@ -18,26 +19,26 @@
 use wire::users::{ErrorBody, JobRequest};
 use wire::workers::{Heartbeat, Redirect};
 
-/// Largest request body in bytes.
-const MAX_BODY: usize = 64 * 1024;
-/// Seconds after which a client should retry while the event loop cannot take its request.
+/// Largest request body that is read.
+const MAX_BODY_BYTES: usize = 64 * 1024;
+/// Time after which a client should retry if the event loop cannot take its request.
 const RETRY_AFTER_S: u64 = 1;
 
-/// Serves until the listener fails.
-pub async fn run(address: SocketAddr, shared: Shared) -> Result<(), std::io::Error> {
+/// Binds the listener, and serves until it fails.
+pub async fn run(address: SocketAddr, context: ServerContext) -> Result<(), std::io::Error> {
     let acceptor = TcpAcceptor::from_tokio(crate::listen::bind(address).await?)?;
     Server::new_with_acceptor(acceptor)
-        .run(routes(shared))
+        .run(routes(context))
         .await
 }
 
-/// All routes.
-pub fn routes(shared: Shared) -> impl IntoEndpoint {
+/// All routes of the server.
+pub fn routes(context: ServerContext) -> impl IntoEndpoint {
     Route::new()
         .at("/healthz", get(health))
-        .at("/v1/jobs", post(submit))
-        .at("/v1/jobs/:id", get(poll_job))
-        .at("/v1/jobs/:id/cancel", post(cancel))
+        .at("/v1/jobs", post(submit_job))
+        .at("/v1/jobs/:id", get(job_status))
+        .at("/v1/jobs/:id/cancel", post(cancel_job))
         .at("/hello", post(heartbeat))
         .at("/metrics", get(metrics))
         .at(
@@ -48,21 +49,21 @@
         .at("/admin/v1/standby", get(standby))
         .at("/admin/v1/machines", get(machines))
         .at("/admin/v1/queues", get(queues))
-        .at("/admin/v1/jobs/:id", get(explain))
-        .data(shared)
+        .at("/admin/v1/jobs/:id", get(explain_job))
+        .data(context)
 }
 
-/// Decodes a body that must be one JSON object; anything else is counted and rejected with status 400.
+/// Decodes a body that must be one JSON object. Anything else is counted and rejected with status 400.
 async fn read_object<T: DeserializeOwned>(
     body: Body,
     source: MessageSource,
-    shared: &Shared,
+    context: &ServerContext,
 ) -> Result<T, Response> {
     let reject = |fault, error: String| {
-        shared.metrics.rejected().add(source, fault);
-        problem(StatusCode::BAD_REQUEST, error)
+        context.metrics.rejected_messages().add(source, fault);
+        error_response(StatusCode::BAD_REQUEST, error)
     };
-    let bytes = match body.into_bytes_limit(MAX_BODY).await {
+    let bytes = match body.into_bytes_limit(MAX_BODY_BYTES).await {
         Ok(bytes) => bytes,
         Err(ReadBodyError::PayloadTooLarge) => {
             return Err(reject(
@@ -75,7 +76,7 @@
     from_object(&bytes).map_err(|error| reject(MessageFault::Malformed, error.to_string()))
 }
 
-fn json<T: Serialize>(status: StatusCode, body: &T) -> Response {
+fn json_response<T: Serialize>(status: StatusCode, body: &T) -> Response {
     match serde_json::to_vec(body) {
         Ok(bytes) => Response::builder()
             .status(status)
@@ -87,8 +88,8 @@
     }
 }
 
-fn problem(status: StatusCode, error: impl Into<String>) -> Response {
-    json(
+fn error_response(status: StatusCode, error: impl Into<String>) -> Response {
+    json_response(
         status,
         &ErrorBody {
             error: error.into(),
@@ -96,9 +97,9 @@
     )
 }
 
-/// Status 503: the client should retry after so many seconds.
-fn busy(retry_after_s: u64) -> Response {
-    let mut response = problem(StatusCode::SERVICE_UNAVAILABLE, "come back later");
+/// Response with status 503, which tells the client to retry after `retry_after_s` seconds.
+fn busy_response(retry_after_s: u64) -> Response {
+    let mut response = error_response(StatusCode::SERVICE_UNAVAILABLE, "come back later");
     response
         .headers_mut()
         .insert("retry-after", retry_after_s.into());
@@ -106,120 +107,122 @@
 }
 
 #[handler]
-fn health(shared: Data<&Shared>) -> Response {
-    if shared.healthy.load(Ordering::Relaxed) {
+fn health(context: Data<&ServerContext>) -> Response {
+    if context.healthy.load(Ordering::Relaxed) {
         Response::builder().status(StatusCode::OK).body("ok")
     } else {
-        problem(StatusCode::SERVICE_UNAVAILABLE, "not ready")
+        error_response(StatusCode::SERVICE_UNAVAILABLE, "not ready")
     }
 }
 
-async fn user_response(shared: &Shared, request: UserRequest) -> Response {
+/// Passes a user's request to the event loop and waits for the reply.
+async fn user_response(context: &ServerContext, request: UserRequest) -> Response {
     let (sender, reply) = oneshot::channel();
-    if shared
-        .inbound
-        .try_send(Inbound::User(request, sender))
+    if context
+        .requests
+        .try_send(InboundRequest::User(request, sender))
         .is_err()
     {
-        return busy(RETRY_AFTER_S);
+        return busy_response(RETRY_AFTER_S);
     }
     match reply.await {
-        Ok(UserReply::Created(status)) => json(StatusCode::CREATED, &status),
-        Ok(UserReply::Status(status)) => json(StatusCode::OK, &status),
-        Ok(UserReply::NotFound) => problem(StatusCode::NOT_FOUND, "no such job"),
+        Ok(UserReply::Created(status)) => json_response(StatusCode::CREATED, &status),
+        Ok(UserReply::Status(status)) => json_response(StatusCode::OK, &status),
+        Ok(UserReply::NotFound) => error_response(StatusCode::NOT_FOUND, "no such job"),
         Ok(UserReply::Invalid(error)) => {
-            shared
+            context
                 .metrics
-                .rejected()
+                .rejected_messages()
                 .add(MessageSource::User, MessageFault::Malformed);
-            problem(StatusCode::BAD_REQUEST, error)
+            error_response(StatusCode::BAD_REQUEST, error)
         }
         Ok(UserReply::Rejected(reason)) => {
-            problem(StatusCode::UNPROCESSABLE_ENTITY, reason.to_string())
+            error_response(StatusCode::UNPROCESSABLE_ENTITY, reason.to_string())
         }
-        Ok(UserReply::Busy { retry_after_s }) => busy(retry_after_s),
-        Err(_) => busy(RETRY_AFTER_S),
+        Ok(UserReply::Busy { retry_after_s }) => busy_response(retry_after_s),
+        Err(_) => busy_response(RETRY_AFTER_S),
     }
 }
 
-/// Response to an id that no job can have.
-fn unknown_id(shared: &Shared) -> Response {
-    shared
+/// Response with status 404 to a malformed job id, which is counted.
+fn malformed_id_response(context: &ServerContext) -> Response {
+    context
         .metrics
-        .rejected()
+        .rejected_messages()
         .add(MessageSource::User, MessageFault::Malformed);
-    problem(StatusCode::NOT_FOUND, "no such job")
+    error_response(StatusCode::NOT_FOUND, "no such job")
 }
 
 #[handler]
-async fn submit(body: Body, shared: Data<&Shared>) -> Response {
-    match read_object::<JobRequest>(body, MessageSource::User, &shared).await {
-        Ok(job) => user_response(&shared, UserRequest::Submit(Box::new(job))).await,
+async fn submit_job(body: Body, context: Data<&ServerContext>) -> Response {
+    match read_object::<JobRequest>(body, MessageSource::User, &context).await {
+        Ok(job) => user_response(&context, UserRequest::Submit(Box::new(job))).await,
         Err(rejection) => rejection,
     }
 }
 
 #[handler]
-async fn poll_job(Path(id): Path<String>, shared: Data<&Shared>) -> Response {
+async fn job_status(Path(id): Path<String>, context: Data<&ServerContext>) -> Response {
     match JobId::parse(&id) {
-        Some(id) => user_response(&shared, UserRequest::Get(id)).await,
-        None => unknown_id(&shared),
+        Some(id) => user_response(&context, UserRequest::Get(id)).await,
+        None => malformed_id_response(&context),
     }
 }
 
 #[handler]
-async fn cancel(Path(id): Path<String>, shared: Data<&Shared>) -> Response {
+async fn cancel_job(Path(id): Path<String>, context: Data<&ServerContext>) -> Response {
     match JobId::parse(&id) {
-        Some(id) => user_response(&shared, UserRequest::Cancel(id)).await,
-        None => unknown_id(&shared),
+        Some(id) => user_response(&context, UserRequest::Cancel(id)).await,
+        None => malformed_id_response(&context),
     }
 }
 
 #[handler]
-async fn heartbeat(body: Body, shared: Data<&Shared>) -> Response {
-    let heartbeat = match read_object::<Heartbeat>(body, MessageSource::Worker, &shared).await {
+async fn heartbeat(body: Body, context: Data<&ServerContext>) -> Response {
+    let heartbeat = match read_object::<Heartbeat>(body, MessageSource::Worker, &context).await {
         Ok(heartbeat) => heartbeat,
         Err(rejection) => return rejection,
     };
     let (sender, reply) = oneshot::channel();
-    if shared
-        .inbound
-        .try_send(Inbound::Heartbeat(Box::new(heartbeat), sender))
+    if context
+        .requests
+        .try_send(InboundRequest::Heartbeat(Box::new(heartbeat), sender))
         .is_err()
     {
-        return busy(RETRY_AFTER_S);
+        return busy_response(RETRY_AFTER_S);
     }
     match reply.await {
-        Ok(HeartbeatReply::Response(response)) => json(StatusCode::OK, &response),
-        Ok(HeartbeatReply::Redirect(controller)) => json(
+        Ok(HeartbeatReply::Response(response)) => json_response(StatusCode::OK, &response),
+        Ok(HeartbeatReply::Redirect(controller)) => json_response(
             StatusCode::MISDIRECTED_REQUEST,
             &Redirect {
                 report_to: controller.map(|name| name.to_string()),
             },
         ),
         Ok(HeartbeatReply::Malformed) => {
-            problem(StatusCode::BAD_REQUEST, "the report is malformed")
+            error_response(StatusCode::BAD_REQUEST, "the report is malformed")
         }
-        Ok(HeartbeatReply::Unavailable) | Err(_) => busy(RETRY_AFTER_S),
+        Ok(HeartbeatReply::Unavailable) | Err(_) => busy_response(RETRY_AFTER_S),
     }
 }
 
-/// Body of a change of the operational settings.
+/// Body of a request that changes the operators' settings.
 #[derive(serde::Deserialize)]
 struct ChangeSettings {
     version: u64,
     settings: serde_json::Value,
 }
 
-async fn admin_reply(shared: &Shared, request: AdminRequest) -> AdminReply {
+/// Passes an operator's request to the event loop and waits for the reply.
+async fn admin_reply(context: &ServerContext, request: AdminRequest) -> AdminReply {
     let (sender, reply) = oneshot::channel();
     let unavailable = || AdminReply {
         status: 503,
         body: serde_json::json!({ "error": "come back later" }),
     };
-    if shared
-        .inbound
-        .try_send(Inbound::Admin(request, sender))
+    if context
+        .requests
+        .try_send(InboundRequest::Admin(request, sender))
         .is_err()
     {
         return unavailable();
@@ -227,65 +230,65 @@
     reply.await.unwrap_or_else(|_| unavailable())
 }
 
-async fn admin_response(shared: &Shared, request: AdminRequest) -> Response {
-    let reply = admin_reply(shared, request).await;
+async fn admin_response(context: &ServerContext, request: AdminRequest) -> Response {
+    let reply = admin_reply(context, request).await;
     let status = StatusCode::from_u16(reply.status).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
     if status == StatusCode::BAD_REQUEST {
-        shared
+        context
             .metrics
-            .rejected()
+            .rejected_messages()
             .add(MessageSource::Operator, MessageFault::Malformed);
     }
-    json(status, &reply.body)
+    json_response(status, &reply.body)
 }
 
 #[handler]
-async fn show_settings(shared: Data<&Shared>) -> Response {
-    admin_response(&shared, AdminRequest::Settings).await
+async fn show_settings(context: Data<&ServerContext>) -> Response {
+    admin_response(&context, AdminRequest::Settings).await
 }
 
 #[handler]
-async fn change_settings(body: Body, shared: Data<&Shared>) -> Response {
-    match read_object(body, MessageSource::Operator, &shared).await {
+async fn change_settings(body: Body, context: Data<&ServerContext>) -> Response {
+    match read_object(body, MessageSource::Operator, &context).await {
         Ok(ChangeSettings { version, settings }) => {
-            admin_response(&shared, AdminRequest::ChangeSettings { version, settings }).await
+            admin_response(&context, AdminRequest::ChangeSettings { version, settings }).await
         }
         Err(rejection) => rejection,
     }
 }
 
 #[handler]
-async fn partitions(shared: Data<&Shared>) -> Response {
-    admin_response(&shared, AdminRequest::Partitions).await
+async fn partitions(context: Data<&ServerContext>) -> Response {
+    admin_response(&context, AdminRequest::Partitions).await
 }
 
 #[handler]
-async fn standby(shared: Data<&Shared>) -> Response {
-    admin_response(&shared, AdminRequest::Standby).await
+async fn standby(context: Data<&ServerContext>) -> Response {
+    admin_response(&context, AdminRequest::Standby).await
 }
 
 #[handler]
-async fn machines(shared: Data<&Shared>) -> Response {
-    admin_response(&shared, AdminRequest::Machines).await
+async fn machines(context: Data<&ServerContext>) -> Response {
+    admin_response(&context, AdminRequest::Machines).await
 }
 
 #[handler]
-async fn queues(shared: Data<&Shared>) -> Response {
-    admin_response(&shared, AdminRequest::Queues).await
+async fn queues(context: Data<&ServerContext>) -> Response {
+    admin_response(&context, AdminRequest::Queues).await
 }
 
 #[handler]
-async fn explain(Path(id): Path<String>, shared: Data<&Shared>) -> Response {
-    admin_response(&shared, AdminRequest::Job(id)).await
+async fn explain_job(Path(id): Path<String>, context: Data<&ServerContext>) -> Response {
+    admin_response(&context, AdminRequest::Job(id)).await
 }
 
 #[handler]
-async fn metrics(shared: Data<&Shared>) -> Response {
-    let reply = admin_reply(&shared, AdminRequest::Metrics).await;
-    match shared.metrics.page(&reply.body) {
+async fn metrics(context: Data<&ServerContext>) -> Response {
+    let reply = admin_reply(&context, AdminRequest::Metrics).await;
+    match context.metrics.render(&reply.body) {
         Ok(page) => Response::builder()
             .content_type("text/plain; version=0.0.4")
             .body(page),
-        Err(error) => problem(StatusCode::INTERNAL_SERVER_ERROR, error.to_string()),
+        Err(error) => error_response(StatusCode::INTERNAL_SERVER_ERROR, error.to_string()),
     }
 }
--- a/crates/trackcrank/tests/golden_metrics.rs
+++ b/crates/trackcrank/tests/golden_metrics.rs
@@ -1,4 +1,4 @@
-//! The metrics page: its names, labels and buckets, which dashboards depend on.
+//! Golden test of the metrics page: dashboards depend on its names, labels and buckets.
 
 #[path = "../../wire/tests/golden/mod.rs"]
 mod golden;
@@ -9,17 +9,18 @@
 use std::fs;
 use trackcrank::metrics::Metrics;
 
-/// The node's numbers, as the golden test of the administration API has stored them, with refusals.
-fn node_view() -> Value {
+/// The view of a controller's metrics that the golden test of the admin API has stored, with refused requests
+/// added.
+fn metrics_view() -> Value {
     let file = concat!(
         env!("CARGO_MANIFEST_DIR"),
         "/../simulator/tests/data/admin_views.txt"
     );
-    let text = fs::read_to_string(file).expect("the stored views");
+    let text = fs::read_to_string(file).expect("the stored views of the admin API");
     let body = text
         .lines()
         .find_map(|line| line.strip_prefix("metrics 200 "))
-        .expect("the numbers");
+        .expect("the stored metrics view");
     let mut view: Value = serde_json::from_str(body).expect("JSON");
     view["refusals"] = json!({ "busy": 1, "report": 2 });
     view
@@ -43,20 +44,20 @@
     MessageFault::Stale,
 ];
 
-fn page() -> String {
+fn rendered_page() -> String {
     let metrics = Metrics::new().expect("metrics");
     for source in SOURCES {
         for fault in FAULTS {
-            metrics.rejected().add(source, fault);
+            metrics.rejected_messages().add(source, fault);
         }
     }
-    metrics.observe_wait(1_500);
-    metrics.page(&node_view()).expect("a page")
+    metrics.observe_start_latency(1_500);
+    metrics.render(&metrics_view()).expect("a page")
 }
 
 #[test]
-fn the_page_keeps_its_bytes() {
-    let page = page();
+fn metrics_page_equals_the_golden_file() {
+    let page = rendered_page();
     let lines: Vec<Entry> = page.lines().map(|line| Entry::text("line", line)).collect();
     golden::check("metrics.txt", &lines);
 }
--- a/crates/trackcrank/tests/http_requests.rs
+++ b/crates/trackcrank/tests/http_requests.rs
@@ -1,5 +1,5 @@
-//! Requests as they come over HTTP: what is malformed is answered as the protocol says, is counted and
-//! never reaches the node's state.
+//! HTTP requests to the server: a malformed request gets the response that its protocol defines, is counted,
+//! and changes nothing in the controller.
 
 use controller::{Controller, Event};
 use model::{Settings, Timestamp};
@@ -9,7 +9,7 @@
 use std::sync::atomic::AtomicBool;
 use std::sync::Arc;
 use tokio::sync::mpsc;
-use trackcrank::inbound::{Inbound, Shared};
+use trackcrank::inbound::{InboundRequest, ServerContext};
 use trackcrank::metrics::Metrics;
 use trackcrank::server;
 
@@ -20,38 +20,41 @@
     cancel_s = 130.0\n[settings.state]\nrps = 100.0\nwrite_rps = 100.0\nvalue_kb = 8.0\n\
     txn_ops = 8\n[settings.cloud]\nrps = 10.0\nlist_lag_s = 8.0\n";
 
-/// Feeds what the server hands on to a node that has not read the state service yet.
-async fn run_node(mut requests: mpsc::Receiver<Inbound>) {
-    let mut node = Controller::new(Settings::parse(SETTINGS).expect("settings"), 1 << 20);
+/// Passes the server's requests to a controller that has not read the state service yet.
+async fn run_controller(mut requests: mpsc::Receiver<InboundRequest>) {
+    let settings = Settings::parse(SETTINGS).expect("valid settings");
+    let mut controller = Controller::new(settings, 1 << 20);
     while let Some(request) = requests.recv().await {
-        let (event, user, report, admin) = match request {
-            Inbound::User(request, answer) => {
-                (Event::User { ticket: 1, request }, Some(answer), None, None)
-            }
-            Inbound::Heartbeat(report, answer) => (
+        let (event, mut user, mut worker, mut admin) = match request {
+            InboundRequest::User(request, reply_sender) => (
+                Event::User { ticket: 1, request },
+                Some(reply_sender),
+                None,
+                None,
+            ),
+            InboundRequest::Heartbeat(report, reply_sender) => (
                 Event::Heartbeat { ticket: 1, report },
                 None,
-                Some(answer),
+                Some(reply_sender),
                 None,
             ),
-            Inbound::Admin(request, answer) => (
+            InboundRequest::Admin(request, reply_sender) => (
                 Event::Admin { ticket: 1, request },
                 None,
                 None,
-                Some(answer),
+                Some(reply_sender),
             ),
         };
-        let (mut user, mut report, mut admin) = (user, report, admin);
-        for effect in node.handle(Timestamp::from_millis(10), event) {
+        for effect in controller.handle(Timestamp::from_millis(10), event) {
             match effect {
                 controller::Effect::User { reply, .. } => {
-                    user.take().map(|answer| answer.send(reply));
+                    user.take().map(|reply_sender| reply_sender.send(reply));
                 }
                 controller::Effect::Heartbeat { reply, .. } => {
-                    report.take().map(|answer| answer.send(reply));
+                    worker.take().map(|reply_sender| reply_sender.send(reply));
                 }
                 controller::Effect::Admin { reply, .. } => {
-                    admin.take().map(|answer| answer.send(reply));
+                    admin.take().map(|reply_sender| reply_sender.send(reply));
                 }
                 _ => {}
             }
@@ -59,31 +62,35 @@
     }
 }
 
-/// A server before a node that has just started.
-struct Site {
-    shared: Shared,
+/// The HTTP server of a controller that has just started.
+struct TestServer {
+    context: ServerContext,
 }
 
-impl Site {
+impl TestServer {
     fn new() -> Self {
-        let (inbound, requests) = mpsc::channel(64);
-        tokio::spawn(run_node(requests));
+        let (request_sender, requests) = mpsc::channel(64);
+        tokio::spawn(run_controller(requests));
         let metrics = Arc::new(Metrics::new().expect("metrics"));
-        let shared = Shared {
-            inbound,
+        let context = ServerContext {
+            requests: request_sender,
             healthy: Arc::new(AtomicBool::new(true)),
             metrics,
         };
-        Site { shared }
+        TestServer { context }
     }
 
     async fn send(&self, method: Method, path: &str, body: Vec<u8>) -> (StatusCode, String) {
-        let uri = path.parse().expect("a path");
+        let uri = path.parse().expect("a valid path");
         let request = Request::builder().method(method).uri(uri).body(body);
-        let endpoint = server::routes(self.shared.clone()).into_endpoint();
+        let endpoint = server::routes(self.context.clone()).into_endpoint();
         let response = endpoint.get_response(request).await;
         let status = response.status();
-        let text = response.into_body().into_string().await.expect("a text");
+        let text = response
+            .into_body()
+            .into_string()
+            .await
+            .expect("a body of text");
         (status, text)
     }
 
@@ -91,45 +98,45 @@
         self.send(Method::POST, path, body.into()).await.0
     }
 
-    /// How many messages of a kind the metrics page shows as rejected.
-    async fn rejected(&self, source: &str, reason: &str) -> u64 {
+    /// Number of rejected messages that the metrics page shows for a source and reason.
+    async fn rejected_count(&self, source: &str, reason: &str) -> u64 {
         let (_, page) = self.send(Method::GET, "/metrics", Vec::new()).await;
         let labels = format!("{{reason=\"{reason}\",source=\"{source}\"}} ");
-        let name = format!("trackcrank_rejected_messages_total{labels}");
-        let line = page.lines().find_map(|line| line.strip_prefix(&name));
+        let prefix = format!("trackcrank_rejected_messages_total{labels}");
+        let line = page.lines().find_map(|line| line.strip_prefix(&prefix));
         line.map_or(0, |count| count.parse().expect("a count"))
     }
 }
 
-fn job() -> Value {
+fn valid_job() -> Value {
     json!({"id":"j-000412","lane":"train","crew":"vision","shape":"group","urgency":"high",
         "pieces":16,"vcpus":8.0,"gpus":1.0,"ram_gb":64.0,"bundle":"img-07","pull_gb":6.2,
         "rigs":["g8"],"yard":null,"together":true,"spread":false,"loaners":true,
         "expect_s":240.0,"notch_s":30.0,"stash_s":4.0,"due_s":900.0})
 }
 
-fn report() -> Value {
+fn valid_heartbeat() -> Value {
     json!({"host":"host-000231","address":"10.1.0.232:9000","rig":"g8","yard":"a",
         "loaners":true,"shift":1,"tick":88,"baton":41,"warning_s":null,
         "pieces":[{"piece":"j-000412/3","try":2,"status":"running"}]})
 }
 
-/// The message with one field changed.
-fn with(mut message: Value, field: &str, value: Value) -> String {
+/// The message as JSON, with one field set.
+fn with_field(mut message: Value, field: &str, value: Value) -> String {
     message[field] = value;
     message.to_string()
 }
 
 #[tokio::test]
-async fn malformed_submissions_are_answered_with_400() {
-    let site = Site::new();
-    let mut bad = vec![
+async fn malformed_submissions_get_status_400() {
+    let server = TestServer::new();
+    let mut malformed = vec![
         String::new(),
         "no JSON".into(),
         "null".into(),
-        json!([job()]).to_string(),
+        json!([valid_job()]).to_string(),
         json!("j-000412").to_string(),
-        format!("{}{}", job(), job()),
+        format!("{}{}", valid_job(), valid_job()),
         r#"{"id":"j-000412","id":"j-000413"}"#.into(),
     ];
     for id in [
@@ -141,7 +148,7 @@
         "j-000412/1",
         "j-99999999999999999999",
     ] {
-        bad.push(with(job(), "id", json!(id)));
+        malformed.push(with_field(valid_job(), "id", json!(id)));
     }
     for pieces in [
         json!(0),
@@ -151,7 +158,7 @@
         json!("16"),
         json!(null),
     ] {
-        bad.push(with(job(), "pieces", pieces));
+        malformed.push(with_field(valid_job(), "pieces", pieces));
     }
     for field in [
         "vcpus", "gpus", "ram_gb", "pull_gb", "expect_s", "notch_s", "stash_s", "due_s",
@@ -164,20 +171,20 @@
             json!({}),
             json!(true),
         ] {
-            bad.push(with(job(), field, amount));
+            malformed.push(with_field(valid_job(), field, amount));
         }
-        bad.push(
-            with(job(), field, json!(0))
+        malformed.push(
+            with_field(valid_job(), field, json!(0))
                 .replace(&format!("\"{field}\":0"), &format!("\"{field}\":1e400")),
         );
-        bad.push(
-            with(job(), field, json!(0))
+        malformed.push(
+            with_field(valid_job(), field, json!(0))
                 .replace(&format!("\"{field}\":0"), &format!("\"{field}\":NaN")),
         );
     }
     for field in ["lane", "crew", "bundle"] {
         for name in [json!(""), json!(7), json!(null), json!("x".repeat(201))] {
-            bad.push(with(job(), field, name));
+            malformed.push(with_field(valid_job(), field, name));
         }
     }
     for (field, value) in [
@@ -190,9 +197,9 @@
         ("rigs", json!([""])),
         ("yard", json!("")),
     ] {
-        bad.push(with(job(), field, value));
+        malformed.push(with_field(valid_job(), field, value));
     }
-    let fields: Vec<String> = job()
+    let fields: Vec<String> = valid_job()
         .as_object()
         .expect("an object")
         .keys()
@@ -200,69 +207,78 @@
         .collect();
     for field in fields
         .iter()
-        .filter(|f| !["rigs", "yard", "due_s"].contains(&f.as_str()))
+        .filter(|field| !["rigs", "yard", "due_s"].contains(&field.as_str()))
     {
-        let mut lacking = job();
-        lacking.as_object_mut().expect("an object").remove(field);
-        bad.push(lacking.to_string());
+        let mut incomplete_job = valid_job();
+        incomplete_job
+            .as_object_mut()
+            .expect("an object")
+            .remove(field);
+        malformed.push(incomplete_job.to_string());
     }
-    for body in &bad {
+    for body in &malformed {
         assert_eq!(
-            site.post("/v1/jobs", body.as_str()).await,
+            server.post("/v1/jobs", body.as_str()).await,
             StatusCode::BAD_REQUEST,
             "{body}"
         );
     }
-    assert_eq!(site.rejected("user", "malformed").await, bad.len() as u64);
+    assert_eq!(
+        server.rejected_count("user", "malformed").await,
+        malformed.len() as u64
+    );
 }
 
 #[tokio::test]
-async fn bodies_beyond_64_kib_are_answered_with_400() {
-    let site = Site::new();
+async fn bodies_above_64_kib_get_status_400() {
+    let server = TestServer::new();
     let padded = |bytes: usize| {
-        let body = with(job(), "note", json!(""));
+        let body = with_field(valid_job(), "note", json!(""));
         let padding = "x".repeat(bytes - body.len());
-        with(job(), "note", json!(padding))
+        with_field(valid_job(), "note", json!(padding))
     };
     assert_eq!(padded(64 * 1024).len(), 64 * 1024);
-    let well_formed = site.post("/v1/jobs", padded(64 * 1024)).await;
+    let status = server.post("/v1/jobs", padded(64 * 1024)).await;
     assert_eq!(
-        well_formed,
+        status,
         StatusCode::SERVICE_UNAVAILABLE,
-        "within the limit"
+        "a well-formed body of the largest size is passed to the controller"
     );
     for path in ["/v1/jobs", "/hello"] {
         assert_eq!(
-            site.post(path, padded(64 * 1024 + 1)).await,
+            server.post(path, padded(64 * 1024 + 1)).await,
             StatusCode::BAD_REQUEST
         );
     }
-    assert_eq!(site.rejected("user", "too_large").await, 1);
-    assert_eq!(site.rejected("worker", "too_large").await, 1);
-    assert_eq!(site.rejected("user", "malformed").await, 0);
+    assert_eq!(server.rejected_count("user", "too_large").await, 1);
+    assert_eq!(server.rejected_count("worker", "too_large").await, 1);
+    assert_eq!(server.rejected_count("user", "malformed").await, 0);
 }
 
-/// A node that has not read the records and the machine types yet cannot decide.
+/// Before it has read the records and the machine types, a controller can neither accept nor reject a job.
 #[tokio::test]
-async fn well_formed_submissions_are_answered_with_503_by_a_node_that_cannot_decide() {
-    let site = Site::new();
+async fn well_formed_submissions_get_status_503_until_the_controller_has_synced() {
+    let server = TestServer::new();
     for gpus in [json!(0), json!(0.25), json!(1.0), json!(8)] {
-        let body = with(job(), "gpus", gpus);
-        let status = site.post("/v1/jobs", body.as_str()).await;
+        let body = with_field(valid_job(), "gpus", gpus);
+        let status = server.post("/v1/jobs", body.as_str()).await;
         assert_eq!(status, StatusCode::SERVICE_UNAVAILABLE, "{body}");
     }
-    let mut least = job();
+    let mut minimal_job = valid_job();
     for field in ["rigs", "yard", "due_s"] {
-        least.as_object_mut().expect("an object").remove(field);
+        minimal_job
+            .as_object_mut()
+            .expect("an object")
+            .remove(field);
     }
-    let status = site.post("/v1/jobs", least.to_string()).await;
+    let status = server.post("/v1/jobs", minimal_job.to_string()).await;
     assert_eq!(status, StatusCode::SERVICE_UNAVAILABLE);
-    assert_eq!(site.rejected("user", "malformed").await, 0);
+    assert_eq!(server.rejected_count("user", "malformed").await, 0);
 }
 
 #[tokio::test]
-async fn ids_that_no_job_can_have_are_not_found() {
-    let site = Site::new();
+async fn malformed_job_ids_get_status_404() {
+    let server = TestServer::new();
     for id in [
         "412",
         "j-412",
@@ -273,18 +289,22 @@
         "%00",
     ] {
         let path = format!("/v1/jobs/{id}");
-        let (status, _) = site.send(Method::GET, &path, Vec::new()).await;
+        let (status, _) = server.send(Method::GET, &path, Vec::new()).await;
         assert_eq!(status, StatusCode::NOT_FOUND, "{path}");
-        let status = site.post(&format!("{path}/cancel"), "").await;
+        let status = server.post(&format!("{path}/cancel"), "").await;
         assert_eq!(status, StatusCode::NOT_FOUND, "{path}/cancel");
     }
-    assert_eq!(site.rejected("user", "malformed").await, 14);
+    assert_eq!(server.rejected_count("user", "malformed").await, 14);
 }
 
 #[tokio::test]
-async fn malformed_reports_are_answered_with_400() {
-    let site = Site::new();
-    let mut bad = vec![String::new(), "[]".into(), json!([report()]).to_string()];
+async fn malformed_heartbeats_get_status_400() {
+    let server = TestServer::new();
+    let mut malformed = vec![
+        String::new(),
+        "[]".into(),
+        json!([valid_heartbeat()]).to_string(),
+    ];
     for (field, value) in [
         ("host", json!(7)),
         ("shift", json!(-1)),
@@ -304,17 +324,20 @@
         ),
         ("pieces", json!([{"piece":"j-000412/3","status":"running"}])),
     ] {
-        bad.push(with(report(), field, value));
+        malformed.push(with_field(valid_heartbeat(), field, value));
     }
-    for body in &bad {
+    for body in &malformed {
         assert_eq!(
-            site.post("/hello", body.as_str()).await,
+            server.post("/hello", body.as_str()).await,
             StatusCode::BAD_REQUEST,
             "{body}"
         );
     }
-    assert_eq!(site.rejected("worker", "malformed").await, bad.len() as u64);
-    // These parse, and are rejected by the node.
+    assert_eq!(
+        server.rejected_count("worker", "malformed").await,
+        malformed.len() as u64
+    );
+    // These can be decoded, and are rejected by the controller.
     for (field, value) in [
         ("host", json!("")),
         ("host", json!("x".repeat(256))),
@@ -324,39 +347,39 @@
             json!([{"piece":"j-412/3","try":2,"status":"running"}]),
         ),
     ] {
-        let body = with(report(), field, value);
+        let body = with_field(valid_heartbeat(), field, value);
         assert_eq!(
-            site.post("/hello", body.as_str()).await,
+            server.post("/hello", body.as_str()).await,
             StatusCode::BAD_REQUEST,
             "{body}"
         );
     }
-    let status = site.post("/hello", report().to_string()).await;
+    let status = server.post("/hello", valid_heartbeat().to_string()).await;
     assert_eq!(
         status,
         StatusCode::SERVICE_UNAVAILABLE,
-        "a sound report to a node without records"
+        "a valid heartbeat to a controller that has read no records"
     );
 }
 
 #[tokio::test]
-async fn malformed_requests_of_operators_are_answered_with_400() {
-    let site = Site::new();
-    let bad = [
+async fn malformed_requests_of_operators_get_status_400() {
+    let server = TestServer::new();
+    let malformed = [
         "",
         "[1, {}]",
         "{}",
         r#"{"version":-1,"settings":{}}"#,
         r#"{"version":1}"#,
     ];
-    for body in bad {
-        let (status, _) = site
+    for body in malformed {
+        let (status, _) = server
             .send(Method::PUT, "/admin/v1/settings", body.into())
             .await;
         assert_eq!(status, StatusCode::BAD_REQUEST, "{body}");
     }
     assert_eq!(
-        site.rejected("operator", "malformed").await,
-        bad.len() as u64
+        server.rejected_count("operator", "malformed").await,
+        malformed.len() as u64
     );
 }
--- a/crates/trackcrank/tests/large_site.rs
+++ b/crates/trackcrank/tests/large_site.rs
@@ -1,4 +1,4 @@
-//! What comes at once at a site of 8,000 machines is neither lost nor refused.
+//! Bursts of messages and connections at a site of 8,000 machines fit the queues: none is lost or refused.
 
 use controller::Event;
 use model::settings::Peer;
@@ -7,7 +7,7 @@
 use std::time::Duration;
 use tokio::net::TcpStream;
 use tokio::sync::{mpsc, oneshot};
-use trackcrank::inbound::{request_queue, Inbound};
+use trackcrank::inbound::{request_queue, InboundRequest};
 use trackcrank::metrics::Metrics;
 use trackcrank::{listen, mesh};
 use wire::mesh::MeshMessage;
@@ -15,22 +15,24 @@
 
 /// Twice the machines of the largest site.
 const MACHINES: usize = 8_000;
-/// Connections that fit the descriptors of a test process; the kernel's own bound may be lower.
+/// Connections for which a test process has enough file descriptors. The kernel's own limit of the accept
+/// queue may be lower.
 const CONNECTIONS: usize = 800;
-const PATIENCE: Duration = Duration::from_millis(900);
+/// Timeout of each connection attempt.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(900);
 
 fn free_address() -> SocketAddr {
     let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a free port");
     listener.local_addr().expect("bound")
 }
 
-/// A leader says of each machine that it is to be returned, in one step.
+/// The fleet planner has all machines returned to the cloud in one step.
 #[tokio::test]
-async fn a_message_for_each_machine_reaches_a_peer() {
+async fn one_message_for_each_machine_sent_at_once_reaches_the_peer() {
     let address = free_address();
     let (events, mut received) = mpsc::channel(64);
     let metrics = Metrics::new().expect("metrics");
-    mesh::listen(address, events, metrics.rejected().clone())
+    mesh::listen(address, events, metrics.rejected_messages().clone())
         .await
         .expect("bound");
     let name = ControllerName::from("n1");
@@ -39,46 +41,46 @@
         zone: ZoneName::from("a"),
         mesh_address: address,
     };
-    let sender = mesh::connect(ControllerName::from("n0"), peer);
+    let queue = mesh::connect(ControllerName::from("n0"), peer);
     for number in 0..MACHINES {
         let message = MeshMessage::ReleaseMachine {
             machine: format!("host-{number:06}"),
             to: None,
         };
         assert!(
-            sender.try_send(message).is_ok(),
-            "message {number} is dropped"
+            queue.try_send(message).is_ok(),
+            "message {number} was dropped"
         );
     }
     for number in 0..MACHINES {
         let event = tokio::time::timeout(Duration::from_secs(20), received.recv()).await;
         let Ok(Some(Event::Mesh { message, .. })) = event else {
-            panic!("message {number}")
+            panic!("message {number} did not arrive")
         };
         let machine = format!("host-{number:06}");
         assert_eq!(message, MeshMessage::ReleaseMachine { machine, to: None });
     }
 }
 
-/// Workers connect while the process has not run for a moment.
+/// Workers connect while the server accepts no connections for a moment.
 #[tokio::test]
-async fn connections_wait_to_be_accepted() {
+async fn connections_queue_until_they_are_accepted() {
     let listener = listen::bind("127.0.0.1:0".parse().expect("an address"))
         .await
         .expect("bound");
     let address = listener.local_addr().expect("bound");
     let mut connections = Vec::new();
     for number in 0..CONNECTIONS {
-        let connection = tokio::time::timeout(PATIENCE, TcpStream::connect(address)).await;
+        let connection = tokio::time::timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await;
         assert!(
             matches!(connection, Ok(Ok(_))),
-            "connection {number} is not taken"
+            "connection {number} was not established"
         );
         connections.push(connection);
     }
 }
 
-fn report(number: usize) -> Heartbeat {
+fn heartbeat(number: usize) -> Heartbeat {
     Heartbeat {
         machine: format!("host-{number:06}"),
         address: "10.0.0.1:9000".into(),
@@ -93,13 +95,16 @@
     }
 }
 
-/// All machines report while the loop is busy.
+/// All machines send a heartbeat while the event loop is busy.
 #[test]
-fn reports_of_all_machines_wait_for_the_loop() {
+fn request_queue_holds_a_heartbeat_of_each_machine() {
     let (queue, _requests) = request_queue();
     for number in 0..MACHINES {
-        let (answer, _) = oneshot::channel();
-        let waits = queue.try_send(Inbound::Heartbeat(Box::new(report(number)), answer));
-        assert!(waits.is_ok(), "report {number} is refused");
+        let (reply_sender, _) = oneshot::channel();
+        let request = InboundRequest::Heartbeat(Box::new(heartbeat(number)), reply_sender);
+        assert!(
+            queue.try_send(request).is_ok(),
+            "heartbeat {number} was rejected"
+        );
     }
 }
