--- a/crates/controller/src/controller/admin.rs
+++ b/crates/controller/src/controller/admin.rs
@@ -126,7 +126,7 @@
     }
 
     /// Answers the operator whose change of settings was written.
-    pub(super) fn handle_settings_written(&mut self, ticket: Ticket, reply: StateReply) {
+    pub(super) fn handle_settings_reply(&mut self, ticket: Ticket, reply: StateReply) {
         let answer = match reply {
             StateReply::Committed { revision } => {
                 AdminReply::ok(SettingsVersionView { version: revision })
--- a/crates/controller/src/controller/admin/settings.rs
+++ b/crates/controller/src/controller/admin/settings.rs
@@ -67,7 +67,8 @@
     #[serde(rename = "silence_s")]
     pub heartbeat_grace_s: f64,
     /// Tasks of one job array that are in the scheduling queue at a time.
-    pub window: u32,
+    #[serde(rename = "window")]
+    pub max_queued_tasks_per_job: u32,
     /// Failures without a success in between after which a machine is quarantined.
     #[serde(rename = "faulty_after")]
     pub quarantine_threshold: u32,
@@ -77,9 +78,11 @@
     #[serde(rename = "set_back")]
     pub size_penalty_factor: u64,
     /// Whether replicas are consolidated on fewer machines.
-    pub move_replicas: bool,
+    #[serde(rename = "move_replicas")]
+    pub consolidate_replicas: bool,
     /// Tasks of arrays that find room within this time, in seconds, are no demand for machines.
-    pub absorb_s: f64,
+    #[serde(rename = "absorb_s")]
+    pub absorb_within_s: f64,
     /// Further multiple of its remaining run time by which a job is deprioritised during overload.
     #[serde(rename = "short_set_back")]
     pub overload_penalty_factor: u64,
@@ -98,7 +101,7 @@
     pub max_idle_transfers: usize,
     /// An empty machine that has not reported for so many seconds is returned.
     #[serde(rename = "silent_s")]
-    pub report_timeout_s: f64,
+    pub heartbeat_timeout_s: f64,
     /// A booting machine counts as capacity for its boot time multiplied by this factor.
     #[serde(rename = "boot_trust")]
     pub boot_capacity_factor: f64,
@@ -125,19 +128,19 @@
             max_backoff_s: queue.max_backoff.as_secs_f64(),
             unschedulable_timeout_s: queue.unschedulable_timeout.as_secs_f64(),
             heartbeat_grace_s: policy.heartbeat_grace.as_secs_f64(),
-            window: policy.max_queued_tasks_per_job,
+            max_queued_tasks_per_job: policy.max_queued_tasks_per_job,
             quarantine_threshold: policy.quarantine_threshold,
             preempt: policy.preempt,
             size_penalty_factor: policy.size_penalty_factor,
-            move_replicas: policy.consolidate_replicas,
-            absorb_s: policy.absorb_within.as_secs_f64(),
+            consolidate_replicas: policy.consolidate_replicas,
+            absorb_within_s: policy.absorb_within.as_secs_f64(),
             overload_penalty_factor: policy.overload_penalty_factor,
             horizon_s: fleet.horizon.as_secs_f64(),
             keep_idle_s: fleet.keep_idle.as_secs_f64(),
             minimum_billing_s: fleet.minimum_billing.as_secs_f64(),
             transfer_idle_s: fleet.transfer_idle.as_secs_f64(),
             max_idle_transfers: fleet.max_idle_transfers,
-            report_timeout_s: fleet.heartbeat_timeout.as_secs_f64(),
+            heartbeat_timeout_s: fleet.heartbeat_timeout.as_secs_f64(),
             boot_capacity_factor: fleet.boot_capacity_factor,
             boot_timeout_factor: fleet.boot_timeout_factor,
         }
@@ -160,14 +163,18 @@
         )?;
         check_bounds("leftover_s", self.unschedulable_timeout_s, 0.1..=600.0)?;
         check_bounds("silence_s", self.heartbeat_grace_s, 0.1..=60.0)?;
-        check_bounds("window", f64::from(self.window), 1.0..=100_000.0)?;
+        check_bounds(
+            "window",
+            f64::from(self.max_queued_tasks_per_job),
+            1.0..=100_000.0,
+        )?;
         check_bounds(
             "faulty_after",
             f64::from(self.quarantine_threshold),
             1.0..=1000.0,
         )?;
         check_bounds("set_back", self.size_penalty_factor as f64, 0.0..=1000.0)?;
-        check_bounds("absorb_s", self.absorb_s, 0.0..=3_600.0)?;
+        check_bounds("absorb_s", self.absorb_within_s, 0.0..=3_600.0)?;
         check_bounds(
             "short_set_back",
             self.overload_penalty_factor as f64,
@@ -178,7 +185,7 @@
         check_bounds("paid_s", self.minimum_billing_s, 0.0..=36_000.0)?;
         check_bounds("shift_idle_s", self.transfer_idle_s, 0.0..=3_600.0)?;
         check_bounds("shift_count", self.max_idle_transfers as f64, 0.0..=1000.0)?;
-        check_bounds("silent_s", self.report_timeout_s, 1.0..=36_000.0)?;
+        check_bounds("silent_s", self.heartbeat_timeout_s, 1.0..=36_000.0)?;
         check_bounds("boot_trust", self.boot_capacity_factor, 0.1..=100.0)?;
         check_bounds(
             "boot_patience",
@@ -203,12 +210,12 @@
             },
             policy: Policy {
                 heartbeat_grace: duration_from_secs(record.heartbeat_grace_s),
-                max_queued_tasks_per_job: record.window,
+                max_queued_tasks_per_job: record.max_queued_tasks_per_job,
                 quarantine_threshold: record.quarantine_threshold,
                 preempt: record.preempt,
                 size_penalty_factor: record.size_penalty_factor,
-                consolidate_replicas: record.move_replicas,
-                absorb_within: duration_from_secs(record.absorb_s),
+                consolidate_replicas: record.consolidate_replicas,
+                absorb_within: duration_from_secs(record.absorb_within_s),
                 overload_penalty_factor: record.overload_penalty_factor,
             },
             fleet: FleetPolicy {
@@ -217,7 +224,7 @@
                 minimum_billing: duration_from_secs(record.minimum_billing_s),
                 transfer_idle: duration_from_secs(record.transfer_idle_s),
                 max_idle_transfers: record.max_idle_transfers,
-                heartbeat_timeout: duration_from_secs(record.report_timeout_s),
+                heartbeat_timeout: duration_from_secs(record.heartbeat_timeout_s),
                 boot_capacity_factor: record.boot_capacity_factor,
                 boot_timeout_factor: record.boot_timeout_factor,
             },
--- a/crates/controller/src/controller/admission.rs
+++ b/crates/controller/src/controller/admission.rs
@@ -4,7 +4,7 @@
 use super::linearizable_reads::{CONDITIONS_PER_CHANGE, RETRY_AFTER_S};
 use super::{CallKind, Controller, PendingRequest, RequestKind, Ticket, UserReply};
 use crate::records::{
-    accepted_jobs_key, accepted_jobs_prefix, final_state_key, packed_bytes, page_capacity_bytes,
+    accepted_jobs_key, accepted_jobs_prefix, packed_bytes, page_capacity_bytes, terminal_state_key,
     AcceptedJobsPage, PackedJob,
 };
 use crate::request_budget::CallPriority;
@@ -16,9 +16,9 @@
 use wire::users::JobRequest;
 
 /// Pending submissions above which further ones are refused: about what is written in a second.
-const MAX_PENDING: usize = 150;
+const MAX_PENDING_SUBMISSIONS: usize = 150;
 /// Longest wait of a submission for its write, which users' timeouts bound; later it is refused.
-const MAX_PENDING_TIME: Duration = Duration::from_millis(1_500);
+const MAX_SUBMISSION_WAIT: Duration = Duration::from_millis(1_500);
 /// Pages of accepted jobs that one transaction writes at most.
 const MAX_PAGES_PER_WRITE: usize = 2;
 /// How long the state cache may lag behind a write of accepted jobs before their replies are given
@@ -26,7 +26,7 @@
 const MAX_CACHE_LAG: Duration = Duration::from_millis(300);
 /// Part of a page that must be free for it to be written again: rewriting a nearly full page for a
 /// job or two costs more than a new page.
-const MIN_FREE_PAGE_FRACTION: usize = 4;
+const MIN_FREE_PAGE_DIVISOR: usize = 4;
 
 /// A submission that waits for its write.
 #[derive(Debug)]
@@ -46,14 +46,14 @@
             ticket: self.ticket,
             kind,
             id: self.id,
-            since,
+            waiting_since: since,
         }
     }
 
     /// The same request for a job that is registered already.
     fn into_resubmission(self) -> PendingRequest {
         let since = self.since;
-        self.into_request(RequestKind::Resubmit { reject: None }, since)
+        self.into_request(RequestKind::Resubmit { rejection: None }, since)
     }
 }
 
@@ -64,7 +64,7 @@
     writes: SerialWriter<Vec<PendingSubmission>>,
     /// Accepted by the writer's last write; answered once the state cache has reached its revision.
     /// No further write begins before that.
-    unconfirmed: Vec<PendingRequest>,
+    awaiting_cache: Vec<PendingRequest>,
 }
 
 /// A page of accepted jobs with room for more.
@@ -89,7 +89,7 @@
 impl Controller {
     /// Queues a valid submission, or refuses it at once.
     pub(super) fn admit(&mut self, ticket: Ticket, id: JobId, job: JobRequest) {
-        if self.admission.pending.len() >= MAX_PENDING {
+        if self.admission.pending.len() >= MAX_PENDING_SUBMISSIONS {
             self.reply_busy(ticket, RETRY_AFTER_S);
             return;
         }
@@ -114,7 +114,7 @@
     /// Refuses, answers and writes submissions as far as that is due.
     pub(super) fn advance_admission(&mut self) {
         self.refuse_overdue_submissions();
-        self.confirm_accepted();
+        self.reply_to_accepted();
         let ready = self
             .admission
             .writes
@@ -125,13 +125,13 @@
             && self.state_sync.is_synced()
             && self.may_write(CallPriority::UserRequest, 1.0)
         {
-            self.write_accepted();
+            self.write_submissions();
         }
     }
 
     fn refuse_overdue_submissions(&mut self) {
         while let Some(first) = self.admission.pending.front() {
-            if self.now.duration_since(first.since) <= MAX_PENDING_TIME {
+            if self.now.duration_since(first.since) <= MAX_SUBMISSION_WAIT {
                 break;
             }
             let ticket = first.ticket;
@@ -145,20 +145,20 @@
     /// The same job may have been accepted and cancelled through another controller before this
     /// write was applied. All of that has a lower revision than the write, so a state cache that has
     /// reached the write's revision shows everything that was confirmed before the submission.
-    fn confirm_accepted(&mut self) {
-        let Some(first) = self.admission.unconfirmed.first() else {
+    fn reply_to_accepted(&mut self) {
+        let Some(first) = self.admission.awaiting_cache.first() else {
             return;
         };
-        let lag = self.now.duration_since(first.since);
+        let lag = self.now.duration_since(first.waiting_since);
         if !self.state_sync.is_synced() {
-            let requests = std::mem::take(&mut self.admission.unconfirmed);
+            let requests = std::mem::take(&mut self.admission.awaiting_cache);
             self.refuse_all(requests);
         } else if self.cache.revision >= self.admission.writes.settled_revision() {
-            for request in std::mem::take(&mut self.admission.unconfirmed) {
-                self.answer(request);
+            for request in std::mem::take(&mut self.admission.awaiting_cache) {
+                self.reply_from_cache(request);
             }
         } else if lag > MAX_CACHE_LAG {
-            let requests = std::mem::take(&mut self.admission.unconfirmed);
+            let requests = std::mem::take(&mut self.admission.awaiting_cache);
             self.reads.enqueue_all(requests);
         }
     }
@@ -192,12 +192,12 @@
             version: 0,
             free_bytes: capacity,
         };
-        best.filter(|page| page.free_bytes >= capacity / MIN_FREE_PAGE_FRACTION)
+        best.filter(|page| page.free_bytes >= capacity / MIN_FREE_PAGE_DIVISOR)
             .unwrap_or(fresh)
     }
 
     /// Writes as many pending submissions as a transaction takes.
-    fn write_accepted(&mut self) {
+    fn write_submissions(&mut self) {
         let limits = &self.settings.state_limits;
         let capacity = page_capacity_bytes(limits.value_bytes);
         let max_pages = MAX_PAGES_PER_WRITE.min(limits.txn_ops);
@@ -257,7 +257,7 @@
             free_bytes -= size;
             jobs.push(serde_json::to_value(&packed).unwrap_or_default());
             batch.ids.insert(next.id);
-            batch.txn = std::mem::take(&mut batch.txn).when(final_state_key(next.id), 0);
+            batch.txn = std::mem::take(&mut batch.txn).when(terminal_state_key(next.id), 0);
             batch.submissions.push(next);
         }
         if batch.submissions.len() == before {
@@ -271,19 +271,19 @@
     }
 
     /// Takes in the outcome of a write of accepted jobs.
-    pub(super) fn handle_acceptance_written(&mut self, reply: StateReply) {
+    pub(super) fn handle_admission_reply(&mut self, reply: StateReply) {
         match self.admission.writes.handle_reply(reply, self.now) {
             WriteOutcome::Committed(batch) => {
                 let since = self.now;
                 let requests = batch
                     .into_iter()
                     .map(|job| job.into_request(RequestKind::Accepted, since));
-                self.admission.unconfirmed.extend(requests);
-                self.confirm_accepted();
+                self.admission.awaiting_cache.extend(requests);
+                self.reply_to_accepted();
             }
             WriteOutcome::Conflict(batch, failed) => {
                 for submission in batch.into_iter().rev() {
-                    if failed.contains(&final_state_key(submission.id)) {
+                    if failed.contains(&terminal_state_key(submission.id)) {
                         // The job is in a terminal state: this is a late retry.
                         self.reads.enqueue(submission.into_resubmission());
                     } else {
--- a/crates/controller/src/controller/cancellations.rs
+++ b/crates/controller/src/controller/cancellations.rs
@@ -80,7 +80,7 @@
     }
 
     /// Takes in the outcome of a write of cancellations.
-    pub(super) fn handle_cancellation_written(&mut self, reply: StateReply) {
+    pub(super) fn handle_cancellation_reply(&mut self, reply: StateReply) {
         match self.cancellations.writes.handle_reply(reply, self.now) {
             // The job may have finished before: a read that begins now shows which came first.
             WriteOutcome::Committed(requests) => {
--- a/crates/controller/src/controller/counters.rs
+++ b/crates/controller/src/controller/counters.rs
@@ -1,6 +1,6 @@
 //! Counters of a controller, shown in the metrics.
 
-use crate::rejections::RejectionCounts;
+use crate::rejections::RejectedMessageCounts;
 use std::collections::BTreeMap;
 
 /// Counts of events since the start of the process.
@@ -27,7 +27,7 @@
     /// Refused requests by cause: `busy` for users' requests, `report` for heartbeats.
     pub refusals: BTreeMap<&'static str, u64>,
     /// Rejected messages since the metrics last drained them.
-    pub rejections: RejectionCounts,
+    pub rejections: RejectedMessageCounts,
     /// How often tasks found no machine, by reason, since the metrics last drained the counts.
     pub unplaced: scheduler::RejectionCounts,
     /// Times from when a job was first seen to the placements of its tasks, since the metrics last drained
--- a/crates/controller/src/controller/fleet_planner/cloud_calls.rs
+++ b/crates/controller/src/controller/fleet_planner/cloud_calls.rs
@@ -58,8 +58,8 @@
     /// Until when each refused offer is not requested again.
     refused_until: HashMap<Offer, Timestamp>,
     /// When the release of each machine was last requested.
-    released_at: HashMap<MachineName, Timestamp>,
-    listed_at: Timestamp,
+    release_requested_at: HashMap<MachineName, Timestamp>,
+    list_requested_at: Timestamp,
     is_listing: bool,
 }
 
@@ -71,8 +71,8 @@
             rentals: BTreeMap::new(),
             rental_retries: Vec::new(),
             refused_until: HashMap::new(),
-            released_at: HashMap::new(),
-            listed_at: Timestamp::default(),
+            release_requested_at: HashMap::new(),
+            list_requested_at: Timestamp::default(),
             is_listing: false,
         }
     }
@@ -105,7 +105,7 @@
 
     /// Forgets a machine whose record is gone.
     pub(super) fn forget_machine(&mut self, name: &MachineName) {
-        self.released_at.remove(name);
+        self.release_requested_at.remove(name);
     }
 
     fn refuse_offer(&mut self, offer: Offer, until: Timestamp) {
@@ -113,7 +113,7 @@
     }
 
     fn is_releasing(&self, name: &MachineName, now: Timestamp) -> bool {
-        self.released_at
+        self.release_requested_at
             .get(name)
             .is_some_and(|at| now.duration_since(*at) < RELEASE_TIMEOUT)
     }
@@ -124,11 +124,12 @@
     pub(super) fn request_machine_list(&mut self) {
         let now = self.now;
         let cloud = &mut self.fleet_planner.cloud;
-        let is_due = now.duration_since(cloud.listed_at) >= LIST_INTERVAL && !cloud.is_listing;
+        let is_due =
+            now.duration_since(cloud.list_requested_at) >= LIST_INTERVAL && !cloud.is_listing;
         if !is_due || !cloud.budget.take(now, 1.0, LIST_CALL_RESERVE) {
             return;
         }
-        cloud.listed_at = now;
+        cloud.list_requested_at = now;
         cloud.is_listing = true;
         self.request_machine_list_page(String::new(), Vec::new());
     }
@@ -178,7 +179,7 @@
             return;
         }
         for name in &names {
-            cloud.released_at.insert(name.clone(), now);
+            cloud.release_requested_at.insert(name.clone(), now);
         }
         let request = CloudRequest::Release(names.iter().map(MachineName::to_string).collect());
         self.send_cloud_request(request, CallKind::Fleet(FleetCall::Release(names)));
@@ -281,7 +282,7 @@
         let released_at = Timestamp::from_millis(now.as_millis().saturating_sub(elapsed));
         for name in names {
             let cloud = &mut self.fleet_planner.cloud;
-            cloud.released_at.insert(name, released_at);
+            cloud.release_requested_at.insert(name, released_at);
         }
     }
 
--- a/crates/controller/src/controller/fleet_planner/inventory.rs
+++ b/crates/controller/src/controller/fleet_planner/inventory.rs
@@ -1,7 +1,7 @@
 //! The fleet as the planner knows it: machines' records joined with the partition leaders' statuses
 //! and the cloud's list.
 
-use super::record_of_rental;
+use super::rented_machine_record;
 use crate::controller::machine_records::MachineChange;
 use crate::controller::Controller;
 use crate::records::{DemandRecord, MachineRecord};
@@ -61,14 +61,14 @@
 
 /// The partition of a machine and since when this planner knows it to be there.
 #[derive(Debug, Clone, Copy)]
-struct Residence {
+struct PartitionAssignment {
     partition: PartitionId,
     since: Timestamp,
 }
 
 /// A machine of the cloud's list and when that list was complete.
 #[derive(Debug)]
-struct ListEntry {
+struct ListedMachineEntry {
     machine: ListedMachine,
     listed_at: Timestamp,
 }
@@ -78,8 +78,8 @@
 pub(super) struct FleetInventory {
     statuses: HashMap<PartitionId, ReceivedStatus>,
     observed_terms: HashMap<PartitionId, ObservedTerm>,
-    residences: HashMap<MachineName, Residence>,
-    listed: HashMap<MachineName, ListEntry>,
+    assignments: HashMap<MachineName, PartitionAssignment>,
+    listed_machines: HashMap<MachineName, ListedMachineEntry>,
     /// Machines that exist but lack a record, with the record that they are to get.
     unregistered: BTreeMap<MachineName, MachineRecord>,
     /// When each released machine's record was to be deleted.
@@ -158,13 +158,13 @@
         partition: PartitionId,
         now: Timestamp,
     ) {
-        let residence = Residence {
+        let residence = PartitionAssignment {
             partition,
             since: now,
         };
-        self.residences.insert(name.clone(), residence);
+        self.assignments.insert(name.clone(), residence);
         self.unregistered
-            .insert(name, record_of_rental(request, partition));
+            .insert(name, rented_machine_record(request, partition));
     }
 
     /// Notes that a machine's record is to be deleted since the cloud has released it.
@@ -179,16 +179,16 @@
         machine: ListedMachine,
         now: Timestamp,
     ) {
-        let entry = ListEntry {
+        let entry = ListedMachineEntry {
             machine,
             listed_at: now,
         };
-        self.listed.insert(name, entry);
+        self.listed_machines.insert(name, entry);
     }
 
     /// Drops what was last listed or deleted long ago.
     pub(super) fn expire(&mut self, now: Timestamp) {
-        self.listed
+        self.listed_machines
             .retain(|_, entry| now.duration_since(entry.listed_at) < LISTED_MACHINE_RETENTION);
         self.deleted_at
             .retain(|_, at| now.duration_since(*at) < DELETED_MACHINE_RETENTION);
@@ -196,21 +196,21 @@
 
     /// Forgets a machine whose record is gone.
     pub(super) fn forget_machine(&mut self, name: &MachineName) {
-        self.residences.remove(name);
+        self.assignments.remove(name);
     }
 
     /// Since when the machine is known to be in this partition.
-    fn resident_since(
+    fn assigned_since(
         &mut self,
         name: &MachineName,
         partition: PartitionId,
         now: Timestamp,
     ) -> Timestamp {
-        let current = Residence {
+        let current = PartitionAssignment {
             partition,
             since: now,
         };
-        let residence = self.residences.entry(name.clone()).or_insert(current);
+        let residence = self.assignments.entry(name.clone()).or_insert(current);
         if residence.partition != partition {
             *residence = current;
         }
@@ -224,14 +224,14 @@
         record: &MachineRecord,
         now: Timestamp,
     ) -> FleetMachine {
-        let resident_since = self.resident_since(name, record.partition, now);
+        let resident_since = self.assigned_since(name, record.partition, now);
         let led_since = self
             .observed_terms
             .get(&record.partition)
             .map(|observed| observed.since);
         let observable_since =
             led_since.map_or(resident_since, |led_since| led_since.max(resident_since));
-        let listed = self.listed.get(name).map(|entry| &entry.machine);
+        let listed = self.listed_machines.get(name).map(|entry| &entry.machine);
         let listed_age = listed.map_or(Duration::ZERO, |machine| duration_from_secs(machine.age_s));
         let mut machine = FleetMachine {
             leaving: record.leaving,
@@ -275,7 +275,7 @@
             machines.push(unobserved_machine(name.clone(), record));
         }
         for (request, partition) in rentals {
-            let record = record_of_rental(request, partition);
+            let record = rented_machine_record(request, partition);
             for number in 0..request.count {
                 let placeholder = format!("{}#{number}", request.request);
                 let name = MachineName::from(placeholder.as_str());
--- a/crates/controller/src/controller/fleet_planner/mod.rs
+++ b/crates/controller/src/controller/fleet_planner/mod.rs
@@ -33,7 +33,7 @@
     cloud: CloudCalls,
     machine_types: MachineTypesReader,
     planning: PlanningState,
-    scanned_at: Timestamp,
+    last_scan_at: Timestamp,
 }
 
 impl FleetPlanner {
@@ -44,7 +44,7 @@
             cloud: CloudCalls::new(cloud_requests_per_s),
             machine_types: MachineTypesReader::default(),
             planning: PlanningState::default(),
-            scanned_at: Timestamp::default(),
+            last_scan_at: Timestamp::default(),
         }
     }
 
@@ -71,13 +71,13 @@
     }
 
     /// Notes that the write of the machine types has ended, whatever its outcome.
-    pub(super) fn handle_machine_types_written(&mut self) {
+    pub(super) fn finish_machine_types_write(&mut self) {
         self.machine_types.finish_write();
     }
 }
 
 /// The record of a machine rented by this request.
-fn record_of_rental(request: &RentRequest, partition: PartitionId) -> MachineRecord {
+fn rented_machine_record(request: &RentRequest, partition: PartitionId) -> MachineRecord {
     MachineRecord {
         machine_type: request.machine_type.clone(),
         zone: request.zone.clone(),
@@ -121,8 +121,8 @@
         if !is_fleet_planner || !self.has_recent_state_read(MAX_LAUNCH_READ_AGE) {
             return;
         }
-        if self.now.duration_since(self.fleet_planner.scanned_at) >= SCAN_INTERVAL {
-            self.fleet_planner.scanned_at = self.now;
+        if self.now.duration_since(self.fleet_planner.last_scan_at) >= SCAN_INTERVAL {
+            self.fleet_planner.last_scan_at = self.now;
             self.create_missing_machine_records();
             self.release_leaving_machines();
         }
--- a/crates/controller/src/controller/fleet_planner/planning.rs
+++ b/crates/controller/src/controller/fleet_planner/planning.rs
@@ -16,7 +16,7 @@
 /// When plans and their requests were made.
 #[derive(Debug, Default)]
 pub(super) struct PlanningState {
-    planned_at: Timestamp,
+    last_plan_at: Timestamp,
     /// When each machine's partition leader was last requested to give it up.
     release_requested_at: HashMap<MachineName, Timestamp>,
     /// Rentals requested by this process, to name each of them.
@@ -35,10 +35,10 @@
     pub(super) fn plan_fleet(&mut self) {
         let now = self.now;
         let planning = &mut self.fleet_planner.planning;
-        if now.duration_since(planning.planned_at) < PLAN_INTERVAL {
+        if now.duration_since(planning.last_plan_at) < PLAN_INTERVAL {
             return;
         }
-        planning.planned_at = now;
+        planning.last_plan_at = now;
         let Some(types) = self.machine_types_with_prices() else {
             return;
         };
@@ -106,7 +106,7 @@
                     return;
                 }
                 let request = RentRequest {
-                    request: self.next_rental_name(),
+                    request: self.next_rental_id(),
                     machine_type,
                     zone: zone.to_string(),
                     spot,
@@ -136,7 +136,7 @@
     }
 
     /// A name for a rental. The incarnation is random, so no name is ever used again.
-    fn next_rental_name(&mut self) -> String {
+    fn next_rental_id(&mut self) -> String {
         self.fleet_planner.planning.rental_count += 1;
         format!(
             "{}-{:x}-{}",
--- a/crates/controller/src/controller/heartbeat_checks.rs
+++ b/crates/controller/src/controller/heartbeat_checks.rs
@@ -4,17 +4,17 @@
 use wire::workers::Heartbeat;
 
 /// Maximum length (bytes) of an address and of the name of a machine, a type or a zone.
-const MAX_NAME_LENGTH: usize = 255;
+const MAX_NAME_BYTES: usize = 255;
 
 /// Why a heartbeat is rejected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum HeartbeatFault {
     /// A name or an address is malformed.
-    Name,
+    InvalidName,
     /// A task id is malformed, so it is unknown which tasks the machine runs.
-    Task,
+    InvalidTaskId,
     /// It comes from another machine than the one that was called: addresses are used again.
-    OtherMachine,
+    WrongMachine,
 }
 
 /// Checks that the list of tasks is complete and that the address can be used.
@@ -22,19 +22,19 @@
     let names = [&report.machine, &report.machine_type, &report.zone];
     if names
         .iter()
-        .any(|name| name.is_empty() || name.len() > MAX_NAME_LENGTH)
+        .any(|name| name.is_empty() || name.len() > MAX_NAME_BYTES)
     {
-        return Err(HeartbeatFault::Name);
+        return Err(HeartbeatFault::InvalidName);
     }
-    if !is_address(&report.address) {
-        return Err(HeartbeatFault::Name);
+    if !is_valid_address(&report.address) {
+        return Err(HeartbeatFault::InvalidName);
     }
     if report
         .tasks
         .iter()
         .any(|entry| TaskId::parse(&entry.task).is_none())
     {
-        return Err(HeartbeatFault::Task);
+        return Err(HeartbeatFault::InvalidTaskId);
     }
     Ok(())
 }
@@ -43,13 +43,13 @@
 pub(super) fn check_reply(report: &Heartbeat, called: &MachineName) -> Result<(), HeartbeatFault> {
     check_heartbeat(report)?;
     if report.machine != called.as_str() {
-        return Err(HeartbeatFault::OtherMachine);
+        return Err(HeartbeatFault::WrongMachine);
     }
     Ok(())
 }
 
 /// Whether the text can be the authority of a URL and nothing else.
-fn is_address(text: &str) -> bool {
+fn is_valid_address(text: &str) -> bool {
     let allowed = |byte: u8| byte.is_ascii_alphanumeric() || b".:-_[]%".contains(&byte);
-    !text.is_empty() && text.len() <= MAX_NAME_LENGTH && text.bytes().all(allowed)
+    !text.is_empty() && text.len() <= MAX_NAME_BYTES && text.bytes().all(allowed)
 }
--- a/crates/controller/src/controller/heartbeats.rs
+++ b/crates/controller/src/controller/heartbeats.rs
@@ -139,7 +139,7 @@
     }
 
     /// Sends commands directly to machines that have urgent ones, without waiting for a heartbeat.
-    pub(super) fn send_direct(&mut self, partition: PartitionId) {
+    pub(super) fn send_urgent_commands(&mut self, partition: PartitionId) {
         if !self.has_recent_state_read(self.launch_validity()) {
             return;
         }
@@ -252,8 +252,8 @@
         };
         tracing::warn!(%called, machine = report.machine, ?fault, "worker reply rejected");
         let fault = match fault {
-            HeartbeatFault::OtherMachine => MessageFault::Misrouted,
-            HeartbeatFault::Name | HeartbeatFault::Task => MessageFault::Malformed,
+            HeartbeatFault::WrongMachine => MessageFault::Misrouted,
+            HeartbeatFault::InvalidName | HeartbeatFault::InvalidTaskId => MessageFault::Malformed,
         };
         self.counters.rejections.add(MessageSource::Worker, fault);
         DirectReply::Unknown
--- a/crates/controller/src/controller/job_archiver.rs
+++ b/crates/controller/src/controller/job_archiver.rs
@@ -2,16 +2,16 @@
 //!
 //! Terminal jobs are first recorded on watched pages, many jobs in one write. This write is conditional
 //! on the cancellation records of all controllers, so that a job cannot be both done and cancelled.
-//! When the write budget has room to spare, final states are archived under the jobs' ids, where they
+//! When the write budget has room to spare, terminal states are archived under the jobs' ids, where they
 //! stay for ever. A job is dropped from its page once it is archived and no page of accepted jobs lists
 //! it any more. It cannot be accepted again after that, since acceptances are conditional on there
-//! being no archived final state.
+//! being no archived terminal state.
 
 use super::call_kind::JobCall;
 use super::{CallKind, Controller};
 use crate::records::{
-    cancellations_key, final_state_key, page_capacity_bytes, partition_key, terminal_jobs_key,
-    FinalStateRecord, TerminalJobsPage,
+    cancellations_key, page_capacity_bytes, partition_key, terminal_jobs_key, terminal_state_key,
+    TerminalJobsPage, TerminalStateRecord,
 };
 use crate::request_budget::CallPriority;
 use crate::serial_writer::{SerialWriter, WriteOutcome, UNKNOWN_OUTCOME_RETRY_DELAY};
@@ -185,7 +185,7 @@
     ))
 }
 
-/// A transaction that archives `count` final states, or none if there are fewer: they would not justify
+/// A transaction that archives `count` terminal states, or none if there are fewer: they would not justify
 /// rewriting the page.
 fn archive_jobs(cache: &StateCache, partition: PartitionId, count: usize) -> Option<Transaction> {
     let pages = cache
@@ -202,8 +202,8 @@
     let key = terminal_jobs_key(partition, *number);
     let mut txn = Transaction::default().when(&key, recorded.version.0);
     for (id, state) in archived {
-        let value = serde_json::to_value(FinalStateRecord { state }).unwrap_or_default();
-        txn = txn.write(Write::put(final_state_key(id), value));
+        let value = serde_json::to_value(TerminalStateRecord { state }).unwrap_or_default();
+        txn = txn.write(Write::put(terminal_state_key(id), value));
     }
     Some(txn.write(Write::put(
         &key,
--- a/crates/controller/src/controller/leadership/advance.rs
+++ b/crates/controller/src/controller/leadership/advance.rs
@@ -49,7 +49,7 @@
         }
         self.archive_terminal_jobs(partition);
         self.write_commit(partition);
-        self.send_direct(partition);
+        self.send_urgent_commands(partition);
         if scan_due {
             self.scan_machines(partition);
         }
--- a/crates/controller/src/controller/linearizable_reads.rs
+++ b/crates/controller/src/controller/linearizable_reads.rs
@@ -5,9 +5,9 @@
 //! who poll often leave the budget to submissions and placements.
 
 use super::call_kind::ReadCall;
-use super::user_requests::status;
+use super::user_requests::status_without_counts;
 use super::{CallKind, Controller, PendingRequest, RequestKind, UserReply};
-use crate::records::{final_state_key, FinalStateRecord};
+use crate::records::{terminal_state_key, TerminalStateRecord};
 use crate::request_budget::CallPriority;
 use crate::state_sync::watch_request;
 use model::{JobId, JobState, Timestamp};
@@ -38,8 +38,8 @@
     next_read_at: Timestamp,
     /// Requests whose jobs are not registered, by such a read: do they have a final state?
     unregistered: Vec<PendingRequest>,
-    is_comparing: bool,
-    next_comparison_at: Timestamp,
+    is_checking: bool,
+    next_check_at: Timestamp,
 }
 
 impl LinearizableReads {
@@ -75,11 +75,10 @@
             self.read_changes();
         }
         let reads = &mut self.reads;
-        if !reads.unregistered.is_empty() && !reads.is_comparing && now >= reads.next_comparison_at
-        {
-            reads.is_comparing = true;
-            reads.next_comparison_at = now + interval;
-            self.compare_final_states();
+        if !reads.unregistered.is_empty() && !reads.is_checking && now >= reads.next_check_at {
+            reads.is_checking = true;
+            reads.next_check_at = now + interval;
+            self.check_terminal_states();
         }
     }
 
@@ -95,7 +94,7 @@
     }
 
     /// Sends a transaction of conditions on the absence of final states.
-    fn compare_final_states(&mut self) {
+    fn check_terminal_states(&mut self) {
         let max_conditions = self.settings.state_limits.txn_ops * CONDITIONS_PER_CHANGE;
         let unregistered = &mut self.reads.unregistered;
         let ids: BTreeSet<JobId> = unregistered
@@ -107,7 +106,7 @@
             .extract_if(.., |request| ids.contains(&request.id))
             .collect();
         let txn = ids.iter().fold(Transaction::default(), |txn, id| {
-            txn.when(final_state_key(*id), 0)
+            txn.when(terminal_state_key(*id), 0)
         });
         self.queue_state_request(
             CallPriority::UserRequest,
@@ -117,16 +116,16 @@
     }
 
     /// When the next read is due, if one waits for its interval.
-    pub(super) fn next_read(&self) -> Option<Timestamp> {
+    pub(super) fn next_read_due_at(&self) -> Option<Timestamp> {
         let reads = &self.reads;
         let read = (!reads.queued.is_empty() && !reads.is_reading).then_some(reads.next_read_at);
-        let comparison = (!reads.unregistered.is_empty() && !reads.is_comparing)
-            .then_some(reads.next_comparison_at);
+        let comparison =
+            (!reads.unregistered.is_empty() && !reads.is_checking).then_some(reads.next_check_at);
         [read, comparison].into_iter().flatten().min()
     }
 
     /// Answers these requests from a read of changes that was sent at `sent`.
-    pub(super) fn handle_changes_read(
+    pub(super) fn handle_changes_reply(
         &mut self,
         requests: Vec<PendingRequest>,
         reply: StateReply,
@@ -137,7 +136,7 @@
             StateReply::Changes(changes) => {
                 self.apply_changes(&changes, sent);
                 for request in requests {
-                    self.answer(request);
+                    self.reply_from_cache(request);
                 }
             }
             StateReply::Compacted => {
@@ -158,7 +157,7 @@
         let now = self.now;
         let (retryable, late): (Vec<PendingRequest>, Vec<PendingRequest>) = requests
             .into_iter()
-            .partition(|request| now.duration_since(request.since) < MAX_RETRY_TIME);
+            .partition(|request| now.duration_since(request.waiting_since) < MAX_RETRY_TIME);
         self.refuse_all(late);
         retryable
     }
@@ -171,21 +170,21 @@
     }
 
     /// Takes in which of the jobs have no final state: a transaction of conditions only.
-    pub(super) fn handle_final_states_compared(
+    pub(super) fn handle_terminal_states_check_reply(
         &mut self,
         requests: Vec<PendingRequest>,
         reply: StateReply,
     ) {
-        self.reads.is_comparing = false;
+        self.reads.is_checking = false;
         match reply {
             StateReply::Committed { .. } => {
                 for request in requests {
-                    self.handle_final_state_read(request, StateReply::Missing);
+                    self.handle_terminal_state_reply(request, StateReply::Missing);
                 }
             }
             StateReply::Conflict { failed, .. } => {
                 for request in requests {
-                    let key = final_state_key(request.id);
+                    let key = terminal_state_key(request.id);
                     if failed.contains(&key) {
                         let read = StateRequest::Get { key };
                         self.queue_state_request(
@@ -194,12 +193,12 @@
                             CallKind::Read(ReadCall::TerminalRecord { request }),
                         );
                     } else {
-                        self.handle_final_state_read(request, StateReply::Missing);
+                        self.handle_terminal_state_reply(request, StateReply::Missing);
                     }
                 }
             }
             StateReply::Refused { throttled: true } => {
-                self.reads.next_comparison_at = self.now + THROTTLING_PAUSE;
+                self.reads.next_check_at = self.now + THROTTLING_PAUSE;
                 let retryable = self.retryable(requests);
                 self.reads.unregistered.extend(retryable);
             }
@@ -208,10 +207,10 @@
     }
 
     /// Answers a request from a state cache that is fresh enough for it.
-    pub(super) fn answer(&mut self, request: PendingRequest) {
+    pub(super) fn reply_from_cache(&mut self, request: PendingRequest) {
         let id = request.id;
         if let Some(state) = self.job_status.terminal_state(id) {
-            let answer = status(id, state);
+            let answer = status_without_counts(id, state);
             self.reply_user(request.ticket, UserReply::Status(answer));
             return;
         }
@@ -220,7 +219,7 @@
             return;
         }
         if self.cache.is_cancelled(id) {
-            let answer = status(id, JobState::Cancelled);
+            let answer = status_without_counts(id, JobState::Cancelled);
             self.reply_user(request.ticket, UserReply::Status(answer));
             return;
         }
@@ -229,27 +228,33 @@
                 self.cancel(request);
                 return;
             }
-            RequestKind::Accepted => UserReply::Created(status(id, JobState::Queued)),
+            RequestKind::Accepted => {
+                UserReply::Created(status_without_counts(id, JobState::Queued))
+            }
             RequestKind::Get | RequestKind::Resubmit { .. } => {
-                UserReply::Status(self.open_status(id))
+                UserReply::Status(self.open_job_status(id))
             }
         };
         self.reply_user(request.ticket, reply);
     }
 
     /// Answers a request from a read of its job's final state.
-    pub(super) fn handle_final_state_read(&mut self, request: PendingRequest, reply: StateReply) {
+    pub(super) fn handle_terminal_state_reply(
+        &mut self,
+        request: PendingRequest,
+        reply: StateReply,
+    ) {
         if self.job_status.is_terminal(request.id) || self.cache.jobs.contains_key(&request.id) {
             // Accepted or ended during the read: the state cache is ahead of it.
-            self.answer(request);
+            self.reply_from_cache(request);
             return;
         }
         match reply {
-            StateReply::Item(item) => match FinalStateRecord::deserialize(&item.value) {
+            StateReply::Item(item) => match TerminalStateRecord::deserialize(&item.value) {
                 Ok(record) => {
                     self.job_status
                         .record_terminal_state(request.id, record.state);
-                    let answer = status(request.id, record.state);
+                    let answer = status_without_counts(request.id, record.state);
                     self.reply_user(request.ticket, UserReply::Status(answer));
                 }
                 Err(_) => self.reply_busy(request.ticket, UNREADABLE_STATE_RETRY_AFTER_S),
@@ -259,11 +264,11 @@
             }
             StateReply::Missing => match request.kind {
                 RequestKind::Resubmit {
-                    reject: Some(reason),
+                    rejection: Some(reason),
                 } => {
                     self.reply_user(request.ticket, UserReply::Rejected(reason));
                 }
-                RequestKind::Resubmit { reject: None } | RequestKind::Accepted => {
+                RequestKind::Resubmit { rejection: None } | RequestKind::Accepted => {
                     self.reply_busy(request.ticket, RETRY_AFTER_S)
                 }
                 RequestKind::Get | RequestKind::Cancel { .. } => {
--- a/crates/controller/src/controller/load_partition.rs
+++ b/crates/controller/src/controller/load_partition.rs
@@ -135,20 +135,21 @@
                 && record.term == leadership.term().0
         };
         Some(LeadershipFacts {
-            cached_record: self
+            cached_version: self
                 .cache
                 .partitions
                 .get(&partition)
                 .filter(names_this_leadership)
                 .map(|recorded| recorded.version),
-            own_version: leadership.version(),
+            leadership_version: leadership.version(),
             term: leadership.term(),
             next_token: FencingToken(self.cache.next_token()),
             cache_revision: self.cache.revision,
             log_revision: Some(log_read.revision),
             unreadable_pages: log_read.log.unreadable_pages().len(),
-            has_rival: leadership.is_transferring() || leadership.successor().is_some(),
-            state_is_fresh: self.has_recent_state_read(MAX_LAUNCH_READ_AGE),
+            is_contested_or_transferring: leadership.is_transferring()
+                || leadership.successor().is_some(),
+            has_recent_state_read: self.has_recent_state_read(MAX_LAUNCH_READ_AGE),
         })
     }
 
--- a/crates/controller/src/controller/mod.rs
+++ b/crates/controller/src/controller/mod.rs
@@ -209,7 +209,7 @@
                 next = next.min(at);
             }
         }
-        if let Some(at) = self.next_read() {
+        if let Some(at) = self.next_read_due_at() {
             next = next.min(at);
         }
         if let Some(at) = self.state_client.next_wakeup(self.now) {
--- a/crates/controller/src/controller/standby/detection.rs
+++ b/crates/controller/src/controller/standby/detection.rs
@@ -41,11 +41,11 @@
             .filter(|status| status.incarnation == incarnation);
         let evidence = Evidence {
             now: self.now,
-            last_heartbeat: leader_status.map(|status| status.last_seen_at),
+            last_heartbeat_at: leader_status.map(|status| status.last_seen_at),
             peer_heartbeat_age: self.peers.latest_heartbeat_age(leader, self.now),
             reporting_machines: replica.map_or(0, PartitionReplica::reporting_machines),
             replica_complete: replica.is_some_and(PartitionReplica::is_complete),
-            last_state_read: self.state_sync.last_read_at(),
+            last_state_read_at: self.state_sync.last_read_at(),
             resumed_at: self.running_since,
         };
         self.standby
--- a/crates/controller/src/controller/standby/mod.rs
+++ b/crates/controller/src/controller/standby/mod.rs
@@ -9,7 +9,7 @@
 use crate::rejections::{MessageFault, MessageSource};
 use detection::EarlyFailover;
 use failover::failure_detector::FailureDetector;
-use failover::{assign, PartitionReplica, Replicas, ReplicationSource, ReplicationStream};
+use failover::{assign_standbys, PartitionReplica, Replicas, ReplicationSource, ReplicationStream};
 use model::{ControllerName, MachineName, PartitionId, Timestamp};
 use scheduler::PartitionState;
 use std::collections::{BTreeMap, HashMap};
@@ -80,7 +80,7 @@
         let is_live = |name: &ControllerName| {
             name == self.own_name() || (self.peer_is_alive(name) && self.peers.is_ready(name))
         };
-        assign(&names, is_live, &leaders)
+        assign_standbys(&names, is_live, &leaders)
     }
 
     /// The partitions that this controller replicates, with their sources: those whose standby it is, and
@@ -250,7 +250,7 @@
         for machine in replica.machines.values() {
             partition_state.apply_machine_snapshot(&machine.snapshot, machine.idle_since);
         }
-        for snapshot in replica.jobs.values() {
+        for snapshot in replica.job_failures.values() {
             partition_state.apply_job_snapshot(snapshot, self.now);
         }
         replica.machines.len()
--- a/crates/controller/src/controller/standby/view.rs
+++ b/crates/controller/src/controller/standby/view.rs
@@ -81,7 +81,7 @@
             "followed_s": now.duration_since(lag.subscribed_since).as_secs_f64(),
             "heard_s": lag.updated_at.map(|at| now.duration_since(at).as_secs_f64()),
             "machines": replica.machines.len(),
-            "jobs": replica.jobs.len(),
+            "jobs": replica.job_failures.len(),
         })
     }
 }
--- a/crates/controller/src/controller/state_replies.rs
+++ b/crates/controller/src/controller/state_replies.rs
@@ -39,11 +39,13 @@
 
     fn handle_read_reply(&mut self, call: ReadCall, reply: StateReply, sent_at: Timestamp) {
         match call {
-            ReadCall::Changes(requests) => self.handle_changes_read(requests, reply, sent_at),
+            ReadCall::Changes(requests) => self.handle_changes_reply(requests, reply, sent_at),
             ReadCall::TerminalStates(requests) => {
-                self.handle_final_states_compared(requests, reply)
+                self.handle_terminal_states_check_reply(requests, reply)
+            }
+            ReadCall::TerminalRecord { request } => {
+                self.handle_terminal_state_reply(request, reply)
             }
-            ReadCall::TerminalRecord { request } => self.handle_final_state_read(request, reply),
         }
     }
 
@@ -77,8 +79,8 @@
 
     fn handle_job_reply(&mut self, call: JobCall, reply: StateReply) {
         match call {
-            JobCall::Accept => self.handle_acceptance_written(reply),
-            JobCall::Cancel => self.handle_cancellation_written(reply),
+            JobCall::Accept => self.handle_admission_reply(reply),
+            JobCall::Cancel => self.handle_cancellation_reply(reply),
             JobCall::Archive { partition, term } => {
                 self.handle_terminal_jobs_written(partition, term, reply)
             }
@@ -90,8 +92,8 @@
             // The state cache shows whether the write was applied.
             RecordCall::Demand => {}
             RecordCall::Machines => self.handle_machine_records_written(reply),
-            RecordCall::MachineTypes => self.fleet_planner.handle_machine_types_written(),
-            RecordCall::Tuning { ticket } => self.handle_settings_written(ticket, reply),
+            RecordCall::MachineTypes => self.fleet_planner.finish_machine_types_write(),
+            RecordCall::Tuning { ticket } => self.handle_settings_reply(ticket, reply),
         }
     }
 }
--- a/crates/controller/src/controller/user_requests.rs
+++ b/crates/controller/src/controller/user_requests.rs
@@ -12,7 +12,7 @@
     pub(super) ticket: Ticket,
     pub(super) kind: RequestKind,
     pub(super) id: JobId,
-    pub(super) since: Timestamp,
+    pub(super) waiting_since: Timestamp,
 }
 
 /// What a waiting request needs.
@@ -25,14 +25,14 @@
     },
     /// A submission of a job that may have been accepted before; if it was not, it is rejected.
     Resubmit {
-        reject: Option<RejectReason>,
+        rejection: Option<RejectReason>,
     },
     /// A submission that this controller has accepted durably.
     Accepted,
 }
 
 /// The status of a job in a state that needs no numbers of tasks.
-pub(super) fn status(id: JobId, state: JobState) -> JobStatus {
+pub(super) fn status_without_counts(id: JobId, state: JobState) -> JobStatus {
     JobStatus {
         id: id.to_string(),
         state,
@@ -60,7 +60,7 @@
 
     fn read_then_reply(&mut self, ticket: Ticket, id: JobId, kind: RequestKind) {
         if let Some(state) = self.job_status.terminal_state(id) {
-            let answer = status(id, state);
+            let answer = status_without_counts(id, state);
             self.reply_user(ticket, UserReply::Status(answer));
             return;
         }
@@ -72,7 +72,7 @@
             ticket,
             kind,
             id,
-            since: self.now,
+            waiting_since: self.now,
         });
     }
 
@@ -90,7 +90,7 @@
             return;
         }
         if self.job_status.is_terminal(id) || self.cache.jobs.contains_key(&id) {
-            self.read_then_reply(ticket, id, RequestKind::Resubmit { reject: None });
+            self.read_then_reply(ticket, id, RequestKind::Resubmit { rejection: None });
             return;
         }
         let Some(types) = &self.cache.machine_types else {
@@ -103,7 +103,7 @@
                 ticket,
                 id,
                 RequestKind::Resubmit {
-                    reject: Some(reason),
+                    rejection: Some(reason),
                 },
             );
             return;
@@ -133,7 +133,7 @@
     }
 
     /// Status of a job that is not in a terminal state.
-    pub(super) fn open_status(&self, id: JobId) -> JobStatus {
+    pub(super) fn open_job_status(&self, id: JobId) -> JobStatus {
         let own = self
             .leaderships
             .values()
--- a/crates/controller/src/job_status_cache.rs
+++ b/crates/controller/src/job_status_cache.rs
@@ -35,13 +35,13 @@
     /// any of them can be read again, so which ones does not matter.
     pub fn record_terminal_state(&mut self, id: JobId, state: JobState) {
         if self.terminal_states.len() >= MAX_TERMINAL_STATES {
-            self.evict_some();
+            self.evict_tenth();
         }
         self.terminal_states.insert(id, state);
         self.progress.remove(&id);
     }
 
-    fn evict_some(&mut self) {
+    fn evict_tenth(&mut self) {
         let evicted: Vec<JobId> = self
             .terminal_states
             .keys()
--- a/crates/controller/src/records.rs
+++ b/crates/controller/src/records.rs
@@ -1,6 +1,6 @@
 //! Records in the state service: what is stored, and under which keys.
 //!
-//! Every controller watches all records under [`WATCHED_PREFIX`]. Archived final states of jobs (`f/`)
+//! Every controller watches all records under [`WATCHED_PREFIX`]. Archived terminal states of jobs (`f/`)
 //! and the placement logs of partitions (`l/`) are not watched but read on demand. The state service
 //! counts each put against a write limit, so numerous records (accepted jobs, cancellations, terminal
 //! jobs, machines) are packed into pages, with many records in one value.
@@ -57,7 +57,7 @@
     pub jobs: Vec<u64>,
 }
 
-/// A page of jobs in a terminal state. A job stays on it until its final state is archived under its id
+/// A page of jobs in a terminal state. A job stays on it until its terminal state is archived under its id
 /// and no page of accepted jobs lists it any more.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TerminalJobsPage {
@@ -74,7 +74,7 @@
 }
 
 impl TerminalJobsPage {
-    /// The jobs on the page with their final states.
+    /// The jobs on the page with their terminal states.
     pub fn jobs(&self) -> impl Iterator<Item = (JobId, JobState)> + '_ {
         let done = self.done.iter().chain(&self.archived_done);
         let cancelled = self.cancelled.iter().chain(&self.archived_cancelled);
@@ -100,7 +100,7 @@
         }
     }
 
-    /// Marks at most `limit` jobs as archived and returns them with their final states.
+    /// Marks at most `limit` jobs as archived and returns them with their terminal states.
     pub fn archive(&mut self, limit: usize) -> Vec<(JobId, JobState)> {
         let done = self
             .done
@@ -130,9 +130,9 @@
     }
 }
 
-/// The archived final state of a job.
+/// The archived terminal state of a job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct FinalStateRecord {
+pub struct TerminalStateRecord {
     pub state: JobState,
 }
 
--- a/crates/controller/src/records/keys.rs
+++ b/crates/controller/src/records/keys.rs
@@ -38,8 +38,8 @@
     format!("s/m/{page:04}")
 }
 
-/// Key of a job's archived final state.
-pub fn final_state_key(id: JobId) -> String {
+/// Key of a job's archived terminal state.
+pub fn terminal_state_key(id: JobId) -> String {
     format!("f/{id}")
 }
 
--- a/crates/controller/src/rejections.rs
+++ b/crates/controller/src/rejections.rs
@@ -61,9 +61,9 @@
 
 /// Numbers of rejected messages; empty as long as none is rejected.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct RejectionCounts(BTreeMap<(MessageSource, MessageFault), u64>);
+pub struct RejectedMessageCounts(BTreeMap<(MessageSource, MessageFault), u64>);
 
-impl RejectionCounts {
+impl RejectedMessageCounts {
     /// Counts one message.
     pub fn add(&mut self, source: MessageSource, fault: MessageFault) {
         self.add_many(source, fault, 1);
--- a/crates/controller/tests/golden_records.rs
+++ b/crates/controller/tests/golden_records.rs
@@ -7,11 +7,11 @@
 use controller::controller::admin::TuningRecord;
 use controller::placement_log::PlacementLog;
 use controller::records::{
-    accepted_jobs_key, cancellations_key, demand_key, final_state_key, incarnation_key, log_prefix,
-    machines_key, partition_key, reclaim_key, terminal_jobs_key, AcceptedJobsPage,
-    CancellationsRecord, ControllerIncarnation, DemandRecord, FinalStateRecord, IncarnationRecord,
-    MachineRecord, MachinesPage, PackedJob, PackedMachine, PartitionRecord, ReclaimRecord,
-    TerminalJobsPage, TokenCounterRecord, MACHINE_TYPES_KEY, TOKEN_COUNTER_KEY, TUNING_KEY,
+    accepted_jobs_key, cancellations_key, demand_key, incarnation_key, log_prefix, machines_key,
+    partition_key, reclaim_key, terminal_jobs_key, terminal_state_key, AcceptedJobsPage,
+    CancellationsRecord, ControllerIncarnation, DemandRecord, IncarnationRecord, MachineRecord,
+    MachinesPage, PackedJob, PackedMachine, PartitionRecord, ReclaimRecord, TerminalJobsPage,
+    TerminalStateRecord, TokenCounterRecord, MACHINE_TYPES_KEY, TOKEN_COUNTER_KEY, TUNING_KEY,
     WATCHED_PREFIX,
 };
 use golden::{record, Entry};
@@ -205,19 +205,19 @@
         max_backoff_s: 21.0,
         unschedulable_timeout_s: 22.0,
         heartbeat_grace_s: 3.5,
-        window: 24,
+        max_queued_tasks_per_job: 24,
         quarantine_threshold: 25,
         preempt: false,
         size_penalty_factor: 26,
-        move_replicas: true,
-        absorb_s: 27.5,
+        consolidate_replicas: true,
+        absorb_within_s: 27.5,
         overload_penalty_factor: 28,
         horizon_s: 29.0,
         keep_idle_s: 30.0,
         minimum_billing_s: 31.0,
         transfer_idle_s: 32.0,
         max_idle_transfers: 33,
-        report_timeout_s: 34.0,
+        heartbeat_timeout_s: 34.0,
         boot_capacity_factor: 3.5,
         boot_timeout_factor: 36,
     }
@@ -236,13 +236,13 @@
         record("ended_jobs_none", TerminalJobsPage::default()),
         record(
             "final_done",
-            FinalStateRecord {
+            TerminalStateRecord {
                 state: JobState::Done,
             },
         ),
         record(
             "final_cancelled",
-            FinalStateRecord {
+            TerminalStateRecord {
                 state: JobState::Cancelled,
             },
         ),
@@ -276,7 +276,7 @@
 }
 
 #[test]
-fn terminal_jobs_are_listed_with_final_states() {
+fn terminal_jobs_are_listed_with_terminal_states() {
     let listed: Vec<(u64, JobState)> = terminal_jobs()
         .jobs()
         .map(|(id, state)| (id.0, state))
@@ -340,7 +340,7 @@
         Entry::text("cancellations", cancellations_key(&controller_name("n0"))),
         Entry::text("ended_jobs", terminal_jobs_key(PartitionId(2), 7)),
         Entry::text("machines", machines_key(7)),
-        Entry::text("final", final_state_key(JobId(412))),
+        Entry::text("final", terminal_state_key(JobId(412))),
         Entry::text("partition", partition_key(PartitionId(2))),
         Entry::text("wish", reclaim_key(PartitionId(2))),
         Entry::text("demand", demand_key(PartitionId(2))),
--- a/crates/failover/src/assign.rs
+++ b/crates/failover/src/assign.rs
@@ -15,7 +15,7 @@
 /// equals, the next one after the leader in the order of the settings. So with every partition at its
 /// preferred leader each controller is the standby of its neighbour, and the partitions of a
 /// controller that crashes are spread as evenly as possible.
-pub fn assign(
+pub fn assign_standbys(
     controllers: &[ControllerName],
     is_live: impl Fn(&ControllerName) -> bool,
     leaders: &BTreeMap<PartitionId, ControllerName>,
--- a/crates/failover/src/failure_detector.rs
+++ b/crates/failover/src/failure_detector.rs
@@ -24,9 +24,9 @@
 /// After a false suspicion no early failover of the partition happens for this time.
 const FALSE_SUSPICION_COOLDOWN: Duration = Duration::from_secs(120);
 /// Workers that may contact this controller for reasons of their own, whatever the size of the partition.
-const UNRELATED_WORKERS: usize = 2;
+const MIN_WORKER_CONTACTS: usize = 2;
 /// One in this many reporting workers may contact this controller for reasons of its own.
-const UNRELATED_WORKER_RATIO: usize = 64;
+const REPORTING_MACHINES_PER_EXTRA_CONTACT: usize = 64;
 
 /// Why there is no early failover of a partition.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
@@ -69,7 +69,7 @@
     /// Time of the evaluation.
     pub now: Timestamp,
     /// Last heartbeat of the incarnation that its record names.
-    pub last_heartbeat: Option<Timestamp>,
+    pub last_heartbeat_at: Option<Timestamp>,
     /// Age of the last heartbeat that any other live controller reports to have received.
     pub peer_heartbeat_age: Option<Duration>,
     /// Machines that report to it, by the replica.
@@ -77,7 +77,7 @@
     /// Whether the replica was complete when it was last updated.
     pub replica_complete: bool,
     /// When the state service last answered a read.
-    pub last_state_read: Option<Timestamp>,
+    pub last_state_read_at: Option<Timestamp>,
     /// When this process last resumed after a pause.
     pub resumed_at: Timestamp,
 }
@@ -115,7 +115,7 @@
     ) -> Vec<FailoverBlocker> {
         use FailoverBlocker::*;
         let now = evidence.now;
-        let heartbeat = evidence.last_heartbeat;
+        let heartbeat = evidence.last_heartbeat_at;
         let checks = [
             (
                 LeaderAlive,
@@ -129,13 +129,13 @@
             ),
             (
                 WorkersStayWithLeader,
-                !self.workers_leave(partition, evidence),
+                !self.workers_have_left_leader(partition, evidence),
             ),
             (ReplicaBehind, !evidence.replica_complete),
             (
                 StateServiceUnreachable,
                 evidence
-                    .last_state_read
+                    .last_state_read_at
                     .is_none_or(|at| now.duration_since(at) > MAX_STATE_READ_AGE),
             ),
             (
@@ -144,7 +144,7 @@
             ),
             (
                 RecentFalseSuspicion,
-                self.was_falsely_suspected(partition, now),
+                self.was_recently_falsely_suspected(partition, now),
             ),
         ];
         checks
@@ -155,17 +155,19 @@
     }
 
     /// Whether more workers contact this controller than do so for reasons of their own.
-    fn workers_leave(&self, partition: PartitionId, evidence: &Evidence) -> bool {
+    fn workers_have_left_leader(&self, partition: PartitionId, evidence: &Evidence) -> bool {
         let is_valid =
             |at: &&Timestamp| evidence.now.duration_since(**at) <= WORKER_EVIDENCE_VALIDITY;
         let contacts = self
             .worker_contacts
             .get(&partition)
             .map_or(0, |contacts| contacts.values().filter(is_valid).count());
-        contacts >= UNRELATED_WORKERS + evidence.reporting_machines / UNRELATED_WORKER_RATIO
+        contacts
+            >= MIN_WORKER_CONTACTS
+                + evidence.reporting_machines / REPORTING_MACHINES_PER_EXTRA_CONTACT
     }
 
-    fn was_falsely_suspected(&self, partition: PartitionId, now: Timestamp) -> bool {
+    fn was_recently_falsely_suspected(&self, partition: PartitionId, now: Timestamp) -> bool {
         let last = self.false_suspicions.get(&partition);
         last.is_some_and(|at| now.duration_since(*at) < FALSE_SUSPICION_COOLDOWN)
     }
--- a/crates/failover/src/lib.rs
+++ b/crates/failover/src/lib.rs
@@ -7,7 +7,7 @@
 //! Durable state is read from the state service by the controller that acquires the partition.
 //!
 //! [`failure_detector`] suspects a leader whose record still stands, [`readiness`] is what a new
-//! leader checks before its first decision, [`assign()`] chooses the standby of each partition.
+//! leader checks before its first decision, [`assign_standbys`] chooses the standby of each partition.
 //! `docs/failover.md` compares the alternatives and argues why no rule depends on any of it.
 
 #![warn(missing_docs)]
@@ -18,7 +18,7 @@
 mod replica;
 mod stream;
 
-pub use assign::assign;
+pub use assign::assign_standbys;
 pub use replica::{
     PartitionReplica, Replicas, ReplicatedMachine, ReplicationLag, ReplicationSource,
 };
--- a/crates/failover/src/readiness.rs
+++ b/crates/failover/src/readiness.rs
@@ -51,9 +51,9 @@
 pub struct LeadershipFacts {
     /// Version of the record in the state cache, if that names this controller, its incarnation and its
     /// term.
-    pub cached_record: Option<Version>,
+    pub cached_version: Option<Version>,
     /// Version that the writes of this controller are conditional on.
-    pub own_version: Version,
+    pub leadership_version: Version,
     /// Term of the leadership.
     pub term: FencingToken,
     /// The next token that will be issued.
@@ -65,18 +65,18 @@
     /// Number of pages of the placement log that could not be read.
     pub unreadable_pages: usize,
     /// Another controller claims to lead the partition, or it is being transferred.
-    pub has_rival: bool,
+    pub is_contested_or_transferring: bool,
     /// The last answer of the state service is fresh enough for launches.
-    pub state_is_fresh: bool,
+    pub has_recent_state_read: bool,
 }
 
 /// Checks that do not pass. If there are none, the leader may decide.
 pub fn failed_checks(facts: &LeadershipFacts) -> Vec<ReadinessCheck> {
-    let reaches_record = |revision: Revision| revision.0 >= facts.own_version.0;
+    let reaches_record = |revision: Revision| revision.0 >= facts.leadership_version.0;
     let checks = [
         (
             ReadinessCheck::OwnRecord,
-            facts.cached_record == Some(facts.own_version),
+            facts.cached_version == Some(facts.leadership_version),
         ),
         (ReadinessCheck::TermGivenOut, facts.term < facts.next_token),
         (
@@ -88,8 +88,11 @@
             facts.log_revision.is_some_and(reaches_record),
         ),
         (ReadinessCheck::PagesSound, facts.unreadable_pages == 0),
-        (ReadinessCheck::Unrivalled, !facts.has_rival),
-        (ReadinessCheck::Contact, facts.state_is_fresh),
+        (
+            ReadinessCheck::Unrivalled,
+            !facts.is_contested_or_transferring,
+        ),
+        (ReadinessCheck::Contact, facts.has_recent_state_read),
     ];
     checks
         .into_iter()
--- a/crates/failover/src/replica.rs
+++ b/crates/failover/src/replica.rs
@@ -14,11 +14,11 @@
 };
 
 /// Time between two renewals of a subscription.
-const RENEWAL_INTERVAL: Duration = Duration::from_secs(1);
+const SUBSCRIPTION_RENEWAL_INTERVAL: Duration = Duration::from_secs(1);
 /// A replica that has not been updated for longer is not in sync.
 const MAX_UPDATE_AGE: Duration = Duration::from_millis(1_600);
 /// How long a replica is kept whose partition has no leader, or one this controller does not subscribe to.
-const RETENTION: Duration = Duration::from_secs(30);
+const UNWANTED_REPLICA_RETENTION: Duration = Duration::from_secs(30);
 /// Maximum number of records kept for one partition.
 const MAX_RECORDS: usize = 20_000;
 
@@ -58,35 +58,35 @@
 pub struct PartitionReplica {
     source: ReplicationSource,
     /// Changes up to this number have been applied.
-    applied: u64,
+    applied_up_to: u64,
     /// The last change that the source has announced.
-    announced: u64,
+    newest_announced: u64,
     subscribed_since: Timestamp,
     updated_at: Option<Timestamp>,
     /// When the replica was last among the wanted ones.
-    wanted_at: Timestamp,
+    last_wanted_at: Timestamp,
     renewed_at: Option<Timestamp>,
     /// Nothing was missing after the last update.
     complete: bool,
     /// Machines of the partition by name.
     pub machines: BTreeMap<MachineName, ReplicatedMachine>,
     /// Failures of jobs by number of the job.
-    pub jobs: BTreeMap<u64, JobFailureSnapshot>,
+    pub job_failures: BTreeMap<u64, JobFailureSnapshot>,
 }
 
 impl PartitionReplica {
     fn new(source: ReplicationSource, now: Timestamp) -> Self {
         PartitionReplica {
             source,
-            applied: 0,
-            announced: 0,
+            applied_up_to: 0,
+            newest_announced: 0,
             subscribed_since: now,
             updated_at: None,
-            wanted_at: now,
+            last_wanted_at: now,
             renewed_at: None,
             complete: false,
             machines: BTreeMap::new(),
-            jobs: BTreeMap::new(),
+            job_failures: BTreeMap::new(),
         }
     }
 
@@ -103,7 +103,7 @@
     /// How far the replica is behind its source.
     pub fn lag(&self) -> ReplicationLag {
         ReplicationLag {
-            changes: self.announced - self.applied,
+            changes: self.newest_announced - self.applied_up_to,
             subscribed_since: self.subscribed_since,
             updated_at: self.updated_at,
         }
@@ -118,7 +118,7 @@
     }
 
     /// A message that starts or renews the subscription after what has been applied.
-    fn subscription(&mut self, partition: PartitionId, now: Timestamp) -> MeshMessage {
+    fn subscribe_message(&mut self, partition: PartitionId, now: Timestamp) -> MeshMessage {
         self.renewed_at = Some(now);
         let ReplicationSource {
             incarnation, term, ..
@@ -127,12 +127,12 @@
             partition: partition.0,
             incarnation,
             term,
-            applied: self.applied,
+            applied: self.applied_up_to,
         }
     }
 
     fn apply(&mut self, record: ReplicatedRecord, sent_at: Timestamp, now: Timestamp) {
-        let full = self.machines.len() + self.jobs.len() >= MAX_RECORDS;
+        let full = self.machines.len() + self.job_failures.len() >= MAX_RECORDS;
         match record {
             ReplicatedRecord::Machine(snapshot) => {
                 let name = MachineName::from(snapshot.machine.as_str());
@@ -145,15 +145,15 @@
                 }
             }
             ReplicatedRecord::Job(snapshot) => {
-                if !full || self.jobs.contains_key(&snapshot.job) {
-                    self.jobs.insert(snapshot.job, snapshot);
+                if !full || self.job_failures.contains_key(&snapshot.job) {
+                    self.job_failures.insert(snapshot.job, snapshot);
                 }
             }
             ReplicatedRecord::Removed(ReplicationKey::Machine(name)) => {
                 self.machines.remove(&MachineName::from(name.as_str()));
             }
             ReplicatedRecord::Removed(ReplicationKey::Job(id)) => {
-                self.jobs.remove(&id);
+                self.job_failures.remove(&id);
             }
         }
     }
@@ -161,8 +161,8 @@
     /// Removes all records, to start from 0.
     fn reset(&mut self) {
         self.machines.clear();
-        self.jobs.clear();
-        self.applied = 0;
+        self.job_failures.clear();
+        self.applied_up_to = 0;
     }
 }
 
@@ -199,18 +199,22 @@
                 let new = PartitionReplica::new(source.clone(), now);
                 let old = std::mem::replace(replica, new);
                 replica.machines = old.machines;
-                replica.jobs = old.jobs;
+                replica.job_failures = old.job_failures;
             }
-            replica.wanted_at = now;
+            replica.last_wanted_at = now;
             if replica
                 .renewed_at
-                .is_none_or(|at| now.duration_since(at) >= RENEWAL_INTERVAL)
+                .is_none_or(|at| now.duration_since(at) >= SUBSCRIPTION_RENEWAL_INTERVAL)
             {
-                messages.push((source.leader.clone(), replica.subscription(*partition, now)));
+                messages.push((
+                    source.leader.clone(),
+                    replica.subscribe_message(*partition, now),
+                ));
             }
         }
-        self.by_partition
-            .retain(|_, replica| now.duration_since(replica.wanted_at) < RETENTION);
+        self.by_partition.retain(|_, replica| {
+            now.duration_since(replica.last_wanted_at) < UNWANTED_REPLICA_RETENTION
+        });
         messages
     }
 
@@ -231,27 +235,27 @@
         if (leader, *incarnation, *term) != (from, batch.incarnation, batch.term) {
             return None;
         }
-        let has_gap = batch.after > replica.applied;
+        let has_gap = batch.after > replica.applied_up_to;
         if has_gap || batch.up_to < batch.after || batch.newest < batch.up_to {
-            return Some(replica.subscription(partition, now));
+            return Some(replica.subscribe_message(partition, now));
         }
-        if replica.applied == 0 || replica.applied < batch.tombstones_dropped_up_to {
+        if replica.applied_up_to == 0 || replica.applied_up_to < batch.tombstones_dropped_up_to {
             // The records of a former leader are no longer valid; neither are those of the replica if
             // tombstones that it lacks have been dropped.
             if batch.after != 0 {
-                return Some(replica.subscription(partition, now));
+                return Some(replica.subscribe_message(partition, now));
             }
             replica.reset();
-        } else if batch.up_to < replica.applied {
+        } else if batch.up_to < replica.applied_up_to {
             // It was sent before a batch that has been applied, and may be outdated.
             return None;
         }
         for record in batch.records {
             replica.apply(record, Timestamp::from_millis(batch.at_ms), now);
         }
-        replica.applied = batch.up_to;
-        replica.announced = batch.newest;
-        replica.complete = replica.applied == replica.announced;
+        replica.applied_up_to = batch.up_to;
+        replica.newest_announced = batch.newest;
+        replica.complete = replica.applied_up_to == replica.newest_announced;
         replica.updated_at = Some(now);
         None
     }
--- a/crates/failover/src/stream.rs
+++ b/crates/failover/src/stream.rs
@@ -31,13 +31,13 @@
     /// None is a tombstone: the record was removed, which subscribers must learn too.
     record: Option<ReplicatedRecord>,
     /// The last update that contained the record.
-    update: u64,
+    last_update: u64,
 }
 
 #[derive(Debug)]
 struct Subscriber {
     /// It has been sent all changes up to this number.
-    sent: u64,
+    sent_up_to: u64,
     renewed_at: Timestamp,
     sent_at: Option<Timestamp>,
 }
@@ -46,14 +46,14 @@
 #[derive(Debug, Default)]
 pub struct ReplicationStream {
     /// Sequence number of the last change.
-    last: u64,
+    last_sequence: u64,
     /// Number of updates so far.
-    updates: u64,
+    update_count: u64,
     entries: BTreeMap<ReplicationKey, Entry>,
     by_sequence: BTreeMap<u64, ReplicationKey>,
-    tombstones: usize,
+    tombstone_count: usize,
     /// Tombstones up to this number have been dropped.
-    dropped: u64,
+    tombstones_dropped_up_to: u64,
     subscribers: BTreeMap<ControllerName, Subscriber>,
 }
 
@@ -61,19 +61,19 @@
     /// Starts or renews the subscription of a controller that has applied all changes up to `applied`.
     pub fn subscribe(&mut self, node: &ControllerName, applied: u64, now: Timestamp) {
         // A controller that lacks dropped tombstones has to start from 0.
-        let applied = if applied < self.dropped {
+        let applied = if applied < self.tombstones_dropped_up_to {
             0
         } else {
-            applied.min(self.last)
+            applied.min(self.last_sequence)
         };
         match self.subscribers.get_mut(node) {
             Some(subscriber) => {
                 subscriber.renewed_at = now;
-                subscriber.sent = subscriber.sent.min(applied);
+                subscriber.sent_up_to = subscriber.sent_up_to.min(applied);
             }
             None => {
                 let subscriber = Subscriber {
-                    sent: applied,
+                    sent_up_to: applied,
                     renewed_at: now,
                     sent_at: None,
                 };
@@ -93,17 +93,17 @@
     pub fn subscribers(&self) -> impl Iterator<Item = (&ControllerName, u64)> {
         self.subscribers
             .iter()
-            .map(|(name, subscriber)| (name, self.last - subscriber.sent))
+            .map(|(name, subscriber)| (name, self.last_sequence - subscriber.sent_up_to))
     }
 
     /// Compares all current records with those known: each difference gets a new sequence number.
     pub fn update(&mut self, records: impl IntoIterator<Item = ReplicatedRecord>) {
-        self.updates += 1;
+        self.update_count += 1;
         for record in records {
             let key = record.key();
             match self.entries.get_mut(&key) {
                 Some(entry) if entry.record.as_ref() == Some(&record) => {
-                    entry.update = self.updates
+                    entry.last_update = self.update_count
                 }
                 _ => self.record_change(key, Some(record)),
             }
@@ -111,30 +111,30 @@
         let removed: Vec<ReplicationKey> = self
             .entries
             .iter()
-            .filter(|(_, entry)| entry.record.is_some() && entry.update != self.updates)
+            .filter(|(_, entry)| entry.record.is_some() && entry.last_update != self.update_count)
             .map(|(key, _)| key.clone())
             .collect();
         for key in removed {
             self.record_change(key, None);
         }
-        while self.tombstones > MAX_TOMBSTONES {
+        while self.tombstone_count > MAX_TOMBSTONES {
             self.drop_oldest_tombstone();
         }
     }
 
     fn record_change(&mut self, key: ReplicationKey, record: Option<ReplicatedRecord>) {
-        self.last += 1;
-        self.tombstones += usize::from(record.is_none());
+        self.last_sequence += 1;
+        self.tombstone_count += usize::from(record.is_none());
         let entry = Entry {
-            sequence: self.last,
+            sequence: self.last_sequence,
             record,
-            update: self.updates,
+            last_update: self.update_count,
         };
         if let Some(old) = self.entries.insert(key.clone(), entry) {
             self.by_sequence.remove(&old.sequence);
-            self.tombstones -= usize::from(old.record.is_none());
+            self.tombstone_count -= usize::from(old.record.is_none());
         }
-        self.by_sequence.insert(self.last, key);
+        self.by_sequence.insert(self.last_sequence, key);
     }
 
     fn drop_oldest_tombstone(&mut self) {
@@ -150,8 +150,8 @@
         let (sequence, key) = (*sequence, key.clone());
         self.by_sequence.remove(&sequence);
         self.entries.remove(&key);
-        self.tombstones -= 1;
-        self.dropped = sequence;
+        self.tombstone_count -= 1;
+        self.tombstones_dropped_up_to = sequence;
     }
 
     /// The batches that are due, each with its subscriber. `header` gives the fields that do not
@@ -165,14 +165,14 @@
             .subscribers
             .iter()
             .filter(|(_, subscriber)| self.is_due(subscriber, now))
-            .map(|(name, subscriber)| (name.clone(), subscriber.sent))
+            .map(|(name, subscriber)| (name.clone(), subscriber.sent_up_to))
             .collect();
         let mut batches = Vec::new();
         for (name, after) in due {
             let batches_of_subscriber = self.batches_after(after, header);
             if let Some(subscriber) = self.subscribers.get_mut(&name) {
                 subscriber.sent_at = Some(now);
-                subscriber.sent = batches_of_subscriber
+                subscriber.sent_up_to = batches_of_subscriber
                     .last()
                     .map_or(after, |batch| batch.up_to);
             }
@@ -192,7 +192,7 @@
             let Some(sent) = batches.last().map(|batch| batch.up_to) else {
                 break;
             };
-            if sent >= self.last {
+            if sent >= self.last_sequence {
                 break;
             }
             batches.push(self.batch_after(sent, header));
@@ -201,7 +201,7 @@
     }
 
     fn is_due(&self, subscriber: &Subscriber, now: Timestamp) -> bool {
-        let has_changes = subscriber.sent < self.last;
+        let has_changes = subscriber.sent_up_to < self.last_sequence;
         let interval = if has_changes {
             MIN_SEND_INTERVAL
         } else {
@@ -214,7 +214,7 @@
 
     /// The changes after a sequence number, as many as fit into one batch.
     fn batch_after(&self, after: u64, header: &ReplicationBatch) -> ReplicationBatch {
-        let (mut up_to, mut bytes, mut records) = (self.last, 0, Vec::new());
+        let (mut up_to, mut bytes, mut records) = (self.last_sequence, 0, Vec::new());
         for (sequence, key) in self.by_sequence.range(after + 1..) {
             if bytes >= MAX_BATCH_BYTES {
                 up_to = sequence - 1;
@@ -228,8 +228,8 @@
         ReplicationBatch {
             after,
             up_to,
-            newest: self.last,
-            tombstones_dropped_up_to: self.dropped,
+            newest: self.last_sequence,
+            tombstones_dropped_up_to: self.tombstones_dropped_up_to,
             records,
             ..header.clone()
         }
--- a/crates/failover/tests/assign.rs
+++ b/crates/failover/tests/assign.rs
@@ -1,6 +1,6 @@
 //! Which node stands by for which partition.
 
-use failover::assign;
+use failover::assign_standbys;
 use model::{ControllerName, PartitionId};
 use std::collections::BTreeMap;
 
@@ -22,7 +22,7 @@
 fn standbys(count: usize, crashed: &[usize], by: &[usize]) -> Vec<String> {
     let nodes = names(count);
     let crashed: Vec<&ControllerName> = crashed.iter().map(|n| &nodes[*n]).collect();
-    let found = assign(&nodes, |node| !crashed.contains(&node), &leaders(by));
+    let found = assign_standbys(&nodes, |node| !crashed.contains(&node), &leaders(by));
     found.values().map(ToString::to_string).collect()
 }
 
--- a/crates/failover/tests/failure_detector.rs
+++ b/crates/failover/tests/failure_detector.rs
@@ -18,13 +18,13 @@
     }
     let evidence = Evidence {
         now,
-        last_heartbeat: Some(Timestamp::from_millis(
+        last_heartbeat_at: Some(Timestamp::from_millis(
             now.as_millis() - HEARTBEAT_TIMEOUT.whole_millis(),
         )),
         peer_heartbeat_age: Some(Duration::from_millis(1_500)),
         reporting_machines: 300,
         replica_complete: true,
-        last_state_read: Some(now),
+        last_state_read_at: Some(now),
         resumed_at: Timestamp::from_millis(0),
     };
     (detector, evidence)
@@ -54,14 +54,14 @@
     let cases = [
         (
             Evidence {
-                last_heartbeat: just,
+                last_heartbeat_at: just,
                 ..evidence
             },
             FailoverBlocker::LeaderAlive,
         ),
         (
             Evidence {
-                last_heartbeat: None,
+                last_heartbeat_at: None,
                 ..evidence
             },
             FailoverBlocker::LeaderAlive,
@@ -89,14 +89,14 @@
         ),
         (
             Evidence {
-                last_state_read: None,
+                last_state_read_at: None,
                 ..evidence
             },
             FailoverBlocker::StateServiceUnreachable,
         ),
         (
             Evidence {
-                last_state_read: old_read,
+                last_state_read_at: old_read,
                 ..evidence
             },
             FailoverBlocker::StateServiceUnreachable,
@@ -114,7 +114,7 @@
     }
     let later = Evidence {
         now: now + WORKER_EVIDENCE_VALIDITY + Duration::from_millis(1),
-        last_state_read: Some(now + WORKER_EVIDENCE_VALIDITY),
+        last_state_read_at: Some(now + WORKER_EVIDENCE_VALIDITY),
         ..evidence
     };
     assert_eq!(
--- a/crates/failover/tests/readiness.rs
+++ b/crates/failover/tests/readiness.rs
@@ -6,28 +6,28 @@
 #[test]
 fn each_failed_check_alone_keeps_a_leader_from_deciding() {
     let sound = LeadershipFacts {
-        cached_record: Some(Version(70)),
-        own_version: Version(70),
+        cached_version: Some(Version(70)),
+        leadership_version: Version(70),
         term: FencingToken(8),
         next_token: FencingToken(9),
         cache_revision: Revision(70),
         log_revision: Some(Revision(71)),
         unreadable_pages: 0,
-        has_rival: false,
-        state_is_fresh: true,
+        is_contested_or_transferring: false,
+        has_recent_state_read: true,
     };
     assert_eq!(failed_checks(&sound), []);
     let cases = [
         (
             LeadershipFacts {
-                cached_record: None,
+                cached_version: None,
                 ..sound
             },
             ReadinessCheck::OwnRecord,
         ),
         (
             LeadershipFacts {
-                cached_record: Some(Version(69)),
+                cached_version: Some(Version(69)),
                 ..sound
             },
             ReadinessCheck::OwnRecord,
@@ -69,14 +69,14 @@
         ),
         (
             LeadershipFacts {
-                has_rival: true,
+                is_contested_or_transferring: true,
                 ..sound
             },
             ReadinessCheck::Unrivalled,
         ),
         (
             LeadershipFacts {
-                state_is_fresh: false,
+                has_recent_state_read: false,
                 ..sound
             },
             ReadinessCheck::Contact,
--- a/crates/failover/tests/stream.rs
+++ b/crates/failover/tests/stream.rs
@@ -181,7 +181,7 @@
             truth.len()
         );
         let jobs: BTreeMap<u64, u32> = copy
-            .jobs
+            .job_failures
             .iter()
             .map(|(id, record)| (*id, record.failures[0].1))
             .collect();
--- a/crates/simulator/tests/stale_cache.rs
+++ b/crates/simulator/tests/stale_cache.rs
@@ -1,8 +1,8 @@
 //! Replies of a controller whose state cache lags behind the writes of another controller.
 
 use controller::records::{
-    accepted_jobs_key, cancellations_key, final_state_key, terminal_jobs_key, AcceptedJobsPage,
-    CancellationsRecord, FinalStateRecord, PackedJob, TerminalJobsPage,
+    accepted_jobs_key, cancellations_key, terminal_jobs_key, terminal_state_key, AcceptedJobsPage,
+    CancellationsRecord, PackedJob, TerminalJobsPage, TerminalStateRecord,
 };
 use controller::{Controller, Effect, Event, UserReply, UserRequest};
 use model::{CallId, ControllerName, JobId, JobState, PartitionId, Settings, Timestamp};
@@ -260,8 +260,8 @@
     let mut harness = Harness::new();
     let (id, job) = array();
     harness.other_writes(
-        final_state_key(id),
-        &FinalStateRecord {
+        terminal_state_key(id),
+        &TerminalStateRecord {
             state: JobState::Cancelled,
         },
     );
