--- a/crates/simulator/examples/failovers.rs
+++ b/crates/simulator/examples/failovers.rs
@@ -68,7 +68,7 @@
             AT,
             Fault::PauseController {
                 controller: 1,
-                ms: 15_000,
+                duration_ms: 15_000,
             },
         )],
         Case::TwoEnd => {
@@ -107,10 +107,10 @@
     });
     let plan = Plan {
         seed,
-        ms: 85_000,
+        duration_ms: 85_000,
         faults,
         mutation: None,
-        submit_ms: 85_000,
+        submit_until_ms: 85_000,
         size,
     };
     let mut world = World::new(plan);
--- a/crates/simulator/src/fingerprint/runs.rs
+++ b/crates/simulator/src/fingerprint/runs.rs
@@ -74,7 +74,7 @@
         let mut world = World::new(self.plan.clone());
         world.record_outgoing(recorder);
         if self.administration {
-            administer(&mut world, self.plan.ms);
+            administer(&mut world, self.plan.duration_ms);
         }
         world.run();
         let recorder = world.take_recorder().unwrap_or_default();
@@ -94,10 +94,10 @@
         world.run_to(at_ms);
         for controller in 0..CONTROLLERS {
             for request in views(world) {
-                world.administer(controller, request);
+                world.send_admin_request(controller, request);
             }
         }
-        world.administer(round % CONTROLLERS, change_of_settings(round));
+        world.send_admin_request(round % CONTROLLERS, change_of_settings(round));
     }
 }
 
@@ -111,7 +111,7 @@
         AdminRequest::Job("none".into()),
     ];
     let jobs = world
-        .unfinished()
+        .unfinished_jobs()
         .into_iter()
         .chain(world.rules.done_confirmed.keys().take(2).cloned());
     views.extend(jobs.map(AdminRequest::Job));
@@ -152,10 +152,10 @@
 fn small_plan(seed: u64, faults: Vec<(u64, Fault)>) -> Plan {
     Plan {
         seed,
-        ms: SMALL_SITE_MS,
+        duration_ms: SMALL_SITE_MS,
         faults,
         mutation: None,
-        submit_ms: SMALL_SITE_SUBMIT_MS,
+        submit_until_ms: SMALL_SITE_SUBMIT_MS,
         size: 1 + seed % 2,
     }
 }
@@ -197,12 +197,12 @@
         (
             FAULT_AT_MS + 9_000,
             Fault::CancelAllJobs {
-                through: index % CONTROLLERS,
+                controller: index % CONTROLLERS,
             },
         ),
         (FAULT_AT_MS + 20_000, Fault::JobBurst { jobs: 8 }),
     ];
-    let long = Plan::of_long_tasks(seed, SMALL_SITE_MS, faults.clone());
+    let long = Plan::with_long_tasks(seed, SMALL_SITE_MS, faults.clone());
     [
         Run::new(name, small_plan(seed, faults)),
         Run::new(format!("{name}_among_long_tasks"), long),
@@ -228,42 +228,72 @@
         ),
         (
             "cut_state",
-            Fault::DisconnectStateService { controller: 1, ms },
+            Fault::DisconnectStateService {
+                controller: 1,
+                duration_ms: ms,
+            },
         ),
         (
             "refuse_one",
             Fault::RefuseStateRequests {
                 controller: Some(2),
-                ms,
+                duration_ms: ms,
             },
         ),
         (
             "refuse_all",
             Fault::RefuseStateRequests {
                 controller: None,
-                ms,
+                duration_ms: ms,
+            },
+        ),
+        (
+            "slow_state",
+            Fault::SlowStateService {
+                factor: 30,
+                duration_ms: ms,
             },
         ),
-        ("slow_state", Fault::SlowStateService { times: 30, ms }),
         (
             "cut_workers",
-            Fault::DisconnectWorkers { controller: 0, ms },
+            Fault::DisconnectWorkers {
+                controller: 0,
+                duration_ms: ms,
+            },
+        ),
+        (
+            "cut_mesh",
+            Fault::DisconnectMesh {
+                controller: 1,
+                duration_ms: ms,
+            },
+        ),
+        (
+            "freeze",
+            Fault::PauseController {
+                controller: 2,
+                duration_ms: ms,
+            },
         ),
-        ("cut_mesh", Fault::DisconnectMesh { controller: 1, ms }),
-        ("freeze", Fault::PauseController { controller: 2, ms }),
         (
             "freeze_briefly",
             Fault::PauseController {
                 controller: 0,
-                ms: 2_500,
+                duration_ms: 2_500,
+            },
+        ),
+        (
+            "isolate",
+            Fault::IsolateController {
+                controller: 1,
+                duration_ms: ms,
             },
         ),
-        ("isolate", Fault::IsolateController { controller: 1, ms }),
         (
             "blind",
             Fault::DisconnectStateAndMesh {
                 controller: 2,
-                ms,
+                duration_ms: ms,
                 refused: false,
             },
         ),
@@ -271,83 +301,153 @@
             "blind_refused",
             Fault::DisconnectStateAndMesh {
                 controller: 0,
-                ms,
+                duration_ms: ms,
                 refused: true,
             },
         ),
-        ("one_way", Fault::OneWayMeshPartition { from: 0, to: 1, ms }),
+        (
+            "one_way",
+            Fault::OneWayMeshPartition {
+                from: 0,
+                to: 1,
+                duration_ms: ms,
+            },
+        ),
         (
             "mesh_copies",
-            Fault::DuplicateMeshMessages { percent: 30, ms },
+            Fault::DuplicateMeshMessages {
+                percent: 30,
+                duration_ms: ms,
+            },
+        ),
+        (
+            "late_writes",
+            Fault::DelayTransactions {
+                percent: 20,
+                duration_ms: ms,
+            },
         ),
-        ("late_writes", Fault::DelayTransactions { percent: 20, ms }),
         (
             "lost_answers",
-            Fault::DropTransactionReplies { percent: 30, ms },
+            Fault::DropTransactionReplies {
+                percent: 30,
+                duration_ms: ms,
+            },
         ),
         (
             "spoil_page",
             Fault::CorruptLogPage {
                 partition: 1,
-                ms: 4_000,
+                duration_ms: 4_000,
             },
         ),
-        ("slow_links", Fault::SlowLinks { times: 60, ms }),
-        ("cut_zones", Fault::PartitionZones { ms }),
-        ("cut_zone", Fault::IsolateZone { ms }),
+        (
+            "slow_links",
+            Fault::SlowLinks {
+                factor: 60,
+                duration_ms: ms,
+            },
+        ),
+        ("cut_zones", Fault::PartitionZones { duration_ms: ms }),
+        ("cut_zone", Fault::IsolateZone { duration_ms: ms }),
     ]
 }
 
 fn machine_faults() -> Vec<(&'static str, Fault)> {
     let ms = FAULT_MS;
     vec![
-        ("cut_machine", Fault::DisconnectMachine { nth: 3, ms }),
-        ("hang", Fault::HangMachine { nth: 2, ms }),
+        (
+            "cut_machine",
+            Fault::DisconnectMachine {
+                machine_index: 3,
+                duration_ms: ms,
+            },
+        ),
+        (
+            "hang",
+            Fault::HangMachine {
+                machine_index: 2,
+                duration_ms: ms,
+            },
+        ),
         (
             "hang_many",
             Fault::HangMachines {
                 count: 5,
-                ms: 9_000,
+                duration_ms: 9_000,
             },
         ),
-        ("kill", Fault::CrashMachine { nth: 1 }),
+        ("kill", Fault::CrashMachine { machine_index: 1 }),
         ("kill_many", Fault::CrashMachines { count: 4 }),
-        ("sick", Fault::FailTasksOnMachine { nth: 2 }),
+        ("sick", Fault::FailTasksOnMachine { machine_index: 2 }),
         ("sick_many", Fault::FailTasksOnMachines { count: 3 }),
-        ("unreached", Fault::DropMessagesToMachines { count: 5, ms }),
-        ("unreached_zone", Fault::DropMessagesToZone { ms }),
-        ("mute", Fault::RefuseMachineConnections { count: 5, ms }),
-        ("copies", Fault::DuplicateMessages { ms }),
-        ("kept_copies", Fault::ReplayHeartbeats { percent: 30, ms }),
-        ("held_reports", Fault::HoldHeartbeats { percent: 40, ms }),
-        ("late_commands", Fault::DelayCommands { percent: 60, ms }),
-        ("cloud_outage", Fault::CloudOutage { ms }),
+        (
+            "unreached",
+            Fault::DropMessagesToMachines {
+                count: 5,
+                duration_ms: ms,
+            },
+        ),
+        (
+            "unreached_zone",
+            Fault::DropMessagesToZone { duration_ms: ms },
+        ),
+        (
+            "mute",
+            Fault::RefuseMachineConnections {
+                count: 5,
+                duration_ms: ms,
+            },
+        ),
+        ("copies", Fault::DuplicateMessages { duration_ms: ms }),
+        (
+            "kept_copies",
+            Fault::ReplayHeartbeats {
+                percent: 30,
+                duration_ms: ms,
+            },
+        ),
+        (
+            "held_reports",
+            Fault::HoldHeartbeats {
+                percent: 40,
+                duration_ms: ms,
+            },
+        ),
+        (
+            "late_commands",
+            Fault::DelayCommands {
+                percent: 60,
+                duration_ms: ms,
+            },
+        ),
+        ("cloud_outage", Fault::CloudOutage { duration_ms: ms }),
         (
             "boots_early",
             Fault::ChangeBootBehavior {
                 behavior: BootBehavior::Early,
-                ms,
+                duration_ms: ms,
             },
         ),
         (
             "boots_late",
             Fault::ChangeBootBehavior {
                 behavior: BootBehavior::Late,
-                ms,
+                duration_ms: ms,
             },
         ),
         (
             "boots_never",
             Fault::ChangeBootBehavior {
                 behavior: BootBehavior::Never,
-                ms,
+                duration_ms: ms,
             },
         ),
         (
             "boots_quick",
             Fault::ChangeBootBehavior {
                 behavior: BootBehavior::Quick,
-                ms,
+                duration_ms: ms,
             },
         ),
     ]
@@ -356,17 +456,26 @@
 fn user_faults() -> Vec<(&'static str, Fault)> {
     let ms = FAULT_MS;
     vec![
-        ("mistakes", Fault::FailingJobs { ms }),
-        ("questions", Fault::StatusRequestStorm { ms }),
+        ("mistakes", Fault::FailingJobs { duration_ms: ms }),
+        ("questions", Fault::StatusRequestStorm { duration_ms: ms }),
         ("guests", Fault::GuestJobs { jobs: 4 }),
-        ("heavy", Fault::SkewedLoad { ms }),
+        ("heavy", Fault::SkewedLoad { duration_ms: ms }),
         ("burst", Fault::JobBurst { jobs: 60 }),
-        ("long", Fault::LongTasks { times: 10, ms }),
-        ("close_looks", Fault::FollowUpRequests { ms }),
-        ("cancel_all", Fault::CancelAllJobs { through: 1 }),
+        (
+            "long",
+            Fault::LongTasks {
+                factor: 10,
+                duration_ms: ms,
+            },
+        ),
+        ("close_looks", Fault::FollowUpRequests { duration_ms: ms }),
+        ("cancel_all", Fault::CancelAllJobs { controller: 1 }),
         (
             "cancel_at_end",
-            Fault::CancelAtCompletion { percent: 60, ms },
+            Fault::CancelAtCompletion {
+                percent: 60,
+                duration_ms: ms,
+            },
         ),
         (
             "cancel_now",
@@ -375,8 +484,8 @@
                 hang_ms: 9_000,
             },
         ),
-        ("odd_requests", Fault::UnusualRequests { ms }),
-        ("one_task_jobs", Fault::OneTaskJobs { ms }),
+        ("odd_requests", Fault::UnusualRequests { duration_ms: ms }),
+        ("one_task_jobs", Fault::OneTaskJobs { duration_ms: ms }),
     ]
 }
 
@@ -402,49 +511,64 @@
             30_000,
             Fault::PauseController {
                 controller: 0,
-                ms: 20_000,
+                duration_ms: 20_000,
             },
         ),
         (
             36_000,
             Fault::PauseController {
                 controller: 1,
-                ms: 5_000,
+                duration_ms: 5_000,
             },
         ),
         (
             70_000,
             Fault::PauseController {
                 controller: 1,
-                ms: 14_000,
+                duration_ms: 14_000,
             },
         ),
         (
             70_000,
             Fault::PauseController {
                 controller: 2,
-                ms: 12_000,
+                duration_ms: 12_000,
             },
         ),
     ];
     let histories = vec![
-        (1_000, Fault::FollowUpRequests { ms: 100_000 }),
-        (5_000, Fault::OneTaskJobs { ms: 50_000 }),
+        (
+            1_000,
+            Fault::FollowUpRequests {
+                duration_ms: 100_000,
+            },
+        ),
+        (
+            5_000,
+            Fault::OneTaskJobs {
+                duration_ms: 50_000,
+            },
+        ),
         (
             20_000,
             Fault::SlowStateService {
-                times: 9,
-                ms: 50_000,
+                factor: 9,
+                duration_ms: 50_000,
             },
         ),
-        (40_000, Fault::CancelAllJobs { through: 1 }),
+        (40_000, Fault::CancelAllJobs { controller: 1 }),
         crash(55_000, 2, 500),
-        (60_000, Fault::UnusualRequests { ms: 20_000 }),
+        (
+            60_000,
+            Fault::UnusualRequests {
+                duration_ms: 20_000,
+            },
+        ),
         (
             65_000,
             Fault::DropTransactionReplies {
                 percent: 20,
-                ms: 20_000,
+                duration_ms: 20_000,
             },
         ),
     ];
@@ -489,10 +613,10 @@
 fn large_sites() -> Vec<Run> {
     let plan = |seed, ms, size, faults| Plan {
         seed,
-        ms,
+        duration_ms: ms,
         faults,
         mutation: None,
-        submit_ms: 50_000,
+        submit_until_ms: 50_000,
         size,
     };
     let grown = vec![
@@ -509,7 +633,7 @@
             60_000,
             Fault::RefuseStateRequests {
                 controller: None,
-                ms: 12_000,
+                duration_ms: 12_000,
             },
         ),
     ];
@@ -539,11 +663,11 @@
         (
             46_000,
             Fault::SlowStateService {
-                times: 10,
-                ms: 10_000,
+                factor: 10,
+                duration_ms: 10_000,
             },
         ),
-        (50_000, Fault::CancelAllJobs { through: 2 }),
+        (50_000, Fault::CancelAllJobs { controller: 2 }),
     ];
     vec![
         Run {
--- a/crates/simulator/src/world/coverage.rs
+++ b/crates/simulator/src/world/coverage.rs
@@ -15,7 +15,7 @@
     /// Duplicated heartbeats that arrived after newer ones of their machines; of these, from earlier worker
     /// epochs.
     pub stale_heartbeats: u64,
-    pub stale_sessions: u64,
+    pub earlier_epoch_heartbeats: u64,
     /// Replies and commands lost on the way to machines whose heartbeats arrive.
     pub dropped_messages: u64,
     /// Connections of machines that were refused, and direct calls that reached these machines meanwhile.
@@ -27,7 +27,7 @@
     /// Replayed heartbeats, older than others of their machines, that arrived at a new leader; of these, from
     /// earlier worker epochs.
     pub stale_heartbeats_at_failover: u64,
-    pub stale_sessions_at_failover: u64,
+    pub earlier_epoch_heartbeats_at_failover: u64,
     /// Held heartbeats delivered to a later leader.
     pub held_heartbeats: u64,
     /// Delayed direct commands that were executed, and those rejected for their fencing token or worker
@@ -49,8 +49,8 @@
     /// Machines that hung while their jobs were cancelled.
     pub hung_machines_of_cancelled_jobs: u64,
     /// Unusual requests, by kind.
-    pub repeated_unfinished: u64,
-    pub cancelled_done: u64,
+    pub resubmitted_unfinished_jobs: u64,
+    pub cancellations_of_done_jobs: u64,
     pub rejected_unschedulable: u64,
     pub rejected_malformed: u64,
     pub one_task_jobs: u64,
--- a/crates/simulator/src/world/faults.rs
+++ b/crates/simulator/src/world/faults.rs
@@ -17,58 +17,104 @@
 /// The state that a fault keeps active for some time, with that time in ms; none for other faults.
 fn lasting_fault(fault: &Fault) -> Option<(ActiveFault, u64)> {
     Some(match *fault {
-        Fault::DisconnectStateService { controller, ms } => {
-            (ActiveFault::StateServiceDisconnected(controller), ms)
-        }
-        Fault::RefuseStateRequests { controller, ms } => {
-            (ActiveFault::StateRequestsRefused(controller), ms)
-        }
-        Fault::DisconnectWorkers { controller, ms } => {
-            (ActiveFault::WorkersDisconnected(controller), ms)
-        }
-        Fault::DisconnectMesh { controller, ms } => (ActiveFault::MeshDisconnected(controller), ms),
-        Fault::PartitionZones { ms } => (ActiveFault::ZonesPartitioned, ms),
-        Fault::IsolateZone { ms } => (ActiveFault::ZoneIsolated, ms),
-        Fault::IsolateController { controller, ms } => {
-            (ActiveFault::UsersDisconnected(controller), ms)
-        }
+        Fault::DisconnectStateService {
+            controller,
+            duration_ms,
+        } => (
+            ActiveFault::StateServiceDisconnected(controller),
+            duration_ms,
+        ),
+        Fault::RefuseStateRequests {
+            controller,
+            duration_ms,
+        } => (ActiveFault::StateRequestsRefused(controller), duration_ms),
+        Fault::DisconnectWorkers {
+            controller,
+            duration_ms,
+        } => (ActiveFault::WorkersDisconnected(controller), duration_ms),
+        Fault::DisconnectMesh {
+            controller,
+            duration_ms,
+        } => (ActiveFault::MeshDisconnected(controller), duration_ms),
+        Fault::PartitionZones { duration_ms } => (ActiveFault::ZonesPartitioned, duration_ms),
+        Fault::IsolateZone { duration_ms } => (ActiveFault::ZoneIsolated, duration_ms),
+        Fault::IsolateController {
+            controller,
+            duration_ms,
+        } => (ActiveFault::UsersDisconnected(controller), duration_ms),
         Fault::DisconnectStateAndMesh {
             controller,
-            ms,
+            duration_ms,
             refused: true,
-        } => (ActiveFault::StateRequestsRefused(Some(controller)), ms),
+        } => (
+            ActiveFault::StateRequestsRefused(Some(controller)),
+            duration_ms,
+        ),
         Fault::DisconnectStateAndMesh {
             controller,
-            ms,
+            duration_ms,
             refused: false,
-        } => (ActiveFault::StateServiceDisconnected(controller), ms),
-        Fault::DropMessagesToZone { ms } => (ActiveFault::ZoneUnreachable, ms),
-        Fault::DuplicateMessages { ms } => (ActiveFault::DuplicatedMessages, ms),
-        Fault::SlowStateService { times, ms } => (ActiveFault::SlowStateService(times), ms),
-        Fault::DelayTransactions { percent, ms } => (ActiveFault::DelayedTransactions(percent), ms),
-        Fault::LongTasks { times, ms } => (ActiveFault::LongTasks(times), ms),
-        Fault::CloudOutage { ms } => (ActiveFault::CloudOutage, ms),
-        Fault::ChangeBootBehavior { ms, .. } => (ActiveFault::ChangedBootBehavior, ms),
-        Fault::SkewedLoad { ms } => (ActiveFault::SkewedLoad, ms),
-        Fault::DropTransactionReplies { percent, ms } => {
-            (ActiveFault::LostTransactionReplies(percent), ms)
-        }
-        Fault::ReplayHeartbeats { percent, ms } => (ActiveFault::ReplayedHeartbeats(percent), ms),
-        Fault::HoldHeartbeats { percent, ms } => (ActiveFault::HeldHeartbeats(percent), ms),
-        Fault::DelayCommands { percent, ms } => (ActiveFault::DelayedCommands(percent), ms),
-        Fault::OneWayMeshPartition { from, to, ms } => {
-            (ActiveFault::OneWayMeshPartition(from, to), ms)
-        }
-        Fault::DuplicateMeshMessages { percent, ms } => {
-            (ActiveFault::DuplicatedMeshMessages(percent), ms)
+        } => (
+            ActiveFault::StateServiceDisconnected(controller),
+            duration_ms,
+        ),
+        Fault::DropMessagesToZone { duration_ms } => (ActiveFault::ZoneUnreachable, duration_ms),
+        Fault::DuplicateMessages { duration_ms } => (ActiveFault::DuplicatedMessages, duration_ms),
+        Fault::SlowStateService {
+            factor,
+            duration_ms,
+        } => (ActiveFault::SlowStateService(factor), duration_ms),
+        Fault::DelayTransactions {
+            percent,
+            duration_ms,
+        } => (ActiveFault::DelayedTransactions(percent), duration_ms),
+        Fault::LongTasks {
+            factor,
+            duration_ms,
+        } => (ActiveFault::LongTasks(factor), duration_ms),
+        Fault::CloudOutage { duration_ms } => (ActiveFault::CloudOutage, duration_ms),
+        Fault::ChangeBootBehavior { duration_ms, .. } => {
+            (ActiveFault::ChangedBootBehavior, duration_ms)
         }
-        Fault::SlowLinks { times, ms } => (ActiveFault::SlowLinks(times), ms),
-        Fault::FailingJobs { ms } => (ActiveFault::FailingJobs, ms),
-        Fault::StatusRequestStorm { ms } => (ActiveFault::StatusRequestStorm, ms),
-        Fault::FollowUpRequests { ms } => (ActiveFault::FollowUpRequests, ms),
-        Fault::CancelAtCompletion { percent, ms } => (ActiveFault::CancelAtCompletion(percent), ms),
-        Fault::UnusualRequests { ms } => (ActiveFault::UnusualRequests, ms),
-        Fault::OneTaskJobs { ms } => (ActiveFault::OneTaskJobs, ms),
+        Fault::SkewedLoad { duration_ms } => (ActiveFault::SkewedLoad, duration_ms),
+        Fault::DropTransactionReplies {
+            percent,
+            duration_ms,
+        } => (ActiveFault::LostTransactionReplies(percent), duration_ms),
+        Fault::ReplayHeartbeats {
+            percent,
+            duration_ms,
+        } => (ActiveFault::ReplayedHeartbeats(percent), duration_ms),
+        Fault::HoldHeartbeats {
+            percent,
+            duration_ms,
+        } => (ActiveFault::HeldHeartbeats(percent), duration_ms),
+        Fault::DelayCommands {
+            percent,
+            duration_ms,
+        } => (ActiveFault::DelayedCommands(percent), duration_ms),
+        Fault::OneWayMeshPartition {
+            from,
+            to,
+            duration_ms,
+        } => (ActiveFault::OneWayMeshPartition(from, to), duration_ms),
+        Fault::DuplicateMeshMessages {
+            percent,
+            duration_ms,
+        } => (ActiveFault::DuplicatedMeshMessages(percent), duration_ms),
+        Fault::SlowLinks {
+            factor,
+            duration_ms,
+        } => (ActiveFault::SlowLinks(factor), duration_ms),
+        Fault::FailingJobs { duration_ms } => (ActiveFault::FailingJobs, duration_ms),
+        Fault::StatusRequestStorm { duration_ms } => (ActiveFault::StatusRequestStorm, duration_ms),
+        Fault::FollowUpRequests { duration_ms } => (ActiveFault::FollowUpRequests, duration_ms),
+        Fault::CancelAtCompletion {
+            percent,
+            duration_ms,
+        } => (ActiveFault::CancelAtCompletion(percent), duration_ms),
+        Fault::UnusualRequests { duration_ms } => (ActiveFault::UnusualRequests, duration_ms),
+        Fault::OneTaskJobs { duration_ms } => (ActiveFault::OneTaskJobs, duration_ms),
         Fault::CrashController { .. }
         | Fault::CrashBeforeEffect { .. }
         | Fault::PauseController { .. }
@@ -99,21 +145,37 @@
                 restart_after_ms,
             } => self.crash_controller(controller, restart_after_ms),
             Fault::CrashBeforeEffect { controller, nth } => self.crash_points.set(controller, nth),
-            Fault::PauseController { controller, ms } => self.pause_controller(controller, ms),
-            Fault::CorruptLogPage { partition, ms } => self.corrupt_log_page(partition, ms),
-            Fault::IsolateZone { ms } => self.activate(ActiveFault::UsersDisconnected(1), ms),
-            Fault::DisconnectStateAndMesh { controller, ms, .. } => {
-                self.activate(ActiveFault::MeshDisconnected(controller), ms)
+            Fault::PauseController {
+                controller,
+                duration_ms,
+            } => self.pause_controller(controller, duration_ms),
+            Fault::CorruptLogPage {
+                partition,
+                duration_ms,
+            } => self.corrupt_log_page(partition, duration_ms),
+            Fault::IsolateZone { duration_ms } => {
+                self.activate(ActiveFault::UsersDisconnected(1), duration_ms)
             }
-            Fault::IsolateController { controller, ms } => {
-                self.activate(ActiveFault::StateServiceDisconnected(controller), ms);
-                self.activate(ActiveFault::WorkersDisconnected(controller), ms);
-                self.activate(ActiveFault::MeshDisconnected(controller), ms);
+            Fault::DisconnectStateAndMesh {
+                controller,
+                duration_ms,
+                ..
+            } => self.activate(ActiveFault::MeshDisconnected(controller), duration_ms),
+            Fault::IsolateController {
+                controller,
+                duration_ms,
+            } => {
+                self.activate(
+                    ActiveFault::StateServiceDisconnected(controller),
+                    duration_ms,
+                );
+                self.activate(ActiveFault::WorkersDisconnected(controller), duration_ms);
+                self.activate(ActiveFault::MeshDisconnected(controller), duration_ms);
             }
             Fault::ChangeBootBehavior { behavior, .. } => self.cloud.boots = behavior,
             Fault::JobBurst { jobs } => (0..jobs).for_each(|_| self.new_job()),
             Fault::GuestJobs { jobs } => (0..jobs).for_each(|_| self.guest_job()),
-            Fault::CancelAllJobs { through } => self.cancel_all(through),
+            Fault::CancelAllJobs { controller } => self.cancel_all(controller),
             Fault::CancelRunningJobs { count, hang_ms } => self.cancel_now(count, hang_ms),
             Fault::UnusualRequests { .. } => {
                 self.schedule(self.now + 1, ScheduledEvent::SendUnusualRequest)
@@ -123,8 +185,8 @@
             }
             other => self.start_machine_fault(other),
         }
-        if let Some((active, ms)) = lasting {
-            self.activate(active, ms);
+        if let Some((active, duration_ms)) = lasting {
+            self.activate(active, duration_ms);
         }
     }
 
@@ -136,25 +198,31 @@
             .filter(|worker| !worker.dead)
             .map(|worker| worker.name.clone())
             .collect();
-        let pick = |nth: usize| names.get(nth % names.len().max(1)).cloned();
+        let pick = |machine_index: usize| names.get(machine_index % names.len().max(1)).cloned();
         match fault {
-            Fault::DisconnectMachine { nth, ms } => {
-                if let Some(name) = pick(nth) {
-                    self.activate(ActiveFault::MachineDisconnected(name), ms);
+            Fault::DisconnectMachine {
+                machine_index,
+                duration_ms,
+            } => {
+                if let Some(name) = pick(machine_index) {
+                    self.activate(ActiveFault::MachineDisconnected(name), duration_ms);
                 }
             }
-            Fault::HangMachine { nth, ms } => {
-                if let Some(name) = pick(nth) {
-                    self.hang(name, ms);
+            Fault::HangMachine {
+                machine_index,
+                duration_ms,
+            } => {
+                if let Some(name) = pick(machine_index) {
+                    self.hang(name, duration_ms);
                 }
             }
-            Fault::CrashMachine { nth } => {
-                if let Some(name) = pick(nth) {
+            Fault::CrashMachine { machine_index } => {
+                if let Some(name) = pick(machine_index) {
                     self.crash_machine(&name);
                 }
             }
-            Fault::FailTasksOnMachine { nth } => {
-                if let Some(name) = pick(nth) {
+            Fault::FailTasksOnMachine { machine_index } => {
+                if let Some(name) = pick(machine_index) {
                     self.fail_all_tasks(&name);
                 }
             }
@@ -168,19 +236,19 @@
                     self.fail_all_tasks(&name);
                 }
             }
-            Fault::HangMachines { count, ms } => {
+            Fault::HangMachines { count, duration_ms } => {
                 for name in self.random_choice(&names, count) {
-                    self.hang(name, ms);
+                    self.hang(name, duration_ms);
                 }
             }
-            Fault::DropMessagesToMachines { count, ms } => {
+            Fault::DropMessagesToMachines { count, duration_ms } => {
                 for name in self.random_choice(&names, count) {
-                    self.activate(ActiveFault::MachineUnreachable(name), ms);
+                    self.activate(ActiveFault::MachineUnreachable(name), duration_ms);
                 }
             }
-            Fault::RefuseMachineConnections { count, ms } => {
+            Fault::RefuseMachineConnections { count, duration_ms } => {
                 for name in self.random_choice(&names, count) {
-                    self.activate(ActiveFault::MachineConnectionsRefused(name), ms);
+                    self.activate(ActiveFault::MachineConnectionsRefused(name), duration_ms);
                 }
             }
             _ => {}
--- a/crates/simulator/src/world/interceptor.rs
+++ b/crates/simulator/src/world/interceptor.rs
@@ -95,7 +95,7 @@
             else {
                 continue;
             };
-            if self.plan.mutation == Some(Mutation::DuplicatesTrusted) {
+            if self.plan.mutation == Some(Mutation::DuplicatedHeartbeatsLookNew) {
                 report.seq += 1_000_000;
             }
             self.record_replayed_heartbeat(machines, &machine, &report);
@@ -125,7 +125,7 @@
             else {
                 continue;
             };
-            if self.plan.mutation == Some(Mutation::DuplicatesTrusted) {
+            if self.plan.mutation == Some(Mutation::DuplicatedHeartbeatsLookNew) {
                 report.seq += 1_000_000;
             }
             let message = Message::Heartbeat {
@@ -154,7 +154,8 @@
         };
         if machines.contains(machine) && worker.has_sent_newer(report) {
             self.coverage.stale_heartbeats_at_failover += 1;
-            self.coverage.stale_sessions_at_failover += u64::from(report.session < worker.session);
+            self.coverage.earlier_epoch_heartbeats_at_failover +=
+                u64::from(report.session < worker.session);
         }
     }
 
@@ -190,7 +191,7 @@
         worker.check_lease(now, lease);
         let deposed = worker.token > body.token;
         let (token, session) = match self.plan.mutation {
-            Some(Mutation::DelayedCommandsTrusted) => (worker.token, worker.session),
+            Some(Mutation::DelayedCommandsUnfenced) => (worker.token, worker.session),
             _ => (body.token, body.session),
         };
         let executed = worker.direct(token, session, &body.commands, now, self.jobs.all());
@@ -261,7 +262,7 @@
             return;
         }
         let mut event = event.clone();
-        let trusted = self.plan.mutation == Some(Mutation::MeshDuplicatesTrusted);
+        let trusted = self.plan.mutation == Some(Mutation::MeshDuplicatesClaimAllChanges);
         if let (
             true,
             Event::Mesh {
--- a/crates/simulator/src/world/machines.rs
+++ b/crates/simulator/src/world/machines.rs
@@ -46,7 +46,7 @@
                 if ignore_tokens {
                     answer.token = answer.token.max(worker.token);
                 }
-                if self.plan.mutation == Some(Mutation::RepliesWithoutKills) {
+                if self.plan.mutation == Some(Mutation::RepliesWithoutStopCommands) {
                     answer
                         .commands
                         .retain(|c| !matches!(c, Command::Stop { .. }));
--- a/crates/simulator/src/world/mod.rs
+++ b/crates/simulator/src/world/mod.rs
@@ -77,8 +77,8 @@
     follow_up_counts: FollowUpCounts,
     limits: BTreeMap<String, f64>,
     /// Requests that the state service has received, and replies that rejected a user's request for overload.
-    pub requests: u64,
-    pub rejected_busy: u64,
+    pub state_requests: u64,
+    pub busy_replies: u64,
     /// Time from the first submission to the acceptance of each job, in ms.
     pub acceptance_latencies_ms: Vec<u64>,
     pub rules: RuleChecker,
@@ -103,7 +103,7 @@
         let last_fault_end = plan
             .faults
             .iter()
-            .map(|(at, fault)| at + fault.lasts())
+            .map(|(at, fault)| at + fault.duration_ms())
             .max();
         let faults_over = last_fault_end.unwrap_or(0).max(MIN_FAULTS_OVER_MS);
         let mut world = World {
@@ -125,8 +125,8 @@
             limits: (0..6)
                 .map(|t| (format!("t{t}"), 6.0 * plan.size as f64))
                 .collect(),
-            requests: 0,
-            rejected_busy: 0,
+            state_requests: 0,
+            busy_replies: 0,
             acceptance_latencies_ms: Vec::new(),
             rules: RuleChecker::new(parameters.cancel),
             failovers: FailoverTimeline::default(),
@@ -155,7 +155,7 @@
 
     /// Runs to the end of the plan, or to the first violation.
     pub fn run(&mut self) {
-        self.run_to(self.plan.ms);
+        self.run_to(self.plan.duration_ms);
     }
 
     /// Runs to a simulated time in ms, or to the first violation.
--- a/crates/simulator/src/world/recording.rs
+++ b/crates/simulator/src/world/recording.rs
@@ -17,7 +17,7 @@
     }
 
     /// An operator asks a controller; the answer is recorded, and goes to nobody.
-    pub fn administer(&mut self, controller: usize, request: AdminRequest) {
+    pub fn send_admin_request(&mut self, controller: usize, request: AdminRequest) {
         let ticket = self.open_requests.next_ticket();
         self.handle_event(controller, Event::Admin { ticket, request });
     }
--- a/crates/simulator/src/world/site.rs
+++ b/crates/simulator/src/world/site.rs
@@ -100,7 +100,7 @@
     } else {
         seconds(lease)
     };
-    let cancel = if mutation == Some(Mutation::LongCancel) {
+    let cancel = if mutation == Some(Mutation::LongCancellationDeadline) {
         300.0
     } else {
         seconds(cancel)
--- a/crates/simulator/src/world/state_service.rs
+++ b/crates/simulator/src/world/state_service.rs
@@ -82,7 +82,7 @@
         call: CallId,
         mut request: StateRequest,
     ) {
-        self.requests += 1;
+        self.state_requests += 1;
         if self.refuses(controller) {
             self.send_state_reply(
                 controller,
@@ -98,7 +98,7 @@
             wait_ms,
         } = &request
         {
-            if *wait_ms == 0 && self.plan.mutation == Some(Mutation::StaleFreshReads) {
+            if *wait_ms == 0 && self.plan.mutation == Some(Mutation::StaleLinearizableReads) {
                 let nothing = Changes {
                     revision: *after,
                     events: Vec::new(),
@@ -136,7 +136,7 @@
         if let StateRequest::Transaction(txn) = &mut request {
             let page = |w: &Write| matches!(w, Write::Put { put, .. } if put.starts_with("l/"));
             match self.plan.mutation {
-                Some(Mutation::PredecessorsForgotten) => forget_predecessors(&mut txn.writes),
+                Some(Mutation::PredecessorsNotRecorded) => forget_predecessors(&mut txn.writes),
                 Some(Mutation::TerminalStatesIgnoreCancellations) => {
                     txn.conditions
                         .retain(|c| !c.key.starts_with("s/x/") || !writes_end(&txn.writes));
--- a/crates/simulator/src/world/transport.rs
+++ b/crates/simulator/src/world/transport.rs
@@ -130,7 +130,7 @@
             {
                 // No worker waits for the reply.
                 (*controller, *number) = (self.rng.random_range(0..CONTROLLERS), 0);
-                if self.plan.mutation == Some(Mutation::DuplicatesTrusted) {
+                if self.plan.mutation == Some(Mutation::DuplicatedHeartbeatsLookNew) {
                     report.seq += 1_000_000;
                 }
             }
@@ -154,7 +154,7 @@
             return;
         };
         self.coverage.stale_heartbeats += u64::from(worker.has_sent_newer(report));
-        self.coverage.stale_sessions += u64::from(report.session < worker.session);
+        self.coverage.earlier_epoch_heartbeats += u64::from(report.session < worker.session);
     }
 
     /// Sends a message; a disconnection holds it back until it ends.
--- a/crates/simulator/src/world/unusual_requests.rs
+++ b/crates/simulator/src/world/unusual_requests.rs
@@ -51,14 +51,14 @@
     }
 
     fn repeat_unfinished(&mut self) {
-        let unfinished = self.unfinished();
+        let unfinished = self.unfinished_jobs();
         let Some(id) = self.any_of(unfinished) else {
             return;
         };
         let Some(job) = self.jobs.get(&id).cloned() else {
             return;
         };
-        self.coverage.repeated_unfinished += 1;
+        self.coverage.resubmitted_unfinished_jobs += 1;
         self.send_request(UserRequest::Submit(Box::new(job)), id, MAX_ATTEMPTS);
     }
 
@@ -67,7 +67,7 @@
         let done = self.rules.done_confirmed.keys().cloned().collect();
         let Some(id) = self.any_of(done) else { return };
         let Some(job) = JobId::parse(&id) else { return };
-        self.coverage.cancelled_done += 1;
+        self.coverage.cancellations_of_done_jobs += 1;
         self.send_request(UserRequest::Cancel(job), id, MAX_ATTEMPTS);
     }
 
--- a/crates/simulator/src/world/users.rs
+++ b/crates/simulator/src/world/users.rs
@@ -21,7 +21,7 @@
 
 impl World {
     pub(super) fn submit(&mut self) {
-        if self.now > self.plan.submit_ms {
+        if self.now > self.plan.submit_until_ms {
             return;
         }
         self.new_job();
@@ -307,7 +307,7 @@
                 self.rules.record_missing(&id, Answer::Refused, sent, now);
             }
             UserReply::Busy { retry_after_s } => {
-                self.rejected_busy += 1;
+                self.busy_replies += 1;
                 self.retry_request(request, id, tries, retry_after_s);
             }
         }
--- a/crates/simulator/src/world/views.rs
+++ b/crates/simulator/src/world/views.rs
@@ -11,12 +11,12 @@
 impl World {
     /// Puts and deletes that the state service has taken, and those it has refused for want of
     /// budget.
-    pub fn writes(&self) -> (u64, u64) {
+    pub fn accepted_and_refused_writes(&self) -> (u64, u64) {
         (self.state.accepted_writes, self.state.refused_writes)
     }
 
     /// Machines recorded for a partition.
-    pub fn machines_of(&self, partition: u32) -> usize {
+    pub fn recorded_machines(&self, partition: u32) -> usize {
         self.records()
             .filter(|m| m.get(4).is_some_and(|p| *p == partition))
             .count()
@@ -133,7 +133,7 @@
     }
 
     /// Prints where a job's tasks are, for debugging.
-    pub fn dump(&self, id: &str) {
+    pub fn print_job(&self, id: &str) {
         for worker in self.workers.values() {
             for ((task, attempt), held) in &worker.tasks {
                 if task.starts_with(id) {
@@ -155,12 +155,12 @@
     }
 
     /// Tasks killed by workers after lease expiry.
-    pub fn killed_by_lease(&self) -> u64 {
+    pub fn tasks_killed_by_lease(&self) -> u64 {
         self.workers.values().map(|w| w.tasks_killed_by_lease).sum()
     }
 
     /// Tasks of accepted, unfinished jobs without any task on a machine.
-    pub fn waiting(&self) -> u64 {
+    pub fn tasks_of_unplaced_jobs(&self) -> u64 {
         let placed: HashSet<&str> = self
             .workers
             .values()
@@ -169,7 +169,7 @@
             .filter_map(|(task, _)| task.split('/').next())
             .collect();
         let unplaced = self
-            .unfinished()
+            .unfinished_jobs()
             .into_iter()
             .filter(|id| !placed.contains(id.as_str()));
         unplaced
@@ -178,12 +178,12 @@
     }
 
     /// Arrays of low priority that waited for too long although there was capacity for them.
-    pub fn starved_low_priority(&self) -> &[String] {
+    pub fn starved_low_priority_arrays(&self) -> &[String] {
         self.service.starved_low_priority()
     }
 
     /// Jobs that were accepted and are neither done nor cancelled by now.
-    pub fn unfinished(&self) -> Vec<String> {
+    pub fn unfinished_jobs(&self) -> Vec<String> {
         self.rules
             .accepted
             .keys()
--- a/crates/simulator/tests/combined_faults.rs
+++ b/crates/simulator/tests/combined_faults.rs
@@ -9,7 +9,7 @@
 use simulator::{for_seeds, BootBehavior, Fault, FaultCoverage, Mutation, Plan, World};
 
 fn plan(seed: u64, ms: u64, faults: Vec<(u64, Fault)>) -> Plan {
-    Plan::of_long_tasks(seed, ms, faults)
+    Plan::with_long_tasks(seed, ms, faults)
 }
 
 fn site(seed: u64, ms: u64, faults: Vec<(u64, Fault)>) -> World {
@@ -62,15 +62,20 @@
             refused,
             Fault::RefuseStateRequests {
                 controller: Some(leader),
-                ms,
+                duration_ms: ms,
+            },
+        ),
+        (
+            refused + cancelled,
+            Fault::CancelAllJobs {
+                controller: through,
             },
         ),
-        (refused + cancelled, Fault::CancelAllJobs { through }),
         (
             refused + out,
             Fault::RefuseStateRequests {
                 controller: None,
-                ms: 45_000,
+                duration_ms: 45_000,
             },
         ),
         // No peer informs the leader of the cancellations.
@@ -78,7 +83,7 @@
             refused,
             Fault::DisconnectMesh {
                 controller: leader,
-                ms: ms * (nth as u64 % 3).min(1),
+                duration_ms: ms * (nth as u64 % 3).min(1),
             },
         ),
     ];
@@ -123,20 +128,20 @@
             50_000,
             Fault::RefuseStateRequests {
                 controller: Some(leader),
-                ms: 70_000,
+                duration_ms: 70_000,
             },
         ),
         (
             50_000,
             Fault::DisconnectMesh {
                 controller: leader,
-                ms: 70_000,
+                duration_ms: 70_000,
             },
         ),
         (
             50_100,
             Fault::CancelAllJobs {
-                through: (leader + 1) % 3,
+                controller: (leader + 1) % 3,
             },
         ),
     ]
@@ -177,8 +182,8 @@
                 faults.push((
                     52_000,
                     Fault::SlowStateService {
-                        times: 30,
-                        ms: 60_000,
+                        factor: 30,
+                        duration_ms: 60_000,
                     },
                 ));
             }
@@ -190,7 +195,7 @@
             coverage += world.cancelled_tasks_present(partition);
             world.inject(Fault::RefuseStateRequests {
                 controller: None,
-                ms: 45_000,
+                duration_ms: 45_000,
             });
             run_to_end(&mut world, &said);
         }
@@ -212,20 +217,20 @@
         faults.push((
             52_000,
             Fault::SlowStateService {
-                times: 100,
-                ms: 60_000,
+                factor: 100,
+                duration_ms: 60_000,
             },
         ));
         let plan = plan(300 + nth as u64, 160_000, faults);
         let mut world = World::new(Plan {
-            mutation: Some(Mutation::RepliesWithoutKills),
+            mutation: Some(Mutation::RepliesWithoutStopCommands),
             ..plan
         });
         let moved = run_until_failover(&mut world, leader, "sabotaged");
         world.run_to(moved + 150);
         world.inject(Fault::RefuseStateRequests {
             controller: None,
-            ms: 45_000,
+            duration_ms: 45_000,
         });
         world.run();
         world.rules.has_violation_of(&["ran_cancelled"])
@@ -241,20 +246,20 @@
             48_000,
             Fault::DropMessagesToMachines {
                 count: 6,
-                ms: 8_000 + seed * 4_000,
+                duration_ms: 8_000 + seed * 4_000,
             },
         ),
         (
             48_500,
             Fault::DisconnectMachine {
-                nth: seed as usize,
-                ms: 9_000 + seed * 2_000,
+                machine_index: seed as usize,
+                duration_ms: 9_000 + seed * 2_000,
             },
         ),
         (
             49_000,
             Fault::DropMessagesToZone {
-                ms: 7_000 + seed * 1_000,
+                duration_ms: 7_000 + seed * 1_000,
             },
         ),
         (
@@ -267,7 +272,7 @@
         (
             52_000,
             Fault::CancelAllJobs {
-                through: (seed as usize + 1) % 3,
+                controller: (seed as usize + 1) % 3,
             },
         ),
         (90_000, Fault::JobBurst { jobs: 12 }),
@@ -275,7 +280,7 @@
             110_000,
             Fault::DropMessagesToMachines {
                 count: 8,
-                ms: 30_000,
+                duration_ms: 30_000,
             },
         ),
         (
@@ -314,21 +319,27 @@
     let ms = 3_000 + seed * 650;
     let mut faults = Vec::new();
     for at in [30_000, 45_000, 60_000, 75_000] {
-        faults.push((at, Fault::HangMachines { count: 5, ms }));
+        faults.push((
+            at,
+            Fault::HangMachines {
+                count: 5,
+                duration_ms: ms,
+            },
+        ));
         faults.push((at + 40, Fault::JobBurst { jobs: 10 }));
         for nth in 0..4 {
             faults.push((
                 at + 100,
                 Fault::DisconnectMachine {
-                    nth: nth * 3,
-                    ms: ms + 500,
+                    machine_index: nth * 3,
+                    duration_ms: ms + 500,
                 },
             ));
         }
         faults.push((
             at + 1_200,
             Fault::CancelAllJobs {
-                through: seed as usize % 3,
+                controller: seed as usize % 3,
             },
         ));
         // Nothing can be written any more, so no fencing token can be raised.
@@ -336,7 +347,7 @@
             at + 1_700,
             Fault::RefuseStateRequests {
                 controller: None,
-                ms: 6_000,
+                duration_ms: 6_000,
             },
         ));
     }
@@ -367,14 +378,14 @@
             50_000,
             Fault::DisconnectStateAndMesh {
                 controller,
-                ms: 60_000,
+                duration_ms: 60_000,
                 refused: seed.is_multiple_of(2),
             },
         ),
         (
             56_000 + seed * 300,
             Fault::CancelAllJobs {
-                through: (controller + 1) % 3,
+                controller: (controller + 1) % 3,
             },
         ),
         // In half of the runs no peer can inform the leader afterwards either.
@@ -382,7 +393,7 @@
             57_000 + seed * 300,
             Fault::RefuseStateRequests {
                 controller: None,
-                ms: 40_000 * (seed / 2 % 2),
+                duration_ms: 40_000 * (seed / 2 % 2),
             },
         ),
     ];
@@ -393,7 +404,7 @@
                 50_000,
                 Fault::DisconnectWorkers {
                     controller: other,
-                    ms: 50_000,
+                    duration_ms: 50_000,
                 },
             ));
         }
@@ -428,42 +439,47 @@
         (
             40_000,
             Fault::SlowStateService {
-                times: 10 * seed,
-                ms: 80_000,
+                factor: 10 * seed,
+                duration_ms: 80_000,
+            },
+        ),
+        (
+            45_000,
+            Fault::StatusRequestStorm {
+                duration_ms: 60_000,
             },
         ),
-        (45_000, Fault::StatusRequestStorm { ms: 60_000 }),
         (
             50_000,
             Fault::RefuseStateRequests {
                 controller: Some(controller),
-                ms: 20_000,
+                duration_ms: 20_000,
             },
         ),
         (
             50_000,
             Fault::DisconnectMesh {
                 controller,
-                ms: 40_000 * (seed % 2),
+                duration_ms: 40_000 * (seed % 2),
             },
         ),
         (
             50_500,
             Fault::CancelAllJobs {
-                through: (controller + 1) % 3,
+                controller: (controller + 1) % 3,
             },
         ),
         (
             51_000 + seed * 400,
             Fault::CancelAllJobs {
-                through: (controller + 2) % 3,
+                controller: (controller + 2) % 3,
             },
         ),
         (
             51_600 + seed * 400,
             Fault::RefuseStateRequests {
                 controller: None,
-                ms: 45_000,
+                duration_ms: 45_000,
             },
         ),
     ];
@@ -505,7 +521,7 @@
             30_000,
             Fault::DelayTransactions {
                 percent: 15,
-                ms: 90_000,
+                duration_ms: 90_000,
             },
         ),
         (55_000, Fault::CrashMachines { count: 1 }),
@@ -515,8 +531,8 @@
         (
             0,
             Fault::LongTasks {
-                times: 8,
-                ms: 100_000,
+                factor: 8,
+                duration_ms: 100_000,
             },
         ),
         (2_000, Fault::JobBurst { jobs: 24 }),
@@ -533,15 +549,15 @@
         let faults = crashes_and_delayed_writes(seed);
         let plan = Plan {
             seed,
-            ms: 700_000,
+            duration_ms: 700_000,
             faults,
             mutation: None,
-            submit_ms: 60_000,
+            submit_until_ms: 60_000,
             size: 1,
         };
         let mut world = World::new(plan);
         run_to_end(&mut world, &format!("small jobs, seed {seed}"));
-        assert_eq!(world.unfinished(), Vec::<String>::new(), "seed {seed}");
+        assert_eq!(world.unfinished_jobs(), Vec::<String>::new(), "seed {seed}");
         let small = |id: &&String| world.job(id).is_some_and(|j| (2..=3).contains(&j.tasks));
         coverage += world.rules.done_confirmed.keys().filter(small).count();
     }
@@ -554,19 +570,24 @@
 /// Duplicated heartbeats, expired leases, new leaders.
 fn stale_heartbeats(seed: u64) -> Vec<(u64, Fault)> {
     let faults = vec![
-        (20_000, Fault::DuplicateMessages { ms: 110_000 }),
+        (
+            20_000,
+            Fault::DuplicateMessages {
+                duration_ms: 110_000,
+            },
+        ),
         (
             50_000,
             Fault::DropMessagesToMachines {
                 count: 4,
-                ms: 15_000,
+                duration_ms: 15_000,
             },
         ),
         (
             60_000,
             Fault::RefuseStateRequests {
                 controller: None,
-                ms: 32_000,
+                duration_ms: 32_000,
             },
         ),
         (
@@ -583,7 +604,7 @@
                 restart_after_ms: 200,
             },
         ),
-        (96_000, Fault::CancelAllJobs { through: 2 }),
+        (96_000, Fault::CancelAllJobs { controller: 2 }),
         (110_000, Fault::JobBurst { jobs: 10 }),
         (
             118_000,
@@ -606,10 +627,10 @@
         let mut world = site(seed, 220_000, faults);
         run_to_end(&mut world, &format!("old reports, seed {seed}"));
         coverage.stale_heartbeats += world.coverage.stale_heartbeats;
-        coverage.stale_sessions += world.coverage.stale_sessions;
+        coverage.earlier_epoch_heartbeats += world.coverage.earlier_epoch_heartbeats;
     }
     assert!(
-        coverage.stale_heartbeats > 500 && coverage.stale_sessions > 50,
+        coverage.stale_heartbeats > 500 && coverage.earlier_epoch_heartbeats > 50,
         "{coverage:?}"
     );
 }
@@ -622,7 +643,7 @@
             5_000,
             Fault::DelayTransactions {
                 percent: 10 + 5 * (seed % 5),
-                ms: 130_000,
+                duration_ms: 130_000,
             },
         ),
         (
@@ -643,21 +664,16 @@
             75_000,
             Fault::DisconnectWorkers {
                 controller,
-                ms: 20_000,
-            },
-        ),
-        (
-            80_000,
-            Fault::CancelAllJobs {
-                through: controller,
+                duration_ms: 20_000,
             },
         ),
+        (80_000, Fault::CancelAllJobs { controller }),
         (85_000, Fault::JobBurst { jobs: 10 }),
         (
             100_000,
             Fault::DisconnectStateService {
                 controller: (controller + 2) % 3,
-                ms: 9_000,
+                duration_ms: 9_000,
             },
         ),
         (
@@ -705,7 +721,7 @@
         50_000,
         Fault::DelayTransactions {
             percent: 10,
-            ms: 60_000,
+            duration_ms: 60_000,
         },
     )];
     for n in 0..4 {
@@ -729,7 +745,7 @@
         faults.push((
             at + 6_000,
             Fault::CancelAllJobs {
-                through: (controller + 1) % 3,
+                controller: (controller + 1) % 3,
             },
         ));
         for other in 0..3 {
@@ -779,19 +795,19 @@
                 spoilt,
                 Fault::CorruptLogPage {
                     partition,
-                    ms: 3_000,
+                    duration_ms: 3_000,
                 },
             ),
             (
                 spoilt + 600,
                 Fault::CancelAllJobs {
-                    through: (seed as usize + 2) % 3,
+                    controller: (seed as usize + 2) % 3,
                 },
             ),
             (
                 spoilt + 4_000,
                 Fault::CancelAllJobs {
-                    through: (seed as usize + 1) % 3,
+                    controller: (seed as usize + 1) % 3,
                 },
             ),
         ];
@@ -821,107 +837,194 @@
                 restart_after_ms: 200,
             },
         ),
-        ("no state", Fault::DisconnectStateService { controller, ms }),
+        (
+            "no state",
+            Fault::DisconnectStateService {
+                controller,
+                duration_ms: ms,
+            },
+        ),
         (
             "refused",
             Fault::RefuseStateRequests {
                 controller: Some(controller),
-                ms,
+                duration_ms: ms,
             },
         ),
         (
             "state out",
             Fault::RefuseStateRequests {
                 controller: None,
-                ms: ms + 22_000,
+                duration_ms: ms + 22_000,
+            },
+        ),
+        (
+            "state slow",
+            Fault::SlowStateService {
+                factor: 40,
+                duration_ms: ms,
+            },
+        ),
+        (
+            "no workers",
+            Fault::DisconnectWorkers {
+                controller,
+                duration_ms: ms,
+            },
+        ),
+        (
+            "no peers",
+            Fault::DisconnectMesh {
+                controller,
+                duration_ms: ms,
             },
         ),
-        ("state slow", Fault::SlowStateService { times: 40, ms }),
-        ("no workers", Fault::DisconnectWorkers { controller, ms }),
-        ("no peers", Fault::DisconnectMesh { controller, ms }),
         (
             "blind",
             Fault::DisconnectStateAndMesh {
                 controller,
-                ms,
+                duration_ms: ms,
                 refused: false,
             },
         ),
-        ("isolated", Fault::IsolateController { controller, ms }),
-        ("frozen", Fault::PauseController { controller, ms }),
-        ("zones apart", Fault::PartitionZones { ms }),
-        ("zone cut", Fault::IsolateZone { ms }),
+        (
+            "isolated",
+            Fault::IsolateController {
+                controller,
+                duration_ms: ms,
+            },
+        ),
+        (
+            "frozen",
+            Fault::PauseController {
+                controller,
+                duration_ms: ms,
+            },
+        ),
+        ("zones apart", Fault::PartitionZones { duration_ms: ms }),
+        ("zone cut", Fault::IsolateZone { duration_ms: ms }),
         (
             "machines cut",
             Fault::DisconnectMachine {
-                nth: controller,
-                ms,
+                machine_index: controller,
+                duration_ms: ms,
             },
         ),
         (
             "hanging",
             Fault::HangMachines {
                 count: 5,
-                ms: ms.min(9_500),
+                duration_ms: ms.min(9_500),
+            },
+        ),
+        (
+            "deaf",
+            Fault::DropMessagesToMachines {
+                count: 5,
+                duration_ms: ms,
             },
         ),
-        ("deaf", Fault::DropMessagesToMachines { count: 5, ms }),
         ("dead", Fault::CrashMachines { count: 3 }),
-        ("late writes", Fault::DelayTransactions { percent: 20, ms }),
-        ("late copies", Fault::DuplicateMessages { ms }),
-        ("cloud out", Fault::CloudOutage { ms }),
+        (
+            "late writes",
+            Fault::DelayTransactions {
+                percent: 20,
+                duration_ms: ms,
+            },
+        ),
+        ("late copies", Fault::DuplicateMessages { duration_ms: ms }),
+        ("cloud out", Fault::CloudOutage { duration_ms: ms }),
         (
             "cancelled",
             Fault::CancelAllJobs {
-                through: (controller + 1) % 3,
+                controller: (controller + 1) % 3,
             },
         ),
         (
             "page spoilt",
             Fault::CorruptLogPage {
                 partition: controller as u32,
-                ms: ms.min(5_000),
+                duration_ms: ms.min(5_000),
+            },
+        ),
+        (
+            "mute",
+            Fault::RefuseMachineConnections {
+                count: 5,
+                duration_ms: ms,
             },
         ),
-        ("mute", Fault::RefuseMachineConnections { count: 5, ms }),
         (
             "answers lost",
-            Fault::DropTransactionReplies { percent: 30, ms },
+            Fault::DropTransactionReplies {
+                percent: 30,
+                duration_ms: ms,
+            },
+        ),
+        (
+            "kept copies",
+            Fault::ReplayHeartbeats {
+                percent: 30,
+                duration_ms: ms,
+            },
+        ),
+        (
+            "held reports",
+            Fault::HoldHeartbeats {
+                percent: 30,
+                duration_ms: ms,
+            },
+        ),
+        (
+            "late commands",
+            Fault::DelayCommands {
+                percent: 50,
+                duration_ms: ms,
+            },
         ),
-        ("kept copies", Fault::ReplayHeartbeats { percent: 30, ms }),
-        ("held reports", Fault::HoldHeartbeats { percent: 30, ms }),
-        ("late commands", Fault::DelayCommands { percent: 50, ms }),
         (
             "one way",
             Fault::OneWayMeshPartition {
                 from: controller,
                 to: (controller + 1) % 3,
-                ms,
+                duration_ms: ms,
             },
         ),
         (
             "mesh copies",
-            Fault::DuplicateMeshMessages { percent: 30, ms },
+            Fault::DuplicateMeshMessages {
+                percent: 30,
+                duration_ms: ms,
+            },
         ),
         (
             "quick boots",
             Fault::ChangeBootBehavior {
                 behavior: BootBehavior::Quick,
-                ms,
+                duration_ms: ms,
+            },
+        ),
+        (
+            "slow links",
+            Fault::SlowLinks {
+                factor: 60,
+                duration_ms: ms,
             },
         ),
-        ("slow links", Fault::SlowLinks { times: 60, ms }),
         (
             "state slow for long",
             Fault::SlowStateService {
-                times: 15 + ms % 26,
-                ms: ms + 50_000,
+                factor: 15 + ms % 26,
+                duration_ms: ms + 50_000,
             },
         ),
-        ("close looks", Fault::FollowUpRequests { ms }),
+        ("close looks", Fault::FollowUpRequests { duration_ms: ms }),
         (
             "cancelled at the end",
-            Fault::CancelAtCompletion { percent: 60, ms },
+            Fault::CancelAtCompletion {
+                percent: 60,
+                duration_ms: ms,
+            },
         ),
         (
             "cancelled and hanging",
@@ -930,8 +1033,8 @@
                 hang_ms: ms.min(9_500),
             },
         ),
-        ("odd requests", Fault::UnusualRequests { ms }),
-        ("one-task jobs", Fault::OneTaskJobs { ms }),
+        ("odd requests", Fault::UnusualRequests { duration_ms: ms }),
+        ("one-task jobs", Fault::OneTaskJobs { duration_ms: ms }),
     ]
 }
 
@@ -958,11 +1061,11 @@
         (
             45_000 + after + 300,
             Fault::CancelAllJobs {
-                through: (controller + 2) % 3,
+                controller: (controller + 2) % 3,
             },
         ),
         (85_000, Fault::JobBurst { jobs: 6 }),
-        (2_000, Fault::FollowUpRequests { ms: looks }),
+        (2_000, Fault::FollowUpRequests { duration_ms: looks }),
     ];
     let plan = plan(nth, 170_000, faults);
     let mut world = World::new(Plan {
@@ -1023,7 +1126,12 @@
         &'a [&'a str],
     );
     let scenarios: [ScenarioCase; 9] = [
-        ("refused, then out", &first, Mutation::LongCancel, &long),
+        (
+            "refused, then out",
+            &first,
+            Mutation::LongCancellationDeadline,
+            &long,
+        ),
         (
             "unheard",
             &unreachable_machines,
@@ -1036,11 +1144,16 @@
             Mutation::ShortLease,
             &doubled,
         ),
-        ("blind", &isolated_leader, Mutation::LongCancel, &long),
+        (
+            "blind",
+            &isolated_leader,
+            Mutation::LongCancellationDeadline,
+            &long,
+        ),
         (
             "slow and out",
             &slow_state_then_outage,
-            Mutation::LongCancel,
+            Mutation::LongCancellationDeadline,
             &long,
         ),
         (
@@ -1052,7 +1165,7 @@
         (
             "old reports",
             &stale_heartbeats,
-            Mutation::DuplicatesTrusted,
+            Mutation::DuplicatedHeartbeatsLookNew,
             &lost,
         ),
         (
--- a/crates/simulator/tests/combined_machine_faults.rs
+++ b/crates/simulator/tests/combined_machine_faults.rs
@@ -13,7 +13,7 @@
 
 /// Runs one seed to its end and asserts that no rule was violated.
 fn run_to_end(name: &str, seed: u64, faults: Vec<(u64, Fault)>) -> World {
-    let mut world = World::new(Plan::of_long_tasks(seed, MS, faults));
+    let mut world = World::new(Plan::with_long_tasks(seed, MS, faults));
     world.run();
     assert_eq!(world.rules.violations, [], "{name}, seed {seed}");
     world
@@ -44,7 +44,7 @@
             5_000,
             Fault::DropTransactionReplies {
                 percent: 20 + 10 * (seed % 4),
-                ms: 130_000,
+                duration_ms: 130_000,
             },
         ),
         (
@@ -57,14 +57,14 @@
         (
             55_000 + seed * 130,
             Fault::CancelAllJobs {
-                through: (controller + 1) % 3,
+                controller: (controller + 1) % 3,
             },
         ),
         (
             55_300 + seed * 130,
             Fault::RefuseStateRequests {
                 controller: Some(controller),
-                ms: 6_000,
+                duration_ms: 6_000,
             },
         ),
         (62_000, Fault::JobBurst { jobs: 10 }),
@@ -76,12 +76,7 @@
             },
         ),
         (80_000, Fault::CrashMachines { count: 2 }),
-        (
-            100_000,
-            Fault::CancelAllJobs {
-                through: controller,
-            },
-        ),
+        (100_000, Fault::CancelAllJobs { controller }),
         (
             100_200,
             Fault::CrashController {
@@ -114,14 +109,14 @@
             0,
             Fault::ChangeBootBehavior {
                 behavior: BootBehavior::Quick,
-                ms: 200_000,
+                duration_ms: 200_000,
             },
         ),
         (
             30_000,
             Fault::DelayTransactions {
                 percent: 25,
-                ms: 100_000,
+                duration_ms: 100_000,
             },
         ),
     ];
@@ -139,7 +134,7 @@
         faults.push((
             at + seed * 170 + 1_500,
             Fault::CancelAllJobs {
-                through: (controller + 1) % 3,
+                controller: (controller + 1) % 3,
             },
         ));
     }
@@ -173,14 +168,14 @@
             20_000,
             Fault::ReplayHeartbeats {
                 percent: 25,
-                ms: 140_000,
+                duration_ms: 140_000,
             },
         ),
         (
             40_000,
             Fault::DropMessagesToMachines {
                 count: 5,
-                ms: 15_000,
+                duration_ms: 15_000,
             },
         ),
         (
@@ -194,7 +189,7 @@
             60_000,
             Fault::RefuseStateRequests {
                 controller: None,
-                ms: 32_000,
+                duration_ms: 32_000,
             },
         ),
         (
@@ -207,7 +202,7 @@
         (
             97_000,
             Fault::CancelAllJobs {
-                through: (controller + 2) % 3,
+                controller: (controller + 2) % 3,
             },
         ),
         (110_000, Fault::JobBurst { jobs: 10 }),
@@ -229,11 +224,13 @@
         replayed_heartbeat_faults,
         |coverage, world| {
             coverage.stale_heartbeats_at_failover += world.coverage.stale_heartbeats_at_failover;
-            coverage.stale_sessions_at_failover += world.coverage.stale_sessions_at_failover;
+            coverage.earlier_epoch_heartbeats_at_failover +=
+                world.coverage.earlier_epoch_heartbeats_at_failover;
         },
     );
     assert!(
-        coverage.stale_heartbeats_at_failover > 500 && coverage.stale_sessions_at_failover > 50,
+        coverage.stale_heartbeats_at_failover > 500
+            && coverage.earlier_epoch_heartbeats_at_failover > 50,
         "{coverage:?}"
     );
 }
@@ -247,7 +244,7 @@
             at,
             Fault::HoldHeartbeats {
                 percent: 75,
-                ms: 8_000,
+                duration_ms: 8_000,
             },
         ));
         faults.push((at + 200, Fault::JobBurst { jobs: 16 }));
@@ -264,7 +261,7 @@
         faults.push((
             crash + 3_000,
             Fault::CancelAllJobs {
-                through: (controller + 1) % 3,
+                controller: (controller + 1) % 3,
             },
         ));
         faults.push((crash + 3_500, Fault::JobBurst { jobs: 12 }));
@@ -290,7 +287,7 @@
             45_000,
             Fault::RefuseMachineConnections {
                 count,
-                ms: 5_000 + seed * 2_500,
+                duration_ms: 5_000 + seed * 2_500,
             },
         ),
         (45_500, Fault::JobBurst { jobs: 8 }),
@@ -304,7 +301,7 @@
         (
             52_000,
             Fault::CancelAllJobs {
-                through: (controller + 1) % 3,
+                controller: (controller + 1) % 3,
             },
         ),
         (85_000, Fault::JobBurst { jobs: 10 }),
@@ -312,20 +309,15 @@
             90_000,
             Fault::RefuseMachineConnections {
                 count: 8,
-                ms: 30_000,
-            },
-        ),
-        (
-            91_000 + seed * 300,
-            Fault::CancelAllJobs {
-                through: controller,
+                duration_ms: 30_000,
             },
         ),
+        (91_000 + seed * 300, Fault::CancelAllJobs { controller }),
         (
             93_000,
             Fault::RefuseStateRequests {
                 controller: None,
-                ms: 20_000,
+                duration_ms: 20_000,
             },
         ),
     ]
@@ -349,7 +341,7 @@
         30_000,
         Fault::DelayCommands {
             percent: 80,
-            ms: 110_000,
+            duration_ms: 110_000,
         },
     )];
     for (nth, at) in [40_000, 70_000, 100_000].into_iter().enumerate() {
@@ -364,7 +356,7 @@
         } else {
             Fault::DisconnectStateAndMesh {
                 controller,
-                ms: 25_000,
+                duration_ms: 25_000,
                 refused: seed.is_multiple_of(3),
             }
         };
@@ -372,7 +364,7 @@
         faults.push((
             at + 5_000,
             Fault::CancelAllJobs {
-                through: (controller + 1) % 3,
+                controller: (controller + 1) % 3,
             },
         ));
         faults.push((at + 9_000, Fault::JobBurst { jobs: 6 }));
@@ -415,7 +407,7 @@
         out,
         Fault::RefuseStateRequests {
             controller: None,
-            ms: out_ms,
+            duration_ms: out_ms,
         },
     )];
     let (pause, restart_after_ms) = if seed.is_multiple_of(2) {
@@ -437,7 +429,7 @@
         faults.push((
             at + seed * 91,
             Fault::CancelAllJobs {
-                through: (seed as usize + 1) % 3,
+                controller: (seed as usize + 1) % 3,
             },
         ));
         faults.push((at + 3_000, Fault::JobBurst { jobs: 6 }));
@@ -466,7 +458,11 @@
 #[test]
 fn ten_leader_changes_in_two_minutes_keep_rules_also_during_outage() {
     for_seeds(8, |seed| {
-        let mut world = World::new(Plan::of_long_tasks(seed, MS, repeated_leader_changes(seed)));
+        let mut world = World::new(Plan::with_long_tasks(
+            seed,
+            MS,
+            repeated_leader_changes(seed),
+        ));
         let changes = leader_changes_in_two_minutes(&mut world);
         world.run();
         assert_eq!(world.rules.violations, [], "ten changes, seed {seed}");
@@ -485,12 +481,17 @@
         (
             15_000,
             Fault::SlowLinks {
-                times: 40 + 20 * (seed % 3),
-                ms: 120_000,
+                factor: 40 + 20 * (seed % 3),
+                duration_ms: 120_000,
             },
         ),
         (16_000, Fault::GuestJobs { jobs: 4 }),
-        (20_000, Fault::SkewedLoad { ms: 60_000 }),
+        (
+            20_000,
+            Fault::SkewedLoad {
+                duration_ms: 60_000,
+            },
+        ),
         (22_000, Fault::JobBurst { jobs: 60 }),
         (40_000, Fault::CrashMachines { count: 3 }),
         (
@@ -504,7 +505,7 @@
         (
             80_000,
             Fault::CancelAllJobs {
-                through: (controller + 1) % 3,
+                controller: (controller + 1) % 3,
             },
         ),
         (81_000, Fault::JobBurst { jobs: 30 }),
@@ -514,9 +515,9 @@
 #[test]
 fn overload_over_slow_links_keeps_rules() {
     for_seeds(8, |seed| {
-        let mut world = World::new(Plan::of_long_tasks(seed, MS, overload(seed)));
+        let mut world = World::new(Plan::with_long_tasks(seed, MS, overload(seed)));
         world.run_to(49_000);
-        let waiting = world.waiting();
+        let waiting = world.tasks_of_unplaced_jobs();
         world.run();
         assert_eq!(world.rules.violations, [], "overload, seed {seed}");
         println!("overload, seed {seed}: {waiting} tasks wait");
@@ -536,16 +537,23 @@
         } else {
             (other, controller)
         };
-        faults.push((48_000, Fault::OneWayMeshPartition { from, to, ms }));
+        faults.push((
+            48_000,
+            Fault::OneWayMeshPartition {
+                from,
+                to,
+                duration_ms: ms,
+            },
+        ));
     }
     let state = match seed % 3 {
         0 => Fault::DisconnectStateService {
             controller,
-            ms: 40_000,
+            duration_ms: 40_000,
         },
         1 => Fault::RefuseStateRequests {
             controller: Some(controller),
-            ms: 40_000,
+            duration_ms: 40_000,
         },
         // Only one link is lost: the leader keeps its partition.
         _ => Fault::CrashController {
@@ -557,14 +565,14 @@
     faults.push((
         50_100 + seed * 400,
         Fault::CancelAllJobs {
-            through: (controller + 1) % 3,
+            controller: (controller + 1) % 3,
         },
     ));
     faults.push((
         51_000 + seed * 400,
         Fault::RefuseStateRequests {
             controller: None,
-            ms: 35_000 * (seed / 2 % 2),
+            duration_ms: 35_000 * (seed / 2 % 2),
         },
     ));
     faults.push((
@@ -572,7 +580,7 @@
         Fault::OneWayMeshPartition {
             from: controller,
             to: (controller + 1) % 3,
-            ms: 20_000,
+            duration_ms: 20_000,
         },
     ));
     faults.push((
@@ -603,16 +611,19 @@
             Fault::OneWayMeshPartition {
                 from,
                 to: 0,
-                ms: 60_000,
+                duration_ms: 60_000,
             },
         )
     });
-    let plan = Plan::of_long_tasks(5, MS, faults.into());
+    let plan = Plan::with_long_tasks(5, MS, faults.into());
     let mut world = World::new(plan);
     world.run_to(40_000);
     assert_eq!(world.leader(0), Some("n0"), "the leader");
     for partition in 0..3 {
-        assert!(world.machines_of(partition) > 0, "partition {partition}");
+        assert!(
+            world.recorded_machines(partition) > 0,
+            "partition {partition}"
+        );
     }
     world.run();
     assert_eq!(world.rules.violations, []);
@@ -630,28 +641,28 @@
                 1_000,
                 Fault::DisconnectMesh {
                     controller,
-                    ms: 120_000,
+                    duration_ms: 120_000,
                 },
             ),
             (
                 20_000,
                 Fault::DuplicateMeshMessages {
                     percent: 50,
-                    ms: 140_000,
+                    duration_ms: 140_000,
                 },
             ),
             (
                 40_000,
                 Fault::DisconnectStateService {
                     controller,
-                    ms: 60_000,
+                    duration_ms: 60_000,
                 },
             ),
             (42_000, Fault::JobBurst { jobs: 10 }),
             (
                 85_000,
                 Fault::CancelAllJobs {
-                    through: (controller + 1) % 3,
+                    controller: (controller + 1) % 3,
                 },
             ),
         ];
@@ -661,7 +672,7 @@
             20_000,
             Fault::DuplicateMeshMessages {
                 percent: 30,
-                ms: 140_000,
+                duration_ms: 140_000,
             },
         ),
         (
@@ -675,21 +686,21 @@
             58_000,
             Fault::DisconnectStateAndMesh {
                 controller: (controller + 1) % 3,
-                ms: 25_000,
+                duration_ms: 25_000,
                 refused: seed % 4 == 1,
             },
         ),
         (
             60_000 + seed * 500,
             Fault::CancelAllJobs {
-                through: (controller + 2) % 3,
+                controller: (controller + 2) % 3,
             },
         ),
         (
             61_000,
             Fault::DisconnectWorkers {
                 controller: (controller + 2) % 3,
-                ms: 15_000,
+                duration_ms: 15_000,
             },
         ),
         (90_000, Fault::JobBurst { jobs: 10 }),
@@ -707,12 +718,7 @@
                 restart_after_ms: 100,
             },
         ),
-        (
-            110_000,
-            Fault::CancelAllJobs {
-                through: controller,
-            },
-        ),
+        (110_000, Fault::CancelAllJobs { controller }),
     ]
 }
 
@@ -741,9 +747,13 @@
     (
         "kept copies",
         replayed_heartbeat_faults,
-        Mutation::DuplicatesTrusted,
+        Mutation::DuplicatedHeartbeatsLookNew,
+    ),
+    (
+        "held reports",
+        held_heartbeats,
+        Mutation::DuplicatedHeartbeatsLookNew,
     ),
-    ("held reports", held_heartbeats, Mutation::DuplicatesTrusted),
     (
         "mute",
         refused_connection_faults,
@@ -752,7 +762,7 @@
     (
         "late commands",
         delayed_commands,
-        Mutation::DelayedCommandsTrusted,
+        Mutation::DelayedCommandsUnfenced,
     ),
     (
         "ten changes",
@@ -760,11 +770,11 @@
         Mutation::LogCommitsNotWritten,
     ),
     ("overload", overload, Mutation::LogCommitsNotWritten),
-    ("one way", one_way, Mutation::LongCancel),
+    ("one way", one_way, Mutation::LongCancellationDeadline),
     (
         "mesh copies",
         mesh_duplicates,
-        Mutation::MeshDuplicatesTrusted,
+        Mutation::MeshDuplicatesClaimAllChanges,
     ),
 ];
 
@@ -775,7 +785,7 @@
     for_seeds(SCENARIOS.len() as u64, |nth| {
         let (name, faults, mutation) = SCENARIOS[nth as usize - 1];
         let told = (1..=20).find_map(|seed| {
-            let plan = Plan::of_long_tasks(seed, MS, faults(seed));
+            let plan = Plan::with_long_tasks(seed, MS, faults(seed));
             let mut world = World::new(Plan {
                 mutation: Some(mutation),
                 ..plan
@@ -810,7 +820,7 @@
         let (name, faults, _) = SCENARIOS[(nth % scenarios) as usize];
         let seed = from + nth / scenarios;
         // Times of faults are chosen by small seeds.
-        let mut world = World::new(Plan::of_long_tasks(seed, MS, faults(seed % 24)));
+        let mut world = World::new(Plan::with_long_tasks(seed, MS, faults(seed % 24)));
         world.run();
         if !world.rules.violations.is_empty() {
             let told = (name, seed, world.rules.violations.clone());
--- a/crates/simulator/tests/common/pauses.rs
+++ b/crates/simulator/tests/common/pauses.rs
@@ -5,7 +5,13 @@
 /// Controllers are paused for less and for more than a lease, one alone, two together, and a successor too.
 pub fn pauses(seed: u64) -> Vec<(u64, Fault)> {
     let pause = |at: u64, controller: usize, ms: u64| {
-        (at + seed * 13, Fault::PauseController { controller, ms })
+        (
+            at + seed * 13,
+            Fault::PauseController {
+                controller,
+                duration_ms: ms,
+            },
+        )
     };
     vec![
         pause(30_000, 0, 20_000),
--- a/crates/simulator/tests/end_of_run.rs
+++ b/crates/simulator/tests/end_of_run.rs
@@ -18,12 +18,15 @@
         let controller = rng.random_range(0..3);
         let count = rng.random_range(1..4 * size as usize);
         let fault = match rng.random_range(0..12) {
-            0 | 1 => Fault::DropMessagesToMachines { count, ms },
-            2 => Fault::DropMessagesToZone { ms },
-            3 | 4 => Fault::DuplicateMessages { ms },
+            0 | 1 => Fault::DropMessagesToMachines {
+                count,
+                duration_ms: ms,
+            },
+            2 => Fault::DropMessagesToZone { duration_ms: ms },
+            3 | 4 => Fault::DuplicateMessages { duration_ms: ms },
             5..=7 => Fault::DisconnectStateAndMesh {
                 controller,
-                ms,
+                duration_ms: ms,
                 refused: rng.random_bool(0.5),
             },
             8 | 9 => Fault::CrashController {
@@ -32,7 +35,7 @@
             },
             10 => Fault::RefuseStateRequests {
                 controller: None,
-                ms: ms.min(20_000),
+                duration_ms: ms.min(20_000),
             },
             _ => Fault::CrashMachines { count },
         };
@@ -44,10 +47,10 @@
 fn plan(seed: u64, size: u64, faults: Vec<(u64, Fault)>) -> Plan {
     Plan {
         seed,
-        ms: 300_000,
+        duration_ms: 300_000,
         faults,
         mutation: None,
-        submit_ms: 150_000,
+        submit_until_ms: 150_000,
         size,
     }
 }
@@ -76,12 +79,20 @@
         let faults = vec![
             (
                 60_000 + seed * 97,
-                Fault::DropMessagesToMachines { count: 3, ms },
+                Fault::DropMessagesToMachines {
+                    count: 3,
+                    duration_ms: ms,
+                },
+            ),
+            (
+                130_000,
+                Fault::DropMessagesToZone {
+                    duration_ms: ms.min(25_000),
+                },
             ),
-            (130_000, Fault::DropMessagesToZone { ms: ms.min(25_000) }),
         ];
         let world = run_and_check("unreached", plan(seed, 1 + seed % 2, faults));
-        assert_eq!(world.unfinished(), Vec::<String>::new(), "seed {seed}");
+        assert_eq!(world.unfinished_jobs(), Vec::<String>::new(), "seed {seed}");
     }
 }
 
@@ -90,7 +101,12 @@
     for seed in 1..=8 {
         let restart_after_ms = 50 + seed * 100;
         let faults = vec![
-            (15_000, Fault::DuplicateMessages { ms: 140_000 }),
+            (
+                15_000,
+                Fault::DuplicateMessages {
+                    duration_ms: 140_000,
+                },
+            ),
             (
                 50_000 + seed * 131,
                 Fault::CrashController {
@@ -115,7 +131,7 @@
             ),
         ];
         let world = run_and_check("copies", plan(seed, 1 + seed % 2, faults));
-        assert_eq!(world.unfinished(), Vec::<String>::new(), "seed {seed}");
+        assert_eq!(world.unfinished_jobs(), Vec::<String>::new(), "seed {seed}");
     }
 }
 
@@ -130,7 +146,7 @@
                 50_000,
                 Fault::DisconnectStateAndMesh {
                     controller,
-                    ms: 3_000 + seed * 4_000,
+                    duration_ms: 3_000 + seed * 4_000,
                     refused: seed % 2 == 0,
                 },
             ),
@@ -138,7 +154,7 @@
                 110_000,
                 Fault::DisconnectStateAndMesh {
                     controller: (controller + 1) % 3,
-                    ms: 30_000,
+                    duration_ms: 30_000,
                     refused: seed % 2 == 1,
                 },
             ),
@@ -151,8 +167,8 @@
             ),
         ];
         let world = run_and_check("blind", plan(seed, 1 + seed % 2, faults));
-        assert_eq!(world.killed_by_lease(), 0, "seed {seed}");
-        assert_eq!(world.unfinished(), Vec::<String>::new(), "seed {seed}");
+        assert_eq!(world.tasks_killed_by_lease(), 0, "seed {seed}");
+        assert_eq!(world.unfinished_jobs(), Vec::<String>::new(), "seed {seed}");
     }
 }
 
@@ -162,7 +178,7 @@
     for seed in 1..=4 {
         let faults = vec![(60_000 + seed * 777, Fault::CrashMachines { count: 1_000 })];
         let world = run_and_check("all die", plan(seed, 1 + seed % 2, faults));
-        assert_eq!(world.unfinished(), Vec::<String>::new(), "seed {seed}");
+        assert_eq!(world.unfinished_jobs(), Vec::<String>::new(), "seed {seed}");
     }
 }
 
@@ -183,12 +199,12 @@
     for_seeds(seeds, |seed| {
         let size = if size > 2 { size } else { 1 + seed % size };
         // Large sites get work within their capacity.
-        let submit_ms = if size > 100 { 60_000 } else { 150_000 };
+        let submit_until_ms = if size > 100 { 60_000 } else { 150_000 };
         let drawn = random_faults(seed, 8, size.min(40));
         run_and_check(
             "many",
             Plan {
-                submit_ms,
+                submit_until_ms,
                 ..plan(seed, size, drawn)
             },
         );
@@ -209,12 +225,18 @@
                 restart_after_ms: 6_000,
             },
         ),
-        (55_000, Fault::DisconnectMachine { nth: 7, ms: 20_000 }),
+        (
+            55_000,
+            Fault::DisconnectMachine {
+                machine_index: 7,
+                duration_ms: 20_000,
+            },
+        ),
         (
             60_000,
             Fault::RefuseStateRequests {
                 controller: None,
-                ms: 12_000,
+                duration_ms: 12_000,
             },
         ),
         (
@@ -233,11 +255,11 @@
         ),
     ];
     let mut world = World::new(Plan {
-        submit_ms: 100_000,
+        submit_until_ms: 100_000,
         ..plan(1, 30, faults)
     });
     world.run();
-    assert_eq!(world.starved_low_priority(), [""; 0]);
+    assert_eq!(world.starved_low_priority_arrays(), [""; 0]);
 }
 
 /// Asserts that one of these rules detects an injected defect within a few seeds.
@@ -246,7 +268,12 @@
         let faults = random_faults(seed, 7, 1);
         let faults = faults
             .into_iter()
-            .chain([(30_000, Fault::DuplicateMessages { ms: 100_000 })])
+            .chain([(
+                30_000,
+                Fault::DuplicateMessages {
+                    duration_ms: 100_000,
+                },
+            )])
             .collect();
         let mut world = World::new(Plan {
             mutation: Some(mutation),
@@ -261,7 +288,7 @@
 #[test]
 fn checker_detects_duplicates_accepted_as_new_heartbeats() {
     assert_detected(
-        Mutation::DuplicatesTrusted,
+        Mutation::DuplicatedHeartbeatsLookNew,
         &["ran_twice", "quota", "wrong_place", "ran_cancelled"],
     );
 }
--- a/crates/simulator/tests/failover.rs
+++ b/crates/simulator/tests/failover.rs
@@ -18,10 +18,10 @@
     );
     let plan = Plan {
         seed,
-        ms,
+        duration_ms: ms,
         faults,
         mutation: None,
-        submit_ms: ms,
+        submit_until_ms: ms,
         size,
     };
     let mut world = World::new(plan);
@@ -40,10 +40,10 @@
     let ms = if mutation.is_some() { 320_000 } else { 300_000 };
     let mut world = World::new(Plan {
         seed,
-        ms,
+        duration_ms: ms,
         faults,
         mutation,
-        submit_ms: 150_000,
+        submit_until_ms: 150_000,
         size: 2,
     });
     world.run();
@@ -60,15 +60,15 @@
             let fault = match rng.random_range(0..6) {
                 0 => Fault::PauseController {
                     controller,
-                    ms: rng.random_range(800..20_000),
+                    duration_ms: rng.random_range(800..20_000),
                 },
                 1 => Fault::IsolateController {
                     controller,
-                    ms: rng.random_range(2_000..25_000),
+                    duration_ms: rng.random_range(2_000..25_000),
                 },
                 2 => Fault::DisconnectMesh {
                     controller,
-                    ms: rng.random_range(2_000..20_000),
+                    duration_ms: rng.random_range(2_000..20_000),
                 },
                 _ => Fault::CrashController {
                     controller,
@@ -160,7 +160,7 @@
         "no gap at the way home: {home:?}"
     );
     assert_eq!(world.early_failovers(), (1, 0));
-    assert_eq!(world.killed_by_lease(), 0);
+    assert_eq!(world.tasks_killed_by_lease(), 0);
     assert_eq!(world.rules.violations, []);
 }
 
@@ -269,7 +269,7 @@
         (Some("n0"), Some("n1")),
         "home again"
     );
-    assert_eq!(world.killed_by_lease(), 0);
+    assert_eq!(world.tasks_killed_by_lease(), 0);
     assert_eq!(world.rules.violations, []);
 }
 
@@ -317,7 +317,7 @@
     let mut world = site(27, 30, 200_000, faults);
     world.run();
     assert_eq!(world.rules.violations, []);
-    assert_eq!(world.killed_by_lease(), 0);
+    assert_eq!(world.tasks_killed_by_lease(), 0);
     let (early, wrong) = world.early_failovers();
     assert!(
         early >= 5 && wrong == 0,
@@ -369,15 +369,39 @@
                 at,
                 Fault::PauseController {
                     controller,
-                    ms: rng.random_range(100..1_000),
+                    duration_ms: rng.random_range(100..1_000),
+                },
+            ),
+            2 => (
+                at,
+                Fault::DisconnectMesh {
+                    controller,
+                    duration_ms: ms,
+                },
+            ),
+            3 => (
+                at,
+                Fault::DisconnectMachine {
+                    machine_index: nth,
+                    duration_ms: ms,
+                },
+            ),
+            4 => (
+                at,
+                Fault::HangMachines {
+                    count: 4,
+                    duration_ms: ms,
                 },
             ),
-            2 => (at, Fault::DisconnectMesh { controller, ms }),
-            3 => (at, Fault::DisconnectMachine { nth, ms }),
-            4 => (at, Fault::HangMachines { count: 4, ms }),
             5 => (at, Fault::CrashMachines { count: 3 }),
             6 => (at, Fault::JobBurst { jobs: 20 }),
-            _ => (at, Fault::SlowStateService { times: 15, ms }),
+            _ => (
+                at,
+                Fault::SlowStateService {
+                    factor: 15,
+                    duration_ms: ms,
+                },
+            ),
         });
     }
     let world = small(seed, faults.clone(), None);
@@ -396,7 +420,7 @@
             let world = small(seed, crashes(seed), Some(mutation));
             assert_eq!(world.rules.violations, [], "seed {seed}, {mutation:?}");
             assert_eq!(
-                world.unfinished(),
+                world.unfinished_jobs(),
                 Vec::<String>::new(),
                 "seed {seed}, {mutation:?}"
             );
@@ -410,7 +434,7 @@
     for seed in 1..=24 {
         let world = small(seed, crashes(seed), None);
         assert_eq!(world.rules.violations, [], "seed {seed}");
-        assert_eq!(world.unfinished(), Vec::<String>::new(), "seed {seed}");
+        assert_eq!(world.unfinished_jobs(), Vec::<String>::new(), "seed {seed}");
         early += world.early_failovers().0;
     }
     assert!(
@@ -432,18 +456,18 @@
                 1_000,
                 Fault::DisconnectMesh {
                     controller,
-                    ms: 99_000,
+                    duration_ms: 99_000,
                 },
             ),
             (
                 40_000,
                 Fault::DisconnectStateService {
                     controller,
-                    ms: 60_000,
+                    duration_ms: 60_000,
                 },
             ),
         ];
-        small(seed, faults, Some(Mutation::PredecessorsForgotten))
+        small(seed, faults, Some(Mutation::PredecessorsNotRecorded))
             .rules
             .violations
             .first()
@@ -466,7 +490,7 @@
     for seed in 1..=8 {
         let world = small(seed, crashes(seed), Some(Mutation::StalePlacementLog));
         assert_eq!(world.rules.violations, [], "seed {seed}");
-        assert_eq!(world.unfinished(), Vec::<String>::new(), "seed {seed}");
+        assert_eq!(world.unfinished_jobs(), Vec::<String>::new(), "seed {seed}");
     }
 }
 
@@ -480,7 +504,7 @@
                 60_000,
                 Fault::CorruptLogPage {
                     partition: 1,
-                    ms: 22_000,
+                    duration_ms: 22_000,
                 },
             ),
             (
@@ -493,8 +517,8 @@
         ];
         let world = small(seed, faults, None);
         assert_eq!(world.rules.violations, [], "seed {seed}");
-        assert_eq!(world.killed_by_lease(), 0, "seed {seed}");
-        assert_eq!(world.unfinished(), Vec::<String>::new(), "seed {seed}");
+        assert_eq!(world.tasks_killed_by_lease(), 0, "seed {seed}");
+        assert_eq!(world.unfinished_jobs(), Vec::<String>::new(), "seed {seed}");
     }
 }
 
@@ -520,16 +544,16 @@
         faults.push((44_000, Fault::JobBurst { jobs: 6 }));
         let plan = Plan {
             seed: nth,
-            ms: 220_000,
+            duration_ms: 220_000,
             faults,
             mutation: None,
-            submit_ms: 70_000,
+            submit_until_ms: 70_000,
             size: 2,
         };
         let mut world = World::new(plan);
         world.run();
         assert_eq!(world.rules.violations, [], "at {nth}");
-        assert_eq!(world.unfinished(), Vec::<String>::new(), "at {nth}");
+        assert_eq!(world.unfinished_jobs(), Vec::<String>::new(), "at {nth}");
     }
 }
 
@@ -586,10 +610,10 @@
     let ms = 190_000;
     let plan = Plan {
         seed,
-        ms,
+        duration_ms: ms,
         faults,
         mutation: None,
-        submit_ms: ms,
+        submit_until_ms: ms,
         size: 30,
     };
     let mut world = World::new(plan);
--- a/crates/simulator/tests/fleet.rs
+++ b/crates/simulator/tests/fleet.rs
@@ -10,10 +10,10 @@
     faults.push((25_000, Fault::JobBurst { jobs: 400 }));
     let plan = Plan {
         seed,
-        ms,
+        duration_ms: ms,
         faults,
         mutation: None,
-        submit_ms: 60_000,
+        submit_until_ms: 60_000,
         size: 107,
     };
     let mut world = World::new(plan);
@@ -62,7 +62,7 @@
     world.run();
     assert_eq!(world.rules.violations, []);
     assert_eq!(
-        world.killed_by_lease(),
+        world.tasks_killed_by_lease(),
         0,
         "tasks killed for want of an answer"
     );
@@ -86,7 +86,7 @@
         58_000,
         Fault::RefuseStateRequests {
             controller: None,
-            ms: 25_000,
+            duration_ms: 25_000,
         },
     ));
     let mut world = fleet(2, 120_000, faults);
@@ -95,9 +95,9 @@
     // A controller that crashes within the outage has no successor before its end, 17 s later; together with
     // the time since their last heartbeat this leaves some workers less than a second of their lease.
     assert!(
-        world.killed_by_lease() <= 10,
+        world.tasks_killed_by_lease() <= 10,
         "{} tasks killed",
-        world.killed_by_lease()
+        world.tasks_killed_by_lease()
     );
 }
 
@@ -106,19 +106,24 @@
 #[test]
 fn zone_partition_with_slow_state_and_paused_controller_keeps_rules() {
     let faults = vec![
-        (46_000, Fault::IsolateZone { ms: 45_000 }),
+        (
+            46_000,
+            Fault::IsolateZone {
+                duration_ms: 45_000,
+            },
+        ),
         (
             55_000,
             Fault::SlowStateService {
-                times: 30,
-                ms: 30_000,
+                factor: 30,
+                duration_ms: 30_000,
             },
         ),
         (
             60_000,
             Fault::PauseController {
                 controller: 2,
-                ms: 9_000,
+                duration_ms: 9_000,
             },
         ),
     ];
@@ -136,7 +141,7 @@
             46_000,
             Fault::HangMachines {
                 count: 150,
-                ms: 35_000,
+                duration_ms: 35_000,
             },
         ),
         (55_000, Fault::CrashMachines { count: 150 }),
@@ -154,13 +159,16 @@
             0,
             Fault::DisconnectMesh {
                 controller,
-                ms: 60_000,
+                duration_ms: 60_000,
             },
         )
     };
     let mut world = fleet(5, 80_000, (0..3).map(cut).collect());
     for partition in 0..3 {
-        assert!(world.machines_of(partition) > 200, "partition {partition}");
+        assert!(
+            world.recorded_machines(partition) > 200,
+            "partition {partition}"
+        );
     }
     world.run();
     assert_eq!(world.rules.violations, []);
--- a/crates/simulator/tests/low_priority_waits.rs
+++ b/crates/simulator/tests/low_priority_waits.rs
@@ -21,14 +21,14 @@
         let seed = SEEDS[nth as usize - 1];
         let mut world = World::new(Plan {
             seed,
-            ms: 400_000,
+            duration_ms: 400_000,
             faults: pauses(seed),
             mutation: None,
-            submit_ms: 250_000,
+            submit_until_ms: 250_000,
             size: 6,
         });
         world.run();
         assert_eq!(world.rules.violations, [], "seed {seed}");
-        assert_eq!(world.starved_low_priority(), [""; 0], "seed {seed}");
+        assert_eq!(world.starved_low_priority_arrays(), [""; 0], "seed {seed}");
     });
 }
--- a/crates/simulator/tests/rules.rs
+++ b/crates/simulator/tests/rules.rs
@@ -22,22 +22,37 @@
                     controller,
                     restart_after_ms: rng.random_range(2_000..9_000),
                 },
-                2 => Fault::DisconnectStateService { controller, ms },
+                2 => Fault::DisconnectStateService {
+                    controller,
+                    duration_ms: ms,
+                },
                 3 => Fault::RefuseStateRequests {
                     controller: Some(controller),
-                    ms,
+                    duration_ms: ms,
                 },
                 4 => Fault::RefuseStateRequests {
                     controller: None,
-                    ms: ms.min(25_000),
+                    duration_ms: ms.min(25_000),
+                },
+                5 => Fault::DisconnectWorkers {
+                    controller,
+                    duration_ms: ms,
+                },
+                6 => Fault::DisconnectMesh {
+                    controller,
+                    duration_ms: ms,
                 },
-                5 => Fault::DisconnectWorkers { controller, ms },
-                6 => Fault::DisconnectMesh { controller, ms },
-                7 => Fault::PartitionZones { ms },
-                8 => Fault::DisconnectMachine { nth, ms },
-                9 => Fault::HangMachine { nth, ms },
-                10 => Fault::CrashMachine { nth },
-                _ => Fault::CloudOutage { ms },
+                7 => Fault::PartitionZones { duration_ms: ms },
+                8 => Fault::DisconnectMachine {
+                    machine_index: nth,
+                    duration_ms: ms,
+                },
+                9 => Fault::HangMachine {
+                    machine_index: nth,
+                    duration_ms: ms,
+                },
+                10 => Fault::CrashMachine { machine_index: nth },
+                _ => Fault::CloudOutage { duration_ms: ms },
             };
             (at, fault)
         })
@@ -55,18 +70,24 @@
         let fault = match rng.random_range(0..9) {
             0..=2 => Fault::PauseController {
                 controller,
-                ms: rng.random_range(500..22_000),
+                duration_ms: rng.random_range(500..22_000),
             },
-            3 => Fault::IsolateController { controller, ms },
-            4 => Fault::FailingJobs { ms },
-            5 => Fault::StatusRequestStorm { ms },
+            3 => Fault::IsolateController {
+                controller,
+                duration_ms: ms,
+            },
+            4 => Fault::FailingJobs { duration_ms: ms },
+            5 => Fault::StatusRequestStorm { duration_ms: ms },
             6 => Fault::GuestJobs {
                 jobs: rng.random_range(1..6),
             },
             _ => {
                 let behavior = [BootBehavior::Early, BootBehavior::Late, BootBehavior::Never]
                     [rng.random_range(0..3)];
-                Fault::ChangeBootBehavior { behavior, ms }
+                Fault::ChangeBootBehavior {
+                    behavior,
+                    duration_ms: ms,
+                }
             }
         };
         faults.push((at, fault));
@@ -83,10 +104,10 @@
 fn plan(seed: u64, faults: Vec<(u64, Fault)>) -> Plan {
     Plan {
         seed,
-        ms: 260_000,
+        duration_ms: 260_000,
         faults,
         mutation: None,
-        submit_ms: 150_000,
+        submit_until_ms: 150_000,
         size: 1,
     }
 }
@@ -101,7 +122,7 @@
             "seed {seed}: {} starts",
             world.rules.started
         );
-        assert_eq!(world.unfinished(), Vec::<String>::new(), "seed {seed}");
+        assert_eq!(world.unfinished_jobs(), Vec::<String>::new(), "seed {seed}");
     }
 }
 
@@ -136,7 +157,7 @@
             ..plan(seed, freezes(seed))
         });
         assert_eq!(world.rules.violations, [], "seed {seed}");
-        assert_eq!(world.unfinished(), Vec::<String>::new(), "seed {seed}");
+        assert_eq!(world.unfinished_jobs(), Vec::<String>::new(), "seed {seed}");
     }
 }
 
@@ -149,7 +170,7 @@
             ..plan(seed, freezes(seed))
         });
         assert_eq!(world.rules.violations, [], "seed {seed}");
-        assert_eq!(world.unfinished(), Vec::<String>::new(), "seed {seed}");
+        assert_eq!(world.unfinished_jobs(), Vec::<String>::new(), "seed {seed}");
     }
 }
 
@@ -176,7 +197,7 @@
         }
         let world = run(plan(seed, faults));
         assert_eq!(world.rules.violations, [], "seed {seed}");
-        assert_eq!(world.unfinished(), Vec::<String>::new(), "seed {seed}");
+        assert_eq!(world.unfinished_jobs(), Vec::<String>::new(), "seed {seed}");
     }
 }
 
@@ -242,8 +263,8 @@
                     (
                         20_000 + n * 12_000,
                         Fault::DisconnectMachine {
-                            nth: n as usize,
-                            ms: 9_000,
+                            machine_index: n as usize,
+                            duration_ms: 9_000,
                         },
                     )
                 })
@@ -254,35 +275,40 @@
 
 #[test]
 fn checker_detects_heartbeats_answered_beyond_lease_validity() {
-    assert_detected(Mutation::LongCancel, &["ran_cancelled"], |seed| {
-        let controller = (seed % 3) as usize;
-        let cut = |controller| {
-            (
+    assert_detected(
+        Mutation::LongCancellationDeadline,
+        &["ran_cancelled"],
+        |seed| {
+            let controller = (seed % 3) as usize;
+            let cut = |controller| {
+                (
+                    40_000,
+                    Fault::DisconnectWorkers {
+                        controller,
+                        duration_ms: 100_000,
+                    },
+                )
+            };
+            // A successor that reaches the workers would fence the predecessor at once.
+            let mut faults: Vec<(u64, Fault)> =
+                (0..3).filter(|n| *n != controller).map(cut).collect();
+            faults.push((
                 40_000,
-                Fault::DisconnectWorkers {
+                Fault::DisconnectStateService {
                     controller,
-                    ms: 100_000,
+                    duration_ms: 100_000,
                 },
-            )
-        };
-        // A successor that reaches the workers would fence the predecessor at once.
-        let mut faults: Vec<(u64, Fault)> = (0..3).filter(|n| *n != controller).map(cut).collect();
-        faults.push((
-            40_000,
-            Fault::DisconnectStateService {
-                controller,
-                ms: 100_000,
-            },
-        ));
-        faults.push((
-            40_000,
-            Fault::DisconnectMesh {
-                controller,
-                ms: 100_000,
-            },
-        ));
-        faults
-    });
+            ));
+            faults.push((
+                40_000,
+                Fault::DisconnectMesh {
+                    controller,
+                    duration_ms: 100_000,
+                },
+            ));
+            faults
+        },
+    );
 }
 
 #[test]
@@ -303,21 +329,21 @@
             40_061,
             Fault::DisconnectWorkers {
                 controller: 0,
-                ms: 18_764,
+                duration_ms: 18_764,
             },
         ),
         (
             23_545,
             Fault::RefuseStateRequests {
                 controller: None,
-                ms: 25_000,
+                duration_ms: 25_000,
             },
         ),
         (
             39_271,
             Fault::DisconnectWorkers {
                 controller: 1,
-                ms: 32_358,
+                duration_ms: 32_358,
             },
         ),
     ];
@@ -332,7 +358,12 @@
 #[test]
 fn failback_with_mesh_partition_succeeds() {
     let faults = vec![
-        (50_000, Fault::PartitionZones { ms: 60_000 }),
+        (
+            50_000,
+            Fault::PartitionZones {
+                duration_ms: 60_000,
+            },
+        ),
         (
             50_500,
             Fault::CrashController {
@@ -348,7 +379,7 @@
     assert_eq!(world.leader(1), Some("n1"));
     world.run();
     assert_eq!(world.rules.violations, []);
-    assert_eq!(world.unfinished(), Vec::<String>::new());
+    assert_eq!(world.unfinished_jobs(), Vec::<String>::new());
 }
 
 #[test]
@@ -357,12 +388,12 @@
         50_000,
         Fault::DisconnectWorkers {
             controller: 0,
-            ms: 60_000,
+            duration_ms: 60_000,
         },
     )];
     let mut world = World::new(Plan {
         size: 4,
-        ms: 400_000,
+        duration_ms: 400_000,
         ..plan(4, faults)
     });
     world.run_to(64_000);
@@ -384,7 +415,7 @@
     );
     world.run();
     assert_eq!(world.rules.violations, []);
-    assert_eq!(world.unfinished(), Vec::<String>::new());
+    assert_eq!(world.unfinished_jobs(), Vec::<String>::new());
 }
 
 /// A site with hundreds of machines, many jobs at the start and crashes of controllers in turn: the rules
@@ -402,12 +433,18 @@
                     restart_after_ms: 6_000,
                 },
             ),
-            (55_000, Fault::DisconnectMachine { nth: 7, ms: 20_000 }),
+            (
+                55_000,
+                Fault::DisconnectMachine {
+                    machine_index: 7,
+                    duration_ms: 20_000,
+                },
+            ),
             (
                 60_000,
                 Fault::RefuseStateRequests {
                     controller: None,
-                    ms: 12_000,
+                    duration_ms: 12_000,
                 },
             ),
             (
@@ -426,7 +463,7 @@
             ),
         ];
         let plan = Plan {
-            submit_ms: 100_000,
+            submit_until_ms: 100_000,
             size: 30,
             ..plan(seed, faults)
         };
@@ -446,13 +483,13 @@
         );
         world.run();
         assert_eq!(world.rules.violations, [], "seed {seed}");
-        let (taken, refused) = world.writes();
+        let (taken, refused) = world.accepted_and_refused_writes();
         assert!(taken <= 261 * 20, "seed {seed}: {taken} puts");
         assert!(
             refused * 6 <= taken,
             "seed {seed}: {refused} puts refused of {taken}"
         );
-        assert_eq!(world.unfinished(), Vec::<String>::new(), "seed {seed}");
+        assert_eq!(world.unfinished_jobs(), Vec::<String>::new(), "seed {seed}");
     }
 }
 
@@ -466,7 +503,7 @@
                 0,
                 Fault::DisconnectMesh {
                     controller,
-                    ms: 60_000,
+                    duration_ms: 60_000,
                 },
             )
         })
@@ -477,7 +514,10 @@
     });
     world.run_to(40_000);
     for partition in 0..3 {
-        assert!(world.machines_of(partition) > 0, "partition {partition}");
+        assert!(
+            world.recorded_machines(partition) > 0,
+            "partition {partition}"
+        );
     }
     world.run_to(200_000);
     assert_eq!(world.rules.violations, []);
@@ -487,22 +527,27 @@
 /// submissions.
 #[test]
 fn status_request_storm_keeps_submissions_fast() {
-    let faults = vec![(60_000, Fault::StatusRequestStorm { ms: 40_000 })];
+    let faults = vec![(
+        60_000,
+        Fault::StatusRequestStorm {
+            duration_ms: 40_000,
+        },
+    )];
     let mut world = World::new(Plan {
         size: 4,
         ..plan(11, faults)
     });
     world.run_to(60_000);
-    let (before, away) = (world.requests, world.rejected_busy);
+    let (before, away) = (world.state_requests, world.busy_replies);
     world.run_to(100_000);
-    let rate = (world.requests - before) / 40;
+    let rate = (world.state_requests - before) / 40;
     // A fifth of the 400 a second for each kind of read, and what all else takes.
     assert!(rate <= 170, "{rate} requests a second");
     // A small share of the read replies is lost, and their users retry.
     assert!(
-        world.rejected_busy - away <= 10,
+        world.busy_replies - away <= 10,
         "{}",
-        world.rejected_busy - away
+        world.busy_replies - away
     );
     assert_eq!(world.rules.violations, []);
 }
@@ -515,42 +560,42 @@
             42_577,
             Fault::RefuseStateRequests {
                 controller: Some(2),
-                ms: 14_806,
+                duration_ms: 14_806,
             },
         ),
         (
             47_988,
             Fault::RefuseStateRequests {
                 controller: Some(2),
-                ms: 28_092,
+                duration_ms: 28_092,
             },
         ),
         (
             52_834,
             Fault::DisconnectStateService {
                 controller: 0,
-                ms: 36_171,
+                duration_ms: 36_171,
             },
         ),
         (
             56_571,
             Fault::DisconnectStateService {
                 controller: 1,
-                ms: 26_899,
+                duration_ms: 26_899,
             },
         ),
         (
             62_332,
             Fault::RefuseStateRequests {
                 controller: Some(1),
-                ms: 22_394,
+                duration_ms: 22_394,
             },
         ),
     ];
     for seed in [5178, 5181, 5184] {
         let world = run(plan(seed, faults.clone()));
         assert_eq!(world.rules.violations, [], "seed {seed}");
-        assert_eq!(world.unfinished(), Vec::<String>::new(), "seed {seed}");
+        assert_eq!(world.unfinished_jobs(), Vec::<String>::new(), "seed {seed}");
     }
 }
 
@@ -571,17 +616,17 @@
                 80_000,
                 Fault::PauseController {
                     controller: 0,
-                    ms: 8_000,
+                    duration_ms: 8_000,
                 },
             ),
             (90_000, Fault::GuestJobs { jobs: 2 }),
         ];
         let world = run(Plan {
             size: 2,
-            submit_ms: 120_000,
+            submit_until_ms: 120_000,
             ..plan(seed, faults)
         });
         assert_eq!(world.rules.violations, [], "seed {seed}");
-        assert_eq!(world.unfinished(), Vec::<String>::new(), "seed {seed}");
+        assert_eq!(world.unfinished_jobs(), Vec::<String>::new(), "seed {seed}");
     }
 }
--- a/crates/simulator/tests/service_levels.rs
+++ b/crates/simulator/tests/service_levels.rs
@@ -13,13 +13,13 @@
 fn run_and_check(what: &str, seed: u64, size: u64, ms: u64, faults: Vec<(u64, Fault)>) -> World {
     let said = format!("{what}, seed {seed}, size {size}");
     // A large site gets work within its capacity: 1,300 machines are up after 45 s.
-    let submit_ms = if size == LARGE { 60_000 } else { ms * 3 / 5 };
+    let submit_until_ms = if size == LARGE { 60_000 } else { ms * 3 / 5 };
     let plan = Plan {
         seed,
-        ms,
+        duration_ms: ms,
         faults,
         mutation: None,
-        submit_ms,
+        submit_until_ms,
         size,
     };
     let mut world = World::new(plan);
@@ -76,11 +76,20 @@
             let fault = match rng.random_range(0..8) {
                 0 => Fault::RefuseStateRequests {
                     controller: None,
-                    ms,
+                    duration_ms: ms,
+                },
+                1 => Fault::DisconnectMesh {
+                    controller,
+                    duration_ms: ms,
+                },
+                2 => Fault::DisconnectStateService {
+                    controller,
+                    duration_ms: ms,
+                },
+                3 => Fault::SlowStateService {
+                    factor: 20,
+                    duration_ms: ms,
                 },
-                1 => Fault::DisconnectMesh { controller, ms },
-                2 => Fault::DisconnectStateService { controller, ms },
-                3 => Fault::SlowStateService { times: 20, ms },
                 _ => Fault::CrashController {
                     controller,
                     restart_after_ms,
@@ -91,7 +100,7 @@
         let faults = faults.collect();
         // Gangs stop arrays of low priority now, so that the last of these end later than they did.
         let world = run_and_check("back at once", seed, 1 + seed % 2, 280_000, faults);
-        assert_eq!(world.unfinished(), Vec::<String>::new(), "seed {seed}");
+        assert_eq!(world.unfinished_jobs(), Vec::<String>::new(), "seed {seed}");
     }
 }
 
@@ -112,9 +121,9 @@
         let world = run_and_check("one loops", seed, 20, 230_000, faults);
         println!(
             "{ends} ends, {} tasks killed by their lease",
-            world.killed_by_lease()
+            world.tasks_killed_by_lease()
         );
-        assert_eq!(world.killed_by_lease(), 0, "seed {seed}");
+        assert_eq!(world.tasks_killed_by_lease(), 0, "seed {seed}");
     }
 }
 
@@ -133,7 +142,12 @@
 fn tenfold_demand_of_one_team_keeps_service_levels_of_all_teams() {
     for seed in 1..=3 {
         let faults = vec![
-            (0, Fault::SkewedLoad { ms: 240_000 }),
+            (
+                0,
+                Fault::SkewedLoad {
+                    duration_ms: 240_000,
+                },
+            ),
             (
                 60_000,
                 Fault::CrashController {
@@ -170,7 +184,7 @@
             70_000,
             Fault::RefuseStateRequests {
                 controller: None,
-                ms: 12_000,
+                duration_ms: 12_000,
             },
         ),
     ];
@@ -178,7 +192,7 @@
     faults.extend(all(76_000));
     faults.extend(crash_loop(&mut rng, 1, 90_000, 100_000, 300..2_000));
     let world = run_and_check("at once", 7, LARGE, 190_000, faults);
-    assert_eq!(world.killed_by_lease(), 0);
+    assert_eq!(world.tasks_killed_by_lease(), 0);
 }
 
 /// Run by hand: `cargo test --release -p simulator --test service_levels -- --ignored`, minutes on all cores.
@@ -209,18 +223,30 @@
                 restart_after_ms: rng.random_range(50..500),
             },
             4 => Fault::CrashMachines { count },
-            5 => Fault::HangMachines { count, ms },
+            5 => Fault::HangMachines {
+                count,
+                duration_ms: ms,
+            },
             6 => Fault::RefuseStateRequests {
                 controller: None,
-                ms,
+                duration_ms: ms,
+            },
+            7 => Fault::DisconnectStateService {
+                controller,
+                duration_ms: ms,
+            },
+            8 => Fault::DisconnectWorkers {
+                controller,
+                duration_ms: ms,
+            },
+            9 => Fault::SlowStateService {
+                factor: 20,
+                duration_ms: ms,
             },
-            7 => Fault::DisconnectStateService { controller, ms },
-            8 => Fault::DisconnectWorkers { controller, ms },
-            9 => Fault::SlowStateService { times: 20, ms },
             10 => Fault::JobBurst { jobs: 60 },
             _ => Fault::PauseController {
                 controller,
-                ms: ms.min(9_000),
+                duration_ms: ms.min(9_000),
             },
         };
         faults.push((at, fault));
--- a/crates/simulator/tests/user_histories.rs
+++ b/crates/simulator/tests/user_histories.rs
@@ -8,21 +8,21 @@
 
 /// A small site with users who look closely throughout.
 fn plan(seed: u64, ms: u64, mut faults: Faults) -> Plan {
-    faults.insert(0, (1_000, Fault::FollowUpRequests { ms }));
+    faults.insert(0, (1_000, Fault::FollowUpRequests { duration_ms: ms }));
     Plan {
         seed,
-        ms,
+        duration_ms: ms,
         faults,
         mutation: None,
-        submit_ms: 60_000,
+        submit_until_ms: 60_000,
         size: 1 + seed % 2,
     }
 }
 
 /// The same with long tasks.
 fn long_plan(seed: u64, ms: u64, mut faults: Faults) -> Plan {
-    faults.insert(0, (1_000, Fault::FollowUpRequests { ms }));
-    Plan::of_long_tasks(seed, ms, faults)
+    faults.insert(0, (1_000, Fault::FollowUpRequests { duration_ms: ms }));
+    Plan::with_long_tasks(seed, ms, faults)
 }
 
 fn run(plan: Plan, scenario: &str) -> World {
@@ -47,24 +47,29 @@
 /// cache lags.
 fn slow_state(seed: u64) -> Faults {
     let mut faults = vec![
-        (5_000, Fault::OneTaskJobs { ms: 60_000 }),
+        (
+            5_000,
+            Fault::OneTaskJobs {
+                duration_ms: 60_000,
+            },
+        ),
         (
             20_000,
             Fault::SlowStateService {
-                times: 1 + 4 * (seed % 6),
-                ms: 60_000,
+                factor: 1 + 4 * (seed % 6),
+                duration_ms: 60_000,
             },
         ),
         (
             40_000,
             Fault::CancelAllJobs {
-                through: seed as usize % 3,
+                controller: seed as usize % 3,
             },
         ),
         (
             60_000,
             Fault::CancelAllJobs {
-                through: (seed as usize + 1) % 3,
+                controller: (seed as usize + 1) % 3,
             },
         ),
     ];
@@ -72,7 +77,10 @@
         let (controller, ms) = (nth as usize % 3, 200 + 97 * ((seed + nth) % 13));
         faults.push((
             20_000 + nth * 1_500,
-            Fault::DisconnectStateService { controller, ms },
+            Fault::DisconnectStateService {
+                controller,
+                duration_ms: ms,
+            },
         ));
     }
     faults
@@ -94,25 +102,30 @@
 /// Answers of the state service are lost, and jobs are cancelled around their ends.
 fn lost_replies(seed: u64) -> Faults {
     vec![
-        (5_000, Fault::OneTaskJobs { ms: 50_000 }),
+        (
+            5_000,
+            Fault::OneTaskJobs {
+                duration_ms: 50_000,
+            },
+        ),
         (
             15_000,
             Fault::DropTransactionReplies {
                 percent: 10 + 5 * (seed % 4),
-                ms: 60_000,
+                duration_ms: 60_000,
             },
         ),
         (
             15_000,
             Fault::CancelAtCompletion {
                 percent: 50,
-                ms: 60_000,
+                duration_ms: 60_000,
             },
         ),
         (
             35_000,
             Fault::CancelAllJobs {
-                through: seed as usize % 3,
+                controller: seed as usize % 3,
             },
         ),
         (
@@ -153,15 +166,20 @@
             2_000,
             Fault::CancelAtCompletion {
                 percent: 60,
-                ms: 120_000,
+                duration_ms: 120_000,
+            },
+        ),
+        (
+            5_000,
+            Fault::OneTaskJobs {
+                duration_ms: 60_000,
             },
         ),
-        (5_000, Fault::OneTaskJobs { ms: 60_000 }),
         (
             20_000,
             Fault::SlowStateService {
-                times: 1 + 9 * (seed % 2),
-                ms: 60_000,
+                factor: 1 + 9 * (seed % 2),
+                duration_ms: 60_000,
             },
         ),
     ]
@@ -193,7 +211,12 @@
 /// Odd requests, also while a controller is back and has not read everything, and while the cloud is out.
 fn odd_requests(seed: u64) -> Faults {
     vec![
-        (3_000, Fault::UnusualRequests { ms: 110_000 }),
+        (
+            3_000,
+            Fault::UnusualRequests {
+                duration_ms: 110_000,
+            },
+        ),
         (
             30_000,
             Fault::CrashController {
@@ -201,7 +224,12 @@
                 restart_after_ms: 300,
             },
         ),
-        (50_000, Fault::CloudOutage { ms: 15_000 }),
+        (
+            50_000,
+            Fault::CloudOutage {
+                duration_ms: 15_000,
+            },
+        ),
         (
             55_000,
             Fault::CrashController {
@@ -212,15 +240,15 @@
         (
             75_000,
             Fault::SlowStateService {
-                times: 10,
-                ms: 20_000,
+                factor: 10,
+                duration_ms: 20_000,
             },
         ),
         (
             80_000,
             Fault::DisconnectStateService {
                 controller: seed as usize % 3,
-                ms: 8_000,
+                duration_ms: 8_000,
             },
         ),
     ]
@@ -231,8 +259,8 @@
     for_seeds(12, |seed| {
         let world = run(plan(seed, 150_000, odd_requests(seed)), "odd requests");
         let FaultCoverage {
-            repeated_unfinished,
-            cancelled_done,
+            resubmitted_unfinished_jobs,
+            cancellations_of_done_jobs,
             ..
         } = world.coverage;
         let FaultCoverage {
@@ -241,8 +269,8 @@
             ..
         } = world.coverage;
         let kinds = [
-            repeated_unfinished,
-            cancelled_done,
+            resubmitted_unfinished_jobs,
+            cancellations_of_done_jobs,
             rejected_unschedulable,
             rejected_malformed,
         ];
@@ -256,7 +284,12 @@
 /// One-task jobs for two minutes, a quarter of them cancelled, and leaders that end meanwhile.
 fn one_task_jobs(seed: u64) -> Faults {
     vec![
-        (5_000, Fault::OneTaskJobs { ms: 130_000 }),
+        (
+            5_000,
+            Fault::OneTaskJobs {
+                duration_ms: 130_000,
+            },
+        ),
         (
             40_000 + seed * 211,
             Fault::CrashController {
@@ -275,7 +308,7 @@
             100_000,
             Fault::DisconnectStateService {
                 controller: (seed as usize + 2) % 3,
-                ms: 9_000,
+                duration_ms: 9_000,
             },
         ),
     ]
@@ -285,7 +318,7 @@
 fn four_one_task_jobs_per_second_with_cancellations_keep_history_consistent() {
     for_seeds(8, |seed| {
         let plan = Plan {
-            submit_ms: 0,
+            submit_until_ms: 0,
             ..plan(seed, 260_000, one_task_jobs(seed))
         };
         let world = run(plan, "one-task jobs");
@@ -298,7 +331,7 @@
             jobs > 450 && cancelled > 100,
             "seed {seed}: {jobs} jobs, {cancelled} cancelled"
         );
-        assert_eq!(world.unfinished(), Vec::<String>::new(), "seed {seed}");
+        assert_eq!(world.unfinished_jobs(), Vec::<String>::new(), "seed {seed}");
     });
 }
 
@@ -374,15 +407,15 @@
         faults.push((
             at + 50,
             Fault::DisconnectMachine {
-                nth: (seed + nth) as usize,
-                ms: hang_ms,
+                machine_index: (seed + nth) as usize,
+                duration_ms: hang_ms,
             },
         ));
         faults.push((
             at + 60,
             Fault::DisconnectMachine {
-                nth: (seed + nth) as usize * 3,
-                ms: 25_000,
+                machine_index: (seed + nth) as usize * 3,
+                duration_ms: 25_000,
             },
         ));
         let controller = (seed + nth) as usize % 3;
@@ -482,7 +515,7 @@
         scenario(
             "slow state service",
             slow_state,
-            Mutation::StaleFreshReads,
+            Mutation::StaleLinearizableReads,
             stale,
         ),
         scenario(
@@ -500,7 +533,7 @@
         scenario(
             "ends, stale reads",
             completions,
-            Mutation::StaleFreshReads,
+            Mutation::StaleLinearizableReads,
             stale,
         ),
         scenario(
@@ -524,13 +557,13 @@
         scenario(
             "one-task jobs",
             one_task_jobs,
-            Mutation::StaleFreshReads,
+            Mutation::StaleLinearizableReads,
             stale,
         ),
         long(
             "hand-overs",
             leadership_transfers,
-            Mutation::StaleFreshReads,
+            Mutation::StaleLinearizableReads,
             stale,
         ),
         long(
