--- a/crates/autoscaler/src/offers.rs
+++ b/crates/autoscaler/src/offers.rs
@@ -32,9 +32,9 @@
 
     fn price(&self) -> f64 {
         if self.spot {
-            self.machine_type.spot_price
+            self.machine_type.spot_price_per_hour
         } else {
-            self.machine_type.price
+            self.machine_type.price_per_hour
         }
     }
 }
@@ -99,7 +99,7 @@
     /// Whether gangs wait for machines of this type while the work can run on other types.
     fn is_left_to_gangs(&self, work: &PendingWork<'_>, machine_type: &str, spot: bool) -> bool {
         let mut gang_types = self.gang_types.iter();
-        work.shape.gang == 0
+        work.shape.gang_size == 0
             && work.machine_types.len() > 1
             && gang_types
                 .any(|gang_type| gang_type.name == machine_type && (gang_type.spot || !spot))
--- a/crates/autoscaler/src/pending.rs
+++ b/crates/autoscaler/src/pending.rs
@@ -25,12 +25,12 @@
 
     /// Number of waiting tasks of the shape that belong to this tier.
     fn waiting_tasks(self, shape: &DemandShape) -> u64 {
-        let best_effort = shape.priority == Priority::Low && shape.estimate_ms > 0;
+        let best_effort = shape.priority == Priority::Low && shape.estimated_run_time_ms > 0;
         match self {
-            Tier::Urgent => shape.urgent,
+            Tier::Urgent => shape.urgent_count,
             Tier::Regular if best_effort => 0,
             Tier::BestEffort if !best_effort => 0,
-            Tier::Regular | Tier::BestEffort => shape.tasks.saturating_sub(shape.urgent),
+            Tier::Regular | Tier::BestEffort => shape.task_count.saturating_sub(shape.urgent_count),
         }
     }
 }
@@ -66,12 +66,12 @@
     pub(crate) fn suits(&self, machine_type: &str, zone: &str, spot: bool) -> bool {
         self.machine_types.contains(&machine_type)
             && self.zone.as_deref().is_none_or(|required| required == zone)
-            && (self.shape.spot || !spot)
+            && (self.shape.spot_allowed || !spot)
     }
 
     /// Number of combinations of a machine type with spot or on-demand machines that suit it.
     pub(crate) fn option_count(&self) -> usize {
-        self.machine_types.len() * if self.shape.spot { 2 } else { 1 }
+        self.machine_types.len() * if self.shape.spot_allowed { 2 } else { 1 }
     }
 
     /// Whether tasks wait for a machine and one may still be found.
@@ -87,7 +87,7 @@
             .map(|name| (*name).to_owned())
             .collect();
         DemandShape {
-            types: Some(types),
+            allowed_machine_types: Some(types),
             zone: self.zone.clone(),
             ..self.shape.clone()
         }
@@ -113,10 +113,10 @@
                     need_index: index,
                     shape,
                     task_size: task_size(shape),
-                    concurrent: shape.estimate_ms == 0
-                        || shape.gang > 0
+                    concurrent: shape.estimated_run_time_ms == 0
+                        || shape.gang_size > 0
                         || (tier == Tier::Urgent && self.precedes_replicas(shape, need)),
-                    task_ms: shape.estimate_ms.max(MIN_TASK_MS),
+                    task_ms: shape.estimated_run_time_ms.max(MIN_TASK_MS),
                     machine_types: self.machine_types_for(shape),
                     zone: shape.zone.clone(),
                     waiting: tier.waiting_tasks(shape),
@@ -139,8 +139,8 @@
                 (Some(zone), Some(other)) => zone == other,
                 _ => true,
             };
-            replicas.estimate_ms == 0
-                && replicas.urgent > 0
+            replicas.estimated_run_time_ms == 0
+                && replicas.urgent_count > 0
                 && replicas.priority <= shape.priority
                 && same_zone
                 && self
--- a/crates/autoscaler/src/planner.rs
+++ b/crates/autoscaler/src/planner.rs
@@ -184,10 +184,10 @@
     /// is no reason to rent or keep one.
     pub(crate) fn machine_types_for(&self, shape: &DemandShape) -> Vec<&'a str> {
         let size = task_size(shape);
-        let zone = shape.zone.as_ref().filter(|_| shape.gang == 0);
+        let zone = shape.zone.as_ref().filter(|_| shape.gang_size == 0);
         let fits = |candidate: &&MachineType| {
             let is_allowed = shape
-                .types
+                .allowed_machine_types
                 .as_ref()
                 .is_none_or(|names| names.contains(&candidate.name));
             is_allowed
@@ -212,13 +212,13 @@
     /// Machine types that gangs wait for.
     fn machine_types_for_gangs(&self) -> Vec<GangMachineType<'a>> {
         let shapes = self.needs.iter().flat_map(|need| &need.demand);
-        let gangs = shapes.filter(|shape| shape.gang > 0);
+        let gangs = shapes.filter(|shape| shape.gang_size > 0);
         gangs
             .flat_map(|shape| {
                 let names = self.machine_types_for(shape).into_iter();
                 names.map(|name| GangMachineType {
                     name,
-                    spot: shape.spot,
+                    spot: shape.spot_allowed,
                 })
             })
             .collect()
--- a/crates/autoscaler/src/transfers.rs
+++ b/crates/autoscaler/src/transfers.rs
@@ -12,7 +12,7 @@
     /// best-effort work only, else a rented one. Returns whether tasks were assigned to it.
     pub(crate) fn add_machine(&mut self, work: &mut PendingWork<'_>, tier: Tier) -> bool {
         let partition = self.needs[work.need_index].partition;
-        let spot_only = tier == Tier::BestEffort && work.shape.spot;
+        let spot_only = tier == Tier::BestEffort && work.shape.spot_allowed;
         let idle = self.find_idle_machine(work, spot_only);
         let best_effort = self.find_best_effort_machine(work);
         // The plan only removes machines from both lists, so the search need not be repeated.
--- a/crates/autoscaler/src/zones.rs
+++ b/crates/autoscaler/src/zones.rs
@@ -8,7 +8,7 @@
     /// planned and none can be rented there. That zone is at first the one in which the fewest machines
     /// are missing.
     pub(crate) fn reconsider_zone(&mut self, work: &mut PendingWork<'_>) {
-        let is_gang = work.shape.gang > 0;
+        let is_gang = work.shape.gang_size > 0;
         if !is_gang || work.waiting == 0 || self.cheapest_machine(work, false).is_some() {
             return;
         }
@@ -16,7 +16,7 @@
         match self.zone_for_gang(work) {
             Some(zone) => {
                 work.zone = Some(zone);
-                work.waiting = work.shape.gang;
+                work.waiting = work.shape.gang_size;
                 self.assign_to_incoming(work);
             }
             None => work.zone = planned_zone,
@@ -29,7 +29,7 @@
         let mut rentable_zone = None;
         for zone in self.other_zones(work) {
             work.zone = Some(zone.clone());
-            if self.incoming_slots(work) >= work.shape.gang {
+            if self.incoming_slots(work) >= work.shape.gang_size {
                 return Some(zone);
             }
             if rentable_zone.is_none() && self.cheapest_machine(work, false).is_some() {
--- a/crates/autoscaler/tests/planning.rs
+++ b/crates/autoscaler/tests/planning.rs
@@ -16,8 +16,8 @@
         memory_gb: 16.0,
         cache_gb: 50.0,
         fetch_gb_per_s: 1.0,
-        price: 1.0,
-        spot_price: 0.3,
+        price_per_hour: 1.0,
+        spot_price_per_hour: 0.3,
         boot_s: 20.0,
         zones: vec!["a".into()],
     }
@@ -53,14 +53,14 @@
         milli_cpus: 4_000,
         milli_gpus: 0,
         memory_mb: 4_000,
-        types: None,
+        allowed_machine_types: None,
         zone: None,
-        spot: false,
-        tasks,
-        urgent,
-        estimate_ms: 30_000,
+        spot_allowed: false,
+        task_count: tasks,
+        urgent_count: urgent,
+        estimated_run_time_ms: 30_000,
         priority: Priority::Normal,
-        gang: 0,
+        gang_size: 0,
     };
     let demand = if tasks > 0 { vec![shape] } else { Vec::new() };
     PartitionNeed {
@@ -126,9 +126,9 @@
 fn best_effort_work_rents_only_spot_machines_and_is_preempted_for_other_work() {
     let mut low = need(0, 40, 0);
     low.demand[0].priority = Priority::Low;
-    low.demand[0].spot = true;
+    low.demand[0].spot_allowed = true;
     let mut normal = need(1, 2, 0);
-    normal.demand[0].spot = true;
+    normal.demand[0].spot_allowed = true;
     let machines: Vec<FleetMachine> = (0..3)
         .map(|n| FleetMachine {
             spot: true,
@@ -212,8 +212,8 @@
         cpus,
         gpus,
         memory_gb: cpus * 4.0,
-        price,
-        spot_price: price / 3.0,
+        price_per_hour: price,
+        spot_price_per_hour: price / 3.0,
         zones: zones(),
         ..machine_type()
     };
@@ -232,7 +232,7 @@
     need.demand[0] = DemandShape {
         milli_cpus: 18_000,
         zone,
-        gang: tasks,
+        gang_size: tasks,
         ..shape
     };
     need
@@ -245,7 +245,7 @@
     let refused = HashMap::from([(offer("m20", "a", false), 0)]);
     let policy = FleetPolicy::default();
     let mut need = gang_need(4);
-    need.demand[0].tasks = 1;
+    need.demand[0].task_count = 1;
     let actions = plan(&policy, &types, &[], &[need.clone()], &HashMap::new());
     assert_eq!(
         rentals(&actions),
@@ -331,11 +331,11 @@
 #[test]
 fn work_preceding_waiting_replicas_gets_machines_at_once() {
     let mut services = need(0, 1, 1);
-    services.demand[0].estimate_ms = 0;
+    services.demand[0].estimated_run_time_ms = 0;
     services.demand[0].priority = Priority::Low;
     let mut both = need(0, 8, 8);
     both.demand[0].milli_cpus = 1_000;
-    both.demand[0].estimate_ms = 1_000;
+    both.demand[0].estimated_run_time_ms = 1_000;
     let arrays = both.clone();
     both.demand.extend(services.demand);
     let rented_count = |need: &PartitionNeed| {
--- a/crates/controller/src/controller/admin.rs
+++ b/crates/controller/src/controller/admin.rs
@@ -115,7 +115,7 @@
         Tuning::try_from(&record)?;
         let value = serde_json::to_value(record)?;
         let txn = Transaction::default()
-            .when(TUNING_KEY, version)
+            .if_version(TUNING_KEY, version)
             .write(Write::put(TUNING_KEY, value));
         self.queue_state_request(
             CallPriority::Background,
@@ -256,7 +256,7 @@
                         .iter()
                         .map(|(kind, count)| (kind.as_str(), *count))
                         .collect(),
-                    demand: demand.iter().map(|shape| shape.tasks).sum(),
+                    demand: demand.iter().map(|shape| shape.task_count).sum(),
                 }
             })
             .collect();
--- a/crates/controller/src/controller/admission.rs
+++ b/crates/controller/src/controller/admission.rs
@@ -94,7 +94,7 @@
             return;
         }
         if packed_bytes(&PackedJob::new(u64::MAX, job.clone()))
-            > page_capacity_bytes(self.settings.state_limits.value_bytes)
+            > page_capacity_bytes(self.settings.state_limits.max_value_bytes)
         {
             let problem = "the job's description is too long".to_owned();
             self.reply_user(ticket, UserReply::Invalid(problem));
@@ -199,10 +199,10 @@
     /// Writes as many pending submissions as a transaction takes.
     fn write_submissions(&mut self) {
         let limits = &self.settings.state_limits;
-        let capacity = page_capacity_bytes(limits.value_bytes);
-        let max_pages = MAX_PAGES_PER_WRITE.min(limits.txn_ops);
+        let capacity = page_capacity_bytes(limits.max_value_bytes);
+        let max_pages = MAX_PAGES_PER_WRITE.min(limits.max_txn_ops);
         // Each job adds a condition.
-        let max_jobs = (limits.txn_ops * CONDITIONS_PER_CHANGE)
+        let max_jobs = (limits.max_txn_ops * CONDITIONS_PER_CHANGE)
             .saturating_sub(MAX_PAGES_PER_WRITE)
             .max(1);
         let mut batch = AdmissionBatch::default();
@@ -257,7 +257,7 @@
             free_bytes -= size;
             jobs.push(serde_json::to_value(&packed).unwrap_or_default());
             batch.ids.insert(next.id);
-            batch.txn = std::mem::take(&mut batch.txn).when(terminal_state_key(next.id), 0);
+            batch.txn = std::mem::take(&mut batch.txn).if_version(terminal_state_key(next.id), 0);
             batch.submissions.push(next);
         }
         if batch.submissions.len() == before {
@@ -265,7 +265,9 @@
         }
         let value = serde_json::to_value(AcceptedJobsPage { jobs }).unwrap_or_default();
         let txn = std::mem::take(&mut batch.txn);
-        batch.txn = txn.when(&key, page.version).write(Write::put(&key, value));
+        batch.txn = txn
+            .if_version(&key, page.version)
+            .write(Write::put(&key, value));
         batch.pages.push(page.number);
         true
     }
--- a/crates/controller/src/controller/cancellations.rs
+++ b/crates/controller/src/controller/cancellations.rs
@@ -67,7 +67,7 @@
         }
         let value = serde_json::to_value(CancellationsRecord { jobs }).unwrap_or_default();
         let txn = Transaction::default()
-            .when(&key, version)
+            .if_version(&key, version)
             .write(Write::put(&key, value));
         self.cancellations
             .writes
--- a/crates/controller/src/controller/crash_loop.rs
+++ b/crates/controller/src/controller/crash_loop.rs
@@ -22,7 +22,7 @@
         let key = incarnation_key(self.own_name());
         let value = serde_json::to_value(record).unwrap_or_default();
         let transaction = Transaction::default()
-            .when(&key, version)
+            .if_version(&key, version)
             .write(Write::put(&key, value));
         self.queue_state_request(
             CallPriority::Coordination,
--- a/crates/controller/src/controller/fleet_planner/cloud_calls.rs
+++ b/crates/controller/src/controller/fleet_planner/cloud_calls.rs
@@ -135,7 +135,7 @@
     }
 
     fn request_machine_list_page(&mut self, after: String, gathered: Vec<ListedMachine>) {
-        let request = CloudRequest::List {
+        let request = CloudRequest::ListMachines {
             after,
             limit: LIST_PAGE_SIZE,
         };
@@ -209,7 +209,7 @@
         }
         match kind {
             CallKind::Fleet(FleetCall::ListTypes) => {
-                if let CloudReply::Types(types) = reply {
+                if let CloudReply::MachineTypes(types) = reply {
                     self.handle_machine_types(types);
                 }
             }
@@ -287,13 +287,13 @@
     }
 
     fn handle_machine_list_page(&mut self, mut gathered: Vec<ListedMachine>, reply: CloudReply) {
-        let CloudReply::List(page) = reply else {
+        let CloudReply::MachineList(page) = reply else {
             self.fleet_planner.cloud.is_listing = false;
             return;
         };
-        let before = gathered.last().map(|machine| machine.id.as_str());
-        let after = page.machines.last().map(|machine| machine.id.clone());
-        if page.more && (after.is_none() || after.as_deref() == before) {
+        let before = gathered.last().map(|machine| machine.name.as_str());
+        let after = page.machines.last().map(|machine| machine.name.clone());
+        if page.has_more && (after.is_none() || after.as_deref() == before) {
             // The same page would be requested for ever; what it lacks must not count as gone.
             self.counters
                 .rejections
@@ -303,7 +303,7 @@
         }
         gathered.extend(page.machines);
         match after {
-            Some(after) if page.more => self.request_machine_list_page(after, gathered),
+            Some(after) if page.has_more => self.request_machine_list_page(after, gathered),
             _ => self.handle_machine_list(gathered),
         }
     }
@@ -312,7 +312,7 @@
         let now = self.now;
         self.fleet_planner.cloud.is_listing = false;
         for machine in machines {
-            let name = MachineName::from(machine.id.as_str());
+            let name = MachineName::from(machine.name.as_str());
             if !self.cache.machines.contains_key(&name) {
                 let unregistered = UnregisteredMachine {
                     name: &name,
--- a/crates/controller/src/controller/fleet_planner/inventory.rs
+++ b/crates/controller/src/controller/fleet_planner/inventory.rs
@@ -242,8 +242,8 @@
         };
         if let Some(received) = self.statuses.get(&record.partition) {
             if let Some(status) = received.machine(name) {
-                machine.reporting = status.up;
-                machine.tasks = status.tasks;
+                machine.reporting = status.reporting;
+                machine.tasks = status.task_count;
                 machine.idle_for = Duration::from_millis(status.idle_ms);
                 machine.quarantined = status.quarantined;
                 machine.since_heartbeat = Duration::from_millis(status.since_heartbeat_ms);
@@ -277,7 +277,7 @@
         for (request, partition) in rentals {
             let record = rented_machine_record(request, partition);
             for number in 0..request.count {
-                let placeholder = format!("{}#{number}", request.request);
+                let placeholder = format!("{}#{number}", request.idempotency_key);
                 let name = MachineName::from(placeholder.as_str());
                 machines.push(unobserved_machine(name, &record));
             }
--- a/crates/controller/src/controller/fleet_planner/machine_types.rs
+++ b/crates/controller/src/controller/fleet_planner/machine_types.rs
@@ -39,8 +39,8 @@
 fn without_prices(types: &MachineTypes) -> Vec<MachineType> {
     let mut types = types.types.clone();
     for machine_type in &mut types {
-        machine_type.price = 0.0;
-        machine_type.spot_price = 0.0;
+        machine_type.price_per_hour = 0.0;
+        machine_type.spot_price_per_hour = 0.0;
     }
     types
 }
@@ -60,7 +60,10 @@
             .is_none_or(|at| self.now.duration_since(at) >= interval);
         if is_due && self.fleet_planner.cloud.take_call(self.now) {
             self.fleet_planner.machine_types.requested_at = Some(self.now);
-            self.send_cloud_request(CloudRequest::Types, CallKind::Fleet(FleetCall::ListTypes));
+            self.send_cloud_request(
+                CloudRequest::MachineTypes,
+                CallKind::Fleet(FleetCall::ListTypes),
+            );
         }
     }
 
@@ -78,7 +81,7 @@
         reader.write_pending = true;
         let value = serde_json::to_value(types).unwrap_or_default();
         let txn = Transaction::default()
-            .when(MACHINE_TYPES_KEY, version)
+            .if_version(MACHINE_TYPES_KEY, version)
             .write(Write::put(MACHINE_TYPES_KEY, value));
         self.queue_state_request(
             CallPriority::Coordination,
--- a/crates/controller/src/controller/fleet_planner/planning.rs
+++ b/crates/controller/src/controller/fleet_planner/planning.rs
@@ -106,7 +106,7 @@
                     return;
                 }
                 let request = RentRequest {
-                    request: self.next_rental_id(),
+                    idempotency_key: self.next_rental_id(),
                     machine_type,
                     zone: zone.to_string(),
                     spot,
--- a/crates/controller/src/controller/heartbeats.rs
+++ b/crates/controller/src/controller/heartbeats.rs
@@ -166,7 +166,7 @@
             let launches = commands
                 .iter()
                 .filter_map(|command| match command {
-                    Command::Start { task, attempt } => {
+                    Command::Launch { task, attempt } => {
                         let task = TaskId::parse(task)?;
                         let attempt = model::Attempt(*attempt);
                         Some(TaskAttempt { task, attempt })
@@ -181,7 +181,7 @@
             }));
             let body = DirectCommands {
                 token: target.token.0,
-                session: target.worker_epoch.0,
+                worker_epoch: target.worker_epoch.0,
                 commands,
             };
             self.effects.push(Effect::Worker {
@@ -206,7 +206,7 @@
         let call = self.calls.register(kind);
         let body = DirectCommands {
             token: token.0,
-            session: epoch.0,
+            worker_epoch: epoch.0,
             commands: Vec::new(),
         };
         self.effects.push(Effect::Worker {
--- a/crates/controller/src/controller/job_archiver.rs
+++ b/crates/controller/src/controller/job_archiver.rs
@@ -38,7 +38,7 @@
     pub(super) fn archive_terminal_jobs(&mut self, partition: PartitionId) {
         let (now, revision) = (self.now, self.cache.revision);
         let may_record = self.may_write(CallPriority::UserRequest, 1.0);
-        let max_archived = self.settings.state_limits.txn_ops - 1;
+        let max_archived = self.settings.state_limits.max_txn_ops - 1;
         let max_ids_per_page = self.max_ids_per_page();
         let may_archive = self.may_write(CallPriority::Background, max_archived as f64 + 1.0);
         let Some(leadership) = self.leaderships.get_mut(&partition) else {
@@ -79,7 +79,7 @@
         } else {
             return;
         };
-        let txn = txn.when(partition_key(partition), version.0);
+        let txn = txn.if_version(partition_key(partition), version.0);
         let Some(leadership) = self.leaderships.get_mut(&partition) else {
             return;
         };
@@ -97,7 +97,7 @@
 
     /// Maximum number of job ids on a page.
     pub(super) fn max_ids_per_page(&self) -> usize {
-        page_capacity_bytes(self.settings.state_limits.value_bytes) / MAX_ID_BYTES
+        page_capacity_bytes(self.settings.state_limits.max_value_bytes) / MAX_ID_BYTES
     }
 
     /// Handles the reply to a write of terminal jobs.
@@ -169,9 +169,9 @@
         );
     }
     let key = terminal_jobs_key(partition, number);
-    let mut txn = Transaction::default().when(&key, page_version);
+    let mut txn = Transaction::default().if_version(&key, page_version);
     for (node, _) in nodes {
-        txn = txn.when(
+        txn = txn.if_version(
             cancellations_key(node),
             cache
                 .cancellations
@@ -200,7 +200,7 @@
         return None;
     }
     let key = terminal_jobs_key(partition, *number);
-    let mut txn = Transaction::default().when(&key, recorded.version.0);
+    let mut txn = Transaction::default().if_version(&key, recorded.version.0);
     for (id, state) in archived {
         let value = serde_json::to_value(TerminalStateRecord { state }).unwrap_or_default();
         txn = txn.write(Write::put(terminal_state_key(id), value));
--- a/crates/controller/src/controller/leader_election/acquisition.rs
+++ b/crates/controller/src/controller/leader_election/acquisition.rs
@@ -253,8 +253,8 @@
         let value = serde_json::to_value(record).unwrap_or_default();
         let counter = serde_json::to_value(counter).unwrap_or_default();
         Transaction::default()
-            .when(&key, version)
-            .when(TOKEN_COUNTER_KEY, self.cache.token_counter_version())
+            .if_version(&key, version)
+            .if_version(TOKEN_COUNTER_KEY, self.cache.token_counter_version())
             .write(Write::put_leased(&key, value, lease))
             .write(Write::put(TOKEN_COUNTER_KEY, counter))
     }
--- a/crates/controller/src/controller/leader_election/reclaim.rs
+++ b/crates/controller/src/controller/leader_election/reclaim.rs
@@ -120,8 +120,8 @@
         // Without these conditions, a write that is applied late would request the partition once more,
         // although it has been transferred already and may have another leader by now.
         let txn = Transaction::default()
-            .when(reclaim_key(partition), reclaim_version)
-            .when(partition_key(partition), partition_version)
+            .if_version(reclaim_key(partition), reclaim_version)
+            .if_version(partition_key(partition), partition_version)
             .write(Write::put_leased(reclaim_key(partition), value, lease.0));
         self.leader_election.reclaim.write_pending = true;
         self.queue_state_request(
--- a/crates/controller/src/controller/leader_election/resignation.rs
+++ b/crates/controller/src/controller/leader_election/resignation.rs
@@ -101,7 +101,7 @@
         leadership.begin_transfer();
         let key = partition_key(partition);
         let txn = Transaction::default()
-            .when(&key, leadership.version().0)
+            .if_version(&key, leadership.version().0)
             .write(Write::delete(&key));
         let workers = leadership
             .partition_state()
--- a/crates/controller/src/controller/leadership/commits.rs
+++ b/crates/controller/src/controller/leadership/commits.rs
@@ -188,7 +188,7 @@
             StateReply::Item(item) if PlacementLog::is_page_of_commit(&item.value, id) => {
                 leadership.confirm_commit(item.version);
             }
-            StateReply::Item(_) | StateReply::Missing => self.reload_partition(partition),
+            StateReply::Item(_) | StateReply::NotFound => self.reload_partition(partition),
             _ => self.verify_commit(partition, term, Some(VERIFICATION_RETRY_DELAY)),
         }
     }
--- a/crates/controller/src/controller/leadership/loading.rs
+++ b/crates/controller/src/controller/leadership/loading.rs
@@ -132,14 +132,14 @@
             return LogPageOutcome::Unexpected;
         };
         let last_key = pages.last().map_or("", |item| item.key.as_str());
-        if !page.follows(&log_prefix(partition), last_key) {
+        if !page.is_valid_for(&log_prefix(partition), last_key) {
             let last_key = last_key.to_string();
             return LogPageOutcome::OutOfOrder { last_key };
         }
         let revision = *revision.get_or_insert(Revision(page.revision));
         let after = page.items.last().map(|item| item.key.clone());
         pages.extend(page.items);
-        if let (true, Some(after)) = (page.more, after) {
+        if let (true, Some(after)) = (page.has_more, after) {
             return LogPageOutcome::More { after };
         }
         let log = PlacementLog::load(partition, pages, value_bytes, txn_ops);
--- a/crates/controller/src/controller/leadership/mod.rs
+++ b/crates/controller/src/controller/leadership/mod.rs
@@ -338,7 +338,7 @@
         }
         let mut commands = partition_state.commands_for(name, CommandRoute::HeartbeatResponse, now);
         if !may_launch {
-            commands.retain(|command| !matches!(command, Command::Start { .. }));
+            commands.retain(|command| !matches!(command, Command::Launch { .. }));
         }
         HeartbeatOutcome::Answered(commands)
     }
--- a/crates/controller/src/controller/leadership/partition_status.rs
+++ b/crates/controller/src/controller/leadership/partition_status.rs
@@ -92,8 +92,8 @@
             .map_or(0, |version| version.0);
         let key = demand_key(partition);
         Transaction::default()
-            .when(partition_key(partition), partition_version)
-            .when(&key, demand_version)
+            .if_version(partition_key(partition), partition_version)
+            .if_version(&key, demand_version)
             .write(Write::put(&key, value))
     }
 
--- a/crates/controller/src/controller/leadership/token_raises.rs
+++ b/crates/controller/src/controller/leadership/token_raises.rs
@@ -136,8 +136,8 @@
         counter.next = token + 1;
         let value = serde_json::to_value(counter).unwrap_or_default();
         let txn = Transaction::default()
-            .when(partition_key(partition), version)
-            .when(TOKEN_COUNTER_KEY, self.cache.token_counter_version())
+            .if_version(partition_key(partition), version)
+            .if_version(TOKEN_COUNTER_KEY, self.cache.token_counter_version())
             .write(Write::put(TOKEN_COUNTER_KEY, value));
         let kind = CallKind::Leadership(LeadershipCall::RaiseToken {
             partition,
--- a/crates/controller/src/controller/linearizable_reads.rs
+++ b/crates/controller/src/controller/linearizable_reads.rs
@@ -95,7 +95,7 @@
 
     /// Sends a transaction of conditions on the absence of final states.
     fn check_terminal_states(&mut self) {
-        let max_conditions = self.settings.state_limits.txn_ops * CONDITIONS_PER_CHANGE;
+        let max_conditions = self.settings.state_limits.max_txn_ops * CONDITIONS_PER_CHANGE;
         let unregistered = &mut self.reads.unregistered;
         let ids: BTreeSet<JobId> = unregistered
             .iter()
@@ -106,7 +106,7 @@
             .extract_if(.., |request| ids.contains(&request.id))
             .collect();
         let txn = ids.iter().fold(Transaction::default(), |txn, id| {
-            txn.when(terminal_state_key(*id), 0)
+            txn.if_version(terminal_state_key(*id), 0)
         });
         self.queue_state_request(
             CallPriority::UserRequest,
@@ -179,7 +179,7 @@
         match reply {
             StateReply::Committed { .. } => {
                 for request in requests {
-                    self.handle_terminal_state_reply(request, StateReply::Missing);
+                    self.handle_terminal_state_reply(request, StateReply::NotFound);
                 }
             }
             StateReply::Conflict { failed, .. } => {
@@ -193,7 +193,7 @@
                             CallKind::Read(ReadCall::TerminalRecord { request }),
                         );
                     } else {
-                        self.handle_terminal_state_reply(request, StateReply::Missing);
+                        self.handle_terminal_state_reply(request, StateReply::NotFound);
                     }
                 }
             }
@@ -259,10 +259,10 @@
                 }
                 Err(_) => self.reply_busy(request.ticket, UNREADABLE_STATE_RETRY_AFTER_S),
             },
-            StateReply::Missing if self.cache.is_unreadable(request.id) => {
+            StateReply::NotFound if self.cache.is_unreadable(request.id) => {
                 self.reply_busy(request.ticket, UNREADABLE_STATE_RETRY_AFTER_S);
             }
-            StateReply::Missing => match request.kind {
+            StateReply::NotFound => match request.kind {
                 RequestKind::Resubmit {
                     rejection: Some(reason),
                 } => {
--- a/crates/controller/src/controller/load_partition.rs
+++ b/crates/controller/src/controller/load_partition.rs
@@ -68,8 +68,8 @@
     /// Handles a read of placement log pages: requests the next ones or, after the last, tries to load
     /// the partition.
     pub(super) fn handle_log_page(&mut self, partition: PartitionId, term: u64, reply: StateReply) {
-        let value_bytes = self.settings.state_limits.value_bytes;
-        let txn_ops = self.settings.state_limits.txn_ops;
+        let value_bytes = self.settings.state_limits.max_value_bytes;
+        let txn_ops = self.settings.state_limits.max_txn_ops;
         let Some(leadership) = self.leadership_in_term(partition, term) else {
             return;
         };
--- a/crates/controller/src/controller/machine_records.rs
+++ b/crates/controller/src/controller/machine_records.rs
@@ -225,8 +225,8 @@
             .values()
             .any(|change| matches!(change, MachineChange::Create(_)));
         let mut batch = MachineBatch {
-            max_pages: (limits.txn_ops - 1).clamp(1, MAX_PAGES_PER_WRITE),
-            page_capacity_bytes: page_capacity_bytes(limits.value_bytes),
+            max_pages: (limits.max_txn_ops - 1).clamp(1, MAX_PAGES_PER_WRITE),
+            page_capacity_bytes: page_capacity_bytes(limits.max_value_bytes),
             next_token: self.cache.next_token(),
             uses_token: false,
             page_bytes: if creates_machines {
@@ -270,7 +270,7 @@
                 .leaderships
                 .get(&partition)
                 .map_or(0, |leadership| leadership.version().0);
-            txn = txn.when(partition_key(partition), version);
+            txn = txn.if_version(partition_key(partition), version);
         }
         for (page, records) in batch.pages {
             let machines = records
@@ -284,7 +284,7 @@
                 .map_or(0, |page| page.version.0);
             let value = serde_json::to_value(MachinesPage { machines }).unwrap_or_default();
             let key = machines_key(page);
-            txn = txn.when(&key, version).write(Write::put(&key, value));
+            txn = txn.if_version(&key, version).write(Write::put(&key, value));
         }
         if batch.uses_token {
             let counter = self.cache.token_counter.as_ref();
@@ -294,7 +294,7 @@
             counter.next = batch.next_token + 1;
             let value = serde_json::to_value(counter).unwrap_or_default();
             txn = txn
-                .when(TOKEN_COUNTER_KEY, self.cache.token_counter_version())
+                .if_version(TOKEN_COUNTER_KEY, self.cache.token_counter_version())
                 .write(Write::put(TOKEN_COUNTER_KEY, value));
         }
         txn
--- a/crates/controller/src/controller/mod.rs
+++ b/crates/controller/src/controller/mod.rs
@@ -115,7 +115,7 @@
     /// Creates the controller of a process that has just started. `seed` must be random: the incarnation
     /// is derived from it.
     pub fn new(settings: Settings, seed: u64) -> Self {
-        let controllers = settings.nodes();
+        let controllers = settings.controllers();
         let state_client = StateClient::new(&settings.state_limits, controllers.len());
         Controller {
             tuning: Tuning::default(),
--- a/crates/controller/src/controller/standby/mod.rs
+++ b/crates/controller/src/controller/standby/mod.rs
@@ -150,7 +150,7 @@
                 partition: partition.0,
                 incarnation: self.registration.incarnation(),
                 term: *term,
-                at_ms: now.as_millis(),
+                sent_at_ms: now.as_millis(),
                 ..ReplicationBatch::default()
             };
             batches.extend(stream.due_batches(&header, now));
--- a/crates/controller/src/controller/user_requests.rs
+++ b/crates/controller/src/controller/user_requests.rs
@@ -97,7 +97,7 @@
             self.reply_busy(ticket, 1);
             return;
         };
-        if let Err(reason) = spec.check(&self.settings, &types.record.types) {
+        if let Err(reason) = spec.check_feasibility(&self.settings, &types.record.types) {
             // A job that was accepted once must never be rejected later.
             self.read_then_reply(
                 ticket,
--- a/crates/controller/src/controller_lease.rs
+++ b/crates/controller/src/controller_lease.rs
@@ -25,10 +25,10 @@
     /// The request of the call.
     pub fn request(self) -> StateRequest {
         match self {
-            LeaseCall::Create => StateRequest::NewLease {
+            LeaseCall::Create => StateRequest::GrantLease {
                 ttl_ms: LEASE_DURATION.whole_millis(),
             },
-            LeaseCall::Renew(lease) => StateRequest::Renew { lease: lease.0 },
+            LeaseCall::Renew(lease) => StateRequest::RenewLease { lease: lease.0 },
         }
     }
 }
--- a/crates/controller/src/placement_log/commit.rs
+++ b/crates/controller/src/placement_log/commit.rs
@@ -122,7 +122,7 @@
     ) -> Self {
         let partition_key = crate::records::partition_key(log.partition);
         let commit = LogCommit {
-            txn: Transaction::default().when(partition_key, partition_version.0),
+            txn: Transaction::default().if_version(partition_key, partition_version.0),
             chunk_keys: Vec::new(),
             partition_version,
             pages: Vec::new(),
@@ -203,7 +203,7 @@
         let version = log.pages.get(page).map_or(0, |page| page.version.0);
         let key = log.page_key(page);
         let txn = std::mem::take(&mut self.commit.txn);
-        self.commit.txn = txn.when(&key, version).write(Write::put(&key, value));
+        self.commit.txn = txn.if_version(&key, version).write(Write::put(&key, value));
         self.commit.pages.push(WrittenPage {
             page,
             commit_number: self.commit_number,
--- a/crates/controller/src/placement_log/stored.rs
+++ b/crates/controller/src/placement_log/stored.rs
@@ -1,7 +1,7 @@
 //! The stored form of the placement log's pages, and its validation.
 
 use super::CommitId;
-use model::job::MAX_TASKS;
+use model::job::MAX_TASKS_PER_JOB;
 use model::{JobId, Version};
 use scheduler::{ChunkKey, TaskChunk, TASKS_PER_CHUNK};
 use serde::{Deserialize, Serialize};
@@ -12,7 +12,7 @@
 /// the numbers that follow do not overflow.
 const MAX_COMMIT_NUMBER: u64 = 1 << 62;
 /// Number of chunks of the largest job.
-const MAX_CHUNKS: u32 = (MAX_TASKS as u32).div_ceil(TASKS_PER_CHUNK);
+const MAX_CHUNKS: u32 = (MAX_TASKS_PER_JOB as u32).div_ceil(TASKS_PER_CHUNK);
 
 /// An entry as it is stored: a JSON array of the job's number, the chunk's number, and the chunk.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
--- a/crates/controller/src/records/packed_job.rs
+++ b/crates/controller/src/records/packed_job.rs
@@ -44,7 +44,7 @@
     String,
     JobKind,
     Priority,
-    /// `tasks`
+    /// `task_count`
     u64,
     /// `cpus`, `gpus`, `memory_gb`
     [f64; 3],
@@ -52,15 +52,15 @@
     String,
     /// `image_gb`
     f64,
-    /// `one_zone`, `spread`, `spot`
+    /// `one_zone`, `spread_over_zones`, `spot_allowed`
     [bool; 3],
-    /// `estimate_s`, `checkpoint_s`, `save_s`
+    /// `estimated_run_time_s`, `checkpoint_interval_s`, `checkpoint_save_time_s`
     [f64; 3],
     /// `deadline_s`
     Option<f64>,
     /// `zone`
     Option<String>,
-    /// `types`
+    /// `allowed_machine_types`
     Option<Vec<String>>,
 );
 
@@ -74,15 +74,19 @@
             job.team,
             job.kind,
             job.priority,
-            job.tasks,
+            job.task_count,
             [job.cpus, job.gpus, job.memory_gb],
             job.image,
             job.image_gb,
-            [job.one_zone, job.spread, job.spot],
-            [job.estimate_s, job.checkpoint_s, job.save_s],
+            [job.one_zone, job.spread_over_zones, job.spot_allowed],
+            [
+                job.estimated_run_time_s,
+                job.checkpoint_interval_s,
+                job.checkpoint_save_time_s,
+            ],
             job.deadline_s,
             job.zone,
-            job.types,
+            job.allowed_machine_types,
         )
     }
 }
@@ -96,15 +100,15 @@
             team,
             kind,
             priority,
-            tasks,
+            task_count,
             [cpus, gpus, memory_gb],
             image,
             image_gb,
-            [one_zone, spread, spot],
-            [estimate_s, checkpoint_s, save_s],
+            [one_zone, spread_over_zones, spot_allowed],
+            [estimated_run_time_s, checkpoint_interval_s, checkpoint_save_time_s],
             deadline_s,
             zone,
-            types,
+            allowed_machine_types,
         ) = fields;
         let request = JobRequest {
             id,
@@ -112,20 +116,20 @@
             team,
             kind,
             priority,
-            tasks,
+            task_count,
             cpus,
             gpus,
             memory_gb,
             image,
             image_gb,
-            types,
+            allowed_machine_types,
             zone,
             one_zone,
-            spread,
-            spot,
-            estimate_s,
-            checkpoint_s,
-            save_s,
+            spread_over_zones,
+            spot_allowed,
+            estimated_run_time_s,
+            checkpoint_interval_s,
+            checkpoint_save_time_s,
             deadline_s,
         };
         PackedJob {
--- a/crates/controller/src/state_cache/apply.rs
+++ b/crates/controller/src/state_cache/apply.rs
@@ -202,7 +202,7 @@
             .collect();
         events.sort_by_key(|event| event.version);
         for event in events {
-            if let Some(key) = &event.put {
+            if let Some(key) = &event.put_key {
                 let null = Value::Null;
                 self.apply_put(
                     key,
@@ -210,7 +210,7 @@
                     event.version,
                     &mut changed,
                 );
-            } else if let Some(key) = &event.delete {
+            } else if let Some(key) = &event.deleted_key {
                 self.apply_delete(key, &mut changed);
             } else {
                 self.reject("", &"change without a key");
--- a/crates/controller/src/state_sync.rs
+++ b/crates/controller/src/state_sync.rs
@@ -129,14 +129,14 @@
             return FullReadStep::Ignored;
         };
         let last_key = read.items.last().map_or("", |item| item.key.as_str());
-        if !page.follows(WATCHED_PREFIX, last_key) {
+        if !page.is_valid_for(WATCHED_PREFIX, last_key) {
             tracing::error!(last_key, "full read page out of order");
             return FullReadStep::Malformed(self.restart_full_read());
         }
         read.revision.get_or_insert(page.revision);
         let after = page.items.last().map(|item| item.key.clone());
         read.items.extend(page.items);
-        match (page.more, after) {
+        match (page.has_more, after) {
             (true, Some(after)) => FullReadStep::NextPage(full_read_page(after)),
             _ => {
                 self.synced = true;
--- a/crates/controller/tests/foreign_records.rs
+++ b/crates/controller/tests/foreign_records.rs
@@ -23,8 +23,8 @@
 fn put(key: &str, value: Value, version: u64) -> Change {
     let value = Some(value);
     Change {
-        put: Some(key.into()),
-        delete: None,
+        put_key: Some(key.into()),
+        deleted_key: None,
         value,
         version,
         lease: None,
@@ -229,7 +229,7 @@
         for (index, (key, value, deleted)) in events.into_iter().enumerate() {
             let version = index as u64 + 1;
             let change = if deleted {
-                Change { put: None, delete: Some(key), value: None, version, lease: None }
+                Change { put_key: None, deleted_key: Some(key), value: None, version, lease: None }
             } else {
                 items.push(Item { key: key.clone(), value: value.clone(), version, lease: None });
                 put(&key, value, version)
--- a/crates/controller/tests/golden_records.rs
+++ b/crates/controller/tests/golden_records.rs
@@ -35,38 +35,38 @@
         team: "vision".into(),
         kind,
         priority,
-        tasks: 16,
+        task_count: 16,
         cpus: 8.0,
         gpus: 0.5,
         memory_gb: 64.25,
         image: "img-07".into(),
         image_gb: 6.2,
-        types: Some(vec!["g8".into(), "m4".into()]),
+        allowed_machine_types: Some(vec!["g8".into(), "m4".into()]),
         zone: Some("a".into()),
         one_zone: true,
-        spread: false,
-        spot: false,
-        estimate_s: 240.0,
-        checkpoint_s: 30.5,
-        save_s: 4.0,
+        spread_over_zones: false,
+        spot_allowed: false,
+        estimated_run_time_s: 240.0,
+        checkpoint_interval_s: 30.5,
+        checkpoint_save_time_s: 4.0,
         deadline_s: Some(900.0),
     }
 }
 
 fn plain_job() -> JobRequest {
     JobRequest {
-        types: None,
+        allowed_machine_types: None,
         zone: None,
         deadline_s: None,
         one_zone: false,
-        spread: true,
+        spread_over_zones: true,
         ..full_job(JobKind::Array, Priority::Low)
     }
 }
 
 fn spot_job() -> JobRequest {
     JobRequest {
-        spot: true,
+        spot_allowed: true,
         one_zone: false,
         ..full_job(JobKind::Array, Priority::Normal)
     }
@@ -151,14 +151,14 @@
         milli_cpus: 1500,
         milli_gpus: 2000,
         memory_mb: 64_000,
-        types,
+        allowed_machine_types: types,
         zone,
-        spot: true,
-        tasks: 12,
-        urgent: 3,
-        estimate_ms: 240_000,
+        spot_allowed: true,
+        task_count: 12,
+        urgent_count: 3,
+        estimated_run_time_ms: 240_000,
         priority: Priority::High,
-        gang: 16,
+        gang_size: 16,
     }
 }
 
@@ -189,8 +189,8 @@
         memory_gb: 256.0,
         cache_gb: 80.5,
         fetch_gb_per_s: 1.25,
-        price: 4.2,
-        spot_price: 1.3,
+        price_per_hour: 4.2,
+        spot_price_per_hour: 1.3,
         boot_s: 90.0,
         zones: vec!["a".into(), "b".into()],
     };
@@ -318,8 +318,14 @@
         TuningRecord::default()
     );
     let demand = record_with_absent_fields::<DemandRecord>("demand").demand;
-    assert_eq!((demand[0].priority, demand[0].gang), (Priority::Normal, 0));
-    assert_eq!((&demand[0].types, &demand[0].zone), (&None, &None));
+    assert_eq!(
+        (demand[0].priority, demand[0].gang_size),
+        (Priority::Normal, 0)
+    );
+    assert_eq!(
+        (&demand[0].allowed_machine_types, &demand[0].zone),
+        (&None, &None)
+    );
 }
 
 #[test]
@@ -413,10 +419,10 @@
 fn written_pages(commit: &controller::placement_log::LogCommit) -> Vec<(String, Value)> {
     let page = |write: &Write| match write {
         Write::Put {
-            put,
+            key,
             value,
             lease: None,
-        } => (put.clone(), value.clone()),
+        } => (key.clone(), value.clone()),
         other => panic!("expected a put without a lease: {other:?}"),
     };
     commit.txn.writes.iter().map(page).collect()
--- a/crates/controller/tests/placement_log.rs
+++ b/crates/controller/tests/placement_log.rs
@@ -9,7 +9,7 @@
 /// The key and value of the only page that a commit writes.
 fn written_page(commit: &LogCommit) -> (String, Value) {
     match &commit.txn.writes[..] {
-        [Write::Put { put, value, .. }] => (put.clone(), value.clone()),
+        [Write::Put { key, value, .. }] => (key.clone(), value.clone()),
         other => panic!("expected one written page: {other:?}"),
     }
 }
--- a/crates/controller/tests/state_client.rs
+++ b/crates/controller/tests/state_client.rs
@@ -13,8 +13,8 @@
     let limits = StateLimits {
         requests_per_s: 20.0,
         writes_per_s: 10.0,
-        value_bytes: 1_024,
-        txn_ops: 8,
+        max_value_bytes: 1_024,
+        max_txn_ops: 8,
     };
     StateClient::new(&limits, 1)
 }
--- a/crates/controller/tests/state_sync.rs
+++ b/crates/controller/tests/state_sync.rs
@@ -19,7 +19,7 @@
         .collect();
     StateReply::List(ListPage {
         items,
-        more,
+        has_more: more,
         revision,
     })
 }
--- a/crates/failover/src/replica.rs
+++ b/crates/failover/src/replica.rs
@@ -169,8 +169,8 @@
 /// Since when a machine has been idle, by the clock of this controller. The clocks of controllers
 /// differ, so the time for which it had been idle when the record was sent counts.
 fn idle_since(snapshot: &MachineSnapshot, sent_at: Timestamp, now: Timestamp) -> Option<Timestamp> {
-    let idle_at = snapshot.idle_at?;
-    let idle_for = sent_at.as_millis() - idle_at.min(sent_at.as_millis());
+    let idle_since_ms = snapshot.idle_since_ms?;
+    let idle_for = sent_at.as_millis() - idle_since_ms.min(sent_at.as_millis());
     Some(Timestamp::from_millis(
         now.as_millis().saturating_sub(idle_for),
     ))
@@ -251,7 +251,7 @@
             return None;
         }
         for record in batch.records {
-            replica.apply(record, Timestamp::from_millis(batch.at_ms), now);
+            replica.apply(record, Timestamp::from_millis(batch.sent_at_ms), now);
         }
         replica.applied_up_to = batch.up_to;
         replica.newest_announced = batch.newest;
--- a/crates/failover/src/stream.rs
+++ b/crates/failover/src/stream.rs
@@ -222,7 +222,7 @@
             }
             let record = self.entries.get(key).and_then(|entry| entry.record.clone());
             let record = record.unwrap_or_else(|| ReplicatedRecord::Removed(key.clone()));
-            bytes += record.weight();
+            bytes += record.approximate_bytes();
             records.push(record);
         }
         ReplicationBatch {
--- a/crates/failover/tests/large_partition.rs
+++ b/crates/failover/tests/large_partition.rs
@@ -18,10 +18,10 @@
     ReplicatedRecord::Machine(MachineSnapshot {
         machine: format!("host-{number:06}"),
         address: format!("10.0.{}.{}:9000", number / 256, number % 256),
-        session: number as u64,
+        worker_epoch: number as u64,
         reporting: true,
         quarantined: false,
-        idle_at: None,
+        idle_since_ms: None,
         images: (0..IMAGES)
             .map(|image| (format!("img-{image:02}"), 1.5))
             .collect(),
@@ -65,7 +65,7 @@
         let header = ReplicationBatch {
             incarnation: 1,
             term: 1,
-            at_ms: now.as_millis(),
+            sent_at_ms: now.as_millis(),
             ..ReplicationBatch::default()
         };
         for (_, batch) in self.stream.due_batches(&header, now) {
--- a/crates/failover/tests/stream.rs
+++ b/crates/failover/tests/stream.rs
@@ -16,23 +16,23 @@
     ReplicatedRecord::Machine(MachineSnapshot {
         machine: format!("host-{n:04}"),
         address: format!("10.0.0.{n}:9000"),
-        session,
+        worker_epoch: session,
         reporting: !session.is_multiple_of(3),
         quarantined: false,
-        idle_at: None,
+        idle_since_ms: None,
         images: vec![(format!("img-{}", session % 4), 1.5)],
     })
 }
 
 fn job(n: u64, failures: u32) -> ReplicatedRecord {
     let failed_on = vec!["host-0001".to_owned()];
-    let (successes, fails_within_ms) = (0, 900);
+    let (successes, longest_failure_ms) = (0, 900);
     ReplicatedRecord::Job(JobFailureSnapshot {
         job: n,
         failures: vec![(0, failures)],
         failed_on,
         successes,
-        fails_within_ms,
+        longest_failure_ms,
     })
 }
 
@@ -73,12 +73,12 @@
     }
 
     fn batch(&self, now: Timestamp) -> ReplicationBatch {
-        let (incarnation, at_ms) = (self.incarnation, now.as_millis());
+        let (incarnation, sent_at_ms) = (self.incarnation, now.as_millis());
         ReplicationBatch {
             partition: P.0,
             incarnation,
             term: 7,
-            at_ms,
+            sent_at_ms,
             ..ReplicationBatch::default()
         }
     }
@@ -133,7 +133,11 @@
                 }
             }
             for (_, batch) in leader.stream.due_batches(&leader.batch(now), now) {
-                let bytes: usize = batch.records.iter().map(ReplicatedRecord::weight).sum();
+                let bytes: usize = batch
+                    .records
+                    .iter()
+                    .map(ReplicatedRecord::approximate_bytes)
+                    .sum();
                 assert!(bytes < 20 * 1024, "seed {seed}: a part of {bytes} bytes");
                 if rng.random_bool(loss) {
                     continue;
@@ -150,7 +154,7 @@
             }
             let replica = replicas.get(P);
             for (name, machine) in replica.into_iter().flat_map(|replica| &replica.machines) {
-                let known = (name.to_string(), machine.snapshot.session);
+                let known = (name.to_string(), machine.snapshot.worker_epoch);
                 assert!(
                     sent.contains(&known),
                     "seed {seed}: {known:?} was never sent"
@@ -167,7 +171,7 @@
         let machines: BTreeMap<MachineName, u64> = copy
             .machines
             .iter()
-            .map(|(name, machine)| (name.clone(), machine.snapshot.session))
+            .map(|(name, machine)| (name.clone(), machine.snapshot.worker_epoch))
             .collect();
         let truth: BTreeMap<MachineName, u64> = leader
             .truth
@@ -208,7 +212,7 @@
         up_to: 1,
         newest: 1,
         tombstones_dropped_up_to: 0,
-        at_ms: 10,
+        sent_at_ms: 10,
         records: vec![machine(1, session)],
     };
     let session = |replicas: &Replicas| {
@@ -216,7 +220,7 @@
         copy.machines
             .values()
             .next()
-            .map(|machine| machine.snapshot.session)
+            .map(|machine| machine.snapshot.worker_epoch)
     };
     replicas.subscribe(
         &BTreeMap::from([(P, source(&old, 5, 3))]),
--- a/crates/loadtest/src/cloud.rs
+++ b/crates/loadtest/src/cloud.rs
@@ -252,16 +252,16 @@
             self.release(gone).await;
         }
         match reply {
-            CloudReply::Types(types) => Answer::json(kind, 200, &types),
+            CloudReply::MachineTypes(types) => Answer::json(kind, 200, &types),
             CloudReply::Rented(machines) => Answer::json(kind, 200, &MachineNames { machines }),
             CloudReply::Released => Answer {
                 status: 200,
                 body: b"{}".to_vec(),
                 kind,
             },
-            CloudReply::List(mut list) => {
+            CloudReply::MachineList(mut list) => {
                 for machine in &mut list.machines {
-                    machine.address = self.net.worker(machine_number(&machine.id)).to_string();
+                    machine.address = self.net.worker(machine_number(&machine.name)).to_string();
                 }
                 Answer::json(kind, 200, &list)
             }
@@ -273,7 +273,7 @@
 
 fn read_request(call: &Call) -> Option<(&'static str, CloudRequest)> {
     match (call.method.clone(), call.path.as_str()) {
-        (Method::GET, "/machine_types") => Some(("machine types", CloudRequest::Types)),
+        (Method::GET, "/machine_types") => Some(("machine types", CloudRequest::MachineTypes)),
         (Method::POST, "/hosts") => {
             let rent: RentRequest = serde_json::from_slice(&call.body).ok()?;
             (rent.count <= MAX_RENTED).then_some(("rent", CloudRequest::Rent(rent)))
@@ -288,7 +288,7 @@
             let limit = query.limit.unwrap_or(MAX_LISTED).min(MAX_LISTED);
             Some((
                 "list machines",
-                CloudRequest::List {
+                CloudRequest::ListMachines {
                     after: query.after,
                     limit,
                 },
--- a/crates/loadtest/src/site.rs
+++ b/crates/loadtest/src/site.rs
@@ -185,15 +185,15 @@
             let services = &self.services;
             return Some(JobRequest {
                 kind: JobKind::Service,
-                tasks: services.replicas,
+                task_count: services.replicas,
                 ..base(number, "service", team, Priority::Production, services.cpus)
             });
         }
         let class = self.classes.get((number % CLASSES) as usize)?;
         let team = rng.random_range(0..u64::from(self.controllers.teams));
         Some(JobRequest {
-            tasks: rng.random_range(class.tasks[0]..=class.tasks[1]),
-            estimate_s: class.run_s,
+            task_count: rng.random_range(class.tasks[0]..=class.tasks[1]),
+            estimated_run_time_s: class.run_s,
             ..base(number, &class.name, team, class.priority, class.cpus)
         })
     }
@@ -293,20 +293,20 @@
         team: format!("t{team}"),
         kind: JobKind::Array,
         priority,
-        tasks: 1,
+        task_count: 1,
         cpus,
         gpus: 0.0,
         memory_gb: cpus * MEMORY_GB_PER_CPU,
         image: format!("img-{}", number % IMAGES),
         image_gb: IMAGE_GB,
-        types: None,
+        allowed_machine_types: None,
         zone: None,
         one_zone: false,
-        spread: false,
-        spot: false,
-        estimate_s: 0.0,
-        checkpoint_s: 0.0,
-        save_s: 0.0,
+        spread_over_zones: false,
+        spot_allowed: false,
+        estimated_run_time_s: 0.0,
+        checkpoint_interval_s: 0.0,
+        checkpoint_save_time_s: 0.0,
         deadline_s: None,
     }
 }
--- a/crates/loadtest/src/state_service.rs
+++ b/crates/loadtest/src/state_service.rs
@@ -215,11 +215,11 @@
         }
         let most = (state.value_kb * 1024.0) as usize;
         txn.writes.iter().find_map(|write| {
-            let Write::Put { put, value, .. } = write else {
+            let Write::Put { key, value, .. } = write else {
                 return None;
             };
             let length = serde_json::to_vec(value).map_or(usize::MAX, |bytes| bytes.len());
-            (length > most).then(|| format!("value of {put} has {length} bytes"))
+            (length > most).then(|| format!("value of {key} has {length} bytes"))
         })
     }
 }
@@ -248,20 +248,20 @@
             let lease: LeaseRequest = serde_json::from_slice(&call.body).ok()?;
             (
                 "lease",
-                StateRequest::NewLease {
+                StateRequest::GrantLease {
                     ttl_ms: lease.ttl_ms,
                 },
             )
         }
         (Method::POST, ["holds", id, "renew"]) => (
             "renew",
-            StateRequest::Renew {
+            StateRequest::RenewLease {
                 lease: id.parse().ok()?,
             },
         ),
         (Method::DELETE, ["holds", id]) => (
             "end lease",
-            StateRequest::EndLease {
+            StateRequest::RevokeLease {
                 lease: id.parse().ok()?,
             },
         ),
@@ -289,7 +289,7 @@
 fn answer(kind: &'static str, reply: StateReply) -> Answer {
     match reply {
         StateReply::Item(item) => Answer::json(kind, 200, &item),
-        StateReply::Missing => Answer::error(kind, 404, "no such key"),
+        StateReply::NotFound => Answer::error(kind, 404, "no such key"),
         StateReply::List(mut page) => {
             shorten(&mut page);
             Answer::json(kind, 200, &page)
@@ -331,6 +331,6 @@
     });
     if let Some(fits) = fits {
         page.items.truncate(fits.max(1));
-        page.more = true;
+        page.has_more = true;
     }
 }
--- a/crates/loadtest/src/workers.rs
+++ b/crates/loadtest/src/workers.rs
@@ -166,7 +166,7 @@
     fn fetch_jobs(&self, commands: &[Command]) {
         let mut jobs = self.jobs.borrow_mut();
         for command in commands {
-            let Command::Start { task, .. } = command else {
+            let Command::Launch { task, .. } = command else {
                 continue;
             };
             let id = task.split('/').next().unwrap_or_default();
@@ -345,7 +345,7 @@
         let run_ms = |task: &str| {
             let id = task.split('/').next().unwrap_or_default();
             jobs.get(id)
-                .map_or(0, |job| (job.estimate_s * 1_000.0) as u64)
+                .map_or(0, |job| (job.estimated_run_time_s * 1_000.0) as u64)
         };
         let happened = state.worker.advance(now, &jobs, run_ms);
         let now_us = self.site.clock.now_us();
@@ -453,7 +453,7 @@
             }
             Some((421, body, _)) => {
                 let redirect = serde_json::from_slice::<Redirect>(&body).ok();
-                let to = redirect.and_then(|r| controller_number(&r.report_to?));
+                let to = redirect.and_then(|r| controller_number(&r.controller?));
                 let known = |to: &u32| *to != node && *to < self.site.experiment.controllers.count;
                 match to.filter(known) {
                     Some(to) => self.try_node(to, rand::rng().random_range(0..REDIRECT_MS)),
@@ -518,7 +518,7 @@
             let jobs = self.site.jobs.borrow();
             let DirectCommands {
                 token,
-                session,
+                worker_epoch: session,
                 commands,
             } = &direct;
             state.worker.direct(*token, *session, commands, now, &jobs)
--- a/crates/model/src/job.rs
+++ b/crates/model/src/job.rs
@@ -9,7 +9,7 @@
 use wire::users::JobRequest;
 
 /// Most tasks that a job may have.
-pub const MAX_TASKS: u64 = 100_000;
+pub const MAX_TASKS_PER_JOB: u64 = 100_000;
 /// Largest amount in a field of a submission.
 const MAX_AMOUNT: f64 = 1e9;
 /// Longest name in a field of a submission, in bytes.
@@ -28,30 +28,30 @@
     pub kind: JobKind,
     /// Priority class.
     pub priority: Priority,
-    /// Number of tasks, from 1 to [`MAX_TASKS`].
-    pub tasks: u32,
+    /// Number of tasks, from 1 to [`MAX_TASKS_PER_JOB`].
+    pub task_count: u32,
     /// Resources of one task.
-    pub needs: Resources,
+    pub task_resources: Resources,
     /// Name of the image that the tasks run.
     pub image: std::sync::Arc<str>,
     /// Size of the image in GB.
     pub image_gb: f64,
     /// Machine types that are allowed; all if absent.
-    pub types: Option<Vec<String>>,
+    pub allowed_machine_types: Option<Vec<String>>,
     /// Zone that is required; any if absent.
     pub zone: Option<ZoneName>,
     /// Whether all tasks must run in the same zone.
     pub one_zone: bool,
     /// Whether at most half of the tasks, rounded up, may run in one zone.
-    pub spread: bool,
+    pub spread_over_zones: bool,
     /// Whether spot machines are allowed.
-    pub spot: bool,
+    pub spot_allowed: bool,
     /// Owner's estimate of a task's run time.
-    pub estimate: Duration,
+    pub estimated_run_time: Duration,
     /// Time between two checkpoints of a task; zero if it saves none.
-    pub checkpoint: Duration,
+    pub checkpoint_interval: Duration,
     /// Time that a task takes to save a checkpoint when it is stopped.
-    pub save: Duration,
+    pub checkpoint_save_time: Duration,
     /// Time after the submission within which the job should be finished.
     pub deadline: Option<Duration>,
 }
@@ -72,8 +72,8 @@
     /// The text is no id of a job.
     #[error("must look like j-000412")]
     NotAJobId,
-    /// The number of tasks is zero or above [`MAX_TASKS`].
-    #[error("must be from 1 to {MAX_TASKS}")]
+    /// The number of tasks is zero or above [`MAX_TASKS_PER_JOB`].
+    #[error("must be from 1 to {MAX_TASKS_PER_JOB}")]
     TaskCount,
     /// The amount is negative, not finite or too large.
     #[error("must be a number from 0")]
@@ -94,10 +94,10 @@
     UnknownTeam,
     /// No allowed machine type has the resources of one task.
     #[error("a task fits no allowed machine type")]
-    FitsNoMachine,
+    FitsNoMachineType,
     /// What the job needs at one time exceeds the team's limit.
     #[error("the job needs more than the team's limit")]
-    BeyondLimit,
+    ExceedsTeamLimit,
 }
 
 fn checked_amount(field: &'static str, value: f64) -> Result<f64, InvalidJob> {
@@ -130,7 +130,7 @@
             field: "id",
             problem: JobFieldProblem::NotAJobId,
         })?;
-        if request.tasks == 0 || request.tasks > MAX_TASKS {
+        if request.task_count == 0 || request.task_count > MAX_TASKS_PER_JOB {
             return Err(InvalidJob {
                 field: "pieces",
                 problem: JobFieldProblem::TaskCount,
@@ -142,7 +142,7 @@
         if let Some(zone) = &request.zone {
             check_name("yard", zone)?;
         }
-        for machine_type in request.types.iter().flatten() {
+        for machine_type in request.allowed_machine_types.iter().flatten() {
             check_name("rigs", machine_type)?;
         }
         let cpus = checked_amount("vcpus", request.cpus)?;
@@ -164,18 +164,27 @@
             team: TeamName::from(request.team.as_str()),
             kind: request.kind,
             priority: request.priority,
-            tasks: request.tasks as u32,
-            needs: Resources::needed(cpus, gpus, memory),
+            task_count: request.task_count as u32,
+            task_resources: Resources::needed(cpus, gpus, memory),
             image: request.image.as_str().into(),
             image_gb: checked_amount("pull_gb", request.image_gb)?,
-            types: request.types.clone(),
+            allowed_machine_types: request.allowed_machine_types.clone(),
             zone: request.zone.as_deref().map(ZoneName::from),
             one_zone: request.one_zone,
-            spread: request.spread,
-            spot: request.spot,
-            estimate: duration_from_secs(checked_amount("expect_s", request.estimate_s)?),
-            checkpoint: duration_from_secs(checked_amount("notch_s", request.checkpoint_s)?),
-            save: duration_from_secs(checked_amount("stash_s", request.save_s)?),
+            spread_over_zones: request.spread_over_zones,
+            spot_allowed: request.spot_allowed,
+            estimated_run_time: duration_from_secs(checked_amount(
+                "expect_s",
+                request.estimated_run_time_s,
+            )?),
+            checkpoint_interval: duration_from_secs(checked_amount(
+                "notch_s",
+                request.checkpoint_interval_s,
+            )?),
+            checkpoint_save_time: duration_from_secs(checked_amount(
+                "stash_s",
+                request.checkpoint_save_time_s,
+            )?),
             deadline,
         })
     }
@@ -184,10 +193,10 @@
 impl JobSpec {
     /// Whether a machine of this type and zone, which is a spot machine or not, may run the job's tasks.
     pub fn allows(&self, machine_type: &str, zone: &ZoneName, spot: bool) -> bool {
-        (self.spot || !spot)
+        (self.spot_allowed || !spot)
             && self.zone.as_ref().is_none_or(|required| required == zone)
             && self
-                .types
+                .allowed_machine_types
                 .as_ref()
                 .is_none_or(|types| types.iter().any(|name| name == machine_type))
     }
@@ -199,7 +208,7 @@
             .iter()
             .map(|zone| ZoneName::from(zone.as_str()));
         zones.any(|zone| self.allows(&machine_type.name, &zone, false))
-            && self.needs.fits(&Resources::offered(
+            && self.task_resources.fits(&Resources::offered(
                 machine_type.cpus,
                 machine_type.gpus,
                 machine_type.memory_gb,
@@ -207,28 +216,37 @@
     }
 
     /// Whether the tasks of another job have the same requirements for their machines.
-    pub fn is_placed_like(&self, other: &JobSpec) -> bool {
-        (self.needs, &self.types, &self.zone, self.spot)
-            == (other.needs, &other.types, &other.zone, other.spot)
+    pub fn has_same_machine_requirements(&self, other: &JobSpec) -> bool {
+        (
+            self.task_resources,
+            &self.allowed_machine_types,
+            &self.zone,
+            self.spot_allowed,
+        ) == (
+            other.task_resources,
+            &other.allowed_machine_types,
+            &other.zone,
+            other.spot_allowed,
+        )
     }
 
     /// Whether some machine type fits this job's tasks, but not those of the other job.
-    pub fn fits_other_type(&self, other: &JobSpec, types: &[MachineType]) -> bool {
+    pub fn fits_type_unusable_for(&self, other: &JobSpec, types: &[MachineType]) -> bool {
         types
             .iter()
             .any(|machine_type| self.fits_type(machine_type) && !other.fits_type(machine_type))
     }
 
     /// Whether its tasks need no GPUs and fit some machine type without any.
-    pub fn does_without_gpus(&self, types: &[MachineType]) -> bool {
-        self.needs.milli_gpus == 0
+    pub fn fits_type_without_gpus(&self, types: &[MachineType]) -> bool {
+        self.task_resources.milli_gpus == 0
             && types
                 .iter()
                 .any(|machine_type| machine_type.gpus == 0.0 && self.fits_type(machine_type))
     }
 
     /// Whether all tasks run at the same time, so that the quota check counts all of them.
-    pub fn requires_all_tasks(&self) -> bool {
+    pub fn runs_all_tasks_at_once(&self) -> bool {
         self.kind != JobKind::Array
     }
 
@@ -241,30 +259,38 @@
     }
 
     /// Most tasks that may run in one zone at a time.
-    pub fn zone_limit(&self) -> u32 {
-        if self.spread {
-            self.tasks.div_ceil(2)
+    pub fn max_tasks_per_zone(&self) -> u32 {
+        if self.spread_over_zones {
+            self.task_count.div_ceil(2)
         } else {
-            self.tasks
+            self.task_count
         }
     }
 
     /// Checks whether the job can ever run on this site.
-    pub fn check(&self, settings: &Settings, types: &[MachineType]) -> Result<(), RejectReason> {
+    pub fn check_feasibility(
+        &self,
+        settings: &Settings,
+        types: &[MachineType],
+    ) -> Result<(), RejectReason> {
         let team = settings.team(&self.team).ok_or(RejectReason::UnknownTeam)?;
         if !types
             .iter()
             .any(|machine_type| self.fits_type(machine_type))
         {
-            return Err(RejectReason::FitsNoMachine);
+            return Err(RejectReason::FitsNoMachineType);
         }
-        let concurrent_tasks = if self.requires_all_tasks() {
-            u64::from(self.tasks)
+        let concurrent_tasks = if self.runs_all_tasks_at_once() {
+            u64::from(self.task_count)
         } else {
             1
         };
-        if !self.needs.times(concurrent_tasks).fits_quota(&team.limit) {
-            return Err(RejectReason::BeyondLimit);
+        if !self
+            .task_resources
+            .times(concurrent_tasks)
+            .fits_quota(&team.limit)
+        {
+            return Err(RejectReason::ExceedsTeamLimit);
         }
         Ok(())
     }
--- a/crates/model/src/resources.rs
+++ b/crates/model/src/resources.rs
@@ -44,7 +44,7 @@
 
     /// The limit of a team. An amount of 0 stands for no limit: a guest team without one must not have
     /// every job rejected.
-    pub fn limit(cpus: f64, gpus: f64) -> Self {
+    pub fn team_limit(cpus: f64, gpus: f64) -> Self {
         let limit = |amount: f64| {
             if amount == 0.0 {
                 u64::MAX
--- a/crates/model/src/settings/file.rs
+++ b/crates/model/src/settings/file.rs
@@ -2,7 +2,7 @@
 //!
 //! Unknown fields are ignored. The first field that fails a check is reported.
 
-use super::{FieldProblem, Peer, Settings, SettingsError, StateLimits, Team, WorkerTimes};
+use super::{FieldProblem, Peer, Settings, SettingsError, StateLimits, Team, WorkerTimings};
 use crate::{duration_from_secs, ControllerName, Resources, TeamName, ZoneName};
 use serde::Deserialize;
 use std::collections::BTreeMap;
@@ -176,15 +176,15 @@
     Ok(Team {
         name: TeamName::from(team.name.as_str()),
         guarantee: Resources::offered(team.cpus, team.gpus, 0.0),
-        limit: Resources::limit(team.cpus_max, team.gpus_max),
+        limit: Resources::team_limit(team.cpus_max, team.gpus_max),
     })
 }
 
-fn worker_times(workers: &FileWorkers) -> Result<WorkerTimes, SettingsError> {
+fn worker_times(workers: &FileWorkers) -> Result<WorkerTimings, SettingsError> {
     let duration = |field: &str, value: f64| {
         positive(&format!("settings.workers.{field}"), value).map(duration_from_secs)
     };
-    Ok(WorkerTimes {
+    Ok(WorkerTimings {
         heartbeat_interval: duration("report_s", workers.report_s)?,
         lease_duration: duration("lease_s", workers.lease_s)?,
         gang_start_timeout: duration("gang_wait_s", workers.gang_wait_s)?,
@@ -262,8 +262,8 @@
             state_limits: StateLimits {
                 requests_per_s: positive("settings.state.rps", params.state.rps)?,
                 writes_per_s: positive("settings.state.write_rps", params.state.write_rps)?,
-                value_bytes,
-                txn_ops: params.state.txn_ops,
+                max_value_bytes: value_bytes,
+                max_txn_ops: params.state.txn_ops,
             },
             cloud_requests_per_s: positive("settings.cloud.rps", params.cloud.rps)?,
             cloud_list_lag: duration_from_secs(params.cloud.list_lag_s),
--- a/crates/model/src/settings/mod.rs
+++ b/crates/model/src/settings/mod.rs
@@ -37,7 +37,7 @@
 
 /// Times that workers and their leaders keep.
 #[derive(Debug, Clone, PartialEq)]
-pub struct WorkerTimes {
+pub struct WorkerTimings {
     /// Time between two heartbeats of a worker (`report_s`).
     pub heartbeat_interval: Duration,
     /// Time after the last response to a heartbeat at which a worker's lease expires: it then kills
@@ -60,9 +60,9 @@
     /// Transactions per second (`write_rps`).
     pub writes_per_s: f64,
     /// Largest value in bytes (`value_kb`).
-    pub value_bytes: usize,
+    pub max_value_bytes: usize,
     /// Most operations that one transaction may contain (`txn_ops`).
-    pub txn_ops: usize,
+    pub max_txn_ops: usize,
 }
 
 /// Settings of a controller, checked.
@@ -85,7 +85,7 @@
     /// Teams with their quotas.
     pub teams: Vec<Team>,
     /// Times that workers and their leaders keep.
-    pub workers: WorkerTimes,
+    pub workers: WorkerTimings,
     /// Limits of the state service.
     pub state_limits: StateLimits,
     /// Requests per second that the cloud accepts.
@@ -106,7 +106,7 @@
     }
 
     /// All controllers with their zones, in the order that is the same on every controller.
-    pub fn nodes(&self) -> Vec<(ControllerName, ZoneName)> {
+    pub fn controllers(&self) -> Vec<(ControllerName, ZoneName)> {
         let mut nodes: Vec<_> = self
             .peers
             .iter()
--- a/crates/model/tests/golden_settings.rs
+++ b/crates/model/tests/golden_settings.rs
@@ -6,7 +6,7 @@
 mod golden;
 
 use golden::Entry;
-use model::settings::{Peer, StateLimits, Team, WorkerTimes};
+use model::settings::{Peer, StateLimits, Team, WorkerTimings};
 use model::{ControllerName, Resources, Settings, TeamName, ZoneName};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -95,7 +95,7 @@
         cloud_address: address("10.1.0.1:9001"),
         state_address: address("10.1.0.2:9002"),
         teams: Vec::new(),
-        workers: WorkerTimes {
+        workers: WorkerTimings {
             heartbeat_interval: Duration::from_millis(1_500),
             lease_duration: Duration::from_secs(20),
             gang_start_timeout: Duration::from_secs(45),
@@ -105,8 +105,8 @@
         state_limits: StateLimits {
             requests_per_s: 100.0,
             writes_per_s: 40.0,
-            value_bytes: 8_704,
-            txn_ops: 6,
+            max_value_bytes: 8_704,
+            max_txn_ops: 6,
         },
         cloud_requests_per_s: 10.0,
         cloud_list_lag: Duration::from_millis(8_250),
--- a/crates/scheduler/src/best_effort.rs
+++ b/crates/scheduler/src/best_effort.rs
@@ -24,7 +24,7 @@
     /// spot machines must not keep an on-demand machine in use.
     pub(crate) fn admits_best_effort(&self, job: &Job, machine: &Machine) -> bool {
         !job.is_best_effort()
-            || !job.spec.spot
+            || !job.spec.spot_allowed
             || machine.spot
             || machine.replica_count > 0
             || (machine.regular_count() > 0 && vacates_soon(job))
@@ -54,7 +54,7 @@
         self.last_unplaced_at
             .keys()
             .filter_map(|id| self.jobs.get(id))
-            .any(|other| other.spec.needs.fits(&free) && self.admits(other, machine, now))
+            .any(|other| other.spec.task_resources.fits(&free) && self.admits(other, machine, now))
     }
 
     /// Whether a task is best-effort work whose preemption loses little.
@@ -68,15 +68,15 @@
         let remaining = Duration::from_millis(
             victim
                 .spec
-                .estimate
+                .estimated_run_time
                 .whole_millis()
                 .saturating_sub(run_time.whole_millis()),
         );
         victim.spec.is_best_effort()
             && remaining > NEAR_END
-            && (victim.spec.checkpoint > Duration::ZERO
+            && (victim.spec.checkpoint_interval > Duration::ZERO
                 || run_time.whole_millis() * CHEAP_PROGRESS_DIVISOR
-                    < victim.spec.estimate.whole_millis())
+                    < victim.spec.estimated_run_time.whole_millis())
     }
 
     /// Work that is lost when a task is stopped, in ms: its whole run time if it saves no checkpoints, else the
@@ -89,12 +89,13 @@
         now: Timestamp,
     ) -> u64 {
         let run_time_ms = now.duration_since(placement.placed_at).whole_millis();
-        if victim.spec.checkpoint == Duration::ZERO {
+        if victim.spec.checkpoint_interval == Duration::ZERO {
             run_time_ms
         } else if at_once && victim.spec.is_best_effort() {
-            run_time_ms % victim.spec.checkpoint.whole_millis()
+            run_time_ms % victim.spec.checkpoint_interval.whole_millis()
         } else {
-            run_time_ms.min(victim.spec.save.whole_millis() + STOP_DELIVERY_ALLOWANCE_MS)
+            run_time_ms
+                .min(victim.spec.checkpoint_save_time.whole_millis() + STOP_DELIVERY_ALLOWANCE_MS)
         }
     }
 
@@ -103,8 +104,8 @@
     fn is_soon_reclaimable(&self, job: &Job, placement: &Placement, now: Timestamp) -> bool {
         let run_time = now.duration_since(placement.placed_at);
         !job.guaranteed
-            && (job.spec.checkpoint > Duration::ZERO
-                || job.spec.estimate.whole_millis()
+            && (job.spec.checkpoint_interval > Duration::ZERO
+                || job.spec.estimated_run_time.whole_millis()
                     < run_time.whole_millis() + NEAR_END.whole_millis())
     }
 
@@ -127,7 +128,7 @@
                 .get(&task.index)
                 .is_some_and(|placement| self.is_soon_reclaimable(job, placement, now))
             {
-                sum += job.spec.needs;
+                sum += job.spec.task_resources;
             }
         }
         sum
@@ -153,5 +154,5 @@
 /// Whether a job's tasks are gone within seconds when a machine is to become idle, since they save checkpoints
 /// or are short. Other tasks would remain on the machine alone after the array tasks beside them have ended.
 fn vacates_soon(job: &Job) -> bool {
-    job.spec.checkpoint > Duration::ZERO || job.spec.estimate < NEAR_END
+    job.spec.checkpoint_interval > Duration::ZERO || job.spec.estimated_run_time < NEAR_END
 }
--- a/crates/scheduler/src/best_effort_eviction.rs
+++ b/crates/scheduler/src/best_effort_eviction.rs
@@ -20,7 +20,7 @@
         for task in tasks {
             let is_stopped = self.jobs.get(&task.job).is_some_and(|job| {
                 job.spec.is_best_effort()
-                    && job.spec.checkpoint > Duration::ZERO
+                    && job.spec.checkpoint_interval > Duration::ZERO
                     && job
                         .placed
                         .get(&task.index)
@@ -68,7 +68,7 @@
             let placed_tasks_of_team = teams
                 .get(&job.spec.team)
                 .map_or(0, |team| team.placed_tasks);
-            if !job.spec.spot || job.guaranteed || placed_tasks_of_team <= MIN_TEAM_TASKS {
+            if !job.spec.spot_allowed || job.guaranteed || placed_tasks_of_team <= MIN_TEAM_TASKS {
                 continue;
             }
             let remaining = remaining_by_job
--- a/crates/scheduler/src/capacity_index.rs
+++ b/crates/scheduler/src/capacity_index.rs
@@ -244,7 +244,7 @@
         Levels {
             machines,
             allowed_classes: allowed_classes.collect(),
-            needs: spec.needs,
+            needs: spec.task_resources,
             visited_until: None,
         }
     }
--- a/crates/scheduler/src/capacity_index/tests.rs
+++ b/crates/scheduler/src/capacity_index/tests.rs
@@ -19,20 +19,20 @@
             JobKind::Array
         },
         priority: Priority::Normal,
-        tasks: 1,
+        task_count: 1,
         cpus: f64::from(rng.random_range(1..5)) / 2.0,
         gpus: f64::from(rng.random_range(0..2)),
         memory_gb: 1.0,
         image: format!("i{}", rng.random_range(0..4)),
         image_gb: 3.0,
-        types: rng.random_bool(0.3).then(|| vec!["m1".into()]),
+        allowed_machine_types: rng.random_bool(0.3).then(|| vec!["m1".into()]),
         zone: rng.random_bool(0.3).then(|| "a".into()),
         one_zone: false,
-        spread: false,
-        spot: rng.random_bool(0.5),
-        estimate_s: 10.0,
-        checkpoint_s: 0.0,
-        save_s: 0.0,
+        spread_over_zones: false,
+        spot_allowed: rng.random_bool(0.5),
+        estimated_run_time_s: 10.0,
+        checkpoint_interval_s: 0.0,
+        checkpoint_save_time_s: 0.0,
         deadline_s: None,
     };
     Job::new(
@@ -50,8 +50,8 @@
         memory_gb: 6.0,
         cache_gb: 7.0,
         fetch_gb_per_s: 1.0,
-        price: 1.0,
-        spot_price: 0.5,
+        price_per_hour: 1.0,
+        spot_price_per_hour: 0.5,
         boot_s: 10.0,
         zones: vec!["a".into(), "b".into()],
     };
@@ -125,7 +125,7 @@
                         job: JobId(step),
                         index: 0,
                     };
-                    if job.spec.needs.fits(&machine.free()) {
+                    if job.spec.task_resources.fits(&machine.free()) {
                         machine.add_task(task, &job.spec);
                         index.update(machine);
                         index.touch_image(machine, &job.spec.image, job.spec.image_gb);
@@ -134,7 +134,7 @@
                 }
                 _ => {}
             }
-            let fits = |machine: &Machine| job.spec.needs.fits(&machine.free());
+            let fits = |machine: &Machine| job.spec.task_resources.fits(&machine.free());
             let expected = machines
                 .values()
                 .filter(|machine| machine.capacity_key.is_some() && fits(machine))
--- a/crates/scheduler/src/colocation.rs
+++ b/crates/scheduler/src/colocation.rs
@@ -27,12 +27,12 @@
 /// GPUs, and nothing on a machine without GPU work.
 pub(crate) fn tasks_that_fit(job: &Job, machine: &Machine, free: Resources) -> u64 {
     if !is_colocated(machine, job) {
-        return free.how_many_fit(&job.spec.needs);
+        return free.how_many_fit(&job.spec.task_resources);
     }
     if machine.used.milli_gpus == 0 {
         return 0;
     }
-    without_free_gpu_shares(free, &machine.capacity).how_many_fit(&job.spec.needs)
+    without_free_gpu_shares(free, &machine.capacity).how_many_fit(&job.spec.task_resources)
 }
 
 /// Free resources less the share of each free GPU, which is an equal part of the machine's CPUs and memory.
@@ -82,6 +82,10 @@
         return false;
     };
     let ran_ms = now.duration_since(placement.placed_at).whole_millis();
-    let left_ms = job.spec.estimate.whole_millis().saturating_sub(ran_ms);
+    let left_ms = job
+        .spec
+        .estimated_run_time
+        .whole_millis()
+        .saturating_sub(ran_ms);
     job.colocated_only && placement.stop.is_none() && Duration::from_millis(left_ms) > NEAR_END
 }
--- a/crates/scheduler/src/commands.rs
+++ b/crates/scheduler/src/commands.rs
@@ -56,7 +56,7 @@
         if let Some(machine) = self.machines.get_mut(name) {
             machine.record_launches(&launches, route, launch, now);
         }
-        commands.extend(launches.into_iter().map(|launched| Command::Start {
+        commands.extend(launches.into_iter().map(|launched| Command::Launch {
             task: launched.task.to_string(),
             attempt: launched.attempt.0,
         }));
--- a/crates/scheduler/src/consolidation.rs
+++ b/crates/scheduler/src/consolidation.rs
@@ -120,7 +120,8 @@
                 if job.spec.is_best_effort() {
                     return true;
                 }
-                let is_movable = !job.spec.one_zone && !job.spec.spread && !job.cancelled;
+                let is_movable =
+                    !job.spec.one_zone && !job.spec.spread_over_zones && !job.cancelled;
                 is_movable
                     && job.placed.get(&task.index).is_some_and(|placement| {
                         placement.stop.is_none()
@@ -145,7 +146,7 @@
                 for planned in moves.iter().filter(|other| other.target == machine.name) {
                     free -= planned.needs;
                 }
-                job.spec.needs.fits(&free)
+                job.spec.task_resources.fits(&free)
             };
             let target = self
                 .machines
@@ -161,7 +162,7 @@
             moves.push(ReplicaMove {
                 task: *task,
                 target: target.name.clone(),
-                needs: job.spec.needs,
+                needs: job.spec.task_resources,
             });
         }
         Some(moves)
--- a/crates/scheduler/src/cycle.rs
+++ b/crates/scheduler/src/cycle.rs
@@ -241,23 +241,27 @@
                 ending_tasks += machine.regular_count() - machine.replica_count;
             }
         }
-        let estimate_ms = job.spec.estimate.whole_millis().max(MIN_ESTIMATE_MS);
+        let estimate_ms = job
+            .spec
+            .estimated_run_time
+            .whole_millis()
+            .max(MIN_ESTIMATE_MS);
         job.waiting_count() * estimate_ms * ESTIMATE_SAFETY_FACTOR
             < ending_tasks * fetch_time.whole_millis()
     }
 
     /// Whether the team's limit leaves room for this many more tasks of the job, reservations not counted.
     pub(crate) fn fits_quota_now(&self, job: &Job, tasks: u64) -> bool {
-        self.teams
-            .get(&job.spec.team)
-            .is_some_and(|team| (team.used + job.spec.needs.times(tasks)).fits_quota(&team.limit))
+        self.teams.get(&job.spec.team).is_some_and(|team| {
+            (team.used + job.spec.task_resources.times(tasks)).fits_quota(&team.limit)
+        })
     }
 
     /// The number of a job's placed tasks in each zone; empty for a job that neither has to run in one zone
     /// nor to be spread.
     pub(crate) fn tasks_by_zone(&self, job: &Job) -> BTreeMap<ZoneName, u32> {
         let mut tasks_by_zone = BTreeMap::new();
-        if job.spec.one_zone || job.spec.spread {
+        if job.spec.one_zone || job.spec.spread_over_zones {
             for placement in job.placed.values() {
                 if let Some(machine) = self.machines.get(&placement.machine) {
                     *tasks_by_zone.entry(machine.zone.clone()).or_default() += 1;
@@ -268,15 +272,15 @@
     }
 }
 
-/// Whether the job's `one_zone` and `spread` allow one more of its tasks in a zone.
+/// Whether the job's `one_zone` and `spread_over_zones` allow one more of its tasks in a zone.
 pub(crate) fn zone_allowed(
     job: &Job,
     zone: &ZoneName,
     tasks_by_zone: &BTreeMap<ZoneName, u32>,
 ) -> bool {
     let one_zone_allows = !job.spec.one_zone || tasks_by_zone.keys().all(|used| used == zone);
-    let spread_allows =
-        !job.spec.spread || tasks_by_zone.get(zone).copied().unwrap_or(0) < job.spec.zone_limit();
+    let spread_allows = !job.spec.spread_over_zones
+        || tasks_by_zone.get(zone).copied().unwrap_or(0) < job.spec.max_tasks_per_zone();
     one_zone_allows && spread_allows
 }
 
@@ -315,7 +319,7 @@
 /// placed where most replicas are. Tasks of arrays and gangs are placed on machines with any replica first,
 /// so that machines without replicas become idle and can be returned.
 pub(crate) fn score(job: &Job, machine: &Machine) -> Score {
-    let left = machine.free().saturating_sub(&job.spec.needs);
+    let left = machine.free().saturating_sub(&job.spec.task_resources);
     let max_replicas = match job.spec.kind {
         JobKind::Service => MAX_RANKED_REPLICAS,
         JobKind::Array | JobKind::Gang => 1,
--- a/crates/scheduler/src/demand.rs
+++ b/crates/scheduler/src/demand.rs
@@ -30,7 +30,7 @@
         let min_milli_cpus = waiting
             .keys()
             .filter_map(|waiting| self.jobs.get(&waiting.job))
-            .map(|job| job.spec.needs.milli_cpus)
+            .map(|job| job.spec.task_resources.milli_cpus)
             .min()
             .unwrap_or(0);
         let mut estimate = DemandEstimate::new(self, min_milli_cpus, now);
@@ -52,7 +52,7 @@
             };
             let tasks = match entry {
                 EntryKey::Task(_) => 1,
-                EntryKey::Gang(_) => u64::from(job.spec.tasks),
+                EntryKey::Gang(_) => u64::from(job.spec.task_count),
             };
             let key = WaitingJob {
                 best_effort: job.is_best_effort(),
@@ -73,15 +73,19 @@
             if job.spec.kind != JobKind::Array || !self.fits_quota_now(job, 1) {
                 continue;
             }
-            let estimate_ms = job.spec.estimate.whole_millis().max(MIN_ESTIMATE_MS);
+            let estimate_ms = job
+                .spec
+                .estimated_run_time
+                .whole_millis()
+                .max(MIN_ESTIMATE_MS);
             let placed = job.placed.len() as u64;
             let freed_of = |per_task: u64| {
                 let used = placed * per_task;
                 (used * self.policy.absorb_within.whole_millis() / estimate_ms).min(used)
             };
             freed += Resources {
-                milli_cpus: freed_of(job.spec.needs.milli_cpus),
-                milli_gpus: freed_of(job.spec.needs.milli_gpus),
+                milli_cpus: freed_of(job.spec.task_resources.milli_cpus),
+                milli_gpus: freed_of(job.spec.task_resources.milli_gpus),
                 memory_mb: 0,
             };
         }
@@ -100,7 +104,7 @@
         if job.spec.one_zone {
             return tasks_by_zone.keys().next().cloned();
         }
-        if job.spec.spread {
+        if job.spec.spread_over_zones {
             let tasks_in = |zone: &&ZoneName| tasks_by_zone.get(*zone).copied().unwrap_or(0);
             return self.zones.iter().min_by_key(tasks_in).cloned();
         }
--- a/crates/scheduler/src/demand_estimate.rs
+++ b/crates/scheduler/src/demand_estimate.rs
@@ -58,7 +58,8 @@
                 team: &job.spec.team,
                 priority: job.spec.priority,
             };
-            *usage.entry(key).or_default() += job.spec.needs.times(job.placed.len() as u64);
+            *usage.entry(key).or_default() +=
+                job.spec.task_resources.times(job.placed.len() as u64);
         }
         PreemptibleUsage(usage)
     }
@@ -196,7 +197,7 @@
     /// Allots free capacity on the machines to waiting tasks of a job.
     fn place_waiting_tasks(&mut self, job: &Job, tasks: u64) -> WaitingPlacement {
         let (partition, now) = (self.partition, self.now);
-        let is_zone_constrained = job.spec.one_zone || job.spec.spread;
+        let is_zone_constrained = job.spec.one_zone || job.spec.spread_over_zones;
         let mut tasks_by_zone = partition.tasks_by_zone(job);
         if job.spec.one_zone && tasks_by_zone.is_empty() {
             tasks_by_zone.extend(self.choose_zone(job).map(|zone| (zone, 0)));
@@ -226,7 +227,7 @@
             if is_zone_constrained {
                 *tasks_by_zone.entry(zone.clone()).or_default() += count as u32;
             }
-            capacity.allocate(job.spec.needs.times(count));
+            capacity.allocate(job.spec.task_resources.times(count));
             placed += count;
         }
         WaitingPlacement {
@@ -265,9 +266,10 @@
     fn add_shape(&mut self, shape: DemandShape) {
         match self.shapes.iter_mut().find(|other| is_alike(other, &shape)) {
             Some(other) => {
-                other.tasks += shape.tasks;
-                other.urgent += shape.urgent;
-                other.estimate_ms = other.estimate_ms.max(shape.estimate_ms);
+                other.task_count += shape.task_count;
+                other.urgent_count += shape.urgent_count;
+                other.estimated_run_time_ms =
+                    other.estimated_run_time_ms.max(shape.estimated_run_time_ms);
             }
             None => self.shapes.push(shape),
         }
@@ -278,34 +280,34 @@
 fn quota_needs(job: &Job) -> Resources {
     Resources {
         memory_mb: 0,
-        ..job.spec.needs
+        ..job.spec.task_resources
     }
 }
 
-/// How many more tasks of a job its `spread` allows in a zone.
+/// How many more tasks of a job its `spread_over_zones` allows in a zone.
 fn zone_capacity(job: &Job, zone: &ZoneName, tasks_by_zone: &BTreeMap<ZoneName, u32>) -> u64 {
-    if !job.spec.spread {
+    if !job.spec.spread_over_zones {
         return u64::MAX;
     }
     let placed = tasks_by_zone.get(zone).copied().unwrap_or(0);
-    u64::from(job.spec.zone_limit().saturating_sub(placed))
+    u64::from(job.spec.max_tasks_per_zone().saturating_sub(placed))
 }
 
 /// The demand for some tasks of a job.
 fn demand_shape(job: &Job, tasks: u64, zone: Option<ZoneName>, starved: bool) -> DemandShape {
-    let estimate_ms = job.spec.estimate.whole_millis();
+    let estimate_ms = job.spec.estimated_run_time.whole_millis();
     let is_urgent = job.guaranteed || estimate_ms == 0;
     let is_unplaced_one_zone_job = job.spec.one_zone && job.placed.is_empty();
     DemandShape {
-        milli_cpus: job.spec.needs.milli_cpus,
-        milli_gpus: job.spec.needs.milli_gpus,
-        memory_mb: job.spec.needs.memory_mb,
-        types: job.spec.types.clone(),
+        milli_cpus: job.spec.task_resources.milli_cpus,
+        milli_gpus: job.spec.task_resources.milli_gpus,
+        memory_mb: job.spec.task_resources.memory_mb,
+        allowed_machine_types: job.spec.allowed_machine_types.clone(),
         zone: zone.map(|zone| zone.to_string()),
-        spot: job.spec.spot,
-        tasks,
-        urgent: if is_urgent { tasks } else { 0 },
-        estimate_ms,
+        spot_allowed: job.spec.spot_allowed,
+        task_count: tasks,
+        urgent_count: if is_urgent { tasks } else { 0 },
+        estimated_run_time_ms: estimate_ms,
         // The fleet is scaled out for best-effort work only with spot machines. A starved task, which has
         // waited too long for spare capacity, is therefore reported with normal priority.
         priority: if starved {
@@ -313,8 +315,8 @@
         } else {
             job.spec.priority
         },
-        gang: if is_unplaced_one_zone_job {
-            u64::from(job.spec.tasks)
+        gang_size: if is_unplaced_one_zone_job {
+            u64::from(job.spec.task_count)
         } else {
             0
         },
@@ -327,10 +329,10 @@
     left.milli_cpus == right.milli_cpus
         && left.milli_gpus == right.milli_gpus
         && left.memory_mb == right.memory_mb
-        && left.types == right.types
+        && left.allowed_machine_types == right.allowed_machine_types
         && left.zone == right.zone
-        && left.spot == right.spot
+        && left.spot_allowed == right.spot_allowed
         && left.priority == right.priority
-        && left.gang + right.gang == 0
-        && (left.estimate_ms == 0) == (right.estimate_ms == 0)
+        && left.gang_size + right.gang_size == 0
+        && (left.estimated_run_time_ms == 0) == (right.estimated_run_time_ms == 0)
 }
--- a/crates/scheduler/src/explain.rs
+++ b/crates/scheduler/src/explain.rs
@@ -58,7 +58,7 @@
             job.done_count(),
             job.placed.len(),
             job.running_count(),
-            job.spec.tasks,
+            job.spec.task_count,
             job.cancelled,
             job.finishing,
             job.guaranteed,
@@ -115,7 +115,7 @@
         format!(
             "nothing is kept for it: the machines of its partition hold {capacity} of its {} tasks at most, \
              those kept for gangs before it included",
-            job.spec.tasks
+            job.spec.task_count
         )
     }
 
@@ -128,7 +128,7 @@
             .flat_map(|job| job.placed.values())
             .filter(|placement| placement.last_status == Some(TaskState::Fetching))
             .count();
-        let demand: u64 = self.demand(now).iter().map(|shape| shape.tasks).sum();
+        let demand: u64 = self.demand(now).iter().map(|shape| shape.task_count).sum();
         tracing::debug!(
             %partition,
             machines = self.machines.len(),
@@ -178,6 +178,6 @@
     };
     format!(
         "{state}: {ready} of {} tasks wait for the others",
-        job.spec.tasks
+        job.spec.task_count
     )
 }
--- a/crates/scheduler/src/failover.rs
+++ b/crates/scheduler/src/failover.rs
@@ -57,12 +57,12 @@
         Some(ReplicatedRecord::Machine(MachineSnapshot {
             machine: self.name.to_string(),
             address: address.clone(),
-            session: worker_epoch.0,
+            worker_epoch: worker_epoch.0,
             reporting: self
                 .last_heartbeat_at
                 .is_some_and(|at| now.duration_since(at) <= heartbeat_timeout),
             quarantined: self.quarantined,
-            idle_at: idle.then_some(self.idle_since.as_millis()),
+            idle_since_ms: idle.then_some(self.idle_since.as_millis()),
             images,
         }))
     }
@@ -91,7 +91,7 @@
                     .collect(),
                 failed_on: job.failed_on.iter().map(ToString::to_string).collect(),
                 successes: job.successes,
-                fails_within_ms: job.longest_failure.whole_millis(),
+                longest_failure_ms: job.longest_failure.whole_millis(),
             })
         });
         machines.chain(jobs).collect()
@@ -123,7 +123,7 @@
         if machine.last_seen_at.is_none() && !snapshot.address.is_empty() {
             machine.replicated_endpoint = Some(ReplicatedEndpoint {
                 address: snapshot.address.clone(),
-                worker_epoch: WorkerEpoch(snapshot.session),
+                worker_epoch: WorkerEpoch(snapshot.worker_epoch),
                 reporting: snapshot.reporting,
             });
         }
@@ -135,7 +135,7 @@
         let Some(job) = self.jobs.get_mut(&id) else {
             return;
         };
-        let tasks = job.spec.tasks;
+        let tasks = job.spec.task_count;
         for (index, failures) in snapshot.failures.iter().filter(|(index, _)| *index < tasks) {
             if !job.is_done(*index) {
                 job.failures
@@ -150,7 +150,7 @@
         job.failed_on.truncate(MAX_FAILED_MACHINES);
         job.successes = job.successes.max(snapshot.successes);
         job.longest_failure =
-            Duration::from_millis(snapshot.fails_within_ms).min(MAX_REPLICATED_FAILURE_TIME);
+            Duration::from_millis(snapshot.longest_failure_ms).min(MAX_REPLICATED_FAILURE_TIME);
         if job.is_suspect() && !job.cancelled && !job.finishing {
             self.begin_probing(id, now);
         }
--- a/crates/scheduler/src/failure_attribution.rs
+++ b/crates/scheduler/src/failure_attribution.rs
@@ -52,7 +52,7 @@
             return self.placed.is_empty().then_some(EntryKey::Gang(id));
         }
         let is_waiting = |index: &u32| !self.is_done(*index) && !self.placed.contains_key(index);
-        let index = (0..self.spec.tasks).find(is_waiting)?;
+        let index = (0..self.spec.task_count).find(is_waiting)?;
         Some(EntryKey::Task(TaskId { job: id, index }))
     }
 
--- a/crates/scheduler/src/gang_precedence.rs
+++ b/crates/scheduler/src/gang_precedence.rs
@@ -29,12 +29,12 @@
             {
                 continue;
             }
-            let is_placed_like = |other: &JobId| {
+            let has_same_requirements = |other: &JobId| {
                 self.jobs
                     .get(other)
-                    .is_some_and(|other| other.spec.is_placed_like(&job.spec))
+                    .is_some_and(|other| other.spec.has_same_machine_requirements(&job.spec))
             };
-            if !self.waiting_gangs.iter().any(is_placed_like) {
+            if !self.waiting_gangs.iter().any(has_same_requirements) {
                 self.waiting_gangs.push(*id);
             }
         }
@@ -58,7 +58,9 @@
         }
         let has_precedence = |gang: &&Job| {
             Rank::of_job(gang) < Rank::of_job(job)
-                && job.spec.fits_other_type(&gang.spec, &self.machine_types)
+                && job
+                    .spec
+                    .fits_type_unusable_for(&gang.spec, &self.machine_types)
         };
         self.waiting_gang_jobs().filter(has_precedence).collect()
     }
--- a/crates/scheduler/src/gang_reservation_choice.rs
+++ b/crates/scheduler/src/gang_reservation_choice.rs
@@ -132,7 +132,7 @@
             let job = self.jobs.get(&task.job)?;
             let placement = job.placed.get(&task.index)?;
             let at = if placement.stop.is_some() {
-                now + job.spec.save
+                now + job.spec.checkpoint_save_time
             } else if self.may_preempt(gang, job, placement) {
                 self.estimated_end(job, placement, now)
                     .min(now + PREEMPTION_ALLOWANCE)
@@ -143,7 +143,7 @@
             };
             Some(ExpectedRelease {
                 at,
-                resources: job.spec.needs,
+                resources: job.spec.task_resources,
             })
         };
         machine.tasks.iter().filter_map(release_of).collect()
@@ -163,7 +163,7 @@
         let run_time = now.duration_since(started_at);
         let min_remaining = Duration::from_millis(run_time.whole_millis() / OVERRUN_DIVISOR)
             .max(MIN_REMAINING_TIME);
-        (started_at + job.spec.estimate).max(now + min_remaining)
+        (started_at + job.spec.estimated_run_time).max(now + min_remaining)
     }
 
     /// When a placed task is expected to start: once its image is fetched, or, for a gang, once the images of
@@ -206,9 +206,9 @@
 
 /// The first machines of a list that a whole gang fits on together.
 fn first_that_fit(job: &Job, candidates: &[CandidateMachine]) -> Option<ChosenMachines> {
-    let per_zone = u64::from(job.spec.zone_limit());
+    let per_zone = u64::from(job.spec.max_tasks_per_zone());
     let mut tasks_by_zone: BTreeMap<&ZoneName, u64> = BTreeMap::new();
-    let mut remaining = u64::from(job.spec.tasks);
+    let mut remaining = u64::from(job.spec.task_count);
     let mut chosen = ChosenMachines {
         ready_at: Timestamp::default(),
         machines: BTreeMap::new(),
--- a/crates/scheduler/src/gang_reservations.rs
+++ b/crates/scheduler/src/gang_reservations.rs
@@ -93,7 +93,8 @@
                     .machines
                     .get(name)
                     .map_or(Resources::default(), |machine| machine.used);
-                team.reserved_for_gangs += job.spec.needs.times(*tasks).saturating_sub(&used);
+                team.reserved_for_gangs +=
+                    job.spec.task_resources.times(*tasks).saturating_sub(&used);
             }
         }
     }
@@ -170,9 +171,9 @@
 
     /// Whether the team's limit allows a whole gang to be placed.
     fn gang_fits_limit(&self, id: JobId) -> bool {
-        self.jobs
-            .get(&id)
-            .is_some_and(|job| self.fits_limit(EntryKey::Gang(id), job, u64::from(job.spec.tasks)))
+        self.jobs.get(&id).is_some_and(|job| {
+            self.fits_limit(EntryKey::Gang(id), job, u64::from(job.spec.task_count))
+        })
     }
 
     fn is_queued_gang(&self, id: JobId) -> bool {
@@ -273,7 +274,7 @@
             };
             let ends_at = self.estimated_end(job, placement, now);
             if placement.stop.is_some() || ends_at <= ready_at + ACCEPTABLE_WAIT {
-                free += job.spec.needs;
+                free += job.spec.task_resources;
             } else if self.may_preempt(gang, job, placement) {
                 candidates.push(Victim {
                     lost_work_ms: self.lost_work_ms(job, placement, false, now),
@@ -288,7 +289,7 @@
                 break;
             }
             if let Some(job) = self.jobs.get(&task.job) {
-                free += job.spec.needs;
+                free += job.spec.task_resources;
             }
             victims.push(task);
         }
@@ -314,8 +315,9 @@
         return false;
     };
     let free = machine.free();
-    let reserved = gang.spec.needs.times(*tasks);
-    job.spec.needs.fits(&free) && reserved.fits(&free.saturating_sub(&job.spec.needs))
+    let reserved = gang.spec.task_resources.times(*tasks);
+    job.spec.task_resources.fits(&free)
+        && reserved.fits(&free.saturating_sub(&job.spec.task_resources))
 }
 
 /// Whether a task of a job, if launched on a machine now, can be relied on to end by `ready_at`.
@@ -325,6 +327,6 @@
         JobKind::Gang => 1,
         JobKind::Array => ESTIMATE_SAFETY_FACTOR,
     };
-    let max_duration = fetch_time(job, machine) + job.spec.estimate * factor;
+    let max_duration = fetch_time(job, machine) + job.spec.estimated_run_time * factor;
     now + max_duration <= ready_at
 }
--- a/crates/scheduler/src/gangs.rs
+++ b/crates/scheduler/src/gangs.rs
@@ -31,7 +31,7 @@
         if job.cancelled || job.all_done() || !job.placed.is_empty() {
             return Ok(());
         }
-        if !self.fits_limit(EntryKey::Gang(id), job, u64::from(job.spec.tasks)) {
+        if !self.fits_limit(EntryKey::Gang(id), job, u64::from(job.spec.task_count)) {
             return Err(PlacementFailure::LimitReached);
         }
         let machines = self
@@ -54,7 +54,7 @@
 
     /// The machine for each task of a gang, or `None` if they do not all fit.
     fn machines_for_gang(&self, job: &Job, now: Timestamp) -> Option<Vec<MachineName>> {
-        let wanted = u64::from(job.spec.tasks);
+        let wanted = u64::from(job.spec.task_count);
         let mut zones = self.fitting_machines_by_zone(job, now);
         if job.spec.one_zone {
             // The smallest zone that the whole gang fits into: the others remain for larger gangs.
@@ -65,7 +65,7 @@
             // The zone with the most capacity first, so that the gang spans as few zones as possible.
             zones.sort_by_key(|machines| Reverse(total_tasks(machines)));
         }
-        let per_zone = u64::from(job.spec.zone_limit());
+        let per_zone = u64::from(job.spec.max_tasks_per_zone());
         let mut chosen = Vec::new();
         for mut machines in zones {
             machines.sort_by_key(|fitting| (score(job, fitting.machine), &fitting.machine.name));
@@ -129,7 +129,7 @@
             return;
         }
         let waited_ms = now.duration_since(job.added_at).whole_millis();
-        tracing::debug!(job = %id, class = job.spec.class, tasks = job.spec.tasks, waited_ms, "gang started");
+        tracing::debug!(job = %id, class = job.spec.class, tasks = job.spec.task_count, waited_ms, "gang started");
         job.gang_started_at = Some(now);
     }
 
--- a/crates/scheduler/src/guarantees.rs
+++ b/crates/scheduler/src/guarantees.rs
@@ -85,7 +85,10 @@
         let Some(job) = jobs.get(*id) else {
             return true;
         };
-        sum += job.spec.needs.times(u64::from(job.spec.tasks));
+        sum += job
+            .spec
+            .task_resources
+            .times(u64::from(job.spec.task_count));
         sum.fits_quota(guarantee)
     };
     order.iter().take_while(fits).copied().collect()
--- a/crates/scheduler/src/job.rs
+++ b/crates/scheduler/src/job.rs
@@ -72,7 +72,7 @@
     /// A job without any progress.
     pub fn new(spec: impl Into<Arc<JobSpec>>, submitted_at_ms: u64, now: Timestamp) -> Self {
         let spec = spec.into();
-        let words = spec.tasks.div_ceil(TASKS_PER_CHUNK) as usize;
+        let words = spec.task_count.div_ceil(TASKS_PER_CHUNK) as usize;
         Job {
             spec,
             submitted_at_ms,
@@ -115,7 +115,7 @@
 
     /// Marks a task as done. Returns false if it was already done or does not exist.
     pub fn mark_done(&mut self, index: u32) -> bool {
-        if index >= self.spec.tasks || self.is_done(index) {
+        if index >= self.spec.task_count || self.is_done(index) {
             return false;
         }
         self.done[(index / TASKS_PER_CHUNK) as usize] |= 1 << (index % TASKS_PER_CHUNK);
@@ -131,12 +131,12 @@
 
     /// Number of tasks that are neither placed nor done.
     pub(crate) fn waiting_count(&self) -> u64 {
-        u64::from(self.spec.tasks - self.done_count()).saturating_sub(self.placed.len() as u64)
+        u64::from(self.spec.task_count - self.done_count()).saturating_sub(self.placed.len() as u64)
     }
 
     /// Whether every task is done.
     pub fn all_done(&self) -> bool {
-        self.done_count == self.spec.tasks
+        self.done_count == self.spec.task_count
     }
 
     /// Number of tasks that run or save a checkpoint by their newest status, for display.
@@ -183,7 +183,7 @@
             let index = first_index + task.offset;
             // The first task of a gang that is done completes all of them, also those that are still placed.
             let is_over = self.is_done(index) && self.spec.kind != JobKind::Gang;
-            if task.offset >= TASKS_PER_CHUNK || index >= self.spec.tasks || is_over {
+            if task.offset >= TASKS_PER_CHUNK || index >= self.spec.task_count || is_over {
                 continue;
             }
             let machine = MachineName::from(task.machine.as_str());
--- a/crates/scheduler/src/job_lifecycle.rs
+++ b/crates/scheduler/src/job_lifecycle.rs
@@ -55,7 +55,7 @@
     ) -> Job {
         let mut job = Job::new(spec, submitted_at_ms, now);
         job.size_penalty = self.size_penalty_of(&job.spec);
-        job.colocated_only = job.spec.does_without_gpus(&self.machine_types);
+        job.colocated_only = job.spec.fits_type_without_gpus(&self.machine_types);
         job.completion_objective = job
             .spec
             .deadline
@@ -86,10 +86,10 @@
         let tasks = if spec.kind == JobKind::Gang {
             1
         } else {
-            u64::from(spec.tasks)
+            u64::from(spec.task_count)
         };
         let concurrent_tasks = self.teams.max_concurrent_tasks(spec);
-        let run_time_ms = spec.estimate.whole_millis() * tasks / concurrent_tasks;
+        let run_time_ms = spec.estimated_run_time.whole_millis() * tasks / concurrent_tasks;
         Duration::from_millis(run_time_ms * self.policy.size_penalty_factor)
     }
 
@@ -134,7 +134,7 @@
         let mut max_queued = job
             .next_index_to_queue
             .saturating_sub(job.done_count() + job.placed.len() as u32);
-        while job.next_index_to_queue < job.spec.tasks && max_queued < limit {
+        while job.next_index_to_queue < job.spec.task_count && max_queued < limit {
             let index = job.next_index_to_queue;
             job.next_index_to_queue += 1;
             if !job.is_done(index) && !job.placed.contains_key(&index) {
@@ -200,7 +200,7 @@
             };
             self.remove_from_counts(task, &job.spec, placement, now);
         }
-        self.uncommitted.forget_job(id, job.spec.tasks);
+        self.uncommitted.forget_job(id, job.spec.task_count);
     }
 }
 
@@ -210,10 +210,10 @@
         job = %spec.id,
         class = spec.class,
         team = %spec.team,
-        tasks = spec.tasks,
+        tasks = spec.task_count,
         priority = ?spec.priority,
-        spot = spec.spot,
-        estimate_ms = spec.estimate.whole_millis(),
+        spot = spec.spot_allowed,
+        estimate_ms = spec.estimated_run_time.whole_millis(),
         deadline_ms = spec.deadline.map(|deadline| deadline.whole_millis()),
         "job added"
     );
--- a/crates/scheduler/src/machine.rs
+++ b/crates/scheduler/src/machine.rs
@@ -160,11 +160,11 @@
     /// Adds a placed task and counts it.
     pub fn add_task(&mut self, task: TaskId, spec: &JobSpec) {
         if self.tasks.insert(task) {
-            self.used += spec.needs;
+            self.used += spec.task_resources;
             self.replica_count += u64::from(spec.kind == JobKind::Service);
             if spec.is_best_effort() {
                 self.best_effort_count += 1;
-                self.best_effort_used += spec.needs;
+                self.best_effort_used += spec.task_resources;
             }
         }
     }
@@ -177,11 +177,11 @@
     /// Removes a task and no longer counts it.
     pub fn remove_task(&mut self, task: TaskId, spec: &JobSpec, now: Timestamp) {
         if self.tasks.remove(&task) {
-            self.used -= spec.needs;
+            self.used -= spec.task_resources;
             self.replica_count -= u64::from(spec.kind == JobKind::Service);
             if spec.is_best_effort() {
                 self.best_effort_count -= 1;
-                self.best_effort_used -= spec.needs;
+                self.best_effort_used -= spec.task_resources;
             } else if self.regular_count() == 0 {
                 self.last_regular_removed_at = now;
             }
--- a/crates/scheduler/src/overload.rs
+++ b/crates/scheduler/src/overload.rs
@@ -40,7 +40,7 @@
     /// the queue: the penalty shrinks with each task that ends.
     fn changed_overload_penalty(&self, factor: u64) -> Option<Duration> {
         let remaining_penalty_ms = self.size_penalty.whole_millis() * self.waiting_count()
-            / u64::from(self.spec.tasks.max(1));
+            / u64::from(self.spec.task_count.max(1));
         let penalty_ms = if self.counts_as_waiting_work() {
             remaining_penalty_ms * factor
         } else {
@@ -95,8 +95,8 @@
             // Jobs at their team's limit do not wait for machines.
             if self.fits_quota_now(job, 1) {
                 waiting.milli_cpu_ms += job.waiting_count()
-                    * job.spec.needs.milli_cpus
-                    * job.spec.estimate.whole_millis();
+                    * job.spec.task_resources.milli_cpus
+                    * job.spec.estimated_run_time.whole_millis();
                 waiting.objective_ms = waiting.objective_ms.min(objective.whole_millis());
             }
         }
@@ -113,7 +113,7 @@
             .sum();
         for job in self.jobs.values() {
             if job.spec.kind == JobKind::Service {
-                let used = job.placed.len() as u64 * job.spec.needs.milli_cpus;
+                let used = job.placed.len() as u64 * job.spec.task_resources.milli_cpus;
                 milli_cpus = milli_cpus.saturating_sub(used);
             }
         }
--- a/crates/scheduler/src/partition_state.rs
+++ b/crates/scheduler/src/partition_state.rs
@@ -172,7 +172,7 @@
     pub fn set_machine_types(&mut self, machine_types: &[MachineType]) {
         self.machine_types = machine_types.to_vec();
         for job in self.jobs.values_mut() {
-            job.colocated_only = job.spec.does_without_gpus(machine_types);
+            job.colocated_only = job.spec.fits_type_without_gpus(machine_types);
         }
     }
 
--- a/crates/scheduler/src/placements.rs
+++ b/crates/scheduler/src/placements.rs
@@ -107,8 +107,8 @@
             return;
         };
         let has_progress = job.gang_started_at.is_some() && !job.cancelled && !job.all_done();
-        let grace_ms = if job.spec.checkpoint > Duration::ZERO && has_progress {
-            job.spec.save.whole_millis() + GANG_STOP_MARGIN_MS
+        let grace_ms = if job.spec.checkpoint_interval > Duration::ZERO && has_progress {
+            job.spec.checkpoint_save_time.whole_millis() + GANG_STOP_MARGIN_MS
         } else {
             0
         };
--- a/crates/scheduler/src/preempt.rs
+++ b/crates/scheduler/src/preempt.rs
@@ -135,7 +135,7 @@
         let is_urgent = self.preemption_scope(job) == Some(PreemptionScope::All);
         let reservation = Reservation {
             machine: plan.machine,
-            needs: job.spec.needs,
+            needs: job.spec.task_resources,
             expires_at: now + RESERVATION_TIMEOUT,
             charged_team: (failure == PlacementFailure::LimitReached)
                 .then(|| job.spec.team.clone()),
@@ -160,8 +160,8 @@
     /// The grace period in which a task can save a checkpoint, in ms; 0 if it saves none.
     pub(crate) fn grace_period_ms(&self, task: TaskId) -> u64 {
         self.jobs.get(&task.job).map_or(0, |job| {
-            if job.spec.checkpoint > Duration::ZERO {
-                job.spec.save.whole_millis() + STOP_DELIVERY_ALLOWANCE_MS
+            if job.spec.checkpoint_interval > Duration::ZERO {
+                job.spec.checkpoint_save_time.whole_millis() + STOP_DELIVERY_ALLOWANCE_MS
             } else {
                 0
             }
--- a/crates/scheduler/src/preemption_candidates.rs
+++ b/crates/scheduler/src/preemption_candidates.rs
@@ -41,7 +41,7 @@
         if spec.kind == JobKind::Gang || placement.stop.is_some() {
             return;
         }
-        let is_new = if spec.checkpoint > Duration::ZERO {
+        let is_new = if spec.checkpoint_interval > Duration::ZERO {
             self.with_checkpoints.insert(task)
         } else {
             self.without_checkpoints
--- a/crates/scheduler/src/preemption_search.rs
+++ b/crates/scheduler/src/preemption_search.rs
@@ -133,7 +133,7 @@
         }
         let machine = self.best_machine(entry, job, now).ok()?.name.clone();
         let team = self.teams.get(&job.spec.team)?;
-        let needed = team.used + team.reserved + job.spec.needs;
+        let needed = team.used + team.reserved + job.spec.task_resources;
         let mut plan = PreemptionPlan {
             cost_ms: 0,
             victims: Vec::new(),
@@ -159,7 +159,7 @@
             }
             plan.cost_ms += self.lost_work_ms(victim, placement, true, now) + VICTIM_COST_MS;
             plan.victims.push(task);
-            freed += victim.spec.needs;
+            freed += victim.spec.task_resources;
             if needed.saturating_sub(&freed).fits_quota(&team.limit) {
                 return Some(plan);
             }
@@ -175,7 +175,7 @@
                 .placed
                 .values()
                 .filter(|placement| placement.stop.is_some());
-            sum += job.spec.needs.times(stopping.count() as u64);
+            sum += job.spec.task_resources.times(stopping.count() as u64);
         }
         sum
     }
@@ -217,7 +217,7 @@
             machine: machine.name.clone(),
         };
         let is_enough = |free: &Resources, freed: &Resources| {
-            job.spec.needs.fits(free) && self.fits_limit_after(search, freed)
+            job.spec.task_resources.fits(free) && self.fits_limit_after(search, freed)
         };
         for Victim { lost_work_ms, task } in self.possible_victims_on(search, machine) {
             if is_enough(&free, &freed) {
@@ -226,8 +226,8 @@
             let Some(victim) = self.jobs.get(&task.job) else {
                 continue;
             };
-            free += victim.spec.needs;
-            freed += victim.spec.needs;
+            free += victim.spec.task_resources;
+            freed += victim.spec.task_resources;
             plan.cost_ms += lost_work_ms + VICTIM_COST_MS;
             plan.victims.push(task);
         }
@@ -260,7 +260,7 @@
         let spec = &search.job.spec;
         search.failure == PlacementFailure::NoFreeCapacity
             || self.teams.get(&spec.team).is_some_and(|team| {
-                (team.used.saturating_sub(freed) + spec.needs).fits_quota(&team.limit)
+                (team.used.saturating_sub(freed) + spec.task_resources).fits_quota(&team.limit)
             })
     }
 }
--- a/crates/scheduler/src/quotas.rs
+++ b/crates/scheduler/src/quotas.rs
@@ -58,14 +58,14 @@
     /// Adds the needs of one task of the job to its team's usage.
     pub(crate) fn charge(&mut self, spec: &JobSpec) {
         if let Some(team) = self.teams.get_mut(&spec.team) {
-            team.used += spec.needs;
+            team.used += spec.task_resources;
         }
     }
 
     /// Subtracts the needs of one task of the job from its team's usage.
     pub(crate) fn release(&mut self, spec: &JobSpec) {
         if let Some(team) = self.teams.get_mut(&spec.team) {
-            team.used -= spec.needs;
+            team.used -= spec.task_resources;
         }
     }
 
@@ -90,7 +90,7 @@
     pub(crate) fn max_concurrent_tasks(&self, spec: &JobSpec) -> u64 {
         let needs = Resources {
             memory_mb: 0,
-            ..spec.needs
+            ..spec.task_resources
         };
         let within_limit = |team: &TeamUsage| team.limit.how_many_fit(&needs);
         let is_limited = |count: &u64| *count < UNLIMITED_TASKS;
--- a/crates/scheduler/src/reconciliation.rs
+++ b/crates/scheduler/src/reconciliation.rs
@@ -60,13 +60,13 @@
         };
         Status {
             machine: MachineName::from(heartbeat.machine.as_str()),
-            worker_epoch: WorkerEpoch(heartbeat.session),
-            sequence_number: SequenceNumber(heartbeat.seq),
+            worker_epoch: WorkerEpoch(heartbeat.worker_epoch),
+            sequence_number: SequenceNumber(heartbeat.sequence_number),
             token: FencingToken(heartbeat.token),
             source,
             received_at,
             address: &heartbeat.address,
-            reclaimed_in: heartbeat.notice_s.map(duration_from_secs),
+            reclaimed_in: heartbeat.reclaimed_in_s.map(duration_from_secs),
             tasks: heartbeat.tasks.iter().filter_map(listed).collect(),
         }
     }
@@ -152,7 +152,7 @@
         let now = status.received_at;
         match listed.state {
             TaskState::Exited => {
-                self.handle_exit(task, listed.why.unwrap_or(ExitCause::Error), now);
+                self.handle_exit(task, listed.exit_cause.unwrap_or(ExitCause::Error), now);
             }
             TaskState::Running => {
                 let placed_at = placement.placed_at;
@@ -228,7 +228,7 @@
         match cause {
             ExitCause::Done => self.record_completion(task, &name),
             ExitCause::Error if !is_stopped => self.record_task_failure(task, &name, now),
-            ExitCause::NoRoom | ExitCause::Busy | ExitCause::Unknown => {
+            ExitCause::NoFreeCapacity | ExitCause::Busy | ExitCause::Unknown => {
                 if let Some(job) = self.jobs.get_mut(&task.job) {
                     *job.failures.entry(task.index).or_default() += 1;
                 }
@@ -251,7 +251,7 @@
         job.successes += 1;
         if job.spec.kind == JobKind::Gang {
             // The first task of a gang that is done completes the whole gang.
-            for index in 0..job.spec.tasks {
+            for index in 0..job.spec.task_count {
                 job.mark_done(index);
             }
         } else {
@@ -276,7 +276,7 @@
             .map(|listed| OrphanedTask {
                 id: listed.id,
                 state: listed.status.state,
-                exit_cause: listed.status.why,
+                exit_cause: listed.status.exit_cause,
             })
             .collect();
         if let Some(machine) = self.machines.get_mut(&status.machine) {
@@ -316,8 +316,8 @@
         let Some(job) = self.jobs.get(&task.job) else {
             return false;
         };
-        let needed = if job.spec.checkpoint > Duration::ZERO {
-            job.spec.save + RECLAIM_MARGIN
+        let needed = if job.spec.checkpoint_interval > Duration::ZERO {
+            job.spec.checkpoint_save_time + RECLAIM_MARGIN
         } else {
             RECLAIM_MARGIN
         };
--- a/crates/scheduler/src/reservations.rs
+++ b/crates/scheduler/src/reservations.rs
@@ -89,7 +89,7 @@
                 _ => Resources::default(),
             };
             let reserved = team.reserved.saturating_sub(&own) + reserved_for_gangs;
-            (team.used + reserved + job.spec.needs.times(tasks)).fits_quota(&team.limit)
+            (team.used + reserved + job.spec.task_resources.times(tasks)).fits_quota(&team.limit)
         })
     }
 
--- a/crates/scheduler/src/transfers.rs
+++ b/crates/scheduler/src/transfers.rs
@@ -46,7 +46,9 @@
             .jobs
             .values()
             .filter(|job| job.guaranteed && !job.cancelled)
-            .map(|job| job.spec.needs.milli_gpus * (job.placed.len() as u64 + job.waiting_count()))
+            .map(|job| {
+                job.spec.task_resources.milli_gpus * (job.placed.len() as u64 + job.waiting_count())
+            })
             .sum();
         let mut machines: Vec<GpuMachine> = self
             .machines
@@ -79,7 +81,7 @@
             .iter()
             .filter_map(|task| self.jobs.get(&task.job))
             .filter(|job| job.guaranteed)
-            .map(|job| job.spec.needs.milli_gpus)
+            .map(|job| job.spec.task_resources.milli_gpus)
             .sum()
     }
 
@@ -183,7 +185,7 @@
                     return None;
                 }
                 let placement = job.placed.get(&task.index)?;
-                Some((placement.placed_at + job.spec.estimate).duration_since(now))
+                Some((placement.placed_at + job.spec.estimated_run_time).duration_since(now))
             })
             .max()
             .unwrap_or(Duration::ZERO)
@@ -217,9 +219,9 @@
             .values()
             .map(|machine| MachineStatus {
                 machine: machine.name.to_string(),
-                tasks: machine.tasks.len() as u32,
+                task_count: machine.tasks.len() as u32,
                 idle_ms: self.idle_time(machine, now).whole_millis(),
-                up: machine.is_up(),
+                reporting: machine.is_up(),
                 quarantined: machine.quarantined,
                 since_heartbeat_ms: self.time_since_status(machine, now).whole_millis(),
                 transferable: self.is_transferable(machine, &spare_gpu_machines, now),
--- a/crates/scheduler/tests/gangs.rs
+++ b/crates/scheduler/tests/gangs.rs
@@ -16,8 +16,8 @@
         memory_gb: cpus * 4.0,
         cache_gb: 100.0,
         fetch_gb_per_s: 0.2,
-        price: cpus * 0.06 + gpus * 3.0,
-        spot_price: cpus * 0.02 + gpus,
+        price_per_hour: cpus * 0.06 + gpus * 3.0,
+        spot_price_per_hour: cpus * 0.02 + gpus,
         boot_s: 30.0,
         zones: vec!["a".into(), "b".into()],
     }
@@ -85,10 +85,10 @@
         machine_type: "any".into(),
         zone: "any".into(),
         spot: false,
-        session: 1,
-        seq: sequence_number,
+        worker_epoch: 1,
+        sequence_number,
         token: 5,
-        notice_s: None,
+        reclaimed_in_s: None,
         tasks,
     };
     partition.reconcile(&heartbeat, StatusSource::Heartbeat, now);
@@ -100,8 +100,8 @@
         task,
         attempt,
         state,
-        why: None,
-        saved: None,
+        exit_cause: None,
+        checkpoint_saved: None,
     }
 }
 
@@ -138,20 +138,20 @@
         } else {
             Priority::Normal
         },
-        tasks,
+        task_count: tasks,
         cpus,
         gpus,
         memory_gb: cpus,
         image: "i".into(),
         image_gb: 0.0,
-        types: None,
+        allowed_machine_types: None,
         zone: None,
         one_zone: kind == JobKind::Gang,
-        spread: false,
-        spot: false,
-        estimate_s: 60.0,
-        checkpoint_s: 0.0,
-        save_s: 0.0,
+        spread_over_zones: false,
+        spot_allowed: false,
+        estimated_run_time_s: 60.0,
+        checkpoint_interval_s: 0.0,
+        checkpoint_save_time_s: 0.0,
         deadline_s: None,
     }
 }
@@ -345,7 +345,7 @@
         );
         commands
             .iter()
-            .filter(|command| matches!(command, Command::Start { .. }))
+            .filter(|command| matches!(command, Command::Launch { .. }))
             .count()
     };
     assert_eq!(
@@ -476,7 +476,7 @@
     let array = submit(
         &mut partition,
         &JobRequest {
-            spot: true,
+            spot_allowed: true,
             ..with_deadline
         },
         Timestamp::from_millis(0),
@@ -500,7 +500,7 @@
         Timestamp::from_millis(0),
     );
     let gpu_type_only = JobRequest {
-        types: Some(vec!["graphics".into()]),
+        allowed_machine_types: Some(vec!["graphics".into()]),
         ..job(2, JobKind::Array, 1, 1.0, 0.0)
     };
     let gpu_type_only = submit(&mut partition, &gpu_type_only, Timestamp::from_millis(0));
@@ -575,7 +575,7 @@
     let mut partition = new_partition(1_000.0);
     (1..=3).for_each(|n| add_machine(&mut partition, n, "large", "a"));
     let running = JobRequest {
-        estimate_s: 200.0,
+        estimated_run_time_s: 200.0,
         ..job(1, JobKind::Gang, 1, 18.0, 0.0)
     };
     let running = submit(&mut partition, &running, Timestamp::from_millis(0));
@@ -590,7 +590,7 @@
     for (id, at_ms) in (3..).zip((4_000..80_000).step_by(500)) {
         report_all_running(&mut partition, id, Timestamp::from_millis(at_ms));
         let later = JobRequest {
-            estimate_s: 300.0,
+            estimated_run_time_s: 300.0,
             ..job(id, JobKind::Gang, 1, 18.0, 0.0)
         };
         let later = submit(&mut partition, &later, Timestamp::from_millis(at_ms));
@@ -675,7 +675,7 @@
         (2, 0)
     );
     let long = JobRequest {
-        estimate_s: 300.0,
+        estimated_run_time_s: 300.0,
         ..job(3, JobKind::Gang, 1, 18.0, 0.0)
     };
     let long = submit(&mut partition, &long, Timestamp::from_millis(3_000));
--- a/crates/scheduler/tests/partition_state/best_effort.rs
+++ b/crates/scheduler/tests/partition_state/best_effort.rs
@@ -18,10 +18,10 @@
         Duration::from_secs(3),
     );
     JobSpec {
-        spot: true,
-        estimate,
-        checkpoint,
-        save,
+        spot_allowed: true,
+        estimated_run_time: estimate,
+        checkpoint_interval: checkpoint,
+        checkpoint_save_time: save,
         ..spec
     }
 }
@@ -44,7 +44,7 @@
         Timestamp::from_millis(1_000),
     );
     let normal = JobSpec {
-        spot: true,
+        spot_allowed: true,
         ..job(2, "u", JobKind::Array, Priority::Normal, 2)
     };
     partition.add_job(normal, 2, &[], Timestamp::from_millis(1_200));
@@ -122,7 +122,7 @@
 fn best_effort_tasks_leave_capacity_to_arrays_in_backoff() {
     let mut partition = partition_without_guarantees(true);
     let spot = |id, tasks| JobSpec {
-        spot: true,
+        spot_allowed: true,
         ..job(id, "u", JobKind::Array, Priority::Normal, tasks)
     };
     partition.add_job(spot(1, 4), 1, &[], Timestamp::from_millis(100));
--- a/crates/scheduler/tests/partition_state/best_effort_waits.rs
+++ b/crates/scheduler/tests/partition_state/best_effort_waits.rs
@@ -35,8 +35,8 @@
 /// An array of low priority that may use spot machines and whose tasks do not save checkpoints.
 fn low_array(id: u64, tasks: u64) -> JobSpec {
     JobSpec {
-        spot: true,
-        estimate: Duration::from_secs(300),
+        spot_allowed: true,
+        estimated_run_time: Duration::from_secs(300),
         ..job(id, "t", JobKind::Array, Priority::Low, tasks)
     }
 }
@@ -44,8 +44,8 @@
 /// As [`low_array`], with tasks that save checkpoints.
 fn low_array_with_checkpoints(id: u64, tasks: u64) -> JobSpec {
     JobSpec {
-        checkpoint: Duration::from_secs(30),
-        save: Duration::from_secs(3),
+        checkpoint_interval: Duration::from_secs(30),
+        checkpoint_save_time: Duration::from_secs(3),
         ..low_array(id, tasks)
     }
 }
@@ -148,7 +148,7 @@
         .filter(|machine| machine.tasks.is_empty())
         .for_each(|machine| machine.zone = "b".into());
     let low = JobSpec {
-        spot: false,
+        spot_allowed: false,
         ..low_array(2, 1)
     };
     partition.add_job(low, 2, &[], Timestamp::from_millis(100));
@@ -272,7 +272,7 @@
         .demand(Timestamp::from_millis(55 * SECOND_MS))
         .iter()
         .filter(|shape| shape.priority == Priority::Normal)
-        .map(|shape| shape.tasks)
+        .map(|shape| shape.task_count)
         .sum();
     assert_eq!(requested, 2, "one task per team");
     let normal = job(jobs + 1, "u", JobKind::Service, Priority::High, 16);
--- a/crates/scheduler/tests/partition_state/builders.rs
+++ b/crates/scheduler/tests/partition_state/builders.rs
@@ -38,8 +38,8 @@
         memory_gb: 16.0,
         cache_gb: 50.0,
         fetch_gb_per_s: 1.0,
-        price: 1.0,
-        spot_price: 0.5,
+        price_per_hour: 1.0,
+        spot_price_per_hour: 0.5,
         boot_s: 10.0,
         zones: vec!["a".into()],
     };
@@ -64,20 +64,20 @@
         team: team.into(),
         kind,
         priority,
-        tasks,
+        task_count: tasks,
         cpus: 1.0,
         gpus: 0.0,
         memory_gb: 1.0,
         image: "i".into(),
         image_gb: 1.0,
-        types: None,
+        allowed_machine_types: None,
         zone: None,
         one_zone: false,
-        spread: false,
-        spot: false,
-        estimate_s: 10.0,
-        checkpoint_s: 0.0,
-        save_s: 0.0,
+        spread_over_zones: false,
+        spot_allowed: false,
+        estimated_run_time_s: 10.0,
+        checkpoint_interval_s: 0.0,
+        checkpoint_save_time_s: 0.0,
         deadline_s: None,
     };
     JobSpec::try_from(&request).expect("valid job")
@@ -91,10 +91,10 @@
         machine_type: "m4".into(),
         zone: "a".into(),
         spot: false,
-        session: 1,
-        seq,
+        worker_epoch: 1,
+        sequence_number: seq,
         token: 5,
-        notice_s,
+        reclaimed_in_s: notice_s,
         tasks,
     }
 }
@@ -109,8 +109,8 @@
         task: task.into(),
         attempt,
         state,
-        why,
-        saved: None,
+        exit_cause: why,
+        checkpoint_saved: None,
     }
 }
 
@@ -124,7 +124,7 @@
             .commands_for(&name, CommandRoute::HeartbeatResponse, now)
             .into_iter()
             .filter_map(|command| match command {
-                Command::Start { task, attempt } => Some((task, attempt)),
+                Command::Launch { task, attempt } => Some((task, attempt)),
                 _ => None,
             })
             .collect()
--- a/crates/scheduler/tests/partition_state/commands.rs
+++ b/crates/scheduler/tests/partition_state/commands.rs
@@ -164,7 +164,7 @@
     make_durable(&mut partition);
     let launches =
         partition.commands_for(&name, CommandRoute::DirectCall, Timestamp::from_millis(110));
-    let [Command::Start { task, attempt }] = &launches[..] else {
+    let [Command::Launch { task, attempt }] = &launches[..] else {
         panic!("{launches:?}")
     };
     let mut status = heartbeat(2, None, vec![]);
@@ -192,7 +192,7 @@
             .count()
     };
     assert_eq!(forget_count(&mut partition), 0);
-    status.seq = 3;
+    status.sequence_number = 3;
     partition.reconcile(
         &status,
         StatusSource::Heartbeat,
@@ -203,7 +203,7 @@
         0,
         "the worker has seen no higher token than that of the launch"
     );
-    (status.seq, status.token) = (4, 6);
+    (status.sequence_number, status.token) = (4, 6);
     if let Some(machine) = partition.machines.get_mut(&name) {
         machine.token = FencingToken(6);
     }
@@ -236,7 +236,7 @@
     make_durable(&mut partition);
     let launches =
         partition.commands_for(&name, CommandRoute::DirectCall, Timestamp::from_millis(100));
-    let Some(Command::Start { task, attempt }) = launches.first().cloned() else {
+    let Some(Command::Launch { task, attempt }) = launches.first().cloned() else {
         panic!("{launches:?}")
     };
     let id = model::TaskId::parse(&task).expect("a valid task id");
--- a/crates/scheduler/tests/partition_state/explanations.rs
+++ b/crates/scheduler/tests/partition_state/explanations.rs
@@ -11,7 +11,7 @@
     add_machine(&mut partition, 2);
     let now = Timestamp::from_millis(100);
     let best_effort = JobSpec {
-        spot: true,
+        spot_allowed: true,
         ..job(1, "t", JobKind::Array, Priority::Low, 1)
     };
     partition.add_job(best_effort, 1, &[], now);
@@ -30,12 +30,12 @@
     let now = Timestamp::from_millis(100);
     send_heartbeat(&mut partition, 2, 1, Vec::new(), now);
     let best_effort = JobSpec {
-        spot: true,
+        spot_allowed: true,
         ..job(1, "t", JobKind::Array, Priority::Low, 1)
     };
     let too_large = job(2, "u", JobKind::Array, Priority::Normal, 1);
     let too_large = JobSpec {
-        needs: model::Resources::offered(4.0, 0.0, 64.0),
+        task_resources: model::Resources::offered(4.0, 0.0, 64.0),
         ..too_large
     };
     partition.add_job(best_effort, 1, &[], now);
--- a/crates/scheduler/tests/partition_state/failure_attribution.rs
+++ b/crates/scheduler/tests/partition_state/failure_attribution.rs
@@ -27,7 +27,7 @@
         for command in
             partition.commands_for(&machine_name(n), CommandRoute::HeartbeatResponse, now)
         {
-            let Command::Start { task, attempt } = command else {
+            let Command::Launch { task, attempt } = command else {
                 continue;
             };
             let exit_cause = if fails(n, &task) {
--- a/crates/scheduler/tests/partition_state/leases.rs
+++ b/crates/scheduler/tests/partition_state/leases.rs
@@ -46,7 +46,7 @@
         CommandRoute::DirectCall,
         Timestamp::from_millis(110),
     );
-    assert!(matches!(&sent[..], [Command::Start { .. }]), "{sent:?}");
+    assert!(matches!(&sent[..], [Command::Launch { .. }]), "{sent:?}");
     let attempt = partition.jobs[&model::JobId(1)].placed[&0].attempt.0;
     partition.cancel_job(model::JobId(1), Timestamp::from_millis(200));
     partition.bound_lease_renewal(model::JobId(1), Timestamp::from_millis(15_000));
--- a/crates/scheduler/tests/partition_state/liveness.rs
+++ b/crates/scheduler/tests/partition_state/liveness.rs
@@ -254,7 +254,7 @@
     assert_eq!(partition.lost_machines(), [], "its heartbeats arrive");
     // Its lease has expired: the launch named the previous worker epoch.
     let after_expiry = Heartbeat {
-        session: 2,
+        worker_epoch: 2,
         ..heartbeat(4, None, Vec::new())
     };
     partition.reconcile(
@@ -268,7 +268,7 @@
         "the launch can no longer be executed"
     );
     let direct_response = Heartbeat {
-        session: 2,
+        worker_epoch: 2,
         ..heartbeat(5, None, Vec::new())
     };
     partition.reconcile(
--- a/crates/scheduler/tests/partition_state/quotas.rs
+++ b/crates/scheduler/tests/partition_state/quotas.rs
@@ -19,7 +19,7 @@
 fn replicas_at_team_limit_preempt_arrays_of_same_team() {
     let mut partition = new_partition();
     let mut arrays = job(1, "t", JobKind::Array, Priority::Normal, 9);
-    arrays.spot = true;
+    arrays.spot_allowed = true;
     partition
         .machines
         .get_mut(&machine_name(1))
@@ -39,7 +39,7 @@
     let replica = job(2, "t", JobKind::Service, Priority::High, 1);
     partition.add_job(
         JobSpec {
-            estimate: Duration::ZERO,
+            estimated_run_time: Duration::ZERO,
             ..replica
         },
         2,
@@ -50,7 +50,7 @@
     let urgent: u64 = partition
         .demand(Timestamp::from_millis(200))
         .iter()
-        .map(|shape| shape.urgent)
+        .map(|shape| shape.urgent_count)
         .sum();
     assert_eq!(urgent, 1, "a machine is requested for the replica");
     let stopping = |partition: &PartitionState| -> Vec<u32> {
@@ -167,7 +167,7 @@
             })
             .collect();
         tasks[0].state = TaskState::Exited;
-        tasks[0].why = Some(ExitCause::Done);
+        tasks[0].exit_cause = Some(ExitCause::Done);
         partition.reconcile(
             &heartbeat(2, None, tasks),
             StatusSource::Heartbeat,
@@ -186,11 +186,11 @@
 fn submission_order_survives_failover() {
     let mut partition = partition_without_guarantees(true);
     let short = |id| JobSpec {
-        estimate: Duration::from_secs(1),
+        estimated_run_time: Duration::from_secs(1),
         ..job(id, "t", JobKind::Array, Priority::Normal, 4)
     };
     let long = JobSpec {
-        estimate: Duration::from_secs(20),
+        estimated_run_time: Duration::from_secs(20),
         ..short(1)
     };
     // Both are loaded at the same time; the long one was submitted 80 s earlier.
--- a/crates/simulator/benches/scale.rs
+++ b/crates/simulator/benches/scale.rs
@@ -269,14 +269,14 @@
             milli_cpus: 1_000 + n as u64 * 500,
             milli_gpus: 0,
             memory_mb: 2_000,
-            types: None,
+            allowed_machine_types: None,
             zone: None,
-            spot: n.is_multiple_of(2),
-            tasks: size as u64 / 10,
-            urgent: size as u64 / 40,
-            estimate_ms: 20_000,
+            spot_allowed: n.is_multiple_of(2),
+            task_count: size as u64 / 10,
+            urgent_count: size as u64 / 40,
+            estimated_run_time_ms: 20_000,
             priority: Priority::Normal,
-            gang: 0,
+            gang_size: 0,
         };
         let needs: Vec<PartitionNeed> = (0..3)
             .map(|partition| PartitionNeed {
--- a/crates/simulator/src/availability.rs
+++ b/crates/simulator/src/availability.rs
@@ -49,8 +49,11 @@
             return;
         }
         let needed = match job.kind {
-            JobKind::Array => job.tasks.min((limit / job.cpus.max(0.001)) as u64).max(1),
-            _ => job.tasks,
+            JobKind::Array => job
+                .task_count
+                .min((limit / job.cpus.max(0.001)) as u64)
+                .max(1),
+            _ => job.task_count,
         };
         let tasks = self.started.entry(job.id.clone()).or_default();
         tasks.insert(task.to_owned());
@@ -76,7 +79,10 @@
                 continue;
             };
             let kind = format!("{:?}", job.kind).to_lowercase();
-            kinds.entry(kind).or_default().push((job.tasks, id, *at));
+            kinds
+                .entry(kind)
+                .or_default()
+                .push((job.task_count, id, *at));
         }
         let mut shares = Vec::new();
         for (kind, mut list) in kinds {
@@ -136,8 +142,12 @@
                 continue;
             };
             let seconds = self.replicas.entry(id.clone()).or_default();
-            seconds.0 += job.tasks;
-            seconds.1 += up.get(id.as_str()).copied().unwrap_or(0).min(job.tasks);
+            seconds.0 += job.task_count;
+            seconds.1 += up
+                .get(id.as_str())
+                .copied()
+                .unwrap_or(0)
+                .min(job.task_count);
         }
     }
 
--- a/crates/simulator/src/cloud.rs
+++ b/crates/simulator/src/cloud.rs
@@ -63,8 +63,8 @@
                 memory_gb: 16.0,
                 cache_gb: 40.0,
                 fetch_gb_per_s: 1.0,
-                price: 0.2,
-                spot_price: 0.06,
+                price_per_hour: 0.2,
+                spot_price_per_hour: 0.06,
                 boot_s: 5.0,
                 zones: zones.iter().map(|z| (*z).to_owned()).collect(),
             }],
@@ -90,18 +90,18 @@
         rng: &mut SmallRng,
     ) -> (CloudReply, Vec<String>) {
         match request {
-            CloudRequest::Types => (
-                CloudReply::Types(MachineTypes {
+            CloudRequest::MachineTypes => (
+                CloudReply::MachineTypes(MachineTypes {
                     types: self.types.clone(),
                 }),
                 Vec::new(),
             ),
             CloudRequest::Rent(rent) => (self.rent(now, rent, rng), Vec::new()),
             CloudRequest::Release(names) => (CloudReply::Released, self.release(now, names)),
-            CloudRequest::List { after, limit } => {
+            CloudRequest::ListMachines { after, limit } => {
                 let seen_at = now.saturating_sub(rng.random_range(self.lag / 2..self.lag * 2));
                 (
-                    CloudReply::List(self.list(seen_at, after, *limit as usize)),
+                    CloudReply::MachineList(self.list(seen_at, after, *limit as usize)),
                     Vec::new(),
                 )
             }
@@ -110,7 +110,7 @@
 
     /// Rents machines; a repeated request returns the same ones.
     fn rent(&mut self, now: u64, rent: &RentRequest, rng: &mut SmallRng) -> CloudReply {
-        if let Some(names) = self.requests.get(&rent.request) {
+        if let Some(names) = self.requests.get(&rent.idempotency_key) {
             return CloudReply::Rented(names.clone());
         }
         let limit = self
@@ -124,7 +124,8 @@
             return CloudReply::NoCapacity;
         }
         let names: Vec<String> = (0..count).map(|_| self.rent_one(now, rent, rng)).collect();
-        self.requests.insert(rent.request.clone(), names.clone());
+        self.requests
+            .insert(rent.idempotency_key.clone(), names.clone());
         CloudReply::Rented(names)
     }
 
@@ -178,7 +179,7 @@
                     && m.gone_at.is_none_or(|at| at > seen_at)
             })
             .map(|(name, m)| ListedMachine {
-                id: name.clone(),
+                name: name.clone(),
                 address: format!("{name}:9000"),
                 machine_type: m.machine_type.clone(),
                 zone: m.zone.clone(),
@@ -193,6 +194,9 @@
             .collect();
         let more = machines.len() > limit;
         machines.truncate(limit);
-        MachineList { machines, more }
+        MachineList {
+            machines,
+            has_more: more,
+        }
     }
 }
--- a/crates/simulator/src/fingerprint/message.rs
+++ b/crates/simulator/src/fingerprint/message.rs
@@ -3,7 +3,7 @@
 use controller::{AdminReply, Effect, HeartbeatReply, UserReply};
 use model::ControllerName;
 use serde::Serialize;
-use wire::http::HttpCall;
+use wire::http::HttpRequest;
 use wire::mesh::{Frame, MeshMessage, MESH_VERSION};
 use wire::workers::Redirect;
 
@@ -49,7 +49,7 @@
         }
     }
 
-    fn call(recipient: String, call: &HttpCall) -> Self {
+    fn call(recipient: String, call: &HttpRequest) -> Self {
         let mut bytes = format!("{} {}\n", call.method.as_str(), call.path).into_bytes();
         bytes.extend(call.body.iter().flatten());
         Outgoing {
@@ -142,7 +142,7 @@
         HeartbeatReply::Response(answer) => Answer::json(OK, answer),
         HeartbeatReply::Redirect(controller) => {
             let redirect = Redirect {
-                report_to: controller.as_ref().map(ControllerName::to_string),
+                controller: controller.as_ref().map(ControllerName::to_string),
             };
             Answer::json(MISDIRECTED, &redirect)
         }
--- a/crates/simulator/src/rules.rs
+++ b/crates/simulator/src/rules.rs
@@ -86,10 +86,10 @@
         }
         let zone_ok = job.zone.as_ref().is_none_or(|z| *z == on.zone);
         let type_ok = job
-            .types
+            .allowed_machine_types
             .as_ref()
             .is_none_or(|t| t.contains(&on.machine_type));
-        if !zone_ok || !type_ok || (on.spot && !job.spot) {
+        if !zone_ok || !type_ok || (on.spot && !job.spot_allowed) {
             self.record_violation("wrong_place", format!("{task} on {}", on.name), now);
         }
         let mut zones: HashMap<&str, u64> = HashMap::new();
@@ -100,11 +100,11 @@
                 }
             }
         }
-        let limit = job.tasks.div_ceil(2);
+        let limit = job.task_count.div_ceil(2);
         if job.one_zone && zones.len() > 1 {
             self.record_violation("wrong_place", format!("{task}: together in {zones:?}"), now);
         }
-        if job.spread && zones.get(on.zone.as_str()).is_some_and(|n| *n > limit) {
+        if job.spread_over_zones && zones.get(on.zone.as_str()).is_some_and(|n| *n > limit) {
             self.record_violation("wrong_place", format!("{task}: spread in {zones:?}"), now);
         }
         if let Some(told) = self.cancel_confirmed.get(id) {
@@ -167,7 +167,8 @@
         self.judge(id, sent, Answer::UnansweredJobs(state), now);
         match state {
             JobState::Done => {
-                let all = (0..job.tasks).all(|i| self.done_tasks.contains(&format!("{id}/{i}")));
+                let all =
+                    (0..job.task_count).all(|i| self.done_tasks.contains(&format!("{id}/{i}")));
                 if !all {
                     self.record_violation("not_done", id, now);
                 }
--- a/crates/simulator/src/single_controller.rs
+++ b/crates/simulator/src/single_controller.rs
@@ -74,8 +74,8 @@
         memory_gb: 16.0,
         cache_gb: 80.0,
         fetch_gb_per_s: 1.0,
-        price: 0.2,
-        spot_price: 0.06,
+        price_per_hour: 0.2,
+        spot_price_per_hour: 0.06,
         boot_s: 15.0,
         zones: vec!["a".into(), "b".into()],
     }
@@ -101,20 +101,20 @@
         } else {
             Priority::Normal
         },
-        tasks,
+        task_count: tasks,
         cpus: 1.0,
         gpus: 0.0,
         memory_gb: 3.0,
         image: format!("img-{}", number % 11),
         image_gb: 2.0,
-        types: None,
+        allowed_machine_types: None,
         zone: None,
         one_zone: false,
-        spread: false,
-        spot: !service,
-        estimate_s: if service { 0.0 } else { 20.0 },
-        checkpoint_s: 0.0,
-        save_s: 0.0,
+        spread_over_zones: false,
+        spot_allowed: !service,
+        estimated_run_time_s: if service { 0.0 } else { 20.0 },
+        checkpoint_interval_s: 0.0,
+        checkpoint_save_time_s: 0.0,
         deadline_s: None,
     }
 }
@@ -345,7 +345,7 @@
             Effect::State { call, request, .. } => self.state_call(call, request),
             Effect::Cloud { call, request } => {
                 let reply = match request {
-                    CloudRequest::Types => CloudReply::Types(MachineTypes {
+                    CloudRequest::MachineTypes => CloudReply::MachineTypes(MachineTypes {
                         types: vec![machine_type()],
                     }),
                     CloudRequest::Rent(_) => CloudReply::NoCapacity,
@@ -373,7 +373,7 @@
                 worker.check_lease(self.now, LEASE_MS);
                 worker.direct(
                     body.token,
-                    body.session,
+                    body.worker_epoch,
                     &body.commands,
                     self.now,
                     &self.jobs,
--- a/crates/simulator/src/starvation.rs
+++ b/crates/simulator/src/starvation.rs
@@ -60,7 +60,7 @@
     /// Whether the first of a job's tasks could start now: all of a gang's, one of the others'.
     fn has_room(&self, job: &JobRequest, limit: f64) -> bool {
         let tasks = if job.kind == JobKind::Gang {
-            job.tasks
+            job.task_count
         } else {
             1
         };
@@ -71,16 +71,20 @@
         let fits = |worker: &Worker| {
             job.zone.as_ref().is_none_or(|zone| *zone == worker.zone)
                 && job
-                    .types
+                    .allowed_machine_types
                     .as_ref()
                     .is_none_or(|types| types.contains(&worker.machine_type))
-                && (job.spot || !worker.spot)
+                && (job.spot_allowed || !worker.spot)
         };
         let mut zones: HashMap<&str, u64> = HashMap::new();
         for (worker, free) in self.free.iter().filter(|(worker, _)| fits(worker)) {
             *zones.entry(&worker.zone).or_default() += (free / job.cpus) as u64;
         }
-        let most = if job.spread { tasks.div_ceil(2) } else { tasks };
+        let most = if job.spread_over_zones {
+            tasks.div_ceil(2)
+        } else {
+            tasks
+        };
         if job.one_zone {
             return zones.values().any(|slots| *slots >= tasks);
         }
--- a/crates/simulator/src/state.rs
+++ b/crates/simulator/src/state.rs
@@ -78,8 +78,8 @@
             self.keys.remove(&key);
             let version = self.revision;
             self.record(Change {
-                put: None,
-                delete: Some(key),
+                put_key: None,
+                deleted_key: Some(key),
                 value: None,
                 version,
                 lease: None,
@@ -156,26 +156,26 @@
         let version = self.revision;
         for write in &txn.writes {
             match write {
-                Write::Put { put, value, lease } => {
+                Write::Put { key, value, lease } => {
                     let stored = Stored {
                         value: value.clone(),
                         version,
                         lease: *lease,
                     };
-                    self.keys.insert(put.clone(), stored);
+                    self.keys.insert(key.clone(), stored);
                     self.record(Change {
-                        put: Some(put.clone()),
-                        delete: None,
+                        put_key: Some(key.clone()),
+                        deleted_key: None,
                         value: Some(value.clone()),
                         version,
                         lease: *lease,
                     });
                 }
-                Write::Delete { delete } => {
-                    if self.keys.remove(delete).is_some() {
+                Write::Delete { key } => {
+                    if self.keys.remove(key).is_some() {
                         self.record(Change {
-                            put: None,
-                            delete: Some(delete.clone()),
+                            put_key: None,
+                            deleted_key: Some(key.clone()),
                             value: None,
                             version,
                             lease: None,
@@ -197,9 +197,9 @@
             .iter()
             .filter(|c| c.version > after)
             .filter(|c| {
-                c.put
+                c.put_key
                     .as_ref()
-                    .or(c.delete.as_ref())
+                    .or(c.deleted_key.as_ref())
                     .is_some_and(|key| key.starts_with(prefix))
             })
             .cloned()
@@ -232,7 +232,7 @@
                     version: stored.version,
                     lease: stored.lease,
                 }),
-                None => StateReply::Missing,
+                None => StateReply::NotFound,
             },
             StateRequest::List {
                 prefix,
@@ -254,24 +254,24 @@
                 let more = items.next().is_some();
                 StateReply::List(ListPage {
                     items: page,
-                    more,
+                    has_more: more,
                     revision: self.revision,
                 })
             }
             StateRequest::Transaction(txn) => self.txn(now, txn),
-            StateRequest::NewLease { ttl_ms } => {
+            StateRequest::GrantLease { ttl_ms } => {
                 self.next_lease += 1;
                 self.leases.insert(self.next_lease, (now + ttl_ms, *ttl_ms));
                 StateReply::Lease(self.next_lease)
             }
-            StateRequest::Renew { lease } => match self.leases.get_mut(lease) {
+            StateRequest::RenewLease { lease } => match self.leases.get_mut(lease) {
                 Some((until, ttl)) => {
                     *until = now + *ttl;
                     StateReply::Ok
                 }
                 None => StateReply::LeaseGone,
             },
-            StateRequest::EndLease { lease } => {
+            StateRequest::RevokeLease { lease } => {
                 self.end_lease(*lease);
                 StateReply::Ok
             }
--- a/crates/simulator/src/worker.rs
+++ b/crates/simulator/src/worker.rs
@@ -110,10 +110,10 @@
             machine_type: self.machine_type.clone(),
             zone: self.zone.clone(),
             spot: self.spot,
-            session: self.session,
-            seq: self.seq,
+            worker_epoch: self.session,
+            sequence_number: self.seq,
             token: self.token,
-            notice_s: None,
+            reclaimed_in_s: None,
             tasks: self
                 .tasks
                 .iter()
@@ -121,8 +121,8 @@
                     task: task.clone(),
                     attempt: *attempt,
                     state: held.state,
-                    why: held.why,
-                    saved: None,
+                    exit_cause: held.why,
+                    checkpoint_saved: None,
                 })
                 .collect(),
         }
@@ -130,7 +130,7 @@
 
     /// Whether something newer than this heartbeat has been sent.
     pub fn has_sent_newer(&self, report: &Heartbeat) -> bool {
-        (report.session, report.seq) < (self.session, self.seq)
+        (report.worker_epoch, report.sequence_number) < (self.session, self.seq)
     }
 
     /// Ends the session if the lease has run out.
@@ -205,7 +205,7 @@
 
     fn execute(&mut self, command: &Command, now: u64, jobs: &HashMap<String, JobRequest>) {
         match command {
-            Command::Start { task, attempt } => self.start_task(task, *attempt, now, jobs),
+            Command::Launch { task, attempt } => self.start_task(task, *attempt, now, jobs),
             Command::Stop { .. } if self.ignores_stops => {}
             Command::Stop {
                 task,
@@ -269,7 +269,7 @@
             .map(|j| j.cpus)
             .sum();
         if used + job.cpus > 4.0 {
-            self.tasks.insert(key, exited(ExitCause::NoRoom));
+            self.tasks.insert(key, exited(ExitCause::NoFreeCapacity));
             return;
         }
         let fetch = if self.images.contains(&job.image) {
@@ -297,7 +297,9 @@
         job: Option<&JobRequest>,
         now: u64,
     ) {
-        let save_s = job.filter(|j| j.checkpoint_s > 0.0).map(|j| j.save_s);
+        let save_s = job
+            .filter(|j| j.checkpoint_interval_s > 0.0)
+            .map(|j| j.checkpoint_save_time_s);
         if let Some(held) = self.tasks.get_mut(&(task.to_owned(), attempt)) {
             let saves = save_s.filter(|s| *s <= grace_s && grace_s > 0.0);
             match (held.state, saves) {
@@ -367,7 +369,7 @@
                     .unwrap_or(now);
                 if now > since + self.gang_wait {
                     held.state = TaskState::Exited;
-                    held.why = Some(ExitCause::Alone);
+                    held.why = Some(ExitCause::GangIncomplete);
                     self.changed = true;
                 }
             }
--- a/crates/simulator/src/world/cancellations.rs
+++ b/crates/simulator/src/world/cancellations.rs
@@ -128,6 +128,6 @@
         let done = |task| self.rules.done_tasks.contains(&format!("{id}/{task}"));
         self.jobs
             .get(id)
-            .is_some_and(|job| (0..job.tasks).all(done))
+            .is_some_and(|job| (0..job.task_count).all(done))
     }
 }
--- a/crates/simulator/src/world/controllers.rs
+++ b/crates/simulator/src/world/controllers.rs
@@ -70,7 +70,7 @@
         }
         let changes = match effect {
             Effect::State { request, .. } => matches!(request, StateRequest::Transaction(_)),
-            Effect::Cloud { request, .. } => !matches!(request, CloudRequest::List { .. }),
+            Effect::Cloud { request, .. } => !matches!(request, CloudRequest::ListMachines { .. }),
             Effect::Worker { body, .. } => !body.commands.is_empty(),
             Effect::Mesh { message, .. } => !matches!(message, MeshMessage::Heartbeat { .. }),
             Effect::User { .. } => true,
--- a/crates/simulator/src/world/events.rs
+++ b/crates/simulator/src/world/events.rs
@@ -164,5 +164,5 @@
 pub(super) fn starts(commands: &[Command]) -> bool {
     commands
         .iter()
-        .any(|command| matches!(command, Command::Start { .. }))
+        .any(|command| matches!(command, Command::Launch { .. }))
 }
--- a/crates/simulator/src/world/interceptor.rs
+++ b/crates/simulator/src/world/interceptor.rs
@@ -96,7 +96,7 @@
                 continue;
             };
             if self.plan.mutation == Some(Mutation::DuplicatedHeartbeatsLookNew) {
-                report.seq += 1_000_000;
+                report.sequence_number += 1_000_000;
             }
             self.record_replayed_heartbeat(machines, &machine, &report);
             for controller in 0..CONTROLLERS {
@@ -126,7 +126,7 @@
                 continue;
             };
             if self.plan.mutation == Some(Mutation::DuplicatedHeartbeatsLookNew) {
-                report.seq += 1_000_000;
+                report.sequence_number += 1_000_000;
             }
             let message = Message::Heartbeat {
                 controller: leader,
@@ -155,7 +155,7 @@
         if machines.contains(machine) && worker.has_sent_newer(report) {
             self.coverage.stale_heartbeats_at_failover += 1;
             self.coverage.earlier_epoch_heartbeats_at_failover +=
-                u64::from(report.session < worker.session);
+                u64::from(report.worker_epoch < worker.session);
         }
     }
 
@@ -192,7 +192,7 @@
         let deposed = worker.token > body.token;
         let (token, session) = match self.plan.mutation {
             Some(Mutation::DelayedCommandsUnfenced) => (worker.token, worker.session),
-            _ => (body.token, body.session),
+            _ => (body.token, body.worker_epoch),
         };
         let executed = worker.direct(token, session, &body.commands, now, self.jobs.all());
         if executed {
--- a/crates/simulator/src/world/machines.rs
+++ b/crates/simulator/src/world/machines.rs
@@ -204,7 +204,7 @@
             }
         }
         for ((id, attempt), members) in gangs {
-            let Some(tasks) = self.jobs.get(&id).map(|j| j.tasks) else {
+            let Some(tasks) = self.jobs.get(&id).map(|j| j.task_count) else {
                 continue;
             };
             let all = members.len() as u64 == tasks;
@@ -234,7 +234,7 @@
                     worker.set_gang(&key, TaskState::Exited, Some(ExitCause::Done));
                     self.task_done(task);
                 } else if running && !whole && state == TaskState::Running {
-                    worker.set_gang(&key, TaskState::Exited, Some(ExitCause::PeersGone));
+                    worker.set_gang(&key, TaskState::Exited, Some(ExitCause::GangPeersLost));
                 }
             }
         }
--- a/crates/simulator/src/world/mutations.rs
+++ b/crates/simulator/src/world/mutations.rs
@@ -56,7 +56,7 @@
         };
         if mutated {
             commands.retain(|command| match command {
-                Command::Start { task, .. } => {
+                Command::Launch { task, .. } => {
                     let id = task.split('/').next().and_then(JobId::parse);
                     id.is_none_or(|id| id.0 % 49 != 0)
                 }
@@ -73,21 +73,21 @@
         match record {
             ReplicatedRecord::Machine(record) => match self.rng.random_range(0..9) {
                 0 => record.address = format!("{other}:9000"),
-                1 => record.session += 1,
-                2 => record.session = record.session.saturating_sub(1),
+                1 => record.worker_epoch += 1,
+                2 => record.worker_epoch = record.worker_epoch.saturating_sub(1),
                 3 => record.machine = other.clone(),
                 4 => record.reporting = !record.reporting,
                 5 => record.quarantined = self.rng.random_bool(0.2),
                 6 => {
                     record.images = vec![(format!("img-{}", self.rng.random_range(0..3)), f64::NAN)]
                 }
-                7 => record.idle_at = Some(u64::MAX),
+                7 => record.idle_since_ms = Some(u64::MAX),
                 _ => {}
             },
             ReplicatedRecord::Job(record) => {
                 record.failures = vec![(0, u32::MAX), (u32::MAX, 1)];
                 record.failed_on = names.iter().take(4).cloned().collect();
-                record.fails_within_ms = u64::MAX;
+                record.longest_failure_ms = u64::MAX;
             }
             ReplicatedRecord::Removed(_) => {}
         }
--- a/crates/simulator/src/world/state_service.rs
+++ b/crates/simulator/src/world/state_service.rs
@@ -23,8 +23,8 @@
         return Vec::new();
     };
     let record = |write: &Write| match write {
-        Write::Put { put, value, .. } => {
-            let partition = put.strip_prefix("s/p/")?.parse().ok()?;
+        Write::Put { key, value, .. } => {
+            let partition = key.strip_prefix("s/p/")?.parse().ok()?;
             Some((partition, value.get("term")?.as_u64()?))
         }
         Write::Delete { .. } => None,
@@ -35,10 +35,10 @@
 /// Removes the unconfirmed predecessors from records.
 fn forget_predecessors(writes: &mut [Write]) {
     for write in writes {
-        let Write::Put { put, value, .. } = write else {
+        let Write::Put { key, value, .. } = write else {
             continue;
         };
-        if put == "s/t" || put.starts_with("s/p/") {
+        if key == "s/t" || key.starts_with("s/p/") {
             for field in ["takers", "suspects"] {
                 match value.get_mut(field) {
                     Some(serde_json::Value::Object(map)) => map.clear(),
@@ -54,7 +54,7 @@
 fn writes_end(writes: &[Write]) -> bool {
     writes
         .iter()
-        .any(|write| matches!(write, Write::Put { put, .. } if put.starts_with("s/e/")))
+        .any(|write| matches!(write, Write::Put { key, .. } if key.starts_with("s/e/")))
 }
 
 impl World {
@@ -134,7 +134,7 @@
         let lost = self.loses_reply(&request);
         let mut pretend = false;
         if let StateRequest::Transaction(txn) = &mut request {
-            let page = |w: &Write| matches!(w, Write::Put { put, .. } if put.starts_with("l/"));
+            let page = |w: &Write| matches!(w, Write::Put { key, .. } if key.starts_with("l/"));
             match self.plan.mutation {
                 Some(Mutation::PredecessorsNotRecorded) => forget_predecessors(&mut txn.writes),
                 Some(Mutation::TerminalStatesIgnoreCancellations) => {
--- a/crates/simulator/src/world/transport.rs
+++ b/crates/simulator/src/world/transport.rs
@@ -110,7 +110,7 @@
         let copied = match message {
             Message::Heartbeat { .. } | Message::Direct { .. } => true,
             Message::State { request, .. } => matches!(request, StateRequest::Transaction(_)),
-            Message::Cloud { request, .. } => !matches!(request, CloudRequest::List { .. }),
+            Message::Cloud { request, .. } => !matches!(request, CloudRequest::ListMachines { .. }),
             _ => false,
         };
         if !copied
@@ -131,7 +131,7 @@
                 // No worker waits for the reply.
                 (*controller, *number) = (self.rng.random_range(0..CONTROLLERS), 0);
                 if self.plan.mutation == Some(Mutation::DuplicatedHeartbeatsLookNew) {
-                    report.seq += 1_000_000;
+                    report.sequence_number += 1_000_000;
                 }
             }
             let after = self.rng.random_range(1_000..3 * self.parameters.lease);
@@ -154,7 +154,7 @@
             return;
         };
         self.coverage.stale_heartbeats += u64::from(worker.has_sent_newer(report));
-        self.coverage.earlier_epoch_heartbeats += u64::from(report.session < worker.session);
+        self.coverage.earlier_epoch_heartbeats += u64::from(report.worker_epoch < worker.session);
     }
 
     /// Sends a message; a disconnection holds it back until it ends.
@@ -359,7 +359,7 @@
         }
         let executed = worker.direct(
             body.token,
-            body.session,
+            body.worker_epoch,
             &body.commands,
             now,
             self.jobs.all(),
--- a/crates/simulator/src/world/users.rs
+++ b/crates/simulator/src/world/users.rs
@@ -39,9 +39,9 @@
         });
         if let Some(factor) = factor {
             self.jobs.set_run_time_factor(id.clone(), factor);
-            job.estimate_s *= factor as f64;
+            job.estimated_run_time_s *= factor as f64;
             if job.kind != JobKind::Service && self.jobs.count().is_multiple_of(2) {
-                (job.checkpoint_s, job.save_s) = (5.0, 3.0);
+                (job.checkpoint_interval_s, job.checkpoint_save_time_s) = (5.0, 3.0);
             }
         }
         self.jobs.add(job.clone(), self.now);
@@ -109,24 +109,24 @@
                 1 => Priority::Low,
                 _ => Priority::Normal,
             },
-            tasks,
+            task_count: tasks,
             cpus: 1.0,
             gpus: 0.0,
             memory_gb: 2.0,
             image: format!("img-{}", self.rng.random_range(0..3)),
             image_gb: 1.5,
-            types: None,
-            spread: zone.is_none() && !together && self.rng.random_bool(0.2),
+            allowed_machine_types: None,
+            spread_over_zones: zone.is_none() && !together && self.rng.random_bool(0.2),
             zone,
             one_zone: together,
-            spot: self.rng.random_bool(0.5),
-            estimate_s: match kind {
+            spot_allowed: self.rng.random_bool(0.5),
+            estimated_run_time_s: match kind {
                 JobKind::Service => 0.0,
                 JobKind::Gang => 6.0,
                 JobKind::Array => 6.0 * self.parameters.longer as f64,
             },
-            checkpoint_s: 0.0,
-            save_s: 0.0,
+            checkpoint_interval_s: 0.0,
+            checkpoint_save_time_s: 0.0,
             deadline_s: None,
         }
     }
@@ -152,9 +152,9 @@
             memory_gb: 1.0,
             image: "img-guests".into(),
             image_gb: 0.5,
-            estimate_s: 20.0,
-            checkpoint_s: 5.0,
-            save_s: 1.0,
+            estimated_run_time_s: 20.0,
+            checkpoint_interval_s: 5.0,
+            checkpoint_save_time_s: 1.0,
             ..self.plain_array("guest".into(), 20 * self.plan.size)
         };
         self.submit_job(job);
--- a/crates/simulator/src/world/views.rs
+++ b/crates/simulator/src/world/views.rs
@@ -173,7 +173,7 @@
             .into_iter()
             .filter(|id| !placed.contains(id.as_str()));
         unplaced
-            .filter_map(|id| Some(self.jobs.get(&id)?.tasks))
+            .filter_map(|id| Some(self.jobs.get(&id)?.task_count))
             .sum()
     }
 
--- a/crates/simulator/tests/combined_faults.rs
+++ b/crates/simulator/tests/combined_faults.rs
@@ -558,7 +558,11 @@
         let mut world = World::new(plan);
         run_to_end(&mut world, &format!("small jobs, seed {seed}"));
         assert_eq!(world.unfinished_jobs(), Vec::<String>::new(), "seed {seed}");
-        let small = |id: &&String| world.job(id).is_some_and(|j| (2..=3).contains(&j.tasks));
+        let small = |id: &&String| {
+            world
+                .job(id)
+                .is_some_and(|j| (2..=3).contains(&j.task_count))
+        };
         coverage += world.rules.done_confirmed.keys().filter(small).count();
     }
     assert!(
--- a/crates/simulator/tests/rejected_messages.rs
+++ b/crates/simulator/tests/rejected_messages.rs
@@ -285,7 +285,7 @@
     }
     let beyond_limit = refused(&mut single_controller, &|job| {
         job.kind = JobKind::Gang;
-        job.tasks = 1_000;
+        job.task_count = 1_000;
     });
     assert_eq!(by(beyond_limit), "the job needs more than the team's limit");
     let accepted = refused(&mut single_controller, &|_| {});
@@ -347,8 +347,8 @@
     ) -> DemandShape {
         DemandShape {
             milli_cpus: amounts.0, milli_gpus: amounts.1, memory_mb: amounts.2,
-            types, zone, spot, tasks: counts.0, urgent: counts.1, estimate_ms: counts.2,
-            priority: if low { Priority::Low } else { Priority::High }, gang: counts.3,
+            allowed_machine_types: types, zone, spot_allowed: spot, task_count: counts.0, urgent_count: counts.1, estimated_run_time_ms: counts.2,
+            priority: if low { Priority::Low } else { Priority::High }, gang_size: counts.3,
         }
     }
 }
@@ -361,7 +361,7 @@
         machines in vec((machine_name(), small_number(), number(), any::<[bool; 4]>()), 0..4),
     ) -> PartitionStatus {
         let machine = |(machine, tasks, ms, flags): (String, u32, u64, [bool; 4])| MachineStatus {
-            machine, tasks, idle_ms: ms, up: flags[0], quarantined: flags[1], since_heartbeat_ms: ms,
+            machine, task_count: tasks, idle_ms: ms, reporting: flags[0], quarantined: flags[1], since_heartbeat_ms: ms,
             transferable: flags[2], best_effort: flags[3], transfer_to: flags[0].then_some(tasks),
         };
         PartitionStatus {
@@ -377,14 +377,14 @@
         prop::option::of(number()),
         amount(),
     )
-        .prop_map(|(machine, session, idle_at, gb)| {
+        .prop_map(|(machine, session, idle_since_ms, gb)| {
             ReplicatedRecord::Machine(MachineSnapshot {
                 address: format!("{machine}:9000"),
                 machine,
-                session,
+                worker_epoch: session,
                 reporting: true,
                 quarantined: false,
-                idle_at,
+                idle_since_ms,
                 images: vec![("img-1".into(), gb)],
             })
         });
@@ -394,14 +394,14 @@
         small_number(),
         number(),
     )
-        .prop_map(|(job, failures, successes, fails_within_ms)| {
+        .prop_map(|(job, failures, successes, longest_failure_ms)| {
             let failed_on = vec!["host-000000".to_owned(); 3];
             ReplicatedRecord::Job(JobFailureSnapshot {
                 job,
                 failures,
                 failed_on,
                 successes,
-                fails_within_ms,
+                longest_failure_ms,
             })
         });
     let gone = number().prop_map(|id| ReplicatedRecord::Removed(ReplicationKey::Job(id)));
@@ -418,7 +418,7 @@
             up_to: n[3],
             newest: n[4],
             tombstones_dropped_up_to: n[5],
-            at_ms: n[6],
+            sent_at_ms: n[6],
             records,
         }
     })
@@ -499,7 +499,7 @@
     let why = prop::option::of(prop::sample::select(vec![
         ExitCause::Done,
         ExitCause::Stopped,
-        ExitCause::NoRoom,
+        ExitCause::NoFreeCapacity,
         ExitCause::Busy,
         ExitCause::Error,
     ]));
@@ -507,8 +507,8 @@
         task,
         attempt,
         state,
-        why,
-        saved: None,
+        exit_cause: why,
+        checkpoint_saved: None,
     })
 }
 
@@ -531,10 +531,10 @@
                     machine_type,
                     zone,
                     spot,
-                    session,
-                    seq,
+                    worker_epoch: session,
+                    sequence_number: seq,
                     token,
-                    notice_s,
+                    reclaimed_in_s: notice_s,
                     tasks,
                 }
             },
@@ -619,13 +619,13 @@
     prop_oneof![
         Just(StateReply::Unknown),
         Just(StateReply::Compacted),
-        Just(StateReply::Missing),
+        Just(StateReply::NotFound),
         number().prop_map(|revision| StateReply::Committed { revision }),
         number().prop_map(StateReply::Lease),
         number().prop_map(move |revision| {
             StateReply::List(ListPage {
                 items: vec![item(), item()],
-                more: true,
+                has_more: true,
                 revision,
             })
         }),
@@ -639,10 +639,10 @@
 fn step() -> impl Strategy<Value = Step> {
     let sender = prop::sample::select(vec!["n1", "n1", "n1", "n0", "stranger"]);
     let cloud = prop_oneof![
-        Just(CloudReply::Types(MachineTypes::default())),
-        Just(CloudReply::List(MachineList {
+        Just(CloudReply::MachineTypes(MachineTypes::default())),
+        Just(CloudReply::MachineList(MachineList {
             machines: Vec::new(),
-            more: true
+            has_more: true
         })),
         Just(CloudReply::Rented(vec![String::new()])),
     ];
@@ -688,7 +688,7 @@
         Step::Cancel(id) => single_controller.request(UserRequest::Cancel(JobId(id))),
         Step::Submit(id, amount) => {
             let mut request = job(id, JobKind::Array, 3);
-            (request.cpus, request.estimate_s) = (amount, amount);
+            (request.cpus, request.estimated_run_time_s) = (amount, amount);
             single_controller.request(UserRequest::Submit(Box::new(request)));
         }
         Step::Admin(settings) => {
--- a/crates/simulator/tests/stale_cache.rs
+++ b/crates/simulator/tests/stale_cache.rs
@@ -141,7 +141,7 @@
             Effect::State { call, request, .. } => self.call_state(call, request),
             Effect::Cloud { call, request } => {
                 let reply = match request {
-                    CloudRequest::Types => CloudReply::Types(MachineTypes {
+                    CloudRequest::MachineTypes => CloudReply::MachineTypes(MachineTypes {
                         types: vec![machine_type()],
                     }),
                     _ => CloudReply::NoCapacity,
--- a/crates/trackcrank/src/clients.rs
+++ b/crates/trackcrank/src/clients.rs
@@ -13,7 +13,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 use wire::cloud::{CloudReply, CloudRequest, MachineNames};
-use wire::http::{HttpCall, HttpMethod};
+use wire::http::{HttpMethod, HttpRequest};
 use wire::json::from_object;
 use wire::state::{LeaseResponse, StateReply, StateRequest, TransactionResponse};
 use wire::workers::{DirectCommands, Heartbeat};
@@ -94,7 +94,7 @@
     async fn send_call(
         &self,
         address: &str,
-        call: HttpCall,
+        call: HttpRequest,
         timeout: Duration,
     ) -> Option<(StatusCode, Bytes)> {
         let method = match call.method {
@@ -145,12 +145,12 @@
             };
         }
         let reply = match request {
-            CloudRequest::Types => decode(&body).map(CloudReply::Types),
+            CloudRequest::MachineTypes => decode(&body).map(CloudReply::MachineTypes),
             CloudRequest::Rent(_) => {
                 decode::<MachineNames>(&body).map(|names| CloudReply::Rented(names.machines))
             }
             CloudRequest::Release(_) => Some(CloudReply::Released),
-            CloudRequest::List { .. } => decode(&body).map(CloudReply::List),
+            CloudRequest::ListMachines { .. } => decode(&body).map(CloudReply::MachineList),
         };
         reply.unwrap_or_else(|| {
             self.record_rejection(MessageSource::Cloud);
@@ -208,13 +208,13 @@
     let body_text = || String::from_utf8_lossy(body).into_owned();
     let is_lease_request = matches!(
         request,
-        StateRequest::Renew { .. } | StateRequest::EndLease { .. }
+        StateRequest::RenewLease { .. } | StateRequest::RevokeLease { .. }
     );
     match status.as_u16() {
         429 => return Some(StateReply::Refused { throttled: true }),
         503 => return Some(StateReply::Refused { throttled: false }),
         404 if is_lease_request => return Some(StateReply::LeaseGone),
-        404 if matches!(request, StateRequest::Get { .. }) => return Some(StateReply::Missing),
+        404 if matches!(request, StateRequest::Get { .. }) => return Some(StateReply::NotFound),
         409 => {
             let TransactionResponse { failed, revision } = decode(body)?;
             return Some(StateReply::Conflict { failed, revision });
@@ -233,10 +233,10 @@
                 revision: response.revision,
             })
         }
-        StateRequest::NewLease { .. } => {
+        StateRequest::GrantLease { .. } => {
             decode::<LeaseResponse>(body).map(|response| StateReply::Lease(response.lease))
         }
-        StateRequest::Renew { .. } | StateRequest::EndLease { .. } => Some(StateReply::Ok),
+        StateRequest::RenewLease { .. } | StateRequest::RevokeLease { .. } => Some(StateReply::Ok),
         StateRequest::Watch { .. } => decode(body).map(StateReply::Changes),
     }
 }
--- a/crates/trackcrank/src/mesh.rs
+++ b/crates/trackcrank/src/mesh.rs
@@ -13,7 +13,7 @@
 use tokio::net::TcpStream;
 use tokio::sync::mpsc;
 use tokio_util::codec::{Framed, LengthDelimitedCodec};
-use wire::mesh::{Frame, MeshMessage, MAX_FRAME, MESH_VERSION};
+use wire::mesh::{Frame, MeshMessage, MAX_FRAME_BYTES, MESH_VERSION};
 
 /// Capacity of the queue of messages for a peer: the fleet planner sends a message for each machine that
 /// is to be released, all at once. When the queue is full, because the peer cannot be reached, new
@@ -31,7 +31,7 @@
 
 fn codec() -> LengthDelimitedCodec {
     LengthDelimitedCodec::builder()
-        .max_frame_length(MAX_FRAME)
+        .max_frame_length(MAX_FRAME_BYTES)
         .new_codec()
 }
 
--- a/crates/trackcrank/src/server.rs
+++ b/crates/trackcrank/src/server.rs
@@ -196,7 +196,7 @@
         Ok(HeartbeatReply::Redirect(controller)) => json_response(
             StatusCode::MISDIRECTED_REQUEST,
             &Redirect {
-                report_to: controller.map(|name| name.to_string()),
+                controller: controller.map(|name| name.to_string()),
             },
         ),
         Ok(HeartbeatReply::Malformed) => {
--- a/crates/trackcrank/tests/large_site.rs
+++ b/crates/trackcrank/tests/large_site.rs
@@ -87,10 +87,10 @@
         machine_type: "t4".into(),
         zone: "a".into(),
         spot: false,
-        session: 1,
-        seq: 1,
+        worker_epoch: 1,
+        sequence_number: 1,
         token: 1,
-        notice_s: None,
+        reclaimed_in_s: None,
         tasks: Vec::new(),
     }
 }
--- a/crates/wire/src/cloud.rs
+++ b/crates/wire/src/cloud.rs
@@ -26,10 +26,10 @@
     pub fetch_gb_per_s: f64,
     /// Price per hour of an on-demand machine.
     #[serde(rename = "hourly", default)]
-    pub price: f64,
+    pub price_per_hour: f64,
     /// Price per hour of a spot machine.
     #[serde(rename = "market_price", default)]
-    pub spot_price: f64,
+    pub spot_price_per_hour: f64,
     /// Usual time from rental to the first heartbeat, in seconds.
     #[serde(rename = "ready_s", default)]
     pub boot_s: f64,
@@ -51,7 +51,7 @@
 pub struct RentRequest {
     /// Idempotency key: a repeated request with the same key rents nothing twice.
     #[serde(rename = "ask")]
-    pub request: String,
+    pub idempotency_key: String,
     /// Name of the machine type.
     #[serde(rename = "rig")]
     pub machine_type: String,
@@ -91,7 +91,8 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ListedMachine {
     /// Name of the machine.
-    pub id: String,
+    #[serde(rename = "id")]
+    pub name: String,
     /// Address of its worker, `host:port`; empty while it boots.
     #[serde(default)]
     pub address: String,
@@ -120,20 +121,20 @@
     pub machines: Vec<ListedMachine>,
     /// Whether another page follows.
     #[serde(rename = "has_next", default)]
-    pub more: bool,
+    pub has_more: bool,
 }
 
 /// A request to the cloud.
 #[derive(Debug, Clone, PartialEq)]
 pub enum CloudRequest {
     /// Read the machine types.
-    Types,
+    MachineTypes,
     /// Rent machines.
     Rent(RentRequest),
     /// Return the machines of these names.
     Release(Vec<String>),
     /// Read one page of the rented machines.
-    List {
+    ListMachines {
         /// Name after which the page starts; empty for the first page.
         after: String,
         /// Maximum number of machines on the page.
@@ -145,13 +146,13 @@
 #[derive(Debug, Clone, PartialEq)]
 pub enum CloudReply {
     /// The machine types.
-    Types(MachineTypes),
+    MachineTypes(MachineTypes),
     /// Names of the machines that were rented.
     Rented(Vec<String>),
     /// The release was accepted.
     Released,
     /// One page of the rented machines.
-    List(MachineList),
+    MachineList(MachineList),
     /// The rental was rejected because the cloud has no such machine left.
     NoCapacity,
     /// Status 429, an outage, or anything else that was certainly not executed.
--- a/crates/wire/src/http.rs
+++ b/crates/wire/src/http.rs
@@ -29,7 +29,7 @@
 
 /// An HTTP request as it is sent.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct HttpCall {
+pub struct HttpRequest {
     /// Method.
     pub method: HttpMethod,
     /// Path with the query.
@@ -38,9 +38,9 @@
     pub body: Option<Vec<u8>>,
 }
 
-impl HttpCall {
+impl HttpRequest {
     fn get(path: impl Into<String>) -> Self {
-        HttpCall {
+        HttpRequest {
             method: HttpMethod::Get,
             path: path.into(),
             body: None,
@@ -49,7 +49,7 @@
 
     fn post(path: impl Into<String>, body: &impl Serialize) -> Self {
         let body = serde_json::to_vec(body).ok();
-        HttpCall {
+        HttpRequest {
             method: HttpMethod::Post,
             path: path.into(),
             body,
@@ -57,10 +57,10 @@
     }
 }
 
-impl From<&StateRequest> for HttpCall {
+impl From<&StateRequest> for HttpRequest {
     fn from(request: &StateRequest) -> Self {
         match request {
-            StateRequest::Get { key } => HttpCall::get(format!("/store/{key}")),
+            StateRequest::Get { key } => HttpRequest::get(format!("/store/{key}")),
             StateRequest::List {
                 prefix,
                 after,
@@ -71,18 +71,18 @@
                     path.push_str("&after=");
                     path.push_str(after);
                 }
-                HttpCall::get(path)
+                HttpRequest::get(path)
             }
-            StateRequest::Transaction(txn) => HttpCall::post("/txn", txn),
-            StateRequest::NewLease { ttl_ms } => {
-                HttpCall::post("/holds", &LeaseRequest { ttl_ms: *ttl_ms })
+            StateRequest::Transaction(txn) => HttpRequest::post("/txn", txn),
+            StateRequest::GrantLease { ttl_ms } => {
+                HttpRequest::post("/holds", &LeaseRequest { ttl_ms: *ttl_ms })
             }
-            StateRequest::Renew { lease } => HttpCall {
+            StateRequest::RenewLease { lease } => HttpRequest {
                 method: HttpMethod::Post,
                 path: format!("/holds/{lease}/renew"),
                 body: None,
             },
-            StateRequest::EndLease { lease } => HttpCall {
+            StateRequest::RevokeLease { lease } => HttpRequest {
                 method: HttpMethod::Delete,
                 path: format!("/holds/{lease}"),
                 body: None,
@@ -93,32 +93,32 @@
                 wait_ms,
             } => {
                 let path = format!("/changes?prefix={prefix}&after={after}&wait_ms={wait_ms}");
-                HttpCall::get(path)
+                HttpRequest::get(path)
             }
         }
     }
 }
 
-impl From<&CloudRequest> for HttpCall {
+impl From<&CloudRequest> for HttpRequest {
     fn from(request: &CloudRequest) -> Self {
         match request {
-            CloudRequest::Types => HttpCall::get("/machine_types"),
-            CloudRequest::Rent(rent) => HttpCall::post("/hosts", rent),
-            CloudRequest::Release(names) => HttpCall::post(
+            CloudRequest::MachineTypes => HttpRequest::get("/machine_types"),
+            CloudRequest::Rent(rent) => HttpRequest::post("/hosts", rent),
+            CloudRequest::Release(names) => HttpRequest::post(
                 "/hosts/release",
                 &MachineNames {
                     machines: names.clone(),
                 },
             ),
-            CloudRequest::List { after, limit } => {
-                HttpCall::get(format!("/hosts?after={after}&limit={limit}"))
+            CloudRequest::ListMachines { after, limit } => {
+                HttpRequest::get(format!("/hosts?after={after}&limit={limit}"))
             }
         }
     }
 }
 
-impl From<&DirectCommands> for HttpCall {
+impl From<&DirectCommands> for HttpRequest {
     fn from(commands: &DirectCommands) -> Self {
-        HttpCall::post("/commands", commands)
+        HttpRequest::post("/commands", commands)
     }
 }
--- a/crates/wire/src/mesh.rs
+++ b/crates/wire/src/mesh.rs
@@ -10,7 +10,7 @@
 pub const MESH_VERSION: u16 = 5;
 /// Largest frame in bytes that is read and sent: the status of a partition of 8,000 machines with the
 /// longest names fits. Versions before this bound read 256 KiB only and close the connection on more.
-pub const MAX_FRAME: usize = 4 * 1024 * 1024;
+pub const MAX_FRAME_BYTES: usize = 4 * 1024 * 1024;
 
 /// Queued work of one shape: tasks with the same requirements.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
@@ -22,25 +22,30 @@
     /// Memory of one task in MB.
     pub memory_mb: u64,
     /// Machine types that are allowed; all if absent.
-    pub types: Option<Vec<String>>,
+    #[serde(rename = "types")]
+    pub allowed_machine_types: Option<Vec<String>>,
     /// Zone that is required; any if absent.
     pub zone: Option<String>,
     /// Whether spot machines are allowed.
-    pub spot: bool,
+    #[serde(rename = "spot")]
+    pub spot_allowed: bool,
     /// Number of queued tasks.
-    pub tasks: u64,
+    #[serde(rename = "tasks")]
+    pub task_count: u64,
     /// How many of these must start without delay: services, and work within a guarantee.
-    pub urgent: u64,
+    #[serde(rename = "urgent")]
+    pub urgent_count: u64,
     /// Owner's estimate of a task's run time in milliseconds; 0 for services.
-    pub estimate_ms: u64,
+    #[serde(rename = "estimate_ms")]
+    pub estimated_run_time_ms: u64,
     /// Priority class. Low priority without a deadline is best-effort work.
     #[serde(default = "default_priority")]
     pub priority: Priority,
     /// Number of all tasks of a gang that must run in one zone, otherwise 0. `zone` is then the
     /// zone where the fewest machines are missing; if the cloud has none left there, the whole gang
     /// may be placed in another.
-    #[serde(default)]
-    pub gang: u64,
+    #[serde(rename = "gang", default)]
+    pub gang_size: u64,
 }
 
 /// Priority of work whose sender does not state one.
@@ -51,10 +56,10 @@
 impl DemandShape {
     /// Whether the work may run on a machine of this type and zone, which is a spot machine or not.
     pub fn suits(&self, machine_type: &str, zone: &str, spot: bool) -> bool {
-        (self.spot || !spot)
+        (self.spot_allowed || !spot)
             && self.zone.as_deref().is_none_or(|required| required == zone)
             && self
-                .types
+                .allowed_machine_types
                 .as_ref()
                 .is_none_or(|types| types.iter().any(|name| name == machine_type))
     }
@@ -66,11 +71,11 @@
     /// Name of the machine.
     pub machine: String,
     /// Number of tasks on it.
-    pub tasks: u32,
+    pub task_count: u32,
     /// Time since it became idle, in milliseconds.
     pub idle_ms: u64,
     /// Whether its worker sends heartbeats.
-    pub up: bool,
+    pub reporting: bool,
     /// Whether it is quarantined: it is to be returned once it is empty.
     pub quarantined: bool,
     /// Time since its last heartbeat in milliseconds; 0 before the first.
@@ -203,13 +208,13 @@
     /// Address of its worker, `host:port`.
     pub address: String,
     /// Worker epoch of its last heartbeat.
-    pub session: u64,
+    pub worker_epoch: u64,
     /// Whether the leader has recently received its heartbeats.
     pub reporting: bool,
     /// Whether it is quarantined.
     pub quarantined: bool,
     /// Since when it has been idle, in milliseconds on the sender's steady clock.
-    pub idle_at: Option<u64>,
+    pub idle_since_ms: Option<u64>,
     /// Images in its cache by name, with their sizes in GB.
     pub images: Vec<(String, f64)>,
 }
@@ -226,7 +231,7 @@
     /// Number of tasks that completed.
     pub successes: u32,
     /// Longest run time after which a task failed, in milliseconds.
-    pub fails_within_ms: u64,
+    pub longest_failure_ms: u64,
 }
 
 /// What a replicated record describes.
@@ -263,7 +268,7 @@
     }
 
     /// Approximate size in a frame, in bytes.
-    pub fn weight(&self) -> usize {
+    pub fn approximate_bytes(&self) -> usize {
         match self {
             ReplicatedRecord::Machine(snapshot) => {
                 let images: usize = snapshot
@@ -301,7 +306,7 @@
     /// from 0.
     pub tombstones_dropped_up_to: u64,
     /// Time of sending in milliseconds on the sender's steady clock.
-    pub at_ms: u64,
+    pub sent_at_ms: u64,
     /// Changed records.
     pub records: Vec<ReplicatedRecord>,
 }
--- a/crates/wire/src/state.rs
+++ b/crates/wire/src/state.rs
@@ -28,7 +28,7 @@
     pub items: Vec<Item>,
     /// Whether another page follows.
     #[serde(rename = "has_next", default)]
-    pub more: bool,
+    pub has_more: bool,
     /// Revision of the state service at which the page was read.
     #[serde(rename = "epoch")]
     pub revision: u64,
@@ -37,7 +37,7 @@
 impl ListPage {
     /// Whether this is a valid page after the key `after` of a read by `prefix`: the keys ascend, all
     /// have the prefix, and a page that announces another one is not empty.
-    pub fn follows(&self, prefix: &str, after: &str) -> bool {
+    pub fn is_valid_for(&self, prefix: &str, after: &str) -> bool {
         let mut last = after;
         for item in &self.items {
             let key = item.key.as_str();
@@ -46,7 +46,7 @@
             }
             last = key;
         }
-        !(self.more && self.items.is_empty())
+        !(self.has_more && self.items.is_empty())
     }
 }
 
@@ -68,7 +68,8 @@
     /// Sets the value of a key.
     Put {
         /// Key.
-        put: String,
+        #[serde(rename = "put")]
+        key: String,
         /// New value.
         #[serde(rename = "v")]
         value: Value,
@@ -79,7 +80,8 @@
     /// Removes a key.
     Delete {
         /// Key.
-        delete: String,
+        #[serde(rename = "delete")]
+        key: String,
     },
 }
 
@@ -87,7 +89,7 @@
     /// A put without a lease.
     pub fn put(key: impl Into<String>, value: Value) -> Self {
         Write::Put {
-            put: key.into(),
+            key: key.into(),
             value,
             lease: None,
         }
@@ -95,20 +97,19 @@
     /// A put bound to a lease.
     pub fn put_leased(key: impl Into<String>, value: Value, lease: u64) -> Self {
         Write::Put {
-            put: key.into(),
+            key: key.into(),
             value,
             lease: Some(lease),
         }
     }
     /// A removal of a key.
     pub fn delete(key: impl Into<String>) -> Self {
-        Write::Delete { delete: key.into() }
+        Write::Delete { key: key.into() }
     }
     /// The key that is written.
     pub fn key(&self) -> &str {
         match self {
-            Write::Put { put, .. } => put,
-            Write::Delete { delete } => delete,
+            Write::Put { key, .. } | Write::Delete { key } => key,
         }
     }
 }
@@ -126,7 +127,7 @@
 
 impl Transaction {
     /// Adds a condition.
-    pub fn when(mut self, key: impl Into<String>, version: u64) -> Self {
+    pub fn if_version(mut self, key: impl Into<String>, version: u64) -> Self {
         self.conditions.push(Condition {
             key: key.into(),
             version,
@@ -171,11 +172,11 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Change {
     /// Key that was written.
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub put: Option<String>,
+    #[serde(rename = "put", default, skip_serializing_if = "Option::is_none")]
+    pub put_key: Option<String>,
     /// Key that was removed.
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub delete: Option<String>,
+    #[serde(rename = "delete", default, skip_serializing_if = "Option::is_none")]
+    pub deleted_key: Option<String>,
     /// New value after a put.
     #[serde(rename = "v", default, skip_serializing_if = "Option::is_none")]
     pub value: Option<Value>,
@@ -218,17 +219,17 @@
     /// Commit a transaction.
     Transaction(Transaction),
     /// Request a lease.
-    NewLease {
+    GrantLease {
         /// Time to live without a renewal, in milliseconds.
         ttl_ms: u64,
     },
     /// Renew a lease.
-    Renew {
+    RenewLease {
         /// Id of the lease.
         lease: u64,
     },
     /// Revoke a lease, which removes the keys bound to it.
-    EndLease {
+    RevokeLease {
         /// Id of the lease.
         lease: u64,
     },
@@ -249,7 +250,7 @@
     /// The key that was read.
     Item(Item),
     /// Status 404: the key that was read does not exist.
-    Missing,
+    NotFound,
     /// One page of keys.
     List(ListPage),
     /// The transaction was applied.
--- a/crates/wire/src/users.rs
+++ b/crates/wire/src/users.rs
@@ -52,7 +52,7 @@
     pub priority: Priority,
     /// Number of tasks.
     #[serde(rename = "pieces")]
-    pub tasks: u64,
+    pub task_count: u64,
     /// CPUs of one task.
     #[serde(rename = "vcpus")]
     pub cpus: f64,
@@ -69,7 +69,7 @@
     pub image_gb: f64,
     /// Machine types that are allowed; all if absent.
     #[serde(rename = "rigs", default, skip_serializing_if = "Option::is_none")]
-    pub types: Option<Vec<String>>,
+    pub allowed_machine_types: Option<Vec<String>>,
     /// Zone that is required; any if absent.
     #[serde(rename = "yard", default, skip_serializing_if = "Option::is_none")]
     pub zone: Option<String>,
@@ -77,19 +77,20 @@
     #[serde(rename = "together")]
     pub one_zone: bool,
     /// Whether the tasks must be spread over zones.
-    pub spread: bool,
+    #[serde(rename = "spread")]
+    pub spread_over_zones: bool,
     /// Whether spot machines are allowed.
     #[serde(rename = "loaners")]
-    pub spot: bool,
+    pub spot_allowed: bool,
     /// Owner's estimate of a task's run time in seconds.
     #[serde(rename = "expect_s")]
-    pub estimate_s: f64,
+    pub estimated_run_time_s: f64,
     /// Time between two checkpoints of a task in seconds; 0 if it saves none.
     #[serde(rename = "notch_s")]
-    pub checkpoint_s: f64,
+    pub checkpoint_interval_s: f64,
     /// Time that a task takes to save a checkpoint when it is stopped, in seconds.
     #[serde(rename = "stash_s")]
-    pub save_s: f64,
+    pub checkpoint_save_time_s: f64,
     /// Time after the submission within which the job should be finished, in seconds.
     #[serde(rename = "due_s", default, skip_serializing_if = "Option::is_none")]
     pub deadline_s: Option<f64>,
