--- a/crates/wire/src/workers.rs
+++ b/crates/wire/src/workers.rs
@@ -30,13 +30,13 @@
     Stopped,
     /// A gang's task lost contact with the other tasks of the gang.
     #[serde(rename = "mates_gone")]
-    PeersGone,
+    GangPeersLost,
     /// The other tasks of the gang did not start in time.
     #[serde(rename = "incomplete")]
-    Alone,
+    GangIncomplete,
     /// The machine has not enough free resources.
     #[serde(rename = "full")]
-    NoRoom,
+    NoFreeCapacity,
     /// Another attempt of the same task still runs on the machine.
     Busy,
     /// The worker does not know the task, as after a restart.
@@ -60,10 +60,10 @@
     pub state: TaskState,
     /// Why it exited; only in the state [`TaskState::Exited`].
     #[serde(rename = "cause", default, skip_serializing_if = "Option::is_none")]
-    pub why: Option<ExitCause>,
+    pub exit_cause: Option<ExitCause>,
     /// Whether the stopped task has saved a checkpoint.
     #[serde(rename = "stored", default, skip_serializing_if = "Option::is_none")]
-    pub saved: Option<bool>,
+    pub checkpoint_saved: Option<bool>,
 }
 
 /// Body of `POST /hello` and of a worker's responses to direct commands: the status of a machine
@@ -86,16 +86,16 @@
     pub spot: bool,
     /// Worker epoch: it rises whenever the worker's lease expires.
     #[serde(rename = "shift")]
-    pub session: u64,
+    pub worker_epoch: u64,
     /// Sequence number of the message within the worker's life.
     #[serde(rename = "tick")]
-    pub seq: u64,
+    pub sequence_number: u64,
     /// Highest fencing token that the worker has received.
     #[serde(rename = "baton")]
     pub token: u64,
     /// Seconds until the cloud takes a spot machine back, once that is announced.
     #[serde(rename = "warning_s", default)]
-    pub notice_s: Option<f64>,
+    pub reclaimed_in_s: Option<f64>,
     /// All tasks on the machine, including those that exited and were not forgotten yet.
     #[serde(rename = "pieces", default)]
     pub tasks: Vec<TaskStatus>,
@@ -107,7 +107,7 @@
 pub enum Command {
     /// Start a task.
     #[serde(rename = "launch")]
-    Start {
+    Launch {
         /// Id of the task.
         #[serde(rename = "piece")]
         task: String,
@@ -156,7 +156,7 @@
 pub struct Redirect {
     /// Name of the controller to report to, if it is known.
     #[serde(rename = "foreman", default, skip_serializing_if = "Option::is_none")]
-    pub report_to: Option<String>,
+    pub controller: Option<String>,
 }
 
 /// Body of `POST /commands`. Without commands it is a liveness probe.
@@ -168,7 +168,7 @@
     pub token: u64,
     /// Worker epoch for which the commands are meant.
     #[serde(rename = "shift")]
-    pub session: u64,
+    pub worker_epoch: u64,
     /// Commands in the order in which they are to be executed.
     #[serde(rename = "orders")]
     pub commands: Vec<Command>,
--- a/crates/wire/tests/decoders.rs
+++ b/crates/wire/tests/decoders.rs
@@ -152,22 +152,22 @@
         milli_cpus: 8_000,
         milli_gpus: 0,
         memory_mb: 64_000,
-        types: Some(vec!["g8".into()]),
+        allowed_machine_types: Some(vec!["g8".into()]),
         zone: None,
-        spot: true,
-        tasks: 3,
-        urgent: 0,
-        estimate_ms: 240_000,
+        spot_allowed: true,
+        task_count: 3,
+        urgent_count: 0,
+        estimated_run_time_ms: 240_000,
         priority: Priority::Normal,
-        gang: 0,
+        gang_size: 0,
     };
     let hint = MachineSnapshot {
         machine: "host-000231".into(),
         address: "10.1.0.232:9000".into(),
-        session: 1,
+        worker_epoch: 1,
         reporting: true,
         quarantined: false,
-        idle_at: Some(7),
+        idle_since_ms: Some(7),
         images: vec![("img-07".into(), 6.2)],
     };
     let hints = ReplicationBatch {
@@ -338,27 +338,30 @@
                 lease: None,
             })
             .collect(),
-        more,
+        has_more: more,
         revision: 7,
     };
-    assert!(page(&["s/a", "s/b"], true).follows("s/", ""));
-    assert!(page(&["s/c"], false).follows("s/", "s/b"));
-    assert!(page(&[], false).follows("s/", "s/b"));
+    assert!(page(&["s/a", "s/b"], true).is_valid_for("s/", ""));
+    assert!(page(&["s/c"], false).is_valid_for("s/", "s/b"));
+    assert!(page(&[], false).is_valid_for("s/", "s/b"));
     assert!(
-        !page(&[], true).follows("s/", "s/b"),
+        !page(&[], true).is_valid_for("s/", "s/b"),
         "nothing to go on from"
     );
     assert!(
-        !page(&["s/b", "s/a"], false).follows("s/", ""),
+        !page(&["s/b", "s/a"], false).is_valid_for("s/", ""),
         "out of order"
     );
-    assert!(!page(&["s/a", "s/a"], false).follows("s/", ""), "twice");
     assert!(
-        !page(&["s/b"], true).follows("s/", "s/b"),
+        !page(&["s/a", "s/a"], false).is_valid_for("s/", ""),
+        "twice"
+    );
+    assert!(
+        !page(&["s/b"], true).is_valid_for("s/", "s/b"),
         "the page before again"
     );
     assert!(
-        !page(&["t/b"], false).follows("s/", "s/b"),
+        !page(&["t/b"], false).is_valid_for("s/", "s/b"),
         "of another prefix"
     );
 }
--- a/crates/wire/tests/frame_sizes.rs
+++ b/crates/wire/tests/frame_sizes.rs
@@ -1,7 +1,7 @@
 //! The frames of a site of 8,000 machines, all of them in one partition, are no larger than peers read.
 
 use wire::mesh::{
-    DemandShape, Frame, MachineStatus, MeshMessage, PartitionStatus, MAX_FRAME, MESH_VERSION,
+    DemandShape, Frame, MachineStatus, MeshMessage, PartitionStatus, MAX_FRAME_BYTES, MESH_VERSION,
 };
 use wire::users::Priority;
 
@@ -25,9 +25,9 @@
 fn machine(number: usize, name_length: usize) -> MachineStatus {
     MachineStatus {
         machine: format!("{number:0name_length$}"),
-        tasks: 1_000,
+        task_count: 1_000,
         idle_ms: 50 * ONE_DAY_MS,
-        up: true,
+        reporting: true,
         quarantined: false,
         since_heartbeat_ms: 50 * ONE_DAY_MS,
         transferable: true,
@@ -41,18 +41,18 @@
         milli_cpus: 1_000_000 + number,
         milli_gpus: 1_000_000,
         memory_mb: 10_000_000,
-        types: Some(
+        allowed_machine_types: Some(
             (0..8)
                 .map(|number| format!("machine-type-{number:08}"))
                 .collect(),
         ),
         zone: Some("z".repeat(64)),
-        spot: true,
-        tasks: 10_000_000_000,
-        urgent: 10_000_000_000,
-        estimate_ms: 50 * ONE_DAY_MS,
+        spot_allowed: true,
+        task_count: 10_000_000_000,
+        urgent_count: 10_000_000_000,
+        estimated_run_time_ms: 50 * ONE_DAY_MS,
         priority: Priority::Normal,
-        gang: 10_000_000_000,
+        gang_size: 10_000_000_000,
     }
 }
 
@@ -75,7 +75,10 @@
     }
     let bytes = frame_bytes(load(MACHINES, LONGEST_NAME));
     println!("{MACHINES} machines with names of {LONGEST_NAME}: {bytes} bytes");
-    assert!(bytes <= MAX_FRAME, "{bytes} bytes, {MAX_FRAME} are read");
+    assert!(
+        bytes <= MAX_FRAME_BYTES,
+        "{bytes} bytes, {MAX_FRAME_BYTES} are read"
+    );
 }
 
 #[test]
@@ -83,5 +86,8 @@
     let jobs = vec![(u64::MAX, 100_000, 100_000); MACHINES * JOBS_PER_MACHINE];
     let bytes = frame_bytes(MeshMessage::JobProgress { jobs });
     println!("{} jobs: {bytes} bytes", MACHINES * JOBS_PER_MACHINE);
-    assert!(bytes <= MAX_FRAME, "{bytes} bytes, {MAX_FRAME} are read");
+    assert!(
+        bytes <= MAX_FRAME_BYTES,
+        "{bytes} bytes, {MAX_FRAME_BYTES} are read"
+    );
 }
--- a/crates/wire/tests/golden_bodies.rs
+++ b/crates/wire/tests/golden_bodies.rs
@@ -25,27 +25,27 @@
         team: "vision".into(),
         kind,
         priority,
-        tasks: 16,
+        task_count: 16,
         cpus: 8.0,
         gpus: 0.5,
         memory_gb: 64.25,
         image: "img-07".into(),
         image_gb: 6.2,
-        types: Some(vec!["g8".into(), "m4".into()]),
+        allowed_machine_types: Some(vec!["g8".into(), "m4".into()]),
         zone: Some("a".into()),
         one_zone: true,
-        spread: false,
-        spot: true,
-        estimate_s: 240.0,
-        checkpoint_s: 30.5,
-        save_s: 4.0,
+        spread_over_zones: false,
+        spot_allowed: true,
+        estimated_run_time_s: 240.0,
+        checkpoint_interval_s: 30.5,
+        checkpoint_save_time_s: 4.0,
         deadline_s: Some(900.0),
     }
 }
 
 fn plain_job() -> JobRequest {
     JobRequest {
-        types: None,
+        allowed_machine_types: None,
         zone: None,
         deadline_s: None,
         ..full_job(JobKind::Array, Priority::Low)
@@ -96,8 +96,8 @@
         task: "j-000412/3".into(),
         attempt: 57,
         state,
-        why,
-        saved,
+        exit_cause: why,
+        checkpoint_saved: saved,
     }
 }
 
@@ -112,10 +112,10 @@
         machine_type: "m4".into(),
         zone: "a".into(),
         spot: true,
-        session: 77,
-        seq: 12,
+        worker_epoch: 77,
+        sequence_number: 12,
         token: 41,
-        notice_s,
+        reclaimed_in_s: notice_s,
         tasks,
     }
 }
@@ -123,7 +123,7 @@
 fn commands() -> Vec<Command> {
     let task = || "j-000412/3".to_owned();
     vec![
-        Command::Start {
+        Command::Launch {
             task: task(),
             attempt: 57,
         },
@@ -156,9 +156,9 @@
         body("task_saving", task(TaskState::Saving, None, None)),
         body("exited_done", exited(ExitCause::Done)),
         body("exited_halted", exited(ExitCause::Stopped)),
-        body("exited_mates_gone", exited(ExitCause::PeersGone)),
-        body("exited_incomplete", exited(ExitCause::Alone)),
-        body("exited_full", exited(ExitCause::NoRoom)),
+        body("exited_mates_gone", exited(ExitCause::GangPeersLost)),
+        body("exited_incomplete", exited(ExitCause::GangIncomplete)),
+        body("exited_full", exited(ExitCause::NoFreeCapacity)),
         body("exited_busy", exited(ExitCause::Busy)),
         body("exited_unknown", exited(ExitCause::Unknown)),
         body("exited_error", exited(ExitCause::Error)),
@@ -179,15 +179,15 @@
         body(
             "redirect",
             Redirect {
-                report_to: Some("n2".into()),
+                controller: Some("n2".into()),
             },
         ),
-        body("redirect_nowhere", Redirect { report_to: None }),
+        body("redirect_nowhere", Redirect { controller: None }),
         body(
             "direct_commands",
             DirectCommands {
                 token: 41,
-                session: 77,
+                worker_epoch: 77,
                 commands: commands(),
             },
         ),
@@ -203,8 +203,8 @@
         memory_gb: 256.0,
         cache_gb: 80.5,
         fetch_gb_per_s: 1.25,
-        price: 4.2,
-        spot_price: 1.3,
+        price_per_hour: 4.2,
+        spot_price_per_hour: 1.3,
         boot_s: 90.0,
         zones: vec!["a".into(), "b".into()],
     }
@@ -212,7 +212,7 @@
 
 fn listed(state: MachineState) -> ListedMachine {
     ListedMachine {
-        id: "host-000007".into(),
+        name: "host-000007".into(),
         address: "10.0.1.7:9000".into(),
         machine_type: "g8".into(),
         zone: "a".into(),
@@ -224,7 +224,7 @@
 
 fn rent() -> RentRequest {
     RentRequest {
-        request: "n0-41-7".into(),
+        idempotency_key: "n0-41-7".into(),
         machine_type: "g8".into(),
         zone: "a".into(),
         spot: true,
@@ -254,14 +254,14 @@
             "list",
             MachineList {
                 machines: all.to_vec(),
-                more: true,
+                has_more: true,
             },
         ),
         body(
             "list_last",
             MachineList {
                 machines: Vec::new(),
-                more: false,
+                has_more: false,
             },
         ),
     ];
@@ -280,8 +280,8 @@
 fn change(lease: Option<u64>) -> Change {
     let value = Some(json!({ "term": 40 }));
     Change {
-        put: Some("s/p/0".into()),
-        delete: None,
+        put_key: Some("s/p/0".into()),
+        deleted_key: None,
         value,
         version: 9,
         lease,
@@ -289,10 +289,10 @@
 }
 
 fn deletion() -> Change {
-    let delete = Some("s/p/0".into());
+    let deleted_key = Some("s/p/0".into());
     Change {
-        put: None,
-        delete,
+        put_key: None,
+        deleted_key,
         value: None,
         version: 10,
         lease: None,
@@ -301,8 +301,8 @@
 
 fn transaction() -> Transaction {
     Transaction::default()
-        .when("s/p/0", 9)
-        .when("s/t", 0)
+        .if_version("s/p/0", 9)
+        .if_version("s/t", 0)
         .write(Write::put("s/t", json!({ "next": 41 })))
         .write(Write::put_leased("s/p/0", json!({ "term": 41 }), 500))
         .write(Write::delete("s/w/0"))
@@ -318,7 +318,7 @@
             "list",
             ListPage {
                 items: vec![item(Some(500))],
-                more: true,
+                has_more: true,
                 revision: 77,
             },
         ),
@@ -326,7 +326,7 @@
             "list_last",
             ListPage {
                 items: Vec::new(),
-                more: false,
+                has_more: false,
                 revision: 77,
             },
         ),
@@ -388,7 +388,7 @@
         "state_list_absent_more",
         &ListPage {
             items: Vec::new(),
-            more: false,
+            has_more: false,
             revision: 77,
         },
     );
@@ -406,7 +406,7 @@
             events: Vec::new(),
         },
     );
-    reads("redirect_null", &Redirect { report_to: None });
+    reads("redirect_null", &Redirect { controller: None });
 }
 
 fn bare_types() -> MachineTypes {
@@ -414,8 +414,8 @@
         gpus: 0.0,
         cache_gb: 0.0,
         fetch_gb_per_s: 0.0,
-        price: 0.0,
-        spot_price: 0.0,
+        price_per_hour: 0.0,
+        spot_price_per_hour: 0.0,
         boot_s: 0.0,
         zones: Vec::new(),
         ..machine_type()
@@ -431,6 +431,6 @@
     };
     MachineList {
         machines: vec![bare],
-        more: false,
+        has_more: false,
     }
 }
--- a/crates/wire/tests/golden_mesh.rs
+++ b/crates/wire/tests/golden_mesh.rs
@@ -35,23 +35,23 @@
         milli_cpus: 1500,
         milli_gpus: 2000,
         memory_mb: 64_000,
-        types: Some(vec!["g8".into(), "m4".into()]),
+        allowed_machine_types: Some(vec!["g8".into(), "m4".into()]),
         zone: Some("a".into()),
-        spot: true,
-        tasks: 12,
-        urgent: 3,
-        estimate_ms: 240_000,
+        spot_allowed: true,
+        task_count: 12,
+        urgent_count: 3,
+        estimated_run_time_ms: 240_000,
         priority,
-        gang: 16,
+        gang_size: 16,
     }
 }
 
 fn plain_shape() -> DemandShape {
     DemandShape {
-        types: None,
+        allowed_machine_types: None,
         zone: None,
-        spot: false,
-        gang: 0,
+        spot_allowed: false,
+        gang_size: 0,
         ..shape(Priority::Normal)
     }
 }
@@ -59,9 +59,9 @@
 fn machine_load(transfer_to: Option<u32>) -> MachineStatus {
     MachineStatus {
         machine: "host-000007".into(),
-        tasks: 4,
+        task_count: 4,
         idle_ms: 5_000,
-        up: true,
+        reporting: true,
         quarantined: false,
         since_heartbeat_ms: 700,
         transferable: transfer_to.is_some(),
@@ -88,10 +88,10 @@
     MachineSnapshot {
         machine: "host-000007".into(),
         address: "10.0.1.7:9000".into(),
-        session: 77,
+        worker_epoch: 77,
         reporting: true,
         quarantined: false,
-        idle_at,
+        idle_since_ms: idle_at,
         images: vec![("img-07".into(), 6.25), ("img-08".into(), 1.0)],
     }
 }
@@ -102,7 +102,7 @@
         failures: vec![(0, 2), (7, 1)],
         failed_on: vec!["host-000007".into()],
         successes: 5,
-        fails_within_ms: 9_000,
+        longest_failure_ms: 9_000,
     }
 }
 
@@ -115,7 +115,7 @@
         up_to: 60,
         newest: 70,
         tombstones_dropped_up_to: 40,
-        at_ms: 123_456,
+        sent_at_ms: 123_456,
         records,
     })
 }
