--- a/crates/model/src/ids.rs
+++ b/crates/model/src/ids.rs
@@ -1,9 +1,10 @@
-//! Types for ids, names, versions and tokens, so that none is taken for another.
+//! Types of ids, names, versions and tokens, so that the compiler tells them apart.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-macro_rules! number {
+/// Defines a type that wraps a number.
+macro_rules! number_type {
     ($(#[$doc:meta])* $name:ident) => {
         $(#[$doc])*
         #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default, Serialize, Deserialize)]
@@ -18,7 +19,8 @@
     };
 }
 
-macro_rules! name {
+/// Defines a type that wraps a name, which is cheap to clone.
+macro_rules! name_type {
     ($(#[$doc:meta])* $name:ident) => {
         $(#[$doc])*
         #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
@@ -46,58 +48,58 @@
     };
 }
 
-number!(
-    /// Fencing token: entitles a controller to command a machine. Workers drop commands with a lower
-    /// token than the highest that they have received. Terms are drawn from the same counter.
+number_type!(
+    /// Fencing token: entitles a controller to send commands to a machine. Workers drop commands with a
+    /// lower token than the highest that they have received. Terms are drawn from the same counter.
     FencingToken
 );
-number!(
+number_type!(
     /// Number of an attempt to run a task, or all tasks of a gang.
     Attempt
 );
-number!(
+number_type!(
     /// Version of a key in the state service: the revision of its last write, or 0 if it does not exist.
     Version
 );
-number!(
+number_type!(
     /// Revision of the whole state service.
     Revision
 );
-number!(
+number_type!(
     /// Id of a lease in the state service.
     LeaseId
 );
-number!(
-    /// Session of a worker: it rises whenever the worker's lease expires.
+number_type!(
+    /// Worker epoch: it increases whenever the worker's lease expires.
     WorkerEpoch
 );
-number!(
-    /// Number of a worker's message within its life.
+number_type!(
+    /// Sequence number of a worker's message within the lifetime of the worker.
     SequenceNumber
 );
-number!(
+number_type!(
     /// Correlates a request to another service with its response.
     CallId
 );
 
-name!(
+name_type!(
     /// Name of a controller.
     ControllerName
 );
-name!(
+name_type!(
     /// Name of a rented machine.
     MachineName
 );
-name!(
+name_type!(
     /// Name of a team.
     TeamName
 );
-name!(
+name_type!(
     /// Name of a zone.
     ZoneName
 );
 
-/// Number of a partition: a fixed set of teams and a share of the machines.
+/// Number of a partition, which consists of a fixed set of teams and a share of the machines.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct PartitionId(pub u32);
@@ -108,10 +110,10 @@
     }
 }
 
-/// Digits of a job's id; lower numbers are padded with zeros.
+/// Minimum number of digits in a job's id; smaller numbers are padded with zeros.
 const MIN_JOB_ID_DIGITS: usize = 6;
 
-/// A job's id: `j-` and a number of at least six digits.
+/// Id of a job: `j-` and a number of at least six digits.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct JobId(pub u64);
 
@@ -135,7 +137,7 @@
     }
 }
 
-/// A task, written as the id of its job and its index: `j-000412/3`.
+/// Id of a task, written as the id of its job and its index: `j-000412/3`.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TaskId {
     /// Id of the job.
--- a/crates/model/src/job.rs
+++ b/crates/model/src/job.rs
@@ -1,4 +1,4 @@
-//! Jobs and the checks of submissions.
+//! Specifications of jobs, and the validation of submissions.
 
 use crate::{
     duration_from_secs, JobId, JobKind, Priority, Resources, Settings, TeamName, ZoneName,
@@ -8,12 +8,12 @@
 use wire::cloud::MachineType;
 use wire::users::JobRequest;
 
-/// Most tasks that a job may have.
+/// Maximum number of tasks of a job.
 pub const MAX_TASKS_PER_JOB: u64 = 100_000;
 /// Largest amount in a field of a submission.
 const MAX_AMOUNT: f64 = 1e9;
 /// Longest name in a field of a submission, in bytes.
-const MAX_NAME_LENGTH: usize = 200;
+const MAX_NAME_BYTES: usize = 200;
 
 /// A submitted job whose fields have been checked.
 #[derive(Debug, Clone, PartialEq)]
@@ -62,14 +62,14 @@
 pub struct InvalidJob {
     /// Name of the field in the request.
     pub field: &'static str,
-    /// What is wrong with it.
+    /// What is wrong with the field.
     pub problem: JobFieldProblem,
 }
 
 /// What is wrong with a field of a submission.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub enum JobFieldProblem {
-    /// The text is no id of a job.
+    /// The text is not the id of a job.
     #[error("must look like j-000412")]
     NotAJobId,
     /// The number of tasks is zero or above [`MAX_TASKS_PER_JOB`].
@@ -79,7 +79,7 @@
     #[error("must be a number from 0")]
     Amount,
     /// The name is empty or too long.
-    #[error("must have 1 to {MAX_NAME_LENGTH} characters")]
+    #[error("must have 1 to {MAX_NAME_BYTES} characters")]
     NameLength,
     /// A task needs no CPUs, no GPUs and no memory.
     #[error("a task must take something")]
@@ -95,7 +95,7 @@
     /// No allowed machine type has the resources of one task.
     #[error("a task fits no allowed machine type")]
     FitsNoMachineType,
-    /// What the job needs at one time exceeds the team's limit.
+    /// The resources that the job needs at the same time exceed the team's limit.
     #[error("the job needs more than the team's limit")]
     ExceedsTeamLimit,
 }
@@ -112,7 +112,7 @@
 }
 
 fn check_name(field: &'static str, value: &str) -> Result<(), InvalidJob> {
-    if value.is_empty() || value.len() > MAX_NAME_LENGTH {
+    if value.is_empty() || value.len() > MAX_NAME_BYTES {
         Err(InvalidJob {
             field,
             problem: JobFieldProblem::NameLength,
@@ -191,7 +191,8 @@
 }
 
 impl JobSpec {
-    /// Whether a machine of this type and zone, which is a spot machine or not, may run the job's tasks.
+    /// Whether the job's tasks may run on a machine of this type in this zone; `spot` tells whether it is
+    /// a spot machine.
     pub fn allows(&self, machine_type: &str, zone: &ZoneName, spot: bool) -> bool {
         (self.spot_allowed || !spot)
             && self.zone.as_ref().is_none_or(|required| required == zone)
@@ -215,7 +216,7 @@
             ))
     }
 
-    /// Whether the tasks of another job have the same requirements for their machines.
+    /// Whether the tasks of both jobs have the same requirements for their machines.
     pub fn has_same_machine_requirements(&self, other: &JobSpec) -> bool {
         (
             self.task_resources,
@@ -230,17 +231,17 @@
         )
     }
 
-    /// Whether some machine type fits this job's tasks, but not those of the other job.
-    pub fn fits_type_unusable_for(&self, other: &JobSpec, types: &[MachineType]) -> bool {
-        types
+    /// Whether the tasks of this job fit some machine type that those of the other job do not fit.
+    pub fn fits_type_unusable_for(&self, other: &JobSpec, machine_types: &[MachineType]) -> bool {
+        machine_types
             .iter()
             .any(|machine_type| self.fits_type(machine_type) && !other.fits_type(machine_type))
     }
 
-    /// Whether its tasks need no GPUs and fit some machine type without any.
-    pub fn fits_type_without_gpus(&self, types: &[MachineType]) -> bool {
+    /// Whether its tasks need no GPUs and fit some machine type without GPUs.
+    pub fn fits_type_without_gpus(&self, machine_types: &[MachineType]) -> bool {
         self.task_resources.milli_gpus == 0
-            && types
+            && machine_types
                 .iter()
                 .any(|machine_type| machine_type.gpus == 0.0 && self.fits_type(machine_type))
     }
@@ -250,15 +251,15 @@
         self.kind != JobKind::Array
     }
 
-    /// Whether it is best-effort work: it uses capacity that other work leaves free, and the fleet is
-    /// scaled out for it only with spot machines. A job with a deadline is never best-effort, whatever
-    /// its priority, since it could wait without bound for spot machines that the cloud does not have
+    /// Whether the job is best-effort work, which uses capacity that other work leaves free, and for which
+    /// the fleet is scaled out with spot machines only. A job with a deadline is never best-effort,
+    /// whatever its priority: it could wait indefinitely for spot machines that the cloud does not have
     /// (`docs/incidents/2026-12-02-low-with-a-deadline.md`).
     pub fn is_best_effort(&self) -> bool {
         self.kind == JobKind::Array && self.priority == Priority::Low && self.deadline.is_none()
     }
 
-    /// Most tasks that may run in one zone at a time.
+    /// Maximum number of tasks that may run in one zone at the same time.
     pub fn max_tasks_per_zone(&self) -> u32 {
         if self.spread_over_zones {
             self.task_count.div_ceil(2)
@@ -267,14 +268,14 @@
         }
     }
 
-    /// Checks whether the job can ever run on this site.
+    /// Checks whether the job can ever run with these settings and machine types.
     pub fn check_feasibility(
         &self,
         settings: &Settings,
-        types: &[MachineType],
+        machine_types: &[MachineType],
     ) -> Result<(), RejectReason> {
         let team = settings.team(&self.team).ok_or(RejectReason::UnknownTeam)?;
-        if !types
+        if !machine_types
             .iter()
             .any(|machine_type| self.fits_type(machine_type))
         {
--- a/crates/model/src/lib.rs
+++ b/crates/model/src/lib.rs
@@ -1,4 +1,4 @@
-//! Identities, times, resources, jobs and settings of trackcrank.
+//! Types that the other crates of trackcrank share: ids, times, resources, jobs and settings.
 
 #![warn(missing_docs)]
 
--- a/crates/model/src/resources.rs
+++ b/crates/model/src/resources.rs
@@ -1,4 +1,4 @@
-//! Amounts of resources that tasks need, and that machines and quotas have.
+//! Amounts of resources: what tasks need, and what machines and quotas have.
 
 use std::ops::{Add, AddAssign, Sub, SubAssign};
 
@@ -13,13 +13,13 @@
     pub memory_mb: u64,
 }
 
-/// An amount in thousandths, rounded up so that a need is never understated.
-fn round_up(amount: f64) -> u64 {
+/// Converts an amount to thousandths, rounded up so that a need is never understated.
+fn round_up_to_milli(amount: f64) -> u64 {
     (amount * 1000.0 - 1e-6).ceil().clamp(0.0, 1e15) as u64
 }
 
-/// An amount in thousandths, rounded down so that a capacity is never overstated.
-fn round_down(amount: f64) -> u64 {
+/// Converts an amount to thousandths, rounded down so that a capacity is never overstated.
+fn round_down_to_milli(amount: f64) -> u64 {
     (amount * 1000.0 + 1e-6).floor().clamp(0.0, 1e15) as u64
 }
 
@@ -27,29 +27,29 @@
     /// Resources that a task needs, rounded up.
     pub fn needed(cpus: f64, gpus: f64, memory_gb: f64) -> Self {
         Resources {
-            milli_cpus: round_up(cpus),
-            milli_gpus: round_up(gpus),
-            memory_mb: round_up(memory_gb),
+            milli_cpus: round_up_to_milli(cpus),
+            milli_gpus: round_up_to_milli(gpus),
+            memory_mb: round_up_to_milli(memory_gb),
         }
     }
 
     /// Resources that a machine or a quota has, rounded down.
     pub fn offered(cpus: f64, gpus: f64, memory_gb: f64) -> Self {
         Resources {
-            milli_cpus: round_down(cpus),
-            milli_gpus: round_down(gpus),
-            memory_mb: round_down(memory_gb),
+            milli_cpus: round_down_to_milli(cpus),
+            milli_gpus: round_down_to_milli(gpus),
+            memory_mb: round_down_to_milli(memory_gb),
         }
     }
 
-    /// The limit of a team. An amount of 0 stands for no limit: a guest team without one must not have
-    /// every job rejected.
+    /// Limit of a team. An amount of 0 means no limit: otherwise every job of a guest team, which has no
+    /// limit, would be rejected.
     pub fn team_limit(cpus: f64, gpus: f64) -> Self {
         let limit = |amount: f64| {
             if amount == 0.0 {
                 u64::MAX
             } else {
-                round_down(amount)
+                round_down_to_milli(amount)
             }
         };
         Resources {
@@ -59,19 +59,19 @@
         }
     }
 
-    /// Whether no amount exceeds that of `capacity`.
+    /// Whether these resources fit into `capacity`: each amount is at most that of `capacity`.
     pub fn fits(&self, capacity: &Resources) -> bool {
         self.milli_cpus <= capacity.milli_cpus
             && self.milli_gpus <= capacity.milli_gpus
             && self.memory_mb <= capacity.memory_mb
     }
 
-    /// As [`Resources::fits`], for a quota, which does not limit memory.
+    /// Like [`Resources::fits`], but for a quota, which does not limit memory.
     pub fn fits_quota(&self, quota: &Resources) -> bool {
         self.milli_cpus <= quota.milli_cpus && self.milli_gpus <= quota.milli_gpus
     }
 
-    /// The sum of `count` such amounts, saturating.
+    /// These resources multiplied by `count`, saturating.
     pub fn times(&self, count: u64) -> Self {
         Resources {
             milli_cpus: self.milli_cpus.saturating_mul(count),
@@ -80,7 +80,7 @@
         }
     }
 
-    /// The difference, at least zero in each amount.
+    /// The difference, with each amount at least zero.
     pub fn saturating_sub(&self, other: &Resources) -> Self {
         Resources {
             milli_cpus: self.milli_cpus.saturating_sub(other.milli_cpus),
@@ -89,12 +89,12 @@
         }
     }
 
-    /// How many times `part` fits into these resources; [`u64::MAX`] if it needs nothing.
-    pub fn how_many_fit(&self, part: &Resources) -> u64 {
+    /// How many times `needs` fits into these resources; [`u64::MAX`] if `needs` is zero.
+    pub fn how_many_fit(&self, needs: &Resources) -> u64 {
         let quotient = |capacity: u64, need: u64| capacity.checked_div(need).unwrap_or(u64::MAX);
-        quotient(self.milli_cpus, part.milli_cpus)
-            .min(quotient(self.milli_gpus, part.milli_gpus))
-            .min(quotient(self.memory_mb, part.memory_mb))
+        quotient(self.milli_cpus, needs.milli_cpus)
+            .min(quotient(self.milli_gpus, needs.milli_gpus))
+            .min(quotient(self.memory_mb, needs.memory_mb))
     }
 }
 
--- a/crates/model/src/settings/error.rs
+++ b/crates/model/src/settings/error.rs
@@ -5,7 +5,7 @@
 /// Why a settings file cannot be used.
 #[derive(Debug, Error)]
 pub enum SettingsError {
-    /// The file is no valid TOML, or a field is missing or of a wrong type.
+    /// The file is not valid TOML, or a field is missing or has the wrong type.
     #[error("settings file: {0}")]
     Syntax(String),
     /// A field has a value that is not allowed.
@@ -22,13 +22,13 @@
 #[derive(Debug, Clone, PartialEq, Error)]
 pub enum FieldProblem {
     /// The text is not an IP address with a port.
-    #[error("`{0}` is no address of the form 10.0.0.1:8080")]
+    #[error("`{0}` is not an address of the form 10.0.0.1:8080")]
     NotAnAddress(String),
     /// The number must be finite and positive.
-    #[error("{0} must be above 0")]
+    #[error("must be finite and greater than 0, but is {0}")]
     NotPositive(f64),
     /// The number must be finite and not negative.
-    #[error("must be a number from 0")]
+    #[error("must be finite and at least 0")]
     Negative,
     /// The number is below the given minimum.
     #[error("must be at least {0}")]
@@ -37,6 +37,6 @@
     #[error("must not be empty")]
     Empty,
     /// Another team has the same name.
-    #[error("`{0}` is named twice")]
+    #[error("another team has the name `{0}`")]
     DuplicateTeam(String),
 }
--- a/crates/model/src/settings/file.rs
+++ b/crates/model/src/settings/file.rs
@@ -1,6 +1,6 @@
-//! Format of the settings file, and the checks of its fields.
+//! Format of the settings file, and the validation of its fields.
 //!
-//! Unknown fields are ignored. The first field that fails a check is reported.
+//! Unknown fields are ignored. The error names the first field that fails a check.
 
 use super::{FieldProblem, Peer, Settings, SettingsError, StateLimits, Team, WorkerTimings};
 use crate::{duration_from_secs, ControllerName, Resources, TeamName, ZoneName};
@@ -9,14 +9,14 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Sockets that a controller may open if the file sets no quota.
-const DEFAULT_SOCKETS: usize = 1000;
+/// Number of sockets that a controller may open if the file sets no quota.
+const DEFAULT_MAX_SOCKETS: usize = 1000;
 /// A transaction needs at least a condition and a write.
 const MIN_TXN_OPS: usize = 2;
-/// Smallest limit of a value that records fit into.
+/// Smallest limit on the size of a value with which records still fit.
 const MIN_VALUE_KB: f64 = 1.0;
 const BYTES_PER_KB: f64 = 1024.0;
-/// Kind of the objectives that set a time within which jobs should be finished.
+/// Kind of an objective that sets a time within which jobs should be finished.
 const COMPLETION_OBJECTIVE: &str = "finished";
 
 #[derive(Deserialize)]
@@ -91,7 +91,7 @@
 }
 
 #[derive(Deserialize)]
-struct File {
+struct SettingsFile {
     member: String,
     zone: String,
     serve_on: String,
@@ -102,56 +102,56 @@
     settings: FileSettings,
 }
 
-fn invalid<T>(field: impl Into<String>, problem: FieldProblem) -> Result<T, SettingsError> {
+fn invalid_field<T>(field: impl Into<String>, problem: FieldProblem) -> Result<T, SettingsError> {
     Err(SettingsError::Field {
         field: field.into(),
         problem,
     })
 }
 
-fn one_line(error: &toml::de::Error) -> String {
+fn to_single_line(error: &toml::de::Error) -> String {
     error.to_string().trim().replace('\n', " ")
 }
 
-fn address(field: &str, text: &str) -> Result<SocketAddr, SettingsError> {
+fn parse_address(field: &str, text: &str) -> Result<SocketAddr, SettingsError> {
     text.parse()
-        .or_else(|_| invalid(field, FieldProblem::NotAnAddress(text.to_owned())))
+        .or_else(|_| invalid_field(field, FieldProblem::NotAnAddress(text.to_owned())))
 }
 
-fn positive(field: &str, value: f64) -> Result<f64, SettingsError> {
+fn require_positive(field: &str, value: f64) -> Result<f64, SettingsError> {
     if value.is_finite() && value > 0.0 {
         Ok(value)
     } else {
-        invalid(field, FieldProblem::NotPositive(value))
+        invalid_field(field, FieldProblem::NotPositive(value))
     }
 }
 
-fn not_empty(field: &str, value: &str) -> Result<(), SettingsError> {
+fn require_not_empty(field: &str, value: &str) -> Result<(), SettingsError> {
     if value.is_empty() {
-        return invalid(field, FieldProblem::Empty);
+        return invalid_field(field, FieldProblem::Empty);
     }
     Ok(())
 }
 
-fn peers(list: &[FilePeer]) -> Result<Vec<Peer>, SettingsError> {
+fn parse_peers(entries: &[FilePeer]) -> Result<Vec<Peer>, SettingsError> {
     let mut peers = Vec::new();
-    for (index, peer) in list.iter().enumerate() {
+    for (index, peer) in entries.iter().enumerate() {
         peers.push(Peer {
             name: ControllerName::from(peer.member.as_str()),
             zone: ZoneName::from(peer.zone.as_str()),
-            mesh_address: address(&format!("peers[{index}].endpoint"), &peer.endpoint)?,
+            mesh_address: parse_address(&format!("peers[{index}].endpoint"), &peer.endpoint)?,
         });
     }
     Ok(peers)
 }
 
-fn teams(list: &[FileTeam]) -> Result<Vec<Team>, SettingsError> {
+fn parse_teams(entries: &[FileTeam]) -> Result<Vec<Team>, SettingsError> {
     let mut teams: Vec<Team> = Vec::new();
-    for (index, entry) in list.iter().enumerate() {
+    for (index, entry) in entries.iter().enumerate() {
         let prefix = format!("settings.teams[{index}]");
-        let team = team(&prefix, entry)?;
+        let team = parse_team(&prefix, entry)?;
         if teams.iter().any(|other| other.name == team.name) {
-            return invalid(
+            return invalid_field(
                 format!("{prefix}.name"),
                 FieldProblem::DuplicateTeam(team.name.to_string()),
             );
@@ -161,7 +161,7 @@
     Ok(teams)
 }
 
-fn team(prefix: &str, team: &FileTeam) -> Result<Team, SettingsError> {
+fn parse_team(prefix: &str, team: &FileTeam) -> Result<Team, SettingsError> {
     let amounts = [
         ("cpus", team.cpus),
         ("cpus_max", team.cpus_max),
@@ -170,7 +170,7 @@
     ];
     for (field, value) in amounts {
         if !value.is_finite() || value < 0.0 {
-            return invalid(format!("{prefix}.{field}"), FieldProblem::Negative);
+            return invalid_field(format!("{prefix}.{field}"), FieldProblem::Negative);
         }
     }
     Ok(Team {
@@ -180,9 +180,9 @@
     })
 }
 
-fn worker_times(workers: &FileWorkers) -> Result<WorkerTimings, SettingsError> {
+fn parse_worker_timings(workers: &FileWorkers) -> Result<WorkerTimings, SettingsError> {
     let duration = |field: &str, value: f64| {
-        positive(&format!("settings.workers.{field}"), value).map(duration_from_secs)
+        require_positive(&format!("settings.workers.{field}"), value).map(duration_from_secs)
     };
     Ok(WorkerTimings {
         heartbeat_interval: duration("report_s", workers.report_s)?,
@@ -193,17 +193,18 @@
     })
 }
 
-/// Checks the sizes that the state service accepts; returns the limit of a value in bytes.
-fn value_bytes(state: &FileState) -> Result<usize, SettingsError> {
+/// Checks the limits of the state service on transactions and values; returns the limit on a value, in
+/// bytes.
+fn check_transaction_limits(state: &FileState) -> Result<usize, SettingsError> {
     if state.txn_ops < MIN_TXN_OPS {
-        return invalid(
+        return invalid_field(
             "settings.state.txn_ops",
             FieldProblem::BelowMinimum(MIN_TXN_OPS as f64),
         );
     }
-    let value_kb = positive("settings.state.value_kb", state.value_kb)?;
+    let value_kb = require_positive("settings.state.value_kb", state.value_kb)?;
     if value_kb < MIN_VALUE_KB {
-        return invalid(
+        return invalid_field(
             "settings.state.value_kb",
             FieldProblem::BelowMinimum(MIN_VALUE_KB),
         );
@@ -211,8 +212,8 @@
     Ok((value_kb * BYTES_PER_KB) as usize)
 }
 
-/// Time within which jobs of each class should be finished.
-fn completion_objectives(
+/// Collects the time within which jobs of each class should be finished.
+fn parse_completion_objectives(
     objectives: &[FileObjective],
 ) -> Result<BTreeMap<String, Duration>, SettingsError> {
     let mut completion_objectives: BTreeMap<String, Duration> = BTreeMap::new();
@@ -229,7 +230,7 @@
             continue;
         }
         let field = format!("settings.objectives[{index}].within_s");
-        let within = duration_from_secs(positive(&field, *within)?);
+        let within = duration_from_secs(require_positive(&field, *within)?);
         let completion_objective = completion_objectives.entry(class.clone()).or_insert(within);
         *completion_objective = within.min(*completion_objective);
     }
@@ -239,38 +240,47 @@
 impl Settings {
     /// Reads and checks a settings file.
     pub fn parse(text: &str) -> Result<Self, SettingsError> {
-        let file: File =
-            toml::from_str(text).map_err(|error| SettingsError::Syntax(one_line(&error)))?;
-        not_empty("member", &file.member)?;
-        not_empty("zone", &file.zone)?;
-        let params = &file.settings;
-        let peers = peers(&file.peers)?;
-        let teams = teams(&params.teams)?;
-        let workers = worker_times(&params.workers)?;
-        let value_bytes = value_bytes(&params.state)?;
-        let completion_objectives = completion_objectives(&params.objectives)?;
+        let file: SettingsFile =
+            toml::from_str(text).map_err(|error| SettingsError::Syntax(to_single_line(&error)))?;
+        require_not_empty("member", &file.member)?;
+        require_not_empty("zone", &file.zone)?;
+        let platform_settings = &file.settings;
+        let peers = parse_peers(&file.peers)?;
+        let teams = parse_teams(&platform_settings.teams)?;
+        let workers = parse_worker_timings(&platform_settings.workers)?;
+        let max_value_bytes = check_transaction_limits(&platform_settings.state)?;
+        let completion_objectives = parse_completion_objectives(&platform_settings.objectives)?;
         Ok(Settings {
             name: ControllerName::from(file.member.as_str()),
             zone: ZoneName::from(file.zone.as_str()),
-            listen_address: address("serve_on", &file.serve_on)?,
-            mesh_address: address("mesh_addr", &file.mesh_addr)?,
+            listen_address: parse_address("serve_on", &file.serve_on)?,
+            mesh_address: parse_address("mesh_addr", &file.mesh_addr)?,
             peers,
-            cloud_address: address("endpoints.cloud", &file.endpoints.cloud)?,
-            state_address: address("endpoints.state", &file.endpoints.state)?,
+            cloud_address: parse_address("endpoints.cloud", &file.endpoints.cloud)?,
+            state_address: parse_address("endpoints.state", &file.endpoints.state)?,
             teams,
             workers,
             state_limits: StateLimits {
-                requests_per_s: positive("settings.state.rps", params.state.rps)?,
-                writes_per_s: positive("settings.state.write_rps", params.state.write_rps)?,
-                max_value_bytes: value_bytes,
-                max_txn_ops: params.state.txn_ops,
+                requests_per_s: require_positive(
+                    "settings.state.rps",
+                    platform_settings.state.rps,
+                )?,
+                writes_per_s: require_positive(
+                    "settings.state.write_rps",
+                    platform_settings.state.write_rps,
+                )?,
+                max_value_bytes,
+                max_txn_ops: platform_settings.state.txn_ops,
             },
-            cloud_requests_per_s: positive("settings.cloud.rps", params.cloud.rps)?,
-            cloud_list_lag: duration_from_secs(params.cloud.list_lag_s),
-            max_sockets: params
+            cloud_requests_per_s: require_positive(
+                "settings.cloud.rps",
+                platform_settings.cloud.rps,
+            )?,
+            cloud_list_lag: duration_from_secs(platform_settings.cloud.list_lag_s),
+            max_sockets: platform_settings
                 .quota
                 .as_ref()
-                .map_or(DEFAULT_SOCKETS, |quota| quota.sockets),
+                .map_or(DEFAULT_MAX_SOCKETS, |quota| quota.sockets),
             completion_objectives,
         })
     }
--- a/crates/model/src/settings/mod.rs
+++ b/crates/model/src/settings/mod.rs
@@ -1,4 +1,5 @@
-//! Settings of a controller, as the rest of the code uses them. The module `file` reads them.
+//! Settings of a controller, as the rest of the code uses them. The module `file` reads them from the
+//! settings file.
 
 mod error;
 mod file;
@@ -10,7 +11,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Part of the margin of [`Settings::lease_validity`] for the delivery of a stop command.
+/// Part of the margin in [`Settings::lease_validity`]: time for the delivery of a stop command.
 const STOP_DELIVERY_ALLOWANCE: Duration = Duration::from_secs(1);
 
 /// A team with its quota.
@@ -20,7 +21,7 @@
     pub name: TeamName,
     /// Resources that the team is guaranteed.
     pub guarantee: Resources,
-    /// Most that the team may use at a time; memory is not limited.
+    /// Most that the team may use at the same time; memory is not limited.
     pub limit: Resources,
 }
 
@@ -35,17 +36,17 @@
     pub mesh_address: SocketAddr,
 }
 
-/// Times that workers and their leaders keep.
+/// Intervals and timeouts of workers and their partition leaders.
 #[derive(Debug, Clone, PartialEq)]
 pub struct WorkerTimings {
     /// Time between two heartbeats of a worker (`report_s`).
     pub heartbeat_interval: Duration,
-    /// Time after the last response to a heartbeat at which a worker's lease expires: it then kills
-    /// its tasks and enters a new worker epoch (`lease_s`).
+    /// Time after the last response to a heartbeat at which a worker's lease expires: the worker then
+    /// kills its tasks and enters a new worker epoch (`lease_s`).
     pub lease_duration: Duration,
     /// Time for which a gang's task waits for the other tasks of the gang to start (`gang_wait_s`).
     pub gang_start_timeout: Duration,
-    /// Time without contact to the other tasks of the gang after which a gang's task exits
+    /// Time without contact with the other tasks of the gang after which a gang's task exits
     /// (`gang_peer_s`).
     pub gang_peer_timeout: Duration,
     /// Time within which the tasks of a cancelled job must have stopped (`cancel_s`).
@@ -61,11 +62,11 @@
     pub writes_per_s: f64,
     /// Largest value in bytes (`value_kb`).
     pub max_value_bytes: usize,
-    /// Most operations that one transaction may contain (`txn_ops`).
+    /// Maximum number of operations in one transaction (`txn_ops`).
     pub max_txn_ops: usize,
 }
 
-/// Settings of a controller, checked.
+/// Validated settings of a controller.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Settings {
     /// Name of the controller (`member`).
@@ -84,7 +85,7 @@
     pub state_address: SocketAddr,
     /// Teams with their quotas.
     pub teams: Vec<Team>,
-    /// Times that workers and their leaders keep.
+    /// Intervals and timeouts of workers and their partition leaders.
     pub workers: WorkerTimings,
     /// Limits of the state service.
     pub state_limits: StateLimits,
@@ -92,42 +93,43 @@
     pub cloud_requests_per_s: f64,
     /// Time by which the cloud's list of machines may lag behind its responses.
     pub cloud_list_lag: Duration,
-    /// Number of sockets that the controller may open.
+    /// Maximum number of sockets that the controller may open.
     pub max_sockets: usize,
-    /// Time within which jobs of a class should be finished: the shortest one where the file names
-    /// several.
+    /// Time within which jobs should be finished, by class of the job: the shortest one if the file sets
+    /// several for a class.
     pub completion_objectives: BTreeMap<String, Duration>,
 }
 
 impl Settings {
-    /// A team by name.
+    /// The team with this name.
     pub fn team(&self, name: &TeamName) -> Option<&Team> {
         self.teams.iter().find(|team| team.name == *name)
     }
 
-    /// All controllers with their zones, in the order that is the same on every controller.
+    /// All controllers with their zones, including this one, in the same order on every controller.
     pub fn controllers(&self) -> Vec<(ControllerName, ZoneName)> {
-        let mut nodes: Vec<_> = self
+        let mut controllers: Vec<_> = self
             .peers
             .iter()
             .map(|peer| (peer.name.clone(), peer.zone.clone()))
             .collect();
-        nodes.push((self.name.clone(), self.zone.clone()));
-        nodes.sort();
-        nodes.dedup();
-        nodes
+        controllers.push((self.name.clone(), self.zone.clone()));
+        controllers.sort();
+        controllers.dedup();
+        controllers
     }
 
-    /// How long a partition leader may respond to workers after it sent its last successful read of
-    /// changes: the cancel deadline less a worker's lease, and less a margin for clock drift and the
-    /// delivery of the stop command. The margin takes at most half of that time: the cancel deadline is
-    /// met without the margin too, and with no validity left no worker would ever get a response.
+    /// How long after sending its last successful read of changes a partition leader may respond to
+    /// workers: the cancel deadline minus a worker's lease duration, with an allowance for clock drift, and
+    /// minus a margin for the delivery of the stop command. The margin takes at most half of the time that
+    /// remains after the lease: the cancel deadline is met without the margin too, and with a validity of
+    /// zero no worker would ever get a response.
     pub fn lease_validity(&self) -> Duration {
-        let left = self
+        let without_margin = self
             .workers
             .cancel_deadline
             .saturating_sub(self.workers.lease_duration.with_clock_drift());
         let margin = STOP_DELIVERY_ALLOWANCE + self.workers.heartbeat_interval;
-        left.saturating_sub(margin.min(left / 2))
+        without_margin.saturating_sub(margin.min(without_margin / 2))
     }
 }
--- a/crates/wire/src/cloud.rs
+++ b/crates/wire/src/cloud.rs
@@ -1,9 +1,9 @@
-//! Requests to the cloud and its responses.
+//! Requests to the cloud API and its responses.
 
 use serde::{Deserialize, Serialize};
 
-/// One machine type that the cloud offers. A `0` where the cloud left an amount out means unknown
-/// or none.
+/// A machine type that the cloud offers. An amount that the cloud omits is read as 0, which means
+/// unknown or none.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct MachineType {
     /// Name of the type.
@@ -49,7 +49,7 @@
 /// Body of `POST /hosts`: a rental of machines of one type in one zone.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RentRequest {
-    /// Idempotency key: a repeated request with the same key rents nothing twice.
+    /// Idempotency key: a repeated request with the same key rents no further machines.
     #[serde(rename = "ask")]
     pub idempotency_key: String,
     /// Name of the machine type.
@@ -83,7 +83,7 @@
     Booting,
     /// Usable.
     Running,
-    /// Failed for good; it is only listed until it is released.
+    /// Failed permanently; it stays in the list until it is released.
     Failed,
 }
 
@@ -105,7 +105,7 @@
     /// Whether it is a spot machine.
     #[serde(rename = "loaners")]
     pub spot: bool,
-    /// Its state.
+    /// State of the machine.
     #[serde(rename = "status")]
     pub state: MachineState,
     /// Time since it was rented, in seconds.
@@ -131,7 +131,7 @@
     MachineTypes,
     /// Rent machines.
     Rent(RentRequest),
-    /// Return the machines of these names.
+    /// Return the machines with these names to the cloud.
     Release(Vec<String>),
     /// Read one page of the rented machines.
     ListMachines {
@@ -155,8 +155,8 @@
     MachineList(MachineList),
     /// The rental was rejected because the cloud has no such machine left.
     NoCapacity,
-    /// Status 429, an outage, or anything else that was certainly not executed.
+    /// The request was certainly not executed: status 429, an outage, or another refusal.
     Refused,
-    /// No usable response: the request may have been executed, or may be later.
+    /// No usable response: the request may have been executed, or may still be executed later.
     Unknown,
 }
--- a/crates/wire/src/http.rs
+++ b/crates/wire/src/http.rs
@@ -30,11 +30,11 @@
 /// An HTTP request as it is sent.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct HttpRequest {
-    /// Method.
+    /// Method of the request.
     pub method: HttpMethod,
     /// Path with the query.
     pub path: String,
-    /// JSON body, if there is one.
+    /// JSON body, if the request has one.
     pub body: Option<Vec<u8>>,
 }
 
@@ -103,7 +103,7 @@
     fn from(request: &CloudRequest) -> Self {
         match request {
             CloudRequest::MachineTypes => HttpRequest::get("/machine_types"),
-            CloudRequest::Rent(rent) => HttpRequest::post("/hosts", rent),
+            CloudRequest::Rent(rental) => HttpRequest::post("/hosts", rental),
             CloudRequest::Release(names) => HttpRequest::post(
                 "/hosts/release",
                 &MachineNames {
--- a/crates/wire/src/mesh.rs
+++ b/crates/wire/src/mesh.rs
@@ -8,11 +8,15 @@
 
 /// Version of the mesh protocol; frames of another version are refused.
 pub const MESH_VERSION: u16 = 5;
-/// Largest frame in bytes that is read and sent: the status of a partition of 8,000 machines with the
-/// longest names fits. Versions before this bound read 256 KiB only and close the connection on more.
+/// Largest frame that is sent and read, in bytes. The status of a partition of 8,000 machines with
+/// names of the maximum length fits. Older versions, without this constant, read frames of up to
+/// 256 KiB and close the connection on a larger one.
 pub const MAX_FRAME_BYTES: usize = 4 * 1024 * 1024;
 
-/// Queued work of one shape: tasks with the same requirements.
+/// Queued tasks that have the same requirements.
+///
+/// The state service also keeps the demand of a partition, as JSON: the serde names of the fields are
+/// those of the stored records.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct DemandShape {
     /// CPUs of one task, in thousandths.
@@ -32,29 +36,31 @@
     /// Number of queued tasks.
     #[serde(rename = "tasks")]
     pub task_count: u64,
-    /// How many of these must start without delay: services, and work within a guarantee.
+    /// Number of these tasks that must start without delay: replicas of services, and work within a
+    /// team's guarantee.
     #[serde(rename = "urgent")]
     pub urgent_count: u64,
     /// Owner's estimate of a task's run time in milliseconds; 0 for services.
     #[serde(rename = "estimate_ms")]
     pub estimated_run_time_ms: u64,
-    /// Priority class. Low priority without a deadline is best-effort work.
+    /// Priority class. Work of low priority without a deadline is best-effort work.
     #[serde(default = "default_priority")]
     pub priority: Priority,
-    /// Number of all tasks of a gang that must run in one zone, otherwise 0. `zone` is then the
-    /// zone where the fewest machines are missing; if the cloud has none left there, the whole gang
-    /// may be placed in another.
+    /// Number of all tasks of a gang that must run in one zone; 0 for other work. For such a gang,
+    /// `zone` is the zone where the fewest machines are missing. If the cloud has no machines left
+    /// there, the whole gang may be placed in another zone.
     #[serde(rename = "gang", default)]
     pub gang_size: u64,
 }
 
-/// Priority of work whose sender does not state one.
+/// Priority of demand without the field `priority`.
 fn default_priority() -> Priority {
     Priority::Normal
 }
 
 impl DemandShape {
-    /// Whether the work may run on a machine of this type and zone, which is a spot machine or not.
+    /// Whether the tasks may run on a machine of this type in this zone; `spot` tells whether it is a
+    /// spot machine.
     pub fn suits(&self, machine_type: &str, zone: &str, spot: bool) -> bool {
         (self.spot_allowed || !spot)
             && self.zone.as_deref().is_none_or(|required| required == zone)
@@ -76,11 +82,12 @@
     pub idle_ms: u64,
     /// Whether its worker sends heartbeats.
     pub reporting: bool,
-    /// Whether it is quarantined: it is to be returned once it is empty.
+    /// Whether it is quarantined: it is to be returned to the cloud once it is empty.
     pub quarantined: bool,
     /// Time since its last heartbeat in milliseconds; 0 before the first.
     pub since_heartbeat_ms: u64,
-    /// Whether it runs neither work within a guarantee nor replicas of services.
+    /// Whether it can be transferred to another partition without taking capacity from work within a
+    /// guarantee and without moving replicas of services.
     pub transferable: bool,
     /// Whether all its tasks are best-effort work, which can be preempted within seconds.
     pub best_effort: bool,
@@ -111,7 +118,7 @@
         incarnation: u64,
         /// Revision up to which the sender's state cache is complete.
         revision: u64,
-        /// Whether the sender has recently received a response of the state service.
+        /// Whether the sender has recently received a response from the state service.
         state_contact: bool,
         /// Whether the sender is ready to lead partitions.
         ready: bool,
@@ -143,7 +150,7 @@
         /// Work that the machines must be able to run.
         shape: DemandShape,
     },
-    /// New partition leader to all: a predecessor must stop at once.
+    /// New partition leader to all controllers: a previous leader must stop at once.
     #[serde(rename = "Taken")]
     LeaderChanged {
         /// Number of the partition.
@@ -153,33 +160,36 @@
         /// Name of the new leader.
         leader: String,
     },
-    /// Partition leader to all: it deletes its record because its workers do not reach it. The
-    /// preferred leader need not be waited for.
+    /// Partition leader to all controllers: it deletes its leadership record because its workers
+    /// cannot reach it. Its successor need not wait for the preferred leader.
     #[serde(rename = "GaveUp")]
     LeadershipResigned {
         /// Number of the partition.
         partition: u32,
     },
-    /// Preferred leader to partition leader: it can lead the partition again.
+    /// Preferred leader to partition leader: the preferred leader can lead the partition again.
     #[serde(rename = "WantHome")]
     ReclaimRequest {
         /// Number of the partition.
         partition: u32,
-        /// Lease of the preferred leader in the state service, which the record is to be bound to.
+        /// Lease of the preferred leader in the state service, to which the leadership record is to
+        /// be bound.
         lease: u64,
         /// Incarnation of the preferred leader.
         incarnation: u64,
     },
-    /// To all: these jobs are recorded as cancelled, unless they were terminal before.
+    /// To all controllers: these jobs are recorded as cancelled, except those that were already
+    /// terminal.
     #[serde(rename = "Cancelled")]
     JobsCancelled {
         /// Numbers of the jobs.
         jobs: Vec<u64>,
     },
-    /// Partition leader to all: progress of jobs, for display only.
+    /// Partition leader to all controllers: progress of jobs, for display only.
     #[serde(rename = "Progress")]
     JobProgress {
-        /// Number of each job, its tasks that are done, and its tasks that run.
+        /// For each job: its number, the number of its tasks that are done, and the number of its
+        /// running tasks.
         jobs: Vec<(u64, u64, u64)>,
     },
     /// Standby to partition leader: starts or renews the subscription to its replication stream.
@@ -191,7 +201,7 @@
         incarnation: u64,
         /// Term of the leadership that is subscribed to.
         term: u64,
-        /// Number up to which the subscriber has applied all changes.
+        /// Number of the change up to which the subscriber has applied all changes.
         applied: u64,
     },
     /// Partition leader to standby: one batch of the replication stream.
@@ -199,8 +209,8 @@
     Replication(ReplicationBatch),
 }
 
-/// Soft state of a machine that its partition leader keeps beyond the stored records. It proves
-/// nothing: a new leader contacts the machine before it relies on any of it.
+/// Soft state of a machine: what its partition leader knows beyond the stored records. It may be
+/// outdated: a new leader contacts the machine before it relies on any of it.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct MachineSnapshot {
     /// Name of the machine.
@@ -213,28 +223,30 @@
     pub reporting: bool,
     /// Whether it is quarantined.
     pub quarantined: bool,
-    /// Since when it has been idle, in milliseconds on the sender's steady clock.
+    /// When it became idle, in milliseconds on the sender's monotonic clock; absent if it is not
+    /// idle.
     pub idle_since_ms: Option<u64>,
     /// Images in its cache by name, with their sizes in GB.
     pub images: Vec<(String, f64)>,
 }
 
-/// Soft state of a job's failures that its partition leader keeps.
+/// Soft state of a job: what its partition leader knows about the failures of its tasks.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct JobFailureSnapshot {
     /// Number of the job.
     pub job: u64,
-    /// Consecutive failures by index of the task, for a bounded number of tasks.
+    /// Index of each task that failed and the number of its consecutive failures, for a bounded
+    /// number of tasks.
     pub failures: Vec<(u32, u32)>,
     /// Names of machines on which its tasks failed.
     pub failed_on: Vec<String>,
     /// Number of tasks that completed.
     pub successes: u32,
-    /// Longest run time after which a task failed, in milliseconds.
+    /// Longest time that a task ran before it failed, in milliseconds.
     pub longest_failure_ms: u64,
 }
 
-/// What a replicated record describes.
+/// Key of a replicated record: the object that the record describes.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum ReplicationKey {
     /// The machine of this name.
@@ -250,13 +262,13 @@
     Machine(MachineSnapshot),
     /// Failures of a job.
     Job(JobFailureSnapshot),
-    /// Tombstone: the leader keeps nothing about the key any more.
+    /// Tombstone: the leader no longer keeps soft state for the key.
     #[serde(rename = "Gone")]
     Removed(ReplicationKey),
 }
 
 impl ReplicatedRecord {
-    /// Key of the object that the record describes.
+    /// Key of the record.
     pub fn key(&self) -> ReplicationKey {
         match self {
             ReplicatedRecord::Machine(snapshot) => {
@@ -287,7 +299,7 @@
     }
 }
 
-/// Consecutive changes of the replication stream: those after one number up to another.
+/// Consecutive changes of the replication stream: those numbered above `after`, up to `up_to`.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct ReplicationBatch {
     /// Number of the partition.
@@ -302,10 +314,10 @@
     pub up_to: u64,
     /// Number of the newest change of the stream.
     pub newest: u64,
-    /// Number up to which tombstones have been dropped: a subscriber that has applied less starts
-    /// from 0.
+    /// Number of the change up to which tombstones have been dropped. A subscriber that has applied
+    /// fewer changes must start again from 0.
     pub tombstones_dropped_up_to: u64,
-    /// Time of sending in milliseconds on the sender's steady clock.
+    /// Time of sending, in milliseconds on the sender's monotonic clock.
     pub sent_at_ms: u64,
     /// Changed records.
     pub records: Vec<ReplicatedRecord>,
@@ -319,6 +331,6 @@
     pub version: u16,
     /// Name of the sending controller.
     pub from: String,
-    /// Message.
+    /// The message.
     pub message: MeshMessage,
 }
--- a/crates/wire/src/state.rs
+++ b/crates/wire/src/state.rs
@@ -15,7 +15,7 @@
     /// Version of the key: the revision of its last write.
     #[serde(rename = "stamp")]
     pub version: u64,
-    /// Lease with which the key is removed when it expires.
+    /// Lease that the key is bound to: the key is removed when the lease ends.
     #[serde(rename = "hold", default, skip_serializing_if = "Option::is_none")]
     pub lease: Option<u64>,
 }
@@ -35,16 +35,17 @@
 }
 
 impl ListPage {
-    /// Whether this is a valid page after the key `after` of a read by `prefix`: the keys ascend, all
-    /// have the prefix, and a page that announces another one is not empty.
+    /// Whether this page is a valid response to a read of the keys with `prefix` after the key `after`:
+    /// the keys ascend and come after `after`, all have the prefix, and the page is not empty if
+    /// another one follows.
     pub fn is_valid_for(&self, prefix: &str, after: &str) -> bool {
-        let mut last = after;
+        let mut previous_key = after;
         for item in &self.items {
             let key = item.key.as_str();
-            if key <= last || !key.starts_with(prefix) {
+            if key <= previous_key || !key.starts_with(prefix) {
                 return false;
             }
-            last = key;
+            previous_key = key;
         }
         !(self.has_more && self.items.is_empty())
     }
@@ -86,7 +87,7 @@
 }
 
 impl Write {
-    /// A put without a lease.
+    /// A put of a key that is not bound to a lease.
     pub fn put(key: impl Into<String>, value: Value) -> Self {
         Write::Put {
             key: key.into(),
@@ -94,7 +95,7 @@
             lease: None,
         }
     }
-    /// A put bound to a lease.
+    /// A put of a key that is bound to a lease.
     pub fn put_leased(key: impl Into<String>, value: Value, lease: u64) -> Self {
         Write::Put {
             key: key.into(),
@@ -102,7 +103,7 @@
             lease: Some(lease),
         }
     }
-    /// A removal of a key.
+    /// A deletion of a key.
     pub fn delete(key: impl Into<String>) -> Self {
         Write::Delete { key: key.into() }
     }
@@ -126,7 +127,7 @@
 }
 
 impl Transaction {
-    /// Adds a condition.
+    /// Adds the condition that the key has this version; 0 if it must not exist.
     pub fn if_version(mut self, key: impl Into<String>, version: u64) -> Self {
         self.conditions.push(Condition {
             key: key.into(),
@@ -168,7 +169,7 @@
     pub lease: u64,
 }
 
-/// One change as a watch reports it: exactly one of `put` and `delete` is set.
+/// One change as a watch reports it: exactly one of `put_key` and `deleted_key` is set.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Change {
     /// Key that was written.
@@ -282,6 +283,6 @@
     },
     /// Status 400: the request is malformed, with the service's explanation.
     Invalid(String),
-    /// No usable response: the request may have been executed, or may be later.
+    /// No usable response: the request may have been executed, or may still be executed later.
     Unknown,
 }
--- a/crates/wire/src/users.rs
+++ b/crates/wire/src/users.rs
@@ -19,13 +19,13 @@
 /// Priority classes, lowest first, so that `Ord` follows importance.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Priority {
-    /// Runs after all other work; best-effort unless the job has a deadline.
+    /// Scheduled after all other work; an array is best-effort work unless it has a deadline.
     #[serde(rename = "low")]
     Low,
     /// The ordinary class.
     #[serde(rename = "standard")]
     Normal,
-    /// Runs before the ordinary class.
+    /// Scheduled before the ordinary class.
     #[serde(rename = "high")]
     High,
     /// The most important class.
@@ -33,7 +33,7 @@
     Production,
 }
 
-/// Body of `POST /v1/jobs`, and the form in which the state service keeps a job.
+/// Body of `POST /v1/jobs`: the submission of a job, which the state service keeps in a packed form.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct JobRequest {
     /// Id of the job, such as `j-000412`; it makes a repeated submission idempotent.
--- a/crates/wire/src/workers.rs
+++ b/crates/wire/src/workers.rs
@@ -34,12 +34,12 @@
     /// The other tasks of the gang did not start in time.
     #[serde(rename = "incomplete")]
     GangIncomplete,
-    /// The machine has not enough free resources.
+    /// The machine does not have enough free resources.
     #[serde(rename = "full")]
     NoFreeCapacity,
     /// Another attempt of the same task still runs on the machine.
     Busy,
-    /// The worker does not know the task, as after a restart.
+    /// The worker does not know the task, for example after a restart.
     Unknown,
     /// The task failed, or the worker reports a cause that this version does not know.
     #[serde(other)]
@@ -84,19 +84,19 @@
     /// Whether it is a spot machine.
     #[serde(rename = "loaners")]
     pub spot: bool,
-    /// Worker epoch: it rises whenever the worker's lease expires.
+    /// Worker epoch: it increases whenever the worker's lease expires.
     #[serde(rename = "shift")]
     pub worker_epoch: u64,
-    /// Sequence number of the message within the worker's life.
+    /// Sequence number of the message within the lifetime of the worker.
     #[serde(rename = "tick")]
     pub sequence_number: u64,
     /// Highest fencing token that the worker has received.
     #[serde(rename = "baton")]
     pub token: u64,
-    /// Seconds until the cloud takes a spot machine back, once that is announced.
+    /// Seconds until the cloud reclaims the spot machine; absent before the cloud announces it.
     #[serde(rename = "warning_s", default)]
     pub reclaimed_in_s: Option<f64>,
-    /// All tasks on the machine, including those that exited and were not forgotten yet.
+    /// All tasks on the machine, including exited ones that no [`Command::Forget`] has removed yet.
     #[serde(rename = "pieces", default)]
     pub tasks: Vec<TaskStatus>,
 }
@@ -124,7 +124,7 @@
         /// Number of the attempt.
         #[serde(rename = "try")]
         attempt: u64,
-        /// Time in which it may save a checkpoint, in seconds; 0 kills it at once.
+        /// Time that the task has to save a checkpoint, in seconds; 0 kills it at once.
         #[serde(rename = "mercy_s")]
         grace_s: f64,
     },
@@ -154,7 +154,7 @@
 /// Response to a heartbeat with status 421: another controller is responsible.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Redirect {
-    /// Name of the controller to report to, if it is known.
+    /// Name of the responsible controller, if it is known.
     #[serde(rename = "foreman", default, skip_serializing_if = "Option::is_none")]
     pub controller: Option<String>,
 }
