--- a/crates/loadtest/src/cloud.rs
+++ b/crates/loadtest/src/cloud.rs
@@ -171,7 +171,7 @@
         let cloud = self.cloud.borrow();
         let new = cloud.machines.iter().filter(|(name, machine)| {
             machine.gone_at.is_none()
-                && machine.up_at.is_some_and(|at| at <= now)
+                && machine.boots_at.is_some_and(|at| at <= now)
                 && self.process_of(name) == process as usize
                 && !announced.contains(*name)
         });
--- a/crates/loadtest/src/rules.rs
+++ b/crates/loadtest/src/rules.rs
@@ -7,7 +7,7 @@
 use crate::observations::{TaskChange, TaskEvent, UserAnswer, UserEvent};
 use crate::site::job_id;
 use serde::{Deserialize, Serialize};
-use simulator::history::{Answer, HistoryTime};
+use simulator::history::{HistoryTime, JobReply};
 use simulator::rules::RuleChecker;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use wire::users::{JobRequest, JobState};
@@ -67,7 +67,7 @@
     verdict.broken = broken
         .map(|b| BrokenRule {
             rule: b.rule.to_owned(),
-            what: b.what.clone(),
+            what: b.details.clone(),
             at_ms: b.at,
         })
         .collect();
@@ -128,7 +128,7 @@
     }
 
     fn started(&mut self, event: &TaskEvent) {
-        self.rules.started += 1;
+        self.rules.task_starts += 1;
         let name = format!("{}/{}", job_id(event.job), event.task);
         if !self.submitted.contains(&event.job) {
             self.broke(
@@ -188,11 +188,11 @@
         match event.answer {
             UserAnswer::Submitted => {}
             UserAnswer::Accepted => {
-                self.rules.history.accepted(&id, now);
+                self.rules.history.record_acceptance(&id, now);
                 self.rules.accepted.entry(id).or_insert(now);
             }
             UserAnswer::CancelAsked => {
-                self.rules.history.cancel_requested(&id, now);
+                self.rules.history.record_cancel_request(&id, now);
                 self.rules.cancel_requests.insert(id);
             }
             UserAnswer::Told(state) => {
@@ -201,7 +201,10 @@
                 }
                 self.rules.record_status(&id, state, &self.jobs, sent, now);
             }
-            UserAnswer::Missing => self.rules.record_missing(&id, Answer::Missing, sent, now),
+            UserAnswer::Missing => {
+                self.rules
+                    .record_negative_reply(&id, JobReply::Missing, sent, now)
+            }
         }
     }
 
@@ -216,7 +219,7 @@
         for (job, task) in left {
             self.check_cancelled(job, &format!("{}/{task}", job_id(job)), end_us);
         }
-        if self.rules.started == 0 {
+        if self.rules.task_starts == 0 {
             self.broke("nothing_ran", "no task was started".to_owned(), end_us);
         }
     }
--- a/crates/loadtest/src/state_service.rs
+++ b/crates/loadtest/src/state_service.rs
@@ -79,7 +79,7 @@
         let now = service.clock.now_ms();
         let out = service.outage();
         if was_out && !out {
-            service.store.borrow_mut().refresh_leases(now);
+            service.store.borrow_mut().renew_all_leases(now);
         }
         if !out {
             service.store.borrow_mut().expire(now);
--- a/crates/loadtest/src/workers.rs
+++ b/crates/loadtest/src/workers.rs
@@ -294,7 +294,7 @@
 
     fn report_due(&self, now: u64) -> bool {
         let state = self.state.borrow();
-        now >= state.not_before && state.worker.report_due(now)
+        now >= state.not_before && state.worker.heartbeat_due(now)
     }
 
     /// Time until something is due.
@@ -307,17 +307,19 @@
             now + MAX_SLEEP_MS,
         ];
         if worker.in_flight.is_none() && !silent {
-            due.push(worker.next_report.max(state.not_before));
-            if worker.changed {
-                due.push((worker.last_report + MIN_HEARTBEAT_INTERVAL_MS).max(state.not_before));
+            due.push(worker.next_heartbeat_at.max(state.not_before));
+            if worker.status_changed {
+                due.push(
+                    (worker.last_heartbeat_at + MIN_HEARTBEAT_INTERVAL_MS).max(state.not_before),
+                );
             }
         }
         for held in worker.tasks.values() {
             if held.state == wire::workers::TaskState::Fetching {
-                due.push(held.image_at);
+                due.push(held.fetched_at);
             }
-            due.extend(held.done_at.filter(|_| held.present()));
-            due.extend(held.saved_at.filter(|_| held.present()));
+            due.extend(held.done_at.filter(|_| held.is_present()));
+            due.extend(held.saved_at.filter(|_| held.is_present()));
         }
         due.into_iter()
             .min()
@@ -363,7 +365,11 @@
 
     /// Notes tasks that are no longer there.
     fn record_ends(&self, state: &mut HollowState, now_us: u64) {
-        let held = state.worker.tasks.iter().filter(|(_, held)| held.present());
+        let held = state
+            .worker
+            .tasks
+            .iter()
+            .filter(|(_, held)| held.is_present());
         let held: BTreeSet<&str> = held.map(|((task, _), _)| task.as_str()).collect();
         state.present.retain(|task| {
             let there = held.contains(task.as_str());
@@ -375,7 +381,7 @@
     }
 
     fn message(&self, state: &mut HollowState) -> Heartbeat {
-        let mut report = state.worker.report();
+        let mut report = state.worker.next_heartbeat();
         report.address = self.site.net.worker(self.machine).to_string();
         report
     }
@@ -389,10 +395,10 @@
             let state = &mut *state;
             state.reports += 1;
             let worker = &mut state.worker;
-            worker.in_flight = Some((state.reports, now, worker.session));
-            worker.changed = false;
-            worker.last_report = now;
-            worker.next_report =
+            worker.in_flight = Some((state.reports, now, worker.epoch));
+            worker.status_changed = false;
+            worker.last_heartbeat_at = now;
+            worker.next_heartbeat_at =
                 now + rand::rng().random_range(interval * 3 / 4..=interval * 5 / 4);
             let node = worker.controller as u32;
             let connection = state.connection.take();
@@ -470,7 +476,10 @@
         {
             let mut state = self.state.borrow_mut();
             let jobs = self.site.jobs.borrow();
-            if state.worker.answered(number, answer, now, &jobs) {
+            if state
+                .worker
+                .handle_heartbeat_response(number, answer, now, &jobs)
+            {
                 state.lease_from = state.lease_from.max(sent);
             }
             state.worker.in_flight = None;
@@ -484,7 +493,7 @@
         let mut state = self.state.borrow_mut();
         state.worker.in_flight = None;
         state.worker.controller = (node % self.site.experiment.controllers.count) as usize;
-        state.worker.next_report = now + pause_ms;
+        state.worker.next_heartbeat_at = now + pause_ms;
         state.not_before = now + pause_ms;
     }
 
@@ -521,7 +530,9 @@
                 worker_epoch: session,
                 commands,
             } = &direct;
-            state.worker.direct(*token, *session, commands, now, &jobs)
+            state
+                .worker
+                .handle_direct_call(*token, *session, commands, now, &jobs)
         };
         self.step();
         self.wake.notify_one();
--- a/crates/simulator/benches/scale.rs
+++ b/crates/simulator/benches/scale.rs
@@ -55,7 +55,7 @@
                 single_controller(
                     iters,
                     Box::new(move |single_controller, n| {
-                        single_controller.report(n as usize * 7 % size)
+                        single_controller.send_heartbeat(n as usize * 7 % size)
                     }),
                 )
             });
@@ -65,7 +65,7 @@
                 single_controller(
                     iters,
                     Box::new(move |single_controller, n| {
-                        let cost = single_controller.report_done(n as usize * 13 % size);
+                        let cost = single_controller.complete_array_task(n as usize * 13 % size);
                         if n.is_multiple_of(10) {
                             single_controller.tick(70);
                         }
@@ -126,7 +126,7 @@
         );
         share.add_machine(machine, Timestamp::from_millis(0));
         share.reconcile(
-            &worker.report(),
+            &worker.next_heartbeat(),
             StatusSource::Heartbeat,
             Timestamp::from_millis(1),
         );
--- a/crates/simulator/examples/fingerprint.rs
+++ b/crates/simulator/examples/fingerprint.rs
@@ -76,9 +76,9 @@
 
 fn play(run: &Run) -> u128 {
     let started = std::time::Instant::now();
-    let outcome = run.play(Recorder::default());
+    let outcome = run.execute(Recorder::default());
     let seconds = started.elapsed().as_secs_f64();
-    let messages = outcome.recorder.messages();
+    let messages = outcome.recorder.message_count();
     eprintln!("{}: {messages} messages, {seconds:.1} s", run.name);
     if outcome.violations > 0 {
         eprintln!(
@@ -90,7 +90,7 @@
 }
 
 fn write_trace(run: &Run, file: &Path) -> Result<(), std::io::Error> {
-    let outcome = run.play(Recorder::with_trace());
+    let outcome = run.execute(Recorder::with_trace());
     std::fs::write(file, outcome.recorder.trace().unwrap_or_default())
 }
 
--- a/crates/simulator/src/availability.rs
+++ b/crates/simulator/src/availability.rs
@@ -23,7 +23,7 @@
 /// The service level of one class of work: of a team or of a kind of jobs.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ServiceLevel {
-    pub of: String,
+    pub name: String,
     pub due: u64,
     pub served: u64,
 }
@@ -44,7 +44,7 @@
 impl Availability {
     /// A task has started. A job has begun with as many of its tasks as run at a time: an array's with as many
     /// as `limit`, its team's in CPUs, permits, all of the others'.
-    pub fn started(&mut self, task: &str, job: &JobRequest, limit: f64, now: u64) {
+    pub fn record_task_start(&mut self, task: &str, job: &JobRequest, limit: f64, now: u64) {
         if self.begun.contains_key(&job.id) {
             return;
         }
@@ -65,7 +65,7 @@
 
     /// The largest jobs of each kind, and those of them that have begun in time. Those whose time is not
     /// over, and that have not begun, are not due; nor is what was cancelled first.
-    pub fn largest(
+    pub fn largest_job_levels(
         &self,
         jobs: &HashMap<String, JobRequest>,
         accepted: &BTreeMap<String, u64>,
@@ -92,7 +92,7 @@
             let largest = list.iter().enumerate();
             let largest = largest.filter(|(nth, (tasks, ..))| *nth < tenth || *tasks == most);
             let mut share = ServiceLevel {
-                of: format!("largest {kind}s"),
+                name: format!("largest {kind}s"),
                 due: 0,
                 served: 0,
             };
@@ -126,7 +126,7 @@
         }
         self.last_observed_at = now;
         let mut up: HashMap<&str, u64> = HashMap::new();
-        for worker in workers.values().filter(|w| !w.dead && w.hangs_until <= now) {
+        for worker in workers.values().filter(|w| !w.dead && w.hung_until <= now) {
             for ((task, _), held) in &worker.tasks {
                 if held.state == TaskState::Running {
                     *up.entry(task.split('/').next().unwrap_or_default())
@@ -153,7 +153,7 @@
 
     /// What is served of each team and kind. An array or a gang is due if it was accepted `patience`
     /// before the end and nobody cancelled it; it is served if its user was told that it is done.
-    pub fn shares(
+    pub fn service_levels(
         &self,
         jobs: &HashMap<String, JobRequest>,
         accepted: &BTreeMap<String, u64>,
@@ -181,17 +181,21 @@
         }
         found
             .into_iter()
-            .map(|(of, (due, served))| ServiceLevel { of, due, served })
+            .map(|(of, (due, served))| ServiceLevel {
+                name: of,
+                due,
+                served,
+            })
             .collect()
     }
 }
 
 /// The class or team of which the least was served, with the part that was. A team's part is the mean
 /// over its classes: seconds of replicas and jobs do not add up.
-pub fn lowest(shares: &[ServiceLevel]) -> Option<(String, f64)> {
+pub fn lowest_service_level(shares: &[ServiceLevel]) -> Option<(String, f64)> {
     let mut teams: BTreeMap<&str, Vec<f64>> = BTreeMap::new();
     for share in shares {
-        if let Some((_, team)) = share.of.split_once(" of ") {
+        if let Some((_, team)) = share.name.split_once(" of ") {
             teams.entry(team).or_default().push(share.ratio());
         }
     }
@@ -199,8 +203,8 @@
     let teams = teams
         .into_iter()
         .map(|(team, parts)| (format!("team {team}"), mean(parts)));
-    let classes = shares.iter().filter(|share| !share.of.contains(" of "));
-    let classes = classes.map(|share| (share.of.clone(), share.ratio()));
+    let classes = shares.iter().filter(|share| !share.name.contains(" of "));
+    let classes = classes.map(|share| (share.name.clone(), share.ratio()));
     classes.chain(teams).min_by(|a, b| a.1.total_cmp(&b.1))
 }
 
--- a/crates/simulator/src/availability/tests.rs
+++ b/crates/simulator/src/availability/tests.rs
@@ -10,16 +10,17 @@
         let tasks = if n == 0 { 8 } else { 1 };
         let job = crate::single_controller::job(n, JobKind::Gang, tasks);
         let seen = if n == 0 { 7 } else { 1 };
-        (0..seen).for_each(|i| served.started(&format!("{}/{i}", job.id), &job, 100.0, 1_000));
+        (0..seen)
+            .for_each(|i| served.record_task_start(&format!("{}/{i}", job.id), &job, 100.0, 1_000));
         accepted.insert(job.id.clone(), 900);
         submitted.insert(job.id.clone(), 0);
         jobs.insert(job.id.clone(), job);
     }
     let largest = |served: &Availability, now| {
-        served.largest(&jobs, &accepted, &submitted, &BTreeSet::new(), now)
+        served.largest_job_levels(&jobs, &accepted, &submitted, &BTreeSet::new(), now)
     };
     let part = |due, served| ServiceLevel {
-        of: "largest gangs".into(),
+        name: "largest gangs".into(),
         due,
         served,
     };
@@ -29,6 +30,6 @@
         "its time is not over"
     );
     assert_eq!(largest(&served, 240_000), [part(2, 1)]);
-    served.started("j-000000/7", &jobs["j-000000"], 100.0, 250_000);
+    served.record_task_start("j-000000/7", &jobs["j-000000"], 100.0, 250_000);
     assert_eq!(largest(&served, 260_000), [part(2, 1)], "too late");
 }
--- a/crates/simulator/src/cloud.rs
+++ b/crates/simulator/src/cloud.rs
@@ -15,21 +15,21 @@
     pub zone: String,
     pub spot: bool,
     pub rented_at: u64,
-    pub up_at: Option<u64>,
+    pub boots_at: Option<u64>,
     pub gone_at: Option<u64>,
 }
 
 /// The cloud.
 #[derive(Debug)]
 pub struct Cloud {
-    pub types: Vec<MachineType>,
+    pub machine_types: Vec<MachineType>,
     pub machines: BTreeMap<String, RentedMachine>,
     requests: HashMap<String, Vec<String>>,
     capacity: BTreeMap<(String, bool), u32>,
     next: u64,
     lag: u64,
     /// How machines that are rented now come up.
-    pub boots: BootBehavior,
+    pub boot_behavior: BootBehavior,
 }
 
 /// How machines come up.
@@ -56,7 +56,7 @@
             capacity.insert(((*zone).to_owned(), true), cheap);
         }
         Cloud {
-            types: vec![MachineType {
+            machine_types: vec![MachineType {
                 name: "m4".into(),
                 cpus: 4.0,
                 gpus: 0.0,
@@ -73,7 +73,7 @@
             capacity,
             next: 0,
             lag: 6_000,
-            boots: BootBehavior::Usual,
+            boot_behavior: BootBehavior::Usual,
         }
     }
 
@@ -92,7 +92,7 @@
         match request {
             CloudRequest::MachineTypes => (
                 CloudReply::MachineTypes(MachineTypes {
-                    types: self.types.clone(),
+                    types: self.machine_types.clone(),
                 }),
                 Vec::new(),
             ),
@@ -132,11 +132,11 @@
     fn rent_one(&mut self, now: u64, rent: &RentRequest, rng: &mut SmallRng) -> String {
         self.next += 1;
         let name = format!("host-{:06}", self.next);
-        let never = rng.random_bool(match self.boots {
+        let never = rng.random_bool(match self.boot_behavior {
             BootBehavior::Never => 0.5,
             _ => 0.03,
         });
-        let boot = match self.boots {
+        let boot = match self.boot_behavior {
             BootBehavior::Early => 0,
             BootBehavior::Late => rng.random_range(15_000..60_000),
             BootBehavior::Quick => rng.random_range(1_500..2_000),
@@ -147,7 +147,7 @@
             zone: rent.zone.clone(),
             spot: rent.spot,
             rented_at: now,
-            up_at: (!never).then_some(now + boot),
+            boots_at: (!never).then_some(now + boot),
             gone_at: None,
         };
         self.machines.insert(name.clone(), machine);
@@ -184,7 +184,7 @@
                 machine_type: m.machine_type.clone(),
                 zone: m.zone.clone(),
                 spot: m.spot,
-                state: if m.up_at.is_some_and(|at| at <= seen_at) {
+                state: if m.boots_at.is_some_and(|at| at <= seen_at) {
                     MachineState::Running
                 } else {
                     MachineState::Booting
--- a/crates/simulator/src/failovers.rs
+++ b/crates/simulator/src/failovers.rs
@@ -7,7 +7,7 @@
 pub struct Failover {
     pub partition: u32,
     /// The leader before.
-    pub before: String,
+    pub previous_leader: String,
     /// When the previous leader crashed or was paused; for a leadership transfer, when its record was
     /// written.
     pub leader_stopped_at: u64,
@@ -23,7 +23,7 @@
     /// When the new leader launched its first task.
     pub first_launch_at: Option<u64>,
     /// Machines that were up when the new leader acquired the partition.
-    pub machines: usize,
+    pub machine_count: usize,
     waiting: BTreeSet<String>,
 }
 
@@ -42,7 +42,7 @@
     fn open(&mut self, partition: u32, before: &str, leader_stopped_at: u64, transferred: bool) {
         self.list.push(Failover {
             partition,
-            before: before.into(),
+            previous_leader: before.into(),
             leader_stopped_at,
             transferred,
             acquired_at: None,
@@ -50,7 +50,7 @@
             first_contact_at: None,
             last_contact_at: None,
             first_launch_at: None,
-            machines: 0,
+            machine_count: 0,
             waiting: BTreeSet::new(),
         });
     }
@@ -76,7 +76,7 @@
         for failover in self.list.iter_mut().filter(|t| opened(t)) {
             failover.acquired_at = Some(now);
             failover.term = term;
-            failover.machines = living.len();
+            failover.machine_count = living.len();
             failover.waiting = living.clone();
         }
     }
@@ -95,7 +95,7 @@
                 if launches {
                     failover.first_launch_at.get_or_insert(now);
                 }
-            } else if launches && failover.machines > 0 && failover.term == token {
+            } else if launches && failover.machine_count > 0 && failover.term == token {
                 failover.first_launch_at.get_or_insert(now);
             }
         }
--- a/crates/simulator/src/fingerprint/message.rs
+++ b/crates/simulator/src/fingerprint/message.rs
@@ -19,7 +19,7 @@
 const REPORT_RETRY_S: u64 = 1;
 
 /// A message that leaves a controller.
-pub(crate) struct Outgoing {
+pub(crate) struct OutgoingMessage {
     /// To whom it goes; the order of the messages to one recipient counts.
     pub recipient: String,
     /// What is hashed.
@@ -28,9 +28,9 @@
     pub readable: Option<String>,
 }
 
-impl Outgoing {
+impl OutgoingMessage {
     /// What leaves a controller by an effect. `reporter` is the machine whose heartbeat is answered.
-    pub fn of(sender: usize, effect: &Effect, reporter: Option<&str>) -> Self {
+    pub fn from_effect(sender: usize, effect: &Effect, reporter: Option<&str>) -> Self {
         match effect {
             Effect::State { request, .. } => Self::call("state".into(), &request.into()),
             Effect::Cloud { request, .. } => Self::call("cloud".into(), &request.into()),
@@ -52,7 +52,7 @@
     fn call(recipient: String, call: &HttpRequest) -> Self {
         let mut bytes = format!("{} {}\n", call.method.as_str(), call.path).into_bytes();
         bytes.extend(call.body.iter().flatten());
-        Outgoing {
+        OutgoingMessage {
             recipient,
             bytes,
             readable: None,
@@ -65,7 +65,7 @@
             from: format!("n{sender}"),
             message: message.clone(),
         };
-        Outgoing {
+        OutgoingMessage {
             recipient: format!("peer {to}"),
             bytes: rmp_serde::to_vec(&frame).expect("a frame can be encoded"),
             readable: serde_json::to_string(message).ok(),
@@ -111,14 +111,14 @@
         }
     }
 
-    fn to(self, recipient: String) -> Outgoing {
+    fn to(self, recipient: String) -> OutgoingMessage {
         let mut text = self.status.to_string();
         if let Some(seconds) = self.retry_after_s {
             text.push_str(&format!(" retry-after: {seconds}"));
         }
         text.push('\n');
         text.push_str(self.body.as_deref().unwrap_or_default());
-        Outgoing {
+        OutgoingMessage {
             recipient,
             bytes: text.into_bytes(),
             readable: None,
--- a/crates/simulator/src/fingerprint/mod.rs
+++ b/crates/simulator/src/fingerprint/mod.rs
@@ -11,7 +11,7 @@
 mod stored;
 
 pub use recorder::Recorder;
-pub use runs::{all_runs, short_runs, Outcome, Run};
+pub use runs::{all_runs, short_runs, Run, RunOutcome};
 pub use stored::{ParseError, StoredDigests};
 
-pub(crate) use message::Outgoing;
+pub(crate) use message::OutgoingMessage;
--- a/crates/simulator/src/fingerprint/recorder.rs
+++ b/crates/simulator/src/fingerprint/recorder.rs
@@ -1,6 +1,6 @@
 //! Digests of the messages that leave the controllers.
 
-use super::message::Outgoing;
+use super::message::OutgoingMessage;
 use std::collections::BTreeMap;
 use std::fmt::Write;
 use xxhash_rust::xxh3::{xxh3_128, Xxh3};
@@ -29,7 +29,7 @@
     }
 
     /// Adds a message that a controller sends at a simulated time.
-    pub(crate) fn add(&mut self, at_ms: u64, sender: usize, message: &Outgoing) {
+    pub(crate) fn record(&mut self, at_ms: u64, sender: usize, message: &OutgoingMessage) {
         let received = self.received.entry(message.recipient.clone()).or_default();
         received.messages += 1;
         received.hash.update(&at_ms.to_le_bytes());
@@ -44,7 +44,7 @@
     }
 
     /// Messages that have been added.
-    pub fn messages(&self) -> u64 {
+    pub fn message_count(&self) -> u64 {
         self.received
             .values()
             .map(|received| received.messages)
@@ -69,7 +69,7 @@
     }
 }
 
-fn trace_line(trace: &mut String, at_ms: u64, sender: usize, message: &Outgoing) {
+fn trace_line(trace: &mut String, at_ms: u64, sender: usize, message: &OutgoingMessage) {
     let digest = xxh3_128(&message.bytes);
     let text = match &message.readable {
         Some(readable) => readable.clone(),
--- a/crates/simulator/src/fingerprint/runs.rs
+++ b/crates/simulator/src/fingerprint/runs.rs
@@ -48,7 +48,7 @@
 }
 
 /// What came of a run.
-pub struct Outcome {
+pub struct RunOutcome {
     pub recorder: Recorder,
     /// Rules of the world that were broken; a run ends at the first.
     pub violations: usize,
@@ -70,7 +70,7 @@
     }
 
     /// Plays the run to its end.
-    pub fn play(&self, recorder: Recorder) -> Outcome {
+    pub fn execute(&self, recorder: Recorder) -> RunOutcome {
         let mut world = World::new(self.plan.clone());
         world.record_outgoing(recorder);
         if self.administration {
@@ -78,7 +78,7 @@
         }
         world.run();
         let recorder = world.take_recorder().unwrap_or_default();
-        Outcome {
+        RunOutcome {
             recorder,
             violations: world.rules.violations.len(),
         }
--- a/crates/simulator/src/history.rs
+++ b/crates/simulator/src/history.rs
@@ -26,9 +26,9 @@
 
 /// What an answer says about a job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Answer {
+pub enum JobReply {
     /// The job is known and has this state.
-    UnansweredJobs(JobState),
+    Status(JobState),
     /// There is no such job (404).
     Missing,
     /// The submission was refused for good (400 or 422).
@@ -39,12 +39,15 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct HistoryViolation {
     pub rule: &'static str,
-    pub what: String,
+    pub details: String,
 }
 
 impl HistoryViolation {
     fn new(rule: &'static str, what: String) -> Self {
-        HistoryViolation { rule, what }
+        HistoryViolation {
+            rule,
+            details: what,
+        }
     }
 }
 
@@ -58,7 +61,7 @@
 
 /// Answers whose status requests were sent within milliseconds of a confirmation about the same job.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct CloseAnswers {
+pub struct FollowUpReplies {
     pub after_accepted: u64,
     pub after_done: u64,
     pub after_cancelled: u64,
@@ -69,8 +72,8 @@
 pub struct History {
     last_order: u64,
     jobs: HashMap<String, JobHistory>,
-    pub answers: u64,
-    pub close_answers: CloseAnswers,
+    pub replies: u64,
+    pub follow_up_replies: FollowUpReplies,
 }
 
 impl History {
@@ -89,7 +92,7 @@
     }
 
     /// A user asks for the cancellation of a job.
-    pub fn cancel_requested(&mut self, id: &str, ms: u64) {
+    pub fn record_cancel_request(&mut self, id: &str, ms: u64) {
         let now = self.next_time(ms);
         self.jobs
             .entry(id.to_owned())
@@ -99,7 +102,7 @@
     }
 
     /// A submission was answered, whatever the answer says of the job's state: it is known from now on.
-    pub fn accepted(&mut self, id: &str, ms: u64) {
+    pub fn record_acceptance(&mut self, id: &str, ms: u64) {
         let now = self.next_time(ms);
         self.jobs
             .entry(id.to_owned())
@@ -119,20 +122,20 @@
         &mut self,
         id: &str,
         sent: HistoryTime,
-        answer: Answer,
+        answer: JobReply,
         ms: u64,
     ) -> Result<(), HistoryViolation> {
         let now = self.next_time(ms);
         let job = self.jobs.entry(id.to_owned()).or_default();
-        self.answers += 1;
-        self.close_answers.count(job, sent);
+        self.replies += 1;
+        self.follow_up_replies.count(job, sent);
         let judged = job.judge(id, sent, answer);
         job.confirm(answer, now);
         judged
     }
 }
 
-impl CloseAnswers {
+impl FollowUpReplies {
     fn count(&mut self, job: &JobHistory, sent: HistoryTime) {
         let close =
             |confirmed: HistoryTime| confirmed < sent && sent.ms <= confirmed.ms + CLOSE_ANSWER_MS;
@@ -145,9 +148,9 @@
 }
 
 impl JobHistory {
-    fn judge(&self, id: &str, sent: HistoryTime, answer: Answer) -> Result<(), HistoryViolation> {
+    fn judge(&self, id: &str, sent: HistoryTime, answer: JobReply) -> Result<(), HistoryViolation> {
         match answer {
-            Answer::Missing | Answer::Refused => {
+            JobReply::Missing | JobReply::Refused => {
                 if self.known.is_some_and(|at| at < sent) {
                     return Err(HistoryViolation::new(
                         "forgotten",
@@ -155,11 +158,11 @@
                     ));
                 }
             }
-            Answer::UnansweredJobs(JobState::Cancelled) if self.cancel_requested.is_none() => {
+            JobReply::Status(JobState::Cancelled) if self.cancel_requested.is_none() => {
                 let what = format!("{id} is cancelled, and nobody asked for it");
                 return Err(HistoryViolation::new("went_back", what));
             }
-            Answer::UnansweredJobs(state) => {
+            JobReply::Status(state) => {
                 let Some((finished, at)) = self.finished else {
                     return Ok(());
                 };
@@ -174,8 +177,8 @@
         Ok(())
     }
 
-    fn confirm(&mut self, answer: Answer, now: HistoryTime) {
-        let Answer::UnansweredJobs(state) = answer else {
+    fn confirm(&mut self, answer: JobReply, now: HistoryTime) {
+        let JobReply::Status(state) = answer else {
             return;
         };
         self.known.get_or_insert(now);
--- a/crates/simulator/src/rules.rs
+++ b/crates/simulator/src/rules.rs
@@ -1,6 +1,6 @@
 //! The rules of the protocols, checked against what workers do and what replies users get.
 
-use crate::history::{Answer, History, HistoryTime, HistoryViolation};
+use crate::history::{History, HistoryTime, HistoryViolation, JobReply};
 use crate::worker::Worker;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use wire::users::{JobRequest, JobState};
@@ -9,7 +9,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Violation {
     pub rule: &'static str,
-    pub what: String,
+    pub details: String,
     pub at: u64,
 }
 
@@ -19,7 +19,7 @@
     /// Time for a cancellation, in ms.
     cancel: u64,
     pub violations: Vec<Violation>,
-    pub started: u64,
+    pub task_starts: u64,
     pub accepted: BTreeMap<String, u64>,
     pub done_confirmed: BTreeMap<String, u64>,
     pub cancel_confirmed: BTreeMap<String, u64>,
@@ -29,7 +29,7 @@
     pub history: History,
     /// Starts of tasks whose jobs were confirmed as cancelled before, and the longest time between both, in ms.
     pub started_after_cancel: u64,
-    pub longest_start_after_cancel: u64,
+    pub longest_start_after_cancel_ms: u64,
 }
 
 impl RuleChecker {
@@ -45,7 +45,7 @@
     pub fn record_violation(&mut self, rule: &'static str, what: impl Into<String>, at: u64) {
         self.violations.push(Violation {
             rule,
-            what: what.into(),
+            details: what.into(),
             at,
         });
     }
@@ -58,7 +58,7 @@
     }
 
     /// A task got its image on a machine.
-    pub fn started(
+    pub fn check_start(
         &mut self,
         task: &str,
         on: &Worker,
@@ -66,7 +66,7 @@
         jobs: &HashMap<String, JobRequest>,
         now: u64,
     ) {
-        self.started += 1;
+        self.task_starts += 1;
         let id = task.split('/').next().unwrap_or_default();
         let Some(job) = jobs.get(id) else {
             self.record_violation("wrong_place", format!("{task} was never submitted"), now);
@@ -76,7 +76,7 @@
             !w.dead
                 && w.tasks
                     .iter()
-                    .any(|((t, _), held)| t == name && held.present())
+                    .any(|((t, _), held)| t == name && held.is_present())
         };
         for other in workers.values().filter(|w| w.name != on.name) {
             if present(other, task) {
@@ -95,7 +95,7 @@
         let mut zones: HashMap<&str, u64> = HashMap::new();
         for worker in workers.values().filter(|w| !w.dead) {
             for ((other, _), held) in &worker.tasks {
-                if held.present() && other.split('/').next() == Some(id) {
+                if held.is_present() && other.split('/').next() == Some(id) {
                     *zones.entry(&worker.zone).or_default() += 1;
                 }
             }
@@ -109,7 +109,7 @@
         }
         if let Some(told) = self.cancel_confirmed.get(id) {
             self.started_after_cancel += 1;
-            self.longest_start_after_cancel = self.longest_start_after_cancel.max(now - told);
+            self.longest_start_after_cancel_ms = self.longest_start_after_cancel_ms.max(now - told);
         }
         self.check_cancelled(task, now);
     }
@@ -124,7 +124,7 @@
     }
 
     /// Checks quotas and cancellation deadlines, which must hold at every moment.
-    pub fn check(
+    pub fn check_quotas_and_cancellations(
         &mut self,
         workers: &BTreeMap<String, Worker>,
         jobs: &HashMap<String, JobRequest>,
@@ -134,7 +134,7 @@
         let mut used: BTreeMap<&str, f64> = BTreeMap::new();
         for worker in workers.values().filter(|w| !w.dead) {
             for ((task, _), held) in &worker.tasks {
-                if !held.present() {
+                if !held.is_present() {
                     continue;
                 }
                 let Some(job) = jobs.get(task.split('/').next().unwrap_or_default()) else {
@@ -164,7 +164,7 @@
             self.record_violation("invented", id, now);
             return;
         };
-        self.judge(id, sent, Answer::UnansweredJobs(state), now);
+        self.judge(id, sent, JobReply::Status(state), now);
         match state {
             JobState::Done => {
                 let all =
@@ -183,13 +183,23 @@
 
     /// Records a reply that there is no such job or that the submission is invalid, to a request sent at
     /// `sent`.
-    pub fn record_missing(&mut self, id: &str, answer: Answer, sent: HistoryTime, now: u64) {
+    pub fn record_negative_reply(
+        &mut self,
+        id: &str,
+        answer: JobReply,
+        sent: HistoryTime,
+        now: u64,
+    ) {
         self.judge(id, sent, answer, now);
     }
 
     /// Judges an answer by the history of its job.
-    fn judge(&mut self, id: &str, sent: HistoryTime, answer: Answer, now: u64) {
-        if let Err(HistoryViolation { rule, what }) = self.history.record(id, sent, answer, now) {
+    fn judge(&mut self, id: &str, sent: HistoryTime, answer: JobReply, now: u64) {
+        if let Err(HistoryViolation {
+            rule,
+            details: what,
+        }) = self.history.record(id, sent, answer, now)
+        {
             self.record_violation(rule, what, now);
         }
     }
--- a/crates/simulator/src/single_controller.rs
+++ b/crates/simulator/src/single_controller.rs
@@ -182,7 +182,7 @@
             self.tick(20);
         }
         for nth in 0..self.machines {
-            self.report(nth);
+            self.send_heartbeat(nth);
         }
         assert!(
             self.answered >= self.machines,
@@ -212,16 +212,16 @@
         for round in 0..1_000 {
             self.tick(70);
             for nth in 0..each {
-                self.report((round * each + nth) % self.machines);
+                self.send_heartbeat((round * each + nth) % self.machines);
             }
-            if self.running() as u64 >= slots {
+            if self.task_count() as u64 >= slots {
                 break;
             }
         }
-        assert_eq!(self.running() as u64, slots, "the machines are full");
+        assert_eq!(self.task_count() as u64, slots, "the machines are full");
         for nth in 0..self.machines {
             self.run_all(nth);
-            self.report(nth);
+            self.send_heartbeat(nth);
         }
         self.tick(100);
     }
@@ -256,8 +256,8 @@
     }
 
     /// A heartbeat of a machine; returns what it cost.
-    pub fn report(&mut self, nth: usize) -> Duration {
-        let report = self.workers[nth].report();
+    pub fn send_heartbeat(&mut self, nth: usize) -> Duration {
+        let report = self.workers[nth].next_heartbeat();
         self.now += 1;
         self.tickets += 1;
         self.handle_event(Event::Heartbeat {
@@ -267,7 +267,7 @@
     }
 
     /// A heartbeat of a machine on which one array task has just completed; what it cost.
-    pub fn report_done(&mut self, nth: usize) -> Duration {
+    pub fn complete_array_task(&mut self, nth: usize) -> Duration {
         let jobs = &self.jobs;
         let array = |task: &str| {
             let id = task.split('/').next().unwrap_or_default();
@@ -280,9 +280,9 @@
             .find(|((task, _), held)| held.state == TaskState::Running && array(task));
         if let Some((_, held)) = running {
             held.state = TaskState::Exited;
-            held.why = Some(wire::workers::ExitCause::Done);
+            held.exit_cause = Some(wire::workers::ExitCause::Done);
         }
-        let cost = self.report(nth);
+        let cost = self.send_heartbeat(nth);
         self.run_all(nth);
         cost
     }
@@ -304,7 +304,7 @@
         for round in 0..400 {
             all += self.tick(20);
             if round % 10 == 9 {
-                all += self.report(0);
+                all += self.send_heartbeat(0);
             }
             if self.answered > before {
                 break;
@@ -371,14 +371,14 @@
                     .unwrap_or(0);
                 let worker = &mut self.workers[nth];
                 worker.check_lease(self.now, LEASE_MS);
-                worker.direct(
+                worker.handle_direct_call(
                     body.token,
                     body.worker_epoch,
                     &body.commands,
                     self.now,
                     &self.jobs,
                 );
-                let report: Box<Heartbeat> = Box::new(worker.report());
+                let report: Box<Heartbeat> = Box::new(worker.next_heartbeat());
                 let reply = DirectReply::Answered(report);
                 self.events.push_back(Event::Worker { call, reply });
             }
@@ -425,7 +425,7 @@
     }
 
     /// A user's request.
-    pub fn request(&mut self, request: UserRequest) {
+    pub fn send_user_request(&mut self, request: UserRequest) {
         self.tickets += 1;
         self.handle_event(Event::User {
             ticket: self.tickets,
@@ -434,7 +434,7 @@
     }
 
     /// Hands a heartbeat to the controller as it is.
-    pub fn send_report(&mut self, report: Heartbeat) {
+    pub fn inject_heartbeat(&mut self, report: Heartbeat) {
         self.tickets += 1;
         self.handle_event(Event::Heartbeat {
             ticket: self.tickets,
@@ -443,14 +443,14 @@
     }
 
     /// Puts a value into the state service, as some other program might.
-    pub fn write(&mut self, key: &str, value: serde_json::Value) {
+    pub fn put_state_value(&mut self, key: &str, value: serde_json::Value) {
         let txn = Transaction::default().write(Write::put(key, value));
         self.state
             .execute(self.now, &StateRequest::Transaction(txn));
     }
 
     /// The value under a key of the state service.
-    pub fn stored(&self, key: &str) -> Option<&serde_json::Value> {
+    pub fn state_value(&self, key: &str) -> Option<&serde_json::Value> {
         self.state.value(key)
     }
 
@@ -471,7 +471,7 @@
     }
 
     /// Answers to heartbeats since this was asked last.
-    pub fn take_report_replies(&mut self) -> Vec<HeartbeatReply> {
+    pub fn take_heartbeat_replies(&mut self) -> Vec<HeartbeatReply> {
         std::mem::take(&mut self.report_replies)
     }
 
@@ -481,7 +481,7 @@
     }
 
     /// Tasks on all machines.
-    pub fn running(&self) -> usize {
+    pub fn task_count(&self) -> usize {
         self.workers.iter().map(|w| w.tasks.len()).sum()
     }
 }
--- a/crates/simulator/src/starvation.rs
+++ b/crates/simulator/src/starvation.rs
@@ -50,7 +50,7 @@
                     snapshot.present.insert(&job.id);
                 }
             }
-            if worker.hangs_until <= now && !worker.fails_all_tasks {
+            if worker.hung_until <= now && !worker.fails_all_tasks {
                 snapshot.free.push((worker, free));
             }
         }
--- a/crates/simulator/src/state.rs
+++ b/crates/simulator/src/state.rs
@@ -26,7 +26,7 @@
     pub accepted_writes: u64,
     pub refused_writes: u64,
     /// Changes that are kept for watches.
-    pub keep: usize,
+    pub max_kept_changes: usize,
 }
 
 impl StateService {
@@ -34,7 +34,7 @@
     pub fn new(write_rps: f64) -> Self {
         StateService {
             write_rps,
-            keep: 10_000,
+            max_kept_changes: 10_000,
             next_lease: 1,
             ..Default::default()
         }
@@ -42,7 +42,7 @@
 
     fn record(&mut self, change: Change) {
         self.log.push_back(change);
-        while self.log.len() > self.keep {
+        while self.log.len() > self.max_kept_changes {
             if let Some(old) = self.log.pop_front() {
                 self.compacted = old.version;
             }
@@ -93,7 +93,7 @@
     }
 
     /// Empties all values under a prefix without a change event: a defective store.
-    pub fn lose(&mut self, prefix: &str) {
+    pub fn empty_values(&mut self, prefix: &str) {
         for (_, stored) in self
             .keys
             .iter_mut()
@@ -104,7 +104,7 @@
     }
 
     /// After an outage every lease has its full time again.
-    pub fn refresh_leases(&mut self, now: u64) {
+    pub fn renew_all_leases(&mut self, now: u64) {
         for (until, ttl) in self.leases.values_mut() {
             *until = now + *ttl;
         }
--- a/crates/simulator/src/unanswered.rs
+++ b/crates/simulator/src/unanswered.rs
@@ -13,7 +13,7 @@
 
 impl UnansweredJobs {
     /// A request about a job is sent.
-    pub fn record_query(&mut self, id: &str, now: u64) {
+    pub fn record_request(&mut self, id: &str, now: u64) {
         self.unanswered.entry(id.to_owned()).or_insert(now);
     }
 
--- a/crates/simulator/src/unanswered/tests.rs
+++ b/crates/simulator/src/unanswered/tests.rs
@@ -6,7 +6,7 @@
     let mut unanswered = UnansweredJobs::default();
     for now in (0..80_000).step_by(5_000) {
         for id in ["a", "b"] {
-            unanswered.record_query(id, now);
+            unanswered.record_request(id, now);
         }
         unanswered.record_answer("a");
         let expected: &[&str] = if now == 75_000 { &["b"] } else { &[] };
--- a/crates/simulator/src/worker.rs
+++ b/crates/simulator/src/worker.rs
@@ -8,8 +8,8 @@
 #[derive(Debug, Clone)]
 pub struct WorkerTask {
     pub state: TaskState,
-    pub why: Option<ExitCause>,
-    pub image_at: u64,
+    pub exit_cause: Option<ExitCause>,
+    pub fetched_at: u64,
     pub done_at: Option<u64>,
     /// When a task that was told to stop will have saved.
     pub saved_at: Option<u64>,
@@ -17,13 +17,13 @@
 
 impl WorkerTask {
     /// Whether the task counts as being on its machine.
-    pub fn present(&self) -> bool {
+    pub fn is_present(&self) -> bool {
         !matches!(self.state, TaskState::Fetching | TaskState::Exited)
     }
 }
 
 /// A task and its attempt.
-pub type Key = (String, u64);
+pub type TaskKey = (String, u64);
 
 /// Something that happened on the worker and that the rules look at.
 #[derive(Debug, Clone, PartialEq)]
@@ -42,20 +42,20 @@
     pub machine_type: String,
     pub zone: String,
     pub spot: bool,
-    pub session: u64,
+    pub epoch: u64,
     seq: u64,
     pub token: u64,
-    pub tasks: BTreeMap<Key, WorkerTask>,
+    pub tasks: BTreeMap<TaskKey, WorkerTask>,
     images: BTreeSet<String>,
     /// Sending time of the last answered heartbeat, or the begin of the session.
     lease_from: u64,
     pub controller: usize,
     /// The heartbeat in flight: its number, its sending time, its session.
     pub in_flight: Option<(u64, u64, u64)>,
-    pub next_report: u64,
-    pub last_report: u64,
-    pub changed: bool,
-    pub hangs_until: u64,
+    pub next_heartbeat_at: u64,
+    pub last_heartbeat_at: u64,
+    pub status_changed: bool,
+    pub hung_until: u64,
     pub dead: bool,
     /// It ended with tasks on it.
     pub crashed_with_tasks: bool,
@@ -67,7 +67,7 @@
     gang_wait: u64,
     /// Tasks that it has killed since its lease had run out.
     pub tasks_killed_by_lease: u64,
-    gangs: BTreeMap<Key, u64>,
+    gangs: BTreeMap<TaskKey, u64>,
 }
 
 impl Worker {
@@ -78,7 +78,7 @@
             machine_type: machine_type.into(),
             zone: zone.into(),
             spot,
-            session: 1,
+            epoch: 1,
             seq: 0,
             token: 0,
             tasks: BTreeMap::new(),
@@ -86,10 +86,10 @@
             lease_from: now,
             controller: 0,
             in_flight: None,
-            next_report: now,
-            last_report: 0,
-            changed: false,
-            hangs_until: 0,
+            next_heartbeat_at: now,
+            last_heartbeat_at: 0,
+            status_changed: false,
+            hung_until: 0,
             dead: false,
             crashed_with_tasks: false,
             results: BTreeSet::new(),
@@ -102,7 +102,7 @@
     }
 
     /// The next message about the machine.
-    pub fn report(&mut self) -> Heartbeat {
+    pub fn next_heartbeat(&mut self) -> Heartbeat {
         self.seq += 1;
         Heartbeat {
             machine: self.name.clone(),
@@ -110,7 +110,7 @@
             machine_type: self.machine_type.clone(),
             zone: self.zone.clone(),
             spot: self.spot,
-            worker_epoch: self.session,
+            worker_epoch: self.epoch,
             sequence_number: self.seq,
             token: self.token,
             reclaimed_in_s: None,
@@ -121,7 +121,7 @@
                     task: task.clone(),
                     attempt: *attempt,
                     state: held.state,
-                    exit_cause: held.why,
+                    exit_cause: held.exit_cause,
                     checkpoint_saved: None,
                 })
                 .collect(),
@@ -130,24 +130,24 @@
 
     /// Whether something newer than this heartbeat has been sent.
     pub fn has_sent_newer(&self, report: &Heartbeat) -> bool {
-        (report.worker_epoch, report.sequence_number) < (self.session, self.seq)
+        (report.worker_epoch, report.sequence_number) < (self.epoch, self.seq)
     }
 
     /// Ends the session if the lease has run out.
     pub fn check_lease(&mut self, now: u64, lease: u64) {
         if now > self.lease_from + lease {
-            self.session += 1;
+            self.epoch += 1;
             self.tasks_killed_by_lease +=
-                self.tasks.values().filter(|held| held.present()).count() as u64;
+                self.tasks.values().filter(|held| held.is_present()).count() as u64;
             self.tasks.clear();
             self.gangs.clear();
             self.lease_from = now;
-            self.changed = true;
+            self.status_changed = true;
         }
     }
 
     /// An answer to the heartbeat numbered `number`. False if it is dropped.
-    pub fn answered(
+    pub fn handle_heartbeat_response(
         &mut self,
         number: u64,
         answer: &HeartbeatResponse,
@@ -161,7 +161,7 @@
             return false;
         }
         self.in_flight = None;
-        if answer.token < self.token || session != self.session {
+        if answer.token < self.token || session != self.epoch {
             return false;
         }
         self.raise(answer.token);
@@ -180,12 +180,12 @@
     fn raise(&mut self, token: u64) {
         if token > self.token {
             self.token = token;
-            self.changed = true;
+            self.status_changed = true;
         }
     }
 
     /// Direct commands; true if executed.
-    pub fn direct(
+    pub fn handle_direct_call(
         &mut self,
         token: u64,
         session: u64,
@@ -193,7 +193,7 @@
         now: u64,
         jobs: &HashMap<String, JobRequest>,
     ) -> bool {
-        if token < self.token || session != self.session {
+        if token < self.token || session != self.epoch {
             return false;
         }
         self.raise(token);
@@ -239,12 +239,12 @@
         if self.tasks.contains_key(&key) {
             return;
         }
-        self.changed = true;
+        self.status_changed = true;
         let id = task.split('/').next().unwrap_or_default();
         let exited = |why| WorkerTask {
             state: TaskState::Exited,
-            why: Some(why),
-            image_at: 0,
+            exit_cause: Some(why),
+            fetched_at: 0,
             done_at: None,
             saved_at: None,
         };
@@ -281,8 +281,8 @@
             key,
             WorkerTask {
                 state: TaskState::Fetching,
-                why: None,
-                image_at: now + fetch,
+                exit_cause: None,
+                fetched_at: now + fetch,
                 done_at: None,
                 saved_at: None,
             },
@@ -309,18 +309,18 @@
                 (TaskState::Running, Some(save_s)) => {
                     held.state = TaskState::Saving;
                     held.saved_at = Some(now + (save_s * 1_000.0) as u64);
-                    self.changed = true;
+                    self.status_changed = true;
                 }
                 _ => {
                     held.state = TaskState::Exited;
-                    held.why = Some(ExitCause::Stopped);
-                    self.changed = true;
+                    held.exit_cause = Some(ExitCause::Stopped);
+                    self.status_changed = true;
                 }
             }
         }
     }
 
-    /// Lets tasks go on. A gang's tasks start through [`Worker::set_gang`].
+    /// Lets tasks go on. A gang's tasks start through [`Worker::set_gang_task_state`].
     pub fn advance(
         &mut self,
         now: u64,
@@ -332,18 +332,18 @@
             let Some(job) = jobs.get(task.split('/').next().unwrap_or_default()) else {
                 continue;
             };
-            if held.state == TaskState::Fetching && now >= held.image_at {
+            if held.state == TaskState::Fetching && now >= held.fetched_at {
                 self.images.insert(job.image.clone());
                 transitions.push(TaskTransition::Started(task.clone()));
-                self.changed = true;
+                self.status_changed = true;
                 if self.fails_all_tasks || job.class == FAILING_CLASS {
                     held.state = TaskState::Exited;
-                    held.why = Some(ExitCause::Error);
+                    held.exit_cause = Some(ExitCause::Error);
                     continue;
                 }
                 if self.results.contains(task) {
                     held.state = TaskState::Exited;
-                    held.why = Some(ExitCause::Done);
+                    held.exit_cause = Some(ExitCause::Done);
                     continue;
                 }
                 if job.kind == JobKind::Gang {
@@ -358,8 +358,8 @@
             }
             if held.state == TaskState::Saving && held.saved_at.is_some_and(|at| now >= at) {
                 held.state = TaskState::Exited;
-                held.why = Some(ExitCause::Stopped);
-                self.changed = true;
+                held.exit_cause = Some(ExitCause::Stopped);
+                self.status_changed = true;
             }
             if held.state == TaskState::Waiting {
                 let since = self
@@ -369,8 +369,8 @@
                     .unwrap_or(now);
                 if now > since + self.gang_wait {
                     held.state = TaskState::Exited;
-                    held.why = Some(ExitCause::GangIncomplete);
-                    self.changed = true;
+                    held.exit_cause = Some(ExitCause::GangIncomplete);
+                    self.status_changed = true;
                 }
             }
             // A gang's tasks end together, see `World::step_gangs`.
@@ -379,21 +379,21 @@
                 && held.done_at.is_some_and(|at| now >= at)
             {
                 held.state = TaskState::Exited;
-                held.why = Some(ExitCause::Done);
+                held.exit_cause = Some(ExitCause::Done);
                 self.results.insert(task.clone());
                 transitions.push(TaskTransition::Done(task.clone()));
-                self.changed = true;
+                self.status_changed = true;
             }
         }
         transitions
     }
 
     /// A gang's task starts or ends with the others.
-    pub fn set_gang(&mut self, key: &Key, state: TaskState, why: Option<ExitCause>) {
+    pub fn set_gang_task_state(&mut self, key: &TaskKey, state: TaskState, why: Option<ExitCause>) {
         if let Some(held) = self.tasks.get_mut(key) {
             held.state = state;
-            held.why = why;
-            self.changed = true;
+            held.exit_cause = why;
+            self.status_changed = true;
             if why == Some(ExitCause::Done) {
                 self.results.insert(key.0.clone());
             }
@@ -401,8 +401,9 @@
     }
 
     /// Whether a heartbeat is due.
-    pub fn report_due(&self, now: u64) -> bool {
+    pub fn heartbeat_due(&self, now: u64) -> bool {
         self.in_flight.is_none()
-            && (now >= self.next_report || (self.changed && now >= self.last_report + 500))
+            && (now >= self.next_heartbeat_at
+                || (self.status_changed && now >= self.last_heartbeat_at + 500))
     }
 }
--- a/crates/simulator/src/world/cancellations.rs
+++ b/crates/simulator/src/world/cancellations.rs
@@ -25,7 +25,7 @@
     /// Records that a user has requested the cancellation of a job.
     pub(super) fn record_cancel_request(&mut self, id: &str) {
         self.rules.cancel_requests.insert(id.to_owned());
-        self.rules.history.cancel_requested(id, self.now);
+        self.rules.history.record_cancel_request(id, self.now);
     }
 
     /// Users cancel every accepted job that is not in a terminal state, all through one controller.
--- a/crates/simulator/src/world/faults.rs
+++ b/crates/simulator/src/world/faults.rs
@@ -172,7 +172,7 @@
                 self.activate(ActiveFault::WorkersDisconnected(controller), duration_ms);
                 self.activate(ActiveFault::MeshDisconnected(controller), duration_ms);
             }
-            Fault::ChangeBootBehavior { behavior, .. } => self.cloud.boots = behavior,
+            Fault::ChangeBootBehavior { behavior, .. } => self.cloud.boot_behavior = behavior,
             Fault::JobBurst { jobs } => (0..jobs).for_each(|_| self.new_job()),
             Fault::GuestJobs { jobs } => (0..jobs).for_each(|_| self.guest_job()),
             Fault::CancelAllJobs { controller } => self.cancel_all(controller),
@@ -308,10 +308,10 @@
     pub(super) fn end_fault(&mut self, fault: &ActiveFault) {
         self.network.deactivate(fault);
         if *fault == ActiveFault::StateRequestsRefused(None) {
-            self.state.refresh_leases(self.now);
+            self.state.renew_all_leases(self.now);
         }
         if *fault == ActiveFault::ChangedBootBehavior {
-            self.cloud.boots = BootBehavior::Usual;
+            self.cloud.boot_behavior = BootBehavior::Usual;
         }
         self.schedule(self.now + 1, ScheduledEvent::ReleaseHeldMessages);
     }
@@ -334,7 +334,7 @@
     pub(super) fn hang(&mut self, name: String, ms: u64) {
         let until = self.now + ms;
         if let Some(worker) = self.workers.get_mut(&name) {
-            worker.hangs_until = until;
+            worker.hung_until = until;
             worker.ignores_stops = self.plan.mutation == Some(Mutation::HungMachinesIgnoreStops);
         }
         self.activate(ActiveFault::MachineDisconnected(name), ms);
--- a/crates/simulator/src/world/interceptor.rs
+++ b/crates/simulator/src/world/interceptor.rs
@@ -155,7 +155,7 @@
         if machines.contains(machine) && worker.has_sent_newer(report) {
             self.coverage.stale_heartbeats_at_failover += 1;
             self.coverage.earlier_epoch_heartbeats_at_failover +=
-                u64::from(report.worker_epoch < worker.session);
+                u64::from(report.worker_epoch < worker.epoch);
         }
     }
 
@@ -191,10 +191,11 @@
         worker.check_lease(now, lease);
         let deposed = worker.token > body.token;
         let (token, session) = match self.plan.mutation {
-            Some(Mutation::DelayedCommandsUnfenced) => (worker.token, worker.session),
+            Some(Mutation::DelayedCommandsUnfenced) => (worker.token, worker.epoch),
             _ => (body.token, body.worker_epoch),
         };
-        let executed = worker.direct(token, session, &body.commands, now, self.jobs.all());
+        let executed =
+            worker.handle_direct_call(token, session, &body.commands, now, self.jobs.all());
         if executed {
             self.failovers
                 .record_contact(machine, token, starts(&body.commands), now);
@@ -236,7 +237,7 @@
         };
         let quick =
             |up: u64| up < rented.rented_at + FAST_BOOT_MS && self.now < up + NEW_MACHINE_MS;
-        let young = starts(commands) && rented.up_at.is_some_and(quick);
+        let young = starts(commands) && rented.boots_at.is_some_and(quick);
         self.coverage.launches_on_new_machines += u64::from(young);
     }
 
--- a/crates/simulator/src/world/machines.rs
+++ b/crates/simulator/src/world/machines.rs
@@ -51,7 +51,7 @@
                         .commands
                         .retain(|c| !matches!(c, Command::Stop { .. }));
                 }
-                if worker.answered(number, &answer, now, self.jobs.all()) {
+                if worker.handle_heartbeat_response(number, &answer, now, self.jobs.all()) {
                     let launches = starts(&answer.commands);
                     self.failovers
                         .record_contact(machine, answer.token, launches, now);
@@ -63,10 +63,10 @@
                 let to: usize = to.as_str().trim_start_matches('n').parse().unwrap_or(0);
                 if to == controller {
                     worker.controller = (controller + 1) % CONTROLLERS;
-                    worker.next_report = now + 1_000;
+                    worker.next_heartbeat_at = now + 1_000;
                 } else {
                     worker.controller = to;
-                    worker.next_report = now + self.rng.random_range(0..500);
+                    worker.next_heartbeat_at = now + self.rng.random_range(0..500);
                 }
             }
             HeartbeatReply::Redirect(None)
@@ -74,7 +74,7 @@
             | HeartbeatReply::Malformed => {
                 worker.in_flight = None;
                 worker.controller = (controller + 1) % CONTROLLERS;
-                worker.next_report = now + 1_000;
+                worker.next_heartbeat_at = now + 1_000;
             }
         }
     }
@@ -91,7 +91,7 @@
             .iter()
             .filter(|(name, m)| {
                 m.gone_at.is_none()
-                    && m.up_at.is_some_and(|at| at <= now)
+                    && m.boots_at.is_some_and(|at| at <= now)
                     && !self.workers.contains_key(*name)
             })
             .map(|(n, m)| (n.clone(), m.machine_type.clone(), m.zone.clone(), m.spot))
@@ -111,7 +111,7 @@
             }
             // A machine that hangs does not outlive its lease either.
             worker.check_lease(now, self.parameters.lease);
-            if worker.hangs_until > now {
+            if worker.hung_until > now {
                 continue;
             }
             let run =
@@ -122,7 +122,7 @@
                     TaskTransition::Started(task) => {
                         if let Some(on) = self.workers.get(&name) {
                             self.rules
-                                .started(&task, on, &self.workers, self.jobs.all(), now);
+                                .check_start(&task, on, &self.workers, self.jobs.all(), now);
                         }
                         let id = task.split('/').next().unwrap_or_default();
                         if let Some(job) = self.jobs.get(id) {
@@ -151,20 +151,20 @@
             if now >= sent + 4_000 {
                 worker.in_flight = None;
                 worker.controller = (worker.controller + 1) % CONTROLLERS;
-                worker.next_report = now + 1_000;
+                worker.next_heartbeat_at = now + 1_000;
             }
             return;
         }
-        if !worker.report_due(now) {
+        if !worker.heartbeat_due(now) {
             return;
         }
         let number = self.open_requests.next_ticket();
-        worker.in_flight = Some((number, now, worker.session));
-        worker.changed = false;
-        worker.last_report = now;
-        worker.next_report = now + wait;
+        worker.in_flight = Some((number, now, worker.epoch));
+        worker.status_changed = false;
+        worker.last_heartbeat_at = now;
+        worker.next_heartbeat_at = now + wait;
         let controller = worker.controller;
-        let report = Box::new(worker.report());
+        let report = Box::new(worker.next_heartbeat());
         let mute = self.refuses_connections(name);
         let Some(worker) = self.workers.get_mut(name) else {
             return;
@@ -173,7 +173,7 @@
             // Refused at once.
             worker.in_flight = None;
             worker.controller = (controller + 1) % CONTROLLERS;
-            worker.next_report = now + 1_000;
+            worker.next_heartbeat_at = now + 1_000;
             return;
         }
         let message = Message::Heartbeat {
@@ -194,7 +194,7 @@
                 let Some((id, _)) = task.split_once('/') else {
                     continue;
                 };
-                if self.jobs.get(id).is_some_and(|j| j.kind == JobKind::Gang) && held.present() {
+                if self.jobs.get(id).is_some_and(|j| j.kind == JobKind::Gang) && held.is_present() {
                     let entry = (worker.name.clone(), task.clone(), held.state, held.done_at);
                     gangs
                         .entry((id.to_owned(), *attempt))
@@ -212,7 +212,7 @@
             let running = members.iter().any(|m| m.2 == TaskState::Running);
             let hung: Vec<bool> = members
                 .iter()
-                .map(|m| self.workers.get(&m.0).is_some_and(|w| w.hangs_until > now))
+                .map(|m| self.workers.get(&m.0).is_some_and(|w| w.hung_until > now))
                 .collect();
             let whole = all && !hung.contains(&true);
             let done = members.iter().any(|m| m.3.is_some_and(|at| now >= at));
@@ -226,15 +226,19 @@
                     continue;
                 };
                 if whole && waiting {
-                    worker.set_gang(&key, TaskState::Running, None);
+                    worker.set_gang_task_state(&key, TaskState::Running, None);
                     if let Some(held) = worker.tasks.get_mut(&key) {
                         held.done_at = Some(end);
                     }
                 } else if running && whole && done {
-                    worker.set_gang(&key, TaskState::Exited, Some(ExitCause::Done));
+                    worker.set_gang_task_state(&key, TaskState::Exited, Some(ExitCause::Done));
                     self.task_done(task);
                 } else if running && !whole && state == TaskState::Running {
-                    worker.set_gang(&key, TaskState::Exited, Some(ExitCause::GangPeersLost));
+                    worker.set_gang_task_state(
+                        &key,
+                        TaskState::Exited,
+                        Some(ExitCause::GangPeersLost),
+                    );
                 }
             }
         }
--- a/crates/simulator/src/world/mod.rs
+++ b/crates/simulator/src/world/mod.rs
@@ -172,8 +172,12 @@
             if !is_checked {
                 continue;
             }
-            self.rules
-                .check(&self.workers, self.jobs.all(), &self.limits, self.now);
+            self.rules.check_quotas_and_cancellations(
+                &self.workers,
+                self.jobs.all(),
+                &self.limits,
+                self.now,
+            );
             for id in self.service.unanswered().take_overdue(self.now) {
                 self.rules.record_violation(
                     "forgotten",
--- a/crates/simulator/src/world/mutations.rs
+++ b/crates/simulator/src/world/mutations.rs
@@ -13,7 +13,7 @@
     /// The cloud advertises machines that fit any task.
     pub(super) fn pretend_large_machines(&mut self) {
         if self.plan.mutation == Some(Mutation::UnschedulableJobsFit) {
-            for kind in &mut self.cloud.types {
+            for kind in &mut self.cloud.machine_types {
                 (kind.cpus, kind.gpus, kind.memory_gb) = (1_000.0, 8.0, 10_000.0);
             }
         }
--- a/crates/simulator/src/world/recording.rs
+++ b/crates/simulator/src/world/recording.rs
@@ -2,7 +2,7 @@
 
 use super::open_requests::TicketKey;
 use super::World;
-use crate::fingerprint::{Outgoing, Recorder};
+use crate::fingerprint::{OutgoingMessage, Recorder};
 use controller::{AdminRequest, Effect, Event};
 
 impl World {
@@ -34,10 +34,10 @@
             }),
             _ => None,
         };
-        recorder.add(
+        recorder.record(
             self.now,
             controller,
-            &Outgoing::of(controller, effect, machine),
+            &OutgoingMessage::from_effect(controller, effect, machine),
         );
     }
 }
--- a/crates/simulator/src/world/service_checks.rs
+++ b/crates/simulator/src/world/service_checks.rs
@@ -47,7 +47,7 @@
 
     /// A task has started; `limit` is its team's, in CPUs.
     pub(super) fn record_start(&mut self, task: &str, job: &JobRequest, limit: f64, now: u64) {
-        self.availability.started(task, job, limit, now);
+        self.availability.record_task_start(task, job, limit, now);
     }
 
     /// Those of the starved jobs that are arrays of low priority. They are left to spot machines and to the gaps
--- a/crates/simulator/src/world/state_service.rs
+++ b/crates/simulator/src/world/state_service.rs
@@ -152,8 +152,8 @@
         }
         let reply = self.apply_state_request(controller, &request, pretend);
         if self.plan.mutation == Some(Mutation::TerminalStatesNotWritten) {
-            self.state.lose("f/");
-            self.state.lose("s/e/");
+            self.state.empty_values("f/");
+            self.state.empty_values("s/e/");
         }
         // A small share of the replies is lost although the request was applied.
         if lost && !pretend {
--- a/crates/simulator/src/world/transport.rs
+++ b/crates/simulator/src/world/transport.rs
@@ -154,7 +154,7 @@
             return;
         };
         self.coverage.stale_heartbeats += u64::from(worker.has_sent_newer(report));
-        self.coverage.earlier_epoch_heartbeats += u64::from(report.worker_epoch < worker.session);
+        self.coverage.earlier_epoch_heartbeats += u64::from(report.worker_epoch < worker.epoch);
     }
 
     /// Sends a message; a disconnection holds it back until it ends.
@@ -357,14 +357,14 @@
         if self.plan.mutation == Some(Mutation::DirectCommandsRenewLease) {
             worker.renew_without_reply(now);
         }
-        let executed = worker.direct(
+        let executed = worker.handle_direct_call(
             body.token,
             body.worker_epoch,
             &body.commands,
             now,
             self.jobs.all(),
         );
-        let report = Box::new(worker.report());
+        let report = Box::new(worker.next_heartbeat());
         if executed {
             self.failovers
                 .record_contact(&machine, body.token, starts(&body.commands), now);
--- a/crates/simulator/src/world/users.rs
+++ b/crates/simulator/src/world/users.rs
@@ -7,7 +7,7 @@
 use super::scenario::Mutation;
 use super::site::CONTROLLERS;
 use super::World;
-use crate::history::Answer;
+use crate::history::JobReply;
 use crate::worker::FAILING_CLASS;
 use controller::{Event, UserReply, UserRequest};
 use model::JobId;
@@ -223,7 +223,7 @@
         };
         let controllers: Vec<usize> = (0..CONTROLLERS).filter(serves).collect();
         for (nth, id) in ids.into_iter().enumerate() {
-            self.service.unanswered().record_query(&id, self.now);
+            self.service.unanswered().record_request(&id, self.now);
             let (Some(job), Some(number)) = (self.jobs.get(&id).cloned(), JobId::parse(&id)) else {
                 continue;
             };
@@ -290,7 +290,8 @@
                 }
             }
             UserReply::NotFound => {
-                self.rules.record_missing(&id, Answer::Missing, sent, now);
+                self.rules
+                    .record_negative_reply(&id, JobReply::Missing, sent, now);
                 if let UserRequest::Cancel(_) = request {
                     // Its submission may still be under way.
                     let what = ScheduledEvent::SendRequest {
@@ -304,7 +305,8 @@
                 }
             }
             UserReply::Invalid(_) | UserReply::Rejected(_) => {
-                self.rules.record_missing(&id, Answer::Refused, sent, now);
+                self.rules
+                    .record_negative_reply(&id, JobReply::Refused, sent, now);
             }
             UserReply::Busy { retry_after_s } => {
                 self.busy_replies += 1;
--- a/crates/simulator/src/world/views.rs
+++ b/crates/simulator/src/world/views.rs
@@ -2,7 +2,7 @@
 
 use super::events::RunningController;
 use super::World;
-use crate::availability::{lowest, ServiceLevel};
+use crate::availability::{lowest_service_level, ServiceLevel};
 use crate::rules::RuleChecker;
 use std::collections::{BTreeMap, BTreeSet, HashSet};
 use wire::users::JobRequest;
@@ -67,14 +67,14 @@
             ..
         } = &self.rules;
         let until = self.now.saturating_sub(patience);
-        let mut shares = self.service.availability().shares(
+        let mut shares = self.service.availability().service_levels(
             self.jobs.all(),
             accepted,
             cancel_requests,
             done_confirmed,
             until,
         );
-        shares.extend(self.service.availability().largest(
+        shares.extend(self.service.availability().largest_job_levels(
             self.jobs.all(),
             accepted,
             self.jobs.submission_times(),
@@ -86,7 +86,7 @@
 
     /// The class or team with the lowest service level, see [`World::service_levels`].
     pub fn lowest_service_level(&self, patience: u64) -> Option<(String, f64)> {
-        lowest(&self.service_levels(patience))
+        lowest_service_level(&self.service_levels(patience))
     }
 
     /// Names of the machines recorded for a partition that are up.
@@ -103,7 +103,7 @@
     pub fn cancelled_tasks_present(&self, partition: u32) -> usize {
         let machines = self.machines_up_of(partition);
         let workers = machines.iter().filter_map(|name| self.workers.get(name));
-        let tasks = workers.flat_map(|w| w.tasks.iter().filter(|(_, held)| held.present()));
+        let tasks = workers.flat_map(|w| w.tasks.iter().filter(|(_, held)| held.is_present()));
         let cancelled = |task: &str| {
             let id = task.split('/').next().unwrap_or_default();
             self.rules.cancel_confirmed.contains_key(id)
--- a/crates/simulator/tests/combined_faults.rs
+++ b/crates/simulator/tests/combined_faults.rs
@@ -308,7 +308,7 @@
             .failovers
             .list
             .iter()
-            .any(|t| t.acquired_at.is_some() && t.machines > 0);
+            .any(|t| t.acquired_at.is_some() && t.machine_count > 0);
         assert!(taken, "seed {seed}: a successor had machines to find");
     }
     assert!(coverage.dropped_messages > 200, "{coverage:?}");
@@ -1081,9 +1081,9 @@
         &format!("{first}, then {then} {after} ms later, {nth}"),
     );
     assert!(
-        world.rules.started > 30,
+        world.rules.task_starts > 30,
         "{first}, then {then}: {}",
-        world.rules.started
+        world.rules.task_starts
     );
 }
 
--- a/crates/simulator/tests/end_of_run.rs
+++ b/crates/simulator/tests/end_of_run.rs
@@ -66,7 +66,7 @@
         .expect("something was asked for");
     println!(
         "{what}: least served {of}, {part:.2}; {} starts",
-        world.rules.started
+        world.rules.task_starts
     );
     assert!(part >= 0.5, "{said}: {part:.2} of {of}");
     world
--- a/crates/simulator/tests/failover.rs
+++ b/crates/simulator/tests/failover.rs
@@ -131,7 +131,7 @@
         .cloned()
         .expect("a takeover");
     assert_eq!((first.partition, first.transferred), (1, false));
-    assert!(first.machines > 150, "{first:?}");
+    assert!(first.machine_count > 150, "{first:?}");
     assert!(since_end(&first, first.acquired_at) <= 2_000, "{first:?}");
     assert!(
         since_end(&first, first.first_contact_at) <= 2_200,
@@ -261,9 +261,9 @@
         assert_eq!(world.leader(partition), Some("n2"), "partition {partition}");
     }
     world.run_to(89_000);
-    let served = world.rules.started;
+    let served = world.rules.task_starts;
     world.run();
-    assert!(world.rules.started > served, "work goes on");
+    assert!(world.rules.task_starts > served, "work goes on");
     assert_eq!(
         (world.leader(0), world.leader(1)),
         (Some("n0"), Some("n1")),
--- a/crates/simulator/tests/fingerprint.rs
+++ b/crates/simulator/tests/fingerprint.rs
@@ -9,7 +9,7 @@
 const STORED_FULL: &str = include_str!("data/fingerprint-full.txt");
 
 fn digest(run: &Run) -> u128 {
-    let outcome = run.play(Recorder::default());
+    let outcome = run.execute(Recorder::default());
     assert_eq!(
         outcome.violations, 0,
         "{}: broken rules end a run early",
@@ -43,9 +43,9 @@
 #[test]
 fn trace_has_one_line_per_message_and_keeps_digest() {
     let run = run_named("administration");
-    let traced = run.play(Recorder::with_trace()).recorder;
+    let traced = run.execute(Recorder::with_trace()).recorder;
     let lines = traced.trace().expect("a trace").lines().count();
-    assert_eq!(lines as u64, traced.messages());
+    assert_eq!(lines as u64, traced.message_count());
     assert_eq!(traced.digest(), digest(&run));
 }
 
--- a/crates/simulator/tests/fleet.rs
+++ b/crates/simulator/tests/fleet.rs
@@ -28,16 +28,16 @@
 
 /// Runs until this many more tasks have started; returns the time that took, in ms.
 fn until_started(world: &mut World, from: u64, tasks: u64) -> u64 {
-    let before = world.rules.started;
+    let before = world.rules.task_starts;
     for at in (from..from + 60_000).step_by(250) {
         world.run_to(at);
-        if world.rules.started >= before + tasks {
+        if world.rules.task_starts >= before + tasks {
             return at - from;
         }
     }
     panic!(
         "{} tasks have started within 60 s",
-        world.rules.started - before
+        world.rules.task_starts - before
     );
 }
 
--- a/crates/simulator/tests/golden_admin.rs
+++ b/crates/simulator/tests/golden_admin.rs
@@ -87,7 +87,7 @@
         single_controller.tick(100);
         single_controller.inject(from_peer(sign_of_life()));
         for nth in 0..MACHINES {
-            single_controller.report(nth);
+            single_controller.send_heartbeat(nth);
         }
     }
     single_controller
@@ -123,7 +123,7 @@
     single_controller.submit(JobKind::Array, 1);
     for _ in 0..200 {
         single_controller.tick(20);
-        single_controller.report(0);
+        single_controller.send_heartbeat(0);
     }
     let effects = single_controller.controller().handle(
         Timestamp::from_millis(30_000),
--- a/crates/simulator/tests/rejected_messages.rs
+++ b/crates/simulator/tests/rejected_messages.rs
@@ -61,7 +61,7 @@
     for _ in 0..rounds {
         single_controller.tick(100);
         for nth in 0..MACHINES {
-            single_controller.report(nth);
+            single_controller.send_heartbeat(nth);
         }
     }
 }
@@ -74,7 +74,7 @@
         single_controller.submit(JobKind::Service, 2);
     }
     run(single_controller, 12);
-    assert!(single_controller.running() > 0, "there is work");
+    assert!(single_controller.task_count() > 0, "there is work");
 }
 
 /// Addresses are used again: what another machine answers says nothing of a launch that was sent to the
@@ -82,13 +82,13 @@
 #[test]
 fn reply_of_other_machine_settles_no_direct_launch() {
     let mut single_controller = SingleController::new(MACHINES);
-    let mut other = single_controller.workers()[0].report();
+    let mut other = single_controller.workers()[0].next_heartbeat();
     other.machine = "host-999999".into();
     single_controller.answer_direct_calls_with(Some(other));
     single_controller.submit(JobKind::Array, 1);
     run(&mut single_controller, 10);
     assert_eq!(
-        single_controller.running(),
+        single_controller.task_count(),
         0,
         "the launch has reached nobody"
     );
@@ -99,7 +99,7 @@
             MessageFault::Misrouted
         ) > 0
     );
-    single_controller.request(UserRequest::Cancel(JobId(1)));
+    single_controller.send_user_request(UserRequest::Cancel(JobId(1)));
     run(&mut single_controller, 30);
     assert_ne!(
         single_controller.controller().explain("j-000001"),
@@ -110,7 +110,7 @@
     single_controller.answer_direct_calls_with(None);
     for _ in 0..20 {
         let tokens = single_controller
-            .take_report_replies()
+            .take_heartbeat_replies()
             .into_iter()
             .filter_map(|reply| match reply {
                 HeartbeatReply::Response(answer) => Some(answer.token),
@@ -131,7 +131,7 @@
 #[test]
 fn stale_heartbeat_is_answered_and_changes_nothing() {
     let mut single_controller = SingleController::new(MACHINES);
-    let old = single_controller.workers()[0].report();
+    let old = single_controller.workers()[0].next_heartbeat();
     fill_machines(&mut single_controller);
     let before = view(&mut single_controller);
     let counted = rejected(
@@ -139,9 +139,9 @@
         MessageSource::Worker,
         MessageFault::Stale,
     );
-    single_controller.send_report(old);
+    single_controller.inject_heartbeat(old);
     assert!(matches!(
-        single_controller.take_report_replies().last(),
+        single_controller.take_heartbeat_replies().last(),
         Some(HeartbeatReply::Response(_))
     ));
     assert_eq!(view(&mut single_controller), before);
@@ -226,9 +226,9 @@
         ),
         1
     );
-    single_controller.take_report_replies();
+    single_controller.take_heartbeat_replies();
     run(&mut single_controller, 1);
-    let replies = single_controller.take_report_replies();
+    let replies = single_controller.take_heartbeat_replies();
     assert!(
         replies
             .iter()
@@ -255,7 +255,7 @@
         let mut request = job(77, JobKind::Array, 1);
         change(&mut request);
         single_controller.take_user_replies();
-        single_controller.request(UserRequest::Submit(Box::new(request)));
+        single_controller.send_user_request(UserRequest::Submit(Box::new(request)));
         for _ in 0..10 {
             single_controller.tick(100);
         }
@@ -676,20 +676,20 @@
                 message,
             });
         }
-        Step::Forged(report) => single_controller.send_report(report),
-        Step::Foreign(key, value) => single_controller.write(&key, value),
+        Step::Forged(report) => single_controller.inject_heartbeat(report),
+        Step::Foreign(key, value) => single_controller.put_state_value(&key, value),
         Step::LateState(reply) => single_controller.inject(Event::State { call, reply }),
         Step::LateCloud(reply) => single_controller.inject(Event::Cloud { call, reply }),
         Step::LateWorker(report) => {
             let reply = DirectReply::Answered(Box::new(report));
             single_controller.inject(Event::Worker { call, reply });
         }
-        Step::Ask(id) => single_controller.request(UserRequest::Get(JobId(id))),
-        Step::Cancel(id) => single_controller.request(UserRequest::Cancel(JobId(id))),
+        Step::Ask(id) => single_controller.send_user_request(UserRequest::Get(JobId(id))),
+        Step::Cancel(id) => single_controller.send_user_request(UserRequest::Cancel(JobId(id))),
         Step::Submit(id, amount) => {
             let mut request = job(id, JobKind::Array, 3);
             (request.cpus, request.estimated_run_time_s) = (amount, amount);
-            single_controller.request(UserRequest::Submit(Box::new(request)));
+            single_controller.send_user_request(UserRequest::Submit(Box::new(request)));
         }
         Step::Admin(settings) => {
             let request = AdminRequest::ChangeSettings {
@@ -706,7 +706,7 @@
 fn on_two_machines(single_controller: &mut SingleController) -> Vec<String> {
     let mut places: BTreeMap<String, usize> = BTreeMap::new();
     for worker in single_controller.workers() {
-        let held = worker.tasks.iter().filter(|(_, held)| held.present());
+        let held = worker.tasks.iter().filter(|(_, held)| held.is_present());
         for ((task, _), _) in held {
             *places.entry(task.clone()).or_default() += 1;
         }
@@ -755,10 +755,10 @@
         let mut single_controller = SingleController::new(MACHINES);
         fill_machines(&mut single_controller);
         let before = view(&mut single_controller);
-        single_controller.take_report_replies();
+        single_controller.take_heartbeat_replies();
         single_controller.controller().counters.rejections.drain().for_each(drop);
         for (nth, fault) in &faults {
-            let mut report = single_controller.workers()[*nth].report();
+            let mut report = single_controller.workers()[*nth].next_heartbeat();
             match fault {
                 0 => report.machine_type = String::new(),
                 1 => report.machine = "x".repeat(300),
@@ -770,15 +770,15 @@
                     report.tasks.iter_mut().for_each(|entry| entry.task.push('x'));
                 }
             }
-            single_controller.send_report(report);
+            single_controller.inject_heartbeat(report);
         }
-        let replies = single_controller.take_report_replies();
+        let replies = single_controller.take_heartbeat_replies();
         prop_assert!(replies.iter().all(|reply| *reply == HeartbeatReply::Malformed), "{replies:?}");
         let counted = rejected(&mut single_controller, MessageSource::Worker, MessageFault::Malformed);
         prop_assert_eq!(counted, faults.len() as u64);
         prop_assert_eq!(view(&mut single_controller), before);
         run(&mut single_controller, 1);
-        let replies = single_controller.take_report_replies();
+        let replies = single_controller.take_heartbeat_replies();
         prop_assert!(replies.iter().all(|reply| matches!(reply, HeartbeatReply::Response(_))));
     }
 }
--- a/crates/simulator/tests/rules.rs
+++ b/crates/simulator/tests/rules.rs
@@ -118,9 +118,9 @@
         let world = run(plan(seed, Vec::new()));
         assert_eq!(world.rules.violations, [], "seed {seed}");
         assert!(
-            world.rules.started > 100,
+            world.rules.task_starts > 100,
             "seed {seed}: {} starts",
-            world.rules.started
+            world.rules.task_starts
         );
         assert_eq!(world.unfinished_jobs(), Vec::<String>::new(), "seed {seed}");
     }
@@ -132,7 +132,7 @@
         let faults = random_faults(seed, 6, 20_000, 150_000);
         let world = run(plan(seed, faults.clone()));
         assert_eq!(world.rules.violations, [], "seed {seed}: {faults:?}");
-        assert!(world.rules.started > 50, "seed {seed}");
+        assert!(world.rules.task_starts > 50, "seed {seed}");
     }
 }
 
@@ -145,7 +145,7 @@
             ..plan(seed, faults.clone())
         });
         assert_eq!(world.rules.violations, [], "seed {seed}: {faults:?}");
-        assert!(world.rules.started > 50, "seed {seed}");
+        assert!(world.rules.task_starts > 50, "seed {seed}");
     }
 }
 
@@ -217,7 +217,7 @@
             );
             return;
         }
-        seen.push(world.rules.started);
+        seen.push(world.rules.task_starts);
     }
     panic!("{mutation:?} was not caught in {seen:?} starts");
 }
--- a/crates/simulator/tests/service_levels.rs
+++ b/crates/simulator/tests/service_levels.rs
@@ -30,7 +30,7 @@
         .expect("something was asked for");
     println!(
         "{said}: least served {of}, {part:.2}; {} starts",
-        world.rules.started
+        world.rules.task_starts
     );
     assert!(part >= 0.5, "{said}: {part:.2} of {of}");
     world
--- a/crates/simulator/tests/unreadable_records.rs
+++ b/crates/simulator/tests/unreadable_records.rs
@@ -26,7 +26,7 @@
 /// A controller that has started with these entries on its page.
 fn controller_with_page(entries: Vec<Value>) -> SingleController {
     let mut single_controller = SingleController::new(2);
-    single_controller.write(PAGE, json!({ "jobs": entries }));
+    single_controller.put_state_value(PAGE, json!({ "jobs": entries }));
     single_controller.restart();
     run(&mut single_controller);
     single_controller
@@ -36,7 +36,7 @@
 fn controller_with_unreadable_entries() -> SingleController {
     let mut single_controller = controller_with_page(unreadable_entries());
     let accepted = single_controller::job(5, JobKind::Array, 2);
-    single_controller.request(UserRequest::Submit(Box::new(accepted)));
+    single_controller.send_user_request(UserRequest::Submit(Box::new(accepted)));
     run(&mut single_controller);
     single_controller
 }
@@ -50,7 +50,7 @@
 #[test]
 fn unreadable_entries_survive_a_new_page() {
     let single_controller = controller_with_unreadable_entries();
-    let page = single_controller.stored(PAGE).expect("the page");
+    let page = single_controller.state_value(PAGE).expect("the page");
     let jobs = page["jobs"].as_array().expect("jobs");
     assert_eq!(jobs.len(), 3, "{page}");
     assert!(jobs.iter().any(|job| job[1] == "j-000005"), "{page}");
@@ -65,7 +65,7 @@
     single_controller.take_user_replies();
     let id = JobId(UNREADABLE_JOB);
     for request in [UserRequest::Get(id), UserRequest::Cancel(id)] {
-        single_controller.request(request);
+        single_controller.send_user_request(request);
         run(&mut single_controller);
         let replies = single_controller.take_user_replies();
         assert!(
@@ -83,10 +83,12 @@
         .collect();
     let mut single_controller = controller_with_page(large);
     let accepted = single_controller::job(5, JobKind::Array, 2);
-    single_controller.request(UserRequest::Submit(Box::new(accepted)));
+    single_controller.send_user_request(UserRequest::Submit(Box::new(accepted)));
     run(&mut single_controller);
-    let page = single_controller.stored(PAGE).expect("the page");
+    let page = single_controller.state_value(PAGE).expect("the page");
     assert_eq!(page["jobs"].as_array().map(Vec::len), Some(40));
-    let other = single_controller.stored("s/j/n0/0001").expect("a page");
+    let other = single_controller
+        .state_value("s/j/n0/0001")
+        .expect("a page");
     assert_eq!(other["jobs"][0][1], "j-000005");
 }
--- a/crates/simulator/tests/user_histories.rs
+++ b/crates/simulator/tests/user_histories.rs
@@ -35,7 +35,7 @@
 
 /// Answers that came close after each kind of confirmation.
 fn assert_closely_watched(world: &World, said: &str) {
-    let close = world.rules.history.close_answers;
+    let close = world.rules.history.follow_up_replies;
     let least = close
         .after_accepted
         .min(close.after_done)
@@ -614,17 +614,17 @@
 
 /// The history itself.
 mod history {
-    use simulator::history::{Answer, History};
+    use simulator::history::{History, JobReply};
     use wire::users::JobState;
 
     #[test]
     fn answer_is_judged_by_send_time_of_request() {
         let mut history = History::default();
         let early = history.next_time(10);
-        history.cancel_requested("j-000001", 11);
+        history.record_cancel_request("j-000001", 11);
         let cancel = history.next_time(11);
-        let cancelled = Answer::UnansweredJobs(JobState::Cancelled);
-        let queued = Answer::UnansweredJobs(JobState::Queued);
+        let cancelled = JobReply::Status(JobState::Cancelled);
+        let queued = JobReply::Status(JobState::Queued);
         assert_eq!(history.record("j-000001", cancel, cancelled, 20), Ok(()));
         assert_eq!(
             history.record("j-000001", early, queued, 30),
@@ -642,14 +642,14 @@
     fn known_job_is_never_missing_or_rejected_later() {
         let mut history = History::default();
         let (early, first) = (history.next_time(1), history.next_time(1));
-        let queued = Answer::UnansweredJobs(JobState::Queued);
+        let queued = JobReply::Status(JobState::Queued);
         assert_eq!(history.record("j-000001", first, queued, 2), Ok(()));
         assert_eq!(
-            history.record("j-000001", early, Answer::Missing, 3),
+            history.record("j-000001", early, JobReply::Missing, 3),
             Ok(()),
             "sent before"
         );
-        for answer in [Answer::Missing, Answer::Refused] {
+        for answer in [JobReply::Missing, JobReply::Refused] {
             let late = history.next_time(2);
             let told = history
                 .record("j-000001", late, answer, 3)
@@ -662,12 +662,12 @@
     fn two_terminal_states_and_unrequested_cancellation_contradict_history() {
         let mut history = History::default();
         let first = history.next_time(1);
-        let [done, cancelled] = [JobState::Done, JobState::Cancelled].map(Answer::UnansweredJobs);
+        let [done, cancelled] = [JobState::Done, JobState::Cancelled].map(JobReply::Status);
         let unasked = history
             .record("j-000001", first, cancelled, 2)
             .expect_err("unasked");
         assert_eq!(unasked.rule, "went_back");
-        history.cancel_requested("j-000002", 2);
+        history.record_cancel_request("j-000002", 2);
         assert_eq!(history.record("j-000002", first, done, 3), Ok(()));
         let told = history
             .record("j-000002", first, cancelled, 3)
