--- a/crates/controller/tests/golden_records.rs
+++ b/crates/controller/tests/golden_records.rs
@@ -90,7 +90,7 @@
         );
         Ok(packed.request)
     };
-    Entry::of(name, job, encode, decode)
+    Entry::round_trip(name, job, encode, decode)
 }
 
 #[test]
--- a/crates/model/tests/golden_settings.rs
+++ b/crates/model/tests/golden_settings.rs
@@ -1,4 +1,5 @@
-//! The settings file as the platform writes it: the names of its fields, and what they are read as.
+//! The settings file as the platform writes it: the names of its fields, the settings that they are read
+//! as, and the errors for invalid values.
 
 use std::time::Duration;
 
@@ -14,8 +15,8 @@
 const FULL: &str = include_str!("data/settings.toml");
 const PLAIN: &str = include_str!("data/settings_plain.toml");
 
-/// A name for the case, the text of the full file that is replaced, and what replaces it.
-const WRONG: &[(&str, &str, &str)] = &[
+/// Invalid files: name of the case, the text that is replaced in the full file, and its replacement.
+const INVALID_FILES: &[(&str, &str, &str)] = &[
     ("member_missing", "member = \"n0\"\n", ""),
     ("member_empty", "member = \"n0\"", "member = \"\""),
     (
@@ -48,7 +49,7 @@
 ];
 
 fn address(text: &str) -> SocketAddr {
-    text.parse().expect("an address")
+    text.parse().expect("parse address")
 }
 
 fn peer(name: &str, zone: &str, mesh_address: &str) -> Peer {
@@ -85,7 +86,7 @@
     vec![vision, guests]
 }
 
-fn plain() -> Settings {
+fn plain_settings() -> Settings {
     Settings {
         name: ControllerName::from("n0"),
         zone: ZoneName::from("north"),
@@ -115,7 +116,7 @@
     }
 }
 
-fn full() -> Settings {
+fn full_settings() -> Settings {
     Settings {
         peers: vec![
             peer("n1", "south", "10.0.0.2:8082"),
@@ -127,28 +128,34 @@
             "train".to_owned(),
             Duration::from_millis(600_500),
         )]),
-        ..plain()
+        ..plain_settings()
     }
 }
 
 #[test]
-fn files_are_read_as_these_settings() {
-    assert_eq!(Settings::parse(FULL).expect("settings"), full());
-    assert_eq!(Settings::parse(PLAIN).expect("settings"), plain());
+fn settings_files_are_read() {
+    assert_eq!(
+        Settings::parse(FULL).expect("parse full file"),
+        full_settings()
+    );
+    assert_eq!(
+        Settings::parse(PLAIN).expect("parse plain file"),
+        plain_settings()
+    );
 }
 
-fn error(name: &'static str, found: &str, replacement: &str) -> Entry {
-    assert!(FULL.contains(found), "{name}: {found}");
-    let text = FULL.replacen(found, replacement, 1);
+fn error_entry(name: &'static str, replaced: &str, replacement: &str) -> Entry {
+    assert!(FULL.contains(replaced), "{name}: {replaced}");
+    let text = FULL.replacen(replaced, replacement, 1);
     let error = Settings::parse(&text).expect_err(name);
     Entry::text(name, error.to_string())
 }
 
 #[test]
-fn errors_name_the_field() {
-    let entries: Vec<Entry> = WRONG
+fn errors_name_the_invalid_field() {
+    let entries: Vec<Entry> = INVALID_FILES
         .iter()
-        .map(|(name, found, replacement)| error(name, found, replacement))
+        .map(|(name, replaced, replacement)| error_entry(name, replaced, replacement))
         .collect();
     golden::check("settings_errors.txt", &entries);
 }
--- a/crates/model/tests/ids.rs
+++ b/crates/model/tests/ids.rs
@@ -1,4 +1,4 @@
-//! Textual form of ids.
+//! Text form of ids.
 
 use model::{JobId, TaskId};
 
@@ -7,7 +7,7 @@
     assert_eq!(JobId::parse("j-000412"), Some(JobId(412)));
     assert_eq!(JobId(412).to_string(), "j-000412");
     assert_eq!(JobId::parse("j-1000000"), Some(JobId(1_000_000)));
-    for bad in [
+    for invalid in [
         "",
         "j-",
         "j-12",
@@ -17,7 +17,7 @@
         "j-+00412",
         "j-000412/1",
     ] {
-        assert_eq!(JobId::parse(bad), None, "{bad}");
+        assert_eq!(JobId::parse(invalid), None, "{invalid}");
     }
     assert_eq!(
         TaskId::parse("j-000412/3"),
--- a/crates/model/tests/settings.rs
+++ b/crates/model/tests/settings.rs
@@ -1,8 +1,8 @@
-//! Reading and checking the settings file.
+//! Parsing and validation of the settings file.
 
 use model::{Resources, Settings};
 
-const GOOD: &str = r#"
+const VALID: &str = r#"
     member = "n0"
     zone = "a"
     serve_on = "10.0.0.1:8080"
@@ -30,10 +30,13 @@
 "#;
 
 #[test]
-fn settings_name_the_field_that_is_wrong() {
-    let good = Settings::parse(GOOD).expect("good settings");
-    assert!(good.lease_validity() + good.workers.lease_duration < good.workers.cancel_deadline);
-    for (from, to, field) in [
+fn errors_name_the_invalid_field_on_one_line() {
+    let settings = Settings::parse(VALID).expect("parse valid file");
+    assert!(
+        settings.lease_validity() + settings.workers.lease_duration
+            < settings.workers.cancel_deadline
+    );
+    for (replaced, replacement, field) in [
         (
             "serve_on = \"10.0.0.1:8080\"",
             "serve_on = \"x\"",
@@ -44,21 +47,20 @@
         ("cpus_max = 8.0", "cpus_max = -1.0", "cpus_max"),
         ("rps = 5.0", "rps = \"many\"", "rps"),
     ] {
-        let error = Settings::parse(&GOOD.replace(from, to))
+        let error = Settings::parse(&VALID.replace(replaced, replacement))
             .expect_err(field)
             .to_string();
         assert!(error.contains(field) && !error.contains('\n'), "{error}");
     }
 }
 
-/// Seen on days with a guest team: a limit of 0 was taken for a ban, and each of its jobs was
-/// refused with 422.
+/// If a limit of 0 is taken for a ban, every job of a guest team, whose limits are 0, is rejected with 422.
 #[test]
-fn a_limit_of_0_is_no_limit() {
-    let guests = GOOD.replace("cpus = 4.0, cpus_max = 8.0", "cpus = 0.0, cpus_max = 0.0");
-    let much = Resources::needed(5_000.0, 1.0, 1.0);
-    let team = |text: &str| Settings::parse(text).expect("good settings").teams[0].clone();
-    assert!(much.fits_quota(&team(&guests).limit));
-    assert!(!much.fits_quota(&team(GOOD).limit));
+fn limit_of_zero_means_no_limit() {
+    let guests = VALID.replace("cpus = 4.0, cpus_max = 8.0", "cpus = 0.0, cpus_max = 0.0");
+    let large = Resources::needed(5_000.0, 1.0, 1.0);
+    let team = |text: &str| Settings::parse(text).expect("parse settings").teams[0].clone();
+    assert!(large.fits_quota(&team(&guests).limit));
+    assert!(!large.fits_quota(&team(VALID).limit));
     assert!(!Resources::needed(0.25, 0.0, 1.0).fits_quota(&team(&guests).guarantee));
 }
--- a/crates/model/tests/time.rs
+++ b/crates/model/tests/time.rs
@@ -1,4 +1,4 @@
-//! Saturation and rounding of times.
+//! Saturation and rounding of durations and timestamps.
 
 use model::{duration_from_secs, DurationExt, Timestamp};
 use std::time::Duration;
@@ -34,10 +34,10 @@
 
 #[test]
 fn timestamps_saturate() {
-    let (early, late) = (Timestamp::from_millis(5), Timestamp::from_millis(9));
-    assert_eq!(late - early, Duration::from_millis(4));
-    assert_eq!(early - late, Duration::ZERO);
-    assert_eq!(early.duration_since(late), Duration::ZERO);
+    let (earlier, later) = (Timestamp::from_millis(5), Timestamp::from_millis(9));
+    assert_eq!(later - earlier, Duration::from_millis(4));
+    assert_eq!(earlier - later, Duration::ZERO);
+    assert_eq!(earlier.duration_since(later), Duration::ZERO);
     let last = Timestamp::from_millis(u64::MAX);
     assert_eq!(last + Duration::from_secs(1), last);
     assert_eq!(Timestamp::ZERO + Duration::MAX, last);
--- a/crates/wire/tests/decoders.rs
+++ b/crates/wire/tests/decoders.rs
@@ -1,5 +1,5 @@
-//! No bytes from outside make a decoder panic, and what is decoded is what was meant: it encodes to the
-//! same value again. Random bytes, random JSON and valid messages with changes at random, with fixed seeds.
+//! No input makes a decoder panic, and a decoded message encodes to the same value again. The inputs are
+//! random bytes, random JSON and randomly changed valid messages, with fixed seeds.
 
 use proptest::collection::vec;
 use proptest::prelude::*;
@@ -54,14 +54,14 @@
     ]
 }
 
-/// Values that a field may be given by mistake.
-fn odd_value() -> impl Strategy<Value = Value> {
+/// Values that a field may have by mistake.
+fn unexpected_value() -> impl Strategy<Value = Value> {
     prop_oneof![
         Just(Value::Null),
         any::<bool>().prop_map(Value::from),
         any::<i64>().prop_map(Value::from),
         any::<u64>().prop_map(Value::from),
-        // Eighths, so that they are read back exactly.
+        // Multiples of 1/8, so that they are read back exactly.
         any::<i32>().prop_map(|eighths| Value::from(f64::from(eighths) / 8.0)),
         Just(json!(1e300)),
         Just(json!(4.5)),
@@ -74,7 +74,7 @@
 }
 
 fn any_json() -> impl Strategy<Value = Value> {
-    odd_value().prop_recursive(4, 40, 6, |inner| {
+    unexpected_value().prop_recursive(4, 40, 6, |inner| {
         prop_oneof![
             vec(inner.clone(), 0..6).prop_map(Value::from),
             vec(("[a-z_]{1,9}", inner), 0..6)
@@ -83,71 +83,82 @@
     })
 }
 
-/// Puts `odd` in the place of the `at`th value within, counted in the order of the text; false if there
-/// are fewer.
-fn replace_nth(value: &mut Value, at: &mut usize, odd: &Value) -> bool {
-    if *at == 0 {
-        *value = odd.clone();
+/// Replaces the value at an index, counting `value` itself and all values within it in the order of the
+/// text. Returns false if there are fewer values. `index` is counted down.
+fn replace_nth(value: &mut Value, index: &mut usize, replacement: &Value) -> bool {
+    if *index == 0 {
+        *value = replacement.clone();
         return true;
     }
-    *at -= 1;
+    *index -= 1;
     match value {
-        Value::Array(items) => items.iter_mut().any(|item| replace_nth(item, at, odd)),
-        Value::Object(fields) => fields.values_mut().any(|item| replace_nth(item, at, odd)),
+        Value::Array(items) => items
+            .iter_mut()
+            .any(|item| replace_nth(item, index, replacement)),
+        Value::Object(fields) => fields
+            .values_mut()
+            .any(|field| replace_nth(field, index, replacement)),
         _ => false,
     }
 }
 
-/// Whether two values are the same but for the last digit of decimal numbers, which serde_json does not
-/// keep for those of more than 15 digits.
-fn same(one: &Value, other: &Value) -> bool {
+/// Whether two values are equal except for the last digit of decimal numbers, which serde_json does not
+/// preserve in numbers of more than 15 digits.
+fn are_nearly_equal(one: &Value, other: &Value) -> bool {
     match (one, other) {
         (Value::Number(a), Value::Number(b)) if a.is_f64() && b.is_f64() => {
             let (a, b) = (a.as_f64().unwrap_or(0.0), b.as_f64().unwrap_or(0.0));
             (a - b).abs() <= a.abs() * 1e-14
         }
         (Value::Array(a), Value::Array(b)) => {
-            a.len() == b.len() && a.iter().zip(b).all(|(a, b)| same(a, b))
+            a.len() == b.len() && a.iter().zip(b).all(|(a, b)| are_nearly_equal(a, b))
         }
         (Value::Object(a), Value::Object(b)) => {
-            a.len() == b.len() && a.iter().all(|(k, a)| b.get(k).is_some_and(|b| same(a, b)))
+            a.len() == b.len()
+                && a.iter()
+                    .all(|(name, a)| b.get(name).is_some_and(|b| are_nearly_equal(a, b)))
         }
         _ => one == other,
     }
 }
 
-/// Reads a body as one kind of message; what is read must be read the same from what it encodes to.
-fn check<T: DeserializeOwned + Serialize>(body: &[u8]) -> Result<(), TestCaseError> {
+/// Decodes a body as one kind of message. If this succeeds, the encoded message must be decoded as the same
+/// value again.
+fn check_round_trip<T: DeserializeOwned + Serialize>(body: &[u8]) -> Result<(), TestCaseError> {
     if let Ok(message) = from_object::<T>(body) {
-        let bytes = serde_json::to_vec(&message).expect("it encodes");
-        let again: T = from_object(&bytes).expect("it decodes");
-        let value = |message: &T| serde_json::to_value(message).expect("it encodes");
-        let (one, other) = (value(&message), value(&again));
-        prop_assert!(same(&one, &other), "{one} is read as {other}");
+        let bytes = serde_json::to_vec(&message).expect("encode message");
+        let decoded_again: T = from_object(&bytes).expect("decode encoded message");
+        let value = |message: &T| serde_json::to_value(message).expect("encode message");
+        let (decoded, decoded_again) = (value(&message), value(&decoded_again));
+        prop_assert!(
+            are_nearly_equal(&decoded, &decoded_again),
+            "{decoded} is decoded as {decoded_again} after encoding"
+        );
     }
     Ok(())
 }
 
-/// Reads a body as every kind of message.
-fn check_all(body: &[u8]) -> Result<(), TestCaseError> {
-    check::<JobRequest>(body)?;
-    check::<JobStatus>(body)?;
-    check::<Heartbeat>(body)?;
-    check::<HeartbeatResponse>(body)?;
-    check::<Redirect>(body)?;
-    check::<DirectCommands>(body)?;
-    check::<Item>(body)?;
-    check::<ListPage>(body)?;
-    check::<Transaction>(body)?;
-    check::<TransactionResponse>(body)?;
-    check::<LeaseResponse>(body)?;
-    check::<Changes>(body)?;
-    check::<MachineTypes>(body)?;
-    check::<MachineList>(body)?;
-    check::<MachineNames>(body)
+/// Checks the round trip of a body as every kind of message.
+fn check_all_kinds(body: &[u8]) -> Result<(), TestCaseError> {
+    check_round_trip::<JobRequest>(body)?;
+    check_round_trip::<JobStatus>(body)?;
+    check_round_trip::<Heartbeat>(body)?;
+    check_round_trip::<HeartbeatResponse>(body)?;
+    check_round_trip::<Redirect>(body)?;
+    check_round_trip::<DirectCommands>(body)?;
+    check_round_trip::<Item>(body)?;
+    check_round_trip::<ListPage>(body)?;
+    check_round_trip::<Transaction>(body)?;
+    check_round_trip::<TransactionResponse>(body)?;
+    check_round_trip::<LeaseResponse>(body)?;
+    check_round_trip::<Changes>(body)?;
+    check_round_trip::<MachineTypes>(body)?;
+    check_round_trip::<MachineList>(body)?;
+    check_round_trip::<MachineNames>(body)
 }
 
-fn frames() -> Vec<Frame> {
+/// A valid mesh frame of several kinds of messages.
+fn valid_frames() -> Vec<Frame> {
     let shape = DemandShape {
         milli_cpus: 8_000,
         milli_gpus: 0,
@@ -161,7 +172,7 @@
         priority: Priority::Normal,
         gang_size: 0,
     };
-    let hint = MachineSnapshot {
+    let snapshot = MachineSnapshot {
         machine: "host-000231".into(),
         address: "10.1.0.232:9000".into(),
         worker_epoch: 1,
@@ -170,8 +181,8 @@
         idle_since_ms: Some(7),
         images: vec![("img-07".into(), 6.2)],
     };
-    let hints = ReplicationBatch {
-        records: vec![wire::mesh::ReplicatedRecord::Machine(hint)],
+    let batch = ReplicationBatch {
+        records: vec![wire::mesh::ReplicatedRecord::Machine(snapshot)],
         ..ReplicationBatch::default()
     };
     let peer_heartbeat_ages = vec![("n2".to_owned(), 7)];
@@ -200,7 +211,7 @@
         MeshMessage::JobProgress {
             jobs: vec![(412, 3, 4)],
         },
-        MeshMessage::Replication(hints),
+        MeshMessage::Replication(batch),
     ];
     let frame = |message| Frame {
         version: MESH_VERSION,
@@ -215,56 +226,56 @@
 
     #[test]
     fn random_bytes_are_rejected_or_read(body in vec(any::<u8>(), 0..300)) {
-        check_all(&body)?;
+        check_all_kinds(&body)?;
         let _ = rmp_serde::from_slice::<Frame>(&body);
     }
 
     #[test]
     fn random_json_is_rejected_or_read(value in any_json()) {
-        check_all(value.to_string().as_bytes())?;
+        check_all_kinds(value.to_string().as_bytes())?;
     }
 
     #[test]
-    fn messages_with_an_odd_value_are_rejected_or_read(
-        which in 0..11usize,
-        at in 0..40usize,
-        odd in odd_value(),
+    fn messages_with_unexpected_value_are_rejected_or_read(
+        message_index in 0..11usize,
+        value_index in 0..40usize,
+        replacement in unexpected_value(),
     ) {
-        let mut message = valid_messages().swap_remove(which);
-        let mut left = at;
-        replace_nth(&mut message, &mut left, &odd);
-        check_all(message.to_string().as_bytes())?;
+        let mut message = valid_messages().swap_remove(message_index);
+        let mut remaining = value_index;
+        replace_nth(&mut message, &mut remaining, &replacement);
+        check_all_kinds(message.to_string().as_bytes())?;
     }
 
     #[test]
-    fn messages_cut_short_or_with_a_changed_byte_are_rejected_or_read(
-        which in 0..11usize,
-        at in any::<prop::sample::Index>(),
+    fn truncated_messages_and_messages_with_changed_byte_are_rejected_or_read(
+        message_index in 0..11usize,
+        position in any::<prop::sample::Index>(),
         byte in any::<u8>(),
     ) {
-        let mut body = valid_messages().swap_remove(which).to_string().into_bytes();
-        let at = at.index(body.len());
-        check_all(&body[..at])?;
-        body[at] = byte;
-        check_all(&body)?;
+        let mut body = valid_messages().swap_remove(message_index).to_string().into_bytes();
+        let position = position.index(body.len());
+        check_all_kinds(&body[..position])?;
+        body[position] = byte;
+        check_all_kinds(&body)?;
     }
 
     #[test]
-    fn mesh_frames_with_changes_are_rejected_or_read(
-        which in 0..6usize,
+    fn truncated_and_changed_mesh_frames_are_rejected_or_read(
+        frame_index in 0..6usize,
         changes in vec((any::<prop::sample::Index>(), any::<u8>()), 1..4),
-        cut in any::<prop::sample::Index>(),
+        truncated_length in any::<prop::sample::Index>(),
     ) {
-        let frame = frames().swap_remove(which);
-        let mut bytes = rmp_serde::to_vec(&frame).expect("a frame");
-        let _ = rmp_serde::from_slice::<Frame>(&bytes[..cut.index(bytes.len())]);
-        for (at, byte) in changes {
-            let at = at.index(bytes.len());
-            bytes[at] = byte;
+        let frame = valid_frames().swap_remove(frame_index);
+        let mut bytes = rmp_serde::to_vec(&frame).expect("encode frame");
+        let _ = rmp_serde::from_slice::<Frame>(&bytes[..truncated_length.index(bytes.len())]);
+        for (position, byte) in changes {
+            let position = position.index(bytes.len());
+            bytes[position] = byte;
         }
         if let Ok(frame) = rmp_serde::from_slice::<Frame>(&bytes) {
-            let again = rmp_serde::to_vec(&frame).expect("it encodes");
-            prop_assert!(rmp_serde::from_slice::<Frame>(&again).is_ok());
+            let encoded_again = rmp_serde::to_vec(&frame).expect("encode decoded frame");
+            prop_assert!(rmp_serde::from_slice::<Frame>(&encoded_again).is_ok());
         }
     }
 }
@@ -272,7 +283,7 @@
 #[test]
 fn valid_messages_are_read() {
     let texts: Vec<String> = valid_messages().iter().map(Value::to_string).collect();
-    let body = |at: usize| texts[at].as_bytes();
+    let body = |index: usize| texts[index].as_bytes();
     assert!(from_object::<JobRequest>(body(0)).is_ok());
     assert!(from_object::<Heartbeat>(body(1)).is_ok());
     assert!(from_object::<DirectCommands>(body(2)).is_ok());
@@ -286,9 +297,9 @@
     assert!(from_object::<JobStatus>(body(10)).is_ok());
 }
 
-/// Serde reads a struct from an array of its fields as well; a body must be an object.
+/// Serde decodes a struct from an array of its fields as well, but a body must be an object.
 #[test]
-fn bodies_that_are_no_objects_are_rejected() {
+fn bodies_that_are_not_objects_are_rejected() {
     let status = JobStatus {
         id: "j-000412".into(),
         state: wire::users::JobState::Queued,
@@ -298,7 +309,7 @@
     let array = br#" ["j-000412", "pending", 1, 2]"#;
     assert!(
         serde_json::from_slice::<JobStatus>(array).is_ok(),
-        "serde reads it"
+        "serde decodes the array"
     );
     assert!(matches!(
         from_object::<JobStatus>(array),
@@ -327,8 +338,8 @@
 }
 
 #[test]
-fn pages_of_a_list_must_follow_each_other() {
-    let page = |keys: &[&str], more| ListPage {
+fn list_pages_out_of_sequence_are_invalid() {
+    let page = |keys: &[&str], has_more| ListPage {
         items: keys
             .iter()
             .map(|key| Item {
@@ -338,7 +349,7 @@
                 lease: None,
             })
             .collect(),
-        has_more: more,
+        has_more,
         revision: 7,
     };
     assert!(page(&["s/a", "s/b"], true).is_valid_for("s/", ""));
@@ -346,22 +357,22 @@
     assert!(page(&[], false).is_valid_for("s/", "s/b"));
     assert!(
         !page(&[], true).is_valid_for("s/", "s/b"),
-        "nothing to go on from"
+        "empty page although another one follows"
     );
     assert!(
         !page(&["s/b", "s/a"], false).is_valid_for("s/", ""),
-        "out of order"
+        "keys out of order"
     );
     assert!(
         !page(&["s/a", "s/a"], false).is_valid_for("s/", ""),
-        "twice"
+        "repeated key"
     );
     assert!(
         !page(&["s/b"], true).is_valid_for("s/", "s/b"),
-        "the page before again"
+        "previous page again"
     );
     assert!(
         !page(&["t/b"], false).is_valid_for("s/", "s/b"),
-        "of another prefix"
+        "key with another prefix"
     );
 }
--- a/crates/wire/tests/frame_sizes.rs
+++ b/crates/wire/tests/frame_sizes.rs
@@ -1,30 +1,30 @@
-//! The frames of a site of 8,000 machines, all of them in one partition, are no larger than peers read.
+//! Mesh frames of a site of 8,000 machines, all in one partition, do not exceed the maximum frame size.
 
 use wire::mesh::{
     DemandShape, Frame, MachineStatus, MeshMessage, PartitionStatus, MAX_FRAME_BYTES, MESH_VERSION,
 };
 use wire::users::Priority;
 
-/// Twice the machines of the largest site.
+/// Twice the number of machines of the largest site.
 const MACHINES: usize = 8_000;
-/// The longest name of a machine that a report may have.
-const LONGEST_NAME: usize = 255;
-const SHAPES: u64 = 200;
+/// Maximum length of a machine's name in a heartbeat, in bytes.
+const MAX_NAME_BYTES: usize = 255;
+const DEMAND_SHAPES: u64 = 200;
 const JOBS_PER_MACHINE: usize = 4;
 const ONE_DAY_MS: u64 = 86_400_000;
 
 fn frame_bytes(message: MeshMessage) -> usize {
     let frame = Frame {
         version: MESH_VERSION,
-        from: "n".repeat(LONGEST_NAME),
+        from: "n".repeat(MAX_NAME_BYTES),
         message,
     };
-    rmp_serde::to_vec(&frame).expect("a frame").len()
+    rmp_serde::to_vec(&frame).expect("encode frame").len()
 }
 
-fn machine(number: usize, name_length: usize) -> MachineStatus {
+fn machine_status(number: usize, name_bytes: usize) -> MachineStatus {
     MachineStatus {
-        machine: format!("{number:0name_length$}"),
+        machine: format!("{number:0name_bytes$}"),
         task_count: 1_000,
         idle_ms: 50 * ONE_DAY_MS,
         reporting: true,
@@ -56,38 +56,41 @@
     }
 }
 
-fn load(machines: usize, name_length: usize) -> MeshMessage {
+fn partition_status(machines: usize, name_bytes: usize) -> MeshMessage {
     MeshMessage::PartitionStatus(PartitionStatus {
         partition: 70_000,
         term: u64::MAX,
-        demand: (0..SHAPES).map(shape).collect(),
+        demand: (0..DEMAND_SHAPES).map(shape).collect(),
         machines: (0..machines)
-            .map(|number| machine(number, name_length))
+            .map(|number| machine_status(number, name_bytes))
             .collect(),
     })
 }
 
 #[test]
-fn the_load_of_a_large_partition_fits_a_frame() {
-    for (machines, name_length) in [(4_000, 11), (4_000, 63), (MACHINES, 11), (MACHINES, 63)] {
-        let bytes = frame_bytes(load(machines, name_length));
-        println!("{machines} machines with names of {name_length}: {bytes} bytes");
+fn status_of_large_partition_fits_into_frame() {
+    for (machines, name_bytes) in [(4_000, 11), (4_000, 63), (MACHINES, 11), (MACHINES, 63)] {
+        let bytes = frame_bytes(partition_status(machines, name_bytes));
+        println!("{machines} machines with names of {name_bytes} bytes: frame of {bytes} bytes");
     }
-    let bytes = frame_bytes(load(MACHINES, LONGEST_NAME));
-    println!("{MACHINES} machines with names of {LONGEST_NAME}: {bytes} bytes");
+    let bytes = frame_bytes(partition_status(MACHINES, MAX_NAME_BYTES));
+    println!("{MACHINES} machines with names of {MAX_NAME_BYTES} bytes: frame of {bytes} bytes");
     assert!(
         bytes <= MAX_FRAME_BYTES,
-        "{bytes} bytes, {MAX_FRAME_BYTES} are read"
+        "frame of {bytes} bytes exceeds {MAX_FRAME_BYTES} bytes"
     );
 }
 
 #[test]
-fn the_progress_of_all_jobs_of_a_large_site_fits_a_frame() {
+fn progress_of_all_jobs_of_large_site_fits_into_frame() {
     let jobs = vec![(u64::MAX, 100_000, 100_000); MACHINES * JOBS_PER_MACHINE];
     let bytes = frame_bytes(MeshMessage::JobProgress { jobs });
-    println!("{} jobs: {bytes} bytes", MACHINES * JOBS_PER_MACHINE);
+    println!(
+        "{} jobs: frame of {bytes} bytes",
+        MACHINES * JOBS_PER_MACHINE
+    );
     assert!(
         bytes <= MAX_FRAME_BYTES,
-        "{bytes} bytes, {MAX_FRAME_BYTES} are read"
+        "frame of {bytes} bytes exceeds {MAX_FRAME_BYTES} bytes"
     );
 }
--- a/crates/wire/tests/golden/mod.rs
+++ b/crates/wire/tests/golden/mod.rs
@@ -1,7 +1,7 @@
-//! Comparison of written values with stored ones, byte for byte.
+//! Golden files: compares encoded values with stored ones, byte for byte.
 //!
-//! A golden file holds one entry on each line: its name, a space, and the bytes as text. Test crates
-//! elsewhere in the workspace include this module by its path.
+//! A golden file holds one entry on each line: its name, a space, and the encoded bytes as text. Test
+//! crates elsewhere in the workspace include this module by its path.
 
 #![allow(dead_code, reason = "each test crate uses a part of this module")]
 
@@ -11,22 +11,23 @@
 use std::fs;
 use std::path::PathBuf;
 
-/// Set to `1` to write the golden files anew. Legitimate only when a format is added, or is changed
-/// together with the number of its version; never to silence a difference.
+/// Environment variable that makes [`check`] rewrite the golden files if it is `1`. Allowed only when a
+/// format is added, or is changed together with its version number; never to hide a difference.
 const UPDATE_VARIABLE: &str = "UPDATE_GOLDEN";
 
-type Rewrite = Box<dyn Fn(&str) -> Result<String, String>>;
+/// Decodes the stored form of a value, and encodes it again.
+type Reencode = Box<dyn Fn(&str) -> Result<String, String>>;
 
-/// A value as the code writes it, and how the stored form of it is read and written again.
+/// A value as the code encodes it, and how its stored form is decoded and encoded again.
 pub struct Entry {
     pub name: &'static str,
-    pub written: String,
-    pub rewrite: Rewrite,
+    pub encoded: String,
+    pub reencode: Reencode,
 }
 
 impl Entry {
-    /// An entry whose stored form is read into a `T`, which must equal the value, and written again.
-    pub fn of<T, E>(
+    /// An entry whose stored form is decoded to a `T`, which must equal the value, and encoded again.
+    pub fn round_trip<T, E>(
         name: &'static str,
         value: T,
         encode: fn(&T) -> String,
@@ -36,39 +37,40 @@
         T: PartialEq + std::fmt::Debug + 'static,
         E: std::fmt::Display + 'static,
     {
-        let written = encode(&value);
-        let rewrite = move |stored: &str| {
-            let read = decode(stored).map_err(|error| format!("it is not read: {error}"))?;
-            if read != value {
+        let encoded = encode(&value);
+        let reencode = move |stored: &str| {
+            let decoded =
+                decode(stored).map_err(|error| format!("it cannot be decoded: {error}"))?;
+            if decoded != value {
                 return Err(format!(
-                    "it is read as another value: {read:?}, not {value:?}"
+                    "it is decoded as another value: {decoded:?}, not {value:?}"
                 ));
             }
-            Ok(encode(&read))
+            Ok(encode(&decoded))
         };
         Entry {
             name,
-            written,
-            rewrite: Box::new(rewrite),
+            encoded,
+            reencode: Box::new(reencode),
         }
     }
 
-    /// An entry that is only written.
-    pub fn text(name: &'static str, written: impl Into<String>) -> Self {
+    /// An entry that is only compared, not decoded.
+    pub fn text(name: &'static str, encoded: impl Into<String>) -> Self {
         Entry {
             name,
-            written: written.into(),
-            rewrite: Box::new(|stored| Ok(stored.to_owned())),
+            encoded: encoded.into(),
+            reencode: Box::new(|stored| Ok(stored.to_owned())),
         }
     }
 }
 
-/// A body that is sent as JSON.
+/// An entry of a body that is sent as JSON.
 pub fn body<T>(name: &'static str, value: T) -> Entry
 where
     T: Serialize + DeserializeOwned + PartialEq + std::fmt::Debug + 'static,
 {
-    Entry::of(
+    Entry::round_trip(
         name,
         value,
         |value| to_json(value),
@@ -76,22 +78,22 @@
     )
 }
 
-/// A record of the state service, which is put and read by way of a JSON value.
+/// An entry of a record in the state service, which is encoded and decoded by way of a JSON value.
 pub fn record<T>(name: &'static str, value: T) -> Entry
 where
     T: Serialize + DeserializeOwned + PartialEq + std::fmt::Debug + 'static,
 {
-    let encode = |value: &T| to_json(&serde_json::to_value(value).expect("a value"));
+    let encode = |value: &T| to_json(&serde_json::to_value(value).expect("encode record"));
     let decode = |text: &str| serde_json::from_str::<Value>(text).and_then(T::deserialize);
-    Entry::of(name, value, encode, decode)
+    Entry::round_trip(name, value, encode, decode)
 }
 
-/// The text of a JSON body.
+/// Encodes a value as JSON text.
 pub fn to_json<T: Serialize>(value: &T) -> String {
-    serde_json::to_string(value).expect("JSON")
+    serde_json::to_string(value).expect("encode JSON")
 }
 
-/// The stored entries of a file in the test data of the crate under test.
+/// Reads the names and stored forms of all entries of a file in the test data of the crate under test.
 pub fn read(file: &str) -> Vec<(String, String)> {
     let text = fs::read_to_string(path(file)).unwrap_or_else(|error| panic!("{file}: {error}"));
     let entry = |line: &str| {
@@ -103,8 +105,8 @@
     text.lines().map(entry).collect()
 }
 
-/// Compares all entries with a file: each is written as it is stored there, and its stored form is
-/// read and written again unchanged. Names every entry that differs.
+/// Compares all entries with a file: each is encoded as it is stored there, and its stored form does not
+/// change when it is decoded and encoded again. Panics with the names of all entries that differ.
 pub fn check(file: &str, entries: &[Entry]) {
     if std::env::var(UPDATE_VARIABLE).is_ok_and(|value| value == "1") {
         write(file, entries);
@@ -112,7 +114,7 @@
     let stored = read(file);
     let names: Vec<&str> = stored.iter().map(|(name, _)| name.as_str()).collect();
     let expected: Vec<&str> = entries.iter().map(|entry| entry.name).collect();
-    assert_eq!(expected, names, "the entries of {file}");
+    assert_eq!(expected, names, "names of the entries of {file}");
     let differences: Vec<String> = entries
         .iter()
         .zip(&stored)
@@ -125,31 +127,32 @@
     );
 }
 
+/// Describes the difference between an entry and its stored form, if there is one.
 fn compare(entry: &Entry, stored: &str) -> Option<String> {
     let name = entry.name;
-    if entry.written != stored {
+    if entry.encoded != stored {
         return Some(format!(
-            "{name} is written as\n  {}\nnot as\n  {stored}",
-            entry.written
+            "{name} is encoded as\n  {}\nnot as\n  {stored}",
+            entry.encoded
         ));
     }
-    match (entry.rewrite)(stored) {
-        Ok(again) if again == stored => None,
-        Ok(again) => Some(format!(
-            "{name} is read and written as\n  {again}\nnot as\n  {stored}"
+    match (entry.reencode)(stored) {
+        Ok(reencoded) if reencoded == stored => None,
+        Ok(reencoded) => Some(format!(
+            "{name} is decoded and encoded again as\n  {reencoded}\nnot as\n  {stored}"
         )),
         Err(problem) => Some(format!("{name}: {problem}; it is stored as\n  {stored}")),
     }
 }
 
 fn write(file: &str, entries: &[Entry]) {
-    let line = |entry: &Entry| format!("{} {}\n", entry.name, entry.written);
+    let line = |entry: &Entry| format!("{} {}\n", entry.name, entry.encoded);
     let text: String = entries.iter().map(line).collect();
     fs::write(path(file), text).unwrap_or_else(|error| panic!("{file}: {error}"));
 }
 
 fn path(file: &str) -> PathBuf {
-    PathBuf::from(std::env::var("CARGO_MANIFEST_DIR").expect("cargo sets it"))
+    PathBuf::from(std::env::var("CARGO_MANIFEST_DIR").expect("cargo sets CARGO_MANIFEST_DIR"))
         .join("tests/data")
         .join(file)
 }
--- a/crates/wire/tests/golden_bodies.rs
+++ b/crates/wire/tests/golden_bodies.rs
@@ -1,4 +1,5 @@
-//! Bodies of the protocols as bytes: what is sent, and what is read where optional fields are absent.
+//! Bodies of the protocols as bytes: how they are encoded, and how they are decoded if optional fields are
+//! absent.
 
 mod golden;
 
@@ -43,7 +44,7 @@
     }
 }
 
-fn plain_job() -> JobRequest {
+fn job_without_options() -> JobRequest {
     JobRequest {
         allowed_machine_types: None,
         zone: None,
@@ -52,7 +53,7 @@
     }
 }
 
-fn status(state: JobState, done: Option<u64>, running: Option<u64>) -> JobStatus {
+fn job_status(state: JobState, done: Option<u64>, running: Option<u64>) -> JobStatus {
     JobStatus {
         id: "j-000412".into(),
         state,
@@ -73,14 +74,20 @@
             "job_batch_standard",
             full_job(JobKind::Array, Priority::Normal),
         ),
-        body("job_plain_low", plain_job()),
-        body("status_pending", status(JobState::Queued, Some(0), Some(0))),
+        body("job_plain_low", job_without_options()),
+        body(
+            "status_pending",
+            job_status(JobState::Queued, Some(0), Some(0)),
+        ),
         body(
             "status_running",
-            status(JobState::Running, Some(3), Some(2)),
+            job_status(JobState::Running, Some(3), Some(2)),
+        ),
+        body("status_done", job_status(JobState::Done, None, None)),
+        body(
+            "status_cancelled",
+            job_status(JobState::Cancelled, None, None),
         ),
-        body("status_done", status(JobState::Done, None, None)),
-        body("status_cancelled", status(JobState::Cancelled, None, None)),
         body(
             "error",
             ErrorBody {
@@ -91,21 +98,25 @@
     golden::check("users.txt", &entries);
 }
 
-fn task(state: TaskState, why: Option<ExitCause>, saved: Option<bool>) -> TaskStatus {
+fn task_status(
+    state: TaskState,
+    exit_cause: Option<ExitCause>,
+    checkpoint_saved: Option<bool>,
+) -> TaskStatus {
     TaskStatus {
         task: "j-000412/3".into(),
         attempt: 57,
         state,
-        exit_cause: why,
-        checkpoint_saved: saved,
+        exit_cause,
+        checkpoint_saved,
     }
 }
 
-fn exited(why: ExitCause) -> TaskStatus {
-    task(TaskState::Exited, Some(why), None)
+fn exited(exit_cause: ExitCause) -> TaskStatus {
+    task_status(TaskState::Exited, Some(exit_cause), None)
 }
 
-fn report(notice_s: Option<f64>, tasks: Vec<TaskStatus>) -> Heartbeat {
+fn heartbeat(reclaimed_in_s: Option<f64>, tasks: Vec<TaskStatus>) -> Heartbeat {
     Heartbeat {
         machine: "host-000007".into(),
         address: "10.0.1.7:9000".into(),
@@ -115,7 +126,7 @@
         worker_epoch: 77,
         sequence_number: 12,
         token: 41,
-        reclaimed_in_s: notice_s,
+        reclaimed_in_s,
         tasks,
     }
 }
@@ -144,16 +155,22 @@
     let entries = [
         body(
             "report",
-            report(Some(30.0), vec![task(TaskState::Running, None, Some(true))]),
+            heartbeat(
+                Some(30.0),
+                vec![task_status(TaskState::Running, None, Some(true))],
+            ),
+        ),
+        body("report_plain", heartbeat(None, Vec::new())),
+        body(
+            "task_fetching",
+            task_status(TaskState::Fetching, None, None),
         ),
-        body("report_plain", report(None, Vec::new())),
-        body("task_fetching", task(TaskState::Fetching, None, None)),
         body(
             "task_gathering",
-            task(TaskState::Waiting, None, Some(false)),
+            task_status(TaskState::Waiting, None, Some(false)),
         ),
-        body("task_running", task(TaskState::Running, None, None)),
-        body("task_saving", task(TaskState::Saving, None, None)),
+        body("task_running", task_status(TaskState::Running, None, None)),
+        body("task_saving", task_status(TaskState::Saving, None, None)),
         body("exited_done", exited(ExitCause::Done)),
         body("exited_halted", exited(ExitCause::Stopped)),
         body("exited_mates_gone", exited(ExitCause::GangPeersLost)),
@@ -210,7 +227,7 @@
     }
 }
 
-fn listed(state: MachineState) -> ListedMachine {
+fn listed_machine(state: MachineState) -> ListedMachine {
     ListedMachine {
         name: "host-000007".into(),
         address: "10.0.1.7:9000".into(),
@@ -222,7 +239,7 @@
     }
 }
 
-fn rent() -> RentRequest {
+fn rent_request() -> RentRequest {
     RentRequest {
         idempotency_key: "n0-41-7".into(),
         machine_type: "g8".into(),
@@ -235,12 +252,12 @@
 #[test]
 fn bodies_of_the_cloud_keep_their_bytes() {
     let names = vec!["host-000007".to_owned(), "host-000008".to_owned()];
-    let all = [
+    let machines = [
         MachineState::Booting,
         MachineState::Running,
         MachineState::Failed,
     ]
-    .map(listed);
+    .map(listed_machine);
     let entries = [
         body(
             "types",
@@ -248,12 +265,12 @@
                 types: vec![machine_type()],
             },
         ),
-        body("rent", rent()),
+        body("rent", rent_request()),
         body("names", MachineNames { machines: names }),
         body(
             "list",
             MachineList {
-                machines: all.to_vec(),
+                machines: machines.to_vec(),
                 has_more: true,
             },
         ),
@@ -366,25 +383,25 @@
     golden::check("state.txt", &entries);
 }
 
-/// Compares a stored body with the value it must be read as.
-fn reads<T: DeserializeOwned + PartialEq + std::fmt::Debug>(name: &str, value: &T) {
+/// Checks that a stored body is decoded as this value.
+fn check_decoded<T: DeserializeOwned + PartialEq + std::fmt::Debug>(name: &str, value: &T) {
     let stored = golden::read("read_only.txt");
     let (_, text) = stored
         .iter()
-        .find(|(other, _)| other == name)
-        .expect("an entry of this name");
-    let read: T = serde_json::from_str(text).unwrap_or_else(|error| panic!("{name}: {error}"));
-    assert_eq!(read, *value, "{name} is stored as {text}");
+        .find(|(stored_name, _)| stored_name == name)
+        .expect("find entry by name");
+    let decoded: T = serde_json::from_str(text).unwrap_or_else(|error| panic!("{name}: {error}"));
+    assert_eq!(decoded, *value, "{name} is stored as {text}");
 }
 
 #[test]
 fn bodies_with_absent_unknown_and_null_fields_are_read() {
-    reads("job_null_fields", &plain_job());
-    reads("report_absent_fields", &report(None, Vec::new()));
-    reads("task_unheard_of_cause", &exited(ExitCause::Error));
-    reads("types_absent_fields", &bare_types());
-    reads("list_absent_fields", &bare_machines());
-    reads(
+    check_decoded("job_null_fields", &job_without_options());
+    check_decoded("report_absent_fields", &heartbeat(None, Vec::new()));
+    check_decoded("task_unheard_of_cause", &exited(ExitCause::Error));
+    check_decoded("types_absent_fields", &machine_types_with_required_fields());
+    check_decoded("list_absent_fields", &machine_list_with_required_fields());
+    check_decoded(
         "state_list_absent_more",
         &ListPage {
             items: Vec::new(),
@@ -392,25 +409,25 @@
             revision: 77,
         },
     );
-    reads(
+    check_decoded(
         "txn_answer_absent_failed",
         &TransactionResponse {
             revision: 78,
             failed: Vec::new(),
         },
     );
-    reads(
+    check_decoded(
         "changes_absent_log",
         &Changes {
             revision: 79,
             events: Vec::new(),
         },
     );
-    reads("redirect_null", &Redirect { controller: None });
+    check_decoded("redirect_null", &Redirect { controller: None });
 }
 
-fn bare_types() -> MachineTypes {
-    let bare = MachineType {
+fn machine_types_with_required_fields() -> MachineTypes {
+    let machine_type = MachineType {
         gpus: 0.0,
         cache_gb: 0.0,
         fetch_gb_per_s: 0.0,
@@ -420,17 +437,19 @@
         zones: Vec::new(),
         ..machine_type()
     };
-    MachineTypes { types: vec![bare] }
+    MachineTypes {
+        types: vec![machine_type],
+    }
 }
 
-fn bare_machines() -> MachineList {
-    let bare = ListedMachine {
+fn machine_list_with_required_fields() -> MachineList {
+    let machine = ListedMachine {
         address: String::new(),
         age_s: 0.0,
-        ..listed(MachineState::Running)
+        ..listed_machine(MachineState::Running)
     };
     MachineList {
-        machines: vec![bare],
+        machines: vec![machine],
         has_more: false,
     }
 }
--- a/crates/wire/tests/golden_mesh.rs
+++ b/crates/wire/tests/golden_mesh.rs
@@ -1,5 +1,5 @@
-//! Frames of the mesh as bytes: struct fields are told apart by their places and enum variants by their
-//! names, so nodes of two builds understand each other only while both stay.
+//! Mesh frames as bytes. In a frame, a struct field is identified by its position and an enum variant by
+//! its name, so controllers of two builds understand each other only if both stay the same.
 
 mod golden;
 
@@ -11,12 +11,14 @@
 use wire::users::Priority;
 
 fn to_hex(frame: &Frame) -> String {
-    let bytes = rmp_serde::to_vec(frame).expect("a frame");
+    let bytes = rmp_serde::to_vec(frame).expect("encode frame");
     bytes.iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
 fn from_hex(text: &str) -> Result<Frame, rmp_serde::decode::Error> {
-    let byte = |at: usize| u8::from_str_radix(&text[at..at + 2], 16).expect("hexadecimal digits");
+    let byte = |position: usize| {
+        u8::from_str_radix(&text[position..position + 2], 16).expect("hexadecimal digits")
+    };
     let bytes: Vec<u8> = (0..text.len()).step_by(2).map(byte).collect();
     rmp_serde::from_slice(&bytes)
 }
@@ -27,10 +29,10 @@
         from: "n1".into(),
         message,
     };
-    Entry::of(name, frame, to_hex, from_hex)
+    Entry::round_trip(name, frame, to_hex, from_hex)
 }
 
-fn shape(priority: Priority) -> DemandShape {
+fn demand_shape(priority: Priority) -> DemandShape {
     DemandShape {
         milli_cpus: 1500,
         milli_gpus: 2000,
@@ -46,17 +48,17 @@
     }
 }
 
-fn plain_shape() -> DemandShape {
+fn demand_shape_without_options() -> DemandShape {
     DemandShape {
         allowed_machine_types: None,
         zone: None,
         spot_allowed: false,
         gang_size: 0,
-        ..shape(Priority::Normal)
+        ..demand_shape(Priority::Normal)
     }
 }
 
-fn machine_load(transfer_to: Option<u32>) -> MachineStatus {
+fn machine_status(transfer_to: Option<u32>) -> MachineStatus {
     MachineStatus {
         machine: "host-000007".into(),
         task_count: 4,
@@ -70,17 +72,17 @@
     }
 }
 
-fn load() -> PartitionStatus {
+fn partition_status() -> PartitionStatus {
     PartitionStatus {
         partition: 2,
         term: 41,
         demand: vec![
-            plain_shape(),
-            shape(Priority::Low),
-            shape(Priority::High),
-            shape(Priority::Production),
+            demand_shape_without_options(),
+            demand_shape(Priority::Low),
+            demand_shape(Priority::High),
+            demand_shape(Priority::Production),
         ],
-        machines: vec![machine_load(None), machine_load(Some(1))],
+        machines: vec![machine_status(None), machine_status(Some(1))],
     }
 }
 
@@ -120,7 +122,7 @@
     })
 }
 
-fn alive(peer_heartbeat_ages: Vec<(String, u64)>) -> MeshMessage {
+fn heartbeat(peer_heartbeat_ages: Vec<(String, u64)>) -> MeshMessage {
     MeshMessage::Heartbeat {
         incarnation: 3,
         revision: 900,
@@ -132,11 +134,11 @@
 
 #[test]
 fn frames_keep_their_bytes() {
-    let release = |to| MeshMessage::ReleaseMachine {
+    let release_machine = |to| MeshMessage::ReleaseMachine {
         machine: "host-000007".into(),
         to,
     };
-    let cede = |shape| MeshMessage::TransferMachines {
+    let transfer_machines = |shape| MeshMessage::TransferMachines {
         from: 1,
         to: 2,
         count: 3,
@@ -145,14 +147,17 @@
     let entries = [
         frame(
             "alive",
-            alive(vec![("n0".into(), 120), ("n2".into(), 70_000)]),
+            heartbeat(vec![("n0".into(), 120), ("n2".into(), 70_000)]),
+        ),
+        frame("alive_alone", heartbeat(Vec::new())),
+        frame("load", MeshMessage::PartitionStatus(partition_status())),
+        frame("release_to_partition", release_machine(Some(2))),
+        frame("release_to_cloud", release_machine(None)),
+        frame("cede", transfer_machines(demand_shape(Priority::High))),
+        frame(
+            "cede_plain",
+            transfer_machines(demand_shape_without_options()),
         ),
-        frame("alive_alone", alive(Vec::new())),
-        frame("load", MeshMessage::PartitionStatus(load())),
-        frame("release_to_partition", release(Some(2))),
-        frame("release_to_cloud", release(None)),
-        frame("cede", cede(shape(Priority::High))),
-        frame("cede_plain", cede(plain_shape())),
         frame(
             "taken",
             MeshMessage::LeaderChanged {
