--- a/crates/controller/src/controller/cancellations.rs
+++ b/crates/controller/src/controller/cancellations.rs
@@ -1,4 +1,4 @@
-//! Cancellations by users: pending ones are written together.
+//! Cancellations by users: pending ones are written together to this controller's cancellations record.
 
 use super::call_kind::JobCall;
 use super::linearizable_reads::RETRY_AFTER_S;
@@ -10,14 +10,14 @@
 use wire::mesh::MeshMessage;
 use wire::state::{StateReply, StateRequest, Transaction, Write};
 
-/// Retries of a cancellation after conflicts of its write.
-const MAX_CONFLICTS: u32 = 5;
+/// How often a cancellation is retried after its write met a conflict or was throttled.
+const MAX_WRITE_RETRIES: u32 = 5;
 
-/// Cancellations on their way into the state service.
+/// Cancellations that are not answered yet, and the write in flight.
 #[derive(Debug, Default)]
 pub(crate) struct Cancellations {
     pending: Vec<PendingRequest>,
-    writes: SerialWriter<Vec<PendingRequest>>,
+    writer: SerialWriter<Vec<PendingRequest>>,
 }
 
 impl Controller {
@@ -26,15 +26,15 @@
         self.cancellations.pending.push(request);
     }
 
-    /// Writes pending cancellations if the writer and the budget allow it.
+    /// Writes pending cancellations if no other write of them is in flight and the write budget allows it.
     pub(super) fn advance_cancellations(&mut self) {
-        let ready = self
+        let is_ready = self
             .cancellations
-            .writes
+            .writer
             .is_ready(self.now, self.cache.revision);
         let has_pending = !self.cancellations.pending.is_empty();
         if has_pending
-            && ready
+            && is_ready
             && self.state_sync.is_synced()
             && self.may_write(CallPriority::UserRequest, 1.0)
         {
@@ -46,17 +46,17 @@
         let key = cancellations_key(self.own_name());
         let recorded = self.cache.cancellations.get(self.own_name());
         let version = recorded.map_or(0, |cancellations| cancellations.version.0);
-        // Cancellations of jobs that have reached a terminal state are dropped.
+        // Cancellations of jobs that are in a terminal state by now are dropped from the record.
         let mut jobs: Vec<u64> = recorded
             .into_iter()
             .flat_map(|cancellations| &cancellations.record)
             .filter(|id| self.cache.jobs.contains_key(id))
             .map(|id| id.0)
             .collect();
-        let capacity = self.max_ids_per_page();
+        let max_jobs = self.max_ids_per_page();
         let mut batch = Vec::new();
         for request in std::mem::take(&mut self.cancellations.pending) {
-            if jobs.len() >= capacity {
+            if jobs.len() >= max_jobs {
                 self.reply_busy(request.ticket, RETRY_AFTER_S);
                 continue;
             }
@@ -70,7 +70,7 @@
             .if_version(&key, version)
             .write(Write::put(&key, value));
         self.cancellations
-            .writes
+            .writer
             .send(batch, txn.clone(), self.now, Duration::ZERO);
         self.queue_state_request(
             CallPriority::UserRequest,
@@ -79,12 +79,13 @@
         );
     }
 
-    /// Takes in the outcome of a write of cancellations.
+    /// Handles the reply to a write of cancellations.
     pub(super) fn handle_cancellation_reply(&mut self, reply: StateReply) {
-        match self.cancellations.writes.handle_reply(reply, self.now) {
-            // The job may have finished before: a read that begins now shows which came first.
+        match self.cancellations.writer.handle_reply(reply, self.now) {
+            // A job may have finished before its cancellation was written. A read of changes that begins
+            // now shows which of the two came first.
             WriteOutcome::Committed(requests) => {
-                // The partition leader may have no connection to the state service.
+                // The partition leader may be cut off from the state service, so it is told directly.
                 let jobs = requests.iter().map(|request| request.id.0).collect();
                 self.broadcast(MeshMessage::JobsCancelled { jobs });
                 self.reads.enqueue_all(requests);
@@ -96,8 +97,8 @@
             } => {
                 for mut request in requests {
                     match &mut request.kind {
-                        RequestKind::Cancel { conflicts } if *conflicts < MAX_CONFLICTS => {
-                            *conflicts += 1;
+                        RequestKind::Cancel { retries } if *retries < MAX_WRITE_RETRIES => {
+                            *retries += 1;
                             self.reads.enqueue(request);
                         }
                         _ => self.reply_busy(request.ticket, RETRY_AFTER_S),
@@ -110,7 +111,7 @@
             WriteOutcome::Unknown(txn) => {
                 let requests = self
                     .cancellations
-                    .writes
+                    .writer
                     .in_flight_mut()
                     .map(std::mem::take);
                 self.refuse_all(requests.unwrap_or_default());
--- a/crates/controller/src/controller/heartbeats.rs
+++ b/crates/controller/src/controller/heartbeats.rs
@@ -1,4 +1,4 @@
-//! Heartbeats of workers, and direct calls to them.
+//! Handling of workers' heartbeats, direct calls to workers and the replies to those calls.
 
 use super::call_kind::WorkerCall;
 use super::fleet_planner::UnregisteredMachine;
@@ -14,16 +14,16 @@
 use std::time::Duration;
 use wire::workers::{Command, DirectCommands, Heartbeat, HeartbeatResponse, TaskState, TaskStatus};
 
-/// Timeout of a direct call that carries commands, and of a reachability probe.
+/// Timeout of a direct call with commands, and of a reachability probe.
 pub(super) const WORKER_TIMEOUT: Duration = Duration::from_millis(2_500);
 
 impl Controller {
-    /// Replies to a heartbeat of a worker.
-    pub(super) fn handle_heartbeat(&mut self, ticket: Ticket, report: Heartbeat) {
-        let reply = match check_heartbeat(&report) {
-            Ok(()) => self.heartbeat_reply(&report),
+    /// Handles a worker's heartbeat and replies to it.
+    pub(super) fn handle_heartbeat(&mut self, ticket: Ticket, heartbeat: Heartbeat) {
+        let reply = match check_heartbeat(&heartbeat) {
+            Ok(()) => self.heartbeat_reply(&heartbeat),
             Err(fault) => {
-                tracing::warn!(machine = report.machine, ?fault, "heartbeat rejected");
+                tracing::warn!(machine = heartbeat.machine, ?fault, "heartbeat rejected");
                 self.counters
                     .rejections
                     .add(MessageSource::Worker, MessageFault::Malformed);
@@ -41,17 +41,18 @@
         self.effects.push(Effect::Heartbeat { ticket, reply });
     }
 
-    fn heartbeat_reply(&mut self, report: &Heartbeat) -> HeartbeatReply {
-        let name = MachineName::from(report.machine.as_str());
-        let Some(record) = self.cache.machines.get(&name) else {
-            return self.handle_unregistered_heartbeat(&name, report);
+    /// Applies a valid heartbeat to the partition's state and returns the reply.
+    fn heartbeat_reply(&mut self, heartbeat: &Heartbeat) -> HeartbeatReply {
+        let name = MachineName::from(heartbeat.machine.as_str());
+        let Some(cached) = self.cache.machines.get(&name) else {
+            return self.handle_unregistered_heartbeat(&name, heartbeat);
         };
-        let partition = record.record.partition;
-        let recorded = FencingToken(record.record.token);
-        // Without a confirmed read of changes within the time that `cancel_s` leaves, no controller may
-        // renew a worker's lease: a cancelled task could run on.
+        let partition = cached.record.partition;
+        let recorded_token = FencingToken(cached.record.token);
+        // A response renews the worker's lease. If this controller's last confirmed read of changes is
+        // older than the cancel deadline (`cancel_s`) allows, a cancelled task could run for too long.
         let may_renew_lease = self.has_recent_state_read(self.settings.lease_validity());
-        let launches = self.has_recent_state_read(self.launch_validity());
+        let may_launch = self.has_recent_state_read(self.launch_validity());
         let Some(leadership) = self.leaderships.get_mut(&partition) else {
             let leader = self
                 .cache
@@ -72,15 +73,20 @@
         if !may_renew_lease || leadership.is_transferring() {
             return HeartbeatReply::Unavailable;
         }
-        let token = leadership.token().max(recorded);
-        if FencingToken(report.token) > token {
-            // A leader with a newer token has reached the worker.
+        let token = leadership.token().max(recorded_token);
+        if FencingToken(heartbeat.token) > token {
+            // A leader with a newer token has already reached the worker.
             return HeartbeatReply::Redirect(None);
         }
-        let stops = || stops_of_cancelled_tasks(&self.cache, report);
-        let commands = match leadership
-            .handle_heartbeat(&name, report, token, launches, stops, self.now)
-        {
+        let kill_commands = || kill_commands_for_cancelled_tasks(&self.cache, heartbeat);
+        let commands = match leadership.handle_heartbeat(
+            &name,
+            heartbeat,
+            token,
+            may_launch,
+            kill_commands,
+            self.now,
+        ) {
             HeartbeatOutcome::Answered(commands) => commands,
             HeartbeatOutcome::Stale(commands) => {
                 self.counters
@@ -89,7 +95,11 @@
                 commands
             }
             HeartbeatOutcome::Withheld => {
-                tracing::warn!(machine = %name, "heartbeat reply withheld: a launch of a cancelled task may still arrive");
+                tracing::warn!(
+                    machine = %name,
+                    reason = "a launch of a cancelled task may still arrive",
+                    "heartbeat reply withheld"
+                );
                 self.counters.replies_withheld += 1;
                 return HeartbeatReply::Unavailable;
             }
@@ -100,34 +110,37 @@
         })
     }
 
-    /// For how long heartbeats may be answered if no further read of changes succeeds.
+    /// How long this controller may still respond to workers, and so renew their leases, if no further
+    /// read of changes succeeds.
     pub(super) fn remaining_lease_validity(&self) -> Duration {
-        let until = self
+        let valid_until = self
             .state_sync
             .last_read_at()
             .map(|at| at + self.settings.lease_validity());
-        until.unwrap_or_default().duration_since(self.now)
+        valid_until.unwrap_or_default().duration_since(self.now)
     }
 
-    /// Maximum age of a read of changes for launches. It lies within the time for which a successor expects
-    /// this controller to answer workers, since the successor waits for no launch that is sent later.
+    /// Maximum age of the last read of changes for launches. It does not exceed the time for which a
+    /// successor expects this controller to respond to workers: the successor does not wait for
+    /// launches that are sent later.
     fn launch_validity(&self) -> Duration {
         MAX_LAUNCH_READ_AGE.min(self.settings.lease_validity())
     }
 
-    /// Replies to a machine without a record: the fleet planner registers it.
+    /// Replies to a machine that has no record: the fleet planner creates one, other controllers redirect
+    /// the worker to it.
     fn handle_unregistered_heartbeat(
         &mut self,
         name: &MachineName,
-        report: &Heartbeat,
+        heartbeat: &Heartbeat,
     ) -> HeartbeatReply {
         match self.fleet_planner_controller() {
             Some(fleet_planner) if fleet_planner == *self.own_name() => {
                 let machine = UnregisteredMachine {
                     name,
-                    machine_type: &report.machine_type,
-                    zone: &report.zone,
-                    spot: report.spot,
+                    machine_type: &heartbeat.machine_type,
+                    zone: &heartbeat.zone,
+                    spot: heartbeat.spot,
                 };
                 self.fleet_planner
                     .record_unregistered_machine(machine, self.now);
@@ -138,7 +151,8 @@
         }
     }
 
-    /// Sends commands directly to machines that have urgent ones, without waiting for a heartbeat.
+    /// Sends urgent commands directly to the machines of a partition, without waiting for their next
+    /// heartbeats.
     pub(super) fn send_urgent_commands(&mut self, partition: PartitionId) {
         if !self.has_recent_state_read(self.launch_validity()) {
             return;
@@ -193,8 +207,8 @@
         }
     }
 
-    /// Requests a heartbeat from a worker. No command is sent; a token other than 0 raises the worker's
-    /// fencing token if its epoch is the one given.
+    /// Requests a heartbeat from a worker by a direct call without commands. A token other than 0 raises
+    /// the worker's fencing token if its epoch is the given one.
     pub(super) fn send_probe(
         &mut self,
         address: String,
@@ -233,24 +247,24 @@
             return;
         };
         match reply {
-            DirectReply::Answered(report) => {
+            DirectReply::Answered(heartbeat) => {
                 partition_state.record_probe_result(machine, true, now);
-                partition_state.reconcile(&report, StatusSource::DirectResponse, now);
+                partition_state.reconcile(&heartbeat, StatusSource::DirectResponse, now);
             }
             DirectReply::Unknown => partition_state.record_probe_result(machine, false, now),
         }
     }
 
-    /// Turns a reply that proves nothing about the called machine into none: the commands sent there may
-    /// be executed later.
+    /// Replaces an invalid reply by [`DirectReply::Unknown`]: it proves nothing about the called machine,
+    /// which may still execute the commands later.
     fn validate_reply(&mut self, called: &MachineName, reply: DirectReply) -> DirectReply {
-        let DirectReply::Answered(report) = &reply else {
+        let DirectReply::Answered(heartbeat) = &reply else {
             return reply;
         };
-        let Err(fault) = check_reply(report, called) else {
+        let Err(fault) = check_reply(heartbeat, called) else {
             return reply;
         };
-        tracing::warn!(%called, machine = report.machine, ?fault, "worker reply rejected");
+        tracing::warn!(%called, machine = heartbeat.machine, ?fault, "worker reply rejected");
         let fault = match fault {
             HeartbeatFault::WrongMachine => MessageFault::Misrouted,
             HeartbeatFault::InvalidName | HeartbeatFault::InvalidTaskId => MessageFault::Malformed,
@@ -259,7 +273,7 @@
         DirectReply::Unknown
     }
 
-    /// Handles the reply to a direct call.
+    /// Handles the reply to a direct call to a worker.
     pub(super) fn handle_worker_reply(&mut self, call: CallId, reply: DirectReply) {
         match self.calls.complete(call) {
             Some(CallKind::Worker(WorkerCall::Commands {
@@ -306,28 +320,30 @@
         };
         match reply {
             DirectReply::Unknown => partition_state.record_unanswered_commands(machine, now),
-            DirectReply::Answered(report) => {
+            DirectReply::Answered(heartbeat) => {
                 partition_state.record_direct_response(machine, launches);
-                partition_state.reconcile(&report, StatusSource::DirectResponse, now);
+                partition_state.reconcile(&heartbeat, StatusSource::DirectResponse, now);
             }
         }
     }
 }
 
-/// Immediate stops of the tasks in a heartbeat whose jobs are cancelled according to the records alone. A
-/// reply renews the worker's lease for its full length, so the controller has to be sure that each
-/// cancelled task ends; before it has loaded the placement log, it knows the tasks from the heartbeat only.
-/// The stop is part of the reply: if one is lost, so is the other.
-fn stops_of_cancelled_tasks(cache: &StateCache, report: &Heartbeat) -> Vec<Command> {
-    let stop = |entry: &TaskStatus| {
-        let task = TaskId::parse(&entry.task)?;
-        let needs_stop = entry.state != TaskState::Exited && cache.is_cancelled(task.job);
-        let (task, attempt) = (entry.task.clone(), entry.attempt);
+/// Commands that stop tasks of a heartbeat at once, without a grace period, if their jobs are cancelled
+/// according to the state cache.
+///
+/// A response renews the worker's lease for its full length, so the controller has to make sure that each
+/// cancelled task ends. Before it has read the placement log, it knows the tasks from the heartbeat only.
+/// The commands are part of the response that renews the lease, so neither arrives without the other.
+fn kill_commands_for_cancelled_tasks(cache: &StateCache, heartbeat: &Heartbeat) -> Vec<Command> {
+    let kill_command = |status: &TaskStatus| {
+        let task = TaskId::parse(&status.task)?;
+        let needs_stop = status.state != TaskState::Exited && cache.is_cancelled(task.job);
+        let (task, attempt) = (status.task.clone(), status.attempt);
         needs_stop.then_some(Command::Stop {
             task,
             attempt,
             grace_s: 0.0,
         })
     };
-    report.tasks.iter().filter_map(stop).collect()
+    heartbeat.tasks.iter().filter_map(kill_command).collect()
 }
--- a/crates/controller/src/controller/linearizable_reads.rs
+++ b/crates/controller/src/controller/linearizable_reads.rs
@@ -1,8 +1,9 @@
-//! Linearizable reads for users' requests that only the state service can answer, many to a read.
+//! Linearizable reads for users' requests that the state cache alone cannot answer.
 //!
-//! One read of changes answers all requests received before it was sent; one transaction of
-//! conditions shows which of many jobs have no final state. Reads are rate limited, so that users
-//! who poll often leave the budget to submissions and placements.
+//! One read of changes serves all requests that were received before it was sent. A request for a job
+//! that is not registered also needs to know whether the job has an archived terminal state: one
+//! transaction that consists of conditions only shows this for many jobs. Both kinds of read are rate
+//! limited, so that users who poll often leave the request budget to submissions and placements.
 
 use super::call_kind::ReadCall;
 use super::user_requests::status_without_counts;
@@ -16,27 +17,29 @@
 use std::time::Duration;
 use wire::state::{StateReply, StateRequest, Transaction};
 
-/// Highest fraction of the request rate for one kind of these reads, over all controllers.
-const READ_FRACTION: f64 = 0.2;
-/// How long a request whose read is throttled is retried.
+/// Maximum fraction of the state service's request rate that all controllers together use for each kind
+/// of read.
+const READ_RATE_FRACTION: f64 = 0.2;
+/// A request that has waited longer is refused instead of retried when its read is throttled.
 const MAX_RETRY_TIME: Duration = Duration::from_secs(1);
 /// Pause after a throttled read.
 const THROTTLING_PAUSE: Duration = Duration::from_millis(60);
-/// Conditions that the state service takes for each change of a transaction.
+/// Number of conditions that the state service accepts for each change that a transaction may have.
 pub(super) const CONDITIONS_PER_CHANGE: usize = 4;
-/// After how many seconds a user whose request is refused may retry.
+/// Seconds after which a user whose request is refused may retry.
 pub(super) const RETRY_AFTER_S: u64 = 1;
-/// After how many seconds a user may retry when a job's final state cannot be decoded.
+/// Seconds after which a user may retry if the job's state cannot be decoded.
 const UNREADABLE_STATE_RETRY_AFTER_S: u64 = 5;
 
-/// Requests that wait for reads, and the reads under way.
+/// Requests that wait for reads, and the reads in flight.
 #[derive(Debug, Default)]
 pub(crate) struct LinearizableReads {
     /// Requests that need a read of changes that begins now or later.
     queued: Vec<PendingRequest>,
     is_reading: bool,
     next_read_at: Timestamp,
-    /// Requests whose jobs are not registered, by such a read: do they have a final state?
+    /// Requests whose jobs a read of changes has shown not to be registered. Whether these jobs have an
+    /// archived terminal state is still to be checked.
     unregistered: Vec<PendingRequest>,
     is_checking: bool,
     next_check_at: Timestamp,
@@ -55,9 +58,10 @@
 }
 
 impl Controller {
-    /// Least time between two reads of a kind.
+    /// Minimum time between two reads of the same kind.
     fn read_interval(&self) -> Duration {
-        let reads_per_s = self.settings.state_limits.requests_per_s * READ_FRACTION;
+        let reads_per_s = self.settings.state_limits.requests_per_s * READ_RATE_FRACTION;
+        // There are as many controllers as partitions.
         let controllers = f64::from(self.partition_count());
         Duration::from_millis((1_000.0 * controllers / reads_per_s.max(1.0)) as u64)
     }
@@ -93,7 +97,8 @@
         );
     }
 
-    /// Sends a transaction of conditions on the absence of final states.
+    /// Sends a transaction with the condition, for each unregistered job, that it has no archived terminal
+    /// state. The conditions that fail name the jobs that have one.
     fn check_terminal_states(&mut self) {
         let max_conditions = self.settings.state_limits.max_txn_ops * CONDITIONS_PER_CHANGE;
         let unregistered = &mut self.reads.unregistered;
@@ -115,26 +120,26 @@
         );
     }
 
-    /// When the next read is due, if one waits for its interval.
+    /// When the next read is due, if requests wait for one that is not in flight yet.
     pub(super) fn next_read_due_at(&self) -> Option<Timestamp> {
         let reads = &self.reads;
         let read = (!reads.queued.is_empty() && !reads.is_reading).then_some(reads.next_read_at);
-        let comparison =
+        let check =
             (!reads.unregistered.is_empty() && !reads.is_checking).then_some(reads.next_check_at);
-        [read, comparison].into_iter().flatten().min()
+        [read, check].into_iter().flatten().min()
     }
 
-    /// Answers these requests from a read of changes that was sent at `sent`.
+    /// Handles the reply to a read of changes, which was sent at `sent_at` for these requests.
     pub(super) fn handle_changes_reply(
         &mut self,
         requests: Vec<PendingRequest>,
         reply: StateReply,
-        sent: Timestamp,
+        sent_at: Timestamp,
     ) {
         self.reads.is_reading = false;
         match reply {
             StateReply::Changes(changes) => {
-                self.apply_changes(&changes, sent);
+                self.apply_changes(&changes, sent_at);
                 for request in requests {
                     self.reply_from_cache(request);
                 }
@@ -145,31 +150,31 @@
             }
             StateReply::Refused { throttled: true } => {
                 self.reads.next_read_at = self.now + THROTTLING_PAUSE;
-                let retryable = self.retryable(requests);
+                let retryable = self.refuse_overdue(requests);
                 self.reads.enqueue_all(retryable);
             }
             _ => self.refuse_all(requests),
         }
     }
 
-    /// The requests that may be retried; the others are refused.
-    fn retryable(&mut self, requests: Vec<PendingRequest>) -> Vec<PendingRequest> {
+    /// Refuses the requests that have waited too long to be retried, and returns the others.
+    fn refuse_overdue(&mut self, requests: Vec<PendingRequest>) -> Vec<PendingRequest> {
         let now = self.now;
-        let (retryable, late): (Vec<PendingRequest>, Vec<PendingRequest>) = requests
+        let (retryable, overdue): (Vec<PendingRequest>, Vec<PendingRequest>) = requests
             .into_iter()
             .partition(|request| now.duration_since(request.waiting_since) < MAX_RETRY_TIME);
-        self.refuse_all(late);
+        self.refuse_all(overdue);
         retryable
     }
 
-    /// Refuses requests; their users may retry them.
+    /// Refuses these requests as busy, so that their users retry them.
     pub(super) fn refuse_all(&mut self, requests: Vec<PendingRequest>) {
         for request in requests {
             self.reply_busy(request.ticket, RETRY_AFTER_S);
         }
     }
 
-    /// Takes in which of the jobs have no final state: a transaction of conditions only.
+    /// Handles the reply to the check which of the requests' jobs have an archived terminal state.
     pub(super) fn handle_terminal_states_check_reply(
         &mut self,
         requests: Vec<PendingRequest>,
@@ -199,19 +204,21 @@
             }
             StateReply::Refused { throttled: true } => {
                 self.reads.next_check_at = self.now + THROTTLING_PAUSE;
-                let retryable = self.retryable(requests);
+                let retryable = self.refuse_overdue(requests);
                 self.reads.unregistered.extend(retryable);
             }
             _ => self.refuse_all(requests),
         }
     }
 
-    /// Answers a request from a state cache that is fresh enough for it.
+    /// Answers a request from the state cache, which includes all changes confirmed before the request
+    /// arrived. A cancellation is queued to be written, and a request for a job that is not registered
+    /// waits for the check for a terminal state.
     pub(super) fn reply_from_cache(&mut self, request: PendingRequest) {
         let id = request.id;
         if let Some(state) = self.job_status.terminal_state(id) {
-            let answer = status_without_counts(id, state);
-            self.reply_user(request.ticket, UserReply::Status(answer));
+            let status = status_without_counts(id, state);
+            self.reply_user(request.ticket, UserReply::Status(status));
             return;
         }
         if !self.cache.jobs.contains_key(&id) {
@@ -219,8 +226,8 @@
             return;
         }
         if self.cache.is_cancelled(id) {
-            let answer = status_without_counts(id, JobState::Cancelled);
-            self.reply_user(request.ticket, UserReply::Status(answer));
+            let status = status_without_counts(id, JobState::Cancelled);
+            self.reply_user(request.ticket, UserReply::Status(status));
             return;
         }
         let reply = match request.kind {
@@ -238,14 +245,15 @@
         self.reply_user(request.ticket, reply);
     }
 
-    /// Answers a request from a read of its job's final state.
+    /// Answers a request after a read of its job's archived terminal state.
     pub(super) fn handle_terminal_state_reply(
         &mut self,
         request: PendingRequest,
         reply: StateReply,
     ) {
         if self.job_status.is_terminal(request.id) || self.cache.jobs.contains_key(&request.id) {
-            // Accepted or ended during the read: the state cache is ahead of it.
+            // The job was accepted or reached a terminal state during the read: the state cache is newer
+            // than the reply.
             self.reply_from_cache(request);
             return;
         }
@@ -254,8 +262,8 @@
                 Ok(record) => {
                     self.job_status
                         .record_terminal_state(request.id, record.state);
-                    let answer = status_without_counts(request.id, record.state);
-                    self.reply_user(request.ticket, UserReply::Status(answer));
+                    let status = status_without_counts(request.id, record.state);
+                    self.reply_user(request.ticket, UserReply::Status(status));
                 }
                 Err(_) => self.reply_busy(request.ticket, UNREADABLE_STATE_RETRY_AFTER_S),
             },
--- a/crates/controller/src/controller/user_requests.rs
+++ b/crates/controller/src/controller/user_requests.rs
@@ -1,37 +1,46 @@
-//! Requests of users. A terminal state is reported only once it is durable; any other state only
-//! after a read of the state service that began after the request arrived.
+//! Users' requests: submissions, status queries and cancellations of jobs.
+//!
+//! A reply reports a terminal state only once that is durable. It reports any other state only after a
+//! read of the state service that began after the request arrived.
 
+use super::linearizable_reads::RETRY_AFTER_S;
 use super::{Controller, Ticket, UserReply, UserRequest};
 use model::{JobId, JobSpec, JobState, RejectReason, Timestamp};
 use std::time::Duration;
 use wire::users::{JobRequest, JobStatus};
 
+/// Maximum age of the last confirmed read of changes when a submission is accepted.
+const MAX_READ_AGE_FOR_SUBMISSIONS: Duration = Duration::from_secs(6);
+
 /// A user's request that waits for a read of the state service.
 #[derive(Debug, Clone)]
 pub(crate) struct PendingRequest {
     pub(super) ticket: Ticket,
     pub(super) kind: RequestKind,
     pub(super) id: JobId,
+    /// When the request arrived or, for an accepted submission, when its write was confirmed.
     pub(super) waiting_since: Timestamp,
 }
 
-/// What a waiting request needs.
+/// What a waiting request asks for.
 #[derive(Debug, Clone)]
 pub(crate) enum RequestKind {
     Get,
     Cancel {
-        /// Number of conflicts of its write so far.
-        conflicts: u32,
+        /// How often the cancellation was retried after its write had not been applied.
+        retries: u32,
     },
-    /// A submission of a job that may have been accepted before; if it was not, it is rejected.
+    /// A submission of a job that may have been accepted before.
     Resubmit {
+        /// Why the job is rejected if it was not accepted before; without a reason the user is told to
+        /// retry.
         rejection: Option<RejectReason>,
     },
     /// A submission that this controller has accepted durably.
     Accepted,
 }
 
-/// The status of a job in a state that needs no numbers of tasks.
+/// Status of a job without its numbers of tasks.
 pub(super) fn status_without_counts(id: JobId, state: JobState) -> JobStatus {
     JobStatus {
         id: id.to_string(),
@@ -42,13 +51,13 @@
 }
 
 impl Controller {
-    /// Handles a request of a user; its reply is an [`Effect`](super::Effect), now or later.
+    /// Handles a user's request. The reply is an [`Effect`](super::Effect) of this event or of a later one.
     pub(super) fn handle_user_request(&mut self, ticket: Ticket, request: UserRequest) {
         match request {
             UserRequest::Submit(job) => self.handle_submission(ticket, *job),
             UserRequest::Get(id) => self.read_then_reply(ticket, id, RequestKind::Get),
             UserRequest::Cancel(id) => {
-                self.read_then_reply(ticket, id, RequestKind::Cancel { conflicts: 0 })
+                self.read_then_reply(ticket, id, RequestKind::Cancel { retries: 0 })
             }
         }
     }
@@ -58,14 +67,16 @@
         self.reply_user(ticket, UserReply::Busy { retry_after_s });
     }
 
+    /// Replies at once if the job is known to be in a terminal state, and otherwise after a read of
+    /// changes.
     fn read_then_reply(&mut self, ticket: Ticket, id: JobId, kind: RequestKind) {
         if let Some(state) = self.job_status.terminal_state(id) {
-            let answer = status_without_counts(id, state);
-            self.reply_user(ticket, UserReply::Status(answer));
+            let status = status_without_counts(id, state);
+            self.reply_user(ticket, UserReply::Status(status));
             return;
         }
         if !self.state_sync.is_synced() {
-            self.reply_busy(ticket, 1);
+            self.reply_busy(ticket, RETRY_AFTER_S);
             return;
         }
         self.reads.enqueue(PendingRequest {
@@ -79,14 +90,14 @@
     fn handle_submission(&mut self, ticket: Ticket, job: JobRequest) {
         let spec = match JobSpec::try_from(&job) {
             Ok(spec) => spec,
-            Err(invalid) => {
-                self.reply_user(ticket, UserReply::Invalid(invalid.to_string()));
+            Err(error) => {
+                self.reply_user(ticket, UserReply::Invalid(error.to_string()));
                 return;
             }
         };
         let id = spec.id;
         if !self.state_sync.is_synced() {
-            self.reply_busy(ticket, 1);
+            self.reply_busy(ticket, RETRY_AFTER_S);
             return;
         }
         if self.job_status.is_terminal(id) || self.cache.jobs.contains_key(&id) {
@@ -94,11 +105,11 @@
             return;
         }
         let Some(types) = &self.cache.machine_types else {
-            self.reply_busy(ticket, 1);
+            self.reply_busy(ticket, RETRY_AFTER_S);
             return;
         };
         if let Err(reason) = spec.check_feasibility(&self.settings, &types.record.types) {
-            // A job that was accepted once must never be rejected later.
+            // A job that was accepted before must not be rejected now, so a read of changes comes first.
             self.read_then_reply(
                 ticket,
                 id,
@@ -108,14 +119,14 @@
             );
             return;
         }
-        if !self.has_recent_state_read(Duration::from_secs(6)) {
-            self.reply_busy(ticket, 1);
+        if !self.has_recent_state_read(MAX_READ_AGE_FOR_SUBMISSIONS) {
+            self.reply_busy(ticket, RETRY_AFTER_S);
             return;
         }
         self.admit(ticket, id, job);
     }
 
-    /// The state of a job and why it waits, for operators.
+    /// Explains to operators what state a job is in and why it waits.
     pub fn explain(&self, id: &str) -> String {
         let Some(id) = JobId::parse(id) else {
             return "no such job".into();
@@ -134,11 +145,11 @@
 
     /// Status of a job that is not in a terminal state.
     pub(super) fn open_job_status(&self, id: JobId) -> JobStatus {
-        let own = self
+        let own_counts = self
             .leaderships
             .values()
             .find_map(|leadership| leadership.task_counts(id));
-        let counts = own
+        let counts = own_counts
             .or_else(|| self.job_status.progress(id))
             .unwrap_or_default();
         let state = if counts.running > 0 {
--- a/crates/controller/src/job_status_cache.rs
+++ b/crates/controller/src/job_status_cache.rs
@@ -1,19 +1,19 @@
-//! What is known of jobs for answers to users: terminal states, and progress reported by peers.
+//! Terminal states of jobs and the progress that peers report, kept in memory for replies to users.
 
 use model::{JobId, JobState};
 use std::collections::HashMap;
 
-/// Number of terminal states that are kept in memory.
+/// Maximum number of terminal states that are kept.
 const MAX_TERMINAL_STATES: usize = 200_000;
 
-/// Numbers of a job's tasks, for display only.
+/// Numbers of a job's tasks that are done and running. They are for display only.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct TaskCounts {
     pub done: u64,
     pub running: u64,
 }
 
-/// Terminal states and progress of jobs.
+/// Terminal states of jobs, and the progress of jobs in other controllers' partitions.
 #[derive(Debug, Default)]
 pub struct JobStatusCache {
     terminal_states: HashMap<JobId, JobState>,
@@ -21,7 +21,7 @@
 }
 
 impl JobStatusCache {
-    /// The terminal state of a job, if it is known. It is durable, so it may be told to users.
+    /// The terminal state of a job, if it is known. It is durable, so it may be reported to users.
     pub fn terminal_state(&self, id: JobId) -> Option<JobState> {
         self.terminal_states.get(&id).copied()
     }
@@ -31,8 +31,8 @@
         self.terminal_states.contains_key(&id)
     }
 
-    /// Records a terminal state that is durable. A full cache loses a tenth of its entries first:
-    /// any of them can be read again, so which ones does not matter.
+    /// Records a terminal state that is durable. If the cache is full, an arbitrary tenth of the entries is
+    /// evicted first: each of them can be read again from the state service.
     pub fn record_terminal_state(&mut self, id: JobId, state: JobState) {
         if self.terminal_states.len() >= MAX_TERMINAL_STATES {
             self.evict_tenth();
@@ -53,17 +53,17 @@
         }
     }
 
-    /// The progress that a peer reported of a job last.
+    /// The progress of a job as a peer last reported it.
     pub fn progress(&self, id: JobId) -> Option<TaskCounts> {
         self.progress.get(&id).copied()
     }
 
-    /// Records the progress that a peer reports.
+    /// Records the progress of a job that a peer reports.
     pub fn record_progress(&mut self, id: JobId, counts: TaskCounts) {
         self.progress.insert(id, counts);
     }
 
-    /// Forgets the progress of a job that is not open any more.
+    /// Removes the progress of a job that is no longer open.
     pub fn forget_progress(&mut self, id: JobId) {
         self.progress.remove(&id);
     }
--- a/crates/controller/src/rejections.rs
+++ b/crates/controller/src/rejections.rs
@@ -1,4 +1,4 @@
-//! Counts of rejected messages, by sender and fault. A rejected message changes nothing.
+//! Counts of rejected messages by sender and fault. A rejected message changes nothing else.
 
 use std::collections::BTreeMap;
 
@@ -32,16 +32,16 @@
 /// Why a message was rejected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum MessageFault {
-    /// It cannot be decoded, or a value is out of range.
+    /// The message cannot be decoded, or a value in it is out of range.
     Malformed,
     TooLarge,
-    /// It has another version of the protocol.
+    /// The message has another protocol version.
     Version,
-    /// Its sender is no controller of the site.
+    /// The sender is not a controller of the site.
     UnknownSender,
-    /// It concerns something for which its sender or this controller is not responsible.
+    /// The message concerns something for which its sender or this controller is not responsible.
     Misrouted,
-    /// Something newer is known, or it was sent to an earlier incarnation of this controller.
+    /// Something newer is known, or the message was sent to an earlier incarnation of this controller.
     Stale,
 }
 
@@ -59,7 +59,7 @@
     }
 }
 
-/// Numbers of rejected messages; empty as long as none is rejected.
+/// Numbers of rejected messages by sender and fault. Combinations that did not occur have no entry.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct RejectedMessageCounts(BTreeMap<(MessageSource, MessageFault), u64>);
 
@@ -81,7 +81,7 @@
         self.0.get(&(source, fault)).copied().unwrap_or(0)
     }
 
-    /// Takes the counts and resets them.
+    /// Returns the counts and resets them.
     pub fn drain(&mut self) -> impl Iterator<Item = (MessageSource, MessageFault, u64)> {
         let counts = std::mem::take(&mut self.0);
         counts
--- a/crates/controller/tests/job_status_cache.rs
+++ b/crates/controller/tests/job_status_cache.rs
@@ -1,10 +1,10 @@
-//! Terminal states and progress of jobs.
+//! The cache of jobs' terminal states and progress.
 
 use controller::job_status_cache::{JobStatusCache, TaskCounts};
 use model::{JobId, JobState};
 
 #[test]
-fn terminal_state_replaces_progress() {
+fn recording_a_terminal_state_removes_the_progress() {
     let mut cache = JobStatusCache::default();
     let counts = TaskCounts {
         done: 2,
@@ -27,7 +27,7 @@
     for id in 0..=200_000 {
         cache.record_terminal_state(JobId(id), JobState::Done);
     }
-    let kept = (0..=200_000).filter(|id| cache.is_terminal(JobId(*id)));
-    assert_eq!(kept.count(), 180_001);
+    let kept_ids = (0..=200_000).filter(|id| cache.is_terminal(JobId(*id)));
+    assert_eq!(kept_ids.count(), 180_001);
     assert!(cache.is_terminal(JobId(200_000)));
 }
