--- a/crates/controller/src/controller/fleet_planner/cloud_calls.rs
+++ b/crates/controller/src/controller/fleet_planner/cloud_calls.rs
@@ -1,4 +1,4 @@
-//! Calls to the cloud: rentals, releases and lists of machines, their replies and their retries.
+//! Calls to the cloud that rent, release and list machines, with their replies and retries.
 
 use crate::controller::call_kind::FleetCall;
 use crate::controller::machine_records::MachineChange;
@@ -13,58 +13,59 @@
 
 use super::UnregisteredMachine;
 
-/// Fraction of the cloud's request rate that the planner uses; the rest allows for bursts.
+/// Fraction of the cloud's request rate at which the planner makes calls on average. The rest allows for
+/// bursts.
 const CALL_RATE_FRACTION: f64 = 0.8;
-/// Calls that a list of machines leaves for rentals and releases.
+/// Calls that a new list of machines must leave in the budget for rentals and releases.
 const LIST_CALL_RESERVE: f64 = 1.0;
 /// Time between two lists of machines.
 const LIST_INTERVAL: Duration = Duration::from_secs(4);
-/// Machines per page of a list.
+/// Maximum number of machines on a page of a list.
 const LIST_PAGE_SIZE: u32 = 500;
 /// How long an offer is not requested again after the cloud had no capacity for it.
 const NO_CAPACITY_PAUSE: Duration = Duration::from_secs(6);
-/// How long an offer is not requested again after the cloud refused the call.
+/// How long an offer is not requested again after the cloud refused a rental.
 const REFUSED_RENTAL_PAUSE: Duration = Duration::from_millis(1_500);
-/// Pause before a rental without a reply is requested again.
+/// Pause before a rental without a usable reply is requested again.
 const RENTAL_RETRY_PAUSE: Duration = Duration::from_millis(500);
-/// How long a release waits for its effect before it is requested again.
-const RELEASE_TIMEOUT: Duration = Duration::from_secs(5);
-/// Part of [`RELEASE_TIMEOUT`] that is skipped after a release has failed.
-const FAILED_RELEASE_TIMEOUT_REDUCTION: Duration = Duration::from_secs(4);
-/// Machines that one call releases at most.
+/// How long the release of a machine may take to have effect before it is requested again.
+const RELEASE_RETRY_INTERVAL: Duration = Duration::from_secs(5);
+/// How much sooner a release is requested again after it has failed.
+const FAILED_RELEASE_RETRY_REDUCTION: Duration = Duration::from_secs(4);
+/// Maximum number of machines that one call releases.
 const MAX_MACHINES_PER_RELEASE: usize = 100;
 
-/// A rental that the cloud has not confirmed yet.
+/// A rental that the cloud has neither confirmed nor refused yet.
 #[derive(Debug)]
 struct PendingRental {
     request: RentRequest,
     partition: PartitionId,
 }
 
-/// A rental to be requested again.
+/// A rental that is to be requested again.
 #[derive(Debug)]
 struct RentalRetry {
     due_at: Timestamp,
     rental: PendingRental,
 }
 
-/// The planner's calls to the cloud.
+/// The fleet planner's calls to the cloud.
 #[derive(Debug)]
 pub(super) struct CloudCalls {
     budget: TokenBucket,
-    /// Rentals that wait for their reply.
+    /// Rentals whose calls are in flight.
     rentals: BTreeMap<CallId, PendingRental>,
     rental_retries: Vec<RentalRetry>,
-    /// Until when each refused offer is not requested again.
+    /// Offers that the cloud refused, and until when each is not requested again.
     refused_until: HashMap<Offer, Timestamp>,
-    /// When the release of each machine was last requested.
+    /// When the release of each machine was last requested, or an earlier time if that request failed.
     release_requested_at: HashMap<MachineName, Timestamp>,
     list_requested_at: Timestamp,
     is_listing: bool,
 }
 
 impl CloudCalls {
-    /// Calls under the cloud's limit of requests per second.
+    /// Creates the state for a cloud with this limit of requests per second.
     pub(super) fn new(requests_per_s: f64) -> Self {
         CloudCalls {
             budget: TokenBucket::new(requests_per_s * CALL_RATE_FRACTION, requests_per_s),
@@ -77,18 +78,18 @@
         }
     }
 
-    /// Takes a call from the budget; false if none is left.
+    /// Takes one call from the budget. Returns false if none is left.
     pub(super) fn take_call(&mut self, now: Timestamp) -> bool {
         self.budget.take(now, 1.0, 0.0)
     }
 
-    /// The partition of the oldest rental without a reply.
+    /// The partition of the oldest rental in flight.
     pub(super) fn oldest_rental_partition(&self) -> Option<PartitionId> {
         let oldest = self.rentals.values().next();
         oldest.map(|rental| rental.partition)
     }
 
-    /// Rentals that wait for their reply or for a retry.
+    /// Rentals that wait for a reply or for a retry, with their partitions.
     pub(super) fn open_rentals(&self) -> impl Iterator<Item = (&RentRequest, PartitionId)> {
         let retries = self.rental_retries.iter().map(|retry| &retry.rental);
         self.rentals
@@ -97,30 +98,30 @@
             .map(|rental| (&rental.request, rental.partition))
     }
 
-    /// Offers that are not to be requested now.
+    /// Offers that must not be requested now because the cloud refused them recently.
     pub(super) fn refused_offers(&mut self, now: Timestamp) -> impl Iterator<Item = &Offer> {
         self.refused_until.retain(|_, until| *until > now);
         self.refused_until.keys()
     }
 
-    /// Forgets a machine whose record is gone.
+    /// Forgets a machine whose record has been deleted.
     pub(super) fn forget_machine(&mut self, name: &MachineName) {
         self.release_requested_at.remove(name);
     }
 
-    fn refuse_offer(&mut self, offer: Offer, until: Timestamp) {
+    fn record_refusal(&mut self, offer: Offer, until: Timestamp) {
         self.refused_until.insert(offer, until);
     }
 
     fn is_releasing(&self, name: &MachineName, now: Timestamp) -> bool {
         self.release_requested_at
             .get(name)
-            .is_some_and(|at| now.duration_since(*at) < RELEASE_TIMEOUT)
+            .is_some_and(|at| now.duration_since(*at) < RELEASE_RETRY_INTERVAL)
     }
 }
 
 impl Controller {
-    /// Requests a list of all machines if that is due.
+    /// Requests a list of all rented machines if one is due.
     pub(super) fn request_machine_list(&mut self) {
         let now = self.now;
         let cloud = &mut self.fleet_planner.cloud;
@@ -134,6 +135,7 @@
         self.request_machine_list_page(String::new(), Vec::new());
     }
 
+    /// Requests the page after the machine `after`; `gathered` are the machines of the pages before it.
     fn request_machine_list_page(&mut self, after: String, gathered: Vec<ListedMachine>) {
         let request = CloudRequest::ListMachines {
             after,
@@ -145,16 +147,16 @@
         );
     }
 
-    /// Requests rentals again whose retry is due.
+    /// Repeats the rentals whose retry is due.
     pub(super) fn retry_rentals(&mut self) {
         let now = self.now;
-        let due: Vec<RentalRetry> = self
+        let due_retries: Vec<RentalRetry> = self
             .fleet_planner
             .cloud
             .rental_retries
             .extract_if(.., |retry| retry.due_at <= now)
             .collect();
-        for RentalRetry { rental, .. } in due {
+        for RentalRetry { rental, .. } in due_retries {
             self.rent_machines(rental.request, rental.partition);
         }
     }
@@ -185,7 +187,8 @@
         self.send_cloud_request(request, CallKind::Fleet(FleetCall::Release(names)));
     }
 
-    /// Requests machines for a partition. A request under the same name rents no further ones.
+    /// Requests machines for a partition. A repeated request with the same idempotency key rents nothing
+    /// twice.
     pub(super) fn rent_machines(&mut self, request: RentRequest, partition: PartitionId) {
         let kind = CallKind::Fleet(FleetCall::Rent {
             request: request.clone(),
@@ -196,7 +199,7 @@
         self.fleet_planner.cloud.rentals.insert(call, rental);
     }
 
-    /// Takes in a reply of the cloud.
+    /// Handles a reply of the cloud. One whose call is not pending is counted and ignored.
     pub(in crate::controller) fn handle_cloud_reply(&mut self, call: CallId, reply: CloudReply) {
         let Some(kind) = self.calls.complete(call) else {
             self.counters
@@ -241,7 +244,7 @@
         match reply {
             CloudReply::Rented(names) => {
                 if (names.len() as u32) < request.count {
-                    cloud.refuse_offer(offer, now + NO_CAPACITY_PAUSE);
+                    cloud.record_refusal(offer, now + NO_CAPACITY_PAUSE);
                 }
                 tracing::info!(
                     machine_type = request.machine_type,
@@ -259,13 +262,13 @@
                         .add_rented_machine(name, &request, partition, now);
                 }
             }
-            CloudReply::NoCapacity => cloud.refuse_offer(offer, now + NO_CAPACITY_PAUSE),
-            // The reply is lost: a request under the same name returns the same machines.
+            CloudReply::NoCapacity => cloud.record_refusal(offer, now + NO_CAPACITY_PAUSE),
+            // The machines may have been rented: a request with the same key returns the same ones.
             CloudReply::Unknown => cloud.rental_retries.push(RentalRetry {
                 due_at: now + RENTAL_RETRY_PAUSE,
                 rental: PendingRental { request, partition },
             }),
-            _ => cloud.refuse_offer(offer, now + REFUSED_RENTAL_PAUSE),
+            _ => cloud.record_refusal(offer, now + REFUSED_RENTAL_PAUSE),
         }
     }
 
@@ -278,11 +281,12 @@
             }
             return;
         }
-        let elapsed = FAILED_RELEASE_TIMEOUT_REDUCTION.as_millis() as u64;
-        let released_at = Timestamp::from_millis(now.as_millis().saturating_sub(elapsed));
+        // An earlier time of the request lets the next one follow sooner.
+        let reduction_ms = FAILED_RELEASE_RETRY_REDUCTION.as_millis() as u64;
+        let requested_at = Timestamp::from_millis(now.as_millis().saturating_sub(reduction_ms));
         for name in names {
             let cloud = &mut self.fleet_planner.cloud;
-            cloud.release_requested_at.insert(name, released_at);
+            cloud.release_requested_at.insert(name, requested_at);
         }
     }
 
@@ -291,10 +295,11 @@
             self.fleet_planner.cloud.is_listing = false;
             return;
         };
-        let before = gathered.last().map(|machine| machine.name.as_str());
-        let after = page.machines.last().map(|machine| machine.name.clone());
-        if page.has_more && (after.is_none() || after.as_deref() == before) {
-            // The same page would be requested for ever; what it lacks must not count as gone.
+        let previous_last = gathered.last().map(|machine| machine.name.as_str());
+        let last = page.machines.last().map(|machine| machine.name.clone());
+        if page.has_more && (last.is_none() || last.as_deref() == previous_last) {
+            // A page that does not go further would be requested for ever. The list is discarded, because
+            // machines that an incomplete list lacks must not count as gone.
             self.counters
                 .rejections
                 .add(MessageSource::Cloud, MessageFault::Malformed);
@@ -302,12 +307,13 @@
             return;
         }
         gathered.extend(page.machines);
-        match after {
-            Some(after) if page.has_more => self.request_machine_list_page(after, gathered),
+        match last {
+            Some(last) if page.has_more => self.request_machine_list_page(last, gathered),
             _ => self.handle_machine_list(gathered),
         }
     }
 
+    /// Applies a complete list of the rented machines.
     fn handle_machine_list(&mut self, machines: Vec<ListedMachine>) {
         let now = self.now;
         self.fleet_planner.cloud.is_listing = false;
--- a/crates/controller/src/controller/fleet_planner/inventory.rs
+++ b/crates/controller/src/controller/fleet_planner/inventory.rs
@@ -1,5 +1,5 @@
-//! The fleet as the planner knows it: machines' records joined with the partition leaders' statuses
-//! and the cloud's list.
+//! The fleet as the planner knows it: machines' records joined with the statuses that partition leaders
+//! report and with the cloud's list of machines.
 
 use super::rented_machine_record;
 use crate::controller::machine_records::MachineChange;
@@ -13,15 +13,15 @@
 use wire::cloud::{ListedMachine, MachineState, RentRequest};
 use wire::mesh::{MachineStatus, PartitionStatus};
 
-/// How long late heartbeats, copies of them and old lists may mention a machine that has been
-/// deleted.
+/// How long a deleted machine is remembered, because delayed or duplicated heartbeats and old lists may
+/// still mention it.
 const DELETED_MACHINE_RETENTION: Duration = Duration::from_secs(120);
-/// How long an entry of the cloud's list is kept after the last list that had it.
+/// How long an entry of the cloud's list is kept after the last list that contained it.
 const LISTED_MACHINE_RETENTION: Duration = Duration::from_secs(120);
-/// Statuses of partitions older than this count as stale.
+/// A partition status that was received longer ago is not recent.
 const MAX_STATUS_AGE: Duration = Duration::from_millis(2_500);
 
-/// A machine without a record, as a heartbeat or the cloud's list shows it.
+/// A machine without a record, as its heartbeat or the cloud's list describes it.
 #[derive(Debug, Clone, Copy)]
 pub(in crate::controller) struct UnregisteredMachine<'a> {
     pub name: &'a MachineName,
@@ -30,7 +30,7 @@
     pub spot: bool,
 }
 
-/// A status of a partition and when it was received.
+/// The status of a partition and when it was received.
 #[derive(Debug)]
 struct ReceivedStatus {
     status: PartitionStatus,
@@ -38,56 +38,56 @@
 }
 
 impl ReceivedStatus {
-    fn is_fresh(&self, now: Timestamp) -> bool {
+    fn is_recent(&self, now: Timestamp) -> bool {
         now.duration_since(self.received_at) <= MAX_STATUS_AGE
     }
 
-    /// What the partition leader reports about a machine. Its machines are ordered by name.
+    /// What the partition leader reports about a machine. A status lists machines in order of their names.
     fn machine(&self, name: &MachineName) -> Option<&MachineStatus> {
         let machines = &self.status.machines;
         machines
-            .binary_search_by(|machine| machine.machine.as_str().cmp(name.as_str()))
+            .binary_search_by(|status| status.machine.as_str().cmp(name.as_str()))
             .ok()
             .map(|index| &machines[index])
     }
 }
 
-/// The term of a partition's leader and when this planner first received its status.
+/// The term of a partition's leader and when this planner first received a status from it.
 #[derive(Debug, Clone, Copy)]
 struct ObservedTerm {
     term: u64,
     since: Timestamp,
 }
 
-/// The partition of a machine and since when this planner knows it to be there.
+/// The partition of a machine and since when this planner has known that the machine belongs to it.
 #[derive(Debug, Clone, Copy)]
 struct PartitionAssignment {
     partition: PartitionId,
     since: Timestamp,
 }
 
-/// A machine of the cloud's list and when that list was complete.
+/// A machine from the cloud's list and when that list was received completely.
 #[derive(Debug)]
 struct ListedMachineEntry {
     machine: ListedMachine,
     listed_at: Timestamp,
 }
 
-/// What the planner knows about partitions and machines besides the records.
+/// What the planner knows about partitions and machines apart from their records.
 #[derive(Debug, Default)]
 pub(super) struct FleetInventory {
     statuses: HashMap<PartitionId, ReceivedStatus>,
     observed_terms: HashMap<PartitionId, ObservedTerm>,
     assignments: HashMap<MachineName, PartitionAssignment>,
     listed_machines: HashMap<MachineName, ListedMachineEntry>,
-    /// Machines that exist but lack a record, with the record that they are to get.
+    /// Machines that exist but have no record, with the record to be created for each.
     unregistered: BTreeMap<MachineName, MachineRecord>,
-    /// When each released machine's record was to be deleted.
+    /// When the deletion of each released machine's record was requested.
     deleted_at: HashMap<MachineName, Timestamp>,
 }
 
 impl FleetInventory {
-    /// Takes in a partition leader's status unless a later leader's is known.
+    /// Records the status of a partition, unless one from a leader with a higher term is known.
     fn record_status(&mut self, status: PartitionStatus, now: Timestamp) {
         let partition = PartitionId(status.partition);
         let is_current = self
@@ -112,26 +112,26 @@
         self.statuses.insert(partition, received);
     }
 
-    /// The status of a partition, if it is fresh.
-    pub(super) fn fresh_status(
+    /// The status of a partition, if it is recent.
+    pub(super) fn recent_status(
         &self,
         partition: PartitionId,
         now: Timestamp,
     ) -> Option<&PartitionStatus> {
         self.statuses
             .get(&partition)
-            .filter(|received| received.is_fresh(now))
+            .filter(|received| received.is_recent(now))
             .map(|received| &received.status)
     }
 
-    /// Notes a machine that lacks a record, unless it has been released.
+    /// Adds a machine that has no record, unless it has been deleted recently.
     pub(super) fn add_unregistered_machine(
         &mut self,
         machine: UnregisteredMachine<'_>,
         partition: PartitionId,
         now: Timestamp,
     ) {
-        // A machine that has just been released may still be in a late heartbeat or an old list.
+        // A delayed heartbeat or an old list may still mention a machine that has just been released.
         let is_deleted = self
             .deleted_at
             .get(machine.name)
@@ -150,7 +150,7 @@
         self.unregistered.insert(machine.name.clone(), record);
     }
 
-    /// Notes a machine that the cloud has just rented out for this partition.
+    /// Adds a machine that has just been rented for this partition.
     pub(super) fn add_rented_machine(
         &mut self,
         name: MachineName,
@@ -158,21 +158,21 @@
         partition: PartitionId,
         now: Timestamp,
     ) {
-        let residence = PartitionAssignment {
+        let assignment = PartitionAssignment {
             partition,
             since: now,
         };
-        self.assignments.insert(name.clone(), residence);
+        self.assignments.insert(name.clone(), assignment);
         self.unregistered
             .insert(name, rented_machine_record(request, partition));
     }
 
-    /// Notes that a machine's record is to be deleted since the cloud has released it.
+    /// Records that the cloud has released a machine, so that its record is to be deleted.
     pub(super) fn mark_deleted(&mut self, name: MachineName, now: Timestamp) {
         self.deleted_at.insert(name, now);
     }
 
-    /// Takes in a machine of a complete list of the cloud.
+    /// Records a machine from a complete list of the cloud.
     pub(super) fn record_listed_machine(
         &mut self,
         name: MachineName,
@@ -186,7 +186,7 @@
         self.listed_machines.insert(name, entry);
     }
 
-    /// Drops what was last listed or deleted long ago.
+    /// Forgets listed and deleted machines whose retention time has passed.
     pub(super) fn expire(&mut self, now: Timestamp) {
         self.listed_machines
             .retain(|_, entry| now.duration_since(entry.listed_at) < LISTED_MACHINE_RETENTION);
@@ -194,12 +194,12 @@
             .retain(|_, at| now.duration_since(*at) < DELETED_MACHINE_RETENTION);
     }
 
-    /// Forgets a machine whose record is gone.
+    /// Forgets the partition of a machine whose record has been deleted.
     pub(super) fn forget_machine(&mut self, name: &MachineName) {
         self.assignments.remove(name);
     }
 
-    /// Since when the machine is known to be in this partition.
+    /// Since when this planner has known that the machine belongs to this partition.
     fn assigned_since(
         &mut self,
         name: &MachineName,
@@ -210,32 +210,33 @@
             partition,
             since: now,
         };
-        let residence = self.assignments.entry(name.clone()).or_insert(current);
-        if residence.partition != partition {
-            *residence = current;
+        let assignment = self.assignments.entry(name.clone()).or_insert(current);
+        if assignment.partition != partition {
+            *assignment = current;
         }
-        residence.since
+        assignment.since
     }
 
-    /// The planner's view of a machine that has a record.
+    /// The planner's view of a machine that has a record. Details of its state come from the last status
+    /// of its partition, and its age from the cloud's list if that shows a higher one.
     fn registered_machine(
         &mut self,
         name: &MachineName,
         record: &MachineRecord,
         now: Timestamp,
     ) -> FleetMachine {
-        let resident_since = self.assigned_since(name, record.partition, now);
+        let assigned_since = self.assigned_since(name, record.partition, now);
         let led_since = self
             .observed_terms
             .get(&record.partition)
             .map(|observed| observed.since);
         let observable_since =
-            led_since.map_or(resident_since, |led_since| led_since.max(resident_since));
+            led_since.map_or(assigned_since, |led_since| led_since.max(assigned_since));
         let listed = self.listed_machines.get(name).map(|entry| &entry.machine);
         let listed_age = listed.map_or(Duration::ZERO, |machine| duration_from_secs(machine.age_s));
         let mut machine = FleetMachine {
             leaving: record.leaving,
-            age: listed_age.max(now.duration_since(resident_since)),
+            age: listed_age.max(now.duration_since(assigned_since)),
             observable_for: now.duration_since(observable_since),
             failed: listed.is_some_and(|machine| machine.state == MachineState::Failed),
             ..unobserved_machine(name.clone(), record)
@@ -247,7 +248,7 @@
                 machine.idle_for = Duration::from_millis(status.idle_ms);
                 machine.quarantined = status.quarantined;
                 machine.since_heartbeat = Duration::from_millis(status.since_heartbeat_ms);
-                machine.status_is_recent = received.is_fresh(now);
+                machine.status_is_recent = received.is_recent(now);
                 machine.transferable = status.transferable;
                 machine.best_effort = status.best_effort;
                 machine.transfer_to = status.transfer_to.map(PartitionId);
@@ -256,7 +257,8 @@
         machine
     }
 
-    /// All machines: those with a record, those that are to get one, and those being rented.
+    /// All machines: those with a record, those whose record is still to be created, and, under placeholder
+    /// names, those being rented.
     pub(super) fn fleet<'a>(
         &mut self,
         registered: &BTreeMap<MachineName, CachedMachine>,
@@ -286,7 +288,7 @@
     }
 }
 
-/// A machine about which neither its partition leader nor the cloud has said anything yet.
+/// A machine about which neither its partition leader nor the cloud has reported anything yet.
 fn unobserved_machine(name: MachineName, record: &MachineRecord) -> FleetMachine {
     FleetMachine {
         name,
@@ -311,13 +313,14 @@
 }
 
 impl Controller {
-    /// Takes in a partition leader's status of its partition.
+    /// Handles the status that a partition leader reports about its partition.
     pub(in crate::controller) fn handle_partition_status(&mut self, status: PartitionStatus) {
         self.fleet_planner.inventory.record_status(status, self.now);
     }
 
-    /// Takes in the demand that a leader without a mesh connection to the fleet planner has
-    /// written. Its machines are unknown then, so none is transferred or returned.
+    /// Handles the demand that a leader without a mesh connection to the fleet planner has written to the
+    /// state service. The status of its machines is unknown then, so none of them is transferred or
+    /// returned.
     pub(in crate::controller) fn handle_demand_record(
         &mut self,
         partition: PartitionId,
@@ -332,7 +335,7 @@
         });
     }
 
-    /// Requests records for machines that have none.
+    /// Requests the creation of records for machines that have none.
     pub(super) fn create_missing_machine_records(&mut self) {
         let registered = &self.cache.machines;
         let unregistered = &mut self.fleet_planner.inventory.unregistered;
--- a/crates/controller/src/controller/fleet_planner/machine_types.rs
+++ b/crates/controller/src/controller/fleet_planner/machine_types.rs
@@ -1,4 +1,4 @@
-//! Reads the cloud's machine types and keeps their record current.
+//! Reads the cloud's machine types and keeps their record in the state service up to date.
 
 use crate::controller::call_kind::{FleetCall, RecordCall};
 use crate::controller::{CallKind, Controller};
@@ -9,12 +9,13 @@
 use wire::cloud::{CloudRequest, MachineType, MachineTypes};
 use wire::state::{StateRequest, Transaction, Write};
 
-/// Time between two reads of the machine types while none are known.
-const FIRST_READ_INTERVAL: Duration = Duration::from_millis(400);
-/// Time between two reads of the machine types, whose prices change.
+/// Time between two reads of the machine types while none are recorded.
+const INITIAL_READ_INTERVAL: Duration = Duration::from_millis(400);
+/// Time between two reads of the machine types once they are recorded. They are read again because their
+/// prices change.
 const READ_INTERVAL: Duration = Duration::from_secs(60);
 
-/// Reads and writes of the machine types.
+/// State of the reads and writes of the machine types.
 #[derive(Debug, Default)]
 pub(super) struct MachineTypesReader {
     requested_at: Option<Timestamp>,
@@ -29,13 +30,14 @@
         self.latest.as_ref()
     }
 
-    /// Allows the next write of the record.
+    /// Ends the write of the record, so that the next one may begin.
     pub(super) fn finish_write(&mut self) {
         self.write_pending = false;
     }
 }
 
-/// The types without their prices, which change too often to be written each time.
+/// The machine types without their prices. A change of prices alone is not written, because prices change
+/// too often.
 fn without_prices(types: &MachineTypes) -> Vec<MachineType> {
     let mut types = types.types.clone();
     for machine_type in &mut types {
@@ -46,10 +48,10 @@
 }
 
 impl Controller {
-    /// Reads the machine types from the cloud if that is due.
+    /// Requests the machine types from the cloud if a read is due.
     pub(super) fn request_machine_types(&mut self) {
         let interval = if self.cache.machine_types.is_none() {
-            FIRST_READ_INTERVAL
+            INITIAL_READ_INTERVAL
         } else {
             READ_INTERVAL
         };
@@ -67,7 +69,7 @@
         }
     }
 
-    /// Takes in the machine types and writes their record if more than prices has changed.
+    /// Handles the machine types from the cloud, and writes their record if more than prices has changed.
     pub(super) fn handle_machine_types(&mut self, types: MachineTypes) {
         let recorded = self.cache.machine_types.as_ref();
         let is_changed =
@@ -90,7 +92,7 @@
         );
     }
 
-    /// Applies a change of the machine types' record to the partitions that this controller leads.
+    /// Applies a change of the recorded machine types to the partitions that this controller leads.
     pub(in crate::controller) fn handle_machine_types_record(&mut self) {
         let partitions: Vec<PartitionId> = self.leaderships.keys().copied().collect();
         for partition in partitions {
--- a/crates/controller/src/controller/fleet_planner/mod.rs
+++ b/crates/controller/src/controller/fleet_planner/mod.rs
@@ -1,11 +1,11 @@
-//! The fleet planner: the leader of the first partition, the only controller that rents and
-//! releases machines.
+//! The fleet planner rents machines from the cloud, distributes them to partitions and releases them. The
+//! leader of the first partition is the fleet planner; no other controller rents or releases machines.
 //!
-//! - [`inventory`]: the fleet as the planner knows it, from records, partition statuses and the
-//!   cloud's lists;
+//! - [`inventory`]: the fleet as the planner knows it from records, partition statuses and the cloud's
+//!   lists;
 //! - [`cloud_calls`]: calls to the cloud, their replies and their retries;
-//! - [`planning`]: makes plans and has them carried out;
-//! - [`machine_types`]: keeps the record of the cloud's machine types current.
+//! - [`planning`]: makes plans and carries them out;
+//! - [`machine_types`]: keeps the record of the cloud's machine types up to date.
 
 mod cloud_calls;
 mod inventory;
@@ -23,10 +23,11 @@
 use std::time::Duration;
 use wire::cloud::RentRequest;
 
-/// Time between two scans for machines that lack a record or are to be released.
+/// Time between two scans for machines that have no record or are to be released.
 const SCAN_INTERVAL: Duration = Duration::from_millis(50);
 
-/// The state of a fleet planner.
+/// The state of the fleet planner. Every controller has one, but only the leader of the first partition
+/// plans.
 #[derive(Debug)]
 pub(crate) struct FleetPlanner {
     inventory: FleetInventory,
@@ -37,7 +38,7 @@
 }
 
 impl FleetPlanner {
-    /// A planner that may make so many calls to the cloud per second.
+    /// Creates the state for a cloud with this limit of requests per second.
     pub(super) fn new(cloud_requests_per_s: f64) -> Self {
         FleetPlanner {
             inventory: FleetInventory::default(),
@@ -48,13 +49,14 @@
         }
     }
 
-    /// Records that a machine without a record exists, so that it gets one.
+    /// Adds a machine that exists but has no record, so that one is created for it.
     pub(super) fn record_unregistered_machine(
         &mut self,
         machine: UnregisteredMachine<'_>,
         now: Timestamp,
     ) {
-        // Which rental a machine belongs to is unknown until its reply arrives.
+        // Until the replies to rentals arrive, it is unknown which of them the machine belongs to. The
+        // oldest one is assumed.
         let partition = self
             .cloud
             .oldest_rental_partition()
@@ -63,20 +65,20 @@
             .add_unregistered_machine(machine, partition, now);
     }
 
-    /// Forgets a machine whose record is gone.
+    /// Forgets a machine whose record has been deleted.
     pub(super) fn forget_machine(&mut self, name: &MachineName) {
         self.inventory.forget_machine(name);
         self.cloud.forget_machine(name);
         self.planning.forget_machine(name);
     }
 
-    /// Notes that the write of the machine types has ended, whatever its outcome.
+    /// Ends the write of the machine types, whatever its outcome was.
     pub(super) fn finish_machine_types_write(&mut self) {
         self.machine_types.finish_write();
     }
 }
 
-/// The record of a machine rented by this request.
+/// The record to be created for a machine that this request rents.
 fn rented_machine_record(request: &RentRequest, partition: PartitionId) -> MachineRecord {
     MachineRecord {
         machine_type: request.machine_type.clone(),
@@ -89,12 +91,12 @@
 }
 
 impl Controller {
-    /// The current fleet planner, as far as the state cache shows.
+    /// The controller that is the fleet planner, according to the state cache.
     pub(super) fn fleet_planner_controller(&self) -> Option<ControllerName> {
         self.leader_of(FLEET_PLANNER_PARTITION)
     }
 
-    /// The leader of a partition, as far as the state cache shows.
+    /// The leader of a partition, according to the state cache.
     fn leader_of(&self, partition: PartitionId) -> Option<ControllerName> {
         self.cache
             .partitions
@@ -102,7 +104,7 @@
             .map(|partition| partition.record.leader.clone())
     }
 
-    /// Whether this controller is the fleet planner and its partition is loaded.
+    /// Whether this controller is the fleet planner, has loaded that partition and is not transferring it.
     fn is_fleet_planner(&self) -> bool {
         self.leaderships
             .get(&FLEET_PLANNER_PARTITION)
@@ -111,10 +113,10 @@
             })
     }
 
-    /// Does what is due for the fleet planner.
+    /// Runs the work of the fleet planner that is due, if this controller is the fleet planner.
     pub(super) fn run_fleet_planner(&mut self) {
         let is_fleet_planner = self.is_fleet_planner();
-        // Any controller may read the machine types while none are known.
+        // While no machine types are recorded, any controller may read them.
         if self.state_sync.is_synced() && (is_fleet_planner || self.cache.machine_types.is_none()) {
             self.request_machine_types();
         }
--- a/crates/controller/src/controller/fleet_planner/planning.rs
+++ b/crates/controller/src/controller/fleet_planner/planning.rs
@@ -1,4 +1,4 @@
-//! Makes plans of the fleet and has them carried out by the cloud and by partition leaders.
+//! Makes plans for the fleet and carries them out by requests to the cloud and to partition leaders.
 
 use crate::controller::Controller;
 use autoscaler::{FleetAction, Offer, PartitionNeed};
@@ -10,28 +10,28 @@
 
 /// Time between two plans.
 const PLAN_INTERVAL: Duration = Duration::from_millis(500);
-/// How long a partition leader has for giving up a machine before it is requested again.
+/// How long a partition leader has to give up a machine before it is requested to do so again.
 const RELEASE_REQUEST_INTERVAL: Duration = Duration::from_secs(2);
 
-/// When plans and their requests were made.
+/// When the last plan was made, and which requests of plans have been sent.
 #[derive(Debug, Default)]
 pub(super) struct PlanningState {
     last_plan_at: Timestamp,
-    /// When each machine's partition leader was last requested to give it up.
+    /// When the partition leader of each machine was last requested to give the machine up.
     release_requested_at: HashMap<MachineName, Timestamp>,
-    /// Rentals requested by this process, to name each of them.
+    /// Number of rentals that this process has requested. It makes their idempotency keys unique.
     rental_count: u64,
 }
 
 impl PlanningState {
-    /// Forgets a machine whose record is gone.
+    /// Forgets a machine whose record has been deleted.
     pub(super) fn forget_machine(&mut self, name: &MachineName) {
         self.release_requested_at.remove(name);
     }
 }
 
 impl Controller {
-    /// Plans the fleet and starts the planned actions if a plan is due.
+    /// Makes a plan for the fleet if one is due, and starts its actions.
     pub(super) fn plan_fleet(&mut self) {
         let now = self.now;
         let planning = &mut self.fleet_planner.planning;
@@ -60,7 +60,7 @@
         }
     }
 
-    /// The machine types as last read from the cloud, or else as recorded.
+    /// The machine types as this controller last read them from the cloud, or else as they are recorded.
     fn machine_types_with_prices(&self) -> Option<MachineTypes> {
         let recorded = self.cache.machine_types.as_ref().map(|types| &types.record);
         self.fleet_planner
@@ -70,13 +70,13 @@
             .cloned()
     }
 
-    /// The demand of each partition whose status is fresh.
+    /// The demand of each partition whose status is recent.
     fn partition_needs(&self) -> Vec<PartitionNeed> {
         (0..self.partition_count())
             .filter_map(|number| {
                 let partition = PartitionId(number);
                 let inventory = &self.fleet_planner.inventory;
-                let status = inventory.fresh_status(partition, self.now)?;
+                let status = inventory.recent_status(partition, self.now)?;
                 Some(PartitionNeed {
                     partition,
                     preferred_zone: self.preferred_zone(number),
@@ -106,7 +106,7 @@
                     return;
                 }
                 let request = RentRequest {
-                    idempotency_key: self.next_rental_id(),
+                    idempotency_key: self.next_rental_key(),
                     machine_type,
                     zone: zone.to_string(),
                     spot,
@@ -135,8 +135,9 @@
         }
     }
 
-    /// A name for a rental. The incarnation is random, so no name is ever used again.
-    fn next_rental_id(&mut self) -> String {
+    /// A new idempotency key for a rental. It contains this controller's incarnation, which is random, so
+    /// no key is used twice.
+    fn next_rental_key(&mut self) -> String {
         self.fleet_planner.planning.rental_count += 1;
         format!(
             "{}-{:x}-{}",
@@ -146,8 +147,8 @@
         )
     }
 
-    /// Requests a partition leader to give an idle machine up: to another partition, or else back
-    /// to the cloud.
+    /// Requests a partition leader to give up an idle machine: to the partition `to`, or to the cloud if
+    /// there is none.
     fn request_machine_release(&mut self, machine: &MachineName, to: Option<PartitionId>) {
         let now = self.now;
         let requested_at = &mut self.fleet_planner.planning.release_requested_at;
@@ -158,10 +159,10 @@
             return;
         }
         requested_at.insert(machine.clone(), now);
-        let Some(known) = self.cache.machines.get(machine) else {
+        let Some(cached) = self.cache.machines.get(machine) else {
             return;
         };
-        let Some(leader) = self.leader_of(known.record.partition) else {
+        let Some(leader) = self.leader_of(cached.record.partition) else {
             return;
         };
         let to = to.map(|partition| partition.0);
@@ -174,7 +175,7 @@
         }
     }
 
-    /// Requests a partition leader to transfer machines once they are empty.
+    /// Requests a partition leader to transfer machines to another partition once they are empty.
     fn request_machine_transfer(&mut self, from: PartitionId, message: MeshMessage) {
         let Some(leader) = self.leader_of(from) else {
             return;
