--- a/crates/controller/src/controller/admin.rs
+++ b/crates/controller/src/controller/admin.rs
@@ -1,4 +1,4 @@
-//! Operators' requests: the admin API's views, its metrics, and changes of settings.
+//! Operators' requests: the views and metrics of the admin API, and changes of the run-time settings.
 
 mod settings;
 mod views;
@@ -21,7 +21,7 @@
 };
 use wire::state::{StateReply, StateRequest, Transaction, Write};
 
-/// HTTP status codes of the answers.
+// HTTP status codes of replies.
 const OK: u16 = 200;
 const BAD_REQUEST: u16 = 400;
 const CONFLICT: u16 = 409;
@@ -30,9 +30,9 @@
 /// An operator's request.
 #[derive(Debug, Clone)]
 pub enum AdminRequest {
-    /// The settings and their version.
+    /// The run-time settings and their version.
     Settings,
-    /// Replaces the settings of this version.
+    /// Replaces the run-time settings, on condition that their version is still this one.
     ChangeSettings { version: u64, settings: Value },
     /// All partitions and their leaders.
     Partitions,
@@ -40,15 +40,15 @@
     Standby,
     /// All machines.
     Machines,
-    /// The scheduling queues.
+    /// The scheduling queues of the partitions that the controller leads.
     Queues,
-    /// Where a job stands, by its id.
+    /// The state of the job with this id, and why it waits.
     Job(String),
-    /// Numbers for the metrics page.
+    /// Counters and gauges for the metrics page.
     Metrics,
 }
 
-/// An answer to an operator.
+/// A reply to an operator.
 #[derive(Debug, Clone, PartialEq)]
 pub struct AdminReply {
     /// The HTTP status code.
@@ -74,7 +74,7 @@
 }
 
 impl Controller {
-    /// Answers an operator's request, or starts the change that it requests.
+    /// Answers an operator's request. A change of settings is answered once it has been written.
     pub(super) fn handle_admin_request(&mut self, ticket: Ticket, request: AdminRequest) {
         let reply = match request {
             AdminRequest::ChangeSettings { version, settings } => {
@@ -104,7 +104,7 @@
         self.effects.push(super::Effect::Admin { ticket, reply });
     }
 
-    /// Writes valid settings if their version is still current.
+    /// Checks settings and queues a write of them that is conditional on their version.
     fn change_settings(
         &mut self,
         ticket: Ticket,
@@ -125,9 +125,9 @@
         Ok(())
     }
 
-    /// Answers the operator whose change of settings was written.
+    /// Handles the reply to a write of settings and answers the operator who requested it.
     pub(super) fn handle_settings_reply(&mut self, ticket: Ticket, reply: StateReply) {
-        let answer = match reply {
+        let admin_reply = match reply {
             StateReply::Committed { revision } => {
                 AdminReply::ok(SettingsVersionView { version: revision })
             }
@@ -137,10 +137,10 @@
                 "the state service gave no answer; read the settings",
             ),
         };
-        self.reply_admin(ticket, answer);
+        self.reply_admin(ticket, admin_reply);
     }
 
-    /// Applies a change of the settings' record. Invalid settings change nothing.
+    /// Applies a change of the recorded settings. Invalid settings are ignored.
     pub(super) fn handle_settings_record(&mut self) {
         let tuning = match self.recorded_tuning() {
             Ok(tuning) => tuning,
@@ -159,12 +159,12 @@
         self.tuning = tuning;
     }
 
-    /// The settings that are recorded, or else the defaults.
+    /// The recorded settings, or the defaults if none are recorded.
     fn recorded_tuning(&self) -> Result<Tuning, SettingsError> {
-        let Some(current) = &self.cache.tuning else {
+        let Some(recorded) = &self.cache.tuning else {
             return Ok(Tuning::default());
         };
-        let record = TuningRecord::decode(&current.record)?;
+        let record = TuningRecord::decode(&recorded.record)?;
         Ok(Tuning::try_from(&record)?)
     }
 
@@ -176,12 +176,12 @@
         }
     }
 
-    /// The loaded state of a partition that this controller leads.
+    /// The state of a partition that this controller leads and has loaded.
     fn loaded_partition(&self, partition: PartitionId) -> Option<&PartitionState> {
         self.leaderships.get(&partition)?.partition_state()
     }
 
-    /// The loaded states of all partitions that this controller leads.
+    /// The states of all partitions that this controller leads and has loaded.
     fn loaded_partitions(&self) -> impl Iterator<Item = (PartitionId, &PartitionState)> {
         self.leaderships
             .iter()
@@ -196,8 +196,8 @@
     }
 
     fn partition_view(&self, id: PartitionId) -> PartitionView<'_> {
-        let leadership = self.cache.partitions.get(&id);
-        let record = leadership.map(|partition| &partition.record);
+        let cached = self.cache.partitions.get(&id);
+        let record = cached.map(|cached| &cached.record);
         let loaded = self.loaded_partition(id);
         PartitionView {
             partition: id.0,
@@ -214,29 +214,29 @@
             .cache
             .machines
             .iter()
-            .map(|(name, known)| {
-                let loaded = self
-                    .loaded_partition(known.record.partition)
+            .map(|(name, cached)| {
+                let machine = self
+                    .loaded_partition(cached.record.partition)
                     .and_then(|partition| partition.machines.get(name));
-                let last_heartbeat_at = loaded.and_then(|machine| machine.last_heartbeat_at);
+                let last_heartbeat_at = machine.and_then(|machine| machine.last_heartbeat_at);
                 MachineView {
                     machine: name,
-                    record: PackedMachine::new(name, &known.record),
+                    record: PackedMachine::new(name, &cached.record),
                     since_heartbeat_ms: last_heartbeat_at
                         .map(|at| self.now.duration_since(at).whole_millis()),
-                    tasks: loaded.map(|machine| {
+                    tasks: machine.map(|machine| {
                         let tasks = machine.tasks.iter();
                         tasks.map(|task| task.to_string()).collect()
                     }),
-                    quarantined: loaded.map(|machine| machine.quarantined),
-                    unreachable: loaded.map(|machine| machine.is_unreachable()),
+                    quarantined: machine.map(|machine| machine.quarantined),
+                    unreachable: machine.map(|machine| machine.is_unreachable()),
                 }
             })
             .collect();
         MachinesView { machines }
     }
 
-    /// Machines whose heartbeats arrive but which direct calls do not reach.
+    /// Number of machines that send heartbeats but cannot be reached by direct calls.
     fn unreachable_machine_count(&self) -> usize {
         self.loaded_partitions()
             .flat_map(|(_, partition)| partition.machines.values())
@@ -263,7 +263,7 @@
         QueuesView { queues }
     }
 
-    /// Numbers for the metrics page.
+    /// Counters and gauges for the metrics page.
     fn metrics_view(&self) -> MetricsView<'_> {
         let mut pending = BTreeMap::new();
         let mut incoming = BTreeMap::new();
--- a/crates/controller/src/controller/admin/settings.rs
+++ b/crates/controller/src/controller/admin/settings.rs
@@ -1,4 +1,4 @@
-//! The operators' settings: their stored form and its limits.
+//! The settings that operators change at run time: their stored form and the limits of each field.
 
 #[cfg(test)]
 mod tests;
@@ -15,7 +15,7 @@
 /// Why settings are refused.
 #[derive(Debug, thiserror::Error)]
 pub enum SettingsError {
-    /// They are not a settings object: the message names the unknown field or the wrong type.
+    /// They cannot be decoded. The message names the unknown field or the wrong type.
     #[error(transparent)]
     Malformed(#[from] serde_json::Error),
     /// A field is outside its limits.
@@ -49,63 +49,66 @@
     })
 }
 
-/// The operators' settings as they are stored and as the admin API shows them.
+/// The run-time settings as they are stored and as the admin API shows them.
 ///
-/// Every field is bounded so that none can loosen a safety rule: settings change when work is tried
-/// and what is rented, never what must be proven first.
+/// Fields that end in `_s` are in seconds. Every number has limits. No setting weakens a safety rule:
+/// settings determine when work is tried and which machines are rented, but never what must be verified
+/// before an action.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct TuningRecord {
-    /// Backoff of a queue entry after its first failure, in seconds.
+    /// Backoff of a queue entry after its first failure.
     pub initial_backoff_s: f64,
-    /// Longest backoff of a queue entry, in seconds.
+    /// Upper limit of a queue entry's backoff.
     pub max_backoff_s: f64,
-    /// How long an entry stays unschedulable before it is released without an event, in seconds.
+    /// How long an entry stays unschedulable before it is released without a move request.
     #[serde(rename = "leftover_s")]
     pub unschedulable_timeout_s: f64,
-    /// Lateness of a heartbeat, in seconds, after which a machine gets no new tasks.
+    /// How late a machine's heartbeat may be before the machine gets no new tasks.
     #[serde(rename = "silence_s")]
     pub heartbeat_grace_s: f64,
-    /// Tasks of one job array that are in the scheduling queue at a time.
+    /// Maximum number of tasks of one array or service that are in the scheduling queue at a time.
     #[serde(rename = "window")]
     pub max_queued_tasks_per_job: u32,
-    /// Failures without a success in between after which a machine is quarantined.
+    /// Number of failures without a success in between after which a machine is quarantined.
     #[serde(rename = "faulty_after")]
     pub quarantine_threshold: u32,
-    /// Whether tasks are preempted.
+    /// Whether tasks may be preempted for other work.
     pub preempt: bool,
-    /// Multiple of its own run time by which a job is deprioritised.
+    /// A job is deferred in the queue by its expected run time multiplied by this factor.
     #[serde(rename = "set_back")]
     pub size_penalty_factor: u64,
-    /// Whether replicas are consolidated on fewer machines.
+    /// Whether replicas of services are moved to fewer machines.
     #[serde(rename = "move_replicas")]
     pub consolidate_replicas: bool,
-    /// Tasks of arrays that find room within this time, in seconds, are no demand for machines.
+    /// Waiting array tasks that fit into what running tasks free within this time are no demand for
+    /// further machines.
     #[serde(rename = "absorb_s")]
     pub absorb_within_s: f64,
-    /// Further multiple of its remaining run time by which a job is deprioritised during overload.
+    /// During overload, a job is deferred further by the size penalty of its waiting tasks multiplied by
+    /// this factor.
     #[serde(rename = "short_set_back")]
     pub overload_penalty_factor: u64,
-    /// Time within which waiting array work should be finished, in seconds.
+    /// Time within which waiting array work should be finished.
     pub horizon_s: f64,
-    /// How long an ordinary machine may be idle before it is returned, in seconds.
+    /// How long a machine may be idle before it is returned.
     pub keep_idle_s: f64,
-    /// Minimum time billed for a machine, in seconds: younger machines are kept.
+    /// Minimum time that is billed for a machine: younger machines are not returned for being idle.
     #[serde(rename = "paid_s")]
     pub minimum_billing_s: f64,
-    /// Idle time after which a machine may be transferred to another partition, in seconds.
+    /// How long a machine must have been idle before it may be transferred to another partition.
     #[serde(rename = "shift_idle_s")]
     pub transfer_idle_s: f64,
     /// Maximum number of idle machines transferred by one plan.
     #[serde(rename = "shift_count")]
     pub max_idle_transfers: usize,
-    /// An empty machine that has not reported for so many seconds is returned.
+    /// A machine without tasks that has sent no heartbeat for this long is returned.
     #[serde(rename = "silent_s")]
     pub heartbeat_timeout_s: f64,
     /// A booting machine counts as capacity for its boot time multiplied by this factor.
     #[serde(rename = "boot_trust")]
     pub boot_capacity_factor: f64,
-    /// A machine that has not reported after its boot time multiplied by this factor is given up.
+    /// A machine that has sent no heartbeat after its boot time multiplied by this factor is given up.
     #[serde(rename = "boot_patience")]
     pub boot_timeout_factor: u64,
 }
@@ -148,12 +151,12 @@
 }
 
 impl TuningRecord {
-    /// Decodes settings; fields that are absent have their defaults.
+    /// Decodes settings. Absent fields get their defaults.
     pub fn decode(settings: &Value) -> Result<Self, serde_json::Error> {
         TuningRecord::deserialize(settings)
     }
 
-    /// Checks the limits of every field.
+    /// Checks that every number is within its limits.
     fn check(&self) -> Result<(), FieldOutOfBounds> {
         check_bounds("initial_backoff_s", self.initial_backoff_s, 0.01..=60.0)?;
         check_bounds(
@@ -199,7 +202,7 @@
 impl TryFrom<&TuningRecord> for Tuning {
     type Error = FieldOutOfBounds;
 
-    /// Checks every field; the error names the first that is outside its limits.
+    /// Checks all fields. The error names the first one that is outside its limits.
     fn try_from(record: &TuningRecord) -> Result<Self, FieldOutOfBounds> {
         record.check()?;
         Ok(Tuning {
--- a/crates/controller/src/controller/admin/views.rs
+++ b/crates/controller/src/controller/admin/views.rs
@@ -1,4 +1,4 @@
-//! Bodies of the admin API's answers. Their field names are part of the API.
+//! Bodies of the admin API's replies. The serialised field names are part of the API.
 
 use super::TuningRecord;
 use crate::records::PackedMachine;
@@ -12,14 +12,14 @@
     pub error: String,
 }
 
-/// The operators' settings and the version that a change must name.
+/// The run-time settings and their version, on which a change of them is conditional.
 #[derive(Debug, Serialize)]
 pub(super) struct SettingsView {
     pub version: u64,
     pub settings: TuningRecord,
 }
 
-/// The version of settings that have been changed.
+/// The version of the run-time settings after a change.
 #[derive(Debug, Serialize)]
 pub(super) struct SettingsVersionView {
     pub version: u64,
@@ -31,7 +31,7 @@
     pub partitions: Vec<PartitionView<'a>>,
 }
 
-/// A partition. Its machines and jobs are counted by its leader only.
+/// A partition. Only its leader knows the numbers of its machines and jobs.
 #[derive(Debug, Serialize)]
 pub(super) struct PartitionView<'a> {
     pub partition: u32,
@@ -50,7 +50,7 @@
     pub machines: Vec<MachineView<'a>>,
 }
 
-/// A machine. Only its partition leader knows more than the record.
+/// A machine. Only its partition leader knows more about it than the record shows.
 #[derive(Debug, Serialize)]
 pub(super) struct MachineView<'a> {
     pub machine: &'a MachineName,
@@ -74,13 +74,13 @@
 #[derive(Debug, Serialize)]
 pub(super) struct QueueView {
     pub partition: PartitionId,
-    /// Entries by kind of queue.
+    /// Number of entries by kind of queue.
     pub pending: BTreeMap<&'static str, usize>,
-    /// Tasks that no present machine has room for.
+    /// Number of waiting tasks for which the present machines have no capacity.
     pub demand: u64,
 }
 
-/// Where a job stands.
+/// The state of a job, and why it waits.
 #[derive(Debug, Serialize)]
 pub(super) struct JobView<'a> {
     pub id: &'a str,
@@ -88,22 +88,23 @@
     pub explanation: String,
 }
 
-/// Numbers for the metrics page.
+/// Counters and gauges for the metrics page.
 #[derive(Debug, Serialize)]
 pub(super) struct MetricsView<'a> {
-    /// Entries by kind of queue.
+    /// Number of entries by kind of queue.
     pub pending: BTreeMap<&'static str, u64>,
     pub incoming: Vec<IncomingView>,
+    /// Number of refused requests by cause.
     pub refusals: &'a BTreeMap<&'static str, u64>,
     pub counters: CountersView,
     pub gauges: GaugesView,
 }
 
-/// Entries that came into a kind of queue by an event: `[queue, event, count]`.
+/// Number of entries that an event has moved into a kind of queue: `[queue, event, count]`.
 #[derive(Debug, Serialize)]
 pub(super) struct IncomingView(pub &'static str, pub &'static str, pub u64);
 
-/// Events since the start of the process.
+/// Numbers of events since the start of the process.
 #[derive(Debug, Serialize)]
 pub(super) struct CountersView {
     #[serde(rename = "takeovers")]
@@ -127,7 +128,7 @@
     pub cloud_refused: u64,
 }
 
-/// Present values.
+/// Current values.
 #[derive(Debug, Serialize)]
 pub(super) struct GaugesView {
     pub open_jobs: usize,
@@ -140,6 +141,6 @@
     pub unreachable_machines: usize,
     #[serde(rename = "answers_left_s")]
     pub remaining_lease_validity_s: f64,
-    /// 1 while the last read of the state service is too old for launches.
+    /// 1 while the last read of the state service is too old for launches, otherwise 0.
     pub without_state: u64,
 }
