--- a/crates/failover/src/assign.rs
+++ b/crates/failover/src/assign.rs
@@ -1,4 +1,4 @@
-//! Assignment of standbys: every controller computes the same one from the same inputs.
+//! Assignment of a standby to each partition. Controllers with the same inputs compute the same assignment.
 
 use model::{ControllerName, PartitionId};
 use std::collections::BTreeMap;
@@ -8,13 +8,14 @@
 /// Load of being the standby of a partition.
 const STANDBY_WEIGHT: usize = 1;
 
-/// One standby for each partition that has a leader, as long as another controller is live.
+/// Assigns a standby to each partition that has a leader, if another controller is live.
 ///
-/// `controllers` are all controllers in the order of the settings; `is_live` says which could acquire
-/// a partition. The standby of a partition is the controller with the lowest load so far; among
-/// equals, the next one after the leader in the order of the settings. So with every partition at its
-/// preferred leader each controller is the standby of its neighbour, and the partitions of a
-/// controller that crashes are spread as evenly as possible.
+/// `controllers` are all controllers, in the same order on each of them. `is_live` tells which of them
+/// could acquire a partition. Partitions are assigned in turn, each to the live controller with the lowest
+/// load so far. Among controllers with equal load, the next one after the leader in the order of
+/// `controllers` is chosen. So, while each partition is led by its preferred leader, each controller is the
+/// standby of its neighbour's partition, and the partitions of a controller that crashes are spread as
+/// evenly as possible.
 pub fn assign_standbys(
     controllers: &[ControllerName],
     is_live: impl Fn(&ControllerName) -> bool,
@@ -26,13 +27,13 @@
     }
     let mut standbys = BTreeMap::new();
     for (partition, leader) in leaders {
-        let position = controllers
+        let leader_index = controllers
             .iter()
             .position(|controller| controller == leader)
             .unwrap_or(0);
-        let others =
-            (1..controllers.len()).map(|step| &controllers[(position + step) % controllers.len()]);
-        // `min_by_key` gives the first of equals.
+        let others = (1..controllers.len())
+            .map(|step| &controllers[(leader_index + step) % controllers.len()]);
+        // `min_by_key` returns the first of several minimums.
         let least_loaded = others
             .filter(|controller| *controller != leader && is_live(controller))
             .min_by_key(|controller| loads.get(controller).copied().unwrap_or(0));
--- a/crates/failover/src/lib.rs
+++ b/crates/failover/src/lib.rs
@@ -1,14 +1,17 @@
-//! Failover of partitions: replication of the leader's soft state to a standby, detection of a crash,
-//! and the checks of a new leader.
+//! Failover of partitions: replication of a leader's soft state to standbys, detection of crashed leaders,
+//! and the checks that a new leader makes.
 //!
-//! The crate decides without I/O: time and messages in, messages and decisions out. Soft state is
-//! replicated in *records*, which the partition leader sends over the mesh ([`ReplicationStream`], [`Replicas`]). They
-//! may be lost, late or wrong: they decide which machines are probed first, and prove nothing.
-//! Durable state is read from the state service by the controller that acquires the partition.
+//! The crate does no I/O: its inputs are times and messages, its outputs messages and decisions. Soft state
+//! is replicated as *records*, which a partition leader sends to its subscribers over the mesh
+//! ([`ReplicationStream`], [`Replicas`]). Records may be lost, late or wrong. They determine, for example,
+//! which machines are probed first, but they prove nothing. Durable state is read from the state service by
+//! the controller that acquires the partition.
 //!
-//! [`failure_detector`] suspects a leader whose record still stands, [`readiness`] is what a new
-//! leader checks before its first decision, [`assign_standbys`] chooses the standby of each partition.
-//! `docs/failover.md` compares the alternatives and argues why no rule depends on any of it.
+//! - [`failure_detector`] detects a crashed leader while its partition record still exists;
+//! - [`readiness`] holds the checks that a new leader makes before its first decision;
+//! - [`assign_standbys`] assigns a standby to each partition.
+//!
+//! `docs/failover.md` compares the alternatives and argues why no safety rule depends on this crate.
 
 #![warn(missing_docs)]
 
--- a/crates/failover/src/replica.rs
+++ b/crates/failover/src/replica.rs
@@ -1,9 +1,9 @@
-//! The subscriber's side of replication: replicas of what leaders report about their partitions.
+//! The subscriber's side of replication: replicas of the soft state of other leaders' partitions.
 //!
-//! A batch that leaves a gap after what the replica has applied is not used: the missing changes are
-//! requested. A batch of another term or incarnation than the replica's source is not used at all.
-//! After a change of leader the replica starts from 0, but keeps the former leader's records until
-//! the first batch of the new one.
+//! If a batch begins after a gap in the changes that the replica has applied, it is dropped and the missing
+//! changes are requested. A batch from another leader, incarnation or term than that of the replica's source
+//! is ignored. When the source changes, the replica requests all changes from 0, but keeps the former
+//! leader's records until the first batch of the new one arrives.
 
 use model::{ControllerName, MachineName, PartitionId, Timestamp};
 use std::collections::BTreeMap;
@@ -13,16 +13,17 @@
     ReplicationKey,
 };
 
-/// Time between two renewals of a subscription.
+/// Minimum time between two renewals of a subscription.
 const SUBSCRIPTION_RENEWAL_INTERVAL: Duration = Duration::from_secs(1);
-/// A replica that has not been updated for longer is not in sync.
+/// A replica whose last update is older than this is not in sync.
 const MAX_UPDATE_AGE: Duration = Duration::from_millis(1_600);
-/// How long a replica is kept whose partition has no leader, or one this controller does not subscribe to.
+/// How long a replica is kept after this controller has stopped subscribing to the partition or the partition
+/// has lost its leader.
 const UNWANTED_REPLICA_RETENTION: Duration = Duration::from_secs(30);
-/// Maximum number of records kept for one partition.
+/// Maximum number of records in the replica of one partition.
 const MAX_RECORDS: usize = 20_000;
 
-/// The leader that a replica subscribes to.
+/// The leader whose replication stream a replica subscribes to.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ReplicationSource {
     /// Name of the leader.
@@ -33,44 +34,44 @@
     pub term: u64,
 }
 
-/// A machine as its partition leader reports it.
+/// A machine as its partition leader last reported it.
 #[derive(Debug)]
 pub struct ReplicatedMachine {
     /// The last record of the machine.
     pub snapshot: MachineSnapshot,
-    /// Since when it has been idle, by the clock of this controller.
+    /// Since when the machine has been idle, on the clock of this controller; `None` if it is not idle.
     pub idle_since: Option<Timestamp>,
 }
 
 /// How far a replica is behind its source.
 #[derive(Debug, Clone, Copy)]
 pub struct ReplicationLag {
-    /// Changes that it lacks.
+    /// Number of changes that the replica lacks.
     pub changes: u64,
-    /// Since when this source is subscribed to.
+    /// Since when this controller has subscribed to the source.
     pub subscribed_since: Timestamp,
     /// When the last batch was applied.
     pub updated_at: Option<Timestamp>,
 }
 
-/// What a partition leader has reported about its partition.
+/// The soft state of a partition as its leader has replicated it.
 #[derive(Debug)]
 pub struct PartitionReplica {
     source: ReplicationSource,
-    /// Changes up to this number have been applied.
+    /// Sequence number up to which all changes have been applied.
     applied_up_to: u64,
-    /// The last change that the source has announced.
+    /// Sequence number of the newest change that the source has announced.
     newest_announced: u64,
     subscribed_since: Timestamp,
     updated_at: Option<Timestamp>,
-    /// When the replica was last among the wanted ones.
+    /// When this controller last wanted to replicate the partition.
     last_wanted_at: Timestamp,
     renewed_at: Option<Timestamp>,
-    /// Nothing was missing after the last update.
+    /// Whether no change was missing after the last update.
     complete: bool,
     /// Machines of the partition by name.
     pub machines: BTreeMap<MachineName, ReplicatedMachine>,
-    /// Failures of jobs by number of the job.
+    /// Failures of jobs, by the number of the job.
     pub job_failures: BTreeMap<u64, JobFailureSnapshot>,
 }
 
@@ -90,12 +91,12 @@
         }
     }
 
-    /// The leader that the replica follows.
+    /// The leader that the replica subscribes to.
     pub fn source(&self) -> &ReplicationSource {
         &self.source
     }
 
-    /// Whether nothing that its source had announced was missing after the last update.
+    /// Whether the replica had all changes that its source had announced, after its last update.
     pub fn is_complete(&self) -> bool {
         self.complete
     }
@@ -117,7 +118,8 @@
             .count()
     }
 
-    /// A message that starts or renews the subscription after what has been applied.
+    /// Returns the message that starts or renews the subscription after the changes applied so far, and records
+    /// the renewal.
     fn subscribe_message(&mut self, partition: PartitionId, now: Timestamp) -> MeshMessage {
         self.renewed_at = Some(now);
         let ReplicationSource {
@@ -131,12 +133,13 @@
         }
     }
 
+    /// Applies a record that the leader sent at `sent_at` on its clock. A full replica takes no new entries.
     fn apply(&mut self, record: ReplicatedRecord, sent_at: Timestamp, now: Timestamp) {
-        let full = self.machines.len() + self.job_failures.len() >= MAX_RECORDS;
+        let is_full = self.machines.len() + self.job_failures.len() >= MAX_RECORDS;
         match record {
             ReplicatedRecord::Machine(snapshot) => {
                 let name = MachineName::from(snapshot.machine.as_str());
-                if !full || self.machines.contains_key(&name) {
+                if !is_full || self.machines.contains_key(&name) {
                     let machine = ReplicatedMachine {
                         idle_since: idle_since(&snapshot, sent_at, now),
                         snapshot,
@@ -145,7 +148,7 @@
                 }
             }
             ReplicatedRecord::Job(snapshot) => {
-                if !full || self.job_failures.contains_key(&snapshot.job) {
+                if !is_full || self.job_failures.contains_key(&snapshot.job) {
                     self.job_failures.insert(snapshot.job, snapshot);
                 }
             }
@@ -158,7 +161,7 @@
         }
     }
 
-    /// Removes all records, to start from 0.
+    /// Removes all records, so that changes can be applied from 0.
     fn reset(&mut self) {
         self.machines.clear();
         self.job_failures.clear();
@@ -166,8 +169,8 @@
     }
 }
 
-/// Since when a machine has been idle, by the clock of this controller. The clocks of controllers
-/// differ, so the time for which it had been idle when the record was sent counts.
+/// Since when a machine has been idle, on the clock of this controller. The clocks of controllers differ, so
+/// the result is computed from how long the machine had been idle when the record was sent.
 fn idle_since(snapshot: &MachineSnapshot, sent_at: Timestamp, now: Timestamp) -> Option<Timestamp> {
     let idle_since_ms = snapshot.idle_since_ms?;
     let idle_for = sent_at.as_millis() - idle_since_ms.min(sent_at.as_millis());
@@ -183,7 +186,8 @@
 }
 
 impl Replicas {
-    /// Makes the subscriptions match the wanted ones; returns what to send to which leader.
+    /// Makes the subscriptions match `wanted`, and drops replicas that have been unwanted for too long.
+    /// Returns the messages to be sent, each with the leader that it is for.
     pub fn subscribe(
         &mut self,
         wanted: &BTreeMap<PartitionId, ReplicationSource>,
@@ -218,7 +222,8 @@
         messages
     }
 
-    /// Applies a batch; returns the request for what is missing, if there is a gap.
+    /// Applies a batch from `from`. If changes before it are missing or it is inconsistent, it is not applied
+    /// and the message that requests the missing changes is returned.
     pub fn apply(
         &mut self,
         from: &ControllerName,
@@ -240,14 +245,14 @@
             return Some(replica.subscribe_message(partition, now));
         }
         if replica.applied_up_to == 0 || replica.applied_up_to < batch.tombstones_dropped_up_to {
-            // The records of a former leader are no longer valid; neither are those of the replica if
-            // tombstones that it lacks have been dropped.
+            // The replica has to start from 0 if it still has the records of a former leader, or if it lacks
+            // tombstones that have been dropped: it would keep records that were removed.
             if batch.after != 0 {
                 return Some(replica.subscribe_message(partition, now));
             }
             replica.reset();
         } else if batch.up_to < replica.applied_up_to {
-            // It was sent before a batch that has been applied, and may be outdated.
+            // The batch was sent before one that has been applied, so its records may be outdated.
             return None;
         }
         for record in batch.records {
@@ -270,7 +275,8 @@
         self.by_partition.iter()
     }
 
-    /// Whether a failover could continue now with all soft state of the leader.
+    /// Whether the replica of a partition is complete and recent, so that a failover now would lose none of
+    /// the leader's soft state.
     pub fn is_in_sync(&self, partition: PartitionId, now: Timestamp) -> bool {
         self.by_partition.get(&partition).is_some_and(|replica| {
             replica.complete
--- a/crates/failover/src/stream.rs
+++ b/crates/failover/src/stream.rs
@@ -1,42 +1,46 @@
-//! The leader's side of replication: records, numbered by their last change, sent to subscribers.
+//! The leader's side of replication: a stream of changed records to subscribers.
 //!
-//! Each change of a record gets the next sequence number. A batch holds the records that changed after
-//! one number up to another, so a subscriber that has missed something requests what it lacks, and
-//! a new one starts from 0. The size of a batch, the batches of a send and the rate of sends are
-//! bounded: a record that changed twice in the meantime is sent once.
+//! Each change of a record gets the next sequence number. A batch contains the records whose last change
+//! lies in a range of sequence numbers. So a subscriber that has missed changes can request what it lacks,
+//! and a new subscriber starts from 0. The size of a batch, the number of batches in one send and the rate
+//! of sends are limited. A record that changes twice between two sends is sent once.
 
 use model::{ControllerName, Timestamp};
 use std::collections::BTreeMap;
 use std::time::Duration;
 use wire::mesh::{ReplicatedRecord, ReplicationBatch, ReplicationKey};
 
-/// Approximate limit on the bytes of records in one batch.
+/// Approximate maximum size of the records in one batch.
 const MAX_BATCH_BYTES: usize = 16 * 1024;
-/// Batches that one subscriber is sent at a time: a copy of 8,000 machines takes 4 s.
+/// Maximum number of batches in one send to a subscriber. With this limit a full copy of 8,000 machines takes
+/// 4 s.
 const MAX_BATCHES_PER_SEND: usize = 16;
-/// Time between two sends of changes to one subscriber.
+/// Minimum time between two sends of changes to one subscriber.
 const MIN_SEND_INTERVAL: Duration = Duration::from_millis(250);
-/// A subscriber without pending changes is sent an empty batch this often.
+/// Time between two empty batches to a subscriber without pending changes.
 const KEEPALIVE_INTERVAL: Duration = Duration::from_millis(500);
 /// A subscription that has not been renewed for this long ends.
 const SUBSCRIPTION_TIMEOUT: Duration = Duration::from_secs(4);
-/// Tombstones that are kept; a subscriber that lacks dropped ones starts from 0. As many as the
-/// machines of a large site, so that the loss of a zone drops none that have not been sent yet.
+/// Maximum number of tombstones that are kept. A subscriber that lacks a dropped one starts from 0. The
+/// maximum is the number of machines of a large site, so that the loss of a zone drops no tombstones that have
+/// not been sent yet.
 const MAX_TOMBSTONES: usize = 8_000;
 
+/// A record, or the tombstone of a removed one.
 #[derive(Debug)]
 struct Entry {
-    /// Sequence number of its last change.
+    /// Sequence number of the last change.
     sequence: u64,
-    /// None is a tombstone: the record was removed, which subscribers must learn too.
+    /// `None` for a tombstone, which tells subscribers that the record was removed.
     record: Option<ReplicatedRecord>,
-    /// The last update that contained the record.
+    /// Number of the last update that contained the record.
     last_update: u64,
 }
 
+/// A controller that subscribes to the stream.
 #[derive(Debug)]
 struct Subscriber {
-    /// It has been sent all changes up to this number.
+    /// Sequence number up to which all changes have been sent to it.
     sent_up_to: u64,
     renewed_at: Timestamp,
     sent_at: Option<Timestamp>,
@@ -50,53 +54,57 @@
     /// Number of updates so far.
     update_count: u64,
     entries: BTreeMap<ReplicationKey, Entry>,
+    /// Keys of the entries by the sequence number of their last change.
     by_sequence: BTreeMap<u64, ReplicationKey>,
     tombstone_count: usize,
-    /// Tombstones up to this number have been dropped.
+    /// Sequence number of the last tombstone that was dropped.
     tombstones_dropped_up_to: u64,
     subscribers: BTreeMap<ControllerName, Subscriber>,
 }
 
 impl ReplicationStream {
-    /// Starts or renews the subscription of a controller that has applied all changes up to `applied`.
-    pub fn subscribe(&mut self, node: &ControllerName, applied: u64, now: Timestamp) {
+    /// Starts or renews the subscription of a controller that has applied all changes up to `applied_up_to`.
+    pub fn subscribe(&mut self, name: &ControllerName, applied_up_to: u64, now: Timestamp) {
         // A controller that lacks dropped tombstones has to start from 0.
-        let applied = if applied < self.tombstones_dropped_up_to {
+        let send_after = if applied_up_to < self.tombstones_dropped_up_to {
             0
         } else {
-            applied.min(self.last_sequence)
+            applied_up_to.min(self.last_sequence)
         };
-        match self.subscribers.get_mut(node) {
+        match self.subscribers.get_mut(name) {
             Some(subscriber) => {
                 subscriber.renewed_at = now;
-                subscriber.sent_up_to = subscriber.sent_up_to.min(applied);
+                subscriber.sent_up_to = subscriber.sent_up_to.min(send_after);
             }
             None => {
                 let subscriber = Subscriber {
-                    sent_up_to: applied,
+                    sent_up_to: send_after,
                     renewed_at: now,
                     sent_at: None,
                 };
-                self.subscribers.insert(node.clone(), subscriber);
+                self.subscribers.insert(name.clone(), subscriber);
             }
         }
     }
 
-    /// Whether there are subscribers: otherwise the records need not be collected.
+    /// Ends subscriptions that have timed out, and returns whether any are left. If not, the records need not
+    /// be collected.
     pub fn has_subscribers(&mut self, now: Timestamp) -> bool {
-        self.subscribers
-            .retain(|_, s| now.duration_since(s.renewed_at) < SUBSCRIPTION_TIMEOUT);
+        self.subscribers.retain(|_, subscriber| {
+            now.duration_since(subscriber.renewed_at) < SUBSCRIPTION_TIMEOUT
+        });
         !self.subscribers.is_empty()
     }
 
-    /// Subscribers, and how many changes each has still to be sent.
+    /// The subscribers, each with the number of changes that have not been sent to it yet.
     pub fn subscribers(&self) -> impl Iterator<Item = (&ControllerName, u64)> {
         self.subscribers
             .iter()
             .map(|(name, subscriber)| (name, self.last_sequence - subscriber.sent_up_to))
     }
 
-    /// Compares all current records with those known: each difference gets a new sequence number.
+    /// Replaces the records of the stream by `records`, which are all current ones. Each difference is a change
+    /// with a new sequence number.
     pub fn update(&mut self, records: impl IntoIterator<Item = ReplicatedRecord>) {
         self.update_count += 1;
         for record in records {
@@ -154,8 +162,8 @@
         self.tombstones_dropped_up_to = sequence;
     }
 
-    /// The batches that are due, each with its subscriber. `header` gives the fields that do not
-    /// depend on the subscriber.
+    /// Returns the batches that are due, each with its subscriber, and records them as sent. `header` holds the
+    /// fields that are the same for all subscribers.
     pub fn due_batches(
         &mut self,
         header: &ReplicationBatch,
@@ -185,17 +193,18 @@
         batches
     }
 
-    /// Consecutive batches after a sequence number, as many as one send takes; at least one.
+    /// Consecutive batches of the changes after a sequence number: as many as one send may have, and at least
+    /// one, which may be empty.
     fn batches_after(&self, after: u64, header: &ReplicationBatch) -> Vec<ReplicationBatch> {
         let mut batches = vec![self.batch_after(after, header)];
         while batches.len() < MAX_BATCHES_PER_SEND {
-            let Some(sent) = batches.last().map(|batch| batch.up_to) else {
+            let Some(up_to) = batches.last().map(|batch| batch.up_to) else {
                 break;
             };
-            if sent >= self.last_sequence {
+            if up_to >= self.last_sequence {
                 break;
             }
-            batches.push(self.batch_after(sent, header));
+            batches.push(self.batch_after(up_to, header));
         }
         batches
     }
@@ -212,7 +221,7 @@
             .is_none_or(|at| now.duration_since(at) >= interval)
     }
 
-    /// The changes after a sequence number, as many as fit into one batch.
+    /// A batch of the changes after a sequence number, as many as fit into it.
     fn batch_after(&self, after: u64, header: &ReplicationBatch) -> ReplicationBatch {
         let (mut up_to, mut bytes, mut records) = (self.last_sequence, 0, Vec::new());
         for (sequence, key) in self.by_sequence.range(after + 1..) {
--- a/crates/failover/tests/api_names.rs
+++ b/crates/failover/tests/api_names.rs
@@ -1,4 +1,4 @@
-//! Names of blockers and checks in the admin API.
+//! Names of failover blockers and readiness checks in the admin API.
 
 use failover::failure_detector::FailoverBlocker;
 use failover::readiness::ReadinessCheck;
--- a/crates/failover/tests/failure_detector.rs
+++ b/crates/failover/tests/failure_detector.rs
@@ -1,4 +1,4 @@
-//! When a partition is taken over from a leader whose record still stands.
+//! Early failover of a partition whose leader's record still exists.
 
 use failover::failure_detector::{
     Evidence, FailoverBlocker, FailureDetector, HEARTBEAT_TIMEOUT, WORKER_EVIDENCE_VALIDITY,
@@ -7,14 +7,15 @@
 use model::{MachineName, PartitionId, Timestamp};
 use std::time::Duration;
 
-const P: PartitionId = PartitionId(1);
+const PARTITION: PartitionId = PartitionId(1);
 
-/// All evidence of a leader that has crashed.
-fn crashed() -> (FailureDetector, Evidence) {
+/// A detector and evidence that agree on the crash of a leader.
+fn evidence_of_crash() -> (FailureDetector, Evidence) {
     let now = Timestamp::from_millis(100_000);
     let mut detector = FailureDetector::default();
-    for n in 0..8 {
-        detector.record_worker_contact(P, &MachineName::from(format!("host-{n}").as_str()), now);
+    for number in 0..8 {
+        let machine = MachineName::from(format!("host-{number}").as_str());
+        detector.record_worker_contact(PARTITION, &machine, now);
     }
     let evidence = Evidence {
         now,
@@ -31,30 +32,30 @@
 }
 
 #[test]
-fn agreeing_evidence_suffices() {
-    let (detector, evidence) = crashed();
-    assert_eq!(detector.failover_blockers(P, &evidence), []);
-    let alone = Evidence {
+fn agreeing_evidence_allows_failover() {
+    let (detector, evidence) = evidence_of_crash();
+    assert_eq!(detector.failover_blockers(PARTITION, &evidence), []);
+    let without_peers = Evidence {
         peer_heartbeat_age: None,
         ..evidence
     };
     assert_eq!(
-        detector.failover_blockers(P, &alone),
+        detector.failover_blockers(PARTITION, &without_peers),
         [],
-        "no other node is alive"
+        "no other controller is alive to report a heartbeat"
     );
 }
 
 #[test]
 fn each_blocker_alone_prevents_failover() {
-    let (mut detector, evidence) = crashed();
+    let (mut detector, evidence) = evidence_of_crash();
     let now = evidence.now;
-    let just = Some(Timestamp::from_millis(now.as_millis() - 900));
+    let recent_heartbeat = Some(Timestamp::from_millis(now.as_millis() - 900));
     let old_read = Some(Timestamp::from_millis(now.as_millis() - 2_000));
     let cases = [
         (
             Evidence {
-                last_heartbeat_at: just,
+                last_heartbeat_at: recent_heartbeat,
                 ..evidence
             },
             FailoverBlocker::LeaderAlive,
@@ -110,7 +111,7 @@
         ),
     ];
     for (evidence, blocker) in cases {
-        assert_eq!(detector.failover_blockers(P, &evidence), [blocker]);
+        assert_eq!(detector.failover_blockers(PARTITION, &evidence), [blocker]);
     }
     let later = Evidence {
         now: now + WORKER_EVIDENCE_VALIDITY + Duration::from_millis(1),
@@ -118,13 +119,13 @@
         ..evidence
     };
     assert_eq!(
-        detector.failover_blockers(P, &later),
+        detector.failover_blockers(PARTITION, &later),
         [FailoverBlocker::WorkersStayWithLeader],
         "the workers' contacts are too old"
     );
-    detector.record_false_suspicion(P, now);
+    detector.record_false_suspicion(PARTITION, now);
     assert_eq!(
-        detector.failover_blockers(P, &evidence),
+        detector.failover_blockers(PARTITION, &evidence),
         [FailoverBlocker::RecentFalseSuspicion]
     );
 }
--- a/crates/failover/tests/readiness.rs
+++ b/crates/failover/tests/readiness.rs
@@ -1,11 +1,11 @@
-//! What keeps a new partition leader from deciding.
+//! Checks that a new partition leader must pass before it makes decisions.
 
 use failover::readiness::{failed_checks, LeadershipFacts, ReadinessCheck};
 use model::{FencingToken, Revision, Version};
 
 #[test]
-fn each_failed_check_alone_keeps_a_leader_from_deciding() {
-    let sound = LeadershipFacts {
+fn each_missing_precondition_fails_exactly_its_check() {
+    let ready = LeadershipFacts {
         cached_version: Some(Version(70)),
         leadership_version: Version(70),
         term: FencingToken(8),
@@ -16,68 +16,68 @@
         is_contested_or_transferring: false,
         has_recent_state_read: true,
     };
-    assert_eq!(failed_checks(&sound), []);
+    assert_eq!(failed_checks(&ready), []);
     let cases = [
         (
             LeadershipFacts {
                 cached_version: None,
-                ..sound
+                ..ready
             },
             ReadinessCheck::OwnRecord,
         ),
         (
             LeadershipFacts {
                 cached_version: Some(Version(69)),
-                ..sound
+                ..ready
             },
             ReadinessCheck::OwnRecord,
         ),
         (
             LeadershipFacts {
                 next_token: FencingToken(8),
-                ..sound
+                ..ready
             },
             ReadinessCheck::TermGivenOut,
         ),
         (
             LeadershipFacts {
                 cache_revision: Revision(69),
-                ..sound
+                ..ready
             },
             ReadinessCheck::MirrorReached,
         ),
         (
             LeadershipFacts {
                 log_revision: None,
-                ..sound
+                ..ready
             },
             ReadinessCheck::LedgerRead,
         ),
         (
             LeadershipFacts {
                 log_revision: Some(Revision(69)),
-                ..sound
+                ..ready
             },
             ReadinessCheck::LedgerRead,
         ),
         (
             LeadershipFacts {
                 unreadable_pages: 1,
-                ..sound
+                ..ready
             },
             ReadinessCheck::PagesSound,
         ),
         (
             LeadershipFacts {
                 is_contested_or_transferring: true,
-                ..sound
+                ..ready
             },
             ReadinessCheck::Unrivalled,
         ),
         (
             LeadershipFacts {
                 has_recent_state_read: false,
-                ..sound
+                ..ready
             },
             ReadinessCheck::Contact,
         ),
--- a/crates/failover/tests/stream.rs
+++ b/crates/failover/tests/stream.rs
@@ -1,5 +1,5 @@
-//! Seeded runs of one leader and its subscribers over a mesh that loses, repeats and delays: after each
-//! step a copy shows nothing that its source never sent, and once the mesh is well it is equal.
+//! Replication between a leader and a subscriber: seeded runs over a mesh that loses, duplicates and delays
+//! messages, and batches from other sources than the one subscribed to.
 
 use failover::{Replicas, ReplicationSource, ReplicationStream};
 use model::{ControllerName, MachineName, PartitionId, Timestamp};
@@ -10,25 +10,29 @@
     JobFailureSnapshot, MachineSnapshot, MeshMessage, ReplicatedRecord, ReplicationBatch,
 };
 
-const P: PartitionId = PartitionId(2);
+const PARTITION: PartitionId = PartitionId(2);
 
-fn machine(n: u32, session: u64) -> ReplicatedRecord {
+fn machine_name(number: u32) -> String {
+    format!("host-{number:04}")
+}
+
+fn machine_record(number: u32, worker_epoch: u64) -> ReplicatedRecord {
     ReplicatedRecord::Machine(MachineSnapshot {
-        machine: format!("host-{n:04}"),
-        address: format!("10.0.0.{n}:9000"),
-        worker_epoch: session,
-        reporting: !session.is_multiple_of(3),
+        machine: machine_name(number),
+        address: format!("10.0.0.{number}:9000"),
+        worker_epoch,
+        reporting: !worker_epoch.is_multiple_of(3),
         quarantined: false,
         idle_since_ms: None,
-        images: vec![(format!("img-{}", session % 4), 1.5)],
+        images: vec![(format!("img-{}", worker_epoch % 4), 1.5)],
     })
 }
 
-fn job(n: u64, failures: u32) -> ReplicatedRecord {
+fn job_record(number: u64, failures: u32) -> ReplicatedRecord {
     let failed_on = vec!["host-0001".to_owned()];
     let (successes, longest_failure_ms) = (0, 900);
     ReplicatedRecord::Job(JobFailureSnapshot {
-        job: n,
+        job: number,
         failures: vec![(0, failures)],
         failed_on,
         successes,
@@ -36,46 +40,55 @@
     })
 }
 
-/// The leader's side: its incarnation and its current records.
-struct Holder {
+/// One incarnation of the leader and its current records.
+struct Leader {
     stream: ReplicationStream,
     incarnation: u64,
-    truth: BTreeMap<u32, u64>,
-    jobs: BTreeMap<u64, u32>,
+    /// Worker epochs of the machines by number.
+    worker_epochs: BTreeMap<u32, u64>,
+    /// Numbers of failures of the jobs by number of the job.
+    job_failures: BTreeMap<u64, u32>,
 }
 
-impl Holder {
+impl Leader {
     fn new(incarnation: u64) -> Self {
-        Holder {
+        Leader {
             stream: ReplicationStream::default(),
             incarnation,
-            truth: BTreeMap::new(),
-            jobs: BTreeMap::new(),
+            worker_epochs: BTreeMap::new(),
+            job_failures: BTreeMap::new(),
         }
     }
 
-    fn change(&mut self, rng: &mut SmallRng, sent: &mut BTreeSet<(String, u64)>) {
+    /// Changes random records and updates the stream. `sent` gets the changed machines with their worker epochs.
+    fn change_records(&mut self, rng: &mut SmallRng, sent: &mut BTreeSet<(String, u64)>) {
         for _ in 0..rng.random_range(0..60) {
-            let n = rng.random_range(0..900);
+            let number = rng.random_range(0..900);
             if rng.random_bool(0.2) {
-                self.truth.remove(&n);
+                self.worker_epochs.remove(&number);
             } else {
-                let session = rng.random_range(1..1_000);
-                self.truth.insert(n, session);
-                sent.insert((format!("host-{n:04}"), session));
+                let worker_epoch = rng.random_range(1..1_000);
+                self.worker_epochs.insert(number, worker_epoch);
+                sent.insert((machine_name(number), worker_epoch));
             }
         }
-        self.jobs
+        self.job_failures
             .insert(rng.random_range(0..40), rng.random_range(1..9));
-        let machines = self.truth.iter().map(|(n, session)| machine(*n, *session));
-        let jobs = self.jobs.iter().map(|(n, failures)| job(*n, *failures));
+        let machines = self
+            .worker_epochs
+            .iter()
+            .map(|(number, worker_epoch)| machine_record(*number, *worker_epoch));
+        let jobs = self
+            .job_failures
+            .iter()
+            .map(|(number, failures)| job_record(*number, *failures));
         self.stream.update(machines.chain(jobs));
     }
 
-    fn batch(&self, now: Timestamp) -> ReplicationBatch {
+    fn batch_header(&self, now: Timestamp) -> ReplicationBatch {
         let (incarnation, sent_at_ms) = (self.incarnation, now.as_millis());
         ReplicationBatch {
-            partition: P.0,
+            partition: PARTITION.0,
             incarnation,
             term: 7,
             sent_at_ms,
@@ -84,128 +97,138 @@
     }
 }
 
+/// The mesh loses, duplicates and delays messages, and the leader restarts. After each step the replica
+/// contains no machine that the leader has not sent. Some time after the faults end it equals the leader's
+/// records.
 #[test]
 fn replicas_contain_only_sent_records_and_converge() {
-    let (holder_name, me) = (ControllerName::from("n0"), ControllerName::from("n1"));
+    let (leader_name, subscriber_name) = (ControllerName::from("n0"), ControllerName::from("n1"));
     for seed in 0..40 {
         let mut rng = SmallRng::seed_from_u64(seed);
         let mut sent = BTreeSet::new();
-        let mut leader = Holder::new(1);
+        let mut leader = Leader::new(1);
         let mut replicas = Replicas::default();
-        let mut on_way: Vec<(Timestamp, ReplicationBatch)> = Vec::new();
-        let (well_from, ends) = (20_000, 32_000);
-        for at in (0..ends).step_by(250) {
-            let now = Timestamp::from_millis(at);
-            if at < well_from {
-                leader.change(&mut rng, &mut sent);
+        let mut in_flight: Vec<(Timestamp, ReplicationBatch)> = Vec::new();
+        let (faults_until_ms, end_ms) = (20_000, 32_000);
+        for at_ms in (0..end_ms).step_by(250) {
+            let now = Timestamp::from_millis(at_ms);
+            if at_ms < faults_until_ms {
+                leader.change_records(&mut rng, &mut sent);
                 if rng.random_bool(0.03) {
-                    // It ends, and its next incarnation knows nothing of what it has sent.
-                    leader = Holder::new(leader.incarnation + 1);
-                    leader.change(&mut rng, &mut sent);
+                    // The leader restarts: its next incarnation does not know what this one has sent.
+                    leader = Leader::new(leader.incarnation + 1);
+                    leader.change_records(&mut rng, &mut sent);
                 }
             }
-            let loss = if at < well_from { 0.2 } else { 0.0 };
+            let loss_probability = if at_ms < faults_until_ms { 0.2 } else { 0.0 };
             let source = ReplicationSource {
-                leader: holder_name.clone(),
+                leader: leader_name.clone(),
                 incarnation: leader.incarnation,
                 term: 7,
             };
-            let mut words = replicas.subscribe(&BTreeMap::from([(P, source)]), now);
-            on_way.sort_by_key(|(at, _)| *at);
-            let due: Vec<_> = on_way.extract_if(.., |(at, _)| *at <= now).collect();
+            let mut messages = replicas.subscribe(&BTreeMap::from([(PARTITION, source)]), now);
+            in_flight.sort_by_key(|(arrives_at, _)| *arrives_at);
+            let due: Vec<_> = in_flight
+                .extract_if(.., |(arrives_at, _)| *arrives_at <= now)
+                .collect();
             for (_, batch) in due {
-                words.extend(
+                messages.extend(
                     replicas
-                        .apply(&holder_name, batch, now)
-                        .map(|m| (me.clone(), m)),
+                        .apply(&leader_name, batch, now)
+                        .map(|message| (subscriber_name.clone(), message)),
                 );
             }
-            for (_, word) in words {
+            for (_, message) in messages {
                 if let MeshMessage::Subscribe {
                     incarnation,
                     applied,
                     ..
-                } = word
+                } = message
                 {
-                    if incarnation == leader.incarnation && !rng.random_bool(loss) {
-                        leader.stream.subscribe(&me, applied, now);
+                    if incarnation == leader.incarnation && !rng.random_bool(loss_probability) {
+                        leader.stream.subscribe(&subscriber_name, applied, now);
                     }
                 }
             }
-            for (_, batch) in leader.stream.due_batches(&leader.batch(now), now) {
+            for (_, batch) in leader.stream.due_batches(&leader.batch_header(now), now) {
                 let bytes: usize = batch
                     .records
                     .iter()
                     .map(ReplicatedRecord::approximate_bytes)
                     .sum();
-                assert!(bytes < 20 * 1024, "seed {seed}: a part of {bytes} bytes");
-                if rng.random_bool(loss) {
+                assert!(bytes < 20 * 1024, "seed {seed}: a batch of {bytes} bytes");
+                if rng.random_bool(loss_probability) {
                     continue;
                 }
-                let delay = if at < well_from {
+                let delay_ms = if at_ms < faults_until_ms {
                     rng.random_range(0..3_000)
                 } else {
                     1
                 };
-                on_way.push((Timestamp::from_millis(at + delay), batch.clone()));
-                if rng.random_bool(loss) {
-                    on_way.push((Timestamp::from_millis(at + delay + 900), batch));
+                in_flight.push((Timestamp::from_millis(at_ms + delay_ms), batch.clone()));
+                if rng.random_bool(loss_probability) {
+                    in_flight.push((Timestamp::from_millis(at_ms + delay_ms + 900), batch));
                 }
             }
-            let replica = replicas.get(P);
+            let replica = replicas.get(PARTITION);
             for (name, machine) in replica.into_iter().flat_map(|replica| &replica.machines) {
-                let known = (name.to_string(), machine.snapshot.worker_epoch);
+                let replicated = (name.to_string(), machine.snapshot.worker_epoch);
                 assert!(
-                    sent.contains(&known),
-                    "seed {seed}: {known:?} was never sent"
+                    sent.contains(&replicated),
+                    "seed {seed}: {replicated:?} was never sent"
                 );
             }
         }
         assert!(
-            replicas.is_in_sync(P, Timestamp::from_millis(ends)),
-            "seed {seed}"
+            replicas.is_in_sync(PARTITION, Timestamp::from_millis(end_ms)),
+            "seed {seed}: the replica is not in sync"
         );
-        let Some(copy) = replicas.remove(P) else {
-            panic!("seed {seed}: no copy")
+        let Some(replica) = replicas.remove(PARTITION) else {
+            panic!("seed {seed}: no replica")
         };
-        let machines: BTreeMap<MachineName, u64> = copy
+        let machines: BTreeMap<MachineName, u64> = replica
             .machines
             .iter()
             .map(|(name, machine)| (name.clone(), machine.snapshot.worker_epoch))
             .collect();
-        let truth: BTreeMap<MachineName, u64> = leader
-            .truth
+        let expected_machines: BTreeMap<MachineName, u64> = leader
+            .worker_epochs
             .iter()
-            .map(|(n, session)| (MachineName::from(format!("host-{n:04}").as_str()), *session))
+            .map(|(number, worker_epoch)| {
+                (
+                    MachineName::from(machine_name(*number).as_str()),
+                    *worker_epoch,
+                )
+            })
             .collect();
         assert!(
-            machines == truth,
-            "seed {seed}: {} and {} differ",
+            machines == expected_machines,
+            "seed {seed}: the replica has {} machines and differs from the leader, which has {}",
             machines.len(),
-            truth.len()
+            expected_machines.len()
         );
-        let jobs: BTreeMap<u64, u32> = copy
+        let job_failures: BTreeMap<u64, u32> = replica
             .job_failures
             .iter()
             .map(|(id, record)| (*id, record.failures[0].1))
             .collect();
-        assert_eq!(jobs, leader.jobs, "seed {seed}");
+        assert_eq!(job_failures, leader.job_failures, "seed {seed}");
     }
 }
 
-/// Batches of a former leader, of another partition or from a third controller are ignored, and a
-/// replica keeps its records until the first batch of the new leader.
+/// Batches from another leader, incarnation or term than the replica's source are ignored, and the replica keeps
+/// its records until the first batch of the new source arrives.
 #[test]
-fn batches_of_other_leaders_or_terms_are_ignored() {
-    let (old, new) = (ControllerName::from("n0"), ControllerName::from("n1"));
+fn batches_from_other_leaders_incarnations_or_terms_are_ignored() {
+    let (former_leader, new_leader) = (ControllerName::from("n0"), ControllerName::from("n1"));
     let mut replicas = Replicas::default();
     let source = |leader: &ControllerName, incarnation, term| ReplicationSource {
         leader: leader.clone(),
         incarnation,
         term,
     };
-    let batch = |incarnation, term, session| ReplicationBatch {
-        partition: P.0,
+    let batch = |incarnation, term, worker_epoch| ReplicationBatch {
+        partition: PARTITION.0,
         incarnation,
         term,
         after: 0,
@@ -213,38 +236,41 @@
         newest: 1,
         tombstones_dropped_up_to: 0,
         sent_at_ms: 10,
-        records: vec![machine(1, session)],
+        records: vec![machine_record(1, worker_epoch)],
     };
-    let session = |replicas: &Replicas| {
-        let copy = replicas.get(P).expect("a copy");
-        copy.machines
+    let replicated_epoch = |replicas: &Replicas| {
+        let replica = replicas
+            .get(PARTITION)
+            .expect("the partition has a replica");
+        replica
+            .machines
             .values()
             .next()
             .map(|machine| machine.snapshot.worker_epoch)
     };
     replicas.subscribe(
-        &BTreeMap::from([(P, source(&old, 5, 3))]),
+        &BTreeMap::from([(PARTITION, source(&former_leader, 5, 3))]),
         Timestamp::from_millis(10),
     );
     assert_eq!(
-        replicas.apply(&old, batch(5, 3, 11), Timestamp::from_millis(20)),
+        replicas.apply(&former_leader, batch(5, 3, 11), Timestamp::from_millis(20)),
         None
     );
-    assert_eq!(session(&replicas), Some(11));
+    assert_eq!(replicated_epoch(&replicas), Some(11));
     replicas.subscribe(
-        &BTreeMap::from([(P, source(&new, 6, 4))]),
+        &BTreeMap::from([(PARTITION, source(&new_leader, 6, 4))]),
         Timestamp::from_millis(30),
     );
     assert!(
-        !replicas.is_in_sync(P, Timestamp::from_millis(30)),
+        !replicas.is_in_sync(PARTITION, Timestamp::from_millis(30)),
         "the new leader has sent nothing yet"
     );
-    replicas.apply(&old, batch(5, 3, 12), Timestamp::from_millis(40));
-    replicas.apply(&old, batch(6, 4, 13), Timestamp::from_millis(40));
-    replicas.apply(&new, batch(6, 3, 14), Timestamp::from_millis(40));
-    replicas.apply(&new, batch(9, 4, 15), Timestamp::from_millis(40));
-    assert_eq!(session(&replicas), Some(11));
-    replicas.apply(&new, batch(6, 4, 16), Timestamp::from_millis(50));
-    assert_eq!(session(&replicas), Some(16));
-    assert!(replicas.is_in_sync(P, Timestamp::from_millis(50)));
+    replicas.apply(&former_leader, batch(5, 3, 12), Timestamp::from_millis(40));
+    replicas.apply(&former_leader, batch(6, 4, 13), Timestamp::from_millis(40));
+    replicas.apply(&new_leader, batch(6, 3, 14), Timestamp::from_millis(40));
+    replicas.apply(&new_leader, batch(9, 4, 15), Timestamp::from_millis(40));
+    assert_eq!(replicated_epoch(&replicas), Some(11));
+    replicas.apply(&new_leader, batch(6, 4, 16), Timestamp::from_millis(50));
+    assert_eq!(replicated_epoch(&replicas), Some(16));
+    assert!(replicas.is_in_sync(PARTITION, Timestamp::from_millis(50)));
 }
