--- a/crates/simulator/src/world/cancellations.rs
+++ b/crates/simulator/src/world/cancellations.rs
@@ -1,5 +1,5 @@
-//! Cancellations at critical moments: of all jobs at once, of running jobs whose machines hang, around the
-//! completion of a job's last task.
+//! Cancellations at critical moments: of all jobs at once, of running jobs whose machines hang, and around the
+//! completion of a job's last task. Also records which cancellations users have requested.
 
 use super::events::ScheduledEvent;
 use super::network::ActiveFault;
@@ -11,14 +11,14 @@
 use std::collections::{BTreeMap, BTreeSet};
 use wire::workers::TaskState;
 
-/// Cancellations of one burst are spread over this time, in ms.
+/// Cancellations of running jobs are sent within this time of the fault's start.
 const CANCEL_BURST_MS: u64 = 200;
-/// Running jobs are chosen if a task of theirs runs for at least this many ms more.
+/// A running job may be chosen for cancellation if one of its tasks has at least this much run time left.
 const MIN_REMAINING_MS: u64 = 10_000;
-/// At most this many machines of cancelled jobs hang.
+/// Upper bound of the machines of cancelled jobs that one fault lets hang.
 const MAX_HUNG_MACHINES: usize = 8;
-/// A cancellation around a job's completion is sent within this time of it, in ms: meanwhile the controllers
-/// learn of the completion, write it and report it.
+/// A cancellation around a job's completion is sent within this time of it. In this time the controllers learn
+/// of the completion, write it and report it to users.
 const COMPLETION_WINDOW_MS: u64 = 1_500;
 
 impl World {
@@ -28,18 +28,19 @@
         self.rules.history.record_cancel_request(id, self.now);
     }
 
-    /// Users cancel every accepted job that is not in a terminal state, all through one controller.
-    pub(super) fn cancel_all(&mut self, through: usize) {
+    /// Has users cancel every accepted job that is not known to be done, all at one controller. Jobs whose
+    /// cancellation was requested before are left out.
+    pub(super) fn cancel_all_jobs(&mut self, controller: usize) {
         let RuleChecker {
             accepted,
             done_confirmed,
             cancel_requests,
             ..
         } = &self.rules;
-        let open = accepted
+        let not_done = accepted
             .keys()
             .filter(|id| !done_confirmed.contains_key(*id));
-        let ids: Vec<String> = open
+        let ids: Vec<String> = not_done
             .filter(|id| !cancel_requests.contains(*id))
             .cloned()
             .collect();
@@ -48,86 +49,87 @@
                 continue;
             };
             self.record_cancel_request(&id);
-            self.send_request_to(through, UserRequest::Cancel(job), id, 0);
+            self.send_request_to(controller, UserRequest::Cancel(job), id, 0);
         }
     }
 
-    /// Cancels some of the running jobs with much remaining run time, and lets machines of these hang.
-    pub(super) fn cancel_now(&mut self, count: usize, hang_ms: u64) {
-        let running = self.long_running();
+    /// Cancels up to `count` running jobs with much run time left. If `hang_ms` is not 0, their machines hang for
+    /// that time.
+    pub(super) fn cancel_running_jobs(&mut self, count: usize, hang_ms: u64) {
+        let running = self.long_running_jobs();
         let ids: Vec<String> = running.keys().cloned().collect();
-        let mut hanging: BTreeSet<String> = BTreeSet::new();
+        let mut machines: BTreeSet<String> = BTreeSet::new();
         for id in self.random_choice(&ids, count) {
             self.coverage.cancelled_running += 1;
-            hanging.extend(running[&id].iter().cloned());
+            machines.extend(running[&id].iter().cloned());
             let at = self.now + self.rng.random_range(0..CANCEL_BURST_MS);
             self.schedule(at, ScheduledEvent::CancelJob { id });
         }
         if hang_ms > 0 {
-            for machine in hanging.into_iter().take(MAX_HUNG_MACHINES) {
+            for machine in machines.into_iter().take(MAX_HUNG_MACHINES) {
                 self.coverage.hung_machines_of_cancelled_jobs += 1;
-                self.hang(machine, hang_ms);
+                self.hang_machine(machine, hang_ms);
             }
         }
     }
 
-    /// Machines of the running jobs with much remaining run time whose cancellation was not requested, by
-    /// job.
-    fn long_running(&self) -> BTreeMap<String, BTreeSet<String>> {
-        let mut found: BTreeMap<String, BTreeSet<String>> = BTreeMap::new();
+    /// Accepted jobs with running tasks that have much run time left and whose cancellation was not requested,
+    /// with the machines of these tasks.
+    fn long_running_jobs(&self) -> BTreeMap<String, BTreeSet<String>> {
+        let mut machines_by_job: BTreeMap<String, BTreeSet<String>> = BTreeMap::new();
         for worker in self.workers.values().filter(|worker| !worker.dead) {
             for ((task, _), held) in &worker.tasks {
                 let id = task.split('/').next().unwrap_or_default();
-                let runs = held.state == TaskState::Running;
+                let is_running = held.state == TaskState::Running;
                 let is_long = held
                     .done_at
                     .is_none_or(|at| at >= self.now + MIN_REMAINING_MS);
-                let open = self.rules.accepted.contains_key(id)
+                let is_cancellable = self.rules.accepted.contains_key(id)
                     && !self.rules.cancel_requests.contains(id);
-                if runs && is_long && open {
-                    found
+                if is_running && is_long && is_cancellable {
+                    machines_by_job
                         .entry(id.to_owned())
                         .or_default()
                         .insert(worker.name.clone());
                 }
             }
         }
-        found
+        machines_by_job
     }
 
-    /// A task has completed. A share of the jobs is cancelled around the completion of its last task, with
-    /// follow-up requests at every controller.
-    pub(super) fn task_done(&mut self, task: String) {
+    /// Records a completed task. With [`ActiveFault::CancelAtCompletion`], a share of the jobs is cancelled around
+    /// the completion of their last task, with status requests and resubmissions at every controller.
+    pub(super) fn handle_task_done(&mut self, task: String) {
         let id = task.split('/').next().unwrap_or_default().to_owned();
-        let fresh = self.rules.done_tasks.insert(task);
+        let is_first_completion = self.rules.done_tasks.insert(task);
         let percent = self.network.find_active(|fault| match fault {
             ActiveFault::CancelAtCompletion(percent) => Some(*percent),
             _ => None,
         });
-        let Some(percent) = percent.filter(|_| fresh) else {
+        let Some(percent) = percent.filter(|_| is_first_completion) else {
             return;
         };
-        if self.rules.cancel_requests.contains(&id) || !self.all_tasks_done(&id) {
+        if self.rules.cancel_requests.contains(&id) || !self.are_all_tasks_done(&id) {
             return;
         }
         if self.rng.random_range(0..100) >= percent {
             return;
         }
-        let at_once = self.rng.random_bool(0.5);
-        let after = if at_once {
+        let is_immediate = self.rng.random_bool(0.5);
+        let delay_ms = if is_immediate {
             0
         } else {
             self.rng.random_range(0..COMPLETION_WINDOW_MS)
         };
         self.coverage.cancelled_at_completion.insert(id.clone());
-        self.follow_up_everywhere(&id, after);
-        self.schedule(self.now + after, ScheduledEvent::CancelJob { id });
+        self.follow_up_everywhere(&id, delay_ms);
+        self.schedule(self.now + delay_ms, ScheduledEvent::CancelJob { id });
     }
 
-    fn all_tasks_done(&self, id: &str) -> bool {
-        let done = |task| self.rules.done_tasks.contains(&format!("{id}/{task}"));
+    fn are_all_tasks_done(&self, id: &str) -> bool {
+        let is_done = |index| self.rules.done_tasks.contains(&format!("{id}/{index}"));
         self.jobs
             .get(id)
-            .is_some_and(|job| (0..job.task_count).all(done))
+            .is_some_and(|job| (0..job.task_count).all(is_done))
     }
 }
--- a/crates/simulator/src/world/controllers.rs
+++ b/crates/simulator/src/world/controllers.rs
@@ -1,9 +1,10 @@
-//! Controllers of a world: their start, pauses and crashes, the events they handle, and their effects.
+//! Controllers of a world: starts and resumptions, the events that they handle, and the application of their
+//! effects. Crashes and pauses are injected by `faults`.
 
 use super::events::{Endpoint, Message, RunningController, ScheduledEvent};
 use super::open_requests::{CallKey, ReceivedHeartbeat, TicketKey};
 use super::scenario::RESTART_AFTER_CRASH_POINT_MS;
-use super::site::{settings, CONTROLLERS};
+use super::site::{settings_toml, CONTROLLERS};
 use super::World;
 use controller::controller::DirectReply;
 use controller::{Controller, Effect, Event};
@@ -15,38 +16,47 @@
 use wire::state::{StateReply, StateRequest};
 use wire::workers::DirectCommands;
 
-/// Time after which a controller gives up a cloud request, in ms.
+/// Time after which a controller gives up waiting for the cloud's reply.
 const CLOUD_TIMEOUT_MS: u64 = 4_000;
 
 impl World {
+    /// Whether this incarnation of a controller is still running.
     pub(super) fn is_running(&self, controller: usize, incarnation: u64) -> bool {
         self.controllers[controller]
             .as_ref()
             .is_some_and(|r| r.incarnation == incarnation)
     }
 
+    /// Lets a controller handle an event, applies its effects and schedules its next timer event. A paused
+    /// controller handles one event, whose effects wait, and queues all others.
     pub(super) fn handle_event(&mut self, controller: usize, event: Event) {
         let now = self.now;
         let Some(running) = self.controllers[controller].as_mut() else {
             return;
         };
-        if let Some(paused) = running.paused.as_mut().filter(|paused| paused.handled) {
-            paused.waiting.push(event);
+        if let Some(paused) = running
+            .paused
+            .as_mut()
+            .filter(|paused| paused.has_handled_event)
+        {
+            paused.queued_events.push(event);
             return;
         }
-        let local = Timestamp::from_millis(((now - running.since) as f64 * running.rate) as u64);
-        let effects = running.controller.handle(local, event);
+        let local_time =
+            Timestamp::from_millis(((now - running.started_at) as f64 * running.clock_rate) as u64);
+        let effects = running.controller.handle(local_time, event);
         let incarnation = running.incarnation;
         if let Some(paused) = running.paused.as_mut() {
-            paused.handled = true;
-            paused.decided = effects;
+            paused.has_handled_event = true;
+            paused.pending_effects = effects;
             return;
         }
-        let next = running.controller.next_tick();
-        let at = running.since + (next.as_millis() as f64 / running.rate).ceil() as u64;
-        if running.ticking <= now || at < running.ticking {
-            running.ticking = at.max(now + 1);
-            let at = running.ticking;
+        let next_tick = running.controller.next_tick();
+        let at =
+            running.started_at + (next_tick.as_millis() as f64 / running.clock_rate).ceil() as u64;
+        if running.next_tick_at <= now || at < running.next_tick_at {
+            running.next_tick_at = at.max(now + 1);
+            let at = running.next_tick_at;
             self.schedule(
                 at,
                 ScheduledEvent::Tick {
@@ -56,19 +66,20 @@
             );
         }
         for effect in effects {
-            if self.crashes_here(controller, &effect) {
+            if self.crash_if_due(controller, &effect) {
                 return;
             }
             self.apply_effect(controller, incarnation, effect);
         }
     }
 
-    /// Crashes a controller that has reached its crash point.
-    pub(super) fn crashes_here(&mut self, controller: usize, effect: &Effect) -> bool {
+    /// Counts an effect towards the controller's crash point if others could observe it, and crashes the
+    /// controller if the crash point is reached. Returns whether it crashed.
+    pub(super) fn crash_if_due(&mut self, controller: usize, effect: &Effect) -> bool {
         if !self.crash_points.is_set(controller) {
             return false;
         }
-        let changes = match effect {
+        let is_observable = match effect {
             Effect::State { request, .. } => matches!(request, StateRequest::Transaction(_)),
             Effect::Cloud { request, .. } => !matches!(request, CloudRequest::ListMachines { .. }),
             Effect::Worker { body, .. } => !body.commands.is_empty(),
@@ -76,15 +87,16 @@
             Effect::User { .. } => true,
             Effect::Heartbeat { .. } | Effect::Admin { .. } => false,
         };
-        if !changes || !self.crash_points.reaches_crash(controller) {
+        if !is_observable || !self.crash_points.reaches_crash(controller) {
             return false;
         }
         self.crash_controller(controller, RESTART_AFTER_CRASH_POINT_MS);
         true
     }
 
+    /// Records an effect and carries it out: sends the message or hands the reply to its user.
     pub(super) fn apply_effect(&mut self, controller: usize, incarnation: u64, effect: Effect) {
-        self.record(controller, incarnation, &effect);
+        self.record_effect(controller, incarnation, &effect);
         match effect {
             Effect::State {
                 call,
@@ -123,10 +135,11 @@
                 self.call_worker(key, machine, body, timeout.whole_millis());
             }
             Effect::Mesh { to, message } => {
-                let Some(other) = to.as_str().trim_start_matches('n').parse::<usize>().ok() else {
+                let Some(receiver) = to.as_str().trim_start_matches('n').parse::<usize>().ok()
+                else {
                     return;
                 };
-                self.send_mesh(controller, other, message);
+                self.send_mesh(controller, receiver, message);
             }
             Effect::Admin { .. } => {}
             Effect::User { ticket, reply } => {
@@ -146,7 +159,7 @@
                         ticket,
                     })
                 {
-                    let to = self.machine(&machine);
+                    let to = self.machine_endpoint(&machine);
                     let message = Message::HeartbeatResponse {
                         machine,
                         number,
@@ -170,8 +183,8 @@
             call,
             reply: StateReply::Unknown,
         };
-        self.time_out(timeout_ms, controller, incarnation, call, event);
-        let message = Message::State {
+        self.schedule_timeout(timeout_ms, controller, incarnation, call, event);
+        let message = Message::StateRequest {
             controller,
             incarnation,
             call,
@@ -191,8 +204,8 @@
             call,
             reply: CloudReply::Unknown,
         };
-        self.time_out(CLOUD_TIMEOUT_MS, controller, incarnation, call, event);
-        let message = Message::Cloud {
+        self.schedule_timeout(CLOUD_TIMEOUT_MS, controller, incarnation, call, event);
+        let message = Message::CloudRequest {
             controller,
             incarnation,
             call,
@@ -218,9 +231,9 @@
             call,
             reply: DirectReply::Unknown,
         };
-        self.time_out(timeout_ms, controller, incarnation, call, event);
-        let to = self.machine(&machine);
-        let message = Message::Direct {
+        self.schedule_timeout(timeout_ms, controller, incarnation, call, event);
+        let to = self.machine_endpoint(&machine);
+        let message = Message::DirectCall {
             controller,
             incarnation,
             call,
@@ -230,27 +243,28 @@
         self.send(Endpoint::Controller(controller), to, message);
     }
 
+    /// Starts a controller as a new incarnation, with a clock that deviates from simulated time by up to 0.05 %.
     pub(super) fn start_controller(&mut self, controller: usize) {
-        self.incarnations += 1;
-        let text = settings(controller, self.plan.mutation, self.plan.size);
-        let Ok(settings) = Settings::parse(&text) else {
-            panic!("settings of the world")
+        self.last_incarnation += 1;
+        let toml = settings_toml(controller, self.plan.mutation, self.plan.size);
+        let Ok(settings) = Settings::parse(&toml) else {
+            panic!("the generated settings are invalid")
         };
-        let rate = 1.0 + self.rng.random_range(-0.0005..0.0005);
+        let clock_rate = 1.0 + self.rng.random_range(-0.0005..0.0005);
         let seed = self.rng.random();
         self.controllers[controller] = Some(RunningController {
             controller: Controller::new(settings, seed),
-            incarnation: self.incarnations,
-            since: self.now,
-            rate,
-            ticking: 0,
+            incarnation: self.last_incarnation,
+            started_at: self.now,
+            clock_rate,
+            next_tick_at: 0,
             paused: None,
         });
         self.handle_event(controller, Event::Tick);
     }
 
-    /// Resumes a paused controller: its last effects are applied, and the events that arrived meanwhile are
-    /// delivered in random order, its own timer among them.
+    /// Resumes a paused controller: the pending effects are applied, and the queued events are handled in random
+    /// order, its own timer event among them.
     pub(super) fn resume_controller(&mut self, controller: usize, incarnation: u64) {
         if !self.is_running(controller, incarnation) {
             return;
@@ -261,21 +275,21 @@
         else {
             return;
         };
-        for effect in paused.decided {
+        for effect in paused.pending_effects {
             self.apply_effect(controller, incarnation, effect);
         }
-        let mut waiting = paused.waiting;
-        waiting.push(Event::Tick);
-        waiting.shuffle(&mut self.rng);
+        let mut events = paused.queued_events;
+        events.push(Event::Tick);
+        events.shuffle(&mut self.rng);
         if let Some(running) = self.controllers[controller].as_mut() {
-            running.ticking = 0;
+            running.next_tick_at = 0;
         }
-        for event in waiting {
+        for event in events {
             self.handle_event(controller, event);
         }
     }
 
-    /// A controller crashes or is paused: failovers of its partitions begin.
+    /// Records that a controller crashes or is paused: failovers of its partitions begin.
     pub(super) fn record_leader_stop(&mut self, controller: usize) {
         let name = format!("n{controller}");
         for partition in 0..CONTROLLERS as u32 {
--- a/crates/simulator/src/world/crash_points.rs
+++ b/crates/simulator/src/world/crash_points.rs
@@ -1,23 +1,24 @@
-//! Controllers that crash as they are about to have an effect that others would see.
+//! Crash points: a controller crashes just before an effect that others could observe.
 
 use std::collections::HashMap;
 
+/// Counts the observable effects of a controller until the one before which it crashes.
 #[derive(Debug)]
 struct CrashPoint {
-    effects: u64,
-    crash_at: u64,
+    effects_seen: u64,
+    crash_at_effect: u64,
 }
 
-/// Crash points by controller.
+/// The pending crash point of each controller that has one.
 #[derive(Debug, Default)]
 pub(super) struct CrashPoints(HashMap<usize, CrashPoint>);
 
 impl CrashPoints {
-    /// A controller is to crash before its nth visible effect from now on.
+    /// Lets a controller crash before its nth observable effect from now on.
     pub(super) fn set(&mut self, controller: usize, nth: u64) {
         let point = CrashPoint {
-            effects: 0,
-            crash_at: nth,
+            effects_seen: 0,
+            crash_at_effect: nth,
         };
         self.0.insert(controller, point);
     }
@@ -27,14 +28,14 @@
         self.0.contains_key(&controller)
     }
 
-    /// Counts a visible effect of a controller. True if the controller crashes before it; the crash point is
-    /// removed then.
+    /// Counts an observable effect of a controller. Returns true, and removes the crash point, if the controller
+    /// crashes before this effect.
     pub(super) fn reaches_crash(&mut self, controller: usize) -> bool {
         let Some(point) = self.0.get_mut(&controller) else {
             return false;
         };
-        point.effects += 1;
-        if point.effects < point.crash_at {
+        point.effects_seen += 1;
+        if point.effects_seen < point.crash_at_effect {
             return false;
         }
         self.0.remove(&controller);
--- a/crates/simulator/src/world/event_queue.rs
+++ b/crates/simulator/src/world/event_queue.rs
@@ -1,10 +1,11 @@
-//! Events in simulated time, the earliest first; events of the same time keep their order of insertion.
+//! The queue of scheduled events in simulated time. The earliest event comes first; events of the same time
+//! keep their order of insertion, so that a run is deterministic.
 
 use super::events::ScheduledEvent;
 use std::cmp::{Ordering, Reverse};
 use std::collections::BinaryHeap;
 
-/// Scheduled events. Times are in ms.
+/// Scheduled events with their times in ms.
 #[derive(Debug, Default)]
 pub(super) struct EventQueue {
     last_sequence: u64,
@@ -12,7 +13,7 @@
 }
 
 impl EventQueue {
-    /// Schedules an event after all others of the same time.
+    /// Schedules an event, after all others of the same time.
     pub(super) fn push(&mut self, at: u64, event: ScheduledEvent) {
         self.last_sequence += 1;
         self.entries.push(Reverse(QueueEntry {
@@ -22,7 +23,7 @@
         }));
     }
 
-    /// Takes the next event if it is due at `until` or before, with its time.
+    /// Removes and returns the next event and its time, if that is not after `until`.
     pub(super) fn pop_due(&mut self, until: u64) -> Option<(u64, ScheduledEvent)> {
         let Reverse(next) = self.entries.peek()?;
         if next.at > until {
--- a/crates/simulator/src/world/events.rs
+++ b/crates/simulator/src/world/events.rs
@@ -1,4 +1,4 @@
-//! Scheduled events and messages in transit.
+//! Scheduled events of a world, messages in transit, and the state of running controllers and open requests.
 
 use super::network::ActiveFault;
 use super::scenario::Fault;
@@ -9,21 +9,24 @@
 use wire::state::{StateRequest, Transaction};
 use wire::workers::{Command, DirectCommands, Heartbeat};
 
+/// A message in transit. `controller` sends or receives it; replies and mesh messages reach only the given
+/// `incarnation`, that is, they are lost if the controller has restarted.
 #[derive(Debug, Clone)]
 pub(super) enum Message {
-    State {
+    StateRequest {
         controller: usize,
         incarnation: u64,
         call: CallId,
         request: StateRequest,
     },
-    Cloud {
+    CloudRequest {
         controller: usize,
         incarnation: u64,
         call: CallId,
         request: CloudRequest,
     },
-    Controller {
+    /// A reply or a mesh message to a controller.
+    ControllerEvent {
         controller: usize,
         incarnation: u64,
         event: Event,
@@ -31,8 +34,9 @@
     Heartbeat {
         controller: usize,
         machine: String,
+        /// Number of the heartbeat that the worker has in flight; 0 if no worker waits for the reply.
         number: u64,
-        report: Box<Heartbeat>,
+        heartbeat: Box<Heartbeat>,
     },
     HeartbeatResponse {
         machine: String,
@@ -40,7 +44,8 @@
         controller: usize,
         reply: HeartbeatReply,
     },
-    Direct {
+    /// A call with direct commands, or a probe, to a worker.
+    DirectCall {
         controller: usize,
         incarnation: u64,
         call: CallId,
@@ -49,34 +54,43 @@
     },
 }
 
+/// A sender or receiver of messages.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub(super) enum Endpoint {
     Controller(usize),
     State,
     Cloud,
+    /// A machine by the number in its name.
     Machine(u64),
 }
 
+/// Something that happens in a world at a time of the event queue.
 #[derive(Debug)]
 pub(super) enum ScheduledEvent {
+    /// A controller's timer fires.
     Tick {
         controller: usize,
         incarnation: u64,
     },
     Deliver(Box<Message>),
+    /// A controller gives up waiting for the reply to a call and handles `event` instead.
     Timeout {
         controller: usize,
         incarnation: u64,
         call: CallId,
         event: Box<Event>,
     },
+    /// The state service ends a watch that has seen no change.
     WatchTimeout {
         controller: usize,
         incarnation: u64,
         call: CallId,
     },
+    /// All workers advance by one step.
     StepWorkers,
+    /// Users submit the next random job.
     SubmitJob,
+    /// A user polls the status of a job.
     PollStatus {
         id: String,
     },
@@ -88,28 +102,30 @@
     },
     StartFault(Fault),
     EndFault(ActiveFault),
+    /// Messages that a disconnection has held back are sent again.
     ReleaseHeldMessages,
-    /// A duplicate of a message is delivered.
+    /// A duplicate of a message, or a replayed heartbeat, is delivered.
     DeliverDuplicate(Box<Message>),
-    /// A delayed transaction is applied; its controller got no reply.
+    /// A delayed transaction is applied; its controller gets no reply.
     ApplyDelayedTransaction {
         controller: usize,
         incarnation: u64,
-        /// Transactions of the controller that had been applied when it was sent.
-        newer_than: u64,
+        /// Number of the controller's transactions that had been applied when this one was sent.
+        applied_when_sent: u64,
         txn: Transaction,
     },
-    /// A delayed direct command is delivered.
+    /// A delayed call with direct commands is delivered.
     DeliverDelayedCommand(Box<Message>),
-    /// A held heartbeat is delivered to the new leader.
+    /// A heartbeat that was held back is delivered to the new leader.
     DeliverHeldHeartbeat(Box<Message>),
     /// A duplicate of a mesh message is delivered.
     DeliverMeshDuplicate {
         to: usize,
         event: Event,
     },
-    /// Status requests about all accepted jobs are sent.
+    /// Users query all accepted jobs.
     QueryAllJobs,
+    /// A paused controller continues.
     ResumeController {
         controller: usize,
         incarnation: u64,
@@ -119,12 +135,14 @@
         key: String,
         value: serde_json::Value,
     },
+    /// A user sends a request, or retries one, at any reachable controller.
     SendRequest {
         request: UserRequest,
         id: String,
-        tries: u32,
+        /// Number of attempts before this one.
+        attempts: u32,
     },
-    /// A request to one controller that is not retried.
+    /// A user sends a request to one controller; it is not retried.
     SendFollowUp {
         controller: usize,
         request: UserRequest,
@@ -134,34 +152,41 @@
     SubmitOneTaskJob,
 }
 
+/// A controller process from its start to its crash.
 pub(super) struct RunningController {
     pub(super) controller: Controller,
     pub(super) incarnation: u64,
-    pub(super) since: u64,
-    pub(super) rate: f64,
-    pub(super) ticking: u64,
+    /// When the process started, in ms; its local clock starts at 0 then.
+    pub(super) started_at: u64,
+    /// Speed of its local clock relative to simulated time.
+    pub(super) clock_rate: f64,
+    /// Time of the earliest scheduled timer event, in ms.
+    pub(super) next_tick_at: u64,
     pub(super) paused: Option<PausedController>,
 }
 
-/// Effects and events that wait while a controller is paused.
+/// Effects and events of a paused controller that wait for its resumption.
 #[derive(Default)]
 pub(super) struct PausedController {
-    /// Effects decided by the last event that was handled.
-    pub(super) decided: Vec<Effect>,
-    pub(super) handled: bool,
-    pub(super) waiting: Vec<Event>,
+    /// Effects of the one event that the controller has handled since the pause began.
+    pub(super) pending_effects: Vec<Effect>,
+    pub(super) has_handled_event: bool,
+    /// Events that arrived after that one.
+    pub(super) queued_events: Vec<Event>,
 }
 
+/// A user's request that waits for a reply.
 #[derive(Debug, Clone)]
 pub(super) struct PendingRequest {
     pub(super) request: UserRequest,
     pub(super) id: String,
-    pub(super) tries: u32,
-    pub(super) sent: HistoryTime,
+    /// Number of attempts before this one.
+    pub(super) attempts: u32,
+    pub(super) sent_at: HistoryTime,
 }
 
-/// Whether any of the commands starts a task.
-pub(super) fn starts(commands: &[Command]) -> bool {
+/// Whether one of the commands launches a task.
+pub(super) fn contains_launch(commands: &[Command]) -> bool {
     commands
         .iter()
         .any(|command| matches!(command, Command::Launch { .. }))
--- a/crates/simulator/src/world/faults.rs
+++ b/crates/simulator/src/world/faults.rs
@@ -1,4 +1,4 @@
-//! Injection of faults.
+//! Injection of faults: what happens when a fault begins and when it ends.
 
 use super::events::ScheduledEvent;
 use super::network::ActiveFault;
@@ -9,12 +9,13 @@
 use rand::seq::SliceRandom;
 use wire::state::{StateRequest, Transaction, Write};
 
-/// A pause of at least this length, in ms, counts as a stop of the partitions' leader.
+/// A pause of a controller of at least this length counts as a stop of the leader of its partitions.
 const LEADER_STOP_MS: u64 = 4_000;
-/// Time after which users retry requests to a controller that has crashed, in ms.
+/// Time after which users retry requests that a crashed controller left unanswered.
 const RETRY_AFTER_CRASH_MS: u64 = 1_000;
 
-/// The state that a fault keeps active for some time, with that time in ms; none for other faults.
+/// The [`ActiveFault`] that a fault consists of, and its duration in ms. None for faults that act at one moment,
+/// end by an event of their own, or concern machines that are chosen when the fault starts.
 fn lasting_fault(fault: &Fault) -> Option<(ActiveFault, u64)> {
     Some(match *fault {
         Fault::DisconnectStateService {
@@ -136,7 +137,7 @@
 }
 
 impl World {
-    /// A fault begins.
+    /// Starts a fault: acts at once, and activates what lasts.
     pub(super) fn start_fault(&mut self, fault: Fault) {
         let lasting = lasting_fault(&fault);
         match fault {
@@ -173,10 +174,10 @@
                 self.activate(ActiveFault::MeshDisconnected(controller), duration_ms);
             }
             Fault::ChangeBootBehavior { behavior, .. } => self.cloud.boot_behavior = behavior,
-            Fault::JobBurst { jobs } => (0..jobs).for_each(|_| self.new_job()),
-            Fault::GuestJobs { jobs } => (0..jobs).for_each(|_| self.guest_job()),
-            Fault::CancelAllJobs { controller } => self.cancel_all(controller),
-            Fault::CancelRunningJobs { count, hang_ms } => self.cancel_now(count, hang_ms),
+            Fault::JobBurst { jobs } => (0..jobs).for_each(|_| self.submit_random_job()),
+            Fault::GuestJobs { jobs } => (0..jobs).for_each(|_| self.submit_guest_job()),
+            Fault::CancelAllJobs { controller } => self.cancel_all_jobs(controller),
+            Fault::CancelRunningJobs { count, hang_ms } => self.cancel_running_jobs(count, hang_ms),
             Fault::UnusualRequests { .. } => {
                 self.schedule(self.now + 1, ScheduledEvent::SendUnusualRequest)
             }
@@ -185,12 +186,12 @@
             }
             other => self.start_machine_fault(other),
         }
-        if let Some((active, duration_ms)) = lasting {
-            self.activate(active, duration_ms);
+        if let Some((active_fault, duration_ms)) = lasting {
+            self.activate(active_fault, duration_ms);
         }
     }
 
-    /// A fault of machines begins; other faults are ignored.
+    /// Starts a fault of machines; ignores other faults.
     fn start_machine_fault(&mut self, fault: Fault) {
         let names: Vec<String> = self
             .workers
@@ -198,13 +199,13 @@
             .filter(|worker| !worker.dead)
             .map(|worker| worker.name.clone())
             .collect();
-        let pick = |machine_index: usize| names.get(machine_index % names.len().max(1)).cloned();
+        let machine = |machine_index: usize| names.get(machine_index % names.len().max(1)).cloned();
         match fault {
             Fault::DisconnectMachine {
                 machine_index,
                 duration_ms,
             } => {
-                if let Some(name) = pick(machine_index) {
+                if let Some(name) = machine(machine_index) {
                     self.activate(ActiveFault::MachineDisconnected(name), duration_ms);
                 }
             }
@@ -212,17 +213,17 @@
                 machine_index,
                 duration_ms,
             } => {
-                if let Some(name) = pick(machine_index) {
-                    self.hang(name, duration_ms);
+                if let Some(name) = machine(machine_index) {
+                    self.hang_machine(name, duration_ms);
                 }
             }
             Fault::CrashMachine { machine_index } => {
-                if let Some(name) = pick(machine_index) {
+                if let Some(name) = machine(machine_index) {
                     self.crash_machine(&name);
                 }
             }
             Fault::FailTasksOnMachine { machine_index } => {
-                if let Some(name) = pick(machine_index) {
+                if let Some(name) = machine(machine_index) {
                     self.fail_all_tasks(&name);
                 }
             }
@@ -238,7 +239,7 @@
             }
             Fault::HangMachines { count, duration_ms } => {
                 for name in self.random_choice(&names, count) {
-                    self.hang(name, duration_ms);
+                    self.hang_machine(name, duration_ms);
                 }
             }
             Fault::DropMessagesToMachines { count, duration_ms } => {
@@ -255,23 +256,24 @@
         }
     }
 
-    /// Crashes a controller; users retry their unanswered requests.
+    /// Crashes a controller and schedules its restart. Users retry their unanswered requests, except for status
+    /// requests.
     pub(super) fn crash_controller(&mut self, controller: usize, restart_after_ms: u64) {
         self.record_leader_stop(controller);
         if let Some(crashed) = self.controllers[controller].take() {
-            self.early.0 += crashed.controller.counters.early_failovers;
-            self.early.1 += crashed.controller.counters.false_failovers;
+            self.early_failovers_of_crashed.0 += crashed.controller.counters.early_failovers;
+            self.early_failovers_of_crashed.1 += crashed.controller.counters.false_failovers;
         }
         self.watches
             .retain(|watch| watch.key.controller != controller);
-        for lost in self.open_requests.take_user_requests_to(controller) {
-            if matches!(lost.request, UserRequest::Get(_)) {
+        for unanswered in self.open_requests.take_user_requests_to(controller) {
+            if matches!(unanswered.request, UserRequest::Get(_)) {
                 continue;
             }
             let retry = ScheduledEvent::SendRequest {
-                request: lost.request,
-                id: lost.id,
-                tries: lost.tries + 1,
+                request: unanswered.request,
+                id: unanswered.id,
+                attempts: unanswered.attempts + 1,
             };
             self.schedule(self.now + RETRY_AFTER_CRASH_MS, retry);
         }
@@ -279,6 +281,7 @@
         self.schedule(self.now + restart_after_ms, restart);
     }
 
+    /// Pauses a controller and schedules its resumption.
     fn pause_controller(&mut self, controller: usize, ms: u64) {
         if ms >= LEADER_STOP_MS {
             self.record_leader_stop(controller);
@@ -295,6 +298,7 @@
         self.schedule(self.now + ms, resume);
     }
 
+    /// Overwrites the first page of a partition's placement log, and schedules the restoration of its value.
     fn corrupt_log_page(&mut self, partition: u32, ms: u64) {
         let key = format!("l/{partition}/0000");
         let Some(value) = self.state.value(&key).cloned() else {
@@ -304,7 +308,7 @@
         self.schedule(self.now + ms, ScheduledEvent::RestoreValue { key, value });
     }
 
-    /// A fault ends.
+    /// Ends a fault, and releases the messages that were held back.
     pub(super) fn end_fault(&mut self, fault: &ActiveFault) {
         self.network.deactivate(fault);
         if *fault == ActiveFault::StateRequestsRefused(None) {
@@ -316,7 +320,7 @@
         self.schedule(self.now + 1, ScheduledEvent::ReleaseHeldMessages);
     }
 
-    /// Writes a value without the controllers.
+    /// Writes a value to the state service as no controller would.
     pub(super) fn write_directly(&mut self, key: &str, value: serde_json::Value) {
         let txn = Transaction::default().write(Write::put(key, value));
         self.state
@@ -324,30 +328,30 @@
         self.answer_watches();
     }
 
-    /// Activates a fault for a time.
-    pub(super) fn activate(&mut self, fault: ActiveFault, ms: u64) {
+    /// Activates a fault for some time.
+    pub(super) fn activate(&mut self, fault: ActiveFault, duration_ms: u64) {
         self.network.activate(fault.clone());
-        self.schedule(self.now + ms, ScheduledEvent::EndFault(fault));
+        self.schedule(self.now + duration_ms, ScheduledEvent::EndFault(fault));
     }
 
-    /// A machine hangs: messages to it are held back meanwhile.
-    pub(super) fn hang(&mut self, name: String, ms: u64) {
-        let until = self.now + ms;
+    /// Lets a machine hang; messages from and to it are held back meanwhile.
+    pub(super) fn hang_machine(&mut self, name: String, duration_ms: u64) {
+        let until = self.now + duration_ms;
         if let Some(worker) = self.workers.get_mut(&name) {
             worker.hung_until = until;
             worker.ignores_stops = self.plan.mutation == Some(Mutation::HungMachinesIgnoreStops);
         }
-        self.activate(ActiveFault::MachineDisconnected(name), ms);
+        self.activate(ActiveFault::MachineDisconnected(name), duration_ms);
     }
 
-    /// A machine fails every task from now on.
+    /// Lets a machine fail every task from now on.
     pub(super) fn fail_all_tasks(&mut self, name: &str) {
         if let Some(worker) = self.workers.get_mut(name) {
             worker.fails_all_tasks = true;
         }
     }
 
-    /// A random choice of the names.
+    /// Chooses up to `count` of the names at random.
     pub(super) fn random_choice(&mut self, names: &[String], count: usize) -> Vec<String> {
         let mut names = names.to_vec();
         names.shuffle(&mut self.rng);
@@ -355,6 +359,7 @@
         names
     }
 
+    /// Crashes a machine with all its tasks for good.
     pub(super) fn crash_machine(&mut self, name: &str) {
         if let Some(machine) = self.cloud.machines.get_mut(name) {
             machine.gone_at.get_or_insert(self.now);
@@ -367,13 +372,15 @@
         self.failovers.record_machine_loss(name, self.now);
     }
 
-    pub(super) fn refuses(&self, controller: usize) -> bool {
+    /// Whether the state service refuses the requests of a controller.
+    pub(super) fn refuses_state_requests(&self, controller: usize) -> bool {
         self.network.any_active(
-            |c| matches!(c, ActiveFault::StateRequestsRefused(n) if n.is_none_or(|n| n == controller)),
+            |fault| matches!(fault, ActiveFault::StateRequestsRefused(refused) if refused.is_none_or(|refused| refused == controller)),
         )
     }
 
-    pub(super) fn outage(&self) -> bool {
+    /// Whether the state service refuses all requests; leases do not expire meanwhile.
+    pub(super) fn is_state_service_down(&self) -> bool {
         self.network
             .is_active(&ActiveFault::StateRequestsRefused(None))
     }
--- a/crates/simulator/src/world/follow_ups.rs
+++ b/crates/simulator/src/world/follow_ups.rs
@@ -1,5 +1,5 @@
-//! Follow-up requests: after each reply that confirms something about a job, users send requests to every
-//! controller within milliseconds and over parallel connections, and some cancel at once.
+//! Follow-up requests: after a reply that confirms something about a job, users send requests about it to every
+//! controller within milliseconds and over parallel connections, and some cancel it at once.
 
 use super::events::ScheduledEvent;
 use super::network::ActiveFault;
@@ -11,14 +11,14 @@
 use rand::Rng;
 use std::collections::HashMap;
 
-/// Delays between a confirmation and its follow-up requests, in ms.
+/// Delays between a confirmation and its follow-up requests; up to 2 ms are added at random.
 const FOLLOW_UP_DELAYS_MS: [u64; 4] = [0, 3, 15, 80];
-/// Rounds of follow-up requests per job and kind of confirmation.
+/// Upper bound of the rounds of follow-up requests per job and kind of confirmation.
 const MAX_FOLLOW_UP_ROUNDS: u32 = 3;
-/// Share of the jobs that are cancelled at the moment of their acceptance.
+/// Share of the jobs that are cancelled within 3 ms of their acceptance.
 const CANCEL_AT_ACCEPTANCE_PROBABILITY: f64 = 0.15;
 
-/// What a reply confirms.
+/// What a reply confirms about a job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub(super) enum Confirmation {
     Accepted,
@@ -26,82 +26,82 @@
     Cancelled,
 }
 
-/// What users send in one round. A controller that got only status requests has not received the job, and may
-/// still not know it when a later round repeats its submission there.
+/// What users send in one round. Some rounds consist of status requests only: a controller that got no
+/// submission may still not know the job when a later round repeats the submission there.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum FollowUpStyle {
-    Questions,
-    Repeats,
-    Both,
+    StatusRequests,
+    RepeatedRequests,
+    Mixed,
 }
 
-/// Rounds of follow-up requests by job and kind of confirmation.
+/// Number of rounds of follow-up requests so far, by job and kind of confirmation.
 pub(super) type FollowUpCounts = HashMap<(String, Confirmation), u32>;
 
 impl World {
-    /// Something was confirmed: schedules follow-up requests, if that fault is active.
-    pub(super) fn schedule_follow_ups(&mut self, id: &str, confirmed: Confirmation) {
+    /// Schedules a round of follow-up requests after a confirmation, if that fault is active.
+    pub(super) fn schedule_follow_ups(&mut self, id: &str, confirmation: Confirmation) {
         if !self.network.is_active(&ActiveFault::FollowUpRequests) {
             return;
         }
         let rounds = self
             .follow_up_counts
-            .entry((id.to_owned(), confirmed))
+            .entry((id.to_owned(), confirmation))
             .or_default();
         if *rounds >= MAX_FOLLOW_UP_ROUNDS {
             return;
         }
         *rounds += 1;
-        let first = *rounds == 1;
-        if first
-            && confirmed == Confirmation::Accepted
+        let is_first_round = *rounds == 1;
+        if is_first_round
+            && confirmation == Confirmation::Accepted
             && self.rng.random_bool(CANCEL_AT_ACCEPTANCE_PROBABILITY)
         {
             self.coverage.cancelled_at_acceptance += 1;
-            let what = ScheduledEvent::CancelJob { id: id.to_owned() };
-            let after = self.rng.random_range(0..3);
-            self.schedule(self.now + after, what);
+            let cancel = ScheduledEvent::CancelJob { id: id.to_owned() };
+            let delay_ms = self.rng.random_range(0..3);
+            self.schedule(self.now + delay_ms, cancel);
         }
         let style = match self.rng.random_range(0..3) {
-            0 => FollowUpStyle::Questions,
-            1 => FollowUpStyle::Repeats,
-            _ => FollowUpStyle::Both,
+            0 => FollowUpStyle::StatusRequests,
+            1 => FollowUpStyle::RepeatedRequests,
+            _ => FollowUpStyle::Mixed,
         };
-        for pause in FOLLOW_UP_DELAYS_MS {
+        for delay_ms in FOLLOW_UP_DELAYS_MS {
             for controller in 0..CONTROLLERS {
-                self.schedule_follow_up(controller, id, confirmed, style, pause);
+                self.schedule_follow_up(controller, id, confirmation, style, delay_ms);
             }
         }
     }
 
-    /// Schedules a follow-up that fits the confirmation: a status request, a repeated submission or a
-    /// repeated cancellation.
+    /// Schedules a follow-up request that fits the confirmation: a status request, a repeated submission, or a
+    /// repeated cancellation of a cancelled job.
     fn schedule_follow_up(
         &mut self,
         controller: usize,
         id: &str,
-        confirmed: Confirmation,
+        confirmation: Confirmation,
         style: FollowUpStyle,
-        pause: u64,
+        delay_ms: u64,
     ) {
-        let Some(number) = JobId::parse(id) else {
+        let Some(job_id) = JobId::parse(id) else {
             return;
         };
         let Some(job) = self.jobs.get(id).cloned() else {
             return;
         };
         let repeats = match style {
-            FollowUpStyle::Questions => false,
-            FollowUpStyle::Repeats => true,
-            FollowUpStyle::Both => self.rng.random_bool(0.5),
+            FollowUpStyle::StatusRequests => false,
+            FollowUpStyle::RepeatedRequests => true,
+            FollowUpStyle::Mixed => self.rng.random_bool(0.5),
         };
-        let cancels = confirmed == Confirmation::Cancelled && self.rng.random_bool(0.2);
+        let cancels = confirmation == Confirmation::Cancelled && self.rng.random_bool(0.2);
         let request = match (repeats, cancels) {
-            (false, _) => UserRequest::Get(number),
-            (true, true) => UserRequest::Cancel(number),
+            (false, _) => UserRequest::Get(job_id),
+            (true, true) => UserRequest::Cancel(job_id),
             (true, false) => UserRequest::Submit(Box::new(job)),
         };
-        let at = self.now + pause + self.rng.random_range(0..3);
+        let at = self.now + delay_ms + self.rng.random_range(0..3);
         self.schedule(
             at,
             ScheduledEvent::SendFollowUp {
@@ -112,7 +112,7 @@
         );
     }
 
-    /// A follow-up request to one controller, over a connection of its own; it is not retried.
+    /// Sends a follow-up request to one controller, unless users cannot reach it. The request is not retried.
     pub(super) fn send_follow_up(&mut self, controller: usize, request: UserRequest, id: String) {
         if !self
             .network
@@ -122,15 +122,15 @@
         }
     }
 
-    /// Schedules status requests and repeated submissions at every controller at the same moment.
-    pub(super) fn follow_up_everywhere(&mut self, id: &str, after: u64) {
+    /// Schedules a status request or a repeated submission at every controller, within 3 ms of each other.
+    pub(super) fn follow_up_everywhere(&mut self, id: &str, delay_ms: u64) {
         for controller in 0..CONTROLLERS {
             self.schedule_follow_up(
                 controller,
                 id,
                 Confirmation::Done,
-                FollowUpStyle::Both,
-                after,
+                FollowUpStyle::Mixed,
+                delay_ms,
             );
         }
     }
--- a/crates/simulator/src/world/interceptor.rs
+++ b/crates/simulator/src/world/interceptor.rs
@@ -1,6 +1,7 @@
-//! Messages that are delayed, duplicated, lost in one direction or left without a reply.
+//! Interception of messages by faults: messages that are delayed, duplicated, lost in one direction or left
+//! without a reply.
 
-use super::events::{starts, Endpoint, Message, ScheduledEvent};
+use super::events::{contains_launch, Endpoint, Message, ScheduledEvent};
 use super::network::ActiveFault;
 use super::scenario::Mutation;
 use super::site::CONTROLLERS;
@@ -12,39 +13,39 @@
 use wire::state::{StateReply, StateRequest};
 use wire::workers::{Command, Heartbeat};
 
-/// Replayed heartbeats arrive within this time of a new leader's record, in ms.
+/// Replayed heartbeats arrive within this time of the write of a new leader's record.
 const REPLAY_WINDOW_MS: u64 = 400;
 
-/// A machine that boots within `FAST_BOOT_MS` counts as new for `NEW_MACHINE_MS`.
+/// A machine that boots within `FAST_BOOT_MS` of its rental counts as new until `NEW_MACHINE_MS` after its boot.
 const FAST_BOOT_MS: u64 = 2_000;
 const NEW_MACHINE_MS: u64 = 4_000;
 
-/// Messages that wait for the next leader, and lost replies that have not been read.
+/// Heartbeats that wait for the next leader, and transactions that lost their replies.
 #[derive(Debug, Default)]
 pub(super) struct MessageInterceptor {
-    /// Heartbeats to be replayed to the next leader.
-    copies: Vec<Message>,
-    /// Heartbeats held back until the next leader has acted.
-    reports: Vec<Message>,
-    /// Transactions whose replies were lost and that no other controller has read: their controllers and
-    /// revisions.
-    unread: Vec<(usize, u64)>,
+    /// Copies of heartbeats, to be replayed after the next change of leadership.
+    heartbeats_to_replay: Vec<Message>,
+    /// Heartbeats held back until after the next change of leadership.
+    held_heartbeats: Vec<Message>,
+    /// Controllers and revisions of committed transactions whose replies were lost and whose changes no other
+    /// controller has read yet.
+    unread_commits: Vec<(usize, u64)>,
 }
 
 impl World {
-    /// Draws whether an event is hit by a fault with a percentage. Nothing is drawn where no such fault is
-    /// active.
+    /// Draws whether a message is hit by the active fault for which `percent` gives a percentage. Draws nothing if
+    /// no such fault is active.
     fn draw_fault(&mut self, percent: impl Fn(&ActiveFault) -> Option<u64>) -> bool {
         let percent = self.network.find_active(percent);
         percent.is_some_and(|percent| self.rng.random_range(0..100) < percent)
     }
 
-    /// The message to send now, unless it is held back or delayed.
+    /// Returns the message if it is to be sent now; otherwise it is held back or scheduled for later.
     pub(super) fn intercept(&mut self, message: Message) -> Option<Message> {
         let message = self.without_some_launches(message);
         match &message {
             Message::Heartbeat { .. } => {
-                let copied = |fault: &ActiveFault| match fault {
+                let replayed = |fault: &ActiveFault| match fault {
                     ActiveFault::ReplayedHeartbeats(percent) => Some(*percent),
                     _ => None,
                 };
@@ -52,23 +53,23 @@
                     ActiveFault::HeldHeartbeats(percent) => Some(*percent),
                     _ => None,
                 };
-                if self.draw_fault(copied) {
-                    self.interceptor.copies.push(message.clone());
+                if self.draw_fault(replayed) {
+                    self.interceptor.heartbeats_to_replay.push(message.clone());
                 }
                 if self.draw_fault(held) {
-                    self.interceptor.reports.push(message);
+                    self.interceptor.held_heartbeats.push(message);
                     return None;
                 }
             }
-            Message::Direct { .. } => {
-                let late = |fault: &ActiveFault| match fault {
+            Message::DirectCall { .. } => {
+                let delayed = |fault: &ActiveFault| match fault {
                     ActiveFault::DelayedCommands(percent) => Some(*percent),
                     _ => None,
                 };
-                if self.draw_fault(late) {
-                    let after = self.rng.random_range(2_000..16_000);
+                if self.draw_fault(delayed) {
+                    let delay_ms = self.rng.random_range(2_000..16_000);
                     self.schedule(
-                        self.now + after,
+                        self.now + delay_ms,
                         ScheduledEvent::DeliverDelayedCommand(Box::new(message)),
                     );
                     return None;
@@ -79,64 +80,69 @@
         Some(message)
     }
 
-    /// A partition record names a new leader: schedules recorded heartbeats to every controller at once, and
-    /// held ones to the new leader after its first actions.
-    pub(super) fn deliver_to_new_leader(&mut self, machines: &BTreeSet<String>, partition: u32) {
+    /// After a write of a partition record: schedules the copied heartbeats for every controller almost at once,
+    /// and the held ones for the leader when it has already acted. `machines` are the partition's machines that
+    /// are up.
+    pub(super) fn schedule_heartbeats_for_new_leader(
+        &mut self,
+        machines: &BTreeSet<String>,
+        partition: u32,
+    ) {
         let leader = self
             .leader(partition)
             .and_then(|name| name.strip_prefix('n')?.parse().ok());
         let Some(leader) = leader else { return };
-        for copy in std::mem::take(&mut self.interceptor.copies) {
+        for copy in std::mem::take(&mut self.interceptor.heartbeats_to_replay) {
             let Message::Heartbeat {
                 machine,
-                mut report,
+                mut heartbeat,
                 ..
             } = copy
             else {
                 continue;
             };
             if self.plan.mutation == Some(Mutation::DuplicatedHeartbeatsLookNew) {
-                report.sequence_number += 1_000_000;
+                heartbeat.sequence_number += 1_000_000;
             }
-            self.record_replayed_heartbeat(machines, &machine, &report);
+            self.record_replayed_heartbeat(machines, &machine, &heartbeat);
             for controller in 0..CONTROLLERS {
-                let (machine, report) = (machine.clone(), report.clone());
-                // No worker waits for the reply.
+                let (machine, heartbeat) = (machine.clone(), heartbeat.clone());
+                // Number 0: no worker waits for the reply.
                 let message = Message::Heartbeat {
                     controller,
                     machine,
                     number: 0,
-                    report,
+                    heartbeat,
                 };
-                let after = self.rng.random_range(1..REPLAY_WINDOW_MS);
+                let delay_ms = self.rng.random_range(1..REPLAY_WINDOW_MS);
                 self.schedule(
-                    self.now + after,
+                    self.now + delay_ms,
                     ScheduledEvent::DeliverDuplicate(Box::new(message)),
                 );
             }
         }
-        for held in std::mem::take(&mut self.interceptor.reports) {
+        for held in std::mem::take(&mut self.interceptor.held_heartbeats) {
             let Message::Heartbeat {
                 machine,
                 number,
-                mut report,
+                mut heartbeat,
                 ..
             } = held
             else {
                 continue;
             };
             if self.plan.mutation == Some(Mutation::DuplicatedHeartbeatsLookNew) {
-                report.sequence_number += 1_000_000;
+                heartbeat.sequence_number += 1_000_000;
             }
             let message = Message::Heartbeat {
                 controller: leader,
                 machine,
                 number,
-                report,
+                heartbeat,
             };
-            let after = self.rng.random_range(1_000..6_000);
+            let delay_ms = self.rng.random_range(1_000..6_000);
             self.schedule(
-                self.now + after,
+                self.now + delay_ms,
                 ScheduledEvent::DeliverHeldHeartbeat(Box::new(message)),
             );
         }
@@ -147,26 +153,28 @@
         &mut self,
         machines: &BTreeSet<String>,
         machine: &str,
-        report: &Heartbeat,
+        heartbeat: &Heartbeat,
     ) {
         let Some(worker) = self.workers.get(machine).filter(|w| !w.dead) else {
             return;
         };
-        if machines.contains(machine) && worker.has_sent_newer(report) {
+        if machines.contains(machine) && worker.has_sent_newer(heartbeat) {
             self.coverage.stale_heartbeats_at_failover += 1;
             self.coverage.earlier_epoch_heartbeats_at_failover +=
-                u64::from(report.worker_epoch < worker.epoch);
+                u64::from(heartbeat.worker_epoch < worker.epoch);
         }
     }
 
+    /// Delivers a heartbeat that was held back.
     pub(super) fn deliver_held_heartbeat(&mut self, message: Message) {
         self.coverage.held_heartbeats += 1;
         self.deliver(message);
     }
 
-    /// Executes a delayed direct command; its reply is lost.
+    /// Delivers a delayed call with direct commands to its worker; the reply is lost. While the controller is
+    /// disconnected from the machine, the call is tried again every second.
     pub(super) fn deliver_delayed_command(&mut self, message: Message) {
-        let Message::Direct {
+        let Message::DirectCall {
             controller,
             incarnation,
             machine,
@@ -176,20 +184,23 @@
         else {
             return;
         };
-        let (now, lease) = (self.now, self.parameters.lease);
-        if self.is_disconnected(Endpoint::Controller(*controller), self.machine(machine)) {
+        let (now, lease_duration_ms) = (self.now, self.parameters.lease_duration_ms);
+        if self.is_disconnected(
+            Endpoint::Controller(*controller),
+            self.machine_endpoint(machine),
+        ) {
             self.schedule(
                 now + 1_000,
                 ScheduledEvent::DeliverDelayedCommand(Box::new(message)),
             );
             return;
         }
-        let ended = !self.is_running(*controller, *incarnation);
+        let has_crashed = !self.is_running(*controller, *incarnation);
         let Some(worker) = self.workers.get_mut(machine).filter(|w| !w.dead) else {
             return;
         };
-        worker.check_lease(now, lease);
-        let deposed = worker.token > body.token;
+        worker.check_lease(now, lease_duration_ms);
+        let is_deposed = worker.token > body.token;
         let (token, session) = match self.plan.mutation {
             Some(Mutation::DelayedCommandsUnfenced) => (worker.token, worker.epoch),
             _ => (body.token, body.worker_epoch),
@@ -198,7 +209,7 @@
             worker.handle_direct_call(token, session, &body.commands, now, self.jobs.all());
         if executed {
             self.failovers
-                .record_contact(machine, token, starts(&body.commands), now);
+                .record_contact(machine, token, contains_launch(&body.commands), now);
             self.record_launch(machine, &body.commands);
         }
         if body.commands.is_empty() {
@@ -206,42 +217,48 @@
         }
         self.coverage.delayed_commands += u64::from(executed);
         self.coverage.delayed_commands_rejected += u64::from(!executed);
-        self.coverage.delayed_commands_of_crashed += u64::from(ended);
-        self.coverage.delayed_commands_of_deposed += u64::from(deposed);
+        self.coverage.delayed_commands_of_crashed += u64::from(has_crashed);
+        self.coverage.delayed_commands_of_deposed += u64::from(is_deposed);
     }
 
-    /// Whether a machine's connections to controllers fail.
+    /// Whether a machine's connections to controllers fail; counts the refused connection if so.
     pub(super) fn refuses_connections(&mut self, machine: &str) -> bool {
-        let mute = self.network.any_active(
+        let refused = self.network.any_active(
             |fault| matches!(fault, ActiveFault::MachineConnectionsRefused(name) if name == machine),
         );
-        self.coverage.refused_connections += u64::from(mute);
-        mute
+        self.coverage.refused_connections += u64::from(refused);
+        refused
     }
 
     /// Counts a direct call to a machine whose own connections are refused.
     pub(super) fn record_direct_call(&mut self, machine: &str) {
-        let mute = self.network.any_active(
+        let refused = self.network.any_active(
             |fault| matches!(fault, ActiveFault::MachineConnectionsRefused(name) if name == machine),
         );
-        self.coverage.direct_calls_while_refusing += u64::from(mute);
+        self.coverage.direct_calls_while_refusing += u64::from(refused);
     }
 
-    /// Counts a launch on a machine that has booted fast and just now, while transactions are delayed.
+    /// Counts a message with launch commands to a new machine, see [`FAST_BOOT_MS`], while transactions are delayed.
     pub(super) fn record_launch(&mut self, machine: &str, commands: &[Command]) {
-        let lag = self
+        let transactions_delayed = self
             .network
             .any_active(|fault| matches!(fault, ActiveFault::DelayedTransactions(_)));
-        let Some(rented) = self.cloud.machines.get(machine).filter(|_| lag) else {
+        let Some(rented) = self
+            .cloud
+            .machines
+            .get(machine)
+            .filter(|_| transactions_delayed)
+        else {
             return;
         };
-        let quick =
-            |up: u64| up < rented.rented_at + FAST_BOOT_MS && self.now < up + NEW_MACHINE_MS;
-        let young = starts(commands) && rented.boots_at.is_some_and(quick);
-        self.coverage.launches_on_new_machines += u64::from(young);
+        let is_new = |boots_at: u64| {
+            boots_at < rented.rented_at + FAST_BOOT_MS && self.now < boots_at + NEW_MACHINE_MS
+        };
+        let is_counted = contains_launch(commands) && rented.boots_at.is_some_and(is_new);
+        self.coverage.launches_on_new_machines += u64::from(is_counted);
     }
 
-    /// Whether a mesh message is lost.
+    /// Whether a message is a mesh message lost by a partition in one direction; counts it if so.
     pub(super) fn is_lost_on_mesh(&mut self, from: Endpoint, to: Endpoint) -> bool {
         let (Endpoint::Controller(from), Endpoint::Controller(to)) = (from, to) else {
             return false;
@@ -253,46 +270,52 @@
         lost
     }
 
-    /// Schedules a duplicate of a mesh message, if that fault is active.
+    /// Schedules a duplicate of a percentage of the mesh messages, if that fault is active.
     pub(super) fn duplicate_mesh_event(&mut self, to: usize, event: &Event) {
-        let copied = |fault: &ActiveFault| match fault {
+        let duplicated = |fault: &ActiveFault| match fault {
             ActiveFault::DuplicatedMeshMessages(percent) => Some(*percent),
             _ => None,
         };
-        if !self.draw_fault(copied) {
+        if !self.draw_fault(duplicated) {
             return;
         }
         let mut event = event.clone();
-        let trusted = self.plan.mutation == Some(Mutation::MeshDuplicatesClaimAllChanges);
+        let claims_all_changes =
+            self.plan.mutation == Some(Mutation::MeshDuplicatesClaimAllChanges);
         if let (
             true,
             Event::Mesh {
                 message: MeshMessage::Heartbeat { revision, .. },
                 ..
             },
-        ) = (trusted, &mut event)
+        ) = (claims_all_changes, &mut event)
         {
             *revision = u64::MAX;
         }
-        let after = self.rng.random_range(1_000..3 * self.parameters.lease);
+        let delay_ms = self
+            .rng
+            .random_range(1_000..3 * self.parameters.lease_duration_ms);
         self.schedule(
-            self.now + after,
+            self.now + delay_ms,
             ScheduledEvent::DeliverMeshDuplicate { to, event },
         );
     }
 
-    /// Factor by which a link is slower than usual.
-    pub(super) fn slowness(&self, from: Endpoint, to: Endpoint) -> u64 {
-        let linked = |place| matches!(place, Endpoint::Controller(_) | Endpoint::Machine(_));
-        let slow = self.network.find_active(|fault| match fault {
-            ActiveFault::SlowLinks(times) => Some(*times),
+    /// Factor by which the link between two endpoints is slower than usual.
+    pub(super) fn link_slowdown(&self, from: Endpoint, to: Endpoint) -> u64 {
+        let can_be_slow =
+            |endpoint| matches!(endpoint, Endpoint::Controller(_) | Endpoint::Machine(_));
+        let factor = self.network.find_active(|fault| match fault {
+            ActiveFault::SlowLinks(factor) => Some(*factor),
             _ => None,
         });
-        slow.filter(|_| linked(from) && linked(to)).unwrap_or(1)
+        factor
+            .filter(|_| can_be_slow(from) && can_be_slow(to))
+            .unwrap_or(1)
     }
 
-    /// Whether a request is a transaction whose reply is lost.
-    pub(super) fn loses_reply(&mut self, request: &StateRequest) -> bool {
+    /// Draws whether the reply to a request is lost; only replies to transactions are.
+    pub(super) fn draw_lost_reply(&mut self, request: &StateRequest) -> bool {
         let lost = |fault: &ActiveFault| match fault {
             ActiveFault::LostTransactionReplies(percent) => Some(*percent),
             _ => None,
@@ -300,24 +323,29 @@
         matches!(request, StateRequest::Transaction(_)) && self.draw_fault(lost)
     }
 
-    /// The reply to an applied transaction is lost.
+    /// Records that the reply to a request is lost, if that committed a transaction.
     pub(super) fn record_lost_reply(&mut self, controller: usize, reply: &StateReply) {
         if let StateReply::Committed { revision } = reply {
             self.coverage.lost_replies += 1;
-            self.interceptor.unread.push((controller, *revision));
+            self.interceptor
+                .unread_commits
+                .push((controller, *revision));
         }
     }
 
-    /// A controller reads changes: counts those of transactions whose replies were lost.
+    /// Counts the transactions with lost replies whose changes a reply reports to another controller.
     pub(super) fn record_changes_read(&mut self, reader: usize, reply: &StateReply) {
         let StateReply::Changes(changes) = reply else {
             return;
         };
         let coverage = &mut self.coverage;
-        self.interceptor.unread.retain(|(writer, revision)| {
-            let read = *writer != reader && changes.events.iter().any(|c| c.version == *revision);
-            coverage.lost_replies_read_elsewhere += u64::from(read);
-            !read
-        });
+        self.interceptor
+            .unread_commits
+            .retain(|(writer, revision)| {
+                let is_read =
+                    *writer != reader && changes.events.iter().any(|c| c.version == *revision);
+                coverage.lost_replies_read_elsewhere += u64::from(is_read);
+                !is_read
+            });
     }
 }
--- a/crates/simulator/src/world/jobs.rs
+++ b/crates/simulator/src/world/jobs.rs
@@ -1,42 +1,43 @@
-//! Jobs that users have submitted in a run.
+//! Jobs that users have submitted in a run, and what is known or expected of them.
 
 use super::unusual_requests::ExpectedRejection;
 use std::collections::{BTreeSet, HashMap};
 use wire::users::JobRequest;
 
-/// Distance between the numbers of two jobs that follow each other.
+/// Distance between the numbers of consecutive jobs.
 const NUMBER_STEP: u64 = 7;
 
 /// All jobs of a run. Times are in ms.
 #[derive(Debug, Default)]
 pub(super) struct SubmittedJobs {
-    last: u64,
+    last_number: u64,
     jobs: HashMap<String, JobRequest>,
     submitted_at: HashMap<String, u64>,
     run_time_factors: HashMap<String, u64>,
     expected_rejections: HashMap<String, ExpectedRejection>,
-    settled: BTreeSet<String>,
+    /// Jobs of which their users know that they are in a terminal state.
+    known_terminal: BTreeSet<String>,
 }
 
 impl SubmittedJobs {
-    /// An id that no job has had.
+    /// Returns an id that no job has had.
     pub(super) fn next_id(&mut self) -> String {
-        self.last += 1;
-        format!("j-{:06}", self.last * NUMBER_STEP)
+        self.last_number += 1;
+        format!("j-{:06}", self.last_number * NUMBER_STEP)
     }
 
-    /// How many ids have been given out.
+    /// Number of ids given out so far.
     pub(super) fn count(&self) -> u64 {
-        self.last
+        self.last_number
     }
 
-    /// Adds a valid job that is submitted now.
+    /// Adds a valid job that is first submitted now.
     pub(super) fn add(&mut self, job: JobRequest, now: u64) {
         self.submitted_at.insert(job.id.clone(), now);
         self.jobs.insert(job.id.clone(), job);
     }
 
-    /// A valid job by its id.
+    /// The valid job with this id.
     pub(super) fn get(&self, id: &str) -> Option<&JobRequest> {
         self.jobs.get(id)
     }
@@ -46,27 +47,27 @@
         &self.jobs
     }
 
-    /// When a job was submitted first.
+    /// Time of a job's first submission.
     pub(super) fn submitted_at(&self, id: &str) -> Option<u64> {
         self.submitted_at.get(id).copied()
     }
 
-    /// When each job was submitted first.
+    /// Times of the jobs' first submissions.
     pub(super) fn submission_times(&self) -> &HashMap<String, u64> {
         &self.submitted_at
     }
 
-    /// Tasks of a job run this many times as long.
+    /// Lets the tasks of a job run longer by a factor.
     pub(super) fn set_run_time_factor(&mut self, id: String, factor: u64) {
         self.run_time_factors.insert(id, factor);
     }
 
-    /// How many times as long tasks of a job run.
+    /// Factor by which the tasks of a job run longer; 1 unless set.
     pub(super) fn run_time_factor(&self, id: &str) -> u64 {
         self.run_time_factors.get(id).copied().unwrap_or(1)
     }
 
-    /// The submission of this id is invalid.
+    /// Records that the submission with this id is invalid and how it has to be rejected.
     pub(super) fn expect_rejection(&mut self, id: String, rejection: ExpectedRejection) {
         self.expected_rejections.insert(id, rejection);
     }
@@ -76,13 +77,13 @@
         self.expected_rejections.get(id).copied()
     }
 
-    /// A user has learnt that a job is in a terminal state.
-    pub(super) fn settle(&mut self, id: String) {
-        self.settled.insert(id);
+    /// Records that a user has learnt that a job is in a terminal state.
+    pub(super) fn record_known_terminal(&mut self, id: String) {
+        self.known_terminal.insert(id);
     }
 
-    /// Whether a user knows that a job is in a terminal state.
-    pub(super) fn is_settled(&self, id: &str) -> bool {
-        self.settled.contains(id)
+    /// Whether a user has learnt that a job is in a terminal state.
+    pub(super) fn is_known_terminal(&self, id: &str) -> bool {
+        self.known_terminal.contains(id)
     }
 }
--- a/crates/simulator/src/world/machines.rs
+++ b/crates/simulator/src/world/machines.rs
@@ -1,6 +1,6 @@
 //! Machines, their heartbeats, tasks and gangs.
 
-use super::events::{starts, Endpoint, Message};
+use super::events::{contains_launch, Endpoint, Message};
 use super::jobs::SubmittedJobs;
 use super::scenario::Mutation;
 use super::site::CONTROLLERS;
@@ -13,10 +13,10 @@
 use wire::workers::{Command, ExitCause, TaskState};
 
 /// A gang's task: its machine, its name, its state and when it completes.
-type Member = (String, String, TaskState, Option<u64>);
+type GangMember = (String, String, TaskState, Option<u64>);
 
 /// How long a task runs, or a gang. Some jobs' tasks run this many times as long.
-fn run_ms(seed: u64, jobs: &SubmittedJobs, name: &str) -> u64 {
+fn run_time_ms(seed: u64, jobs: &SubmittedJobs, name: &str) -> u64 {
     let sum: u64 = name.bytes().map(u64::from).sum();
     let usual = 2_000 + (sum * 7919 + seed * 31) % 9_000;
     let id = name.split('/').next().unwrap_or_default();
@@ -39,7 +39,7 @@
         if worker.dead || worker.in_flight.map(|f| f.0) != Some(number) {
             return;
         }
-        worker.check_lease(now, self.parameters.lease);
+        worker.check_lease(now, self.parameters.lease_duration_ms);
         match reply {
             // `Worker::answered` takes the heartbeat out of flight.
             HeartbeatReply::Response(mut answer) => {
@@ -52,7 +52,7 @@
                         .retain(|c| !matches!(c, Command::Stop { .. }));
                 }
                 if worker.handle_heartbeat_response(number, &answer, now, self.jobs.all()) {
-                    let launches = starts(&answer.commands);
+                    let launches = contains_launch(&answer.commands);
                     self.failovers
                         .record_contact(machine, answer.token, launches, now);
                     self.record_launch(machine, &answer.commands);
@@ -80,7 +80,7 @@
     }
 
     pub(super) fn step_workers(&mut self) {
-        if !self.outage() {
+        if !self.is_state_service_down() {
             self.state.expire(self.now);
             self.answer_watches();
         }
@@ -110,12 +110,13 @@
                 continue;
             }
             // A machine that hangs does not outlive its lease either.
-            worker.check_lease(now, self.parameters.lease);
+            worker.check_lease(now, self.parameters.lease_duration_ms);
             if worker.hung_until > now {
                 continue;
             }
-            let run =
-                |task: &str| run_ms(self.plan.seed, &self.jobs, task) * self.parameters.longer;
+            let run = |task: &str| {
+                run_time_ms(self.plan.seed, &self.jobs, task) * self.parameters.run_time_factor
+            };
             let transitions = worker.advance(now, self.jobs.all(), run);
             for event in transitions {
                 match event {
@@ -126,23 +127,27 @@
                         }
                         let id = task.split('/').next().unwrap_or_default();
                         if let Some(job) = self.jobs.get(id) {
-                            let limit = self.limits.get(&job.team).copied();
-                            self.service
-                                .record_start(&task, job, limit.unwrap_or(f64::MAX), now);
+                            let limit = self.cpu_limits.get(&job.team).copied();
+                            self.service_checks.record_start(
+                                &task,
+                                job,
+                                limit.unwrap_or(f64::MAX),
+                                now,
+                            );
                         }
                     }
-                    TaskTransition::Done(task) => self.task_done(task),
+                    TaskTransition::Done(task) => self.handle_task_done(task),
                 }
             }
-            self.step_report(&name);
+            self.step_heartbeat(&name);
         }
         self.step_gangs();
     }
 
-    pub(super) fn step_report(&mut self, name: &str) {
+    pub(super) fn step_heartbeat(&mut self, name: &str) {
         let now = self.now;
-        let from = self.machine(name);
-        let report = self.parameters.report;
+        let from = self.machine_endpoint(name);
+        let report = self.parameters.heartbeat_interval_ms;
         let wait = self.rng.random_range(report * 3 / 4..report * 5 / 4);
         let Some(worker) = self.workers.get_mut(name) else {
             return;
@@ -180,7 +185,7 @@
             controller,
             machine: name.to_owned(),
             number,
-            report,
+            heartbeat: report,
         };
         self.send(from, Endpoint::Controller(controller), message);
     }
@@ -188,7 +193,7 @@
     /// Gangs start when all their tasks wait, end together, and notice lost members.
     pub(super) fn step_gangs(&mut self) {
         let now = self.now;
-        let mut gangs: BTreeMap<(String, u64), Vec<Member>> = BTreeMap::new();
+        let mut gangs: BTreeMap<(String, u64), Vec<GangMember>> = BTreeMap::new();
         for worker in self.workers.values().filter(|w| !w.dead) {
             for ((task, attempt), held) in &worker.tasks {
                 let Some((id, _)) = task.split_once('/') else {
@@ -216,7 +221,7 @@
                 .collect();
             let whole = all && !hung.contains(&true);
             let done = members.iter().any(|m| m.3.is_some_and(|at| now >= at));
-            let end = now + run_ms(self.plan.seed, &self.jobs, &id);
+            let end = now + run_time_ms(self.plan.seed, &self.jobs, &id);
             for ((machine, task, state, _), hangs) in members.into_iter().zip(hung) {
                 if hangs {
                     continue;
@@ -232,7 +237,7 @@
                     }
                 } else if running && whole && done {
                     worker.set_gang_task_state(&key, TaskState::Exited, Some(ExitCause::Done));
-                    self.task_done(task);
+                    self.handle_task_done(task);
                 } else if running && !whole && state == TaskState::Running {
                     worker.set_gang_task_state(
                         &key,
--- a/crates/simulator/src/world/mod.rs
+++ b/crates/simulator/src/world/mod.rs
@@ -62,7 +62,7 @@
     now: u64,
     queue: EventQueue,
     controllers: Vec<Option<RunningController>>,
-    incarnations: u64,
+    last_incarnation: u64,
     state: StateService,
     /// A snapshot of some seconds ago, for stale reads.
     stale_state: StateService,
@@ -75,7 +75,7 @@
     jobs: SubmittedJobs,
     /// Rounds of follow-up requests by job and confirmation.
     follow_up_counts: FollowUpCounts,
-    limits: BTreeMap<String, f64>,
+    cpu_limits: BTreeMap<String, f64>,
     /// Requests that the state service has received, and replies that rejected a user's request for overload.
     pub state_requests: u64,
     pub busy_replies: u64,
@@ -83,7 +83,7 @@
     pub acceptance_latencies_ms: Vec<u64>,
     pub rules: RuleChecker,
     pub failovers: FailoverTimeline,
-    service: ServiceChecks,
+    service_checks: ServiceChecks,
     /// Applied transactions of each controller.
     transactions_applied: [u64; CONTROLLERS],
     pub coverage: FaultCoverage,
@@ -91,7 +91,7 @@
     /// Machines that were up when the controllers returned them.
     pub machines_released_alive: u64,
     /// Early failovers, and wrong ones of these, by controllers that have crashed.
-    early: (u64, u64),
+    early_failovers_of_crashed: (u64, u64),
     /// Records the controllers' outgoing messages, if enabled.
     recorder: Option<Recorder>,
 }
@@ -111,9 +111,9 @@
             now: 0,
             queue: EventQueue::default(),
             controllers: (0..CONTROLLERS).map(|_| None).collect(),
-            incarnations: 0,
-            state: StateService::new(parameters.write_rps),
-            stale_state: StateService::new(parameters.write_rps),
+            last_incarnation: 0,
+            state: StateService::new(parameters.writes_per_s),
+            stale_state: StateService::new(parameters.writes_per_s),
             watches: Vec::new(),
             cloud: Cloud::new(&["a", "b"], 5 * plan.size as u32, 2 * plan.size as u32),
             workers: BTreeMap::new(),
@@ -122,25 +122,25 @@
             open_requests: OpenRequests::default(),
             jobs: SubmittedJobs::default(),
             follow_up_counts: FollowUpCounts::default(),
-            limits: (0..6)
+            cpu_limits: (0..6)
                 .map(|t| (format!("t{t}"), 6.0 * plan.size as f64))
                 .collect(),
             state_requests: 0,
             busy_replies: 0,
             acceptance_latencies_ms: Vec::new(),
-            rules: RuleChecker::new(parameters.cancel),
+            rules: RuleChecker::new(parameters.cancel_deadline_ms),
             failovers: FailoverTimeline::default(),
-            service: ServiceChecks::new(faults_over),
+            service_checks: ServiceChecks::new(faults_over),
             transactions_applied: [0; CONTROLLERS],
             coverage: FaultCoverage::default(),
             crash_points: CrashPoints::default(),
             machines_released_alive: 0,
-            early: (0, 0),
+            early_failovers_of_crashed: (0, 0),
             recorder: None,
             parameters,
             plan,
         };
-        world.pretend_large_machines();
+        world.enlarge_machine_types();
         for controller in 0..CONTROLLERS {
             world.schedule(0, ScheduledEvent::StartController { controller });
         }
@@ -175,10 +175,10 @@
             self.rules.check_quotas_and_cancellations(
                 &self.workers,
                 self.jobs.all(),
-                &self.limits,
+                &self.cpu_limits,
                 self.now,
             );
-            for id in self.service.unanswered().take_overdue(self.now) {
+            for id in self.service_checks.unanswered().take_overdue(self.now) {
                 self.rules.record_violation(
                     "forgotten",
                     format!("{id}: no answer for 75 s"),
@@ -220,7 +220,7 @@
             ScheduledEvent::ApplyDelayedTransaction {
                 controller,
                 incarnation,
-                newer_than,
+                applied_when_sent: newer_than,
                 txn,
             } => {
                 self.apply_delayed_transaction(controller, incarnation, newer_than, txn);
@@ -254,14 +254,14 @@
                 incarnation,
                 call,
             } => {
-                self.end_watch(CallKey {
+                self.time_out_watch(CallKey {
                     controller,
                     incarnation,
                     call,
                 });
             }
             ScheduledEvent::StepWorkers => self.step(),
-            ScheduledEvent::SubmitJob => self.submit(),
+            ScheduledEvent::SubmitJob => self.submit_next_job(),
             ScheduledEvent::PollStatus { id } => self.poll_status(id),
             ScheduledEvent::CancelJob { id } => {
                 self.record_cancel_request(&id);
@@ -269,16 +269,18 @@
                     self.send_request(UserRequest::Cancel(job), id, 0);
                 }
             }
-            ScheduledEvent::SendRequest { request, id, tries } => {
-                self.send_request(request, id, tries)
-            }
+            ScheduledEvent::SendRequest {
+                request,
+                id,
+                attempts,
+            } => self.send_request(request, id, attempts),
             ScheduledEvent::SendFollowUp {
                 controller,
                 request,
                 id,
             } => self.send_follow_up(controller, request, id),
-            ScheduledEvent::SendUnusualRequest => self.unusual_request(),
-            ScheduledEvent::SubmitOneTaskJob => self.one_task_job(),
+            ScheduledEvent::SendUnusualRequest => self.send_unusual_request(),
+            ScheduledEvent::SubmitOneTaskJob => self.submit_one_task_job(),
             ScheduledEvent::StartController { controller } => self.start_controller(controller),
             ScheduledEvent::StartFault(fault) => self.start_fault(fault),
             ScheduledEvent::EndFault(fault) => self.end_fault(&fault),
@@ -293,7 +295,7 @@
     /// Advances all workers, and observes the service.
     fn step(&mut self) {
         let keeps = self.plan.mutation == Some(Mutation::StalePlacementLog);
-        if keeps && self.now % 6_000 < self.parameters.step {
+        if keeps && self.now % 6_000 < self.parameters.step_ms {
             self.stale_state = self.state.clone();
         }
         self.step_workers();
@@ -301,15 +303,19 @@
             let healthy = self.controllers[controller]
                 .as_ref()
                 .is_some_and(|r| r.controller.healthy());
-            self.service.record_health(controller, healthy, self.now);
+            self.service_checks
+                .record_health(controller, healthy, self.now);
         }
-        self.service.observe(
+        self.service_checks.observe(
             &self.workers,
             self.jobs.all(),
-            &self.limits,
+            &self.cpu_limits,
             &mut self.rules,
             self.now,
         );
-        self.schedule(self.now + self.parameters.step, ScheduledEvent::StepWorkers);
+        self.schedule(
+            self.now + self.parameters.step_ms,
+            ScheduledEvent::StepWorkers,
+        );
     }
 }
--- a/crates/simulator/src/world/mutations.rs
+++ b/crates/simulator/src/world/mutations.rs
@@ -1,4 +1,4 @@
-//! Defects that are injected into messages, see [`Mutation`].
+//! Defects that are injected into messages and into the cloud's machine types, see [`Mutation`].
 
 use super::events::Message;
 use super::scenario::Mutation;
@@ -10,51 +10,53 @@
 use wire::workers::Command;
 
 impl World {
-    /// The cloud advertises machines that fit any task.
-    pub(super) fn pretend_large_machines(&mut self) {
+    /// Applies [`Mutation::UnschedulableJobsFit`]: the cloud advertises machine types so large that any task fits.
+    pub(super) fn enlarge_machine_types(&mut self) {
         if self.plan.mutation == Some(Mutation::UnschedulableJobsFit) {
-            for kind in &mut self.cloud.machine_types {
-                (kind.cpus, kind.gpus, kind.memory_gb) = (1_000.0, 8.0, 10_000.0);
+            for machine_type in &mut self.cloud.machine_types {
+                (machine_type.cpus, machine_type.gpus, machine_type.memory_gb) =
+                    (1_000.0, 8.0, 10_000.0);
             }
         }
     }
 
-    /// A mesh message with false or missing replication records, or none if it is lost.
-    pub(super) fn as_mutated(&mut self, message: MeshMessage) -> Option<MeshMessage> {
-        let MeshMessage::Replication(mut part) = message else {
+    /// Applies the mutations of replication streams to a mesh message. None if the message is lost.
+    pub(super) fn mutate_mesh_message(&mut self, message: MeshMessage) -> Option<MeshMessage> {
+        let MeshMessage::Replication(mut batch) = message else {
             return Some(message);
         };
         match self.plan.mutation {
             Some(Mutation::FalseReplicationRecords) => {
                 let names: Vec<String> = self.cloud.machines.keys().cloned().collect();
-                for record in &mut part.records {
-                    self.falsify(record, &names);
+                for record in &mut batch.records {
+                    self.falsify_record(record, &names);
                 }
             }
             Some(Mutation::LostReplicationRecords) => match self.rng.random_range(0..6) {
                 0 => return None,
-                1 => part.records.truncate(part.records.len() / 2),
-                2 => part.term = part.term.saturating_sub(1),
-                3 => (part.after, part.up_to) = (part.after + 1, part.up_to + 1),
+                1 => batch.records.truncate(batch.records.len() / 2),
+                2 => batch.term = batch.term.saturating_sub(1),
+                3 => (batch.after, batch.up_to) = (batch.after + 1, batch.up_to + 1),
                 _ => {}
             },
             _ => {}
         }
-        Some(MeshMessage::Replication(part))
+        Some(MeshMessage::Replication(batch))
     }
 
-    /// A message to a machine without the launches of some jobs.
+    /// Applies [`Mutation::SomeJobsNeverStarted`]: removes the launch commands of every seventh job's tasks from a
+    /// message to a machine. Job numbers are multiples of 7.
     pub(super) fn without_some_launches(&self, mut message: Message) -> Message {
-        let mutated = self.plan.mutation == Some(Mutation::SomeJobsNeverStarted);
+        let is_mutated = self.plan.mutation == Some(Mutation::SomeJobsNeverStarted);
         let commands = match &mut message {
             Message::HeartbeatResponse {
                 reply: HeartbeatReply::Response(answer),
                 ..
             } => &mut answer.commands,
-            Message::Direct { body, .. } => &mut body.commands,
+            Message::DirectCall { body, .. } => &mut body.commands,
             _ => return message,
         };
-        if mutated {
+        if is_mutated {
             commands.retain(|command| match command {
                 Command::Launch { task, .. } => {
                     let id = task.split('/').next().and_then(JobId::parse);
@@ -66,16 +68,18 @@
         message
     }
 
-    pub(super) fn falsify(&mut self, record: &mut ReplicatedRecord, names: &[String]) {
-        let Some(other) = names.get(self.rng.random_range(0..names.len().max(1))) else {
+    /// Replaces some contents of a record of a replication stream by false ones; `names` are those of all machines
+    /// ever rented.
+    pub(super) fn falsify_record(&mut self, record: &mut ReplicatedRecord, names: &[String]) {
+        let Some(other_machine) = names.get(self.rng.random_range(0..names.len().max(1))) else {
             return;
         };
         match record {
             ReplicatedRecord::Machine(record) => match self.rng.random_range(0..9) {
-                0 => record.address = format!("{other}:9000"),
+                0 => record.address = format!("{other_machine}:9000"),
                 1 => record.worker_epoch += 1,
                 2 => record.worker_epoch = record.worker_epoch.saturating_sub(1),
-                3 => record.machine = other.clone(),
+                3 => record.machine = other_machine.clone(),
                 4 => record.reporting = !record.reporting,
                 5 => record.quarantined = self.rng.random_bool(0.2),
                 6 => {
--- a/crates/simulator/src/world/network.rs
+++ b/crates/simulator/src/world/network.rs
@@ -1,8 +1,10 @@
-//! The network's state: faults that are in force, and messages that a disconnection holds back.
+//! The network's state: active faults, and messages that a disconnection holds back.
 
 use super::events::{Endpoint, Message};
 
-/// A fault that is in force for some time. Faults of machines name the machine, faults of controllers its index.
+/// A fault that is active for some time, see [`Fault`](super::scenario::Fault). Faults of machines contain the
+/// machine's name, faults of controllers the controller's index (`None` for all controllers), and the others
+/// their factor or percentage.
 #[derive(Debug, Clone, PartialEq)]
 pub(super) enum ActiveFault {
     StateServiceDisconnected(usize),
@@ -38,7 +40,7 @@
     OneTaskJobs,
 }
 
-/// A message that is sent again once a fault has ended.
+/// A message that is held back and sent again once a fault has ended.
 #[derive(Debug)]
 pub(super) struct HeldMessage {
     pub(super) from: Endpoint,
@@ -46,7 +48,7 @@
     pub(super) message: Message,
 }
 
-/// Faults in force, in the order in which they began, and the messages that they hold back.
+/// Active faults in the order of their starts, and the messages that they hold back.
 #[derive(Debug, Default)]
 pub(super) struct Network {
     faults: Vec<ActiveFault>,
@@ -54,29 +56,29 @@
 }
 
 impl Network {
-    /// A fault begins. The same fault may be in force several times.
+    /// Activates a fault. Equal faults may be active several times.
     pub(super) fn activate(&mut self, fault: ActiveFault) {
         self.faults.push(fault);
     }
 
-    /// One fault that equals this one ends.
+    /// Ends one active fault that equals `ended`.
     pub(super) fn deactivate(&mut self, ended: &ActiveFault) {
         if let Some(index) = self.faults.iter().position(|fault| fault == ended) {
             self.faults.remove(index);
         }
     }
 
-    /// Whether this fault is in force.
+    /// Whether a fault is active.
     pub(super) fn is_active(&self, fault: &ActiveFault) -> bool {
         self.faults.contains(fault)
     }
 
-    /// Whether a fault in force matches.
+    /// Whether an active fault matches.
     pub(super) fn any_active(&self, matches: impl FnMut(&ActiveFault) -> bool) -> bool {
         self.faults.iter().any(matches)
     }
 
-    /// What `select` gives for the first fault in force for which it gives something.
+    /// The first value that `select` returns for an active fault.
     pub(super) fn find_active<T>(
         &self,
         select: impl FnMut(&ActiveFault) -> Option<T>,
@@ -84,7 +86,7 @@
         self.faults.iter().find_map(select)
     }
 
-    /// Holds a message back until some fault has ended.
+    /// Holds a message back; it is sent again when any fault has ended.
     pub(super) fn hold(&mut self, held: HeldMessage) {
         self.held.push(held);
     }
--- a/crates/simulator/src/world/scenario.rs
+++ b/crates/simulator/src/world/scenario.rs
@@ -2,14 +2,14 @@
 
 use crate::cloud::BootBehavior;
 
-/// Time from a crash before an effect to the restart, in ms.
+/// Time from the crash of [`Fault::CrashBeforeEffect`] to the controller's restart.
 pub(super) const RESTART_AFTER_CRASH_POINT_MS: u64 = 6_000;
 
-/// A fault to inject. Times and durations are in ms, machines are chosen by their position among those that
-/// are up.
+/// A fault to inject. `controller` is the index of a controller. `machine_index` is taken modulo the number of
+/// machines that are up, in the order of their names; `count` machines are chosen at random from these.
 #[derive(Debug, Clone)]
 pub enum Fault {
-    /// Crashes a controller; it restarts after `restart_after_ms` ms.
+    /// Crashes a controller and restarts it after `restart_after_ms`.
     CrashController {
         controller: usize,
         restart_after_ms: u64,
@@ -32,36 +32,37 @@
         machine_index: usize,
         duration_ms: u64,
     },
-    /// A machine hangs.
+    /// A machine hangs: its tasks make no progress, and messages from and to it are held back.
     HangMachine {
         machine_index: usize,
         duration_ms: u64,
     },
     /// A machine crashes for good.
     CrashMachine { machine_index: usize },
-    /// A machine fails every task.
+    /// A machine fails every task from now on.
     FailTasksOnMachine { machine_index: usize },
     /// The cloud's API refuses all requests.
     CloudOutage { duration_ms: u64 },
-    /// Pauses a controller while its clock runs on: effects decided last are sent after the pause, and all
-    /// events that arrived meanwhile are delivered at once.
+    /// Pauses a controller while its clock runs on. It still handles the next event, but the effects of that
+    /// event are applied only after the pause, and all later events are delivered at once then.
     PauseController { controller: usize, duration_ms: u64 },
     /// Disconnects a controller from everything, users included.
     IsolateController { controller: usize, duration_ms: u64 },
-    /// Machines rented meanwhile boot early, late, fast or never.
+    /// Machines rented during the fault boot as `behavior` says: early, late, fast or never.
     ChangeBootBehavior {
         behavior: BootBehavior,
         duration_ms: u64,
     },
-    /// Many jobs fail on every machine, and are cancelled much later.
+    /// 40 % of the jobs submitted during the fault fail on every machine; they are cancelled 10 to 50 s after
+    /// their submission.
     FailingJobs { duration_ms: u64 },
-    /// Users poll the status of their jobs many times as often.
+    /// Users poll the status of each job every 0.3 s instead of every 5 s.
     StatusRequestStorm { duration_ms: u64 },
-    /// A team without quota submits this many arrays of low priority.
+    /// The guest team, which has neither a guarantee nor a limit, submits this many arrays of low priority.
     GuestJobs { jobs: u64 },
-    /// One team submits ten times as much as each of the others.
+    /// On average, one team submits ten times as many jobs as each of the others.
     SkewedLoad { duration_ms: u64 },
-    /// This many jobs are submitted at once.
+    /// Users submit this many jobs at once.
     JobBurst { jobs: usize },
     /// This many machines crash at once.
     CrashMachines { count: usize },
@@ -73,121 +74,124 @@
     IsolateZone { duration_ms: u64 },
     /// The state service is slower by this factor.
     SlowStateService { factor: u64, duration_ms: u64 },
-    /// Crashes a controller before its nth effect that is visible to others: a write, a command, a cloud
-    /// request, a mesh message, a reply. It restarts after 6 s.
+    /// Crashes a controller just before its nth effect that others can observe: a write, a command, a cloud
+    /// request, a mesh message or a reply. It restarts after 6 s.
     CrashBeforeEffect { controller: usize, nth: u64 },
-    /// Messages to this many machines are lost; their own heartbeats arrive.
+    /// Messages from controllers to this many machines are lost; the heartbeats of these machines arrive.
     DropMessagesToMachines { count: usize, duration_ms: u64 },
-    /// Messages to all machines of zone b are lost.
+    /// Messages from controllers to all machines of zone b are lost; their heartbeats arrive.
     DropMessagesToZone { duration_ms: u64 },
-    /// Heartbeats, commands, writes and cloud requests are duplicated; the duplicates arrive after one second
-    /// to three leases, those of heartbeats at any controller.
+    /// Heartbeats, direct commands, transactions and cloud requests are duplicated. The duplicates arrive after
+    /// one second to three lease durations, those of heartbeats at a random controller.
     DuplicateMessages { duration_ms: u64 },
-    /// A controller loses the state service and the other controllers, by disconnection or refusal, but
-    /// neither workers nor users.
+    /// Disconnects a controller from the other controllers and from the state service, but neither from workers
+    /// nor from users. With `refused`, the state service refuses its requests instead.
     DisconnectStateAndMesh {
         controller: usize,
         duration_ms: u64,
         refused: bool,
     },
-    /// This percentage of the transactions gets no reply and is applied 2 to 12 s later, after newer ones of
-    /// the same controller.
+    /// This percentage of the transactions gets no reply and is applied 2 to 12 s later, possibly after newer
+    /// ones of the same controller.
     DelayTransactions { percent: u64, duration_ms: u64 },
-    /// Jobs submitted meanwhile run longer by this factor, every other one with checkpoints.
+    /// Tasks of the jobs submitted during the fault run longer by this factor. Every other job, unless it is a
+    /// service, saves checkpoints.
     LongTasks { factor: u64, duration_ms: u64 },
-    /// Users cancel every accepted job that is not in a terminal state, all through one controller.
+    /// Users cancel every accepted job that is not in a terminal state, all at one controller.
     CancelAllJobs { controller: usize },
     /// Users send follow-up requests to every controller within milliseconds of each confirmation, and some
     /// cancel at once.
     FollowUpRequests { duration_ms: u64 },
-    /// This percentage of the jobs is cancelled around the completion of its last task.
+    /// This percentage of the jobs is cancelled at or shortly after the completion of its last task.
     CancelAtCompletion { percent: u64, duration_ms: u64 },
-    /// This many running jobs with much remaining run time are cancelled within 200 ms; up to eight of their
-    /// machines hang for `hang_ms`.
+    /// Cancels, within 200 ms, this many running jobs that have a task with at least 10 s of run time left; up
+    /// to eight of their machines hang for `hang_ms`.
     CancelRunningJobs { count: usize, hang_ms: u64 },
-    /// Users repeat submissions, cancel completed jobs, and submit jobs that fit no machine or lack a field.
+    /// Users repeat submissions, cancel completed jobs, and submit jobs that can never run or lack a field.
     UnusualRequests { duration_ms: u64 },
-    /// Four jobs of one task are submitted per second; a quarter is cancelled.
+    /// Users submit four jobs of one task each per second and cancel a quarter of them.
     OneTaskJobs { duration_ms: u64 },
-    /// A page of a partition's placement log is unreadable for a time.
+    /// The first page of a partition's placement log is unreadable.
     CorruptLogPage { partition: u32, duration_ms: u64 },
-    /// The connections of this many machines to controllers fail. Direct commands and probes reach them.
+    /// The connections from this many machines to controllers fail; direct commands and probes reach them.
     RefuseMachineConnections { count: usize, duration_ms: u64 },
-    /// This percentage of the transactions is applied at once, and only the reply is lost.
+    /// This percentage of the transactions is applied without delay, but the reply is lost.
     DropTransactionReplies { percent: u64, duration_ms: u64 },
-    /// This percentage of the heartbeats is recorded and replayed to every controller just after the next
-    /// leader of a partition has acquired it.
+    /// This percentage of the heartbeats is copied. The copies are replayed to every controller just after the
+    /// next change of a partition's leadership.
     ReplayHeartbeats { percent: u64, duration_ms: u64 },
-    /// This percentage of the heartbeats is held back and delivered to the next leader of a partition after
-    /// its first actions.
+    /// This percentage of the heartbeats is held back until the next change of a partition's leadership, and
+    /// delivered to the new leader 1 to 6 s later, when it has already acted.
     HoldHeartbeats { percent: u64, duration_ms: u64 },
-    /// This percentage of the direct commands gets no reply and is executed 2 to 16 s later, if fencing token
-    /// and worker epoch still match.
+    /// This percentage of the direct commands gets no reply and reaches the worker 2 to 16 s later, which
+    /// executes them unless it has seen a higher fencing token or is in another worker epoch.
     DelayCommands { percent: u64, duration_ms: u64 },
-    /// Mesh messages of one controller to another are lost; those in the other direction arrive.
+    /// Mesh messages from one controller to another are lost; those in the other direction arrive.
     OneWayMeshPartition {
         from: usize,
         to: usize,
         duration_ms: u64,
     },
-    /// This percentage of the mesh messages is duplicated; the duplicate arrives one second to three leases
-    /// later, at whatever incarnation runs there by then.
+    /// This percentage of the mesh messages is duplicated. The duplicate arrives one second to three lease
+    /// durations later, at whatever incarnation of the receiver runs by then.
     DuplicateMeshMessages { percent: u64, duration_ms: u64 },
-    /// Links among controllers and to machines are slower by this factor.
+    /// Links among controllers and between controllers and machines are slower by this factor.
     SlowLinks { factor: u64, duration_ms: u64 },
 }
 
-/// A defect that is injected into the system under test, to show that the checks detect it.
+/// A defect that is injected into the simulated system to show that the checks detect it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Mutation {
-    /// Commits of the placement log are reported as written but are not.
+    /// Commits of the placement log are acknowledged but not written.
     LogCommitsNotWritten,
     /// Transaction conditions on partition records and the placement log are ignored.
     NoFencing,
-    /// Controllers assume leases much shorter than the workers'.
+    /// Controllers assume that workers' leases expire much earlier than they do.
     ShortLease,
     /// Controllers assume a cancellation deadline of minutes.
     LongCancellationDeadline,
-    /// Workers accept replies with an old fencing token.
+    /// Workers accept heartbeat responses with an outdated fencing token.
     TokensIgnored,
-    /// Terminal states of jobs are sent to watches but are not kept.
+    /// Terminal states of jobs are reported to watches, but their stored values are emptied.
     TerminalStatesNotWritten,
-    /// The placement log is often read as it was some seconds before.
+    /// Most reads of the placement log return its state of some seconds before.
     StalePlacementLog,
-    /// Unconfirmed predecessors are not recorded.
+    /// Partition records and the token counter's record do not list unconfirmed predecessors, and the latter no
+    /// last leaders.
     PredecessorsNotRecorded,
-    /// Replication streams carry false records: addresses and epochs of other machines, machines that are
-    /// gone, failures that never happened.
+    /// Replication streams carry false records: wrong addresses and worker epochs, machines that are gone,
+    /// failures that never happened.
     FalseReplicationRecords,
-    /// Parts of the replication streams are lost, misnumbered or truncated.
+    /// Messages of the replication streams are lost, truncated, or carry wrong terms and positions.
     LostReplicationRecords,
     /// Delayed transactions are applied without their conditions.
     DelayedWritesUnconditional,
-    /// Heartbeat replies carry no stop commands.
+    /// Heartbeat responses carry no stop commands.
     RepliesWithoutStopCommands,
-    /// Duplicated heartbeats look like new ones.
+    /// Duplicated heartbeats get high sequence numbers, so that they look like new ones.
     DuplicatedHeartbeatsLookNew,
-    /// Status requests about every seventh job are not answered.
+    /// Answers to requests about every seventh job are not counted as answers.
     SomeStatusRequestsUnanswered,
-    /// Delayed direct commands are executed whatever their fencing token and worker epoch.
+    /// Workers execute delayed direct commands whatever their fencing token and worker epoch.
     DelayedCommandsUnfenced,
-    /// No task of every seventh job is ever started.
+    /// Of every seventh job no task is ever started.
     SomeJobsNeverStarted,
     /// Direct commands and probes renew the workers' leases.
     DirectCommandsRenewLease,
-    /// Duplicated mesh heartbeats claim to know all changes.
+    /// Duplicated heartbeats between controllers carry the highest possible revision, as if their sender knew
+    /// all changes.
     MeshDuplicatesClaimAllChanges,
-    /// Transactions whose replies would be lost are reported as committed and not applied.
+    /// Transactions that are to lose their replies are reported as committed but not applied.
     LostRepliesNotApplied,
     /// Linearizable reads of changes return nothing new.
     StaleLinearizableReads,
-    /// Terminal states are written without conditions on cancellations.
+    /// Terminal states are written without the conditions on cancellation records.
     TerminalStatesIgnoreCancellations,
-    /// Jobs that fit no machine seem schedulable.
+    /// The cloud advertises machine types so large that jobs that fit no machine seem schedulable.
     UnschedulableJobsFit,
-    /// Missing fields of submissions are filled in.
+    /// Submissions that should lack a field are complete.
     MissingFieldsFilled,
-    /// Machines that have hung ignore stop commands.
+    /// Machines that hang or have hung ignore stop commands.
     HungMachinesIgnoreStops,
 }
 
@@ -196,16 +200,18 @@
 pub struct Plan {
     pub seed: u64,
     pub duration_ms: u64,
+    /// Faults with their start times in ms.
     pub faults: Vec<(u64, Fault)>,
     pub mutation: Option<Mutation>,
-    /// Users stop submitting after this time.
+    /// Users submit random jobs until this time; jobs that faults submit come on top.
     pub submit_until_ms: u64,
-    /// Factor of size over the smallest site, for teams, machines and jobs.
+    /// Size relative to the smallest site, which has size 1: a factor for limits of teams, machines and jobs.
     pub size: u64,
 }
 
 impl Plan {
-    /// A small site with long tasks, arrays and gangs with and without checkpoints, and services.
+    /// A small site whose tasks run 30 times as long, with services, and with arrays and gangs of which half save
+    /// checkpoints.
     pub fn with_long_tasks(seed: u64, duration_ms: u64, mut faults: Vec<(u64, Fault)>) -> Self {
         faults.insert(
             0,
--- a/crates/simulator/src/world/service_checks.rs
+++ b/crates/simulator/src/world/service_checks.rs
@@ -18,7 +18,7 @@
     starved_low_priority: Vec<String>,
     availability: Availability,
     /// From this time on no job may starve.
-    faults_over: u64,
+    faults_end_at: u64,
     healthy_since: [Option<u64>; CONTROLLERS],
 }
 
@@ -30,7 +30,7 @@
             starvation: StarvationChecker::default(),
             starved_low_priority: Vec::new(),
             availability: Availability::default(),
-            faults_over,
+            faults_end_at: faults_over,
             healthy_since: [None; CONTROLLERS],
         }
     }
@@ -63,7 +63,12 @@
     }
 
     /// Whether a controller has been healthy without a break for so long.
-    pub(super) fn healthy_for(&self, controller: usize, duration_ms: u64, now: u64) -> bool {
+    pub(super) fn has_been_healthy_for(
+        &self,
+        controller: usize,
+        duration_ms: u64,
+        now: u64,
+    ) -> bool {
         self.healthy_since[controller].is_some_and(|since| now >= since + duration_ms)
     }
 
@@ -79,7 +84,7 @@
         let (accepted, cancelled) = (&rules.accepted, &rules.cancel_requests);
         self.availability
             .observe(workers, jobs, accepted, cancelled, now);
-        if now < self.faults_over {
+        if now < self.faults_end_at {
             return;
         }
         let unfinished = accepted
--- a/crates/simulator/src/world/state_service.rs
+++ b/crates/simulator/src/world/state_service.rs
@@ -14,7 +14,7 @@
 pub(super) struct Watch {
     pub(super) key: CallKey,
     prefix: String,
-    after: u64,
+    after_revision: u64,
 }
 
 /// Partitions whose records a request writes, with the new terms.
@@ -51,7 +51,7 @@
 }
 
 /// Whether terminal states of jobs are written.
-fn writes_end(writes: &[Write]) -> bool {
+fn writes_terminal_states(writes: &[Write]) -> bool {
     writes
         .iter()
         .any(|write| matches!(write, Write::Put { key, .. } if key.starts_with("s/e/")))
@@ -67,7 +67,7 @@
     ) {
         self.record_changes_read(controller, &reply);
         let event = Event::State { call, reply };
-        let message = Message::Controller {
+        let message = Message::ControllerEvent {
             controller,
             incarnation,
             event,
@@ -83,7 +83,7 @@
         mut request: StateRequest,
     ) {
         self.state_requests += 1;
-        if self.refuses(controller) {
+        if self.refuses_state_requests(controller) {
             self.send_state_reply(
                 controller,
                 incarnation,
@@ -116,7 +116,7 @@
                             call,
                         },
                         prefix: prefix.clone(),
-                        after: *after,
+                        after_revision: *after,
                     });
                     let what = ScheduledEvent::WatchTimeout {
                         controller,
@@ -131,15 +131,16 @@
         if self.delays_transaction(controller, incarnation, &request) {
             return;
         }
-        let lost = self.loses_reply(&request);
+        let lost = self.draw_lost_reply(&request);
         let mut pretend = false;
         if let StateRequest::Transaction(txn) = &mut request {
             let page = |w: &Write| matches!(w, Write::Put { key, .. } if key.starts_with("l/"));
             match self.plan.mutation {
                 Some(Mutation::PredecessorsNotRecorded) => forget_predecessors(&mut txn.writes),
                 Some(Mutation::TerminalStatesIgnoreCancellations) => {
-                    txn.conditions
-                        .retain(|c| !c.key.starts_with("s/x/") || !writes_end(&txn.writes));
+                    txn.conditions.retain(|c| {
+                        !c.key.starts_with("s/x/") || !writes_terminal_states(&txn.writes)
+                    });
                 }
                 Some(Mutation::LogCommitsNotWritten) => pretend = txn.writes.iter().any(page),
                 Some(Mutation::LostRepliesNotApplied) => pretend = lost,
@@ -186,7 +187,7 @@
         if let StateReply::Committed { .. } = reply {
             for ((partition, term), before) in records.into_iter().zip(before) {
                 let living = self.machines_up_of(partition);
-                self.deliver_to_new_leader(&living, partition);
+                self.schedule_heartbeats_for_new_leader(&living, partition);
                 self.failovers.record_acquisition(
                     partition,
                     before.as_deref(),
@@ -222,7 +223,7 @@
             let what = ScheduledEvent::ApplyDelayedTransaction {
                 controller,
                 incarnation,
-                newer_than,
+                applied_when_sent: newer_than,
                 txn: txn.clone(),
             };
             let after = self.rng.random_range(2_000..12_000);
@@ -239,7 +240,7 @@
         newer_than: u64,
         mut txn: Transaction,
     ) {
-        if self.outage() {
+        if self.is_state_service_down() {
             return;
         }
         if self.plan.mutation == Some(Mutation::DelayedWritesUnconditional) {
@@ -269,11 +270,11 @@
     }
 
     /// A watch times out without changes. During a refusal it stays without a reply.
-    pub(super) fn end_watch(&mut self, key: CallKey) {
+    pub(super) fn time_out_watch(&mut self, key: CallKey) {
         let Some(index) = self.watches.iter().position(|watch| watch.key == key) else {
             return;
         };
-        if self.refuses(key.controller) {
+        if self.refuses_state_requests(key.controller) {
             return;
         }
         self.watches.remove(index);
@@ -289,8 +290,8 @@
                 incarnation,
                 call,
             } = watch.key;
-            match self.state.changes(&watch.prefix, watch.after) {
-                Some(reply) if !self.refuses(controller) => {
+            match self.state.changes(&watch.prefix, watch.after_revision) {
+                Some(reply) if !self.refuses_state_requests(controller) => {
                     self.send_state_reply(controller, incarnation, call, reply)
                 }
                 _ => self.watches.push(watch),
--- a/crates/simulator/src/world/transport.rs
+++ b/crates/simulator/src/world/transport.rs
@@ -1,6 +1,6 @@
 //! Transport of messages: disconnections, losses, duplicates and delays.
 
-use super::events::{starts, Endpoint, Message, ScheduledEvent};
+use super::events::{contains_launch, Endpoint, Message, ScheduledEvent};
 use super::network::{ActiveFault, HeldMessage};
 use super::open_requests::{CallKey, ReceivedHeartbeat, TicketKey};
 use super::scenario::Mutation;
@@ -16,7 +16,7 @@
 use wire::workers::DirectCommands;
 
 impl World {
-    pub(super) fn machine(&self, name: &str) -> Endpoint {
+    pub(super) fn machine_endpoint(&self, name: &str) -> Endpoint {
         Endpoint::Machine(
             name.rsplit('-')
                 .next()
@@ -58,7 +58,7 @@
                 _ => false,
             },
             ActiveFault::MachineDisconnected(name) => {
-                let place = self.machine(name);
+                let place = self.machine_endpoint(name);
                 from == place || to == place
             }
             ActiveFault::ZoneIsolated => {
@@ -94,23 +94,27 @@
     }
 
     /// Whether a message is lost on its way to a machine.
-    fn is_lost(&self, from: Endpoint, to: Endpoint) -> bool {
+    fn is_lost_on_way_to_machine(&self, from: Endpoint, to: Endpoint) -> bool {
         let (Endpoint::Controller(_), Endpoint::Machine(_)) = (from, to) else {
             return false;
         };
         self.network.any_active(|fault| match fault {
-            ActiveFault::MachineUnreachable(name) => self.machine(name) == to,
+            ActiveFault::MachineUnreachable(name) => self.machine_endpoint(name) == to,
             ActiveFault::ZoneUnreachable => self.zone_of(to).is_some_and(|zone| zone == "b"),
             _ => false,
         })
     }
 
     /// Schedules duplicates of a message, if that fault is active.
-    fn copy(&mut self, message: &Message) {
+    fn schedule_duplicates(&mut self, message: &Message) {
         let copied = match message {
-            Message::Heartbeat { .. } | Message::Direct { .. } => true,
-            Message::State { request, .. } => matches!(request, StateRequest::Transaction(_)),
-            Message::Cloud { request, .. } => !matches!(request, CloudRequest::ListMachines { .. }),
+            Message::Heartbeat { .. } | Message::DirectCall { .. } => true,
+            Message::StateRequest { request, .. } => {
+                matches!(request, StateRequest::Transaction(_))
+            }
+            Message::CloudRequest { request, .. } => {
+                !matches!(request, CloudRequest::ListMachines { .. })
+            }
             _ => false,
         };
         if !copied
@@ -124,7 +128,7 @@
             if let Message::Heartbeat {
                 controller,
                 number,
-                report,
+                heartbeat: report,
                 ..
             } = &mut copy
             {
@@ -134,7 +138,9 @@
                     report.sequence_number += 1_000_000;
                 }
             }
-            let after = self.rng.random_range(1_000..3 * self.parameters.lease);
+            let after = self
+                .rng
+                .random_range(1_000..3 * self.parameters.lease_duration_ms);
             self.schedule(
                 self.now + after,
                 ScheduledEvent::DeliverDuplicate(Box::new(copy)),
@@ -145,7 +151,9 @@
     /// Counts a duplicated heartbeat that is older than others of its machine.
     pub(super) fn record_duplicate(&mut self, message: &Message) {
         let Message::Heartbeat {
-            machine, report, ..
+            machine,
+            heartbeat: report,
+            ..
         } = message
         else {
             return;
@@ -159,14 +167,14 @@
 
     /// Sends a message; a disconnection holds it back until it ends.
     pub(super) fn send(&mut self, from: Endpoint, to: Endpoint, message: Message) {
-        self.copy(&message);
+        self.schedule_duplicates(&message);
         if self.is_lost_on_mesh(from, to) {
             return;
         }
         let Some(message) = self.intercept(message) else {
             return;
         };
-        if self.is_lost(from, to) {
+        if self.is_lost_on_way_to_machine(from, to) {
             self.coverage.dropped_messages += 1;
             return;
         }
@@ -174,7 +182,7 @@
             self.network.hold(HeldMessage { from, to, message });
             return;
         }
-        let mut delay = self.rng.random_range(1..6) * self.slowness(from, to);
+        let mut delay = self.rng.random_range(1..6) * self.link_slowdown(from, to);
         if self.rng.random_bool(0.004) {
             delay += self.rng.random_range(50..600);
         }
@@ -192,7 +200,7 @@
         let Some(incarnation) = self.controllers[other].as_ref().map(|r| r.incarnation) else {
             return;
         };
-        let Some(message) = self.as_mutated(message) else {
+        let Some(message) = self.mutate_mesh_message(message) else {
             return;
         };
         let event = Event::Mesh {
@@ -200,7 +208,7 @@
             message,
         };
         self.duplicate_mesh_event(other, &event);
-        let message = Message::Controller {
+        let message = Message::ControllerEvent {
             controller: other,
             incarnation,
             event,
@@ -212,7 +220,7 @@
         );
     }
 
-    pub(super) fn time_out(
+    pub(super) fn schedule_timeout(
         &mut self,
         after: u64,
         controller: usize,
@@ -231,7 +239,7 @@
 
     pub(super) fn deliver(&mut self, message: Message) {
         match message {
-            Message::State {
+            Message::StateRequest {
                 controller,
                 incarnation,
                 call,
@@ -239,7 +247,7 @@
             } => {
                 self.handle_state_request(controller, incarnation, call, request);
             }
-            Message::Cloud {
+            Message::CloudRequest {
                 controller,
                 incarnation,
                 call,
@@ -254,7 +262,7 @@
                     &request,
                 );
             }
-            Message::Controller {
+            Message::ControllerEvent {
                 controller,
                 incarnation,
                 event,
@@ -263,7 +271,7 @@
                 controller,
                 machine,
                 number,
-                report,
+                heartbeat: report,
             } => {
                 let Some(incarnation) =
                     self.controllers[controller].as_ref().map(|r| r.incarnation)
@@ -289,7 +297,7 @@
             } => {
                 self.handle_heartbeat_reply(&machine, number, controller, reply);
             }
-            Message::Direct {
+            Message::DirectCall {
                 controller,
                 incarnation,
                 call,
@@ -329,7 +337,7 @@
         // A small share of the replies is lost.
         if !self.rng.random_bool(0.02) {
             let event = Event::Cloud { call, reply };
-            let message = Message::Controller {
+            let message = Message::ControllerEvent {
                 controller,
                 incarnation,
                 event,
@@ -345,7 +353,7 @@
             call,
         } = key;
         let now = self.now;
-        let from = self.machine(&machine);
+        let from = self.machine_endpoint(&machine);
         self.record_direct_call(&machine);
         let Some(worker) = self.workers.get_mut(&machine) else {
             return;
@@ -353,7 +361,7 @@
         if worker.dead {
             return;
         }
-        worker.check_lease(now, self.parameters.lease);
+        worker.check_lease(now, self.parameters.lease_duration_ms);
         if self.plan.mutation == Some(Mutation::DirectCommandsRenewLease) {
             worker.renew_without_reply(now);
         }
@@ -366,8 +374,12 @@
         );
         let report = Box::new(worker.next_heartbeat());
         if executed {
-            self.failovers
-                .record_contact(&machine, body.token, starts(&body.commands), now);
+            self.failovers.record_contact(
+                &machine,
+                body.token,
+                contains_launch(&body.commands),
+                now,
+            );
             self.record_launch(&machine, &body.commands);
         }
         let event = Event::Worker {
@@ -377,7 +389,7 @@
         self.send(
             from,
             Endpoint::Controller(controller),
-            Message::Controller {
+            Message::ControllerEvent {
                 controller,
                 incarnation,
                 event,
--- a/crates/simulator/src/world/unusual_requests.rs
+++ b/crates/simulator/src/world/unusual_requests.rs
@@ -26,33 +26,33 @@
     /// 400: a field is missing.
     Malformed,
     /// 422: the job can never run.
-    NeverRuns,
+    Unschedulable,
 }
 
 impl World {
     /// Sends one unusual request and schedules the next one.
-    pub(super) fn unusual_request(&mut self) {
+    pub(super) fn send_unusual_request(&mut self) {
         if !self.network.is_active(&ActiveFault::UnusualRequests) {
             return;
         }
         match self.rng.random_range(0..4) {
-            0 => self.repeat_unfinished(),
-            1 => self.cancel_done(),
-            2 => self.submit_unfit(),
-            _ => self.submit_incomplete(),
+            0 => self.resubmit_unfinished_job(),
+            1 => self.cancel_done_job(),
+            2 => self.submit_unschedulable_job(),
+            _ => self.submit_malformed_job(),
         }
         let pause = self.rng.random_range(UNUSUAL_REQUEST_INTERVAL_MS);
         self.schedule(self.now + pause, ScheduledEvent::SendUnusualRequest);
     }
 
-    fn any_of(&mut self, ids: Vec<String>) -> Option<String> {
+    fn choose_one(&mut self, ids: Vec<String>) -> Option<String> {
         let nth = self.rng.random_range(0..ids.len().max(1));
         ids.into_iter().nth(nth)
     }
 
-    fn repeat_unfinished(&mut self) {
+    fn resubmit_unfinished_job(&mut self) {
         let unfinished = self.unfinished_jobs();
-        let Some(id) = self.any_of(unfinished) else {
+        let Some(id) = self.choose_one(unfinished) else {
             return;
         };
         let Some(job) = self.jobs.get(&id).cloned() else {
@@ -63,16 +63,18 @@
     }
 
     /// It must stay done, so the cancellation is not recorded as requested.
-    fn cancel_done(&mut self) {
+    fn cancel_done_job(&mut self) {
         let done = self.rules.done_confirmed.keys().cloned().collect();
-        let Some(id) = self.any_of(done) else { return };
+        let Some(id) = self.choose_one(done) else {
+            return;
+        };
         let Some(job) = JobId::parse(&id) else { return };
         self.coverage.cancellations_of_done_jobs += 1;
         self.send_request(UserRequest::Cancel(job), id, MAX_ATTEMPTS);
     }
 
-    fn submit_unfit(&mut self) {
-        let mut job = self.one_task();
+    fn submit_unschedulable_job(&mut self) {
+        let mut job = self.new_one_task_job();
         match self.rng.random_range(0..7) {
             0 => job.cpus = 64.0,
             1 => job.memory_gb = 1_000.0,
@@ -83,14 +85,14 @@
             _ => (job.kind, job.task_count) = (JobKind::Service, 1_000 * self.plan.size),
         }
         self.jobs
-            .expect_rejection(job.id.clone(), ExpectedRejection::NeverRuns);
+            .expect_rejection(job.id.clone(), ExpectedRejection::Unschedulable);
         let id = job.id.clone();
         self.send_request(UserRequest::Submit(Box::new(job)), id, 0);
     }
 
     /// A submission without one of its fields, read as the server reads it.
-    fn submit_incomplete(&mut self) {
-        let job = self.one_task();
+    fn submit_malformed_job(&mut self) {
+        let job = self.new_one_task_job();
         let id = job.id.clone();
         let Ok(serde_json::Value::Object(mut body)) = serde_json::to_value(&job) else {
             return;
@@ -121,7 +123,10 @@
         reply: UserReply,
     ) {
         let PendingRequest {
-            request, id, tries, ..
+            request,
+            id,
+            attempts,
+            ..
         } = pending_request;
         match reply {
             UserReply::Created(_) | UserReply::Status(_) => {
@@ -129,18 +134,20 @@
                 self.rules
                     .record_violation("accepted_invalid", what, self.now);
             }
-            UserReply::Invalid(_) => self.check_refusal(id, expected, ExpectedRejection::Malformed),
+            UserReply::Invalid(_) => {
+                self.check_rejection(id, expected, ExpectedRejection::Malformed)
+            }
             UserReply::Rejected(_) => {
-                self.check_refusal(id, expected, ExpectedRejection::NeverRuns)
+                self.check_rejection(id, expected, ExpectedRejection::Unschedulable)
             }
             UserReply::NotFound => {}
             UserReply::Busy { retry_after_s } => {
-                self.retry_request(request, id, tries, retry_after_s)
+                self.retry_request(request, id, attempts, retry_after_s)
             }
         }
     }
 
-    fn check_refusal(
+    fn check_rejection(
         &mut self,
         id: String,
         expected: ExpectedRejection,
@@ -159,7 +166,7 @@
     fn record_rejection_of_invalid_job(&mut self, id: String, refusal: ExpectedRejection) {
         match refusal {
             ExpectedRejection::Malformed => self.coverage.rejected_malformed += 1,
-            ExpectedRejection::NeverRuns => self.coverage.rejected_unschedulable += 1,
+            ExpectedRejection::Unschedulable => self.coverage.rejected_unschedulable += 1,
         }
         let Some(job) = JobId::parse(&id) else { return };
         for controller in 0..CONTROLLERS {
@@ -172,17 +179,17 @@
         }
     }
 
-    fn one_task(&mut self) -> JobRequest {
-        let team = self.any_team();
-        self.plain_array(team, 1)
+    fn new_one_task_job(&mut self) -> JobRequest {
+        let team = self.random_team();
+        self.new_array(team, 1)
     }
 
     /// Submits one job of one task and schedules the next one.
-    pub(super) fn one_task_job(&mut self) {
+    pub(super) fn submit_one_task_job(&mut self) {
         if !self.network.is_active(&ActiveFault::OneTaskJobs) {
             return;
         }
-        let job = self.one_task();
+        let job = self.new_one_task_job();
         let id = job.id.clone();
         self.coverage.one_task_jobs += 1;
         self.submit_job(job);
@@ -196,12 +203,12 @@
         );
     }
 
-    fn any_team(&mut self) -> String {
+    fn random_team(&mut self) -> String {
         format!("t{}", self.rng.random_range(0..6))
     }
 
     /// A new array that any machine may run.
-    pub(super) fn plain_array(&mut self, team: String, tasks: u64) -> JobRequest {
+    pub(super) fn new_array(&mut self, team: String, tasks: u64) -> JobRequest {
         JobRequest {
             id: self.jobs.next_id(),
             class: "c".into(),
--- a/crates/simulator/src/world/users.rs
+++ b/crates/simulator/src/world/users.rs
@@ -20,17 +20,21 @@
 pub(super) const MAX_ATTEMPTS: u32 = 60;
 
 impl World {
-    pub(super) fn submit(&mut self) {
+    pub(super) fn submit_next_job(&mut self) {
         if self.now > self.plan.submit_until_ms {
             return;
         }
-        self.new_job();
-        let pause = self.rng.random_range(700..2_800) / self.plan.size.min(self.parameters.often);
+        self.submit_random_job();
+        let pause = self.rng.random_range(700..2_800)
+            / self
+                .plan
+                .size
+                .min(self.parameters.max_submission_rate_factor);
         self.schedule(self.now + pause, ScheduledEvent::SubmitJob);
     }
 
     /// Submits a random job.
-    pub(super) fn new_job(&mut self) {
+    pub(super) fn submit_random_job(&mut self) {
         let mut job = self.random_job();
         let id = job.id.clone();
         let factor = self.network.find_active(|fault| match fault {
@@ -62,7 +66,7 @@
                 ScheduledEvent::SendRequest {
                     request,
                     id: id.clone(),
-                    tries: 50,
+                    attempts: 50,
                 },
             );
         }
@@ -83,7 +87,8 @@
             JobKind::Service => self.rng.random_range(1..3),
             JobKind::Gang => self.rng.random_range(2..5),
             JobKind::Array => {
-                self.rng.random_range(1..10) * self.plan.size.min(self.parameters.large)
+                self.rng.random_range(1..10)
+                    * self.plan.size.min(self.parameters.max_array_size_factor)
             }
         };
         let zone = self.rng.random_bool(0.15).then(|| "a".to_owned());
@@ -123,7 +128,7 @@
             estimated_run_time_s: match kind {
                 JobKind::Service => 0.0,
                 JobKind::Gang => 6.0,
-                JobKind::Array => 6.0 * self.parameters.longer as f64,
+                JobKind::Array => 6.0 * self.parameters.run_time_factor as f64,
             },
             checkpoint_interval_s: 0.0,
             checkpoint_save_time_s: 0.0,
@@ -133,7 +138,7 @@
 
     /// Polls the status of a job until its user knows its terminal state.
     pub(super) fn poll_status(&mut self, id: String) {
-        if !self.jobs.is_settled(&id) {
+        if !self.jobs.is_known_terminal(&id) {
             if let Some(job) = JobId::parse(&id) {
                 self.send_request(UserRequest::Get(job), id.clone(), 0);
             }
@@ -145,7 +150,7 @@
         }
     }
 
-    pub(super) fn guest_job(&mut self) {
+    pub(super) fn submit_guest_job(&mut self) {
         let job = JobRequest {
             class: "guests".into(),
             priority: Priority::Low,
@@ -155,30 +160,30 @@
             estimated_run_time_s: 20.0,
             checkpoint_interval_s: 5.0,
             checkpoint_save_time_s: 1.0,
-            ..self.plain_array("guest".into(), 20 * self.plan.size)
+            ..self.new_array("guest".into(), 20 * self.plan.size)
         };
         self.submit_job(job);
     }
 
-    pub(super) fn send_request(&mut self, request: UserRequest, id: String, tries: u32) {
+    pub(super) fn send_request(&mut self, request: UserRequest, id: String, attempts: u32) {
         let reached = |n: &usize| {
             self.controllers[*n].is_some()
                 && !self.network.is_active(&ActiveFault::UsersDisconnected(*n))
         };
         let alive: Vec<usize> = (0..CONTROLLERS).filter(reached).collect();
         if alive.is_empty() {
-            if tries < MAX_ATTEMPTS {
+            if attempts < MAX_ATTEMPTS {
                 let what = ScheduledEvent::SendRequest {
                     request,
                     id,
-                    tries: tries + 1,
+                    attempts: attempts + 1,
                 };
                 self.schedule(self.now + 1_000, what);
             }
             return;
         }
         let controller = alive[self.rng.random_range(0..alive.len())];
-        self.send_request_to(controller, request, id, tries);
+        self.send_request_to(controller, request, id, attempts);
     }
 
     pub(super) fn send_request_to(
@@ -186,7 +191,7 @@
         controller: usize,
         request: UserRequest,
         id: String,
-        tries: u32,
+        attempts: u32,
     ) {
         let Some(incarnation) = self.controllers[controller].as_ref().map(|r| r.incarnation) else {
             return;
@@ -196,8 +201,8 @@
         let pending_request = PendingRequest {
             request: request.clone(),
             id,
-            tries,
-            sent,
+            attempts,
+            sent_at: sent,
         };
         self.open_requests.add_user_request(
             TicketKey {
@@ -217,13 +222,17 @@
         // Large sites are queried at a lower rate.
         let pause = if ids.len() > 300 { 20_000 } else { 5_000 };
         let serves = |n: &usize| {
-            let long = self.service.healthy_for(*n, MIN_HEALTHY_MS, self.now);
+            let long = self
+                .service_checks
+                .has_been_healthy_for(*n, MIN_HEALTHY_MS, self.now);
             long && self.controllers[*n].is_some()
                 && !self.network.is_active(&ActiveFault::UsersDisconnected(*n))
         };
         let controllers: Vec<usize> = (0..CONTROLLERS).filter(serves).collect();
         for (nth, id) in ids.into_iter().enumerate() {
-            self.service.unanswered().record_request(&id, self.now);
+            self.service_checks
+                .unanswered()
+                .record_request(&id, self.now);
             let (Some(job), Some(number)) = (self.jobs.get(&id).cloned(), JobId::parse(&id)) else {
                 continue;
             };
@@ -251,14 +260,14 @@
         let PendingRequest {
             request,
             id,
-            tries,
-            sent,
+            attempts,
+            sent_at: sent,
         } = pending_request;
         let now = self.now;
         let unanswered = self.plan.mutation == Some(Mutation::SomeStatusRequestsUnanswered)
             && JobId::parse(&id).is_some_and(|job| job.0 % 49 == 0);
         if matches!(reply, UserReply::Status(_)) && !unanswered {
-            self.service.unanswered().record_answer(&id);
+            self.service_checks.unanswered().record_answer(&id);
         }
         match reply {
             UserReply::Created(_) => {
@@ -274,7 +283,7 @@
                     self.rules.accepted.entry(id.clone()).or_insert(now);
                 }
                 if matches!(status.state, JobState::Done | JobState::Cancelled) {
-                    self.jobs.settle(id.clone());
+                    self.jobs.record_known_terminal(id.clone());
                 }
                 self.rules
                     .record_status(&id, status.state, self.jobs.all(), sent, now);
@@ -297,9 +306,9 @@
                     let what = ScheduledEvent::SendRequest {
                         request,
                         id,
-                        tries: tries + 1,
+                        attempts: attempts + 1,
                     };
-                    if tries < 30 {
+                    if attempts < 30 {
                         self.schedule(now + 2_000, what);
                     }
                 }
@@ -310,7 +319,7 @@
             }
             UserReply::Busy { retry_after_s } => {
                 self.busy_replies += 1;
-                self.retry_request(request, id, tries, retry_after_s);
+                self.retry_request(request, id, attempts, retry_after_s);
             }
         }
     }
@@ -320,14 +329,14 @@
         &mut self,
         request: UserRequest,
         id: String,
-        tries: u32,
+        attempts: u32,
         retry_after_s: u64,
     ) {
-        if !matches!(request, UserRequest::Get(_)) && tries < MAX_ATTEMPTS {
+        if !matches!(request, UserRequest::Get(_)) && attempts < MAX_ATTEMPTS {
             let what = ScheduledEvent::SendRequest {
                 request,
                 id,
-                tries: tries + 1,
+                attempts: attempts + 1,
             };
             self.schedule(self.now + retry_after_s.max(1) * 1_000, what);
         }
--- a/crates/simulator/src/world/views.rs
+++ b/crates/simulator/src/world/views.rs
@@ -17,7 +17,7 @@
 
     /// Machines recorded for a partition.
     pub fn recorded_machines(&self, partition: u32) -> usize {
-        self.records()
+        self.machine_records()
             .filter(|m| m.get(4).is_some_and(|p| *p == partition))
             .count()
     }
@@ -31,11 +31,13 @@
             )
         };
         let living = self.controllers.iter().flatten().map(counts);
-        living.fold(self.early, |sum, n| (sum.0 + n.0, sum.1 + n.1))
+        living.fold(self.early_failovers_of_crashed, |sum, n| {
+            (sum.0 + n.0, sum.1 + n.1)
+        })
     }
 
     /// All records of machines.
-    pub(super) fn records(&self) -> impl Iterator<Item = &serde_json::Value> {
+    pub(super) fn machine_records(&self) -> impl Iterator<Item = &serde_json::Value> {
         let page = |n: u32| self.state.value(&format!("s/m/{n:04}"));
         (0..)
             .map_while(page)
@@ -46,7 +48,7 @@
     /// Machines that crashed with tasks and whose records are not marked as leaving yet.
     pub fn recorded_dead_machines(&self) -> usize {
         let kept = self
-            .records()
+            .machine_records()
             .filter(|m| m.get(6).is_some_and(|leaving| *leaving == false));
         let names = kept.filter_map(|m| m.get(0)?.as_str());
         names
@@ -67,14 +69,14 @@
             ..
         } = &self.rules;
         let until = self.now.saturating_sub(patience);
-        let mut shares = self.service.availability().service_levels(
+        let mut shares = self.service_checks.availability().service_levels(
             self.jobs.all(),
             accepted,
             cancel_requests,
             done_confirmed,
             until,
         );
-        shares.extend(self.service.availability().largest_job_levels(
+        shares.extend(self.service_checks.availability().largest_job_levels(
             self.jobs.all(),
             accepted,
             self.jobs.submission_times(),
@@ -92,7 +94,7 @@
     /// Names of the machines recorded for a partition that are up.
     pub(super) fn machines_up_of(&self, partition: u32) -> BTreeSet<String> {
         let ours = self
-            .records()
+            .machine_records()
             .filter(|m| m.get(4).is_some_and(|p| *p == partition));
         let names = ours.filter_map(|m| m.get(0)?.as_str());
         let incarnations = |name: &&str| self.workers.get(*name).is_some_and(|w| !w.dead);
@@ -179,7 +181,7 @@
 
     /// Arrays of low priority that waited for too long although there was capacity for them.
     pub fn starved_low_priority_arrays(&self) -> &[String] {
-        self.service.starved_low_priority()
+        self.service_checks.starved_low_priority()
     }
 
     /// Jobs that were accepted and are neither done nor cancelled by now.
@@ -211,6 +213,6 @@
             used.get(team.as_str())
                 .is_some_and(|cpus| cpus + 1.0 > **limit)
         };
-        self.limits.iter().filter(at_limit).count()
+        self.cpu_limits.iter().filter(at_limit).count()
     }
 }
