--- a/crates/controller/src/controller/admission.rs
+++ b/crates/controller/src/controller/admission.rs
@@ -26,8 +26,8 @@
 /// How long replies to accepted submissions wait for the state cache to reach the revision of their
 /// write. After that they are sent after a read of changes instead.
 const MAX_CACHE_LAG: Duration = Duration::from_millis(300);
-/// A page is rewritten only if at least a quarter of it is free: rewriting a nearly full page for a job
-/// or two costs more than a new page.
+/// Divisor of a page's capacity: a page is rewritten only if at least this part of it is free, because
+/// rewriting a nearly full page for a job or two costs more than a new page.
 const MIN_FREE_PAGE_DIVISOR: usize = 4;
 
 /// A submission that waits to be written.
@@ -52,7 +52,7 @@
         }
     }
 
-    /// Converts the submission into a repeated one, of a job that was accepted before.
+    /// Converts the submission into a repeated one, because its job has been accepted before.
     fn into_resubmission(self) -> PendingRequest {
         let waiting_since = self.received_at;
         self.into_request(RequestKind::Resubmit { rejection: None }, waiting_since)
--- a/crates/controller/src/controller/heartbeats.rs
+++ b/crates/controller/src/controller/heartbeats.rs
@@ -49,8 +49,8 @@
         };
         let partition = cached.record.partition;
         let recorded_token = FencingToken(cached.record.token);
-        // A response renews the worker's lease. If this controller's last confirmed read of changes is
-        // older than the cancel deadline (`cancel_s`) allows, a cancelled task could run for too long.
+        // A response renews the worker's lease. Without a recent confirmed read of changes this controller
+        // must not renew it: a cancelled task could run past the cancel deadline (`cancel_s`).
         let may_renew_lease = self.has_recent_state_read(self.settings.lease_validity());
         let may_launch = self.has_recent_state_read(self.launch_validity());
         let Some(leadership) = self.leaderships.get_mut(&partition) else {
@@ -127,8 +127,8 @@
         MAX_LAUNCH_READ_AGE.min(self.settings.lease_validity())
     }
 
-    /// Replies to a machine that has no record: the fleet planner creates one, other controllers redirect
-    /// the worker to it.
+    /// Replies to a machine that has no record. The fleet planner creates one; other controllers redirect the
+    /// worker to the fleet planner.
     fn handle_unregistered_heartbeat(
         &mut self,
         name: &MachineName,
@@ -328,7 +328,7 @@
     }
 }
 
-/// Commands that stop tasks of a heartbeat at once, without a grace period, if their jobs are cancelled
+/// Commands that stop tasks listed in a heartbeat without a grace period, if their jobs are cancelled
 /// according to the state cache.
 ///
 /// A response renews the worker's lease for its full length, so the controller has to make sure that each
--- a/crates/controller/src/controller/linearizable_reads.rs
+++ b/crates/controller/src/controller/linearizable_reads.rs
@@ -174,7 +174,7 @@
         }
     }
 
-    /// Handles the reply to the check which of the requests' jobs have an archived terminal state.
+    /// Handles the reply to a check for archived terminal states of the requests' jobs.
     pub(super) fn handle_terminal_states_check_reply(
         &mut self,
         requests: Vec<PendingRequest>,
@@ -211,9 +211,9 @@
         }
     }
 
-    /// Answers a request from the state cache, which includes all changes confirmed before the request
-    /// arrived. A cancellation is queued to be written, and a request for a job that is not registered
-    /// waits for the check for a terminal state.
+    /// Answers a request from the state cache, which must include all changes that were confirmed before the
+    /// request arrived. Two kinds of requests are not answered yet: a cancellation of an open job is queued to
+    /// be written, and a request for a job that is not registered waits for a check for its terminal state.
     pub(super) fn reply_from_cache(&mut self, request: PendingRequest) {
         let id = request.id;
         if let Some(state) = self.job_status.terminal_state(id) {
--- a/crates/controller/src/controller/user_requests.rs
+++ b/crates/controller/src/controller/user_requests.rs
@@ -40,7 +40,7 @@
     Accepted,
 }
 
-/// Status of a job without its numbers of tasks.
+/// Status of a job without task counts.
 pub(super) fn status_without_counts(id: JobId, state: JobState) -> JobStatus {
     JobStatus {
         id: id.to_string(),
--- a/crates/failover/src/replica.rs
+++ b/crates/failover/src/replica.rs
@@ -173,9 +173,9 @@
 /// the result is computed from how long the machine had been idle when the record was sent.
 fn idle_since(snapshot: &MachineSnapshot, sent_at: Timestamp, now: Timestamp) -> Option<Timestamp> {
     let idle_since_ms = snapshot.idle_since_ms?;
-    let idle_for = sent_at.as_millis() - idle_since_ms.min(sent_at.as_millis());
+    let idle_for_ms = sent_at.as_millis() - idle_since_ms.min(sent_at.as_millis());
     Some(Timestamp::from_millis(
-        now.as_millis().saturating_sub(idle_for),
+        now.as_millis().saturating_sub(idle_for_ms),
     ))
 }
 
--- a/crates/failover/tests/large_partition.rs
+++ b/crates/failover/tests/large_partition.rs
@@ -11,7 +11,7 @@
 const IMAGES_PER_MACHINE: usize = 11;
 /// Time between two steps of a controller.
 const STEP_MS: u64 = 500;
-/// How long a preferred leader waits for its replica to be in sync before it reclaims the partition without.
+/// How long a preferred leader waits for its replica to be in sync before it reclaims the partition anyway.
 const CATCH_UP_LIMIT_MS: u64 = 4_000;
 
 fn machine_record(number: usize) -> ReplicatedRecord {
