--- a/crates/simulator/src/failovers.rs
+++ b/crates/simulator/src/failovers.rs
@@ -1,30 +1,32 @@
-//! Timelines of failovers: from the stop of a leader to each step of its successor.
+//! Timelines of failovers: when, after the stop of a leader, its successor reached each step.
 
 use std::collections::BTreeSet;
 
-/// One failover of a partition, in ms of simulated time.
+/// One failover of a partition. Times are in ms of simulated time.
 #[derive(Debug, Clone)]
 pub struct Failover {
     pub partition: u32,
-    /// The leader before.
     pub previous_leader: String,
-    /// When the previous leader crashed or was paused; for a leadership transfer, when its record was
-    /// written.
+    /// When the previous leader crashed or was paused; for a leadership transfer, when the new leader's record
+    /// was written.
     pub leader_stopped_at: u64,
-    /// Whether a healthy leader transferred its leadership.
+    /// Whether the previous leader was healthy and transferred its leadership.
     pub transferred: bool,
-    /// When the record of the new leader was written, and its term.
+    /// When the record of the new leader was written.
     pub acquired_at: Option<u64>,
+    /// Term of the new leader, 0 before the acquisition.
     pub term: u64,
-    /// When the first and the last of the machines that were up had received a heartbeat reply or a direct
-    /// call of the new leader.
+    /// When the first of the machines that were up at the acquisition received a heartbeat reply or a direct call
+    /// of the new leader.
     pub first_contact_at: Option<u64>,
+    /// When the last of them did, or was lost before it did.
     pub last_contact_at: Option<u64>,
     /// When the new leader launched its first task.
     pub first_launch_at: Option<u64>,
-    /// Machines that were up when the new leader acquired the partition.
+    /// Number of machines that were up when the new leader acquired the partition.
     pub machine_count: usize,
-    waiting: BTreeSet<String>,
+    /// Those of them that have not received a message of the new leader.
+    uncontacted: BTreeSet<String>,
 }
 
 /// All failovers of a run, in the order in which they began.
@@ -34,15 +36,21 @@
 }
 
 impl FailoverTimeline {
-    /// The leader of a partition crashes or is paused.
+    /// Records that the leader of a partition crashes or is paused: a failover begins.
     pub fn record_leader_stop(&mut self, partition: u32, leader: &str, now: u64) {
-        self.open(partition, leader, now, false);
+        self.begin(partition, leader, now, false);
     }
 
-    fn open(&mut self, partition: u32, before: &str, leader_stopped_at: u64, transferred: bool) {
+    fn begin(
+        &mut self,
+        partition: u32,
+        previous_leader: &str,
+        leader_stopped_at: u64,
+        transferred: bool,
+    ) {
         self.list.push(Failover {
             partition,
-            previous_leader: before.into(),
+            previous_leader: previous_leader.into(),
             leader_stopped_at,
             transferred,
             acquired_at: None,
@@ -51,45 +59,50 @@
             last_contact_at: None,
             first_launch_at: None,
             machine_count: 0,
-            waiting: BTreeSet::new(),
+            uncontacted: BTreeSet::new(),
         });
     }
 
-    /// A partition record has been written. `living` are the partition's machines that are up.
+    /// Records that a new leader's partition record has been written. `live_machines` are the partition's machines
+    /// that are up.
     pub fn record_acquisition(
         &mut self,
         partition: u32,
-        before: Option<&str>,
+        previous_leader: Option<&str>,
         term: u64,
-        living: BTreeSet<String>,
+        live_machines: BTreeSet<String>,
         now: u64,
     ) {
-        // Machines that had not heard from the predecessor will hear from its successor.
-        for old in self.list.iter_mut().filter(|t| t.partition == partition) {
-            old.waiting.clear();
+        // Machines that had no contact with an earlier leader now wait for this one.
+        let earlier = |f: &&mut Failover| f.partition == partition;
+        for failover in self.list.iter_mut().filter(earlier) {
+            failover.uncontacted.clear();
         }
-        let opened = |t: &Failover| t.partition == partition && t.acquired_at.is_none();
-        if !self.list.iter().any(opened) {
-            let Some(before) = before else { return };
-            self.open(partition, before, now, true);
+        let in_progress = |f: &Failover| f.partition == partition && f.acquired_at.is_none();
+        if !self.list.iter().any(in_progress) {
+            let Some(previous_leader) = previous_leader else {
+                return;
+            };
+            self.begin(partition, previous_leader, now, true);
         }
-        for failover in self.list.iter_mut().filter(|t| opened(t)) {
+        for failover in self.list.iter_mut().filter(|f| in_progress(f)) {
             failover.acquired_at = Some(now);
             failover.term = term;
-            failover.machine_count = living.len();
-            failover.waiting = living.clone();
+            failover.machine_count = live_machines.len();
+            failover.uncontacted = live_machines.clone();
         }
     }
 
-    /// A machine has received a message with this fencing token; `launches` if it contained a start command.
+    /// Records that a machine has received a message with this fencing token; `launches` tells whether it contained
+    /// a launch command.
     pub fn record_contact(&mut self, machine: &str, token: u64, launches: bool, now: u64) {
         for failover in &mut self.list {
             if failover.acquired_at.is_none() || token < failover.term {
                 continue;
             }
-            if failover.waiting.remove(machine) {
+            if failover.uncontacted.remove(machine) {
                 failover.first_contact_at.get_or_insert(now);
-                if failover.waiting.is_empty() {
+                if failover.uncontacted.is_empty() {
                     failover.last_contact_at = Some(now);
                 }
                 if launches {
@@ -101,10 +114,10 @@
         }
     }
 
-    /// A machine is gone: its first contact is no longer expected.
+    /// Records that a machine is gone: no contact with it is expected any more.
     pub fn record_machine_loss(&mut self, machine: &str, now: u64) {
         for failover in &mut self.list {
-            if failover.waiting.remove(machine) && failover.waiting.is_empty() {
+            if failover.uncontacted.remove(machine) && failover.uncontacted.is_empty() {
                 failover.last_contact_at.get_or_insert(now);
             }
         }
--- a/crates/simulator/src/history.rs
+++ b/crates/simulator/src/history.rs
@@ -1,11 +1,11 @@
-//! A history checker: replies about each job are checked against real-time order. A reply may not be older
-//! than anything that was confirmed to any user before its request was sent.
+//! A history checker: replies about each job are checked against real-time order. A reply must not show an older
+//! state than any reply that had reached any user before its request was sent.
 
 use std::collections::HashMap;
 use wire::users::JobState;
 
-/// A request counts as close to a confirmation if it was sent at most this many ms after it.
-const CLOSE_ANSWER_MS: u64 = 100;
+/// A request counts as a follow-up of a confirmation if it was sent at most this long after it.
+const FOLLOW_UP_WINDOW_MS: u64 = 100;
 
 /// A point in the total order of all requests and replies.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
@@ -15,7 +15,7 @@
 }
 
 impl HistoryTime {
-    /// A point by a clock in microseconds, for histories whose order is that of a clock.
+    /// The point at a clock reading in microseconds, for histories that are ordered by a clock.
     pub fn at_us(us: u64) -> Self {
         HistoryTime {
             order: us,
@@ -24,18 +24,18 @@
     }
 }
 
-/// What an answer says about a job.
+/// What a reply to a user says about a job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum JobReply {
-    /// The job is known and has this state.
+    /// The job exists and has this state.
     Status(JobState),
     /// There is no such job (404).
     Missing,
-    /// The submission was refused for good (400 or 422).
+    /// The submission was rejected, and repeating it is of no use (400 or 422).
     Refused,
 }
 
-/// An answer that contradicts the history of its job.
+/// A reply that contradicts the history of its job.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct HistoryViolation {
     pub rule: &'static str,
@@ -43,23 +43,24 @@
 }
 
 impl HistoryViolation {
-    fn new(rule: &'static str, what: String) -> Self {
-        HistoryViolation {
-            rule,
-            details: what,
-        }
+    fn new(rule: &'static str, details: String) -> Self {
+        HistoryViolation { rule, details }
     }
 }
 
-/// What has been confirmed about one job, and when first.
+/// What replies have confirmed about one job, and when for the first time.
 #[derive(Debug, Default)]
 struct JobHistory {
-    known: Option<HistoryTime>,
-    finished: Option<(JobState, HistoryTime)>,
-    cancel_requested: Option<HistoryTime>,
+    /// First reply that confirmed that the job exists.
+    known_at: Option<HistoryTime>,
+    /// First terminal state that a reply confirmed.
+    terminal: Option<(JobState, HistoryTime)>,
+    /// First request to cancel the job.
+    cancel_requested_at: Option<HistoryTime>,
 }
 
-/// Answers whose status requests were sent within milliseconds of a confirmation about the same job.
+/// Numbers of replies whose requests were sent within 100 ms after a confirmation about the same job, by
+/// what was confirmed.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct FollowUpReplies {
     pub after_accepted: u64,
@@ -72,12 +73,13 @@
 pub struct History {
     last_order: u64,
     jobs: HashMap<String, JobHistory>,
+    /// Number of replies checked.
     pub replies: u64,
     pub follow_up_replies: FollowUpReplies,
 }
 
 impl History {
-    /// A question is sent, or an answer comes.
+    /// The point of a request that is sent now or of a reply that arrives now: later than all points before.
     pub fn next_time(&mut self, ms: u64) -> HistoryTime {
         self.last_order += 1;
         HistoryTime {
@@ -86,34 +88,35 @@
         }
     }
 
-    /// All that comes from now on is later than this point by a clock in microseconds.
+    /// Makes all following points later than this clock reading in microseconds.
     pub fn advance_to_us(&mut self, us: u64) {
         self.last_order = self.last_order.max(us);
     }
 
-    /// A user asks for the cancellation of a job.
+    /// Records that a user sends a request to cancel a job.
     pub fn record_cancel_request(&mut self, id: &str, ms: u64) {
         let now = self.next_time(ms);
         self.jobs
             .entry(id.to_owned())
             .or_default()
-            .cancel_requested
+            .cancel_requested_at
             .get_or_insert(now);
     }
 
-    /// A submission was answered, whatever the answer says of the job's state: it is known from now on.
+    /// Records a reply that a submission was accepted, whatever it says about the job's state: the job is known from
+    /// now on.
     pub fn record_acceptance(&mut self, id: &str, ms: u64) {
         let now = self.next_time(ms);
         self.jobs
             .entry(id.to_owned())
             .or_default()
-            .known
+            .known_at
             .get_or_insert(now);
     }
 
-    /// When the cancellation of a job was first asked for, in ms.
+    /// When the first request to cancel a job was sent, in ms.
     pub fn cancel_requested_at(&self, id: &str) -> Option<u64> {
-        Some(self.jobs.get(id)?.cancel_requested?.ms)
+        Some(self.jobs.get(id)?.cancel_requested_at?.ms)
     }
 
     /// Checks a reply that arrives now against what had been confirmed when its request was sent, and records
@@ -122,68 +125,69 @@
         &mut self,
         id: &str,
         sent: HistoryTime,
-        answer: JobReply,
+        reply: JobReply,
         ms: u64,
     ) -> Result<(), HistoryViolation> {
         let now = self.next_time(ms);
         let job = self.jobs.entry(id.to_owned()).or_default();
         self.replies += 1;
         self.follow_up_replies.count(job, sent);
-        let judged = job.judge(id, sent, answer);
-        job.confirm(answer, now);
-        judged
+        let checked = job.check(id, sent, reply);
+        job.confirm(reply, now);
+        checked
     }
 }
 
 impl FollowUpReplies {
     fn count(&mut self, job: &JobHistory, sent: HistoryTime) {
-        let close =
-            |confirmed: HistoryTime| confirmed < sent && sent.ms <= confirmed.ms + CLOSE_ANSWER_MS;
-        match job.finished {
-            Some((JobState::Done, at)) => self.after_done += u64::from(close(at)),
-            Some((_, at)) => self.after_cancelled += u64::from(close(at)),
-            None => self.after_accepted += u64::from(job.known.is_some_and(close)),
+        let is_follow_up = |confirmed: HistoryTime| {
+            confirmed < sent && sent.ms <= confirmed.ms + FOLLOW_UP_WINDOW_MS
+        };
+        match job.terminal {
+            Some((JobState::Done, at)) => self.after_done += u64::from(is_follow_up(at)),
+            Some((_, at)) => self.after_cancelled += u64::from(is_follow_up(at)),
+            None => self.after_accepted += u64::from(job.known_at.is_some_and(is_follow_up)),
         }
     }
 }
 
 impl JobHistory {
-    fn judge(&self, id: &str, sent: HistoryTime, answer: JobReply) -> Result<(), HistoryViolation> {
-        match answer {
+    fn check(&self, id: &str, sent: HistoryTime, reply: JobReply) -> Result<(), HistoryViolation> {
+        match reply {
             JobReply::Missing | JobReply::Refused => {
-                if self.known.is_some_and(|at| at < sent) {
+                if self.known_at.is_some_and(|at| at < sent) {
                     return Err(HistoryViolation::new(
                         "forgotten",
-                        format!("{id}: {answer:?}"),
+                        format!("{id}: {reply:?}"),
                     ));
                 }
             }
-            JobReply::Status(JobState::Cancelled) if self.cancel_requested.is_none() => {
-                let what = format!("{id} is cancelled, and nobody asked for it");
-                return Err(HistoryViolation::new("went_back", what));
+            JobReply::Status(JobState::Cancelled) if self.cancel_requested_at.is_none() => {
+                let details = format!("{id} is cancelled, but no user requested it");
+                return Err(HistoryViolation::new("went_back", details));
             }
             JobReply::Status(state) => {
-                let Some((finished, at)) = self.finished else {
+                let Some((terminal, at)) = self.terminal else {
                     return Ok(());
                 };
-                // Two terminal states contradict each other in any order.
-                let is_final = matches!(state, JobState::Done | JobState::Cancelled);
-                if state != finished && (is_final || at < sent) {
-                    let what = format!("{id} was {finished:?} at {}, then {state:?}", at.ms);
-                    return Err(HistoryViolation::new("went_back", what));
+                // Two different terminal states contradict each other in any order.
+                let is_terminal = matches!(state, JobState::Done | JobState::Cancelled);
+                if state != terminal && (is_terminal || at < sent) {
+                    let details = format!("{id} was {terminal:?} at {} ms, then {state:?}", at.ms);
+                    return Err(HistoryViolation::new("went_back", details));
                 }
             }
         }
         Ok(())
     }
 
-    fn confirm(&mut self, answer: JobReply, now: HistoryTime) {
-        let JobReply::Status(state) = answer else {
+    fn confirm(&mut self, reply: JobReply, now: HistoryTime) {
+        let JobReply::Status(state) = reply else {
             return;
         };
-        self.known.get_or_insert(now);
+        self.known_at.get_or_insert(now);
         if matches!(state, JobState::Done | JobState::Cancelled) {
-            self.finished.get_or_insert((state, now));
+            self.terminal.get_or_insert((state, now));
         }
     }
 }
--- a/crates/simulator/src/lib.rs
+++ b/crates/simulator/src/lib.rs
@@ -1,8 +1,9 @@
-//! A deterministic simulation of a site: real controllers with stand-ins of the state service, the cloud,
-//! workers, users and the network, in simulated time from one seed, with fault injection. The rules are
-//! checked after every step.
+//! A deterministic simulation of a cluster: the real controllers run against a simulated state service, cloud,
+//! network, workers and users, in simulated time and from one seed, with fault injection. The rules of the
+//! protocols are checked after every step.
 //!
-//! The stand-ins implement the protocols independently of the controllers' code.
+//! The simulated services implement the protocols independently of the controllers' code. Times and durations
+//! are in ms unless the name or the type says otherwise.
 
 pub mod availability;
 pub mod cloud;
@@ -25,12 +26,12 @@
 
 /// Runs a function for each seed from 1 to `seeds`, on all cores.
 pub fn for_seeds(seeds: u64, run: impl Fn(u64) + Sync) {
-    let next = std::sync::atomic::AtomicU64::new(1);
+    let next_seed = std::sync::atomic::AtomicU64::new(1);
     let cores = std::thread::available_parallelism().map_or(4, usize::from);
     std::thread::scope(|scope| {
         for _ in 0..cores {
             scope.spawn(|| loop {
-                let seed = next.fetch_add(1, std::sync::atomic::Ordering::Relaxed);
+                let seed = next_seed.fetch_add(1, std::sync::atomic::Ordering::Relaxed);
                 if seed > seeds {
                     break;
                 }
--- a/crates/simulator/src/state.rs
+++ b/crates/simulator/src/state.rs
@@ -1,83 +1,89 @@
-//! Stand-in of the state service.
+//! A simulated state service: a versioned key-value store in memory with leases, transactions and watches.
 
 use std::collections::{BTreeMap, VecDeque};
 use wire::state::{Change, Changes, Item, ListPage, StateReply, StateRequest, Transaction, Write};
 
 #[derive(Debug, Clone)]
-struct Stored {
+struct StoredValue {
     value: serde_json::Value,
+    /// Revision of the store at which the value was written.
     version: u64,
+    /// Lease that deletes the value when it ends.
     lease: Option<u64>,
 }
 
-/// The store.
+/// The store. All times are in ms.
 #[derive(Debug, Clone, Default)]
 pub struct StateService {
     revision: u64,
-    keys: BTreeMap<String, Stored>,
+    values: BTreeMap<String, StoredValue>,
+    /// When each lease expires and how long it lasts after a renewal, by its id.
     leases: BTreeMap<u64, (u64, u64)>,
-    next_lease: u64,
-    log: VecDeque<Change>,
-    compacted: u64,
-    budget: f64,
-    filled_at: u64,
+    last_lease_id: u64,
+    /// The latest changes, for watches.
+    changes: VecDeque<Change>,
+    /// Revision of the latest change that is no longer kept.
+    compacted_revision: u64,
+    /// Puts and deletes that may be executed now, at most one second's worth.
+    write_budget: f64,
+    budget_refilled_at: u64,
     write_rps: f64,
-    /// Puts and deletes taken, and refused for want of budget.
+    /// Number of puts and deletes that were accepted, and of those refused because they exceeded the rate limit.
     pub accepted_writes: u64,
     pub refused_writes: u64,
-    /// Changes that are kept for watches.
+    /// Maximum number of changes that are kept for watches.
     pub max_kept_changes: usize,
 }
 
 impl StateService {
-    /// An empty store with a budget of puts and deletes a second.
+    /// An empty store that accepts `write_rps` puts and deletes per second.
     pub fn new(write_rps: f64) -> Self {
         StateService {
             write_rps,
             max_kept_changes: 10_000,
-            next_lease: 1,
+            last_lease_id: 1,
             ..Default::default()
         }
     }
 
-    fn record(&mut self, change: Change) {
-        self.log.push_back(change);
-        while self.log.len() > self.max_kept_changes {
-            if let Some(old) = self.log.pop_front() {
-                self.compacted = old.version;
+    fn record_change(&mut self, change: Change) {
+        self.changes.push_back(change);
+        while self.changes.len() > self.max_kept_changes {
+            if let Some(old) = self.changes.pop_front() {
+                self.compacted_revision = old.version;
             }
         }
     }
 
-    /// Ends leases that were not renewed.
+    /// Ends the leases that were not renewed in time.
     pub fn expire(&mut self, now: u64) {
-        let ended: Vec<u64> = self
+        let expired: Vec<u64> = self
             .leases
             .iter()
-            .filter(|(_, (until, _))| *until <= now)
+            .filter(|(_, (expires_at, _))| *expires_at <= now)
             .map(|(id, _)| *id)
             .collect();
-        for lease in ended {
+        for lease in expired {
             self.end_lease(lease);
         }
     }
 
     fn end_lease(&mut self, lease: u64) {
         self.leases.remove(&lease);
-        let gone: Vec<String> = self
-            .keys
+        let deleted: Vec<String> = self
+            .values
             .iter()
             .filter(|(_, stored)| stored.lease == Some(lease))
             .map(|(key, _)| key.clone())
             .collect();
-        if gone.is_empty() {
+        if deleted.is_empty() {
             return;
         }
         self.revision += 1;
-        for key in gone {
-            self.keys.remove(&key);
+        for key in deleted {
+            self.values.remove(&key);
             let version = self.revision;
-            self.record(Change {
+            self.record_change(Change {
                 put_key: None,
                 deleted_key: Some(key),
                 value: None,
@@ -87,15 +93,15 @@
         }
     }
 
-    /// The value under a key, for tests.
+    /// The value under a key, for tests and checks.
     pub fn value(&self, key: &str) -> Option<&serde_json::Value> {
-        self.keys.get(key).map(|stored| &stored.value)
+        self.values.get(key).map(|stored| &stored.value)
     }
 
-    /// Empties all values under a prefix without a change event: a defective store.
+    /// Replaces all values under a prefix by empty objects without a change event, as a defective store might.
     pub fn empty_values(&mut self, prefix: &str) {
         for (_, stored) in self
-            .keys
+            .values
             .iter_mut()
             .filter(|(key, _)| key.starts_with(prefix))
         {
@@ -103,29 +109,30 @@
         }
     }
 
-    /// After an outage every lease has its full time again.
+    /// Renews every lease, as the service does after an outage.
     pub fn renew_all_leases(&mut self, now: u64) {
-        for (until, ttl) in self.leases.values_mut() {
-            *until = now + *ttl;
+        for (expires_at, ttl_ms) in self.leases.values_mut() {
+            *expires_at = now + *ttl_ms;
         }
     }
 
-    fn over_budget(&mut self, now: u64, writes: usize) -> bool {
-        // A bucket with one second's worth.
-        let passed = now.saturating_sub(self.filled_at) as f64 / 1000.0;
-        self.filled_at = now.max(self.filled_at);
-        self.budget = (self.budget + passed * self.write_rps).min(self.write_rps);
-        if self.budget < writes as f64 {
+    /// Takes a transaction's writes from the budget; true if they exceed it and are refused.
+    fn throttle_writes(&mut self, now: u64, writes: usize) -> bool {
+        // A token bucket that holds one second's worth of writes.
+        let elapsed_s = now.saturating_sub(self.budget_refilled_at) as f64 / 1000.0;
+        self.budget_refilled_at = now.max(self.budget_refilled_at);
+        self.write_budget = (self.write_budget + elapsed_s * self.write_rps).min(self.write_rps);
+        if self.write_budget < writes as f64 {
             self.refused_writes += writes as u64;
             return true;
         }
         self.accepted_writes += writes as u64;
-        self.budget -= writes as f64;
+        self.write_budget -= writes as f64;
         false
     }
 
-    fn txn(&mut self, now: u64, txn: &Transaction) -> StateReply {
-        if self.over_budget(now, txn.writes.len()) {
+    fn execute_transaction(&mut self, now: u64, txn: &Transaction) -> StateReply {
+        if self.throttle_writes(now, txn.writes.len()) {
             return StateReply::Refused { throttled: true };
         }
         for write in &txn.writes {
@@ -141,7 +148,7 @@
         let failed: Vec<String> = txn
             .conditions
             .iter()
-            .filter(|c| self.keys.get(&c.key).map_or(0, |s| s.version) != c.version)
+            .filter(|c| self.values.get(&c.key).map_or(0, |s| s.version) != c.version)
             .map(|c| c.key.clone())
             .collect();
         if !failed.is_empty() {
@@ -157,13 +164,13 @@
         for write in &txn.writes {
             match write {
                 Write::Put { key, value, lease } => {
-                    let stored = Stored {
+                    let stored = StoredValue {
                         value: value.clone(),
                         version,
                         lease: *lease,
                     };
-                    self.keys.insert(key.clone(), stored);
-                    self.record(Change {
+                    self.values.insert(key.clone(), stored);
+                    self.record_change(Change {
                         put_key: Some(key.clone()),
                         deleted_key: None,
                         value: Some(value.clone()),
@@ -172,8 +179,8 @@
                     });
                 }
                 Write::Delete { key } => {
-                    if self.keys.remove(key).is_some() {
-                        self.record(Change {
+                    if self.values.remove(key).is_some() {
+                        self.record_change(Change {
                             put_key: None,
                             deleted_key: Some(key.clone()),
                             value: None,
@@ -187,13 +194,13 @@
         StateReply::Committed { revision: version }
     }
 
-    /// Changes after a revision, if there are any to tell.
+    /// The reply to a watch of a prefix: the changes after a revision. None if there are none yet.
     pub fn changes(&self, prefix: &str, after: u64) -> Option<StateReply> {
-        if after < self.compacted {
+        if after < self.compacted_revision {
             return Some(StateReply::Compacted);
         }
         let events: Vec<Change> = self
-            .log
+            .changes
             .iter()
             .filter(|c| c.version > after)
             .filter(|c| {
@@ -213,7 +220,7 @@
         }))
     }
 
-    /// The answer of a watch whose time has run out.
+    /// The reply to a watch that timed out without a change.
     pub fn no_changes(&self) -> StateReply {
         StateReply::Changes(Changes {
             revision: self.revision,
@@ -221,11 +228,11 @@
         })
     }
 
-    /// Executes a request other than a watch.
+    /// Executes a request. A watch gets an empty reply at once; see [`StateService::changes`] for its events.
     pub fn execute(&mut self, now: u64, request: &StateRequest) -> StateReply {
         self.expire(now);
         match request {
-            StateRequest::Get { key } => match self.keys.get(key) {
+            StateRequest::Get { key } => match self.values.get(key) {
                 Some(stored) => StateReply::Item(Item {
                     key: key.clone(),
                     value: stored.value.clone(),
@@ -240,7 +247,7 @@
                 limit,
             } => {
                 let mut items = self
-                    .keys
+                    .values
                     .range(prefix.clone()..)
                     .take_while(|(key, _)| key.starts_with(prefix.as_str()))
                     .filter(|(key, _)| key.as_str() > after.as_str())
@@ -251,22 +258,23 @@
                         lease: stored.lease,
                     });
                 let page: Vec<Item> = items.by_ref().take(*limit as usize).collect();
-                let more = items.next().is_some();
+                let has_more = items.next().is_some();
                 StateReply::List(ListPage {
                     items: page,
-                    has_more: more,
+                    has_more,
                     revision: self.revision,
                 })
             }
-            StateRequest::Transaction(txn) => self.txn(now, txn),
+            StateRequest::Transaction(txn) => self.execute_transaction(now, txn),
             StateRequest::GrantLease { ttl_ms } => {
-                self.next_lease += 1;
-                self.leases.insert(self.next_lease, (now + ttl_ms, *ttl_ms));
-                StateReply::Lease(self.next_lease)
+                self.last_lease_id += 1;
+                self.leases
+                    .insert(self.last_lease_id, (now + ttl_ms, *ttl_ms));
+                StateReply::Lease(self.last_lease_id)
             }
             StateRequest::RenewLease { lease } => match self.leases.get_mut(lease) {
-                Some((until, ttl)) => {
-                    *until = now + *ttl;
+                Some((expires_at, ttl_ms)) => {
+                    *expires_at = now + *ttl_ms;
                     StateReply::Ok
                 }
                 None => StateReply::LeaseGone,
--- a/crates/simulator/src/unanswered/tests.rs
+++ b/crates/simulator/src/unanswered/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-/// However many others are answered.
+/// Replies about another job do not count: requests about job `a` are answered, those about `b` are not.
 #[test]
 fn job_without_answer_for_75_s_is_reported_lost() {
     let mut unanswered = UnansweredJobs::default();
--- a/crates/simulator/src/worker.rs
+++ b/crates/simulator/src/worker.rs
@@ -1,77 +1,94 @@
-//! Stand-in of a worker.
+//! A simulated worker: it runs the tasks of one machine, sends heartbeats and obeys commands.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use wire::users::{JobKind, JobRequest};
 use wire::workers::{Command, ExitCause, Heartbeat, HeartbeatResponse, TaskState, TaskStatus};
 
-/// A task on the machine.
+/// CPUs of each machine.
+const MACHINE_CPUS: f64 = 4.0;
+/// Least time between two heartbeats of a worker.
+const MIN_HEARTBEAT_INTERVAL_MS: u64 = 500;
+
+/// A task on the machine. Times are in ms of simulated time.
 #[derive(Debug, Clone)]
 pub struct WorkerTask {
     pub state: TaskState,
     pub exit_cause: Option<ExitCause>,
+    /// When its image will have been fetched.
     pub fetched_at: u64,
+    /// When it will have completed; none for services and for gang tasks that do not run yet.
     pub done_at: Option<u64>,
-    /// When a task that was told to stop will have saved.
+    /// When a task that was told to stop will have saved its checkpoint.
     pub saved_at: Option<u64>,
 }
 
 impl WorkerTask {
-    /// Whether the task counts as being on its machine.
+    /// Whether the task has started on the machine and has not exited.
     pub fn is_present(&self) -> bool {
         !matches!(self.state, TaskState::Fetching | TaskState::Exited)
     }
 }
 
-/// A task and its attempt.
+/// Id of a task and number of its attempt.
 pub type TaskKey = (String, u64);
 
-/// Something that happened on the worker and that the rules look at.
+/// A transition of a task that the rules check, with the id of the task.
 #[derive(Debug, Clone, PartialEq)]
 pub enum TaskTransition {
+    /// Its image was fetched and it started.
     Started(String),
+    /// It completed.
     Done(String),
 }
 
-/// Class of jobs that were submitted with a mistake and fail on every machine.
+/// Class of jobs whose tasks fail on every machine, because users made a mistake in them.
 pub const FAILING_CLASS: &str = "mistaken";
 
-/// The worker of one machine.
+/// The worker of one machine. Times are in ms of simulated time.
 #[derive(Debug)]
 pub struct Worker {
     pub name: String,
     pub machine_type: String,
     pub zone: String,
     pub spot: bool,
+    /// Worker epoch: it rises whenever the lease expires.
     pub epoch: u64,
-    seq: u64,
+    sequence_number: u64,
+    /// Highest fencing token received.
     pub token: u64,
     pub tasks: BTreeMap<TaskKey, WorkerTask>,
-    images: BTreeSet<String>,
-    /// Sending time of the last answered heartbeat, or the begin of the session.
-    lease_from: u64,
+    /// Images in the machine's cache.
+    cached_images: BTreeSet<String>,
+    /// When the lease began to run: when the last answered heartbeat was sent, or when the epoch began.
+    lease_started_at: u64,
+    /// Index of the controller that it sends its heartbeats to.
     pub controller: usize,
-    /// The heartbeat in flight: its number, its sending time, its session.
+    /// The heartbeat in flight: its number, when it was sent, and the epoch then.
     pub in_flight: Option<(u64, u64, u64)>,
     pub next_heartbeat_at: u64,
     pub last_heartbeat_at: u64,
+    /// Whether its status has changed since the last heartbeat.
     pub status_changed: bool,
+    /// Until when the machine hangs.
     pub hung_until: u64,
     pub dead: bool,
-    /// It ended with tasks on it.
+    /// Whether the machine crashed while it had tasks.
     pub crashed_with_tasks: bool,
-    /// Tasks that were completed here; their results are kept.
-    results: BTreeSet<String>,
+    /// Tasks that completed here. Their results are kept: such a task exits as done when it is launched again.
+    completed_tasks: BTreeSet<String>,
     pub fails_all_tasks: bool,
-    /// Commands that stop tasks are ignored, against the rules.
+    /// Whether it ignores stop commands, which no correct worker does.
     pub ignores_stops: bool,
-    gang_wait: u64,
-    /// Tasks that it has killed since its lease had run out.
+    /// How long a gang's task waits for the other tasks of the gang to start.
+    gang_start_timeout_ms: u64,
+    /// Number of tasks that it has killed because its lease had expired.
     pub tasks_killed_by_lease: u64,
-    gangs: BTreeMap<TaskKey, u64>,
+    /// Since when each task of a gang has been waiting for the other tasks of the gang.
+    gang_waits_since: BTreeMap<TaskKey, u64>,
 }
 
 impl Worker {
-    /// A worker that begins now.
+    /// A worker that starts now.
     pub fn new(name: &str, machine_type: &str, zone: &str, spot: bool, now: u64) -> Self {
         Worker {
             name: name.into(),
@@ -79,11 +96,11 @@
             zone: zone.into(),
             spot,
             epoch: 1,
-            seq: 0,
+            sequence_number: 0,
             token: 0,
             tasks: BTreeMap::new(),
-            images: BTreeSet::new(),
-            lease_from: now,
+            cached_images: BTreeSet::new(),
+            lease_started_at: now,
             controller: 0,
             in_flight: None,
             next_heartbeat_at: now,
@@ -92,18 +109,18 @@
             hung_until: 0,
             dead: false,
             crashed_with_tasks: false,
-            results: BTreeSet::new(),
+            completed_tasks: BTreeSet::new(),
             fails_all_tasks: false,
             ignores_stops: false,
-            gang_wait: 45_000,
+            gang_start_timeout_ms: 45_000,
             tasks_killed_by_lease: 0,
-            gangs: BTreeMap::new(),
+            gang_waits_since: BTreeMap::new(),
         }
     }
 
-    /// The next message about the machine.
+    /// Creates the next heartbeat.
     pub fn next_heartbeat(&mut self) -> Heartbeat {
-        self.seq += 1;
+        self.sequence_number += 1;
         Heartbeat {
             machine: self.name.clone(),
             address: format!("{}:9000", self.name),
@@ -111,92 +128,97 @@
             zone: self.zone.clone(),
             spot: self.spot,
             worker_epoch: self.epoch,
-            sequence_number: self.seq,
+            sequence_number: self.sequence_number,
             token: self.token,
             reclaimed_in_s: None,
             tasks: self
                 .tasks
                 .iter()
-                .map(|((task, attempt), held)| TaskStatus {
+                .map(|((task, attempt), status)| TaskStatus {
                     task: task.clone(),
                     attempt: *attempt,
-                    state: held.state,
-                    exit_cause: held.exit_cause,
+                    state: status.state,
+                    exit_cause: status.exit_cause,
                     checkpoint_saved: None,
                 })
                 .collect(),
         }
     }
 
-    /// Whether something newer than this heartbeat has been sent.
-    pub fn has_sent_newer(&self, report: &Heartbeat) -> bool {
-        (report.worker_epoch, report.sequence_number) < (self.epoch, self.seq)
+    /// Whether a newer heartbeat than this one has been created.
+    pub fn has_sent_newer(&self, heartbeat: &Heartbeat) -> bool {
+        (heartbeat.worker_epoch, heartbeat.sequence_number) < (self.epoch, self.sequence_number)
     }
 
-    /// Ends the session if the lease has run out.
-    pub fn check_lease(&mut self, now: u64, lease: u64) {
-        if now > self.lease_from + lease {
+    /// Kills all tasks and begins a new epoch if the lease has expired.
+    pub fn check_lease(&mut self, now: u64, lease_ms: u64) {
+        if now > self.lease_started_at + lease_ms {
             self.epoch += 1;
-            self.tasks_killed_by_lease +=
-                self.tasks.values().filter(|held| held.is_present()).count() as u64;
+            self.tasks_killed_by_lease += self
+                .tasks
+                .values()
+                .filter(|status| status.is_present())
+                .count() as u64;
             self.tasks.clear();
-            self.gangs.clear();
-            self.lease_from = now;
+            self.gang_waits_since.clear();
+            self.lease_started_at = now;
             self.status_changed = true;
         }
     }
 
-    /// An answer to the heartbeat numbered `number`. False if it is dropped.
+    /// Handles the response to the heartbeat with this number. False if it is dropped, since the heartbeat is not the
+    /// one in flight, the token is older than one received before or the epoch has ended.
     pub fn handle_heartbeat_response(
         &mut self,
         number: u64,
-        answer: &HeartbeatResponse,
+        response: &HeartbeatResponse,
         now: u64,
         jobs: &HashMap<String, JobRequest>,
     ) -> bool {
-        let Some((current, sent, session)) = self.in_flight else {
+        let Some((current_number, sent_at, epoch)) = self.in_flight else {
             return false;
         };
-        if current != number {
+        if current_number != number {
             return false;
         }
         self.in_flight = None;
-        if answer.token < self.token || session != self.epoch {
+        if response.token < self.token || epoch != self.epoch {
             return false;
         }
-        self.raise(answer.token);
-        self.lease_from = self.lease_from.max(sent);
-        for command in &answer.commands {
+        self.adopt_token(response.token);
+        self.lease_started_at = self.lease_started_at.max(sent_at);
+        for command in &response.commands {
             self.execute(command, now, jobs);
         }
         true
     }
 
-    /// Keeps the lease up without an answer to a heartbeat, as no worker may.
+    /// Renews the lease without a response to a heartbeat, which no correct worker does.
     pub fn renew_without_reply(&mut self, now: u64) {
-        self.lease_from = now;
+        self.lease_started_at = now;
     }
 
-    fn raise(&mut self, token: u64) {
+    fn adopt_token(&mut self, token: u64) {
         if token > self.token {
             self.token = token;
             self.status_changed = true;
         }
     }
 
-    /// Direct commands; true if executed.
+    /// Handles a direct call. False if its commands are not executed, since the token is older than one received
+    /// before or they are meant for another epoch.
     pub fn handle_direct_call(
         &mut self,
         token: u64,
-        session: u64,
+        epoch: u64,
         commands: &[Command],
         now: u64,
         jobs: &HashMap<String, JobRequest>,
     ) -> bool {
-        if token < self.token || session != self.epoch {
+        if token < self.token || epoch != self.epoch {
             return false;
         }
-        self.raise(token);
+        self.adopt_token(token);
         for command in commands {
             self.execute(command, now, jobs);
         }
@@ -205,7 +227,7 @@
 
     fn execute(&mut self, command: &Command, now: u64, jobs: &HashMap<String, JobRequest>) {
         match command {
-            Command::Launch { task, attempt } => self.start_task(task, *attempt, now, jobs),
+            Command::Launch { task, attempt } => self.launch_task(task, *attempt, now, jobs),
             Command::Stop { .. } if self.ignores_stops => {}
             Command::Stop {
                 task,
@@ -228,7 +250,7 @@
         }
     }
 
-    fn start_task(
+    fn launch_task(
         &mut self,
         task: &str,
         attempt: u64,
@@ -241,9 +263,9 @@
         }
         self.status_changed = true;
         let id = task.split('/').next().unwrap_or_default();
-        let exited = |why| WorkerTask {
+        let exited = |cause| WorkerTask {
             state: TaskState::Exited,
-            exit_cause: Some(why),
+            exit_cause: Some(cause),
             fetched_at: 0,
             done_at: None,
             saved_at: None,
@@ -255,24 +277,25 @@
         let busy = self
             .tasks
             .iter()
-            .any(|((other, _), held)| other == task && held.state != TaskState::Exited);
+            .any(|((other, _), status)| other == task && status.state != TaskState::Exited);
         if busy {
             self.tasks.insert(key, exited(ExitCause::Busy));
             return;
         }
-        let live = self
+        let not_exited = self
             .tasks
             .iter()
-            .filter(|(_, h)| h.state != TaskState::Exited);
-        let used: f64 = live
+            .filter(|(_, other)| other.state != TaskState::Exited);
+        let used_cpus: f64 = not_exited
             .filter_map(|((other, _), _)| jobs.get(other.split('/').next()?))
             .map(|j| j.cpus)
             .sum();
-        if used + job.cpus > 4.0 {
+        if used_cpus + job.cpus > MACHINE_CPUS {
             self.tasks.insert(key, exited(ExitCause::NoFreeCapacity));
             return;
         }
-        let fetch = if self.images.contains(&job.image) {
+        // An image that is not cached is fetched at 1 GB/s.
+        let fetch_ms = if self.cached_images.contains(&job.image) {
             0
         } else {
             (job.image_gb * 1000.0) as u64
@@ -282,7 +305,7 @@
             WorkerTask {
                 state: TaskState::Fetching,
                 exit_cause: None,
-                fetched_at: now + fetch,
+                fetched_at: now + fetch_ms,
                 done_at: None,
                 saved_at: None,
             },
@@ -300,27 +323,28 @@
         let save_s = job
             .filter(|j| j.checkpoint_interval_s > 0.0)
             .map(|j| j.checkpoint_save_time_s);
-        if let Some(held) = self.tasks.get_mut(&(task.to_owned(), attempt)) {
-            let saves = save_s.filter(|s| *s <= grace_s && grace_s > 0.0);
-            match (held.state, saves) {
+        if let Some(status) = self.tasks.get_mut(&(task.to_owned(), attempt)) {
+            let save_in_grace_s = save_s.filter(|s| *s <= grace_s && grace_s > 0.0);
+            match (status.state, save_in_grace_s) {
                 (TaskState::Exited, _) => {}
-                // Only a second command without grace ends a task that is saving.
+                // Only another stop command, without a grace period, stops a task that is saving.
                 (TaskState::Saving, _) if grace_s > 0.0 => {}
                 (TaskState::Running, Some(save_s)) => {
-                    held.state = TaskState::Saving;
-                    held.saved_at = Some(now + (save_s * 1_000.0) as u64);
+                    status.state = TaskState::Saving;
+                    status.saved_at = Some(now + (save_s * 1_000.0) as u64);
                     self.status_changed = true;
                 }
                 _ => {
-                    held.state = TaskState::Exited;
-                    held.exit_cause = Some(ExitCause::Stopped);
+                    status.state = TaskState::Exited;
+                    status.exit_cause = Some(ExitCause::Stopped);
                     self.status_changed = true;
                 }
             }
         }
     }
 
-    /// Lets tasks go on. A gang's tasks start through [`Worker::set_gang_task_state`].
+    /// Advances all tasks to `now`. `run_ms` gives the run time of an array's task. A gang's tasks wait here until the
+    /// caller starts them all with [`Worker::set_gang_task_state`].
     pub fn advance(
         &mut self,
         now: u64,
@@ -328,59 +352,59 @@
         run_ms: impl Fn(&str) -> u64,
     ) -> Vec<TaskTransition> {
         let mut transitions = Vec::new();
-        for ((task, attempt), held) in &mut self.tasks {
+        for ((task, attempt), status) in &mut self.tasks {
             let Some(job) = jobs.get(task.split('/').next().unwrap_or_default()) else {
                 continue;
             };
-            if held.state == TaskState::Fetching && now >= held.fetched_at {
-                self.images.insert(job.image.clone());
+            if status.state == TaskState::Fetching && now >= status.fetched_at {
+                self.cached_images.insert(job.image.clone());
                 transitions.push(TaskTransition::Started(task.clone()));
                 self.status_changed = true;
                 if self.fails_all_tasks || job.class == FAILING_CLASS {
-                    held.state = TaskState::Exited;
-                    held.exit_cause = Some(ExitCause::Error);
+                    status.state = TaskState::Exited;
+                    status.exit_cause = Some(ExitCause::Error);
                     continue;
                 }
-                if self.results.contains(task) {
-                    held.state = TaskState::Exited;
-                    held.exit_cause = Some(ExitCause::Done);
+                if self.completed_tasks.contains(task) {
+                    status.state = TaskState::Exited;
+                    status.exit_cause = Some(ExitCause::Done);
                     continue;
                 }
                 if job.kind == JobKind::Gang {
-                    held.state = TaskState::Waiting;
-                    self.gangs.insert((task.clone(), *attempt), now);
+                    status.state = TaskState::Waiting;
+                    self.gang_waits_since.insert((task.clone(), *attempt), now);
                 } else {
-                    held.state = TaskState::Running;
+                    status.state = TaskState::Running;
                     if job.kind == JobKind::Array {
-                        held.done_at = Some(now + run_ms(task));
+                        status.done_at = Some(now + run_ms(task));
                     }
                 }
             }
-            if held.state == TaskState::Saving && held.saved_at.is_some_and(|at| now >= at) {
-                held.state = TaskState::Exited;
-                held.exit_cause = Some(ExitCause::Stopped);
+            if status.state == TaskState::Saving && status.saved_at.is_some_and(|at| now >= at) {
+                status.state = TaskState::Exited;
+                status.exit_cause = Some(ExitCause::Stopped);
                 self.status_changed = true;
             }
-            if held.state == TaskState::Waiting {
+            if status.state == TaskState::Waiting {
                 let since = self
-                    .gangs
+                    .gang_waits_since
                     .get(&(task.clone(), *attempt))
                     .copied()
                     .unwrap_or(now);
-                if now > since + self.gang_wait {
-                    held.state = TaskState::Exited;
-                    held.exit_cause = Some(ExitCause::GangIncomplete);
+                if now > since + self.gang_start_timeout_ms {
+                    status.state = TaskState::Exited;
+                    status.exit_cause = Some(ExitCause::GangIncomplete);
                     self.status_changed = true;
                 }
             }
-            // A gang's tasks end together, see `World::step_gangs`.
+            // A gang's tasks complete together, see `World::step_gangs`.
             if job.kind == JobKind::Array
-                && held.state == TaskState::Running
-                && held.done_at.is_some_and(|at| now >= at)
+                && status.state == TaskState::Running
+                && status.done_at.is_some_and(|at| now >= at)
             {
-                held.state = TaskState::Exited;
-                held.exit_cause = Some(ExitCause::Done);
-                self.results.insert(task.clone());
+                status.state = TaskState::Exited;
+                status.exit_cause = Some(ExitCause::Done);
+                self.completed_tasks.insert(task.clone());
                 transitions.push(TaskTransition::Done(task.clone()));
                 self.status_changed = true;
             }
@@ -388,14 +412,19 @@
         transitions
     }
 
-    /// A gang's task starts or ends with the others.
-    pub fn set_gang_task_state(&mut self, key: &TaskKey, state: TaskState, why: Option<ExitCause>) {
-        if let Some(held) = self.tasks.get_mut(key) {
-            held.state = state;
-            held.exit_cause = why;
+    /// Sets the state of a gang's task: it starts or exits together with the other tasks of the gang.
+    pub fn set_gang_task_state(
+        &mut self,
+        key: &TaskKey,
+        state: TaskState,
+        exit_cause: Option<ExitCause>,
+    ) {
+        if let Some(status) = self.tasks.get_mut(key) {
+            status.state = state;
+            status.exit_cause = exit_cause;
             self.status_changed = true;
-            if why == Some(ExitCause::Done) {
-                self.results.insert(key.0.clone());
+            if exit_cause == Some(ExitCause::Done) {
+                self.completed_tasks.insert(key.0.clone());
             }
         }
     }
@@ -404,6 +433,7 @@
     pub fn heartbeat_due(&self, now: u64) -> bool {
         self.in_flight.is_none()
             && (now >= self.next_heartbeat_at
-                || (self.status_changed && now >= self.last_heartbeat_at + 500))
+                || (self.status_changed
+                    && now >= self.last_heartbeat_at + MIN_HEARTBEAT_INTERVAL_MS))
     }
 }
