--- a/crates/simulator/src/world/machines.rs
+++ b/crates/simulator/src/world/machines.rs
@@ -1,4 +1,4 @@
-//! Machines, their heartbeats, tasks and gangs.
+//! Machines and their workers: heartbeats, tasks and gangs.
 
 use super::events::{contains_launch, Endpoint, Message};
 use super::jobs::SubmittedJobs;
@@ -12,18 +12,26 @@
 use wire::users::JobKind;
 use wire::workers::{Command, ExitCause, TaskState};
 
-/// A gang's task: its machine, its name, its state and when it completes.
+/// A task of a gang: its machine, its name, its state and, once the gang has started, its time of completion.
 type GangMember = (String, String, TaskState, Option<u64>);
 
-/// How long a task runs, or a gang. Some jobs' tasks run this many times as long.
+/// Time after which a worker gives up waiting for the reply to a heartbeat.
+const HEARTBEAT_TIMEOUT_MS: u64 = 4_000;
+/// Time from an unanswered, refused or misdirected heartbeat to the next one, which goes to the next controller.
+const HEARTBEAT_RETRY_DELAY_MS: u64 = 1_000;
+
+/// How long a task, or a gang with this job id, runs: 2 to 11 s by its name and the seed, times the factor of its
+/// job.
 fn run_time_ms(seed: u64, jobs: &SubmittedJobs, name: &str) -> u64 {
-    let sum: u64 = name.bytes().map(u64::from).sum();
-    let usual = 2_000 + (sum * 7919 + seed * 31) % 9_000;
+    let byte_sum: u64 = name.bytes().map(u64::from).sum();
+    let usual_ms = 2_000 + (byte_sum * 7919 + seed * 31) % 9_000;
     let id = name.split('/').next().unwrap_or_default();
-    usual * jobs.run_time_factor(id)
+    usual_ms * jobs.run_time_factor(id)
 }
 
 impl World {
+    /// Handles a controller's reply to the heartbeat `number` of a machine. Replies to other heartbeats than the
+    /// one in flight are dropped.
     pub(super) fn handle_heartbeat_reply(
         &mut self,
         machine: &str,
@@ -32,7 +40,7 @@
         reply: HeartbeatReply,
     ) {
         let now = self.now;
-        let ignore_tokens = self.plan.mutation == Some(Mutation::TokensIgnored);
+        let ignores_tokens = self.plan.mutation == Some(Mutation::TokensIgnored);
         let Some(worker) = self.workers.get_mut(machine) else {
             return;
         };
@@ -41,21 +49,21 @@
         }
         worker.check_lease(now, self.parameters.lease_duration_ms);
         match reply {
-            // `Worker::answered` takes the heartbeat out of flight.
-            HeartbeatReply::Response(mut answer) => {
-                if ignore_tokens {
-                    answer.token = answer.token.max(worker.token);
+            // `Worker::handle_heartbeat_response` takes the heartbeat out of flight.
+            HeartbeatReply::Response(mut response) => {
+                if ignores_tokens {
+                    response.token = response.token.max(worker.token);
                 }
                 if self.plan.mutation == Some(Mutation::RepliesWithoutStopCommands) {
-                    answer
+                    response
                         .commands
                         .retain(|c| !matches!(c, Command::Stop { .. }));
                 }
-                if worker.handle_heartbeat_response(number, &answer, now, self.jobs.all()) {
-                    let launches = contains_launch(&answer.commands);
+                if worker.handle_heartbeat_response(number, &response, now, self.jobs.all()) {
+                    let launches = contains_launch(&response.commands);
                     self.failovers
-                        .record_contact(machine, answer.token, launches, now);
-                    self.record_launch(machine, &answer.commands);
+                        .record_contact(machine, response.token, launches, now);
+                    self.record_launch(machine, &response.commands);
                 }
             }
             HeartbeatReply::Redirect(Some(to)) => {
@@ -63,7 +71,7 @@
                 let to: usize = to.as_str().trim_start_matches('n').parse().unwrap_or(0);
                 if to == controller {
                     worker.controller = (controller + 1) % CONTROLLERS;
-                    worker.next_heartbeat_at = now + 1_000;
+                    worker.next_heartbeat_at = now + HEARTBEAT_RETRY_DELAY_MS;
                 } else {
                     worker.controller = to;
                     worker.next_heartbeat_at = now + self.rng.random_range(0..500);
@@ -74,18 +82,19 @@
             | HeartbeatReply::Malformed => {
                 worker.in_flight = None;
                 worker.controller = (controller + 1) % CONTROLLERS;
-                worker.next_heartbeat_at = now + 1_000;
+                worker.next_heartbeat_at = now + HEARTBEAT_RETRY_DELAY_MS;
             }
         }
     }
 
+    /// Advances all workers, their tasks and gangs, and ends expired leases in the state service.
     pub(super) fn step_workers(&mut self) {
         if !self.is_state_service_down() {
             self.state.expire(self.now);
             self.answer_watches();
         }
         let now = self.now;
-        let up: Vec<(String, String, String, bool)> = self
+        let booted: Vec<(String, String, String, bool)> = self
             .cloud
             .machines
             .iter()
@@ -96,8 +105,8 @@
             })
             .map(|(n, m)| (n.clone(), m.machine_type.clone(), m.zone.clone(), m.spot))
             .collect();
-        for (name, kind, zone, spot) in up {
-            let mut worker = Worker::new(&name, &kind, &zone, spot, now);
+        for (name, machine_type, zone, spot) in booted {
+            let mut worker = Worker::new(&name, &machine_type, &zone, spot, now);
             worker.controller = self.rng.random_range(0..CONTROLLERS);
             self.workers.insert(name, worker);
         }
@@ -109,21 +118,26 @@
             if worker.dead {
                 continue;
             }
-            // A machine that hangs does not outlive its lease either.
+            // The lease of a machine that hangs expires as well.
             worker.check_lease(now, self.parameters.lease_duration_ms);
             if worker.hung_until > now {
                 continue;
             }
-            let run = |task: &str| {
+            let run_ms = |task: &str| {
                 run_time_ms(self.plan.seed, &self.jobs, task) * self.parameters.run_time_factor
             };
-            let transitions = worker.advance(now, self.jobs.all(), run);
-            for event in transitions {
-                match event {
+            let transitions = worker.advance(now, self.jobs.all(), run_ms);
+            for transition in transitions {
+                match transition {
                     TaskTransition::Started(task) => {
-                        if let Some(on) = self.workers.get(&name) {
-                            self.rules
-                                .check_start(&task, on, &self.workers, self.jobs.all(), now);
+                        if let Some(worker) = self.workers.get(&name) {
+                            self.rules.check_start(
+                                &task,
+                                worker,
+                                &self.workers,
+                                self.jobs.all(),
+                                now,
+                            );
                         }
                         let id = task.split('/').next().unwrap_or_default();
                         if let Some(job) = self.jobs.get(id) {
@@ -144,19 +158,22 @@
         self.step_gangs();
     }
 
+    /// Sends a machine's heartbeat if it is due, and gives up one that has got no reply in time.
     pub(super) fn step_heartbeat(&mut self, name: &str) {
         let now = self.now;
         let from = self.machine_endpoint(name);
-        let report = self.parameters.heartbeat_interval_ms;
-        let wait = self.rng.random_range(report * 3 / 4..report * 5 / 4);
+        let interval_ms = self.parameters.heartbeat_interval_ms;
+        let wait_ms = self
+            .rng
+            .random_range(interval_ms * 3 / 4..interval_ms * 5 / 4);
         let Some(worker) = self.workers.get_mut(name) else {
             return;
         };
-        if let Some((_, sent, _)) = worker.in_flight {
-            if now >= sent + 4_000 {
+        if let Some((_, sent_at, _)) = worker.in_flight {
+            if now >= sent_at + HEARTBEAT_TIMEOUT_MS {
                 worker.in_flight = None;
                 worker.controller = (worker.controller + 1) % CONTROLLERS;
-                worker.next_heartbeat_at = now + 1_000;
+                worker.next_heartbeat_at = now + HEARTBEAT_RETRY_DELAY_MS;
             }
             return;
         }
@@ -167,30 +184,31 @@
         worker.in_flight = Some((number, now, worker.epoch));
         worker.status_changed = false;
         worker.last_heartbeat_at = now;
-        worker.next_heartbeat_at = now + wait;
+        worker.next_heartbeat_at = now + wait_ms;
         let controller = worker.controller;
-        let report = Box::new(worker.next_heartbeat());
-        let mute = self.refuses_connections(name);
+        let heartbeat = Box::new(worker.next_heartbeat());
+        let is_refused = self.refuses_connections(name);
         let Some(worker) = self.workers.get_mut(name) else {
             return;
         };
-        if self.controllers[controller].is_none() || mute {
-            // Refused at once.
+        if self.controllers[controller].is_none() || is_refused {
+            // The connection fails at once.
             worker.in_flight = None;
             worker.controller = (controller + 1) % CONTROLLERS;
-            worker.next_heartbeat_at = now + 1_000;
+            worker.next_heartbeat_at = now + HEARTBEAT_RETRY_DELAY_MS;
             return;
         }
         let message = Message::Heartbeat {
             controller,
             machine: name.to_owned(),
             number,
-            heartbeat: report,
+            heartbeat,
         };
         self.send(from, Endpoint::Controller(controller), message);
     }
 
-    /// Gangs start when all their tasks wait, end together, and notice lost members.
+    /// Advances all gangs. A gang starts when all its tasks wait, its tasks end together, and the running ones exit
+    /// when others are gone or their machines hang.
     pub(super) fn step_gangs(&mut self) {
         let now = self.now;
         let mut gangs: BTreeMap<(String, u64), Vec<GangMember>> = BTreeMap::new();
@@ -200,29 +218,29 @@
                     continue;
                 };
                 if self.jobs.get(id).is_some_and(|j| j.kind == JobKind::Gang) && held.is_present() {
-                    let entry = (worker.name.clone(), task.clone(), held.state, held.done_at);
+                    let member = (worker.name.clone(), task.clone(), held.state, held.done_at);
                     gangs
                         .entry((id.to_owned(), *attempt))
                         .or_default()
-                        .push(entry);
+                        .push(member);
                 }
             }
         }
         for ((id, attempt), members) in gangs {
-            let Some(tasks) = self.jobs.get(&id).map(|j| j.task_count) else {
+            let Some(task_count) = self.jobs.get(&id).map(|j| j.task_count) else {
                 continue;
             };
-            let all = members.len() as u64 == tasks;
-            let waiting = members.iter().all(|m| m.2 == TaskState::Waiting);
-            let running = members.iter().any(|m| m.2 == TaskState::Running);
-            let hung: Vec<bool> = members
+            let are_all_present = members.len() as u64 == task_count;
+            let all_wait = members.iter().all(|m| m.2 == TaskState::Waiting);
+            let any_runs = members.iter().any(|m| m.2 == TaskState::Running);
+            let hanging: Vec<bool> = members
                 .iter()
                 .map(|m| self.workers.get(&m.0).is_some_and(|w| w.hung_until > now))
                 .collect();
-            let whole = all && !hung.contains(&true);
-            let done = members.iter().any(|m| m.3.is_some_and(|at| now >= at));
-            let end = now + run_time_ms(self.plan.seed, &self.jobs, &id);
-            for ((machine, task, state, _), hangs) in members.into_iter().zip(hung) {
+            let is_complete = are_all_present && !hanging.contains(&true);
+            let any_is_done = members.iter().any(|m| m.3.is_some_and(|at| now >= at));
+            let done_at = now + run_time_ms(self.plan.seed, &self.jobs, &id);
+            for ((machine, task, state, _), hangs) in members.into_iter().zip(hanging) {
                 if hangs {
                     continue;
                 }
@@ -230,15 +248,15 @@
                 let Some(worker) = self.workers.get_mut(&machine) else {
                     continue;
                 };
-                if whole && waiting {
+                if is_complete && all_wait {
                     worker.set_gang_task_state(&key, TaskState::Running, None);
                     if let Some(held) = worker.tasks.get_mut(&key) {
-                        held.done_at = Some(end);
+                        held.done_at = Some(done_at);
                     }
-                } else if running && whole && done {
+                } else if any_runs && is_complete && any_is_done {
                     worker.set_gang_task_state(&key, TaskState::Exited, Some(ExitCause::Done));
                     self.handle_task_done(task);
-                } else if running && !whole && state == TaskState::Running {
+                } else if any_runs && !is_complete && state == TaskState::Running {
                     worker.set_gang_task_state(
                         &key,
                         TaskState::Exited,
--- a/crates/simulator/src/world/mod.rs
+++ b/crates/simulator/src/world/mod.rs
@@ -1,5 +1,6 @@
-//! The simulated world: an event queue, a network, stand-ins of all services, and real
-//! [`controller::Controller`]s.
+//! The simulated world: an event queue, a network, stand-ins of all services, workers and users, and real
+//! [`controller::Controller`]s. [`World::run`] processes events in the order of simulated time and checks the
+//! rules after each.
 
 mod cancellations;
 mod controllers;
@@ -51,10 +52,11 @@
 use state_service::Watch;
 use std::collections::BTreeMap;
 
-/// No job counts as starved before this time, in ms: the site fills up first.
-const MIN_FAULTS_OVER_MS: u64 = 60_000;
+/// Before this time no job counts as starved and users do not query all jobs, because the site fills up first.
+const MIN_FAULTS_END_MS: u64 = 60_000;
 
-/// The simulated world: real controllers, and stand-ins of all that surrounds them.
+/// The simulated world: real controllers, and stand-ins of everything that they communicate with. Times are in
+/// ms of simulated time unless a name says otherwise.
 pub struct World {
     plan: Plan,
     parameters: SiteParameters,
@@ -62,9 +64,10 @@
     now: u64,
     queue: EventQueue,
     controllers: Vec<Option<RunningController>>,
+    /// Number of the last started incarnation of any controller.
     last_incarnation: u64,
     state: StateService,
-    /// A snapshot of some seconds ago, for stale reads.
+    /// A snapshot of `state` of some seconds ago, for [`Mutation::StalePlacementLog`].
     stale_state: StateService,
     watches: Vec<Watch>,
     cloud: Cloud,
@@ -73,31 +76,32 @@
     interceptor: MessageInterceptor,
     open_requests: OpenRequests,
     jobs: SubmittedJobs,
-    /// Rounds of follow-up requests by job and confirmation.
     follow_up_counts: FollowUpCounts,
+    /// Limits of the teams that have one, in CPUs.
     cpu_limits: BTreeMap<String, f64>,
-    /// Requests that the state service has received, and replies that rejected a user's request for overload.
+    /// Number of requests that the state service has received.
     pub state_requests: u64,
+    /// Number of replies that rejected a user's request because of overload.
     pub busy_replies: u64,
     /// Time from the first submission to the acceptance of each job, in ms.
     pub acceptance_latencies_ms: Vec<u64>,
     pub rules: RuleChecker,
     pub failovers: FailoverTimeline,
     service_checks: ServiceChecks,
-    /// Applied transactions of each controller.
+    /// Number of transactions of each controller that have been applied.
     transactions_applied: [u64; CONTROLLERS],
     pub coverage: FaultCoverage,
     crash_points: CrashPoints,
-    /// Machines that were up when the controllers returned them.
+    /// Number of machines that were up when controllers released them.
     pub machines_released_alive: u64,
-    /// Early failovers, and wrong ones of these, by controllers that have crashed.
+    /// Early failovers by controllers that have crashed, and false ones among them.
     early_failovers_of_crashed: (u64, u64),
-    /// Records the controllers' outgoing messages, if enabled.
+    /// Records the controllers' outgoing messages if set.
     recorder: Option<Recorder>,
 }
 
 impl World {
-    /// A world at time 0, with all faults of the plan scheduled.
+    /// Returns a world at time 0 with all faults of the plan scheduled.
     pub fn new(plan: Plan) -> Self {
         let parameters = SiteParameters::of(plan.size);
         let last_fault_end = plan
@@ -105,7 +109,7 @@
             .iter()
             .map(|(at, fault)| at + fault.duration_ms())
             .max();
-        let faults_over = last_fault_end.unwrap_or(0).max(MIN_FAULTS_OVER_MS);
+        let faults_end_at = last_fault_end.unwrap_or(0).max(MIN_FAULTS_END_MS);
         let mut world = World {
             rng: SmallRng::seed_from_u64(plan.seed),
             now: 0,
@@ -130,7 +134,7 @@
             acceptance_latencies_ms: Vec::new(),
             rules: RuleChecker::new(parameters.cancel_deadline_ms),
             failovers: FailoverTimeline::default(),
-            service_checks: ServiceChecks::new(faults_over),
+            service_checks: ServiceChecks::new(faults_end_at),
             transactions_applied: [0; CONTROLLERS],
             coverage: FaultCoverage::default(),
             crash_points: CrashPoints::default(),
@@ -146,27 +150,27 @@
         }
         world.schedule(0, ScheduledEvent::StepWorkers);
         world.schedule(1_500, ScheduledEvent::SubmitJob);
-        world.schedule(faults_over, ScheduledEvent::QueryAllJobs);
+        world.schedule(faults_end_at, ScheduledEvent::QueryAllJobs);
         for (at, fault) in world.plan.faults.clone() {
             world.schedule(at, ScheduledEvent::StartFault(fault));
         }
         world
     }
 
-    /// Runs to the end of the plan, or to the first violation.
+    /// Runs to the end of the plan or to the first violation.
     pub fn run(&mut self) {
         self.run_to(self.plan.duration_ms);
     }
 
-    /// Runs to a simulated time in ms, or to the first violation.
-    pub fn run_to(&mut self, ms: u64) {
+    /// Runs to a simulated time or to the first violation.
+    pub fn run_to(&mut self, until_ms: u64) {
         while self.rules.violations.is_empty() {
-            let Some((at, event)) = self.queue.pop_due(ms) else {
+            let Some((at, event)) = self.queue.pop_due(until_ms) else {
                 break;
             };
             self.now = at;
-            // On large sites the rules are checked only when the workers advance, for speed; starts are
-            // always checked.
+            // For speed, the checks below run on large sites only when the workers advance. Starts of tasks are
+            // always checked as they occur.
             let is_checked = self.plan.size == 1 || matches!(event, ScheduledEvent::StepWorkers);
             self.process_event(event);
             if !is_checked {
@@ -181,24 +185,25 @@
             for id in self.service_checks.unanswered().take_overdue(self.now) {
                 self.rules.record_violation(
                     "forgotten",
-                    format!("{id}: no answer for 75 s"),
+                    format!("{id}: no reply about an accepted job for 75 s"),
                     self.now,
                 );
             }
         }
     }
 
-    /// Injects a fault now, for tests that wait for a certain state of the run.
+    /// Starts a fault now, for tests that wait for a certain state of the run.
     pub fn inject(&mut self, fault: Fault) {
         self.start_fault(fault);
     }
 
+    /// Schedules an event; a time in the past counts as now.
     fn schedule(&mut self, at: u64, event: ScheduledEvent) {
         self.queue.push(at.max(self.now), event);
     }
 
-    fn process_event(&mut self, what: ScheduledEvent) {
-        match what {
+    fn process_event(&mut self, event: ScheduledEvent) {
+        match event {
             ScheduledEvent::Tick {
                 controller,
                 incarnation,
@@ -220,10 +225,10 @@
             ScheduledEvent::ApplyDelayedTransaction {
                 controller,
                 incarnation,
-                applied_when_sent: newer_than,
+                applied_when_sent,
                 txn,
             } => {
-                self.apply_delayed_transaction(controller, incarnation, newer_than, txn);
+                self.apply_delayed_transaction(controller, incarnation, applied_when_sent, txn);
             }
             ScheduledEvent::DeliverDelayedCommand(message) => {
                 self.deliver_delayed_command(*message)
@@ -292,10 +297,11 @@
         }
     }
 
-    /// Advances all workers, and observes the service.
+    /// Advances all workers, observes the service and schedules the next step. For
+    /// [`Mutation::StalePlacementLog`], takes a snapshot of the state service every 6 s.
     fn step(&mut self) {
-        let keeps = self.plan.mutation == Some(Mutation::StalePlacementLog);
-        if keeps && self.now % 6_000 < self.parameters.step_ms {
+        let takes_snapshots = self.plan.mutation == Some(Mutation::StalePlacementLog);
+        if takes_snapshots && self.now % 6_000 < self.parameters.step_ms {
             self.stale_state = self.state.clone();
         }
         self.step_workers();
--- a/crates/simulator/src/world/service_checks.rs
+++ b/crates/simulator/src/world/service_checks.rs
@@ -1,4 +1,4 @@
-//! Checks of the service over time: answers about accepted jobs, starvation, service levels, and how long each
+//! Checks of the service over time: replies about accepted jobs, starvation, service levels, and how long each
 //! controller has been healthy.
 
 use super::site::CONTROLLERS;
@@ -10,59 +10,61 @@
 use std::collections::{BTreeMap, HashMap};
 use wire::users::{JobKind, JobRequest, Priority};
 
-/// What the checks have seen. Times are in ms.
+/// The observations of these checks. Times are in ms.
 #[derive(Debug)]
 pub(super) struct ServiceChecks {
     unanswered: UnansweredJobs,
     starvation: StarvationChecker,
     starved_low_priority: Vec<String>,
     availability: Availability,
-    /// From this time on no job may starve.
+    /// Time from which on no job may starve.
     faults_end_at: u64,
+    /// Since when each controller has been healthy without a break.
     healthy_since: [Option<u64>; CONTROLLERS],
 }
 
 impl ServiceChecks {
-    /// Checks of a run whose last fault ends at `faults_over`.
-    pub(super) fn new(faults_over: u64) -> Self {
+    /// Checks of a run whose last fault ends at `faults_end_at`.
+    pub(super) fn new(faults_end_at: u64) -> Self {
         ServiceChecks {
             unanswered: UnansweredJobs::default(),
             starvation: StarvationChecker::default(),
             starved_low_priority: Vec::new(),
             availability: Availability::default(),
-            faults_end_at: faults_over,
+            faults_end_at,
             healthy_since: [None; CONTROLLERS],
         }
     }
 
-    /// Accepted jobs and whether their status requests are answered.
+    /// Accepted jobs about which requests are without a reply.
     pub(super) fn unanswered(&mut self) -> &mut UnansweredJobs {
         &mut self.unanswered
     }
 
-    /// What has been served so far.
+    /// The work served so far.
     pub(super) fn availability(&self) -> &Availability {
         &self.availability
     }
 
-    /// A task has started; `limit` is its team's, in CPUs.
-    pub(super) fn record_start(&mut self, task: &str, job: &JobRequest, limit: f64, now: u64) {
-        self.availability.record_task_start(task, job, limit, now);
+    /// Records the start of a task. `limit_cpus` is the limit of its team.
+    pub(super) fn record_start(&mut self, task: &str, job: &JobRequest, limit_cpus: f64, now: u64) {
+        self.availability
+            .record_task_start(task, job, limit_cpus, now);
     }
 
-    /// Those of the starved jobs that are arrays of low priority. They are left to spot machines and to the gaps
-    /// beside other work for a while, see `scheduler::best_effort`.
+    /// The starved jobs that are arrays of low priority. The scheduler keeps these off other machines than spot
+    /// machines and gaps beside other work for a while, see `scheduler::best_effort`.
     pub(super) fn starved_low_priority(&self) -> &[String] {
         &self.starved_low_priority
     }
 
     /// Records whether a controller is healthy now.
-    pub(super) fn record_health(&mut self, controller: usize, healthy: bool, now: u64) {
-        let since = self.healthy_since[controller].filter(|_| healthy);
-        self.healthy_since[controller] = since.or(healthy.then_some(now));
+    pub(super) fn record_health(&mut self, controller: usize, is_healthy: bool, now: u64) {
+        let since = self.healthy_since[controller].filter(|_| is_healthy);
+        self.healthy_since[controller] = since.or(is_healthy.then_some(now));
     }
 
-    /// Whether a controller has been healthy without a break for so long.
+    /// Whether a controller has been healthy without a break for at least this time.
     pub(super) fn has_been_healthy_for(
         &self,
         controller: usize,
@@ -72,7 +74,8 @@
         self.healthy_since[controller].is_some_and(|since| now >= since + duration_ms)
     }
 
-    /// Observes service levels, and records jobs that starve as violations.
+    /// Observes service levels and, once all faults have ended, records starved jobs as violations. `limits` are
+    /// the teams' limits in CPUs.
     pub(super) fn observe(
         &mut self,
         workers: &BTreeMap<String, Worker>,
@@ -94,7 +97,7 @@
             .starvation
             .observe(workers, jobs, unfinished, limits, now);
         for id in starved {
-            let detail = format!("{id} waits beside room for it");
+            let detail = format!("{id} waits although there is free capacity for it");
             rules.record_violation("starved", detail, now);
             if jobs.get(&id).is_some_and(is_low_priority_array) {
                 self.starved_low_priority.push(id);
--- a/crates/simulator/src/world/state_service.rs
+++ b/crates/simulator/src/world/state_service.rs
@@ -1,4 +1,4 @@
-//! Requests to the state service, with delays, lost replies and injected defects.
+//! Handling of requests to the state service, with delays, lost replies and injected defects.
 
 use super::events::{Endpoint, Message, ScheduledEvent};
 use super::network::ActiveFault;
@@ -13,11 +13,13 @@
 /// A controller's watch that waits for changes.
 pub(super) struct Watch {
     pub(super) key: CallKey,
+    /// Prefix of the watched keys.
     prefix: String,
+    /// The watch waits for changes after this revision.
     after_revision: u64,
 }
 
-/// Partitions whose records a request writes, with the new terms.
+/// The partitions whose records a request writes, with their terms.
 fn leadership_changes(request: &StateRequest) -> Vec<(u32, u64)> {
     let StateRequest::Transaction(txn) = request else {
         return Vec::new();
@@ -32,7 +34,8 @@
     txn.writes.iter().filter_map(record).collect()
 }
 
-/// Removes the unconfirmed predecessors from records.
+/// Applies [`Mutation::PredecessorsNotRecorded`]: removes last leaders and unconfirmed predecessors from the
+/// token counter's record and from partition records.
 fn forget_predecessors(writes: &mut [Write]) {
     for write in writes {
         let Write::Put { key, value, .. } = write else {
@@ -41,8 +44,8 @@
         if key == "s/t" || key.starts_with("s/p/") {
             for field in ["takers", "suspects"] {
                 match value.get_mut(field) {
-                    Some(serde_json::Value::Object(map)) => map.clear(),
-                    Some(serde_json::Value::Array(list)) => list.clear(),
+                    Some(serde_json::Value::Object(object)) => object.clear(),
+                    Some(serde_json::Value::Array(array)) => array.clear(),
                     _ => {}
                 }
             }
@@ -50,7 +53,7 @@
     }
 }
 
-/// Whether terminal states of jobs are written.
+/// Whether one of the writes records terminal states of jobs.
 fn writes_terminal_states(writes: &[Write]) -> bool {
     writes
         .iter()
@@ -58,6 +61,7 @@
 }
 
 impl World {
+    /// Sends a reply to a controller.
     pub(super) fn send_state_reply(
         &mut self,
         controller: usize,
@@ -75,6 +79,8 @@
         self.send(Endpoint::State, Endpoint::Controller(controller), message);
     }
 
+    /// Handles a request that has reached the state service: refuses, delays or applies it, and sends the reply
+    /// unless it is lost.
     pub(super) fn handle_state_request(
         &mut self,
         controller: usize,
@@ -99,11 +105,16 @@
         } = &request
         {
             if *wait_ms == 0 && self.plan.mutation == Some(Mutation::StaleLinearizableReads) {
-                let nothing = Changes {
+                let no_changes = Changes {
                     revision: *after,
                     events: Vec::new(),
                 };
-                self.send_state_reply(controller, incarnation, call, StateReply::Changes(nothing));
+                self.send_state_reply(
+                    controller,
+                    incarnation,
+                    call,
+                    StateReply::Changes(no_changes),
+                );
                 return;
             }
             match self.state.changes(prefix, *after) {
@@ -118,12 +129,12 @@
                         prefix: prefix.clone(),
                         after_revision: *after,
                     });
-                    let what = ScheduledEvent::WatchTimeout {
+                    let timeout = ScheduledEvent::WatchTimeout {
                         controller,
                         incarnation,
                         call,
                     };
-                    self.schedule(self.now + wait_ms, what);
+                    self.schedule(self.now + wait_ms, timeout);
                 }
             }
             return;
@@ -131,10 +142,11 @@
         if self.delays_transaction(controller, incarnation, &request) {
             return;
         }
-        let lost = self.draw_lost_reply(&request);
-        let mut pretend = false;
+        let is_reply_lost = self.draw_lost_reply(&request);
+        let mut only_pretend = false;
         if let StateRequest::Transaction(txn) = &mut request {
-            let page = |w: &Write| matches!(w, Write::Put { key, .. } if key.starts_with("l/"));
+            let is_log_page =
+                |w: &Write| matches!(w, Write::Put { key, .. } if key.starts_with("l/"));
             match self.plan.mutation {
                 Some(Mutation::PredecessorsNotRecorded) => forget_predecessors(&mut txn.writes),
                 Some(Mutation::TerminalStatesIgnoreCancellations) => {
@@ -142,8 +154,10 @@
                         !c.key.starts_with("s/x/") || !writes_terminal_states(&txn.writes)
                     });
                 }
-                Some(Mutation::LogCommitsNotWritten) => pretend = txn.writes.iter().any(page),
-                Some(Mutation::LostRepliesNotApplied) => pretend = lost,
+                Some(Mutation::LogCommitsNotWritten) => {
+                    only_pretend = txn.writes.iter().any(is_log_page)
+                }
+                Some(Mutation::LostRepliesNotApplied) => only_pretend = is_reply_lost,
                 Some(Mutation::NoFencing) => {
                     txn.conditions
                         .retain(|c| !c.key.starts_with("s/p/") && !c.key.starts_with("l/"));
@@ -151,13 +165,13 @@
                 _ => {}
             }
         }
-        let reply = self.apply_state_request(controller, &request, pretend);
+        let reply = self.apply_state_request(controller, &request, only_pretend);
         if self.plan.mutation == Some(Mutation::TerminalStatesNotWritten) {
             self.state.empty_values("f/");
             self.state.empty_values("s/e/");
         }
-        // A small share of the replies is lost although the request was applied.
-        if lost && !pretend {
+        // Without a fault, 0.3 % of the replies are lost although the requests were applied.
+        if is_reply_lost && !only_pretend {
             self.record_lost_reply(controller, &reply);
         } else if !self.rng.random_bool(0.003) {
             self.send_state_reply(controller, incarnation, call, reply);
@@ -165,19 +179,20 @@
         self.answer_watches();
     }
 
-    /// Applies a request and records which partitions change their leader.
+    /// Applies a request and records writes of partition records. With `only_pretend`, a commit is reported but
+    /// nothing is applied.
     fn apply_state_request(
         &mut self,
         controller: usize,
         request: &StateRequest,
-        pretend: bool,
+        only_pretend: bool,
     ) -> StateReply {
-        let records = leadership_changes(request);
-        let before: Vec<Option<String>> = records
+        let written_records = leadership_changes(request);
+        let previous_leaders: Vec<Option<String>> = written_records
             .iter()
-            .map(|(p, _)| self.leader(*p).map(str::to_owned))
+            .map(|(partition, _)| self.leader(*partition).map(str::to_owned))
             .collect();
-        let reply = if pretend {
+        let reply = if only_pretend {
             StateReply::Committed { revision: 0 }
         } else if self.reads_stale_log(request) {
             self.stale_state.execute(self.now, request)
@@ -185,14 +200,16 @@
             self.state.execute(self.now, request)
         };
         if let StateReply::Committed { .. } = reply {
-            for ((partition, term), before) in records.into_iter().zip(before) {
-                let living = self.machines_up_of(partition);
-                self.schedule_heartbeats_for_new_leader(&living, partition);
+            for ((partition, term), previous_leader) in
+                written_records.into_iter().zip(previous_leaders)
+            {
+                let machines_up = self.machines_up_of(partition);
+                self.schedule_heartbeats_for_new_leader(&machines_up, partition);
                 self.failovers.record_acquisition(
                     partition,
-                    before.as_deref(),
+                    previous_leader.as_deref(),
                     term,
-                    living,
+                    machines_up,
                     self.now,
                 );
             }
@@ -203,7 +220,8 @@
         reply
     }
 
-    /// Whether a transaction is delayed without a reply. Nothing is drawn where no such fault is active.
+    /// Draws whether a request is a transaction that is delayed, and schedules it if so. Draws nothing if no such
+    /// fault is active.
     fn delays_transaction(
         &mut self,
         controller: usize,
@@ -217,27 +235,27 @@
             ActiveFault::DelayedTransactions(percent) => Some(*percent),
             _ => None,
         });
-        let late = percent.is_some_and(|p| self.rng.random_range(0..100) < p);
-        if late {
-            let newer_than = self.transactions_applied[controller];
-            let what = ScheduledEvent::ApplyDelayedTransaction {
+        let is_delayed = percent.is_some_and(|percent| self.rng.random_range(0..100) < percent);
+        if is_delayed {
+            let applied_when_sent = self.transactions_applied[controller];
+            let delayed = ScheduledEvent::ApplyDelayedTransaction {
                 controller,
                 incarnation,
-                applied_when_sent: newer_than,
+                applied_when_sent,
                 txn: txn.clone(),
             };
-            let after = self.rng.random_range(2_000..12_000);
-            self.schedule(self.now + after, what);
+            let delay_ms = self.rng.random_range(2_000..12_000);
+            self.schedule(self.now + delay_ms, delayed);
         }
-        late
+        is_delayed
     }
 
-    /// Applies a delayed transaction.
+    /// Applies a delayed transaction, unless the state service is down. Nobody gets a reply.
     pub(super) fn apply_delayed_transaction(
         &mut self,
         controller: usize,
         incarnation: u64,
-        newer_than: u64,
+        applied_when_sent: u64,
         mut txn: Transaction,
     ) {
         if self.is_state_service_down() {
@@ -246,30 +264,32 @@
         if self.plan.mutation == Some(Mutation::DelayedWritesUnconditional) {
             txn.conditions.clear();
         }
-        let newer = self.transactions_applied[controller] > newer_than;
-        let writes = !txn.writes.is_empty();
+        let has_newer = self.transactions_applied[controller] > applied_when_sent;
+        let has_writes = !txn.writes.is_empty();
         let reply = self.apply_state_request(controller, &StateRequest::Transaction(txn), false);
-        if writes && matches!(reply, StateReply::Committed { .. }) {
+        if has_writes && matches!(reply, StateReply::Committed { .. }) {
             self.coverage.delayed_writes += 1;
-            self.coverage.delayed_writes_after_newer += u64::from(newer);
+            self.coverage.delayed_writes_after_newer += u64::from(has_newer);
             self.coverage.delayed_writes_of_crashed +=
                 u64::from(!self.is_running(controller, incarnation));
-        } else if writes {
+        } else if has_writes {
             self.coverage.delayed_writes_rejected += 1;
         }
         self.answer_watches();
     }
 
-    /// Whether a read of the placement log returns a state of some seconds ago.
+    /// Applies [`Mutation::StalePlacementLog`]: whether a read of the placement log is answered from the snapshot of
+    /// some seconds ago.
     pub(super) fn reads_stale_log(&mut self, request: &StateRequest) -> bool {
-        let placement_log =
+        let is_log_read =
             matches!(request, StateRequest::List { prefix, .. } if prefix.starts_with("l/"));
-        placement_log
+        is_log_read
             && self.plan.mutation == Some(Mutation::StalePlacementLog)
             && self.rng.random_bool(0.7)
     }
 
-    /// A watch times out without changes. During a refusal it stays without a reply.
+    /// Ends a watch that has seen no change by an empty reply. While the state service refuses requests, the watch
+    /// stays open without a reply.
     pub(super) fn time_out_watch(&mut self, key: CallKey) {
         let Some(index) = self.watches.iter().position(|watch| watch.key == key) else {
             return;
@@ -282,6 +302,7 @@
         self.send_state_reply(key.controller, key.incarnation, key.call, reply);
     }
 
+    /// Replies to all watches that have changes to report.
     pub(super) fn answer_watches(&mut self) {
         let watches = std::mem::take(&mut self.watches);
         for watch in watches {
--- a/crates/simulator/src/world/transport.rs
+++ b/crates/simulator/src/world/transport.rs
@@ -1,4 +1,5 @@
-//! Transport of messages: disconnections, losses, duplicates and delays.
+//! Transport of messages: sending with disconnections, losses, duplicates and delays, and delivery to the state
+//! service, the cloud, workers and controllers.
 
 use super::events::{contains_launch, Endpoint, Message, ScheduledEvent};
 use super::network::{ActiveFault, HeldMessage};
@@ -16,6 +17,7 @@
 use wire::workers::DirectCommands;
 
 impl World {
+    /// The endpoint of a machine, by the number at the end of its name.
     pub(super) fn machine_endpoint(&self, name: &str) -> Endpoint {
         Endpoint::Machine(
             name.rsplit('-')
@@ -25,30 +27,32 @@
         )
     }
 
-    pub(super) fn zone_of(&self, place: Endpoint) -> Option<String> {
-        match place {
+    /// The zone of a controller or a machine. Controller 1 is in zone b, the others in zone a.
+    pub(super) fn zone_of(&self, endpoint: Endpoint) -> Option<String> {
+        match endpoint {
             Endpoint::Controller(1) => Some("b".into()),
             Endpoint::Controller(_) => Some("a".into()),
-            Endpoint::Machine(n) => self
+            Endpoint::Machine(number) => self
                 .cloud
                 .machines
-                .get(&format!("host-{n:06}"))
+                .get(&format!("host-{number:06}"))
                 .map(|m| m.zone.clone()),
             _ => None,
         }
     }
 
+    /// Whether a disconnection holds back messages between two endpoints, in both directions.
     pub(super) fn is_disconnected(&self, from: Endpoint, to: Endpoint) -> bool {
-        let between = |a: Endpoint, b: Endpoint| (from, to) == (a, b) || (from, to) == (b, a);
-        let node_machine = |n: usize| {
+        let connects = |a: Endpoint, b: Endpoint| (from, to) == (a, b) || (from, to) == (b, a);
+        let connects_to_machine = |n: usize| {
             matches!((from, to), (Endpoint::Controller(x), Endpoint::Machine(_))
                 | (Endpoint::Machine(_), Endpoint::Controller(x)) if x == n)
         };
         self.network.any_active(|fault| match fault {
             ActiveFault::StateServiceDisconnected(n) => {
-                between(Endpoint::Controller(*n), Endpoint::State)
+                connects(Endpoint::Controller(*n), Endpoint::State)
             }
-            ActiveFault::WorkersDisconnected(n) => node_machine(*n),
+            ActiveFault::WorkersDisconnected(n) => connects_to_machine(*n),
             ActiveFault::MeshDisconnected(n) => {
                 matches!((from, to), (Endpoint::Controller(a), Endpoint::Controller(b))
                 if (a == *n) != (b == *n))
@@ -58,12 +62,12 @@
                 _ => false,
             },
             ActiveFault::MachineDisconnected(name) => {
-                let place = self.machine_endpoint(name);
-                from == place || to == place
+                let machine = self.machine_endpoint(name);
+                from == machine || to == machine
             }
             ActiveFault::ZoneIsolated => {
-                let inside = |place| self.zone_of(place).is_some_and(|zone| zone == "b");
-                inside(from) != inside(to)
+                let is_inside = |endpoint| self.zone_of(endpoint).is_some_and(|zone| zone == "b");
+                is_inside(from) != is_inside(to)
             }
             // Messages lost in one direction are not held back.
             ActiveFault::MachineUnreachable(_)
@@ -93,7 +97,7 @@
         })
     }
 
-    /// Whether a message is lost on its way to a machine.
+    /// Whether a message is lost on its way from a controller to an unreachable machine.
     fn is_lost_on_way_to_machine(&self, from: Endpoint, to: Endpoint) -> bool {
         let (Endpoint::Controller(_), Endpoint::Machine(_)) = (from, to) else {
             return false;
@@ -105,9 +109,9 @@
         })
     }
 
-    /// Schedules duplicates of a message, if that fault is active.
+    /// Schedules one to three duplicates of a part of the messages, if that fault is active.
     fn schedule_duplicates(&mut self, message: &Message) {
-        let copied = match message {
+        let can_be_duplicated = match message {
             Message::Heartbeat { .. } | Message::DirectCall { .. } => true,
             Message::StateRequest { request, .. } => {
                 matches!(request, StateRequest::Transaction(_))
@@ -117,43 +121,41 @@
             }
             _ => false,
         };
-        if !copied
+        if !can_be_duplicated
             || !self.network.is_active(&ActiveFault::DuplicatedMessages)
             || !self.rng.random_bool(0.3)
         {
             return;
         }
         for _ in 0..self.rng.random_range(1..4) {
-            let mut copy = message.clone();
+            let mut duplicate = message.clone();
             if let Message::Heartbeat {
                 controller,
                 number,
-                heartbeat: report,
+                heartbeat,
                 ..
-            } = &mut copy
+            } = &mut duplicate
             {
-                // No worker waits for the reply.
+                // Number 0: no worker waits for the reply.
                 (*controller, *number) = (self.rng.random_range(0..CONTROLLERS), 0);
                 if self.plan.mutation == Some(Mutation::DuplicatedHeartbeatsLookNew) {
-                    report.sequence_number += 1_000_000;
+                    heartbeat.sequence_number += 1_000_000;
                 }
             }
-            let after = self
+            let delay_ms = self
                 .rng
                 .random_range(1_000..3 * self.parameters.lease_duration_ms);
             self.schedule(
-                self.now + after,
-                ScheduledEvent::DeliverDuplicate(Box::new(copy)),
+                self.now + delay_ms,
+                ScheduledEvent::DeliverDuplicate(Box::new(duplicate)),
             );
         }
     }
 
-    /// Counts a duplicated heartbeat that is older than others of its machine.
+    /// Counts a duplicate if it is a heartbeat older than others of its machine.
     pub(super) fn record_duplicate(&mut self, message: &Message) {
         let Message::Heartbeat {
-            machine,
-            heartbeat: report,
-            ..
+            machine, heartbeat, ..
         } = message
         else {
             return;
@@ -161,11 +163,12 @@
         let Some(worker) = self.workers.get(machine).filter(|w| !w.dead) else {
             return;
         };
-        self.coverage.stale_heartbeats += u64::from(worker.has_sent_newer(report));
-        self.coverage.earlier_epoch_heartbeats += u64::from(report.worker_epoch < worker.epoch);
+        self.coverage.stale_heartbeats += u64::from(worker.has_sent_newer(heartbeat));
+        self.coverage.earlier_epoch_heartbeats += u64::from(heartbeat.worker_epoch < worker.epoch);
     }
 
-    /// Sends a message; a disconnection holds it back until it ends.
+    /// Sends a message. Without a fault it arrives after 1 to 5 ms, and in 0.4 % of the cases 50 to 600 ms later than
+    /// that. Faults duplicate, delay or lose it, and a disconnection holds it back until it has ended.
     pub(super) fn send(&mut self, from: Endpoint, to: Endpoint, message: Message) {
         self.schedule_duplicates(&message);
         if self.is_lost_on_mesh(from, to) {
@@ -182,22 +185,29 @@
             self.network.hold(HeldMessage { from, to, message });
             return;
         }
-        let mut delay = self.rng.random_range(1..6) * self.link_slowdown(from, to);
+        let mut delay_ms = self.rng.random_range(1..6) * self.link_slowdown(from, to);
         if self.rng.random_bool(0.004) {
-            delay += self.rng.random_range(50..600);
+            delay_ms += self.rng.random_range(50..600);
         }
-        let slow = self.network.find_active(|fault| match fault {
-            ActiveFault::SlowStateService(times) => Some(*times),
+        let state_service_factor = self.network.find_active(|fault| match fault {
+            ActiveFault::SlowStateService(factor) => Some(*factor),
             _ => None,
         });
-        if let (Some(times), true) = (slow, from == Endpoint::State || to == Endpoint::State) {
-            delay *= times;
+        if let (Some(factor), true) = (
+            state_service_factor,
+            from == Endpoint::State || to == Endpoint::State,
+        ) {
+            delay_ms *= factor;
         }
-        self.schedule(self.now + delay, ScheduledEvent::Deliver(Box::new(message)));
+        self.schedule(
+            self.now + delay_ms,
+            ScheduledEvent::Deliver(Box::new(message)),
+        );
     }
 
-    pub(super) fn send_mesh(&mut self, controller: usize, other: usize, message: MeshMessage) {
-        let Some(incarnation) = self.controllers[other].as_ref().map(|r| r.incarnation) else {
+    /// Sends a message from one controller to another; it is lost if the receiver is down.
+    pub(super) fn send_mesh(&mut self, controller: usize, receiver: usize, message: MeshMessage) {
+        let Some(incarnation) = self.controllers[receiver].as_ref().map(|r| r.incarnation) else {
             return;
         };
         let Some(message) = self.mutate_mesh_message(message) else {
@@ -207,36 +217,38 @@
             from: ControllerName::from(format!("n{controller}").as_str()),
             message,
         };
-        self.duplicate_mesh_event(other, &event);
+        self.duplicate_mesh_event(receiver, &event);
         let message = Message::ControllerEvent {
-            controller: other,
+            controller: receiver,
             incarnation,
             event,
         };
         self.send(
             Endpoint::Controller(controller),
-            Endpoint::Controller(other),
+            Endpoint::Controller(receiver),
             message,
         );
     }
 
+    /// Schedules the event that a controller handles if a call gets no reply in time.
     pub(super) fn schedule_timeout(
         &mut self,
-        after: u64,
+        timeout_ms: u64,
         controller: usize,
         incarnation: u64,
         call: CallId,
         event: Event,
     ) {
-        let what = ScheduledEvent::Timeout {
+        let timeout = ScheduledEvent::Timeout {
             controller,
             incarnation,
             call,
             event: Box::new(event),
         };
-        self.schedule(self.now + after, what);
+        self.schedule(self.now + timeout_ms, timeout);
     }
 
+    /// Delivers a message to its receiver.
     pub(super) fn deliver(&mut self, message: Message) {
         match message {
             Message::StateRequest {
@@ -271,7 +283,7 @@
                 controller,
                 machine,
                 number,
-                heartbeat: report,
+                heartbeat,
             } => {
                 let Some(incarnation) =
                     self.controllers[controller].as_ref().map(|r| r.incarnation)
@@ -287,7 +299,13 @@
                     },
                     ReceivedHeartbeat { machine, number },
                 );
-                self.handle_event(controller, Event::Heartbeat { ticket, report });
+                self.handle_event(
+                    controller,
+                    Event::Heartbeat {
+                        ticket,
+                        report: heartbeat,
+                    },
+                );
             }
             Message::HeartbeatResponse {
                 machine,
@@ -317,6 +335,7 @@
         }
     }
 
+    /// Lets the cloud execute a request and sends its reply. Released machines crash.
     fn handle_cloud_request(&mut self, key: CallKey, request: &CloudRequest) {
         let CallKey {
             controller,
@@ -334,7 +353,7 @@
             }
             reply
         };
-        // A small share of the replies is lost.
+        // 2 % of the replies are lost.
         if !self.rng.random_bool(0.02) {
             let event = Event::Cloud { call, reply };
             let message = Message::ControllerEvent {
@@ -346,6 +365,7 @@
         }
     }
 
+    /// Lets a worker execute direct commands; replies with its heartbeat, whether it has executed them or not.
     fn handle_direct_call(&mut self, key: CallKey, machine: String, body: DirectCommands) {
         let CallKey {
             controller,
@@ -372,7 +392,7 @@
             now,
             self.jobs.all(),
         );
-        let report = Box::new(worker.next_heartbeat());
+        let heartbeat = Box::new(worker.next_heartbeat());
         if executed {
             self.failovers.record_contact(
                 &machine,
@@ -384,7 +404,7 @@
         }
         let event = Event::Worker {
             call,
-            reply: DirectReply::Answered(report),
+            reply: DirectReply::Answered(heartbeat),
         };
         self.send(
             from,
@@ -397,6 +417,8 @@
         );
     }
 
+    /// Delivers an event to a controller if this incarnation is still running and, for a reply, if its call has
+    /// neither been answered nor timed out.
     pub(super) fn deliver_to_controller(
         &mut self,
         controller: usize,
--- a/crates/simulator/src/world/unusual_requests.rs
+++ b/crates/simulator/src/world/unusual_requests.rs
@@ -1,5 +1,5 @@
-//! Unusual requests: repeated submissions of unfinished jobs, cancellations of completed jobs, unschedulable
-//! jobs and jobs that lack a field. And many jobs of one task each.
+//! Unusual requests: repeated submissions of unfinished jobs, cancellations of completed jobs, submissions of
+//! unschedulable jobs and of jobs that lack a field. Also submissions of many jobs of one task each.
 
 use super::events::{PendingRequest, ScheduledEvent};
 use super::network::ActiveFault;
@@ -12,11 +12,11 @@
 use rand::Rng;
 use wire::users::{JobKind, JobRequest, Priority};
 
-/// Pause between two odd requests, in ms.
+/// Time between two unusual requests.
 const UNUSUAL_REQUEST_INTERVAL_MS: std::ops::Range<u64> = 100..500;
-/// Pause between two jobs of one task.
+/// Time between two jobs of one task.
 const ONE_TASK_JOB_INTERVAL_MS: u64 = 250;
-/// Share of the jobs of one task that is cancelled, and after how many ms.
+/// Share of the jobs of one task that is cancelled, and the time from submission to cancellation.
 const ONE_TASK_CANCEL_PROBABILITY: f64 = 0.25;
 const ONE_TASK_CANCEL_DELAY_MS: std::ops::Range<u64> = 50..12_000;
 
@@ -25,7 +25,7 @@
 pub(super) enum ExpectedRejection {
     /// 400: a field is missing.
     Malformed,
-    /// 422: the job can never run.
+    /// 422: the job can never run, for example because it fits no machine type.
     Unschedulable,
 }
 
@@ -41,15 +41,17 @@
             2 => self.submit_unschedulable_job(),
             _ => self.submit_malformed_job(),
         }
-        let pause = self.rng.random_range(UNUSUAL_REQUEST_INTERVAL_MS);
-        self.schedule(self.now + pause, ScheduledEvent::SendUnusualRequest);
+        let interval_ms = self.rng.random_range(UNUSUAL_REQUEST_INTERVAL_MS);
+        self.schedule(self.now + interval_ms, ScheduledEvent::SendUnusualRequest);
     }
 
+    /// One of the ids at random.
     fn choose_one(&mut self, ids: Vec<String>) -> Option<String> {
-        let nth = self.rng.random_range(0..ids.len().max(1));
-        ids.into_iter().nth(nth)
+        let index = self.rng.random_range(0..ids.len().max(1));
+        ids.into_iter().nth(index)
     }
 
+    /// Repeats the submission of a random unfinished job.
     fn resubmit_unfinished_job(&mut self) {
         let unfinished = self.unfinished_jobs();
         let Some(id) = self.choose_one(unfinished) else {
@@ -62,7 +64,7 @@
         self.send_request(UserRequest::Submit(Box::new(job)), id, MAX_ATTEMPTS);
     }
 
-    /// It must stay done, so the cancellation is not recorded as requested.
+    /// Cancels a random job that is done. It has to stay done, so the cancellation is not recorded as requested.
     fn cancel_done_job(&mut self) {
         let done = self.rules.done_confirmed.keys().cloned().collect();
         let Some(id) = self.choose_one(done) else {
@@ -73,6 +75,7 @@
         self.send_request(UserRequest::Cancel(job), id, MAX_ATTEMPTS);
     }
 
+    /// Submits a job that can never run: it fits no machine type, its team is unknown, or it exceeds limits.
     fn submit_unschedulable_job(&mut self) {
         let mut job = self.new_one_task_job();
         match self.rng.random_range(0..7) {
@@ -90,32 +93,32 @@
         self.send_request(UserRequest::Submit(Box::new(job)), id, 0);
     }
 
-    /// A submission without one of its fields, read as the server reads it.
+    /// Submits a job without one of its fields. The body is deserialised as the HTTP server does it.
     fn submit_malformed_job(&mut self) {
         let job = self.new_one_task_job();
         let id = job.id.clone();
         let Ok(serde_json::Value::Object(mut body)) = serde_json::to_value(&job) else {
             return;
         };
-        let nth = self.rng.random_range(0..body.len());
-        let Some(field) = body.keys().nth(nth).cloned() else {
+        let field_index = self.rng.random_range(0..body.len());
+        let Some(field) = body.keys().nth(field_index).cloned() else {
             return;
         };
-        let removed = body.remove(&field);
+        let removed_value = body.remove(&field);
         if self.plan.mutation == Some(Mutation::MissingFieldsFilled) {
-            body.extend(removed.map(|value| (field, value)));
+            body.extend(removed_value.map(|value| (field, value)));
         }
         self.jobs
             .expect_rejection(id.clone(), ExpectedRejection::Malformed);
         match serde_json::from_value(serde_json::Value::Object(body)) {
             Ok(job) => self.send_request(UserRequest::Submit(Box::new(job)), id, 0),
-            // The server answers 400 before any controller sees it.
+            // The HTTP server answers 400 without passing the request to the controller.
             Err(_) => self.record_rejection_of_invalid_job(id, ExpectedRejection::Malformed),
         }
     }
 
-    /// Checks a reply about an invalid job: it has to be rejected with the expected status, and stays
-    /// unknown.
+    /// Checks a reply about an invalid job: its submission has to be rejected with the expected status, and status
+    /// requests have to find no such job.
     pub(super) fn check_invalid_job_reply(
         &mut self,
         pending_request: PendingRequest,
@@ -130,9 +133,9 @@
         } = pending_request;
         match reply {
             UserReply::Created(_) | UserReply::Status(_) => {
-                let what = format!("{id}, {expected:?}: {reply:?}");
+                let details = format!("{id}, {expected:?}: {reply:?}");
                 self.rules
-                    .record_violation("accepted_invalid", what, self.now);
+                    .record_violation("accepted_invalid", details, self.now);
             }
             UserReply::Invalid(_) => {
                 self.check_rejection(id, expected, ExpectedRejection::Malformed)
@@ -147,38 +150,40 @@
         }
     }
 
+    /// Records a rejection of an invalid job, or a violation if it is of the wrong kind.
     fn check_rejection(
         &mut self,
         id: String,
         expected: ExpectedRejection,
-        refusal: ExpectedRejection,
+        rejection: ExpectedRejection,
     ) {
-        if refusal == expected {
-            self.record_rejection_of_invalid_job(id, refusal);
+        if rejection == expected {
+            self.record_rejection_of_invalid_job(id, rejection);
         } else {
-            let what = format!("{id} is refused as {refusal:?}, not {expected:?}");
+            let details = format!("{id} is rejected as {rejection:?}, not {expected:?}");
             self.rules
-                .record_violation("refused_wrongly", what, self.now);
+                .record_violation("refused_wrongly", details, self.now);
         }
     }
 
-    /// Schedules status requests about a rejected job at every controller.
-    fn record_rejection_of_invalid_job(&mut self, id: String, refusal: ExpectedRejection) {
-        match refusal {
+    /// Counts a rejection, and schedules status requests about the rejected job at every controller.
+    fn record_rejection_of_invalid_job(&mut self, id: String, rejection: ExpectedRejection) {
+        match rejection {
             ExpectedRejection::Malformed => self.coverage.rejected_malformed += 1,
             ExpectedRejection::Unschedulable => self.coverage.rejected_unschedulable += 1,
         }
         let Some(job) = JobId::parse(&id) else { return };
         for controller in 0..CONTROLLERS {
-            let what = ScheduledEvent::SendFollowUp {
+            let status_request = ScheduledEvent::SendFollowUp {
                 controller,
                 request: UserRequest::Get(job),
                 id: id.clone(),
             };
-            self.schedule(self.now + 3, what);
+            self.schedule(self.now + 3, status_request);
         }
     }
 
+    /// Returns a new array of one task of a random team.
     fn new_one_task_job(&mut self) -> JobRequest {
         let team = self.random_team();
         self.new_array(team, 1)
@@ -194,8 +199,8 @@
         self.coverage.one_task_jobs += 1;
         self.submit_job(job);
         if self.rng.random_bool(ONE_TASK_CANCEL_PROBABILITY) {
-            let after = self.rng.random_range(ONE_TASK_CANCEL_DELAY_MS);
-            self.schedule(self.now + after, ScheduledEvent::CancelJob { id });
+            let delay_ms = self.rng.random_range(ONE_TASK_CANCEL_DELAY_MS);
+            self.schedule(self.now + delay_ms, ScheduledEvent::CancelJob { id });
         }
         self.schedule(
             self.now + ONE_TASK_JOB_INTERVAL_MS,
@@ -207,7 +212,7 @@
         format!("t{}", self.rng.random_range(0..6))
     }
 
-    /// A new array that any machine may run.
+    /// Returns a new array that may run on any machine.
     pub(super) fn new_array(&mut self, team: String, tasks: u64) -> JobRequest {
         JobRequest {
             id: self.jobs.next_id(),
--- a/crates/simulator/src/world/users.rs
+++ b/crates/simulator/src/world/users.rs
@@ -1,4 +1,4 @@
-//! Users: submissions, status requests, cancellations, retries, and the checks of replies.
+//! Users: submissions, status requests, cancellations and retries, and the handling of replies.
 
 use super::events::{PendingRequest, ScheduledEvent};
 use super::follow_ups::Confirmation;
@@ -14,31 +14,33 @@
 use rand::Rng;
 use wire::users::{JobKind, JobRequest, JobState, Priority};
 
-/// A load balancer sends requests to controllers that have been healthy for this time, in ms.
+/// A load balancer sends requests only to controllers that have been healthy for at least this time.
 const MIN_HEALTHY_MS: u64 = 3_000;
-/// Users give up after this many attempts.
+/// Number of attempts after which users give up a request.
 pub(super) const MAX_ATTEMPTS: u32 = 60;
 
 impl World {
+    /// Submits a random job and schedules the next one, until the end of submissions.
     pub(super) fn submit_next_job(&mut self) {
         if self.now > self.plan.submit_until_ms {
             return;
         }
         self.submit_random_job();
-        let pause = self.rng.random_range(700..2_800)
+        let interval_ms = self.rng.random_range(700..2_800)
             / self
                 .plan
                 .size
                 .min(self.parameters.max_submission_rate_factor);
-        self.schedule(self.now + pause, ScheduledEvent::SubmitJob);
+        self.schedule(self.now + interval_ms, ScheduledEvent::SubmitJob);
     }
 
-    /// Submits a random job.
+    /// Submits a random job and polls its status. Services, jobs that fail, and 10 % of the others are cancelled
+    /// later; 10 % of the submissions are repeated.
     pub(super) fn submit_random_job(&mut self) {
         let mut job = self.random_job();
         let id = job.id.clone();
         let factor = self.network.find_active(|fault| match fault {
-            ActiveFault::LongTasks(times) => Some(*times),
+            ActiveFault::LongTasks(factor) => Some(*factor),
             _ => None,
         });
         if let Some(factor) = factor {
@@ -50,19 +52,19 @@
         }
         self.jobs.add(job.clone(), self.now);
         if job.kind == JobKind::Service || job.class == FAILING_CLASS || self.rng.random_bool(0.1) {
-            let after = self.rng.random_range(10_000..50_000);
+            let delay_ms = self.rng.random_range(10_000..50_000);
             self.schedule(
-                self.now + after,
+                self.now + delay_ms,
                 ScheduledEvent::CancelJob { id: id.clone() },
             );
         }
         self.send_request(UserRequest::Submit(Box::new(job.clone())), id.clone(), 0);
         if self.rng.random_bool(0.1) {
-            // A retry may arrive at any later time.
-            let after = self.rng.random_range(500..40_000);
+            // A repeated submission may arrive at any later time. It is retried at most ten times.
+            let delay_ms = self.rng.random_range(500..40_000);
             let request = UserRequest::Submit(Box::new(job));
             self.schedule(
-                self.now + after,
+                self.now + delay_ms,
                 ScheduledEvent::SendRequest {
                     request,
                     id: id.clone(),
@@ -71,11 +73,13 @@
             );
         }
         if self.rng.random_bool(0.05) {
+            // No job has this id.
             self.send_request(UserRequest::Get(JobId(900_001)), "j-900001".into(), 0);
         }
         self.schedule(self.now + 4_000, ScheduledEvent::PollStatus { id });
     }
 
+    /// Returns a new random job of one of six teams.
     fn random_job(&mut self) -> JobRequest {
         let id = self.jobs.next_id();
         let kind = match self.rng.random_range(0..10) {
@@ -83,7 +87,7 @@
             3..=4 => JobKind::Gang,
             _ => JobKind::Array,
         };
-        let tasks = match kind {
+        let task_count = match kind {
             JobKind::Service => self.rng.random_range(1..3),
             JobKind::Gang => self.rng.random_range(2..5),
             JobKind::Array => {
@@ -92,21 +96,21 @@
             }
         };
         let zone = self.rng.random_bool(0.15).then(|| "a".to_owned());
-        let together = zone.is_none() && self.rng.random_bool(0.2);
-        let mistaken =
+        let one_zone = zone.is_none() && self.rng.random_bool(0.2);
+        let is_failing =
             self.network.is_active(&ActiveFault::FailingJobs) && self.rng.random_bool(0.4);
-        // One of six teams at random, or two thirds of all jobs for one team: ten times the load of each
-        // other.
-        let heavy =
+        // With skewed load, team 0 submits two thirds of all jobs, which is ten times the share of each other team:
+        // 60 % directly, and a sixth of the rest.
+        let is_of_heavy_team =
             self.network.is_active(&ActiveFault::SkewedLoad) && self.rng.random_range(0..15) < 9;
-        let team = if heavy {
+        let team = if is_of_heavy_team {
             0
         } else {
             self.rng.random_range(0..6)
         };
         JobRequest {
             id,
-            class: if mistaken { FAILING_CLASS } else { "c" }.into(),
+            class: if is_failing { FAILING_CLASS } else { "c" }.into(),
             team: format!("t{team}"),
             kind,
             priority: match self.rng.random_range(0..3) {
@@ -114,16 +118,16 @@
                 1 => Priority::Low,
                 _ => Priority::Normal,
             },
-            task_count: tasks,
+            task_count,
             cpus: 1.0,
             gpus: 0.0,
             memory_gb: 2.0,
             image: format!("img-{}", self.rng.random_range(0..3)),
             image_gb: 1.5,
             allowed_machine_types: None,
-            spread_over_zones: zone.is_none() && !together && self.rng.random_bool(0.2),
+            spread_over_zones: zone.is_none() && !one_zone && self.rng.random_bool(0.2),
             zone,
-            one_zone: together,
+            one_zone,
             spot_allowed: self.rng.random_bool(0.5),
             estimated_run_time_s: match kind {
                 JobKind::Service => 0.0,
@@ -136,20 +140,21 @@
         }
     }
 
-    /// Polls the status of a job until its user knows its terminal state.
+    /// Requests the status of a job and schedules the next poll, until its user knows its terminal state.
     pub(super) fn poll_status(&mut self, id: String) {
         if !self.jobs.is_known_terminal(&id) {
             if let Some(job) = JobId::parse(&id) {
                 self.send_request(UserRequest::Get(job), id.clone(), 0);
             }
-            let often = self.network.is_active(&ActiveFault::StatusRequestStorm);
+            let is_storm = self.network.is_active(&ActiveFault::StatusRequestStorm);
             self.schedule(
-                self.now + if often { 300 } else { 5_000 },
+                self.now + if is_storm { 300 } else { 5_000 },
                 ScheduledEvent::PollStatus { id },
             );
         }
     }
 
+    /// Submits an array of low priority of the guest team.
     pub(super) fn submit_guest_job(&mut self) {
         let job = JobRequest {
             class: "guests".into(),
@@ -165,27 +170,30 @@
         self.submit_job(job);
     }
 
+    /// Sends a request to a random controller among those that users can reach. If there is none, the user tries
+    /// again after 1 s.
     pub(super) fn send_request(&mut self, request: UserRequest, id: String, attempts: u32) {
-        let reached = |n: &usize| {
+        let is_reachable = |n: &usize| {
             self.controllers[*n].is_some()
                 && !self.network.is_active(&ActiveFault::UsersDisconnected(*n))
         };
-        let alive: Vec<usize> = (0..CONTROLLERS).filter(reached).collect();
-        if alive.is_empty() {
+        let reachable: Vec<usize> = (0..CONTROLLERS).filter(is_reachable).collect();
+        if reachable.is_empty() {
             if attempts < MAX_ATTEMPTS {
-                let what = ScheduledEvent::SendRequest {
+                let retry = ScheduledEvent::SendRequest {
                     request,
                     id,
                     attempts: attempts + 1,
                 };
-                self.schedule(self.now + 1_000, what);
+                self.schedule(self.now + 1_000, retry);
             }
             return;
         }
-        let controller = alive[self.rng.random_range(0..alive.len())];
+        let controller = reachable[self.rng.random_range(0..reachable.len())];
         self.send_request_to(controller, request, id, attempts);
     }
 
+    /// Sends a request to one controller; it is dropped if the controller is down.
     pub(super) fn send_request_to(
         &mut self,
         controller: usize,
@@ -197,12 +205,12 @@
             return;
         };
         let ticket = self.open_requests.next_ticket();
-        let sent = self.rules.history.next_time(self.now);
+        let sent_at = self.rules.history.next_time(self.now);
         let pending_request = PendingRequest {
             request: request.clone(),
             id,
             attempts,
-            sent_at: sent,
+            sent_at,
         };
         self.open_requests.add_user_request(
             TicketKey {
@@ -215,31 +223,34 @@
         self.handle_event(controller, Event::User { ticket, request });
     }
 
-    /// Queries every accepted job, also those in a terminal state, by a status request or a repeated
-    /// submission, through controllers that a load balancer would choose.
+    /// Queries every accepted job, also those in a terminal state, by a status request or a repeated submission, and
+    /// schedules the next round. The requests go to controllers that a load balancer would choose.
     pub(super) fn query_all_jobs(&mut self) {
         let ids: Vec<String> = self.rules.accepted.keys().cloned().collect();
         // Large sites are queried at a lower rate.
-        let pause = if ids.len() > 300 { 20_000 } else { 5_000 };
-        let serves = |n: &usize| {
-            let long = self
+        let interval_ms = if ids.len() > 300 { 20_000 } else { 5_000 };
+        let is_chosen_by_load_balancer = |n: &usize| {
+            let is_healthy = self
                 .service_checks
                 .has_been_healthy_for(*n, MIN_HEALTHY_MS, self.now);
-            long && self.controllers[*n].is_some()
+            is_healthy
+                && self.controllers[*n].is_some()
                 && !self.network.is_active(&ActiveFault::UsersDisconnected(*n))
         };
-        let controllers: Vec<usize> = (0..CONTROLLERS).filter(serves).collect();
-        for (nth, id) in ids.into_iter().enumerate() {
+        let controllers: Vec<usize> = (0..CONTROLLERS)
+            .filter(is_chosen_by_load_balancer)
+            .collect();
+        for (index, id) in ids.into_iter().enumerate() {
             self.service_checks
                 .unanswered()
                 .record_request(&id, self.now);
-            let (Some(job), Some(number)) = (self.jobs.get(&id).cloned(), JobId::parse(&id)) else {
+            let (Some(job), Some(job_id)) = (self.jobs.get(&id).cloned(), JobId::parse(&id)) else {
                 continue;
             };
-            let request = if nth % 3 == 0 {
+            let request = if index % 3 == 0 {
                 UserRequest::Submit(Box::new(job))
             } else {
-                UserRequest::Get(number)
+                UserRequest::Get(job_id)
             };
             let Some(controller) =
                 controllers.get(self.rng.random_range(0..controllers.len().max(1)))
@@ -249,9 +260,11 @@
             // Not retried if rejected: the next query follows soon.
             self.send_request_to(*controller, request, id, MAX_ATTEMPTS);
         }
-        self.schedule(self.now + pause, ScheduledEvent::QueryAllJobs);
+        self.schedule(self.now + interval_ms, ScheduledEvent::QueryAllJobs);
     }
 
+    /// Checks a controller's reply to a user's request against the rules and reacts as the user does: by follow-up
+    /// requests or a retry.
     pub(super) fn handle_user_reply(&mut self, pending_request: PendingRequest, reply: UserReply) {
         if let Some(expected) = self.jobs.expected_rejection(&pending_request.id) {
             self.check_invalid_job_reply(pending_request, expected, reply);
@@ -261,21 +274,22 @@
             request,
             id,
             attempts,
-            sent_at: sent,
+            sent_at,
         } = pending_request;
         let now = self.now;
-        let unanswered = self.plan.mutation == Some(Mutation::SomeStatusRequestsUnanswered)
+        let counts_as_unanswered = self.plan.mutation
+            == Some(Mutation::SomeStatusRequestsUnanswered)
             && JobId::parse(&id).is_some_and(|job| job.0 % 49 == 0);
-        if matches!(reply, UserReply::Status(_)) && !unanswered {
+        if matches!(reply, UserReply::Status(_)) && !counts_as_unanswered {
             self.service_checks.unanswered().record_answer(&id);
         }
         match reply {
             UserReply::Created(_) => {
-                let first = self.jobs.submitted_at(&id).unwrap_or(now);
-                self.acceptance_latencies_ms.push(now - first);
+                let submitted_at = self.jobs.submitted_at(&id).unwrap_or(now);
+                self.acceptance_latencies_ms.push(now - submitted_at);
                 self.rules.accepted.entry(id.clone()).or_insert(now);
                 self.rules
-                    .record_status(&id, JobState::Queued, self.jobs.all(), sent, now);
+                    .record_status(&id, JobState::Queued, self.jobs.all(), sent_at, now);
                 self.schedule_follow_ups(&id, Confirmation::Accepted);
             }
             UserReply::Status(status) => {
@@ -286,7 +300,7 @@
                     self.jobs.record_known_terminal(id.clone());
                 }
                 self.rules
-                    .record_status(&id, status.state, self.jobs.all(), sent, now);
+                    .record_status(&id, status.state, self.jobs.all(), sent_at, now);
                 match (status.state, &request) {
                     (JobState::Done, _) => self.schedule_follow_ups(&id, Confirmation::Done),
                     (JobState::Cancelled, _) => {
@@ -300,22 +314,22 @@
             }
             UserReply::NotFound => {
                 self.rules
-                    .record_negative_reply(&id, JobReply::Missing, sent, now);
+                    .record_negative_reply(&id, JobReply::Missing, sent_at, now);
                 if let UserRequest::Cancel(_) = request {
-                    // Its submission may still be under way.
-                    let what = ScheduledEvent::SendRequest {
+                    // The submission of the job may still be in transit.
+                    let retry = ScheduledEvent::SendRequest {
                         request,
                         id,
                         attempts: attempts + 1,
                     };
                     if attempts < 30 {
-                        self.schedule(now + 2_000, what);
+                        self.schedule(now + 2_000, retry);
                     }
                 }
             }
             UserReply::Invalid(_) | UserReply::Rejected(_) => {
                 self.rules
-                    .record_negative_reply(&id, JobReply::Refused, sent, now);
+                    .record_negative_reply(&id, JobReply::Refused, sent_at, now);
             }
             UserReply::Busy { retry_after_s } => {
                 self.busy_replies += 1;
@@ -324,7 +338,8 @@
         }
     }
 
-    /// Retries a rejected request, unless it is a status request or its user gives up.
+    /// Schedules a retry of a request that was rejected because of overload, unless it is a status request or its
+    /// user gives up.
     pub(super) fn retry_request(
         &mut self,
         request: UserRequest,
@@ -333,12 +348,12 @@
         retry_after_s: u64,
     ) {
         if !matches!(request, UserRequest::Get(_)) && attempts < MAX_ATTEMPTS {
-            let what = ScheduledEvent::SendRequest {
+            let retry = ScheduledEvent::SendRequest {
                 request,
                 id,
                 attempts: attempts + 1,
             };
-            self.schedule(self.now + retry_after_s.max(1) * 1_000, what);
+            self.schedule(self.now + retry_after_s.max(1) * 1_000, retry);
         }
     }
 }
--- a/crates/simulator/src/world/views.rs
+++ b/crates/simulator/src/world/views.rs
@@ -1,4 +1,4 @@
-//! What tests read from a world.
+//! The state of a world that tests and fingerprints read.
 
 use super::events::RunningController;
 use super::World;
@@ -9,34 +9,35 @@
 use wire::workers::TaskState;
 
 impl World {
-    /// Puts and deletes that the state service has taken, and those it has refused for want of
-    /// budget.
+    /// Numbers of puts and deletes that the state service has accepted, and that it has refused because they
+    /// exceeded its rate limit.
     pub fn accepted_and_refused_writes(&self) -> (u64, u64) {
         (self.state.accepted_writes, self.state.refused_writes)
     }
 
-    /// Machines recorded for a partition.
+    /// Number of machines recorded for a partition.
     pub fn recorded_machines(&self, partition: u32) -> usize {
         self.machine_records()
             .filter(|m| m.get(4).is_some_and(|p| *p == partition))
             .count()
     }
 
-    /// Failovers before lease expiry, and those of them whose leaders were alive.
+    /// Numbers of failovers before lease expiry, and of those among them whose previous leaders were alive.
     pub fn early_failovers(&self) -> (u64, u64) {
-        let counts = |r: &RunningController| {
+        let counts = |running: &RunningController| {
             (
-                r.controller.counters.early_failovers,
-                r.controller.counters.false_failovers,
+                running.controller.counters.early_failovers,
+                running.controller.counters.false_failovers,
             )
         };
-        let living = self.controllers.iter().flatten().map(counts);
-        living.fold(self.early_failovers_of_crashed, |sum, n| {
+        let of_running = self.controllers.iter().flatten().map(counts);
+        of_running.fold(self.early_failovers_of_crashed, |sum, n| {
             (sum.0 + n.0, sum.1 + n.1)
         })
     }
 
-    /// All records of machines.
+    /// All records of machines in the state service. Of the fields of a record, 0 is the name, 4 the partition, and
+    /// 6 whether the machine is leaving.
     pub(super) fn machine_records(&self) -> impl Iterator<Item = &serde_json::Value> {
         let page = |n: u32| self.state.value(&format!("s/m/{n:04}"));
         (0..)
@@ -45,12 +46,12 @@
             .flatten()
     }
 
-    /// Machines that crashed with tasks and whose records are not marked as leaving yet.
+    /// Number of machines that crashed with tasks and whose records are not marked as leaving yet.
     pub fn recorded_dead_machines(&self) -> usize {
-        let kept = self
+        let not_leaving = self
             .machine_records()
             .filter(|m| m.get(6).is_some_and(|leaving| *leaving == false));
-        let names = kept.filter_map(|m| m.get(0)?.as_str());
+        let names = not_leaving.filter_map(|m| m.get(0)?.as_str());
         names
             .filter(|name| {
                 self.workers
@@ -60,65 +61,66 @@
             .count()
     }
 
-    /// Service levels by kind of work and by team. Jobs accepted within the last `patience` ms are not due.
-    pub fn service_levels(&self, patience: u64) -> Vec<ServiceLevel> {
+    /// Service levels by kind of work, by team and of the largest jobs. Arrays and gangs accepted within the last
+    /// `patience_ms` are not due.
+    pub fn service_levels(&self, patience_ms: u64) -> Vec<ServiceLevel> {
         let RuleChecker {
             accepted,
             cancel_requests,
             done_confirmed,
             ..
         } = &self.rules;
-        let until = self.now.saturating_sub(patience);
-        let mut shares = self.service_checks.availability().service_levels(
+        let until = self.now.saturating_sub(patience_ms);
+        let mut levels = self.service_checks.availability().service_levels(
             self.jobs.all(),
             accepted,
             cancel_requests,
             done_confirmed,
             until,
         );
-        shares.extend(self.service_checks.availability().largest_job_levels(
+        levels.extend(self.service_checks.availability().largest_job_levels(
             self.jobs.all(),
             accepted,
             self.jobs.submission_times(),
             cancel_requests,
             self.now,
         ));
-        shares
+        levels
     }
 
-    /// The class or team with the lowest service level, see [`World::service_levels`].
-    pub fn lowest_service_level(&self, patience: u64) -> Option<(String, f64)> {
-        lowest_service_level(&self.service_levels(patience))
+    /// The kind of work or team with the lowest service level, see [`World::service_levels`].
+    pub fn lowest_service_level(&self, patience_ms: u64) -> Option<(String, f64)> {
+        lowest_service_level(&self.service_levels(patience_ms))
     }
 
-    /// Names of the machines recorded for a partition that are up.
+    /// Names of the machines that are recorded for a partition and up.
     pub(super) fn machines_up_of(&self, partition: u32) -> BTreeSet<String> {
-        let ours = self
+        let of_partition = self
             .machine_records()
             .filter(|m| m.get(4).is_some_and(|p| *p == partition));
-        let names = ours.filter_map(|m| m.get(0)?.as_str());
-        let incarnations = |name: &&str| self.workers.get(*name).is_some_and(|w| !w.dead);
-        names.filter(incarnations).map(str::to_owned).collect()
+        let names = of_partition.filter_map(|m| m.get(0)?.as_str());
+        let is_up = |name: &&str| self.workers.get(*name).is_some_and(|w| !w.dead);
+        names.filter(is_up).map(str::to_owned).collect()
     }
 
-    /// Tasks of jobs confirmed as cancelled that are still on machines of a partition.
+    /// Number of tasks on machines of a partition whose jobs are confirmed as cancelled.
     pub fn cancelled_tasks_present(&self, partition: u32) -> usize {
         let machines = self.machines_up_of(partition);
         let workers = machines.iter().filter_map(|name| self.workers.get(name));
         let tasks = workers.flat_map(|w| w.tasks.iter().filter(|(_, held)| held.is_present()));
-        let cancelled = |task: &str| {
+        let is_cancelled = |task: &str| {
             let id = task.split('/').next().unwrap_or_default();
             self.rules.cancel_confirmed.contains_key(id)
         };
-        tasks.filter(|((task, _), _)| cancelled(task)).count()
+        tasks.filter(|((task, _), _)| is_cancelled(task)).count()
     }
 
-    /// Machines that are up.
+    /// Number of machines that are up.
     pub fn machines_up(&self) -> usize {
         self.workers.values().filter(|w| !w.dead).count()
     }
 
-    /// The leader of a partition by its record.
+    /// The leader of a partition according to the partition record.
     pub fn leader(&self, partition: u32) -> Option<&str> {
         self.state
             .value(&format!("s/p/{partition}"))?
@@ -126,7 +128,7 @@
             .as_str()
     }
 
-    /// The term of a partition by its record.
+    /// The term of a partition according to the partition record.
     pub fn term(&self, partition: u32) -> Option<u64> {
         self.state
             .value(&format!("s/p/{partition}"))?
@@ -134,13 +136,13 @@
             .as_u64()
     }
 
-    /// Prints where a job's tasks are, for debugging.
+    /// Prints the tasks of a job on all machines and what the controllers know of it, for debugging.
     pub fn print_job(&self, id: &str) {
         for worker in self.workers.values() {
             for ((task, attempt), held) in &worker.tasks {
                 if task.starts_with(id) {
                     println!(
-                        "{} dead={} {task} try {attempt} {held:?}",
+                        "{} dead={} {task} attempt {attempt} {held:?}",
                         worker.name, worker.dead
                     );
                 }
@@ -156,12 +158,12 @@
         self.jobs.get(id)
     }
 
-    /// Tasks killed by workers after lease expiry.
+    /// Number of tasks that workers have killed because their leases had expired.
     pub fn tasks_killed_by_lease(&self) -> u64 {
         self.workers.values().map(|w| w.tasks_killed_by_lease).sum()
     }
 
-    /// Tasks of accepted, unfinished jobs without any task on a machine.
+    /// Number of tasks of those accepted, unfinished jobs that have no task on any machine.
     pub fn tasks_of_unplaced_jobs(&self) -> u64 {
         let placed: HashSet<&str> = self
             .workers
@@ -179,7 +181,7 @@
             .sum()
     }
 
-    /// Arrays of low priority that waited for too long although there was capacity for them.
+    /// Arrays of low priority that waited too long although there was free capacity for them.
     pub fn starved_low_priority_arrays(&self) -> &[String] {
         self.service_checks.starved_low_priority()
     }
@@ -197,20 +199,21 @@
             .collect()
     }
 
-    /// Teams whose tasks on machines leave less than one CPU of their limit.
+    /// Number of teams whose tasks on machines leave less than one CPU of their limit.
     pub fn teams_at_limit(&self) -> usize {
-        let mut used: BTreeMap<&str, f64> = BTreeMap::new();
+        let mut used_cpus: BTreeMap<&str, f64> = BTreeMap::new();
         for worker in self.workers.values().filter(|worker| !worker.dead) {
             for ((task, _), held) in &worker.tasks {
                 let job = self.jobs.get(task.split('/').next().unwrap_or_default());
                 let Some(job) = job.filter(|_| held.state != TaskState::Exited) else {
                     continue;
                 };
-                *used.entry(&job.team).or_default() += job.cpus;
+                *used_cpus.entry(&job.team).or_default() += job.cpus;
             }
         }
         let at_limit = |(team, limit): &(&String, &f64)| {
-            used.get(team.as_str())
+            used_cpus
+                .get(team.as_str())
                 .is_some_and(|cpus| cpus + 1.0 > **limit)
         };
         self.cpu_limits.iter().filter(at_limit).count()
