--- a/crates/simulator/tests/combined_machine_faults.rs
+++ b/crates/simulator/tests/combined_machine_faults.rs
@@ -1,6 +1,6 @@
 //! Combinations of leader changes with faults of machines and messages: heartbeats, commands, replies of the
-//! state service and mesh messages are delayed, duplicated, lost in one direction or lost altogether. Each
-//! test asserts that its combination has really occurred, and one runs all of them again with injected
+//! state service and mesh messages are delayed, duplicated, lost in one direction or lost altogether. Each test
+//! asserts that its combination of faults has really occurred. One test runs the scenarios again with injected
 //! defects.
 
 mod common;
@@ -8,18 +8,18 @@
 use common::env_number;
 use simulator::{for_seeds, BootBehavior, Fault, FaultCoverage, Mutation, Plan, World};
 
-/// Length of each run, in ms.
-const MS: u64 = 220_000;
+/// Duration of each run.
+const RUN_MS: u64 = 220_000;
 
 /// Runs one seed to its end and asserts that no rule was violated.
 fn run_to_end(name: &str, seed: u64, faults: Vec<(u64, Fault)>) -> World {
-    let mut world = World::new(Plan::with_long_tasks(seed, MS, faults));
+    let mut world = World::new(Plan::with_long_tasks(seed, RUN_MS, faults));
     world.run();
     assert_eq!(world.rules.violations, [], "{name}, seed {seed}");
     world
 }
 
-/// Runs this many seeds and adds up their coverage.
+/// Runs the seeds from 1 to `seeds`, asserts that no rule was violated, and adds up their coverage with `add`.
 fn run_seeds(
     name: &str,
     seeds: u64,
@@ -36,7 +36,7 @@
     coverage
 }
 
-/// Transactions are applied and only their replies are lost, while leaders crash and jobs are cancelled.
+/// Some transactions are applied and only their replies are lost, while leaders crash and jobs are cancelled.
 fn lost_reply_faults(seed: u64) -> Vec<(u64, Fault)> {
     let controller = seed as usize % 3;
     vec![
@@ -89,7 +89,7 @@
 
 #[test]
 fn applied_transaction_with_lost_reply_keeps_rules() {
-    let coverage = run_seeds("answers lost", 10, lost_reply_faults, |coverage, world| {
+    let coverage = run_seeds("lost replies", 10, lost_reply_faults, |coverage, world| {
         coverage.lost_replies += world.coverage.lost_replies;
         coverage.lost_replies_read_elsewhere += world.coverage.lost_replies_read_elsewhere;
     });
@@ -99,10 +99,10 @@
     );
 }
 
-/// Times of leader crashes just after machines have booted, in ms.
-const QUICK_ENDS: [u64; 3] = [48_200, 78_200, 108_200];
+/// Earliest times of the leader crashes, just after machines have booted.
+const CRASHES_AFTER_FAST_BOOTS_MS: [u64; 3] = [48_200, 78_200, 108_200];
 
-/// Machines crash, new ones boot within two seconds and get work at once, and a leader crashes.
+/// Machines crash, new ones boot within two seconds and get work at once, and then a leader crashes.
 fn fast_boot_faults(seed: u64) -> Vec<(u64, Fault)> {
     let mut faults = vec![
         (
@@ -120,7 +120,7 @@
             },
         ),
     ];
-    for (nth, at) in QUICK_ENDS.into_iter().enumerate() {
+    for (nth, at) in CRASHES_AFTER_FAST_BOOTS_MS.into_iter().enumerate() {
         let controller = (nth + seed as usize) % 3;
         faults.push((at - 4_000, Fault::CrashMachines { count: 5 }));
         faults.push((at - 3_900, Fault::JobBurst { jobs: 16 }));
@@ -143,16 +143,16 @@
 
 #[test]
 fn fast_machine_boot_during_slow_writes_and_leader_crash_keeps_rules() {
-    let coverage = run_seeds("quick boots", 10, fast_boot_faults, |coverage, world| {
+    let coverage = run_seeds("fast boots", 10, fast_boot_faults, |coverage, world| {
         coverage.launches_on_new_machines += world.coverage.launches_on_new_machines;
         coverage.delayed_writes_after_newer += world.coverage.delayed_writes_after_newer;
-        let taken = world
+        let acquisitions = world
             .failovers
             .list
             .iter()
-            .filter(|t| t.acquired_at.is_some())
+            .filter(|failover| failover.acquired_at.is_some())
             .count();
-        assert!(taken > 0, "a leader ended");
+        assert!(acquisitions > 0, "no partition was acquired after a crash");
     });
     assert!(
         coverage.launches_on_new_machines > 40 && coverage.delayed_writes_after_newer > 5,
@@ -160,7 +160,7 @@
     );
 }
 
-/// Leases expire and leaders crash while heartbeats are recorded for replay to the next leader.
+/// Leases expire and leaders crash while heartbeats are recorded and replayed to the next leader of a partition.
 fn replayed_heartbeat_faults(seed: u64) -> Vec<(u64, Fault)> {
     let controller = seed as usize % 3;
     vec![
@@ -217,9 +217,9 @@
 }
 
 #[test]
-fn stale_heartbeat_at_start_of_new_leader_changes_nothing() {
+fn stale_heartbeats_at_new_leader_keep_rules() {
     let coverage = run_seeds(
-        "kept copies",
+        "replayed heartbeats",
         10,
         replayed_heartbeat_faults,
         |coverage, world| {
@@ -235,7 +235,7 @@
     );
 }
 
-/// Heartbeats are held back while a leader crashes, and delivered after its successor's first actions.
+/// Heartbeats are held back while a leader crashes, and are delivered after its successor's first actions.
 fn held_heartbeats(seed: u64) -> Vec<(u64, Fault)> {
     let mut faults = Vec::new();
     for (nth, at) in [45_000, 70_000, 95_000].into_iter().enumerate() {
@@ -248,30 +248,30 @@
             },
         ));
         faults.push((at + 200, Fault::JobBurst { jobs: 16 }));
-        let crash = at + 1_000 + seed * 140;
+        let crash_at = at + 1_000 + seed * 140;
         faults.push((
-            crash,
+            crash_at,
             Fault::CrashController {
                 controller,
                 restart_after_ms: 200 + seed * 600,
             },
         ));
         // Jobs for the successor to start before the heartbeats arrive.
-        faults.push((crash + 2_000, Fault::JobBurst { jobs: 12 }));
+        faults.push((crash_at + 2_000, Fault::JobBurst { jobs: 12 }));
         faults.push((
-            crash + 3_000,
+            crash_at + 3_000,
             Fault::CancelAllJobs {
                 controller: (controller + 1) % 3,
             },
         ));
-        faults.push((crash + 3_500, Fault::JobBurst { jobs: 12 }));
+        faults.push((crash_at + 3_500, Fault::JobBurst { jobs: 12 }));
     }
     faults
 }
 
 #[test]
-fn delayed_heartbeat_after_first_actions_of_new_leader_keeps_rules() {
-    let coverage = run_seeds("held reports", 10, held_heartbeats, |coverage, world| {
+fn delayed_heartbeats_after_first_actions_of_new_leader_keep_rules() {
+    let coverage = run_seeds("held heartbeats", 10, held_heartbeats, |coverage, world| {
         coverage.held_heartbeats += world.coverage.held_heartbeats;
     });
     assert!(coverage.held_heartbeats > 200, "{coverage:?}");
@@ -325,17 +325,23 @@
 
 #[test]
 fn direct_commands_to_machines_without_outgoing_connections_keep_rules() {
-    let coverage = run_seeds("mute", 10, refused_connection_faults, |coverage, world| {
-        coverage.refused_connections += world.coverage.refused_connections;
-        coverage.direct_calls_while_refusing += world.coverage.direct_calls_while_refusing;
-    });
+    let coverage = run_seeds(
+        "refused connections",
+        10,
+        refused_connection_faults,
+        |coverage, world| {
+            coverage.refused_connections += world.coverage.refused_connections;
+            coverage.direct_calls_while_refusing += world.coverage.direct_calls_while_refusing;
+        },
+    );
     assert!(
         coverage.refused_connections > 1_000 && coverage.direct_calls_while_refusing > 200,
         "{coverage:?}"
     );
 }
 
-/// Direct commands are delayed while their leaders crash, are deposed, or miss cancellations.
+/// Direct commands are delayed while the leaders that sent them crash, or lose the state service and their peers
+/// and so miss cancellations and are succeeded by others.
 fn delayed_commands(seed: u64) -> Vec<(u64, Fault)> {
     let mut faults = vec![(
         30_000,
@@ -348,7 +354,7 @@
         let controller = (nth + seed as usize) % 3;
         faults.push((at, Fault::CrashMachines { count: 2 }));
         faults.push((at, Fault::JobBurst { jobs: 8 }));
-        let ends = if (seed + nth as u64).is_multiple_of(2) {
+        let leader_fault = if (seed + nth as u64).is_multiple_of(2) {
             Fault::CrashController {
                 controller,
                 restart_after_ms: 200 + seed * 300,
@@ -360,7 +366,7 @@
                 refused: seed.is_multiple_of(3),
             }
         };
-        faults.push((at + 800 + seed * 210, ends));
+        faults.push((at + 800 + seed * 210, leader_fault));
         faults.push((
             at + 5_000,
             Fault::CancelAllJobs {
@@ -374,12 +380,17 @@
 
 #[test]
 fn delayed_command_of_former_leader_is_fenced_after_failover() {
-    let coverage = run_seeds("late commands", 12, delayed_commands, |coverage, world| {
-        coverage.delayed_commands += world.coverage.delayed_commands;
-        coverage.delayed_commands_rejected += world.coverage.delayed_commands_rejected;
-        coverage.delayed_commands_of_crashed += world.coverage.delayed_commands_of_crashed;
-        coverage.delayed_commands_of_deposed += world.coverage.delayed_commands_of_deposed;
-    });
+    let coverage = run_seeds(
+        "delayed commands",
+        12,
+        delayed_commands,
+        |coverage, world| {
+            coverage.delayed_commands += world.coverage.delayed_commands;
+            coverage.delayed_commands_rejected += world.coverage.delayed_commands_rejected;
+            coverage.delayed_commands_of_crashed += world.coverage.delayed_commands_of_crashed;
+            coverage.delayed_commands_of_deposed += world.coverage.delayed_commands_of_deposed;
+        },
+    );
     assert!(
         coverage.delayed_commands > 50 && coverage.delayed_commands_rejected > 50,
         "{coverage:?}"
@@ -395,30 +406,31 @@
     );
 }
 
-/// Start of the two minutes in which leaders change, and start and length of the outage within them, in ms.
-const CHANGES_FROM: u64 = 45_000;
-const OUTAGE: (u64, u64) = (95_000, 18_000);
+/// Start of the two minutes in which leaders change.
+const CHANGES_FROM_MS: u64 = 45_000;
+/// Start and length of the state outage within them.
+const OUTAGE_MS: (u64, u64) = (95_000, 18_000);
 
-/// Controllers crash in turn, also during an outage of the state service. They restart within a fraction of a
-/// second, or after others have acquired their partitions.
+/// Controllers crash in turn, also during a state outage. They restart after 200 ms, or after others have
+/// acquired their partitions.
 fn repeated_leader_changes(seed: u64) -> Vec<(u64, Fault)> {
-    let (out, out_ms) = OUTAGE;
+    let (outage_from, outage_duration) = OUTAGE_MS;
     let mut faults = vec![(
-        out,
+        outage_from,
         Fault::RefuseStateRequests {
             controller: None,
-            duration_ms: out_ms,
+            duration_ms: outage_duration,
         },
     )];
-    let (pause, restart_after_ms) = if seed.is_multiple_of(2) {
+    let (crash_interval, restart_after_ms) = if seed.is_multiple_of(2) {
         (3_500, 200)
     } else {
         (6_000, 2_600 + 300 * seed)
     };
-    for nth in 0..120_000 / pause {
+    for nth in 0..120_000 / crash_interval {
         let controller = (nth + seed) as usize % 3;
         faults.push((
-            CHANGES_FROM + nth * pause + seed * 53,
+            CHANGES_FROM_MS + nth * crash_interval + seed * 53,
             Fault::CrashController {
                 controller,
                 restart_after_ms,
@@ -437,17 +449,17 @@
     faults
 }
 
-/// Runs two minutes and counts how often each partition was acquired, by another controller or by a new
-/// incarnation of the same one.
+/// Runs for two minutes from `CHANGES_FROM_MS` and counts how often each partition was acquired, by another
+/// controller or by a new incarnation of the same one.
 fn leader_changes_in_two_minutes(world: &mut World) -> [u32; 3] {
     let mut changes = [0; 3];
-    let mut before = [0, 1, 2].map(|partition| world.term(partition));
-    for at in (CHANGES_FROM..=CHANGES_FROM + 120_000).step_by(100) {
+    let mut last_terms = [0, 1, 2].map(|partition| world.term(partition));
+    for at in (CHANGES_FROM_MS..=CHANGES_FROM_MS + 120_000).step_by(100) {
         world.run_to(at);
         for partition in 0..3 {
             let term = world.term(partition as u32);
-            if term.is_some() && term != before[partition] {
-                before[partition] = term;
+            if term.is_some() && term != last_terms[partition] {
+                last_terms[partition] = term;
                 changes[partition] += 1;
             }
         }
@@ -456,17 +468,21 @@
 }
 
 #[test]
-fn ten_leader_changes_in_two_minutes_keep_rules_also_during_outage() {
+fn ten_leader_changes_in_two_minutes_keep_rules_also_during_state_outage() {
     for_seeds(8, |seed| {
         let mut world = World::new(Plan::with_long_tasks(
             seed,
-            MS,
+            RUN_MS,
             repeated_leader_changes(seed),
         ));
         let changes = leader_changes_in_two_minutes(&mut world);
         world.run();
-        assert_eq!(world.rules.violations, [], "ten changes, seed {seed}");
-        println!("ten changes, seed {seed}: {changes:?}");
+        assert_eq!(
+            world.rules.violations,
+            [],
+            "ten leader changes, seed {seed}"
+        );
+        println!("ten leader changes, seed {seed}: {changes:?}");
         assert!(
             changes.iter().any(|count| *count >= 10),
             "seed {seed}: {changes:?}"
@@ -474,7 +490,7 @@
     });
 }
 
-/// More jobs than capacity, of high and low priority, over slow links.
+/// More jobs than capacity, of high and low priority, with slow links and a crash of a leader.
 fn overload(seed: u64) -> Vec<(u64, Fault)> {
     let controller = seed as usize % 3;
     vec![
@@ -515,21 +531,24 @@
 #[test]
 fn overload_over_slow_links_keeps_rules() {
     for_seeds(8, |seed| {
-        let mut world = World::new(Plan::with_long_tasks(seed, MS, overload(seed)));
+        let mut world = World::new(Plan::with_long_tasks(seed, RUN_MS, overload(seed)));
         world.run_to(49_000);
-        let waiting = world.tasks_of_unplaced_jobs();
+        let unplaced_tasks = world.tasks_of_unplaced_jobs();
         world.run();
         assert_eq!(world.rules.violations, [], "overload, seed {seed}");
-        println!("overload, seed {seed}: {waiting} tasks wait");
-        assert!(waiting > 100, "seed {seed}: {waiting} tasks wait");
+        println!("overload, seed {seed}: {unplaced_tasks} tasks of unplaced jobs");
+        assert!(
+            unplaced_tasks > 100,
+            "seed {seed}: {unplaced_tasks} tasks of unplaced jobs"
+        );
     });
 }
 
-/// Mesh messages of a leader are lost in one direction, and it loses the state service; its jobs are
-/// cancelled through another controller.
-fn one_way(seed: u64) -> Vec<(u64, Fault)> {
+/// Mesh messages from or to a leader are lost. The leader loses the state service, or in one run of three
+/// another controller crashes, and jobs are cancelled through another controller.
+fn one_way_mesh_faults(seed: u64) -> Vec<(u64, Fault)> {
     let controller = seed as usize % 3;
-    let ms = 60_000;
+    let duration_ms = 60_000;
     let mut faults = Vec::new();
     for other in (0..3).filter(|other| *other != controller) {
         let (from, to) = if seed.is_multiple_of(2) {
@@ -542,11 +561,11 @@
             Fault::OneWayMeshPartition {
                 from,
                 to,
-                duration_ms: ms,
+                duration_ms,
             },
         ));
     }
-    let state = match seed % 3 {
+    let second_fault = match seed % 3 {
         0 => Fault::DisconnectStateService {
             controller,
             duration_ms: 40_000,
@@ -555,13 +574,13 @@
             controller: Some(controller),
             duration_ms: 40_000,
         },
-        // Only one link is lost: the leader keeps its partition.
+        // The leader loses only one direction of the mesh and keeps its partition.
         _ => Fault::CrashController {
             controller: (controller + 1) % 3,
             restart_after_ms: 400,
         },
     };
-    faults.push((50_000, state));
+    faults.push((50_000, second_fault));
     faults.push((
         50_100 + seed * 400,
         Fault::CancelAllJobs {
@@ -595,14 +614,19 @@
 
 #[test]
 fn one_way_mesh_partition_keeps_rules() {
-    let coverage = run_seeds("one way", 12, one_way, |coverage, world| {
-        coverage.one_way_losses += world.coverage.one_way_losses;
-    });
+    let coverage = run_seeds(
+        "one-way mesh partition",
+        12,
+        one_way_mesh_faults,
+        |coverage, world| {
+            coverage.one_way_losses += world.coverage.one_way_losses;
+        },
+    );
     assert!(coverage.one_way_losses > 2_000, "{coverage:?}");
 }
 
-/// Messages of partition leaders to the fleet planner are lost: it must still learn their demand and rent
-/// machines for them.
+/// Mesh messages of partition leaders to the controller with the fleet planner are lost: it must still learn
+/// their demand and rent machines for them.
 #[test]
 fn fleet_planner_scales_out_for_leaders_with_lost_messages() {
     let faults = [1, 2].map(|from| {
@@ -615,26 +639,26 @@
             },
         )
     });
-    let plan = Plan::with_long_tasks(5, MS, faults.into());
+    let plan = Plan::with_long_tasks(5, RUN_MS, faults.into());
     let mut world = World::new(plan);
     world.run_to(40_000);
-    assert_eq!(world.leader(0), Some("n0"), "the leader");
+    assert_eq!(world.leader(0), Some("n0"), "leader of partition 0");
     for partition in 0..3 {
         assert!(
             world.recorded_machines(partition) > 0,
-            "partition {partition}"
+            "partition {partition} has no machines"
         );
     }
     world.run();
     assert_eq!(world.rules.violations, []);
 }
 
-/// Mesh messages are duplicated late, also from and to earlier incarnations, while controllers crash, restart
-/// and are disconnected.
+/// Mesh messages are duplicated and the duplicates delayed, so that some are from an earlier incarnation or arrive
+/// at a later one, while controllers crash, restart and are disconnected.
 fn mesh_duplicates(seed: u64) -> Vec<(u64, Fault)> {
     let controller = seed as usize % 3;
     if seed.is_multiple_of(2) {
-        // No replica follows the leader, and it answers workers for its full lease validity: delayed mesh
+        // No replica follows the leader, and it replies to workers for its full lease validity: delayed mesh
         // heartbeats are all that its successor receives from it.
         return vec![
             (
@@ -724,7 +748,7 @@
 
 #[test]
 fn delayed_duplicates_on_mesh_keep_rules() {
-    let coverage = run_seeds("mesh copies", 12, mesh_duplicates, |coverage, world| {
+    let coverage = run_seeds("mesh duplicates", 12, mesh_duplicates, |coverage, world| {
         coverage.mesh_duplicates += world.coverage.mesh_duplicates;
     });
     assert!(coverage.mesh_duplicates > 1_000, "{coverage:?}");
@@ -735,44 +759,48 @@
 
 const SCENARIOS: [ScenarioCase; 10] = [
     (
-        "answers lost",
+        "lost replies",
         lost_reply_faults,
         Mutation::LostRepliesNotApplied,
     ),
     (
-        "quick boots",
+        "fast boots",
         fast_boot_faults,
         Mutation::DelayedWritesUnconditional,
     ),
     (
-        "kept copies",
+        "replayed heartbeats",
         replayed_heartbeat_faults,
         Mutation::DuplicatedHeartbeatsLookNew,
     ),
     (
-        "held reports",
+        "held heartbeats",
         held_heartbeats,
         Mutation::DuplicatedHeartbeatsLookNew,
     ),
     (
-        "mute",
+        "refused connections",
         refused_connection_faults,
         Mutation::DirectCommandsRenewLease,
     ),
     (
-        "late commands",
+        "delayed commands",
         delayed_commands,
         Mutation::DelayedCommandsUnfenced,
     ),
     (
-        "ten changes",
+        "ten leader changes",
         repeated_leader_changes,
         Mutation::LogCommitsNotWritten,
     ),
     ("overload", overload, Mutation::LogCommitsNotWritten),
-    ("one way", one_way, Mutation::LongCancellationDeadline),
     (
-        "mesh copies",
+        "one-way mesh partition",
+        one_way_mesh_faults,
+        Mutation::LongCancellationDeadline,
+    ),
+    (
+        "mesh duplicates",
         mesh_duplicates,
         Mutation::MeshDuplicatesClaimAllChanges,
     ),
@@ -784,8 +812,8 @@
     let undetected = std::sync::Mutex::new(Vec::new());
     for_seeds(SCENARIOS.len() as u64, |nth| {
         let (name, faults, mutation) = SCENARIOS[nth as usize - 1];
-        let told = (1..=20).find_map(|seed| {
-            let plan = Plan::with_long_tasks(seed, MS, faults(seed));
+        let detected = (1..=20).find_map(|seed| {
+            let plan = Plan::with_long_tasks(seed, RUN_MS, faults(seed));
             let mut world = World::new(Plan {
                 mutation: Some(mutation),
                 ..plan
@@ -795,10 +823,10 @@
                 .rules
                 .violations
                 .first()
-                .map(|violations| (seed, violations.clone()))
+                .map(|violation| (seed, violation.clone()))
         });
-        println!("{name}, {mutation:?}: {told:?}");
-        if told.is_none() {
+        println!("{name}, {mutation:?}: {detected:?}");
+        if detected.is_none() {
             undetected.lock().expect("no run has panicked").push(name);
         }
     });
@@ -808,8 +836,8 @@
     );
 }
 
-/// Run by hand: `FROM=100 SEEDS=300 cargo test -p simulator --test combined_machine_faults -- --ignored`:
-/// each scenario with `SEEDS` other seeds. All violations are listed.
+/// Runs each scenario with `SEEDS` seeds from `FROM` and lists all violations. Started by hand:
+/// `FROM=100 SEEDS=300 cargo test -p simulator --test combined_machine_faults -- --ignored`.
 #[test]
 #[ignore = "thousands of runs"]
 fn combined_machine_faults_keep_rules_over_many_seeds() {
@@ -819,13 +847,13 @@
     for_seeds(seeds * scenarios, |nth| {
         let (name, faults, _) = SCENARIOS[(nth % scenarios) as usize];
         let seed = from + nth / scenarios;
-        // Times of faults are chosen by small seeds.
-        let mut world = World::new(Plan::with_long_tasks(seed, MS, faults(seed % 24)));
+        // The times of the faults grow with the seed, so the faults are built from small seeds.
+        let mut world = World::new(Plan::with_long_tasks(seed, RUN_MS, faults(seed % 24)));
         world.run();
         if !world.rules.violations.is_empty() {
-            let told = (name, seed, world.rules.violations.clone());
-            println!("{told:?}");
-            violations.lock().expect("no run has panicked").push(told);
+            let found = (name, seed, world.rules.violations.clone());
+            println!("{found:?}");
+            violations.lock().expect("no run has panicked").push(found);
         }
     });
     assert_eq!(violations.into_inner().expect("no run has panicked"), []);
