--- a/crates/simulator/tests/stale_cache.rs
+++ b/crates/simulator/tests/stale_cache.rs
@@ -1,4 +1,5 @@
-//! Replies of a controller whose state cache lags behind the writes of another controller.
+//! Replies to users from a controller whose state cache lags behind the writes of another controller. They must not
+//! contradict what the other controller has already confirmed.
 
 use controller::records::{
     accepted_jobs_key, cancellations_key, terminal_jobs_key, terminal_state_key, AcceptedJobsPage,
@@ -46,18 +47,19 @@
 list_lag_s = 8.0
 "#;
 
-/// A controller and its state service. Watches that wait are answered only by [`Harness::deliver_watch`];
-/// reads that do not wait are answered at once.
+/// A controller and its state service. A watch that waits for changes is answered only by
+/// [`Harness::answer_watch`]; reads that do not wait are answered at once.
 struct Harness {
     controller: Controller,
     state: StateService,
-    now: u64,
+    now_ms: u64,
     events: VecDeque<Event>,
-    watch: Option<(CallId, u64)>,
-    /// The next comparison of terminal states is kept here instead of being answered.
-    hold_comparison: bool,
-    held_comparison: Option<(CallId, StateReply)>,
-    answers: Vec<UserReply>,
+    /// The watch that waits for changes, with the revision after which it reads.
+    pending_watch: Option<(CallId, u64)>,
+    /// Whether the reply to the next check of terminal states is held back in `held_terminal_states_check`.
+    hold_next_terminal_states_check: bool,
+    held_terminal_states_check: Option<(CallId, StateReply)>,
+    replies: Vec<UserReply>,
 }
 
 impl Harness {
@@ -66,77 +68,77 @@
         let mut harness = Harness {
             controller: Controller::new(settings, 1 << 20),
             state: StateService::new(1e9),
-            now: 10,
+            now_ms: 10,
             events: VecDeque::new(),
-            watch: None,
-            hold_comparison: false,
-            held_comparison: None,
-            answers: Vec::new(),
+            pending_watch: None,
+            hold_next_terminal_states_check: false,
+            held_terminal_states_check: None,
+            replies: Vec::new(),
         };
         for _ in 0..100 {
-            harness.tick(50);
-            harness.deliver_watch();
+            harness.advance(50);
+            harness.answer_watch();
         }
         harness
     }
 
-    fn tick(&mut self, ms: u64) {
-        self.now += ms;
-        self.feed(Event::Tick);
+    fn advance(&mut self, ms: u64) {
+        self.now_ms += ms;
+        self.handle_event(Event::Tick);
     }
 
-    /// Answers the watch that waits with all that has changed.
-    fn deliver_watch(&mut self) {
-        let Some((call, after)) = self.watch.take() else {
+    /// Answers the pending watch with all changes so far.
+    fn answer_watch(&mut self) {
+        let Some((call, after)) = self.pending_watch.take() else {
             return;
         };
         let reply = self
             .state
             .changes("s/", after)
             .unwrap_or_else(|| self.state.no_changes());
-        self.feed(Event::State { call, reply });
+        self.handle_event(Event::State { call, reply });
     }
 
-    fn ask(&mut self, request: UserRequest) {
-        self.feed(Event::User { ticket: 1, request });
+    fn send_user_request(&mut self, request: UserRequest) {
+        self.handle_event(Event::User { ticket: 1, request });
     }
 
-    /// A write by the other controller.
-    fn other_writes(&mut self, key: String, record: &impl Serialize) {
+    /// Writes a record as the other controller would.
+    fn write_as_other_controller(&mut self, key: String, record: &impl Serialize) {
         let value = serde_json::to_value(record).expect("records are JSON");
         let txn = Transaction::default().write(Write::put(key, value));
         let reply = self
             .state
-            .execute(self.now, &StateRequest::Transaction(txn));
+            .execute(self.now_ms, &StateRequest::Transaction(txn));
         assert!(matches!(reply, StateReply::Committed { .. }), "{reply:?}");
     }
 
-    fn other_accepts(&mut self, job: &JobRequest) {
+    fn accept_through_other_controller(&mut self, job: &JobRequest) {
         let packed = serde_json::to_value(PackedJob::new(1, job.clone())).expect("a job is JSON");
         let page = AcceptedJobsPage { jobs: vec![packed] };
-        self.other_writes(accepted_jobs_key(&ControllerName::from("n1"), 0), &page);
+        self.write_as_other_controller(accepted_jobs_key(&ControllerName::from("n1"), 0), &page);
     }
 
-    fn other_cancels(&mut self, id: JobId) {
-        self.other_writes(
+    fn cancel_through_other_controller(&mut self, id: JobId) {
+        self.write_as_other_controller(
             cancellations_key(&ControllerName::from("n1")),
             &CancellationsRecord { jobs: vec![id.0] },
         );
     }
 
-    fn feed(&mut self, event: Event) {
+    fn handle_event(&mut self, event: Event) {
         self.events.push_back(event);
         while let Some(event) = self.events.pop_front() {
             for effect in self
                 .controller
-                .handle(Timestamp::from_millis(self.now), event)
+                .handle(Timestamp::from_millis(self.now_ms), event)
             {
-                self.carry_out(effect);
+                self.apply_effect(effect);
             }
         }
     }
 
-    fn carry_out(&mut self, effect: Effect) {
+    fn apply_effect(&mut self, effect: Effect) {
         match effect {
             Effect::State { call, request, .. } => self.call_state(call, request),
             Effect::Cloud { call, request } => {
@@ -148,7 +150,7 @@
                 };
                 self.events.push_back(Event::Cloud { call, reply });
             }
-            Effect::User { reply, .. } => self.answers.push(reply),
+            Effect::User { reply, .. } => self.replies.push(reply),
             _ => {}
         }
     }
@@ -156,36 +158,35 @@
     fn call_state(&mut self, call: CallId, request: StateRequest) {
         let reply = match &request {
             StateRequest::Watch { after, wait_ms, .. } if *wait_ms > 0 => {
-                self.watch = Some((call, *after));
+                self.pending_watch = Some((call, *after));
                 return;
             }
             StateRequest::Watch { after, .. } => self
                 .state
                 .changes("s/", *after)
                 .unwrap_or_else(|| self.state.no_changes()),
-            other => self.state.execute(self.now, other),
+            other => self.state.execute(self.now_ms, other),
         };
-        let comparison =
-            matches!(&request, StateRequest::Transaction(txn) if txn.writes.is_empty());
-        if comparison && std::mem::take(&mut self.hold_comparison) {
-            self.held_comparison = Some((call, reply));
+        let is_check = matches!(&request, StateRequest::Transaction(txn) if txn.writes.is_empty());
+        if is_check && std::mem::take(&mut self.hold_next_terminal_states_check) {
+            self.held_terminal_states_check = Some((call, reply));
             return;
         }
         self.events.push_back(Event::State { call, reply });
     }
 
-    /// The states that users were told, in order; refusals are left out.
-    fn told(&self) -> Vec<(bool, JobState)> {
-        let told = |reply: &UserReply| match reply {
+    /// The job states in replies to users, in order, and whether the reply was `Created`. Rejections are left out.
+    fn reported_states(&self) -> Vec<(bool, JobState)> {
+        let state = |reply: &UserReply| match reply {
             UserReply::Created(status) => Some((true, status.state)),
             UserReply::Status(status) => Some((false, status.state)),
             _ => None,
         };
-        self.answers.iter().filter_map(told).collect()
+        self.replies.iter().filter_map(state).collect()
     }
 }
 
-fn array() -> (JobId, JobRequest) {
+fn array_job() -> (JobId, JobRequest) {
     let mut request = job(12, JobKind::Array, 1);
     request.team = "t0".into();
     (JobId::parse(&request.id).expect("an id"), request)
@@ -196,110 +197,115 @@
 }
 
 #[test]
-fn accepted_job_is_created_as_soon_as_cache_shows_write() {
+fn submission_is_answered_created_as_soon_as_watch_shows_its_write() {
     let mut harness = Harness::new();
-    let (_, job) = array();
-    harness.ask(submit(&job));
-    assert!(harness.told().is_empty(), "{:?}", harness.answers);
-    harness.deliver_watch();
-    assert_eq!(harness.told(), [(true, JobState::Queued)]);
+    let (_, job) = array_job();
+    harness.send_user_request(submit(&job));
+    assert!(
+        harness.reported_states().is_empty(),
+        "{:?}",
+        harness.replies
+    );
+    harness.answer_watch();
+    assert_eq!(harness.reported_states(), [(true, JobState::Queued)]);
 }
 
 #[test]
-fn accepted_job_is_created_by_read_when_watch_lags() {
+fn submission_is_answered_created_after_read_when_watch_lags() {
     let mut harness = Harness::new();
-    let (_, job) = array();
-    harness.ask(submit(&job));
+    let (_, job) = array_job();
+    harness.send_user_request(submit(&job));
     for _ in 0..10 {
-        harness.tick(50);
+        harness.advance(50);
     }
-    assert_eq!(harness.told(), [(true, JobState::Queued)]);
+    assert_eq!(harness.reported_states(), [(true, JobState::Queued)]);
 }
 
 #[test]
 fn resubmission_after_cancellation_elsewhere_is_answered_cancelled() {
-    for watch_delivered in [true, false] {
+    for watch_answered in [true, false] {
         let mut harness = Harness::new();
-        let (id, job) = array();
-        harness.other_accepts(&job);
-        harness.other_cancels(id);
-        harness.ask(submit(&job));
+        let (id, job) = array_job();
+        harness.accept_through_other_controller(&job);
+        harness.cancel_through_other_controller(id);
+        harness.send_user_request(submit(&job));
         assert!(harness
             .state
             .value(&accepted_jobs_key(&ControllerName::from("n0"), 0))
             .is_some());
-        if watch_delivered {
-            harness.deliver_watch();
+        if watch_answered {
+            harness.answer_watch();
         }
         for _ in 0..10 {
-            harness.tick(50);
+            harness.advance(50);
         }
-        assert_eq!(harness.told(), [(false, JobState::Cancelled)]);
+        assert_eq!(harness.reported_states(), [(false, JobState::Cancelled)]);
     }
 }
 
 #[test]
 fn resubmission_after_completion_elsewhere_is_answered_done() {
     let mut harness = Harness::new();
-    let (id, job) = array();
-    harness.other_accepts(&job);
+    let (id, job) = array_job();
+    harness.accept_through_other_controller(&job);
     let page = TerminalJobsPage {
         done: vec![id.0],
         ..TerminalJobsPage::default()
     };
-    harness.other_writes(terminal_jobs_key(PartitionId(1), 0), &page);
-    harness.ask(submit(&job));
+    harness.write_as_other_controller(terminal_jobs_key(PartitionId(1), 0), &page);
+    harness.send_user_request(submit(&job));
     for _ in 0..10 {
-        harness.tick(50);
+        harness.advance(50);
     }
-    assert_eq!(harness.told(), [(false, JobState::Done)]);
+    assert_eq!(harness.reported_states(), [(false, JobState::Done)]);
 }
 
 #[test]
 fn resubmission_of_archived_job_is_answered_with_terminal_state() {
     let mut harness = Harness::new();
-    let (id, job) = array();
-    harness.other_writes(
+    let (id, job) = array_job();
+    harness.write_as_other_controller(
         terminal_state_key(id),
         &TerminalStateRecord {
             state: JobState::Cancelled,
         },
     );
-    harness.ask(submit(&job));
+    harness.send_user_request(submit(&job));
     for _ in 0..10 {
-        harness.tick(50);
+        harness.advance(50);
     }
-    assert_eq!(harness.told(), [(false, JobState::Cancelled)]);
+    assert_eq!(harness.reported_states(), [(false, JobState::Cancelled)]);
 }
 
-/// A job that is accepted between the read of open jobs and the comparison of terminal states is no unknown
-/// job, and a submission that this controller would reject is no rejected one.
+/// Another controller accepts a job after this one has read the open jobs and before the reply to its check of
+/// terminal states arrives: a status request or cancellation must not be answered as if the job did not exist, and
+/// a submission of this job that this controller would reject must not be rejected.
 #[test]
 fn job_accepted_during_archive_lookup_is_neither_missing_nor_rejected() {
-    let (id, job) = array();
-    let mut unfit = job.clone();
-    unfit.cpus = 1_000.0;
+    let (id, job) = array_job();
+    let mut infeasible = job.clone();
+    infeasible.cpus = 1_000.0;
     for request in [
         UserRequest::Get(id),
         UserRequest::Cancel(id),
-        submit(&unfit),
+        submit(&infeasible),
     ] {
         let mut harness = Harness::new();
-        harness.hold_comparison = true;
-        harness.ask(request);
+        harness.hold_next_terminal_states_check = true;
+        harness.send_user_request(request);
         for _ in 0..10 {
-            harness.tick(50);
+            harness.advance(50);
         }
         let (call, reply) = harness
-            .held_comparison
+            .held_terminal_states_check
             .take()
-            .expect("the comparison was made");
-        harness.other_accepts(&job);
-        harness.deliver_watch();
-        harness.feed(Event::State { call, reply });
+            .expect("the terminal states were checked");
+        harness.accept_through_other_controller(&job);
+        harness.answer_watch();
+        harness.handle_event(Event::State { call, reply });
         for _ in 0..10 {
-            harness.tick(50);
+            harness.advance(50);
         }
-        assert_eq!(harness.told().len(), 1, "{:?}", harness.answers);
+        assert_eq!(harness.reported_states().len(), 1, "{:?}", harness.replies);
     }
 }
