--- a/crates/simulator/tests/user_histories.rs
+++ b/crates/simulator/tests/user_histories.rs
@@ -1,17 +1,17 @@
-//! Users who look closely, cancel at awkward moments and send odd requests, under other faults: every answer
-//! is judged by the history of its job. Each test asserts that its scenario has come about, and each scenario
-//! is run again with a safety step broken, to show that the checker would tell.
+//! Users who send follow-up requests, cancel at critical moments and send unusual requests, while other faults are
+//! active: every reply is checked against the history of its job. Each test asserts that its scenario has really
+//! occurred, and each scenario is run again with an injected defect to show that the checks detect it.
 
 use simulator::{for_seeds, Fault, FaultCoverage, Mutation, Plan, World};
 
 type Faults = Vec<(u64, Fault)>;
 
-/// A small site with users who look closely throughout.
-fn plan(seed: u64, ms: u64, mut faults: Faults) -> Plan {
-    faults.insert(0, (1_000, Fault::FollowUpRequests { duration_ms: ms }));
+/// A small site with follow-up requests throughout.
+fn plan(seed: u64, duration_ms: u64, mut faults: Faults) -> Plan {
+    faults.insert(0, (1_000, Fault::FollowUpRequests { duration_ms }));
     Plan {
         seed,
-        duration_ms: ms,
+        duration_ms,
         faults,
         mutation: None,
         submit_until_ms: 60_000,
@@ -19,32 +19,33 @@
     }
 }
 
-/// The same with long tasks.
-fn long_plan(seed: u64, ms: u64, mut faults: Faults) -> Plan {
-    faults.insert(0, (1_000, Fault::FollowUpRequests { duration_ms: ms }));
-    Plan::with_long_tasks(seed, ms, faults)
+/// A small site with long tasks and follow-up requests throughout.
+fn long_task_plan(seed: u64, duration_ms: u64, mut faults: Faults) -> Plan {
+    faults.insert(0, (1_000, Fault::FollowUpRequests { duration_ms }));
+    Plan::with_long_tasks(seed, duration_ms, faults)
 }
 
-fn run(plan: Plan, scenario: &str) -> World {
-    let said = format!("{scenario}, seed {}", plan.seed);
+/// Runs to the end and asserts that no rule was violated.
+fn run_to_end(plan: Plan, scenario: &str) -> World {
+    let run_name = format!("{scenario}, seed {}", plan.seed);
     let mut world = World::new(plan);
     world.run();
-    assert_eq!(world.rules.violations, [], "{said}");
+    assert_eq!(world.rules.violations, [], "{run_name}");
     world
 }
 
-/// Answers that came close after each kind of confirmation.
-fn assert_closely_watched(world: &World, said: &str) {
-    let close = world.rules.history.follow_up_replies;
-    let least = close
+/// Asserts at least 50 replies to requests that were sent just after each kind of confirmation.
+fn assert_follow_ups_after_each_confirmation(world: &World, run_name: &str) {
+    let replies = world.rules.history.follow_up_replies;
+    let least = replies
         .after_accepted
-        .min(close.after_done)
-        .min(close.after_cancelled);
-    assert!(least >= 50, "{said}: {close:?}");
+        .min(replies.after_done)
+        .min(replies.after_cancelled);
+    assert!(least >= 50, "{run_name}: {replies:?}");
 }
 
-/// A slow state service that one controller after the other doesn't reach for a moment, so that its state
-/// cache lags.
+/// The state service is slow, and one controller after the other is disconnected from it for a moment, so that its
+/// state cache lags.
 fn slow_state(seed: u64) -> Faults {
     let mut faults = vec![
         (
@@ -74,12 +75,12 @@
         ),
     ];
     for nth in 0..40 {
-        let (controller, ms) = (nth as usize % 3, 200 + 97 * ((seed + nth) % 13));
+        let (controller, duration_ms) = (nth as usize % 3, 200 + 97 * ((seed + nth) % 13));
         faults.push((
             20_000 + nth * 1_500,
             Fault::DisconnectStateService {
                 controller,
-                duration_ms: ms,
+                duration_ms,
             },
         ));
     }
@@ -87,10 +88,10 @@
 }
 
 #[test]
-fn answers_are_current_with_slow_state_service_and_retries_elsewhere() {
+fn user_replies_are_current_with_slow_state_service_and_retries_at_other_controllers() {
     for_seeds(24, |seed| {
-        let world = run(plan(seed, 130_000, slow_state(seed)), "slow state service");
-        assert_closely_watched(&world, &format!("seed {seed}"));
+        let world = run_to_end(plan(seed, 130_000, slow_state(seed)), "slow state service");
+        assert_follow_ups_after_each_confirmation(&world, &format!("seed {seed}"));
         assert!(
             world.coverage.cancelled_at_acceptance > 10,
             "seed {seed}: {:?}",
@@ -99,7 +100,7 @@
     });
 }
 
-/// Answers of the state service are lost, and jobs are cancelled around their ends.
+/// Replies of the state service are lost, and jobs are cancelled around the completion of their last tasks.
 fn lost_replies(seed: u64) -> Faults {
     vec![
         (
@@ -138,13 +139,13 @@
     ]
 }
 
-/// A transaction is applied at once and only its answer is lost, while other controllers read what it wrote
-/// and their users look closely.
+/// Transactions are applied at once and only their replies are lost, while other controllers read what they wrote
+/// and answer follow-up requests.
 #[test]
-fn answers_are_current_with_lost_state_service_replies() {
+fn user_replies_are_current_with_lost_state_service_replies() {
     for_seeds(12, |seed| {
-        let world = run(plan(seed, 130_000, lost_replies(seed)), "lost answers");
-        assert_closely_watched(&world, &format!("seed {seed}"));
+        let world = run_to_end(plan(seed, 130_000, lost_replies(seed)), "lost replies");
+        assert_follow_ups_after_each_confirmation(&world, &format!("seed {seed}"));
         let FaultCoverage {
             lost_replies,
             lost_replies_read_elsewhere,
@@ -158,8 +159,8 @@
     });
 }
 
-/// Nothing but cancellations, status requests and repeated submissions around the end of each job's last
-/// task; in every other run also a somewhat slow state service.
+/// Only cancellations, status requests and repeated submissions around the completion of each job's last task; in
+/// every other run the state service is also 10 times slower.
 fn completions(seed: u64) -> Faults {
     vec![
         (
@@ -188,18 +189,18 @@
 #[test]
 fn cancel_around_completion_of_last_task_keeps_history_consistent() {
     for_seeds(12, |seed| {
-        let world = run(plan(seed, 130_000, completions(seed)), "ends");
-        let told = |told: &std::collections::BTreeMap<String, u64>| {
+        let world = run_to_end(plan(seed, 130_000, completions(seed)), "completions");
+        let count_confirmed = |confirmed: &std::collections::BTreeMap<String, u64>| {
             world
                 .coverage
                 .cancelled_at_completion
                 .iter()
-                .filter(|id| told.contains_key(*id))
+                .filter(|id| confirmed.contains_key(*id))
                 .count()
         };
         let (done, cancelled) = (
-            told(&world.rules.done_confirmed),
-            told(&world.rules.cancel_confirmed),
+            count_confirmed(&world.rules.done_confirmed),
+            count_confirmed(&world.rules.cancel_confirmed),
         );
         assert!(
             done >= 10 && cancelled >= 10,
@@ -208,8 +209,9 @@
     });
 }
 
-/// Odd requests, also while a controller is back and has not read everything, and while the cloud is out.
-fn odd_requests(seed: u64) -> Faults {
+/// Unusual requests, also to a controller that has restarted and not yet read all records, and during an outage of
+/// the cloud.
+fn unusual_requests(seed: u64) -> Faults {
     vec![
         (
             3_000,
@@ -257,7 +259,10 @@
 #[test]
 fn unusual_requests_are_rejected_or_change_nothing() {
     for_seeds(12, |seed| {
-        let world = run(plan(seed, 150_000, odd_requests(seed)), "odd requests");
+        let world = run_to_end(
+            plan(seed, 150_000, unusual_requests(seed)),
+            "unusual requests",
+        );
         let FaultCoverage {
             resubmitted_unfinished_jobs,
             cancellations_of_done_jobs,
@@ -268,20 +273,20 @@
             rejected_malformed,
             ..
         } = world.coverage;
-        let kinds = [
+        let counts_by_kind = [
             resubmitted_unfinished_jobs,
             cancellations_of_done_jobs,
             rejected_unschedulable,
             rejected_malformed,
         ];
         assert!(
-            kinds.iter().all(|count| *count >= 30),
-            "seed {seed}: {kinds:?}"
+            counts_by_kind.iter().all(|count| *count >= 30),
+            "seed {seed}: {counts_by_kind:?}"
         );
     });
 }
 
-/// One-task jobs for two minutes, a quarter of them cancelled, and leaders that end meanwhile.
+/// One-task jobs for 130 s, a quarter of them cancelled, while leaders crash.
 fn one_task_jobs(seed: u64) -> Faults {
     vec![
         (
@@ -321,8 +326,8 @@
             submit_until_ms: 0,
             ..plan(seed, 260_000, one_task_jobs(seed))
         };
-        let world = run(plan, "one-task jobs");
-        assert_closely_watched(&world, &format!("seed {seed}"));
+        let world = run_to_end(plan, "one-task jobs");
+        assert_follow_ups_after_each_confirmation(&world, &format!("seed {seed}"));
         let (jobs, cancelled) = (
             world.coverage.one_task_jobs,
             world.rules.cancel_confirmed.len(),
@@ -335,9 +340,9 @@
     });
 }
 
-/// One controller after the other ends and takes its partition back, and jobs are cancelled all the time
-/// around both.
-fn leadership_transfers(seed: u64) -> Faults {
+/// One controller after the other crashes, restarts and gets its partition back, and jobs are cancelled all the
+/// time around both changes of the leader.
+fn failovers_and_transfers(seed: u64) -> Faults {
     let mut faults = Vec::new();
     for nth in 0..3 {
         let (at, controller) = (35_000 + nth * 25_000, (seed + nth) as usize % 3);
@@ -362,18 +367,25 @@
     faults
 }
 
-/// Cancellations that were asked for within two seconds of a partition's move to another controller.
-fn cancelled_in_moves(world: &World, transferred: bool) -> usize {
-    let moves = world
+/// Cancellations that were requested within two seconds of a partition's acquisition, by leadership transfer or by
+/// failover.
+fn cancellations_around_acquisitions(world: &World, transferred: bool) -> usize {
+    let acquisitions = world
         .failovers
         .list
         .iter()
         .filter(|failover| failover.transferred == transferred);
-    let moves: Vec<u64> = moves.filter_map(|failover| failover.acquired_at).collect();
-    let asked = world.rules.cancel_requests.iter();
-    let asked = asked.filter_map(|id| world.rules.history.cancel_requested_at(id));
-    asked
-        .filter(|at| moves.iter().any(|moved| at.abs_diff(*moved) <= 2_000))
+    let acquired_at: Vec<u64> = acquisitions
+        .filter_map(|failover| failover.acquired_at)
+        .collect();
+    let cancelled_jobs = world.rules.cancel_requests.iter();
+    let requested_at = cancelled_jobs.filter_map(|id| world.rules.history.cancel_requested_at(id));
+    requested_at
+        .filter(|requested| {
+            acquired_at
+                .iter()
+                .any(|acquired| requested.abs_diff(*acquired) <= 2_000)
+        })
         .count()
 }
 
@@ -381,24 +393,24 @@
 fn cancel_during_leadership_change_keeps_rules() {
     let coverage = std::sync::Mutex::new((0, 0));
     for_seeds(12, |seed| {
-        let world = run(
-            long_plan(seed, 170_000, leadership_transfers(seed)),
-            "hand-overs",
+        let world = run_to_end(
+            long_task_plan(seed, 170_000, failovers_and_transfers(seed)),
+            "failovers and transfers",
         );
         let mut coverage = coverage.lock().expect("no run has panicked");
-        coverage.0 += cancelled_in_moves(&world, true);
-        coverage.1 += cancelled_in_moves(&world, false);
+        coverage.0 += cancellations_around_acquisitions(&world, true);
+        coverage.1 += cancellations_around_acquisitions(&world, false);
     });
-    let (transferred, taken) = coverage.into_inner().expect("no run has panicked");
+    let (around_transfers, around_failovers) = coverage.into_inner().expect("no run has panicked");
     assert!(
-        transferred >= 60 && taken >= 60,
-        "{transferred} around hand-overs, {taken} around takeovers"
+        around_transfers >= 60 && around_failovers >= 60,
+        "{around_transfers} cancellations around transfers, {around_failovers} around failovers"
     );
 }
 
-/// More work of every team than its limit, and cancellations whose machines hang or are cut off as leaders
-/// change.
-fn teams_at_their_limits(seed: u64) -> Faults {
+/// Every team has more work than its limit allows. Jobs are cancelled while their machines hang, machines are
+/// disconnected and leaders crash.
+fn teams_at_limits(seed: u64) -> Faults {
     let mut faults = vec![(10_000, Fault::JobBurst { jobs: 60 })];
     for nth in 0..3 {
         let at = 50_000 + nth * 25_000;
@@ -442,31 +454,27 @@
 fn cancel_with_all_teams_at_quota_during_failover_keeps_rules() {
     let coverage = std::sync::Mutex::new((0, 0));
     for_seeds(12, |seed| {
-        let mut world = World::new(long_plan(seed, 180_000, teams_at_their_limits(seed)));
-        let mut at_limit = 0;
+        let mut world = World::new(long_task_plan(seed, 180_000, teams_at_limits(seed)));
+        let mut teams_at_limit = 0;
         for at in [49_990, 74_990, 99_990] {
             world.run_to(at);
-            at_limit = at_limit.max(world.teams_at_limit());
+            teams_at_limit = teams_at_limit.max(world.teams_at_limit());
         }
         world.run();
-        assert_eq!(
-            world.rules.violations,
-            [],
-            "teams at their limits, seed {seed}"
-        );
+        assert_eq!(world.rules.violations, [], "teams at limits, seed {seed}");
         let mut coverage = coverage.lock().expect("no run has panicked");
-        coverage.0 += at_limit;
+        coverage.0 += teams_at_limit;
         coverage.1 += world.coverage.hung_machines_of_cancelled_jobs;
     });
-    let (at_limit, hung) = coverage.into_inner().expect("no run has panicked");
+    let (teams_at_limit, hung_machines) = coverage.into_inner().expect("no run has panicked");
     assert!(
-        at_limit >= 36 && hung >= 50,
-        "{at_limit} teams at their limit, {hung} machines hung"
+        teams_at_limit >= 36 && hung_machines >= 50,
+        "{teams_at_limit} teams at their limit, {hung_machines} machines hung"
     );
 }
 
-/// Cancelled jobs whose machines hang for longer than `cancel_s`.
-fn hanging_machines(seed: u64) -> Faults {
+/// Jobs are cancelled while their machines hang, in one wave of three for longer than `cancel_s`.
+fn hung_machines(seed: u64) -> Faults {
     let waves = (0..3).map(|nth| {
         let hang_ms = [5_000, 9_900, 45_000][(seed + nth) as usize % 3];
         (
@@ -480,7 +488,10 @@
 #[test]
 fn cancelled_tasks_on_hung_machines_stop_within_deadline() {
     for_seeds(9, |seed| {
-        let world = run(long_plan(seed, 160_000, hanging_machines(seed)), "hanging");
+        let world = run_to_end(
+            long_task_plan(seed, 160_000, hung_machines(seed)),
+            "hung machines",
+        );
         assert!(
             world.coverage.hung_machines_of_cancelled_jobs >= 8,
             "seed {seed}: {:?}",
@@ -506,51 +517,51 @@
         mutation,
         rules,
     };
-    let long = |name, faults, mutation, rules| ScenarioCase {
-        plan: long_plan,
+    let long_task_scenario = |name, faults, mutation, rules| ScenarioCase {
+        plan: long_task_plan,
         ..scenario(name, faults, mutation, rules)
     };
-    let stale = &["went_back", "forgotten"];
+    let stale_reply_rules = &["went_back", "forgotten"];
     let scenarios = [
         scenario(
             "slow state service",
             slow_state,
             Mutation::StaleLinearizableReads,
-            stale,
+            stale_reply_rules,
         ),
         scenario(
-            "lost answers",
+            "lost replies, cancellations ignored",
             lost_replies,
             Mutation::TerminalStatesIgnoreCancellations,
             &["went_back"],
         ),
         scenario(
-            "lost, not durable",
+            "lost replies, transactions not applied",
             lost_replies,
             Mutation::LostRepliesNotApplied,
             &["ran_twice"],
         ),
         scenario(
-            "ends, stale reads",
+            "completions, stale reads",
             completions,
             Mutation::StaleLinearizableReads,
-            stale,
+            stale_reply_rules,
         ),
         scenario(
-            "ends, unconditional",
+            "completions, cancellations ignored",
             completions,
             Mutation::TerminalStatesIgnoreCancellations,
             &["went_back"],
         ),
         scenario(
-            "odd, unfit",
-            odd_requests,
+            "unusual requests, infeasible jobs accepted",
+            unusual_requests,
             Mutation::UnschedulableJobsFit,
             &["accepted_invalid"],
         ),
         scenario(
-            "odd, field",
-            odd_requests,
+            "unusual requests, missing fields filled in",
+            unusual_requests,
             Mutation::MissingFieldsFilled,
             &["accepted_invalid"],
         ),
@@ -558,23 +569,23 @@
             "one-task jobs",
             one_task_jobs,
             Mutation::StaleLinearizableReads,
-            stale,
+            stale_reply_rules,
         ),
-        long(
-            "hand-overs",
-            leadership_transfers,
+        long_task_scenario(
+            "failovers and transfers",
+            failovers_and_transfers,
             Mutation::StaleLinearizableReads,
-            stale,
+            stale_reply_rules,
         ),
-        long(
-            "limits",
-            teams_at_their_limits,
+        long_task_scenario(
+            "teams at limits",
+            teams_at_limits,
             Mutation::ShortLease,
             &["quota", "ran_twice"],
         ),
-        long(
-            "hanging",
-            hanging_machines,
+        long_task_scenario(
+            "hung machines",
+            hung_machines,
             Mutation::HungMachinesIgnoreStops,
             &["ran_cancelled"],
         ),
@@ -588,7 +599,7 @@
             mutation,
             rules,
         } = scenarios[nth as usize - 1];
-        let first_broken = (1..=24).find_map(|seed| {
+        let first_violation = (1..=24).find_map(|seed| {
             let plan = Plan {
                 mutation: Some(mutation),
                 ..plan(seed, 180_000, faults(seed))
@@ -601,8 +612,8 @@
                 .into_iter()
                 .find(|violation| rules.contains(&violation.rule))
         });
-        println!("{name}: {first_broken:?}");
-        if first_broken.is_none() {
+        println!("{name}: {first_violation:?}");
+        if first_violation.is_none() {
             undetected.lock().expect("no run has panicked").push(name);
         }
     });
@@ -612,13 +623,13 @@
     );
 }
 
-/// The history itself.
+/// The history checker itself.
 mod history {
     use simulator::history::{History, JobReply};
     use wire::users::JobState;
 
     #[test]
-    fn answer_is_judged_by_send_time_of_request() {
+    fn reply_is_checked_by_send_time_of_its_request() {
         let mut history = History::default();
         let early = history.next_time(10);
         history.record_cancel_request("j-000001", 11);
@@ -629,13 +640,13 @@
         assert_eq!(
             history.record("j-000001", early, queued, 30),
             Ok(()),
-            "sent before"
+            "sent before the confirmation"
         );
         let late = history.next_time(20);
-        let told = history
+        let violation = history
             .record("j-000001", late, queued, 30)
-            .expect_err("sent after");
-        assert_eq!(told.rule, "went_back");
+            .expect_err("sent after the confirmation");
+        assert_eq!(violation.rule, "went_back");
     }
 
     #[test]
@@ -647,14 +658,14 @@
         assert_eq!(
             history.record("j-000001", early, JobReply::Missing, 3),
             Ok(()),
-            "sent before"
+            "sent before the confirmation"
         );
-        for answer in [JobReply::Missing, JobReply::Refused] {
+        for reply in [JobReply::Missing, JobReply::Refused] {
             let late = history.next_time(2);
-            let told = history
-                .record("j-000001", late, answer, 3)
-                .expect_err("sent after");
-            assert_eq!(told.rule, "forgotten");
+            let violation = history
+                .record("j-000001", late, reply, 3)
+                .expect_err("sent after the confirmation");
+            assert_eq!(violation.rule, "forgotten");
         }
     }
 
@@ -663,15 +674,15 @@
         let mut history = History::default();
         let first = history.next_time(1);
         let [done, cancelled] = [JobState::Done, JobState::Cancelled].map(JobReply::Status);
-        let unasked = history
+        let violation = history
             .record("j-000001", first, cancelled, 2)
-            .expect_err("unasked");
-        assert_eq!(unasked.rule, "went_back");
+            .expect_err("cancelled without a request");
+        assert_eq!(violation.rule, "went_back");
         history.record_cancel_request("j-000002", 2);
         assert_eq!(history.record("j-000002", first, done, 3), Ok(()));
-        let told = history
+        let violation = history
             .record("j-000002", first, cancelled, 3)
-            .expect_err("both");
-        assert_eq!(told.rule, "went_back");
+            .expect_err("done and cancelled");
+        assert_eq!(violation.rule, "went_back");
     }
 }
