--- a/crates/simulator/benches/scale.rs
+++ b/crates/simulator/benches/scale.rs
@@ -1,8 +1,8 @@
-//! What each kind of event costs the deciding code as the fleet grows: a share of this many machines, full of
-//! tasks, with a tenth as much work waiting.
+//! Benchmarks of the cost of each kind of event as the fleet grows: a controller leads a partition with this many
+//! machines, all full of tasks, and a tenth as many tasks wait.
 //!
-//! `cargo bench -p simulator` (`-- tick` for one kind). Only the time inside `Controller::handle` and its
-//! like is measured, not that of the stand-ins.
+//! `cargo bench -p simulator` (`-- tick` for one kind). Only the time inside the benchmarked code, such as
+//! `Controller::handle`, is measured, not that of the simulated services.
 
 use autoscaler::{FleetMachine, FleetPolicy, PartitionNeed};
 use criterion::{criterion_group, criterion_main, BenchmarkId, Criterion};
@@ -20,31 +20,33 @@
 use wire::mesh::{DemandShape, ReplicationBatch};
 use wire::users::{JobKind, JobRequest, Priority};
 
+/// Numbers of machines.
 const SIZES: [usize; 4] = [300, 1_000, 3_000, 10_000];
 
-/// One turn of a measurement and what it cost.
-type Each = Box<dyn FnMut(&mut SingleController, u64) -> Duration>;
+/// One iteration of a measurement: gets the number of the iteration, returns the time spent in the controller.
+type Iteration = Box<dyn FnMut(&mut SingleController, u64) -> Duration>;
 
-/// A controller: ticks, heartbeats, failovers.
-fn controller(c: &mut Criterion) {
+/// A controller handles ticks, heartbeats and failovers.
+fn controller_events(c: &mut Criterion) {
     let mut group = c.benchmark_group("node");
     group.sample_size(10);
     for size in SIZES {
-        let made: RefCell<Option<SingleController>> = RefCell::new(None);
-        let single_controller = |iters: u64, mut each: Each| {
-            let mut made = made.borrow_mut();
-            let single_controller = made.get_or_insert_with(|| {
+        // Created by the first of these benchmarks that runs, and shared by all of them.
+        let shared: RefCell<Option<SingleController>> = RefCell::new(None);
+        let measure = |iters: u64, mut iteration: Iteration| {
+            let mut shared = shared.borrow_mut();
+            let single_controller = shared.get_or_insert_with(|| {
                 let mut single_controller = SingleController::new(size);
                 single_controller.fill();
                 single_controller
             });
             (0..iters)
-                .map(|n| each(single_controller, n))
+                .map(|n| iteration(single_controller, n))
                 .sum::<Duration>()
         };
         group.bench_function(BenchmarkId::new("tick", size), |b| {
             b.iter_custom(|iters| {
-                single_controller(
+                measure(
                     iters,
                     Box::new(|single_controller, _| single_controller.tick(7)),
                 )
@@ -52,7 +54,7 @@
         });
         group.bench_function(BenchmarkId::new("report", size), |b| {
             b.iter_custom(|iters| {
-                single_controller(
+                measure(
                     iters,
                     Box::new(move |single_controller, n| {
                         single_controller.send_heartbeat(n as usize * 7 % size)
@@ -62,7 +64,7 @@
         });
         group.bench_function(BenchmarkId::new("report_done", size), |b| {
             b.iter_custom(|iters| {
-                single_controller(
+                measure(
                     iters,
                     Box::new(move |single_controller, n| {
                         let cost = single_controller.complete_array_task(n as usize * 13 % size);
@@ -76,7 +78,7 @@
         });
         group.bench_function(BenchmarkId::new("takeover", size), |b| {
             b.iter_custom(|iters| {
-                single_controller(
+                measure(
                     iters,
                     Box::new(|single_controller, _| single_controller.fail_over()),
                 )
@@ -94,20 +96,20 @@
     };
     match JobSpec::try_from(&request) {
         Ok(spec) => spec,
-        Err(error) => panic!("a job of the bench: {error}"),
+        Err(error) => panic!("a job of the benchmark is invalid: {error}"),
     }
 }
 
-/// A share with idle machines that have just reported.
-fn share(size: usize) -> PartitionState {
-    let amounts = Resources::offered(1e6, 0.0, 0.0);
-    let teams = [(TeamName::from("t"), Resources::default(), amounts)];
-    // Time goes on by seconds here without another heartbeat.
+/// A partition with idle machines that have just sent a heartbeat.
+fn partition_with_idle_machines(size: usize) -> PartitionState {
+    let limit = Resources::offered(1e6, 0.0, 0.0);
+    let teams = [(TeamName::from("t"), Resources::default(), limit)];
+    // The benchmarks advance the time by seconds without further heartbeats.
     let policy = Policy {
         heartbeat_grace: Duration::from_millis(u64::MAX / 2),
         ..Policy::default()
     };
-    let mut share = PartitionState::new(
+    let mut partition = PartitionState::new(
         teams,
         Duration::from_secs(600),
         policy,
@@ -124,79 +126,86 @@
             worker.spot,
             FencingToken(5),
         );
-        share.add_machine(machine, Timestamp::from_millis(0));
-        share.reconcile(
+        partition.add_machine(machine, Timestamp::from_millis(0));
+        partition.reconcile(
             &worker.next_heartbeat(),
             StatusSource::Heartbeat,
             Timestamp::from_millis(1),
         );
     }
-    share
+    partition
 }
 
-/// Standing by: what a look at its hints costs a leader when nothing has changed, the whole copy for a new
-/// follower on both sides, and what a share makes of it.
-fn standing_by(c: &mut Criterion) {
+/// Replication to a standby: an update of the leader's stream when nothing has changed, sending and applying the full
+/// copy for a new standby, and applying a replica's machines to the state of a partition at a failover.
+fn replication(c: &mut Criterion) {
     let mut group = c.benchmark_group("standby");
     group.sample_size(10);
-    let (leader, replica) = (ControllerName::from("n0"), ControllerName::from("n1"));
+    let (leader, standby) = (ControllerName::from("n0"), ControllerName::from("n1"));
     let source = ReplicationSource {
         leader: leader.clone(),
         incarnation: 1,
         term: 5,
     };
-    let part = ReplicationBatch {
+    let template = ReplicationBatch {
         incarnation: 1,
         term: 5,
         ..ReplicationBatch::default()
     };
     for size in SIZES {
-        let mut share = share(size);
+        let mut partition = partition_with_idle_machines(size);
         let mut stream = ReplicationStream::default();
-        stream.update(share.replication_records(Timestamp::from_millis(2)));
-        stream.subscribe(&replica, 0, Timestamp::from_millis(2));
+        stream.update(partition.replication_records(Timestamp::from_millis(2)));
+        stream.subscribe(&standby, 0, Timestamp::from_millis(2));
         group.bench_function(BenchmarkId::new("look", size), |b| {
             b.iter(|| {
-                stream.update(share.replication_records(Timestamp::from_millis(2)));
-                stream.due_batches(&part, Timestamp::from_millis(2)).len()
+                stream.update(partition.replication_records(Timestamp::from_millis(2)));
+                stream
+                    .due_batches(&template, Timestamp::from_millis(2))
+                    .len()
             });
         });
-        let mut clock = 10_000;
-        let mut whole = |stream: &mut ReplicationStream| {
-            stream.subscribe(&replica, 0, Timestamp::from_millis(clock));
-            let mut parts: Vec<ReplicationBatch> = Vec::new();
-            while parts.last().is_none_or(|part| part.up_to < part.newest) {
-                clock += 1_000;
-                parts.extend(
+        let mut now_ms = 10_000;
+        let mut send_full_copy = |stream: &mut ReplicationStream| {
+            stream.subscribe(&standby, 0, Timestamp::from_millis(now_ms));
+            let mut batches: Vec<ReplicationBatch> = Vec::new();
+            while batches
+                .last()
+                .is_none_or(|batch| batch.up_to < batch.newest)
+            {
+                now_ms += 1_000;
+                batches.extend(
                     stream
-                        .due_batches(&part, Timestamp::from_millis(clock))
+                        .due_batches(&template, Timestamp::from_millis(now_ms))
                         .into_iter()
-                        .map(|(_, part)| part),
+                        .map(|(_, batch)| batch),
                 );
             }
-            parts
+            batches
         };
         group.bench_function(BenchmarkId::new("whole_sent", size), |b| {
-            b.iter(|| whole(&mut stream).len());
+            b.iter(|| send_full_copy(&mut stream).len());
         });
-        let parts = whole(&mut stream);
-        let wanted = BTreeMap::from([(PartitionId(0), source.clone())]);
-        let follow = || {
+        let batches = send_full_copy(&mut stream);
+        let sources = BTreeMap::from([(PartitionId(0), source.clone())]);
+        let apply_full_copy = || {
             let mut replicas = Replicas::default();
-            replicas.subscribe(&wanted, Timestamp::from_millis(4));
-            for part in &parts {
-                replicas.apply(&leader, part.clone(), Timestamp::from_millis(4));
+            replicas.subscribe(&sources, Timestamp::from_millis(4));
+            for batch in &batches {
+                replicas.apply(&leader, batch.clone(), Timestamp::from_millis(4));
             }
             replicas
         };
-        group.bench_function(BenchmarkId::new("whole_taken", size), |b| b.iter(follow));
-        let Some(replica) = follow().remove(PartitionId(0)) else {
+        group.bench_function(BenchmarkId::new("whole_taken", size), |b| {
+            b.iter(apply_full_copy)
+        });
+        let Some(replica) = apply_full_copy().remove(PartitionId(0)) else {
             continue;
         };
         group.bench_function(BenchmarkId::new("used", size), |b| {
             b.iter(|| {
                 for machine in replica.machines.values() {
-                    share.apply_machine_snapshot(&machine.snapshot, machine.idle_since);
+                    partition.apply_machine_snapshot(&machine.snapshot, machine.idle_since);
                 }
             });
         });
@@ -204,55 +213,56 @@
     group.finish();
 }
 
-/// A scheduling cycle that places one task where everything is free, and one that finds no place
-/// where everything is taken.
-fn cycles(c: &mut Criterion) {
+/// A scheduling cycle that places one task while all machines are free, and one that finds no free capacity since all
+/// machines are full.
+fn scheduling_cycles(c: &mut Criterion) {
     let mut group = c.benchmark_group("cycle");
     group.sample_size(10);
     for size in SIZES {
-        let mut time = 2;
+        let mut now_ms = 2;
         let mut id = 1;
-        let mut empty = share(size);
-        let mut one = |share: &mut PartitionState, cpus: f64| {
-            (time, id) = (time + 2_000, id + 1);
-            let now = Timestamp::from_millis(time);
-            share.add_job(spec(id, 1, cpus), id, &[], now);
+        let mut empty = partition_with_idle_machines(size);
+        let mut schedule_one_task = |partition: &mut PartitionState, cpus: f64| {
+            (now_ms, id) = (now_ms + 2_000, id + 1);
+            let now = Timestamp::from_millis(now_ms);
+            partition.add_job(spec(id, 1, cpus), id, &[], now);
             let start = Instant::now();
-            share.run_cycles(now, 10);
+            partition.run_cycles(now, 10);
             let spent = start.elapsed();
-            share.remove_job(model::JobId(id), now);
-            share.take_dirty_chunks();
+            partition.remove_job(model::JobId(id), now);
+            partition.take_dirty_chunks();
             spent
         };
         group.bench_function(BenchmarkId::new("placed", size), |b| {
-            b.iter_custom(|iters| (0..iters).map(|_| one(&mut empty, 1.0)).sum());
+            b.iter_custom(|iters| (0..iters).map(|_| schedule_one_task(&mut empty, 1.0)).sum());
         });
-        let mut full = share(size);
+        let mut full = partition_with_idle_machines(size);
         full.add_job(spec(1, size as u64, 4.0), 1, &[], Timestamp::from_millis(2));
         while full.run_cycles(Timestamp::from_millis(2), 10_000) {}
         group.bench_function(BenchmarkId::new("no_room", size), |b| {
-            b.iter_custom(|iters| (0..iters).map(|_| one(&mut full, 1.0)).sum());
+            b.iter_custom(|iters| (0..iters).map(|_| schedule_one_task(&mut full, 1.0)).sum());
         });
     }
     group.finish();
 }
 
-/// A plan of the leader: full machines in three partitions, some idle, three shapes of work each.
-fn plans(c: &mut Criterion) {
+/// A fleet plan for three partitions: most machines are full, some are idle, and each partition has demand of three
+/// shapes.
+fn fleet_plans(c: &mut Criterion) {
     let mut group = c.benchmark_group("plan");
     group.sample_size(10);
     for size in SIZES {
         let machines: Vec<FleetMachine> = (0..size)
-            .map(|nth| (nth, single_controller::worker(nth)))
-            .map(|(nth, worker)| FleetMachine {
+            .map(|index| (index, single_controller::worker(index)))
+            .map(|(index, worker)| FleetMachine {
                 name: MachineName::from(worker.name.as_str()),
                 machine_type: worker.machine_type,
                 zone: ZoneName::from(worker.zone.as_str()),
                 spot: worker.spot,
-                partition: PartitionId(nth as u32 % 3),
-                reporting: nth % 20 != 1,
-                tasks: u32::from(nth % 20 != 0) * 4,
-                idle_for: Duration::from_millis(if nth % 20 == 0 { 5_000 } else { 0 }),
+                partition: PartitionId(index as u32 % 3),
+                reporting: index % 20 != 1,
+                tasks: u32::from(index % 20 != 0) * 4,
+                idle_for: Duration::from_millis(if index % 20 == 0 { 5_000 } else { 0 }),
                 quarantined: false,
                 leaving: false,
                 age: Duration::from_secs(100),
@@ -260,7 +270,7 @@
                 since_heartbeat: Duration::ZERO,
                 failed: false,
                 status_is_recent: true,
-                transferable: nth % 4 == 0,
+                transferable: index % 4 == 0,
                 best_effort: false,
                 transfer_to: None,
             })
@@ -301,5 +311,11 @@
     group.finish();
 }
 
-criterion_group!(benches, cycles, plans, controller, standing_by);
+criterion_group!(
+    benches,
+    scheduling_cycles,
+    fleet_plans,
+    controller_events,
+    replication
+);
 criterion_main!(benches);
--- a/crates/simulator/examples/failovers.rs
+++ b/crates/simulator/examples/failovers.rs
@@ -1,4 +1,4 @@
-//! How long failovers take, over many seeds in simulated time.
+//! Measures how long failovers take in simulated time, over many seeds.
 //!
 //! `cargo run --release -p simulator --example failovers -- --size 107 --seeds 50`
 
@@ -11,61 +11,66 @@
 /// Measures failovers in the simulated world.
 #[derive(Parser)]
 struct Arguments {
-    /// How many times the smallest site: 107 has about 900 machines.
+    /// Size of the site as a multiple of the smallest one: size 107 has about 900 machines.
     #[arg(long, default_value_t = 22)]
     size: u64,
+    /// Number of runs; their seeds are 1 to this.
     #[arg(long, default_value_t = 50)]
     seeds: u64,
+    /// Number of runs that are simulated at the same time.
     #[arg(long, default_value_t = 8)]
     threads: usize,
-    /// What happens to the leader.
+    /// What happens to the leader of a partition.
     #[arg(long, value_enum, default_value_t = Case::Ends)]
     case: Case,
-    /// One JSON object instead of a table.
+    /// Print one JSON object instead of a table.
     #[arg(long)]
     json: bool,
 }
 
+/// The names of the cases are the values of `--case` and stand in the output.
 #[derive(Clone, Copy, Debug, clap::ValueEnum)]
 enum Case {
-    /// The leader of a partition ends.
+    /// The leader crashes.
     Ends,
-    /// It stands still for 15 s.
+    /// The leader is paused for 15 s.
     StandsStill,
-    /// It and the controller that stands by for it end at once.
+    /// The leader and its standby crash at the same time.
     TwoEnd,
-    /// It ends with a tenth of the machines.
+    /// The leader crashes, and right after it about a tenth of the machines.
     WithMachines,
 }
 
-/// When a failover came to a step.
-type Step = fn(&Failover) -> Option<u64>;
+/// Reads from a failover when it reached a step.
+type StepTime = fn(&Failover) -> Option<u64>;
 
-/// When the leader ends.
-const AT: u64 = 60_000;
+/// When the leader crashes or is paused, in ms.
+const LEADER_STOP_AT_MS: u64 = 60_000;
 
+/// Simulates one run. Returns the number of machines that are up just before the leader stops, all failovers from then
+/// on, and how many failovers began before lease expiry and how many of these had a live leader.
 fn failovers(seed: u64, size: u64, case: Case) -> (usize, Vec<Failover>, (u64, u64)) {
     let restart_after_ms = 8_000;
-    // Work waits when the leader ends, so that the first launch shows when it decides.
-    let burst = |at, jobs| {
+    // Jobs are waiting when the leader stops, so that its successor launches a task as soon as it can.
+    let burst = |at_ms, jobs| {
         (
-            at,
+            at_ms,
             Fault::JobBurst {
                 jobs: jobs * size as usize,
             },
         )
     };
-    let mut faults = vec![burst(1_000, 8), burst(AT - 6_000, 4)];
+    let mut faults = vec![burst(1_000, 8), burst(LEADER_STOP_AT_MS - 6_000, 4)];
     faults.extend(match case {
         Case::Ends => vec![(
-            AT,
+            LEADER_STOP_AT_MS,
             Fault::CrashController {
                 controller: 1,
                 restart_after_ms,
             },
         )],
         Case::StandsStill => vec![(
-            AT,
+            LEADER_STOP_AT_MS,
             Fault::PauseController {
                 controller: 1,
                 duration_ms: 15_000,
@@ -74,14 +79,14 @@
         Case::TwoEnd => {
             vec![
                 (
-                    AT,
+                    LEADER_STOP_AT_MS,
                     Fault::CrashController {
                         controller: 1,
                         restart_after_ms,
                     },
                 ),
                 (
-                    AT,
+                    LEADER_STOP_AT_MS,
                     Fault::CrashController {
                         controller: 2,
                         restart_after_ms,
@@ -91,14 +96,14 @@
         }
         Case::WithMachines => vec![
             (
-                AT,
+                LEADER_STOP_AT_MS,
                 Fault::CrashController {
                     controller: 1,
                     restart_after_ms,
                 },
             ),
             (
-                AT + 1,
+                LEADER_STOP_AT_MS + 1,
                 Fault::CrashMachines {
                     count: size as usize,
                 },
@@ -114,7 +119,7 @@
         size,
     };
     let mut world = World::new(plan);
-    world.run_to(AT - 1);
+    world.run_to(LEADER_STOP_AT_MS - 1);
     let machines = world.machines_up();
     world.run();
     assert_eq!(world.rules.violations, [], "seed {seed}");
@@ -122,93 +127,100 @@
         .failovers
         .list
         .iter()
-        .filter(|t| t.leader_stopped_at >= AT)
+        .filter(|failover| failover.leader_stopped_at >= LEADER_STOP_AT_MS)
         .cloned()
         .collect();
     (machines, list, world.early_failovers())
 }
 
-/// Median, 99th percentile and the most, in ms.
-fn spread(mut values: Vec<u64>) -> [u64; 3] {
+/// Median, 99th percentile and maximum.
+fn percentiles(mut values: Vec<u64>) -> [u64; 3] {
     values.sort_unstable();
-    let at = |share: f64| {
+    let percentile = |fraction: f64| {
         values
-            .get(((values.len() as f64 * share) as usize).min(values.len().max(1) - 1))
+            .get(((values.len() as f64 * fraction) as usize).min(values.len().max(1) - 1))
             .copied()
     };
-    [at(0.5), at(0.99), values.last().copied()].map(Option::unwrap_or_default)
+    [percentile(0.5), percentile(0.99), values.last().copied()].map(Option::unwrap_or_default)
 }
 
 fn main() {
     let arguments = Arguments::parse();
-    let next = AtomicU64::new(1);
-    let found = Mutex::new(Vec::new());
+    let next_seed = AtomicU64::new(1);
+    let results = Mutex::new(Vec::new());
     std::thread::scope(|scope| {
         for _ in 0..arguments.threads {
             scope.spawn(|| loop {
-                let seed = next.fetch_add(1, Ordering::Relaxed);
+                let seed = next_seed.fetch_add(1, Ordering::Relaxed);
                 if seed > arguments.seeds {
                     return;
                 }
                 let run = failovers(seed, arguments.size, arguments.case);
-                found.lock().expect("no thread fails").push(run);
+                results.lock().expect("no thread panics").push(run);
             });
         }
     });
-    let runs = found.into_inner().expect("no thread fails");
-    let machines = runs.iter().map(|r| r.0).sum::<usize>() / runs.len().max(1);
-    let early: u64 = runs.iter().map(|r| r.2 .0).sum();
-    let wrong: u64 = runs.iter().map(|r| r.2 .1).sum();
+    let runs = results.into_inner().expect("no thread panics");
+    let mean_machines =
+        runs.iter().map(|(machines, ..)| machines).sum::<usize>() / runs.len().max(1);
+    let early: u64 = runs.iter().map(|(_, _, (early, _))| early).sum();
+    let with_live_leader: u64 = runs.iter().map(|(_, _, (_, live))| live).sum();
     let mut rows = Vec::new();
-    for handed in [false, true] {
+    for transferred in [false, true] {
         let list: Vec<&Failover> = runs
             .iter()
-            .flat_map(|r| &r.1)
-            .filter(|t| t.transferred == handed)
+            .flat_map(|(_, failovers, _)| failovers)
+            .filter(|failover| failover.transferred == transferred)
             .collect();
-        let steps: [(&str, Step); 4] = [
-            ("taken", |t| t.acquired_at),
-            ("first machine told", |t| t.first_contact_at),
-            ("last machine told", |t| t.last_contact_at),
-            ("first launch", |t| t.first_launch_at),
+        // The names of the steps and rows are values in the JSON output.
+        let steps: [(&str, StepTime); 4] = [
+            ("taken", |failover| failover.acquired_at),
+            ("first machine told", |failover| failover.first_contact_at),
+            ("last machine told", |failover| failover.last_contact_at),
+            ("first launch", |failover| failover.first_launch_at),
         ];
-        for (step, at) in steps {
-            let after = list
+        for (step, step_time) in steps {
+            let durations_ms = list
                 .iter()
-                .filter_map(|t| Some(at(t)? - t.leader_stopped_at))
+                .filter_map(|failover| Some(step_time(failover)? - failover.leader_stopped_at))
                 .collect();
             rows.push((
-                if handed { "handed home" } else { "taken over" },
+                if transferred {
+                    "handed home"
+                } else {
+                    "taken over"
+                },
                 step,
                 list.len(),
-                spread(after),
+                percentiles(durations_ms),
             ));
         }
     }
     if arguments.json {
         let rows: Vec<_> = rows
             .iter()
-            .map(|(how, step, count, [p50, p99, most])| {
+            .map(|(how, step, count, [p50, p99, max])| {
                 json!({ "how": how, "step": step, "takeovers": count,
-                        "p50_ms": p50, "p99_ms": p99, "most_ms": most })
+                        "p50_ms": p50, "p99_ms": p99, "most_ms": max })
             })
             .collect();
         println!(
             "{}",
-            json!({ "case": format!("{:?}", arguments.case), "machines": machines,
-            "seeds": arguments.seeds, "early": early, "wrong": wrong, "rows": rows })
+            json!({ "case": format!("{:?}", arguments.case), "machines": mean_machines,
+            "seeds": arguments.seeds, "early": early, "wrong": with_live_leader, "rows": rows })
         );
         return;
     }
     println!(
-        "{:?}, {} seeds, {machines} machines, simulated; {early} taken early, {wrong} wrongly",
+        "{:?}, {} seeds, {mean_machines} machines, simulated; \
+         {early} failovers before lease expiry, {with_live_leader} of them with a live leader",
         arguments.case, arguments.seeds
     );
     println!(
         "{:<12} {:<20} {:>6} {:>8} {:>8} {:>8}",
-        "", "ms since the end", "count", "p50", "p99", "most"
+        "", "ms since leader stop", "count", "p50", "p99", "max"
     );
-    for (how, step, count, [p50, p99, most]) in rows {
-        println!("{how:<12} {step:<20} {count:>6} {p50:>8} {p99:>8} {most:>8}");
+    for (how, step, count, [p50, p99, max]) in rows {
+        println!("{how:<12} {step:<20} {count:>6} {p50:>8} {p99:>8} {max:>8}");
     }
 }
--- a/crates/simulator/examples/fingerprint.rs
+++ b/crates/simulator/examples/fingerprint.rs
@@ -1,4 +1,4 @@
-//! Fingerprints of behaviour: a digest for each of a fixed list of simulated runs.
+//! Fingerprints of behavior: a digest for each of a fixed list of simulated runs.
 //!
 //! `cargo run --release -p simulator --example fingerprint -- --compare crates/simulator/tests/data/fingerprint-full.txt`
 
@@ -10,21 +10,22 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::Mutex;
 
-/// Prints the digests of what leaves the controllers in simulated runs.
+/// Prints the digests of everything that the controllers send in simulated runs.
 #[derive(Parser)]
 struct Arguments {
-    /// Only a dozen runs.
+    /// Run only the short list, a dozen runs.
     #[arg(long)]
     short: bool,
-    /// A stored list of digests; names the runs that differ, and fails if there are any.
+    /// Compare with a stored list of digests: name the runs that differ, and fail if there are any.
     #[arg(long, value_name = "FILE")]
     compare: Option<PathBuf>,
-    /// Only this run.
+    /// Run only the run with this name.
     #[arg(long, value_name = "NAME")]
     run: Option<String>,
-    /// Writes one line for each outgoing message of the run.
+    /// Write a line to this file for each message that the controllers send in the run.
     #[arg(long, value_name = "FILE", requires = "run")]
     trace: Option<PathBuf>,
+    /// Number of runs that are simulated at the same time.
     #[arg(long, default_value_t = 4)]
     threads: usize,
 }
@@ -40,12 +41,12 @@
         runs.retain(|run| run.name == *name);
     }
     if runs.is_empty() {
-        return Err("there is no such run".into());
+        return Err("there is no run with this name".into());
     }
     if let (Some(file), [run]) = (&arguments.trace, runs.as_slice()) {
         write_trace(run, file)?;
     }
-    let digests = play_all(&runs, arguments.threads);
+    let digests = digests_of(&runs, arguments.threads);
     println!("{digests}");
     match &arguments.compare {
         Some(file) => compare(&digests, file),
@@ -53,28 +54,32 @@
     }
 }
 
-/// Plays runs side by side.
-fn play_all(runs: &[Run], threads: usize) -> StoredDigests {
-    let next = AtomicUsize::new(0);
+/// Executes runs on several threads.
+fn digests_of(runs: &[Run], threads: usize) -> StoredDigests {
+    let next_from_end = AtomicUsize::new(0);
     let digests = Mutex::new(StoredDigests::default());
     std::thread::scope(|scope| {
         for _ in 0..threads.max(1) {
             scope.spawn(|| {
-                // The longest runs come last in the list and are begun first.
-                while let Some(run) = runs.iter().rev().nth(next.fetch_add(1, Ordering::Relaxed)) {
-                    let digest = play(run);
+                // The longest runs are last in the list and are started first.
+                while let Some(run) = runs
+                    .iter()
+                    .rev()
+                    .nth(next_from_end.fetch_add(1, Ordering::Relaxed))
+                {
+                    let digest = digest_of(run);
                     digests
                         .lock()
-                        .expect("no thread fails")
+                        .expect("no thread panics")
                         .insert(&run.name, digest);
                 }
             });
         }
     });
-    digests.into_inner().expect("no thread fails")
+    digests.into_inner().expect("no thread panics")
 }
 
-fn play(run: &Run) -> u128 {
+fn digest_of(run: &Run) -> u128 {
     let started = std::time::Instant::now();
     let outcome = run.execute(Recorder::default());
     let seconds = started.elapsed().as_secs_f64();
@@ -82,7 +87,7 @@
     eprintln!("{}: {messages} messages, {seconds:.1} s", run.name);
     if outcome.violations > 0 {
         eprintln!(
-            "{}: ends early, since {} rules are broken",
+            "{}: ended early with {} rule violations",
             run.name, outcome.violations
         );
     }
@@ -98,7 +103,7 @@
     let stored: StoredDigests = std::fs::read_to_string(file)?.parse()?;
     let differing = digests.differing(&stored);
     if differing.is_empty() {
-        eprintln!("all digests are as stored");
+        eprintln!("all digests equal the stored ones");
         return Ok(ExitCode::SUCCESS);
     }
     for name in differing {
--- a/crates/simulator/src/fingerprint/message.rs
+++ b/crates/simulator/src/fingerprint/message.rs
@@ -1,4 +1,4 @@
-//! Outgoing messages as the bytes that a process would send.
+//! Converts the effects of controllers to the bytes that a process would send.
 
 use controller::{AdminReply, Effect, HeartbeatReply, UserReply};
 use model::ControllerName;
@@ -15,22 +15,23 @@
 const UNPROCESSABLE: u16 = 422;
 const UNAVAILABLE: u16 = 503;
 
-/// Pause in seconds that a worker is told when its heartbeat is not taken.
-const REPORT_RETRY_S: u64 = 1;
+/// Time after which a worker is told to retry a heartbeat that no leader accepts now.
+const HEARTBEAT_RETRY_S: u64 = 1;
 
 /// A message that leaves a controller.
 pub(crate) struct OutgoingMessage {
-    /// To whom it goes; the order of the messages to one recipient counts.
+    /// Name of the recipient; the order of the messages to one recipient is part of the fingerprint.
     pub recipient: String,
-    /// What is hashed.
+    /// What is sent and hashed.
     pub bytes: Vec<u8>,
-    /// The same for people, where the bytes are not text.
+    /// The message as text, if the bytes are not text.
     pub readable: Option<String>,
 }
 
 impl OutgoingMessage {
-    /// What leaves a controller by an effect. `reporter` is the machine whose heartbeat is answered.
-    pub fn from_effect(sender: usize, effect: &Effect, reporter: Option<&str>) -> Self {
+    /// The message that an effect of the controller `sender` stands for. `machine` is the one whose heartbeat is
+    /// answered.
+    pub fn from_effect(sender: usize, effect: &Effect, machine: Option<&str>) -> Self {
         match effect {
             Effect::State { request, .. } => Self::call("state".into(), &request.into()),
             Effect::Cloud { request, .. } => Self::call("cloud".into(), &request.into()),
@@ -38,13 +39,15 @@
                 Self::call(format!("worker {}", machine_at(address)), &body.into())
             }
             Effect::Mesh { to, message } => Self::frame(sender, to, message),
-            Effect::User { ticket, reply } => user_reply(reply).to(format!("user {ticket:08}")),
+            Effect::User { ticket, reply } => {
+                user_response(reply).addressed_to(format!("user {ticket:08}"))
+            }
             Effect::Heartbeat { reply, .. } => {
-                let machine = reporter.unwrap_or("unknown");
-                heartbeat_reply(reply).to(format!("worker {machine}"))
+                let machine = machine.unwrap_or("unknown");
+                heartbeat_response(reply).addressed_to(format!("worker {machine}"))
             }
             Effect::Admin { ticket, reply } => {
-                admin_reply(reply).to(format!("operator {ticket:08}"))
+                admin_response(reply).addressed_to(format!("operator {ticket:08}"))
             }
         }
     }
@@ -78,17 +81,17 @@
     address.split(':').next().unwrap_or(address)
 }
 
-/// An answer over HTTP.
-struct Answer {
+/// An HTTP response.
+struct HttpResponse {
     status: u16,
     retry_after_s: Option<u64>,
     body: Option<String>,
 }
 
-impl Answer {
-    /// An error: its text is for people and isn't part of the fingerprint.
+impl HttpResponse {
+    /// An error response. Its body is left out: it is a text for people and not part of the fingerprint.
     fn error(status: u16) -> Self {
-        Answer {
+        HttpResponse {
             status,
             retry_after_s: None,
             body: None,
@@ -96,22 +99,22 @@
     }
 
     fn json(status: u16, body: &impl Serialize) -> Self {
-        let body = serde_json::to_string(body).expect("an answer can be encoded");
-        Answer {
+        let body = serde_json::to_string(body).expect("a response can be encoded");
+        HttpResponse {
             status,
             retry_after_s: None,
             body: Some(body),
         }
     }
 
-    fn busy(retry_after_s: u64) -> Self {
-        Answer {
+    fn unavailable(retry_after_s: u64) -> Self {
+        HttpResponse {
             retry_after_s: Some(retry_after_s),
-            ..Answer::error(UNAVAILABLE)
+            ..HttpResponse::error(UNAVAILABLE)
         }
     }
 
-    fn to(self, recipient: String) -> OutgoingMessage {
+    fn addressed_to(self, recipient: String) -> OutgoingMessage {
         let mut text = self.status.to_string();
         if let Some(seconds) = self.retry_after_s {
             text.push_str(&format!(" retry-after: {seconds}"));
@@ -126,34 +129,34 @@
     }
 }
 
-fn user_reply(reply: &UserReply) -> Answer {
+fn user_response(reply: &UserReply) -> HttpResponse {
     match reply {
-        UserReply::Created(status) => Answer::json(CREATED, status),
-        UserReply::Status(status) => Answer::json(OK, status),
-        UserReply::NotFound => Answer::error(NOT_FOUND),
-        UserReply::Invalid(_) => Answer::error(BAD_REQUEST),
-        UserReply::Rejected(_) => Answer::error(UNPROCESSABLE),
-        UserReply::Busy { retry_after_s } => Answer::busy(*retry_after_s),
+        UserReply::Created(status) => HttpResponse::json(CREATED, status),
+        UserReply::Status(status) => HttpResponse::json(OK, status),
+        UserReply::NotFound => HttpResponse::error(NOT_FOUND),
+        UserReply::Invalid(_) => HttpResponse::error(BAD_REQUEST),
+        UserReply::Rejected(_) => HttpResponse::error(UNPROCESSABLE),
+        UserReply::Busy { retry_after_s } => HttpResponse::unavailable(*retry_after_s),
     }
 }
 
-fn heartbeat_reply(reply: &HeartbeatReply) -> Answer {
+fn heartbeat_response(reply: &HeartbeatReply) -> HttpResponse {
     match reply {
-        HeartbeatReply::Response(answer) => Answer::json(OK, answer),
+        HeartbeatReply::Response(response) => HttpResponse::json(OK, response),
         HeartbeatReply::Redirect(controller) => {
             let redirect = Redirect {
                 controller: controller.as_ref().map(ControllerName::to_string),
             };
-            Answer::json(MISDIRECTED, &redirect)
+            HttpResponse::json(MISDIRECTED, &redirect)
         }
-        HeartbeatReply::Malformed => Answer::error(BAD_REQUEST),
-        HeartbeatReply::Unavailable => Answer::busy(REPORT_RETRY_S),
+        HeartbeatReply::Malformed => HttpResponse::error(BAD_REQUEST),
+        HeartbeatReply::Unavailable => HttpResponse::unavailable(HEARTBEAT_RETRY_S),
     }
 }
 
-fn admin_reply(reply: &AdminReply) -> Answer {
+fn admin_response(reply: &AdminReply) -> HttpResponse {
     match reply.status {
-        OK => Answer::json(OK, &reply.body),
-        status => Answer::error(status),
+        OK => HttpResponse::json(OK, &reply.body),
+        status => HttpResponse::error(status),
     }
 }
--- a/crates/simulator/src/fingerprint/mod.rs
+++ b/crates/simulator/src/fingerprint/mod.rs
@@ -1,9 +1,8 @@
-//! Fingerprints of behaviour: digests of everything that leaves the controllers in a fixed list of
-//! simulated runs. A change that is to keep behaviour as it is leaves every digest as it was.
+//! Fingerprints of behavior: digests of everything that the controllers send in a fixed list of simulated runs. A
+//! change that must not alter behavior must not alter any digest.
 //!
-//! What is hashed is what a process would send, with the simulated time: methods, paths, bodies,
-//! MessagePack frames and status codes. Names of Rust types and fields count only as far as they
-//! are on the wire.
+//! The hash covers what a process would send and the simulated time of sending: methods, paths, bodies, MessagePack
+//! frames and status codes. Names of Rust types and fields count only if they are on the wire.
 
 mod message;
 mod recorder;
--- a/crates/simulator/src/fingerprint/recorder.rs
+++ b/crates/simulator/src/fingerprint/recorder.rs
@@ -1,26 +1,27 @@
-//! Digests of the messages that leave the controllers.
+//! Computes the digest of the messages that the controllers of a run send.
 
 use super::message::OutgoingMessage;
 use std::collections::BTreeMap;
 use std::fmt::Write;
 use xxhash_rust::xxh3::{xxh3_128, Xxh3};
 
-/// What one recipient has got.
+/// Number and hash of the messages to one recipient.
 #[derive(Default)]
-struct Received {
-    messages: u64,
+struct RecipientDigest {
+    message_count: u64,
     hash: Xxh3,
 }
 
-/// Hashes messages, each recipient's on their own and in their order.
+/// Hashes messages separately for each recipient, in the order in which they are sent.
 #[derive(Default)]
 pub struct Recorder {
-    received: BTreeMap<String, Received>,
+    digest_by_recipient: BTreeMap<String, RecipientDigest>,
+    /// A line for each message, if a trace is wanted.
     trace: Option<String>,
 }
 
 impl Recorder {
-    /// A recorder that keeps a line for each message as well.
+    /// A recorder that also keeps a line for each message.
     pub fn with_trace() -> Self {
         Recorder {
             trace: Some(String::new()),
@@ -28,26 +29,27 @@
         }
     }
 
-    /// Adds a message that a controller sends at a simulated time.
+    /// Adds a message that the controller `sender` sends at a simulated time.
     pub(crate) fn record(&mut self, at_ms: u64, sender: usize, message: &OutgoingMessage) {
-        let received = self.received.entry(message.recipient.clone()).or_default();
-        received.messages += 1;
-        received.hash.update(&at_ms.to_le_bytes());
-        received.hash.update(&(sender as u64).to_le_bytes());
-        received
+        let recipient = message.recipient.clone();
+        let digest = self.digest_by_recipient.entry(recipient).or_default();
+        digest.message_count += 1;
+        digest.hash.update(&at_ms.to_le_bytes());
+        digest.hash.update(&(sender as u64).to_le_bytes());
+        digest
             .hash
             .update(&(message.bytes.len() as u64).to_le_bytes());
-        received.hash.update(&message.bytes);
+        digest.hash.update(&message.bytes);
         if let Some(trace) = &mut self.trace {
-            trace_line(trace, at_ms, sender, message);
+            write_trace_line(trace, at_ms, sender, message);
         }
     }
 
-    /// Messages that have been added.
+    /// Number of messages recorded.
     pub fn message_count(&self) -> u64 {
-        self.received
+        self.digest_by_recipient
             .values()
-            .map(|received| received.messages)
+            .map(|digest| digest.message_count)
             .sum()
     }
 
@@ -56,20 +58,20 @@
         self.trace.as_deref()
     }
 
-    /// The digest of all recipients' digests, in the order of their names.
+    /// The digest of all recipients' digests, in the order of the recipients' names.
     pub fn digest(&self) -> u128 {
-        let mut all = Xxh3::new();
-        for (recipient, received) in &self.received {
-            all.update(&(recipient.len() as u64).to_le_bytes());
-            all.update(recipient.as_bytes());
-            all.update(&received.messages.to_le_bytes());
-            all.update(&received.hash.digest128().to_le_bytes());
+        let mut combined = Xxh3::new();
+        for (recipient, digest) in &self.digest_by_recipient {
+            combined.update(&(recipient.len() as u64).to_le_bytes());
+            combined.update(recipient.as_bytes());
+            combined.update(&digest.message_count.to_le_bytes());
+            combined.update(&digest.hash.digest128().to_le_bytes());
         }
-        all.digest128()
+        combined.digest128()
     }
 }
 
-fn trace_line(trace: &mut String, at_ms: u64, sender: usize, message: &OutgoingMessage) {
+fn write_trace_line(trace: &mut String, at_ms: u64, sender: usize, message: &OutgoingMessage) {
     let digest = xxh3_128(&message.bytes);
     let text = match &message.readable {
         Some(readable) => readable.clone(),
@@ -80,5 +82,5 @@
         "{at_ms} n{sender} -> {} {digest:032x} {text}",
         message.recipient
     )
-    .expect("a string takes any text");
+    .expect("writing to a string never fails");
 }
--- a/crates/simulator/src/fingerprint/runs.rs
+++ b/crates/simulator/src/fingerprint/runs.rs
@@ -1,4 +1,4 @@
-//! The runs whose fingerprints are taken.
+//! The fixed list of runs whose fingerprints are taken.
 
 use super::Recorder;
 use crate::{BootBehavior, Fault, Plan, World};
@@ -7,22 +7,22 @@
 use rand::{Rng, SeedableRng};
 use serde_json::json;
 
-/// Length of a run of a small site, and when users stop submitting.
-const SMALL_SITE_MS: u64 = 140_000;
-const SMALL_SITE_SUBMIT_MS: u64 = 90_000;
-/// When a single fault begins, and how long it lasts.
+/// Duration of a run of a small site, and when users stop submitting jobs.
+const SMALL_SITE_DURATION_MS: u64 = 140_000;
+const SMALL_SITE_SUBMIT_UNTIL_MS: u64 = 90_000;
+/// When the fault of a run with a single kind of fault begins, and how long it lasts.
 const FAULT_AT_MS: u64 = 40_000;
-const FAULT_MS: u64 = 16_000;
-/// Pause between two commits of operators' requests.
+const FAULT_DURATION_MS: u64 = 16_000;
+/// Interval between two rounds of requests of operators.
 const ADMIN_INTERVAL_MS: u64 = 20_000;
-/// How many times the smallest site a grown one and a fleet are.
+/// Sizes of a large site and of a fleet, as multiples of the smallest site.
 const LARGE_SITE_SIZE: u64 = 20;
 const FLEET_SIZE: u64 = 107;
 const CONTROLLERS: usize = 3;
-/// Runs with faults that are drawn.
+/// Number of runs with random faults.
 const RANDOM_RUNS: u64 = 12;
 
-/// Names of the runs of the short list.
+/// Names of the runs in the short list.
 const SHORT_LIST: [&str; 12] = [
     "quiet_1",
     "crash",
@@ -38,19 +38,19 @@
     "administration",
 ];
 
-/// A run with its name.
+/// A run of the list. Its name identifies its stored digest.
 #[derive(Debug, Clone)]
 pub struct Run {
     pub name: String,
     pub plan: Plan,
-    /// Whether operators ask meanwhile.
-    administration: bool,
+    /// Whether operators send requests during the run.
+    has_admin_requests: bool,
 }
 
-/// What came of a run.
+/// The result of a run.
 pub struct RunOutcome {
     pub recorder: Recorder,
-    /// Rules of the world that were broken; a run ends at the first.
+    /// Number of rule violations; a run ends at the first step that violates a rule.
     pub violations: usize,
 }
 
@@ -59,7 +59,7 @@
         Run {
             name: name.into(),
             plan,
-            administration: false,
+            has_admin_requests: false,
         }
     }
 
@@ -69,12 +69,12 @@
         self
     }
 
-    /// Plays the run to its end.
+    /// Simulates the run to its end.
     pub fn execute(&self, recorder: Recorder) -> RunOutcome {
         let mut world = World::new(self.plan.clone());
         world.record_outgoing(recorder);
-        if self.administration {
-            administer(&mut world, self.plan.duration_ms);
+        if self.has_admin_requests {
+            run_with_admin_requests(&mut world, self.plan.duration_ms);
         }
         world.run();
         let recorder = world.take_recorder().unwrap_or_default();
@@ -85,24 +85,25 @@
     }
 }
 
-/// Operators ask every controller for every view from time to time, and change the settings.
-fn administer(world: &mut World, until_ms: u64) {
+/// Runs a world up to the last round of requests before `until_ms`. In each round, operators request every view from
+/// every controller and send one of the controllers a change of the settings.
+fn run_with_admin_requests(world: &mut World, until_ms: u64) {
     for (round, at_ms) in (ADMIN_INTERVAL_MS..until_ms)
         .step_by(ADMIN_INTERVAL_MS as usize)
         .enumerate()
     {
         world.run_to(at_ms);
         for controller in 0..CONTROLLERS {
-            for request in views(world) {
+            for request in view_requests(world) {
                 world.send_admin_request(controller, request);
             }
         }
-        world.send_admin_request(round % CONTROLLERS, change_of_settings(round));
+        world.send_admin_request(round % CONTROLLERS, settings_change(round));
     }
 }
 
-fn views(world: &World) -> Vec<AdminRequest> {
-    let mut views = vec![
+fn view_requests(world: &World) -> Vec<AdminRequest> {
+    let mut requests = vec![
         AdminRequest::Settings,
         AdminRequest::Partitions,
         AdminRequest::Standby,
@@ -114,12 +115,12 @@
         .unfinished_jobs()
         .into_iter()
         .chain(world.rules.done_confirmed.keys().take(2).cloned());
-    views.extend(jobs.map(AdminRequest::Job));
-    views
+    requests.extend(jobs.map(AdminRequest::Job));
+    requests
 }
 
-/// The first change is taken; the others are malformed or stale.
-fn change_of_settings(round: usize) -> AdminRequest {
+/// A change of the settings. The first is accepted; the later ones are rejected as invalid or as based on a stale version.
+fn settings_change(round: usize) -> AdminRequest {
     let settings = match round {
         1 => json!({ "no_such_field": 1 }),
         2 => json!({ "max_backoff_s": 0.0 }),
@@ -131,17 +132,17 @@
     }
 }
 
-/// All runs.
+/// All runs, the longest ones last.
 pub fn all_runs() -> Vec<Run> {
-    let mut runs = quiet_runs();
-    runs.extend(single_faults());
-    runs.extend(several_faults());
-    runs.extend(drawn_runs());
-    runs.extend(large_sites());
+    let mut runs = fault_free_runs();
+    runs.extend(single_fault_runs());
+    runs.extend(multiple_fault_runs());
+    runs.extend(random_fault_runs());
+    runs.extend(large_site_runs());
     runs
 }
 
-/// A dozen of the runs, which together take some seconds.
+/// The runs of the short list, which take a few seconds in total.
 pub fn short_runs() -> Vec<Run> {
     all_runs()
         .into_iter()
@@ -152,40 +153,41 @@
 fn small_plan(seed: u64, faults: Vec<(u64, Fault)>) -> Plan {
     Plan {
         seed,
-        duration_ms: SMALL_SITE_MS,
+        duration_ms: SMALL_SITE_DURATION_MS,
         faults,
         mutation: None,
-        submit_until_ms: SMALL_SITE_SUBMIT_MS,
+        submit_until_ms: SMALL_SITE_SUBMIT_UNTIL_MS,
         size: 1 + seed % 2,
     }
 }
 
-fn quiet_runs() -> Vec<Run> {
-    let quiet = |seed| Run::new(format!("quiet_{seed}"), small_plan(seed, Vec::new()));
+/// Runs without faults, and one with admin requests and a crash.
+fn fault_free_runs() -> Vec<Run> {
+    let fault_free = |seed| Run::new(format!("quiet_{seed}"), small_plan(seed, Vec::new()));
     let crash = Fault::CrashController {
         controller: 0,
         restart_after_ms: 4_000,
     };
     let administration = Run {
-        administration: true,
+        has_admin_requests: true,
         ..Run::new("administration", small_plan(5, vec![(50_000, crash)]))
     };
-    vec![quiet(1), quiet(2), administration]
+    vec![fault_free(1), fault_free(2), administration]
 }
 
-/// A fault of each kind, once among short and once among long tasks. A controller ends while it lasts.
-fn single_faults() -> Vec<Run> {
-    let kinds = controller_faults()
+/// Two runs for each kind of fault, one with short and one with long tasks. A controller crashes while the fault lasts.
+fn single_fault_runs() -> Vec<Run> {
+    let faults = controller_faults()
         .into_iter()
         .chain(machine_faults())
         .chain(user_faults());
-    kinds
+    faults
         .enumerate()
-        .flat_map(|(index, (name, fault))| single_fault(index, name, &fault))
+        .flat_map(|(index, (name, fault))| runs_with_fault(index, name, &fault))
         .collect()
 }
 
-fn single_fault(index: usize, name: &str, fault: &Fault) -> [Run; 2] {
+fn runs_with_fault(index: usize, name: &str, fault: &Fault) -> [Run; 2] {
     let seed = 100 + index as u64;
     let crash = Fault::CrashController {
         controller: (index + 1) % CONTROLLERS,
@@ -202,15 +204,15 @@
         ),
         (FAULT_AT_MS + 20_000, Fault::JobBurst { jobs: 8 }),
     ];
-    let long = Plan::with_long_tasks(seed, SMALL_SITE_MS, faults.clone());
+    let long_tasks = Plan::with_long_tasks(seed, SMALL_SITE_DURATION_MS, faults.clone());
     [
         Run::new(name, small_plan(seed, faults)),
-        Run::new(format!("{name}_among_long_tasks"), long),
+        Run::new(format!("{name}_among_long_tasks"), long_tasks),
     ]
 }
 
 fn controller_faults() -> Vec<(&'static str, Fault)> {
-    let ms = FAULT_MS;
+    let duration_ms = FAULT_DURATION_MS;
     vec![
         (
             "crash",
@@ -230,49 +232,49 @@
             "cut_state",
             Fault::DisconnectStateService {
                 controller: 1,
-                duration_ms: ms,
+                duration_ms,
             },
         ),
         (
             "refuse_one",
             Fault::RefuseStateRequests {
                 controller: Some(2),
-                duration_ms: ms,
+                duration_ms,
             },
         ),
         (
             "refuse_all",
             Fault::RefuseStateRequests {
                 controller: None,
-                duration_ms: ms,
+                duration_ms,
             },
         ),
         (
             "slow_state",
             Fault::SlowStateService {
                 factor: 30,
-                duration_ms: ms,
+                duration_ms,
             },
         ),
         (
             "cut_workers",
             Fault::DisconnectWorkers {
                 controller: 0,
-                duration_ms: ms,
+                duration_ms,
             },
         ),
         (
             "cut_mesh",
             Fault::DisconnectMesh {
                 controller: 1,
-                duration_ms: ms,
+                duration_ms,
             },
         ),
         (
             "freeze",
             Fault::PauseController {
                 controller: 2,
-                duration_ms: ms,
+                duration_ms,
             },
         ),
         (
@@ -286,14 +288,14 @@
             "isolate",
             Fault::IsolateController {
                 controller: 1,
-                duration_ms: ms,
+                duration_ms,
             },
         ),
         (
             "blind",
             Fault::DisconnectStateAndMesh {
                 controller: 2,
-                duration_ms: ms,
+                duration_ms,
                 refused: false,
             },
         ),
@@ -301,7 +303,7 @@
             "blind_refused",
             Fault::DisconnectStateAndMesh {
                 controller: 0,
-                duration_ms: ms,
+                duration_ms,
                 refused: true,
             },
         ),
@@ -310,28 +312,28 @@
             Fault::OneWayMeshPartition {
                 from: 0,
                 to: 1,
-                duration_ms: ms,
+                duration_ms,
             },
         ),
         (
             "mesh_copies",
             Fault::DuplicateMeshMessages {
                 percent: 30,
-                duration_ms: ms,
+                duration_ms,
             },
         ),
         (
             "late_writes",
             Fault::DelayTransactions {
                 percent: 20,
-                duration_ms: ms,
+                duration_ms,
             },
         ),
         (
             "lost_answers",
             Fault::DropTransactionReplies {
                 percent: 30,
-                duration_ms: ms,
+                duration_ms,
             },
         ),
         (
@@ -345,29 +347,29 @@
             "slow_links",
             Fault::SlowLinks {
                 factor: 60,
-                duration_ms: ms,
+                duration_ms,
             },
         ),
-        ("cut_zones", Fault::PartitionZones { duration_ms: ms }),
-        ("cut_zone", Fault::IsolateZone { duration_ms: ms }),
+        ("cut_zones", Fault::PartitionZones { duration_ms }),
+        ("cut_zone", Fault::IsolateZone { duration_ms }),
     ]
 }
 
 fn machine_faults() -> Vec<(&'static str, Fault)> {
-    let ms = FAULT_MS;
+    let duration_ms = FAULT_DURATION_MS;
     vec![
         (
             "cut_machine",
             Fault::DisconnectMachine {
                 machine_index: 3,
-                duration_ms: ms,
+                duration_ms,
             },
         ),
         (
             "hang",
             Fault::HangMachine {
                 machine_index: 2,
-                duration_ms: ms,
+                duration_ms,
             },
         ),
         (
@@ -385,96 +387,93 @@
             "unreached",
             Fault::DropMessagesToMachines {
                 count: 5,
-                duration_ms: ms,
+                duration_ms,
             },
         ),
-        (
-            "unreached_zone",
-            Fault::DropMessagesToZone { duration_ms: ms },
-        ),
+        ("unreached_zone", Fault::DropMessagesToZone { duration_ms }),
         (
             "mute",
             Fault::RefuseMachineConnections {
                 count: 5,
-                duration_ms: ms,
+                duration_ms,
             },
         ),
-        ("copies", Fault::DuplicateMessages { duration_ms: ms }),
+        ("copies", Fault::DuplicateMessages { duration_ms }),
         (
             "kept_copies",
             Fault::ReplayHeartbeats {
                 percent: 30,
-                duration_ms: ms,
+                duration_ms,
             },
         ),
         (
             "held_reports",
             Fault::HoldHeartbeats {
                 percent: 40,
-                duration_ms: ms,
+                duration_ms,
             },
         ),
         (
             "late_commands",
             Fault::DelayCommands {
                 percent: 60,
-                duration_ms: ms,
+                duration_ms,
             },
         ),
-        ("cloud_outage", Fault::CloudOutage { duration_ms: ms }),
+        ("cloud_outage", Fault::CloudOutage { duration_ms }),
         (
             "boots_early",
             Fault::ChangeBootBehavior {
                 behavior: BootBehavior::Early,
-                duration_ms: ms,
+                duration_ms,
             },
         ),
         (
             "boots_late",
             Fault::ChangeBootBehavior {
                 behavior: BootBehavior::Late,
-                duration_ms: ms,
+                duration_ms,
             },
         ),
         (
             "boots_never",
             Fault::ChangeBootBehavior {
                 behavior: BootBehavior::Never,
-                duration_ms: ms,
+                duration_ms,
             },
         ),
         (
             "boots_quick",
             Fault::ChangeBootBehavior {
                 behavior: BootBehavior::Quick,
-                duration_ms: ms,
+                duration_ms,
             },
         ),
     ]
 }
 
 fn user_faults() -> Vec<(&'static str, Fault)> {
-    let ms = FAULT_MS;
+    let duration_ms = FAULT_DURATION_MS;
     vec![
-        ("mistakes", Fault::FailingJobs { duration_ms: ms }),
-        ("questions", Fault::StatusRequestStorm { duration_ms: ms }),
+        ("mistakes", Fault::FailingJobs { duration_ms }),
+        ("questions", Fault::StatusRequestStorm { duration_ms }),
         ("guests", Fault::GuestJobs { jobs: 4 }),
-        ("heavy", Fault::SkewedLoad { duration_ms: ms }),
+        ("heavy", Fault::SkewedLoad { duration_ms }),
         ("burst", Fault::JobBurst { jobs: 60 }),
         (
             "long",
             Fault::LongTasks {
                 factor: 10,
-                duration_ms: ms,
+                duration_ms,
             },
         ),
-        ("close_looks", Fault::FollowUpRequests { duration_ms: ms }),
+        ("close_looks", Fault::FollowUpRequests { duration_ms }),
         ("cancel_all", Fault::CancelAllJobs { controller: 1 }),
         (
             "cancel_at_end",
             Fault::CancelAtCompletion {
                 percent: 60,
-                duration_ms: ms,
+                duration_ms,
             },
         ),
         (
@@ -484,29 +483,32 @@
                 hang_ms: 9_000,
             },
         ),
-        ("odd_requests", Fault::UnusualRequests { duration_ms: ms }),
-        ("one_task_jobs", Fault::OneTaskJobs { duration_ms: ms }),
+        ("odd_requests", Fault::UnusualRequests { duration_ms }),
+        ("one_task_jobs", Fault::OneTaskJobs { duration_ms }),
     ]
 }
 
-fn several_faults() -> Vec<Run> {
-    let crash = |at, controller, restart_after_ms| {
+/// Runs with several faults, which partly overlap.
+fn multiple_fault_runs() -> Vec<Run> {
+    let crash = |at_ms, controller, restart_after_ms| {
         (
-            at,
+            at_ms,
             Fault::CrashController {
                 controller,
                 restart_after_ms,
             },
         )
     };
-    let all_end = (0..CONTROLLERS)
+    let all_crash = (0..CONTROLLERS)
         .map(|controller| crash(45_000, controller, 6_000))
         .collect();
-    let rolled = (0..CONTROLLERS)
-        .map(|n| crash(35_000 + 12_000 * n as u64, n, 5_000))
+    let rolling_restart = (0..CONTROLLERS)
+        .map(|controller| crash(35_000 + 12_000 * controller as u64, controller, 5_000))
+        .collect();
+    let crash_loop = (0..16)
+        .map(|nth| crash(40_000 + 1_700 * nth, 1, 200))
         .collect();
-    let loops = (0..16).map(|n| crash(40_000 + 1_700 * n, 1, 200)).collect();
-    let freezes = vec![
+    let pauses = vec![
         (
             30_000,
             Fault::PauseController {
@@ -536,7 +538,7 @@
             },
         ),
     ];
-    let histories = vec![
+    let follow_ups = vec![
         (
             1_000,
             Fault::FollowUpRequests {
@@ -573,27 +575,28 @@
         ),
     ];
     vec![
-        Run::new("all_end", small_plan(201, all_end)),
-        Run::new("rolled", small_plan(202, rolled)),
-        Run::new("loops", small_plan(203, loops)),
-        Run::new("freezes", small_plan(204, freezes)),
-        Run::new("histories", small_plan(205, histories)),
+        Run::new("all_end", small_plan(201, all_crash)),
+        Run::new("rolled", small_plan(202, rolling_restart)),
+        Run::new("loops", small_plan(203, crash_loop)),
+        Run::new("freezes", small_plan(204, pauses)),
+        Run::new("histories", small_plan(205, follow_ups)),
     ]
 }
 
-/// Faults drawn from a seed that overlap.
-fn drawn_runs() -> Vec<Run> {
-    let drawn = |number: u64| {
+/// Runs with overlapping random faults.
+fn random_fault_runs() -> Vec<Run> {
+    let random_run = |number: u64| {
         let seed = 300 + number;
         Run::new(
             format!("drawn_{number}"),
-            small_plan(seed, drawn_faults(seed)),
+            small_plan(seed, random_faults(seed)),
         )
     };
-    (1..=RANDOM_RUNS).map(drawn).collect()
+    (1..=RANDOM_RUNS).map(random_run).collect()
 }
 
-fn drawn_faults(seed: u64) -> Vec<(u64, Fault)> {
+/// Eight different faults at random times, drawn from the seed.
+fn random_faults(seed: u64) -> Vec<(u64, Fault)> {
     let mut rng = SmallRng::seed_from_u64(seed);
     let mut kinds: Vec<Fault> = controller_faults()
         .into_iter()
@@ -602,24 +605,24 @@
         .map(|(_, fault)| fault)
         .collect();
     let draw = |_| {
-        let at = rng.random_range(20_000..90_000);
+        let at_ms = rng.random_range(20_000..90_000);
         let index = rng.random_range(0..kinds.len());
-        (at, kinds.swap_remove(index))
+        (at_ms, kinds.swap_remove(index))
     };
     (0..8).map(draw).collect()
 }
 
-/// A site of a hundred machines and two of hundreds.
-fn large_sites() -> Vec<Run> {
-    let plan = |seed, ms, size, faults| Plan {
+/// Two runs of a site of a hundred machines, and two of a fleet of hundreds.
+fn large_site_runs() -> Vec<Run> {
+    let plan = |seed, duration_ms, size, faults| Plan {
         seed,
-        duration_ms: ms,
+        duration_ms,
         faults,
         mutation: None,
         submit_until_ms: 50_000,
         size,
     };
-    let grown = vec![
+    let large_site_faults = vec![
         (1_000, Fault::JobBurst { jobs: 200 }),
         (
             40_000,
@@ -637,7 +640,7 @@
             },
         ),
     ];
-    let all_end = (0..CONTROLLERS).map(|controller| {
+    let all_crash = (0..CONTROLLERS).map(|controller| {
         (
             46_000,
             Fault::CrashController {
@@ -646,9 +649,9 @@
             },
         )
     });
-    let fleet_all_end: Vec<_> = [(1_000, Fault::JobBurst { jobs: 900 })]
+    let fleet_all_crash: Vec<_> = [(1_000, Fault::JobBurst { jobs: 900 })]
         .into_iter()
-        .chain(all_end)
+        .chain(all_crash)
         .collect();
     let fleet_failover = vec![
         (1_000, Fault::JobBurst { jobs: 900 }),
@@ -671,16 +674,19 @@
     ];
     vec![
         Run {
-            administration: true,
+            has_admin_requests: true,
             ..Run::new(
                 "grown_administration",
-                plan(404, 70_000, LARGE_SITE_SIZE, grown.clone()),
+                plan(404, 70_000, LARGE_SITE_SIZE, large_site_faults.clone()),
             )
         },
-        Run::new("grown", plan(401, 100_000, LARGE_SITE_SIZE, grown)),
+        Run::new(
+            "grown",
+            plan(401, 100_000, LARGE_SITE_SIZE, large_site_faults),
+        ),
         Run::new(
             "fleet_all_end",
-            plan(402, 66_000, FLEET_SIZE, fleet_all_end),
+            plan(402, 66_000, FLEET_SIZE, fleet_all_crash),
         ),
         Run::new(
             "fleet_failover",
--- a/crates/simulator/src/fingerprint/stored.rs
+++ b/crates/simulator/src/fingerprint/stored.rs
@@ -1,11 +1,11 @@
-//! Lists of digests as they are stored: a run's name and its digest on each line.
+//! The text format of stored digests: the name of a run and its digest on each line.
 
 use std::collections::BTreeMap;
 use std::fmt;
 use std::str::FromStr;
 use xxhash_rust::xxh3::xxh3_128;
 
-/// A line that is not a name and a digest.
+/// Error for a line that is not a name and a digest.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error("line {line} is not a name and a digest")]
 pub struct ParseError {
@@ -16,8 +16,8 @@
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct StoredDigests(BTreeMap<String, u128>);
 
-/// Name under which the digest of all digests is written.
-const COMBINED: &str = "all";
+/// Name on the line with the digest of all digests.
+const COMBINED_NAME: &str = "all";
 
 impl StoredDigests {
     /// Adds the digest of a run.
@@ -30,7 +30,7 @@
         xxh3_128(self.lines().as_bytes())
     }
 
-    /// Names of the runs of `self` whose digest is another one, or none, in `other`.
+    /// Names of the runs whose digest in `other` is missing or different.
     pub fn differing<'a>(&'a self, other: &Self) -> Vec<&'a str> {
         let differs = |(name, digest): &(&String, &u128)| other.0.get(*name) != Some(*digest);
         self.0
@@ -50,7 +50,12 @@
 
 impl fmt::Display for StoredDigests {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{}{COMBINED} {:032x}", self.lines(), self.combined())
+        write!(
+            f,
+            "{}{COMBINED_NAME} {:032x}",
+            self.lines(),
+            self.combined()
+        )
     }
 }
 
@@ -63,7 +68,7 @@
             let error = ParseError { line: index + 1 };
             let (name, digest) = line.split_once(' ').ok_or(error.clone())?;
             let digest = u128::from_str_radix(digest, 16).map_err(|_| error)?;
-            if name != COMBINED {
+            if name != COMBINED_NAME {
                 digests.insert(name, digest);
             }
         }
--- a/crates/simulator/src/lib.rs
+++ b/crates/simulator/src/lib.rs
@@ -1,6 +1,6 @@
-//! A deterministic simulation of a cluster: the real controllers run against a simulated state service, cloud,
-//! network, workers and users, in simulated time and from one seed, with fault injection. The rules of the
-//! protocols are checked after every step.
+//! A deterministic simulation of a site, which is a cluster with its controllers and services: the real controllers
+//! run against a simulated state service, cloud, network, workers and users, in simulated time and from one seed,
+//! with fault injection. The rules of the protocols are checked after every step.
 //!
 //! The simulated services implement the protocols independently of the controllers' code. Times and durations
 //! are in ms unless the name or the type says otherwise.
--- a/crates/simulator/src/single_controller.rs
+++ b/crates/simulator/src/single_controller.rs
@@ -1,5 +1,5 @@
-//! A single controller with a given number of machines, work, and a state service that replies at once, to
-//! measure the cost of each kind of event.
+//! A single controller with any number of machines and jobs and with simulated services that reply at once. Benchmarks
+//! use it to measure the cost of each kind of event, tests to feed it with any message.
 
 use crate::state::StateService;
 use crate::worker::Worker;
@@ -14,15 +14,17 @@
 use wire::users::{JobKind, JobRequest, Priority};
 use wire::workers::{Heartbeat, TaskState};
 
-/// Tasks that a machine holds.
+/// Tasks that fit on a machine.
 const TASKS_PER_MACHINE: u64 = 4;
-/// Machines on one page of their records.
+/// Machine records on one page.
 const MACHINES_PER_PAGE: usize = 40;
-/// A worker's lease, in ms as in the settings: none ends here, since time passes only as events are
-/// fed.
+/// Number of teams.
+const TEAMS: u64 = 12;
+/// Lease of the workers, as in the settings. It is so long that none expires: time passes only as events are
+/// handled.
 const LEASE_MS: u64 = 600_000;
 
-/// The controller and the stand-ins around it.
+/// The controller, the simulated services around it and its workers. Times are in ms.
 pub struct SingleController {
     settings: Settings,
     controller: Controller,
@@ -30,24 +32,27 @@
     now: u64,
     workers: Vec<Worker>,
     jobs: HashMap<String, JobRequest>,
-    next_job: u64,
-    watch: Option<(CallId, String, u64)>,
+    last_job_number: u64,
+    /// The watch that waits for a change: its call, its prefix and the revision after which it returns changes.
+    pending_watch: Option<(CallId, String, u64)>,
+    /// Events that the controller has not handled yet.
     events: VecDeque<Event>,
-    tickets: u64,
-    answered: usize,
-    machines: usize,
+    last_ticket: u64,
+    /// Number of heartbeats that got a response with commands, not a redirect or an error.
+    heartbeat_responses: usize,
+    machine_count: usize,
     /// If set, another machine answers direct calls at all addresses with this heartbeat.
-    impostor: Option<Heartbeat>,
-    report_replies: Vec<HeartbeatReply>,
+    substitute_heartbeat: Option<Heartbeat>,
+    heartbeat_replies: Vec<HeartbeatReply>,
     user_replies: Vec<UserReply>,
 }
 
-fn settings(machines: usize, peers: &str) -> Settings {
-    let teams: String = (0..12)
-        .map(|t| {
-            let cpus = machines / 4;
+fn settings(machine_count: usize, peers: &str) -> Settings {
+    let teams: String = (0..TEAMS)
+        .map(|team| {
+            let cpus = machine_count / 4;
             format!(
-                "[[settings.teams]]\nname = \"t{t}\"\ncpus = {cpus}.0\ncpus_max = {machines}.0\n"
+                "[[settings.teams]]\nname = \"t{team}\"\ncpus = {cpus}.0\ncpus_max = {machine_count}.0\n"
             )
         })
         .collect();
@@ -61,11 +66,11 @@
     );
     match Settings::parse(&text) {
         Ok(settings) => settings,
-        Err(error) => panic!("settings of the lone node: {error}"),
+        Err(error) => panic!("settings of the single controller are invalid: {error}"),
     }
 }
 
-/// The only type of machine.
+/// The type of all machines.
 pub fn machine_type() -> MachineType {
     MachineType {
         name: "m4".into(),
@@ -81,20 +86,21 @@
     }
 }
 
-/// The worker of a machine: every other one is in zone b, every third is a spot machine.
-pub fn worker(nth: usize) -> Worker {
-    let zone = if nth.is_multiple_of(2) { "a" } else { "b" };
-    let name = format!("host-{nth:06}");
-    Worker::new(&name, &machine_type().name, zone, nth.is_multiple_of(3), 0)
+/// The worker of the machine with this index: every second machine is in zone b, every third is a spot machine.
+pub fn worker(index: usize) -> Worker {
+    let zone = if index.is_multiple_of(2) { "a" } else { "b" };
+    let name = format!("host-{index:06}");
+    let spot = index.is_multiple_of(3);
+    Worker::new(&name, &machine_type().name, zone, spot, 0)
 }
 
-/// A job of small tasks: replicas of high priority, or an array that may use spot machines.
+/// A job of small tasks: a service has high priority, another job may use spot machines.
 pub fn job(number: u64, kind: JobKind, tasks: u64) -> JobRequest {
     let service = kind == JobKind::Service;
     JobRequest {
         id: format!("j-{number:06}"),
         class: "c".into(),
-        team: format!("t{}", number % 12),
+        team: format!("t{}", number % TEAMS),
         kind,
         priority: if service {
             Priority::High
@@ -120,20 +126,20 @@
 }
 
 impl SingleController {
-    /// A controller that leads a partition with this many machines, all idle and known.
-    pub fn new(machines: usize) -> Self {
-        SingleController::with_settings(machines, settings(machines, ""))
+    /// A controller that leads a partition with this many machines, all idle; each has sent a heartbeat.
+    pub fn new(machine_count: usize) -> Self {
+        SingleController::with_settings(machine_count, settings(machine_count, ""))
     }
 
-    /// The same with a peer, n1, that sends nothing.
-    pub fn with_silent_peer(machines: usize) -> Self {
+    /// As [`SingleController::new`], but with a peer, n1, that sends nothing.
+    pub fn with_silent_peer(machine_count: usize) -> Self {
         let peer = "[[peers]]\nmember = \"n1\"\nzone = \"b\"\nendpoint = \"10.0.0.2:81\"\n";
-        SingleController::with_settings(machines, settings(machines, peer))
+        SingleController::with_settings(machine_count, settings(machine_count, peer))
     }
 
-    fn with_settings(machines: usize, settings: Settings) -> Self {
+    fn with_settings(machine_count: usize, settings: Settings) -> Self {
         let mut state = StateService::new(1e9);
-        let workers: Vec<Worker> = (0..machines).map(worker).collect();
+        let workers: Vec<Worker> = (0..machine_count).map(worker).collect();
         for (page, workers) in workers.chunks(MACHINES_PER_PAGE).enumerate() {
             let records = workers.iter().map(|worker| {
                 let record = MachineRecord {
@@ -162,40 +168,40 @@
             now: 10,
             workers,
             jobs: HashMap::new(),
-            next_job: 0,
-            watch: None,
+            last_job_number: 0,
+            pending_watch: None,
             events: VecDeque::new(),
-            tickets: 0,
-            answered: 0,
-            machines,
-            impostor: None,
-            report_replies: Vec::new(),
+            last_ticket: 0,
+            heartbeat_responses: 0,
+            machine_count,
+            substitute_heartbeat: None,
+            heartbeat_replies: Vec::new(),
             user_replies: Vec::new(),
         };
-        single_controller.wait_for_all_heartbeats();
+        single_controller.complete_startup();
         single_controller
     }
 
-    /// Ticks until the controller holds its partition, and has every machine heartbeat.
-    fn wait_for_all_heartbeats(&mut self) {
+    /// Ticks until the controller leads its partition, then sends a heartbeat of every machine.
+    fn complete_startup(&mut self) {
         for _ in 0..200 {
             self.tick(20);
         }
-        for nth in 0..self.machines {
-            self.send_heartbeat(nth);
+        for index in 0..self.machine_count {
+            self.send_heartbeat(index);
         }
         assert!(
-            self.answered >= self.machines,
-            "{} of {}",
-            self.answered,
-            self.machines
+            self.heartbeat_responses >= self.machine_count,
+            "only {} of {} machines got a response to their heartbeat",
+            self.heartbeat_responses,
+            self.machine_count
         );
     }
 
-    /// Fills all machines but for some slots: a quarter with replicas, the rest with arrays, a
-    /// tenth as much again waiting.
+    /// Fills all machines: a quarter of the slots with replicas of services, the others with array tasks. Array tasks
+    /// for another tenth of the slots stay queued.
     pub fn fill(&mut self) {
-        let slots = self.machines as u64 * TASKS_PER_MACHINE;
+        let slots = self.machine_count as u64 * TASKS_PER_MACHINE;
         let mut left = slots / 4;
         while left > 0 {
             self.submit(JobKind::Service, 1);
@@ -207,123 +213,128 @@
             self.submit(JobKind::Array, tasks);
             left -= tasks;
         }
-        // Workers heartbeat every 5 s, and a silent machine is given nothing.
-        let each = self.machines.div_ceil(50);
+        // Workers send a heartbeat every 5 s, and a silent machine is given no tasks.
+        let heartbeats_per_round = self.machine_count.div_ceil(50);
         for round in 0..1_000 {
             self.tick(70);
-            for nth in 0..each {
-                self.send_heartbeat((round * each + nth) % self.machines);
+            for offset in 0..heartbeats_per_round {
+                self.send_heartbeat((round * heartbeats_per_round + offset) % self.machine_count);
             }
             if self.task_count() as u64 >= slots {
                 break;
             }
         }
-        assert_eq!(self.task_count() as u64, slots, "the machines are full");
-        for nth in 0..self.machines {
-            self.run_all(nth);
-            self.send_heartbeat(nth);
+        assert_eq!(self.task_count() as u64, slots, "the machines are not full");
+        for index in 0..self.machine_count {
+            self.run_fetching_tasks(index);
+            self.send_heartbeat(index);
         }
         self.tick(100);
     }
 
     /// Submits a job.
     pub fn submit(&mut self, kind: JobKind, tasks: u64) {
-        self.next_job += 1;
-        let job = job(self.next_job, kind, tasks);
+        self.last_job_number += 1;
+        let job = job(self.last_job_number, kind, tasks);
         self.jobs.insert(job.id.clone(), job.clone());
-        self.tickets += 1;
+        self.last_ticket += 1;
         let request = UserRequest::Submit(Box::new(job));
         self.handle_event(Event::User {
-            ticket: self.tickets,
+            ticket: self.last_ticket,
             request,
         });
-        // A few at a time, as users come.
-        if self.next_job.is_multiple_of(50) {
+        // Users submit jobs over time: no more than 50 arrive between two ticks.
+        if self.last_job_number.is_multiple_of(50) {
             self.tick(70);
         }
     }
 
-    /// Lets time pass and turns the loop once; returns what that cost.
+    /// Lets time pass and sends the controller a tick; returns the time that the controller took for it.
     pub fn tick(&mut self, ms: u64) -> Duration {
         self.now += ms;
         let cost = self.handle_event(Event::Tick);
-        // A long poll that has found nothing ends.
-        if let Some((call, ..)) = self.watch.take() {
+        // A watch that has found no change times out.
+        if let Some((call, ..)) = self.pending_watch.take() {
             let reply = self.state.no_changes();
             self.handle_event(Event::State { call, reply });
         }
         cost
     }
 
-    /// A heartbeat of a machine; returns what it cost.
-    pub fn send_heartbeat(&mut self, nth: usize) -> Duration {
-        let report = self.workers[nth].next_heartbeat();
+    /// Sends a heartbeat of a machine; returns the time that the controller took for it.
+    pub fn send_heartbeat(&mut self, index: usize) -> Duration {
+        let report = self.workers[index].next_heartbeat();
         self.now += 1;
-        self.tickets += 1;
+        self.last_ticket += 1;
         self.handle_event(Event::Heartbeat {
-            ticket: self.tickets,
+            ticket: self.last_ticket,
             report: Box::new(report),
         })
     }
 
-    /// A heartbeat of a machine on which one array task has just completed; what it cost.
-    pub fn complete_array_task(&mut self, nth: usize) -> Duration {
+    /// Completes a running array task of a machine, if there is one, and sends a heartbeat of the machine; returns the
+    /// time that the controller took for it.
+    pub fn complete_array_task(&mut self, index: usize) -> Duration {
         let jobs = &self.jobs;
-        let array = |task: &str| {
+        let is_array_task = |task: &str| {
             let id = task.split('/').next().unwrap_or_default();
             jobs.get(id).is_some_and(|job| job.kind == JobKind::Array)
         };
-        let worker = &mut self.workers[nth];
+        let worker = &mut self.workers[index];
         let running = worker
             .tasks
             .iter_mut()
-            .find(|((task, _), held)| held.state == TaskState::Running && array(task));
-        if let Some((_, held)) = running {
-            held.state = TaskState::Exited;
-            held.exit_cause = Some(wire::workers::ExitCause::Done);
+            .find(|((task, _), status)| status.state == TaskState::Running && is_array_task(task));
+        if let Some((_, status)) = running {
+            status.state = TaskState::Exited;
+            status.exit_cause = Some(wire::workers::ExitCause::Done);
         }
-        let cost = self.send_heartbeat(nth);
-        self.run_all(nth);
+        let cost = self.send_heartbeat(index);
+        self.run_fetching_tasks(index);
         cost
     }
 
-    fn run_all(&mut self, nth: usize) {
-        for held in self.workers[nth].tasks.values_mut() {
-            if held.state == TaskState::Fetching {
-                held.state = TaskState::Running;
+    fn run_fetching_tasks(&mut self, index: usize) {
+        for status in self.workers[index].tasks.values_mut() {
+            if status.state == TaskState::Fetching {
+                status.state = TaskState::Running;
             }
         }
     }
 
-    /// Another incarnation of the controller starts on the same state: what all its events cost until it has
-    /// answered the first heartbeat with its partition read.
+    /// Starts another incarnation of the controller on the same state; returns the time that it took for all events
+    /// until it has loaded its partition and responded to a heartbeat.
     pub fn fail_over(&mut self) -> Duration {
         self.restart();
-        let mut all = Duration::ZERO;
-        let before = self.answered;
+        let mut total = Duration::ZERO;
+        let responses_before = self.heartbeat_responses;
         for round in 0..400 {
-            all += self.tick(20);
+            total += self.tick(20);
             if round % 10 == 9 {
-                all += self.send_heartbeat(0);
+                total += self.send_heartbeat(0);
             }
-            if self.answered > before {
+            if self.heartbeat_responses > responses_before {
                 break;
             }
         }
-        assert!(self.answered > before, "the next incarnation answers");
-        all
+        assert!(
+            self.heartbeat_responses > responses_before,
+            "the next incarnation responds to no heartbeat"
+        );
+        total
     }
 
-    /// Another incarnation of the controller starts on the same state, after the lease of this one.
+    /// Starts another incarnation of the controller on the same state, after the lease of this one has expired.
     pub fn restart(&mut self) {
         self.controller = Controller::new(self.settings.clone(), (2 + self.now) << 20);
-        self.watch = None;
+        self.pending_watch = None;
         self.events.clear();
         self.now += 10_000;
         self.state.expire(self.now);
     }
 
-    /// Feeds an event and all that follows from it; returns what the controller itself took.
+    /// Lets the controller handle an event and all events that follow from it; returns the time spent in the controller
+    /// itself.
     fn handle_event(&mut self, event: Event) -> Duration {
         let mut spent = Duration::ZERO;
         self.events.push_back(event);
@@ -342,7 +353,7 @@
 
     fn apply_effect(&mut self, effect: Effect) {
         match effect {
-            Effect::State { call, request, .. } => self.state_call(call, request),
+            Effect::State { call, request, .. } => self.handle_state_request(call, request),
             Effect::Cloud { call, request } => {
                 let reply = match request {
                     CloudRequest::MachineTypes => CloudReply::MachineTypes(MachineTypes {
@@ -359,17 +370,17 @@
                 body,
                 ..
             } => {
-                if let Some(report) = self.impostor.clone() {
-                    let reply = DirectReply::Answered(Box::new(report));
+                if let Some(heartbeat) = self.substitute_heartbeat.clone() {
+                    let reply = DirectReply::Answered(Box::new(heartbeat));
                     self.events.push_back(Event::Worker { call, reply });
                     return;
                 }
                 let machine = address.trim_end_matches(":9000");
-                let nth = machine
+                let index = machine
                     .trim_start_matches("host-")
                     .parse::<usize>()
                     .unwrap_or(0);
-                let worker = &mut self.workers[nth];
+                let worker = &mut self.workers[index];
                 worker.check_lease(self.now, LEASE_MS);
                 worker.handle_direct_call(
                     body.token,
@@ -378,20 +389,21 @@
                     self.now,
                     &self.jobs,
                 );
-                let report: Box<Heartbeat> = Box::new(worker.next_heartbeat());
-                let reply = DirectReply::Answered(report);
+                let heartbeat: Box<Heartbeat> = Box::new(worker.next_heartbeat());
+                let reply = DirectReply::Answered(heartbeat);
                 self.events.push_back(Event::Worker { call, reply });
             }
             Effect::Heartbeat { reply, .. } => {
-                self.answered += usize::from(matches!(reply, HeartbeatReply::Response(_)));
-                self.report_replies.push(reply);
+                self.heartbeat_responses +=
+                    usize::from(matches!(reply, HeartbeatReply::Response(_)));
+                self.heartbeat_replies.push(reply);
             }
             Effect::User { reply, .. } => self.user_replies.push(reply),
             Effect::Mesh { .. } | Effect::Admin { .. } => {}
         }
     }
 
-    fn state_call(&mut self, call: CallId, request: StateRequest) {
+    fn handle_state_request(&mut self, call: CallId, request: StateRequest) {
         if let StateRequest::Watch {
             prefix,
             after,
@@ -404,45 +416,45 @@
                     let reply = self.state.no_changes();
                     self.events.push_back(Event::State { call, reply });
                 }
-                None => self.watch = Some((call, prefix.clone(), *after)),
+                None => self.pending_watch = Some((call, prefix.clone(), *after)),
             }
             return;
         }
         let reply = self.state.execute(self.now, &request);
         let changed = matches!(reply, StateReply::Committed { .. });
         self.events.push_back(Event::State { call, reply });
-        if let Some((call, prefix, after)) = self.watch.take_if(|_| changed) {
+        if let Some((call, prefix, after)) = self.pending_watch.take_if(|_| changed) {
             match self.state.changes(&prefix, after) {
                 Some(reply) => self.events.push_back(Event::State { call, reply }),
-                None => self.watch = Some((call, prefix, after)),
+                None => self.pending_watch = Some((call, prefix, after)),
             }
         }
     }
 
-    /// Feeds an event from outside at the present time.
+    /// Lets the controller handle any event now.
     pub fn inject(&mut self, event: Event) {
         self.handle_event(event);
     }
 
-    /// A user's request.
+    /// Sends a request of a user.
     pub fn send_user_request(&mut self, request: UserRequest) {
-        self.tickets += 1;
+        self.last_ticket += 1;
         self.handle_event(Event::User {
-            ticket: self.tickets,
+            ticket: self.last_ticket,
             request,
         });
     }
 
-    /// Hands a heartbeat to the controller as it is.
-    pub fn inject_heartbeat(&mut self, report: Heartbeat) {
-        self.tickets += 1;
+    /// Sends any heartbeat, whether or not a worker would.
+    pub fn inject_heartbeat(&mut self, heartbeat: Heartbeat) {
+        self.last_ticket += 1;
         self.handle_event(Event::Heartbeat {
-            ticket: self.tickets,
-            report: Box::new(report),
+            ticket: self.last_ticket,
+            report: Box::new(heartbeat),
         });
     }
 
-    /// Puts a value into the state service, as some other program might.
+    /// Puts a value into the state service, as another program might.
     pub fn put_state_value(&mut self, key: &str, value: serde_json::Value) {
         let txn = Transaction::default().write(Write::put(key, value));
         self.state
@@ -454,10 +466,10 @@
         self.state.value(key)
     }
 
-    /// From now on another machine stands at all addresses: it executes no direct call and answers with this
-    /// heartbeat. None: each machine answers for itself.
-    pub fn answer_direct_calls_with(&mut self, report: Option<Heartbeat>) {
-        self.impostor = report;
+    /// From now on all direct calls reach another machine, which executes no commands and answers with this heartbeat.
+    /// With None they reach the machines that they are meant for again.
+    pub fn answer_direct_calls_with(&mut self, heartbeat: Option<Heartbeat>) {
+        self.substitute_heartbeat = heartbeat;
     }
 
     /// The controller.
@@ -470,17 +482,17 @@
         &mut self.workers
     }
 
-    /// Answers to heartbeats since this was asked last.
+    /// Replies to heartbeats since the last call of this function.
     pub fn take_heartbeat_replies(&mut self) -> Vec<HeartbeatReply> {
-        std::mem::take(&mut self.report_replies)
+        std::mem::take(&mut self.heartbeat_replies)
     }
 
-    /// Answers to users since this was asked last.
+    /// Replies to users since the last call of this function.
     pub fn take_user_replies(&mut self) -> Vec<UserReply> {
         std::mem::take(&mut self.user_replies)
     }
 
-    /// Tasks on all machines.
+    /// Number of tasks on all machines, in any state.
     pub fn task_count(&self) -> usize {
         self.workers.iter().map(|w| w.tasks.len()).sum()
     }
