--- a/crates/loadtest/src/cloud.rs
+++ b/crates/loadtest/src/cloud.rs
@@ -2,10 +2,10 @@
 //! workers which machines are up and which are gone.
 
 use crate::config::Experiment;
-use crate::http::{serve, Answer, Call, Client, SharedTally};
+use crate::http::{serve, Client, HttpRequest, HttpResponse, SharedTrafficTotals};
 use crate::limits::RateLimit;
 use crate::role::{send_message, Context, RoleMessage, RoleReport};
-use crate::site::{machine_number, Clock, Net};
+use crate::run_layout::{machine_number, Clock, LoopbackNet};
 use hyper::Method;
 use rand::rngs::SmallRng;
 use rand::SeedableRng;
@@ -30,7 +30,7 @@
 
 /// A machine that has come up.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct UpMachine {
+pub struct BootedMachine {
     pub name: String,
     pub machine_type: String,
     pub zone: String,
@@ -40,7 +40,7 @@
 /// What a process with workers is told.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 pub struct MachineChanges {
-    pub up: Vec<UpMachine>,
+    pub up: Vec<BootedMachine>,
     pub gone: Vec<String>,
 }
 
@@ -52,7 +52,7 @@
         experiment,
         stop,
     } = context;
-    let tally = SharedTally::default();
+    let tally = SharedTrafficTotals::default();
     let count = experiment.controllers.count;
     let warmup = (experiment.warmup_s * 1_000.0) as u64;
     let service = Rc::new(Service::new(experiment, net, clock));
@@ -66,7 +66,7 @@
         tokio::task::spawn_local(serve(listener, controller, tally.clone(), handler));
     }
     tokio::task::spawn_local(announce(service.clone()));
-    tokio::task::spawn_local(crate::http::clear_at(clock, warmup, tally.clone()));
+    tokio::task::spawn_local(crate::http::clear_totals_at(clock, warmup, tally.clone()));
     send_message(&RoleMessage::Ready);
     let _ = stop.await;
     let traffic = tally.borrow().clone();
@@ -108,7 +108,7 @@
 }
 
 struct Service {
-    net: Net,
+    net: LoopbackNet,
     clock: Clock,
     cloud: RefCell<Cloud>,
     rng: RefCell<SmallRng>,
@@ -121,7 +121,7 @@
 }
 
 impl Service {
-    fn new(experiment: Experiment, net: Net, clock: Clock) -> Self {
+    fn new(experiment: Experiment, net: LoopbackNet, clock: Clock) -> Self {
         let zones: Vec<&str> = experiment
             .controllers
             .zones
@@ -165,7 +165,7 @@
     }
 
     /// Machines of a process that have come up since the last look.
-    fn come_up(&self, process: u32) -> Vec<UpMachine> {
+    fn come_up(&self, process: u32) -> Vec<BootedMachine> {
         let now = self.clock.now_ms();
         let mut announced = self.announced.borrow_mut();
         let cloud = self.cloud.borrow();
@@ -175,8 +175,8 @@
                 && self.process_of(name) == process as usize
                 && !announced.contains(*name)
         });
-        let up: Vec<UpMachine> = new
-            .map(|(name, machine)| UpMachine {
+        let up: Vec<BootedMachine> = new
+            .map(|(name, machine)| BootedMachine {
                 name: name.clone(),
                 machine_type: machine.machine_type.clone(),
                 zone: machine.zone.clone(),
@@ -234,15 +234,15 @@
         }
     }
 
-    async fn handle(&self, call: Call) -> Answer {
+    async fn handle(&self, call: HttpRequest) -> HttpResponse {
         tokio::time::sleep(self.latency).await;
         let Some((kind, request)) = read_request(&call) else {
-            return Answer::error("malformed", 400, "malformed");
+            return HttpResponse::error("malformed", 400, "malformed");
         };
         let now = self.clock.now_ms();
         if !self.requests.borrow_mut().take(now) {
             self.throttled.set(self.throttled.get() + 1);
-            return Answer::error(kind, 429, "too many requests");
+            return HttpResponse::error(kind, 429, "too many requests");
         }
         let (reply, gone) =
             self.cloud
@@ -252,9 +252,11 @@
             self.release(gone).await;
         }
         match reply {
-            CloudReply::MachineTypes(types) => Answer::json(kind, 200, &types),
-            CloudReply::Rented(machines) => Answer::json(kind, 200, &MachineNames { machines }),
-            CloudReply::Released => Answer {
+            CloudReply::MachineTypes(types) => HttpResponse::json(kind, 200, &types),
+            CloudReply::Rented(machines) => {
+                HttpResponse::json(kind, 200, &MachineNames { machines })
+            }
+            CloudReply::Released => HttpResponse {
                 status: 200,
                 body: b"{}".to_vec(),
                 kind,
@@ -263,15 +265,15 @@
                 for machine in &mut list.machines {
                     machine.address = self.net.worker(machine_number(&machine.name)).to_string();
                 }
-                Answer::json(kind, 200, &list)
+                HttpResponse::json(kind, 200, &list)
             }
-            CloudReply::NoCapacity => Answer::error(kind, 503, "no capacity"),
-            CloudReply::Refused | CloudReply::Unknown => Answer::error(kind, 503, "trouble"),
+            CloudReply::NoCapacity => HttpResponse::error(kind, 503, "no capacity"),
+            CloudReply::Refused | CloudReply::Unknown => HttpResponse::error(kind, 503, "trouble"),
         }
     }
 }
 
-fn read_request(call: &Call) -> Option<(&'static str, CloudRequest)> {
+fn read_request(call: &HttpRequest) -> Option<(&'static str, CloudRequest)> {
     match (call.method.clone(), call.path.as_str()) {
         (Method::GET, "/machine_types") => Some(("machine types", CloudRequest::MachineTypes)),
         (Method::POST, "/hosts") => {
--- a/crates/loadtest/src/controllers.rs
+++ b/crates/loadtest/src/controllers.rs
@@ -2,7 +2,7 @@
 
 use crate::config::{Experiment, Fault};
 use crate::role::{send_message, Context, RoleMessage, RoleReport};
-use crate::site::{controller_name, Net};
+use crate::run_layout::{controller_name, LoopbackNet};
 use std::fs::File;
 use std::io;
 use std::path::{Path, PathBuf};
@@ -62,7 +62,7 @@
         program: &str,
         directory: PathBuf,
         experiment: &Experiment,
-        net: Net,
+        net: LoopbackNet,
     ) -> io::Result<Self> {
         let count = experiment.controllers.count;
         for controller in 0..count {
--- a/crates/loadtest/src/experiment.rs
+++ b/crates/loadtest/src/experiment.rs
@@ -1,14 +1,14 @@
 //! A run from its checks to its report.
 
 use crate::config::Experiment;
-use crate::http::Tally;
-use crate::limits::{check_processes, Machine, GRACE_S};
+use crate::http::TrafficTotals;
+use crate::limits::{check_processes, HostResources, MAX_OVERTIME_S};
 use crate::observations::{TaskEvent, UserEvent};
 use crate::processes::{RoleProcess, Sampler};
 use crate::report::{self, MachineFigures, Report, SETTING};
 use crate::role::{Role, RoleMessage, RoleReport, RoleSettings};
 use crate::rules;
-use crate::site::{controller_name, epoch_us, Clock, Net};
+use crate::run_layout::{controller_name, unix_time_us, Clock, LoopbackNet};
 use std::collections::BTreeMap;
 use std::net::TcpListener;
 use std::path::{Path, PathBuf};
@@ -36,9 +36,9 @@
     programs: &Programs,
     report_progress: &mut dyn FnMut(&str),
 ) -> Result<Report, String> {
-    let machine = Machine::read().map_err(|e| e.to_string())?;
+    let machine = HostResources::read().map_err(|e| e.to_string())?;
     machine
-        .check_before(experiment)
+        .check_expected_use(experiment)
         .map_err(|e| e.to_string())?;
     if !programs.controller.is_file() {
         return Err(format!(
@@ -47,7 +47,7 @@
         ));
     }
     let (net, _claim) = claim_net()?;
-    let started_us = epoch_us();
+    let started_us = unix_time_us();
     let mut run = Run::new(experiment, machine, started_us);
     run.start(programs, net, started_us)?;
     let ended = run.watch(report_progress);
@@ -55,10 +55,10 @@
 }
 
 /// Finds a block of loopback addresses that no other run on this machine uses.
-fn claim_net() -> Result<(Net, TcpListener), String> {
+fn claim_net() -> Result<(LoopbackNet, TcpListener), String> {
     for number in FIRST_NET..=LAST_NET {
-        let net = Net(number);
-        if let Ok(claim) = TcpListener::bind(net.claim()) {
+        let net = LoopbackNet(number);
+        if let Ok(claim) = TcpListener::bind(net.claim_address()) {
             return Ok((net, claim));
         }
     }
@@ -67,7 +67,7 @@
 
 struct Run<'a> {
     experiment: &'a Experiment,
-    machine: Machine,
+    machine: HostResources,
     clock: Clock,
     started_us: u64,
     load_before: f64,
@@ -81,11 +81,11 @@
 }
 
 impl<'a> Run<'a> {
-    fn new(experiment: &'a Experiment, machine: Machine, started_us: u64) -> Self {
+    fn new(experiment: &'a Experiment, machine: HostResources, started_us: u64) -> Self {
         Run {
             experiment,
             machine,
-            clock: Clock::of(started_us),
+            clock: Clock::starting_at(started_us),
             started_us,
             load_before: load_average(),
             roles: Vec::new(),
@@ -97,7 +97,12 @@
         }
     }
 
-    fn start(&mut self, programs: &Programs, net: Net, started_us: u64) -> Result<(), String> {
+    fn start(
+        &mut self,
+        programs: &Programs,
+        net: LoopbackNet,
+        started_us: u64,
+    ) -> Result<(), String> {
         let workers =
             (0..self.experiment.worker_processes()).map(|process| Role::Workers { process });
         let program = programs.controller.to_string_lossy().into_owned();
@@ -115,7 +120,7 @@
         &mut self,
         role: Role,
         program: &Path,
-        net: Net,
+        net: LoopbackNet,
         started_us: u64,
     ) -> Result<(), String> {
         let experiment = self.experiment.clone();
@@ -137,7 +142,7 @@
     fn watch(&mut self, report_progress: &mut dyn FnMut(&str)) -> String {
         let warmup_ms = (self.experiment.warmup_s * 1_000.0) as u64;
         let end_ms = (self.experiment.duration_s * 1_000.0) as u64;
-        let last_ms = end_ms + (GRACE_S * 1_000.0) as u64;
+        let last_ms = end_ms + (MAX_OVERTIME_S * 1_000.0) as u64;
         let mut told_s = 0;
         loop {
             std::thread::sleep(SAMPLE_INTERVAL);
@@ -154,16 +159,16 @@
                 told_s = now / 1_000;
                 report_progress(&progress_line(now, &figures, used));
             }
-            if let Err(limit) = self.machine.check_memory(used) {
+            if let Err(limit) = self.machine.check_memory_use(used) {
                 return limit.to_string();
             }
-            if let Err(limit) = check_processes(self.sampler.processes()) {
+            if let Err(limit) = check_processes(self.sampler.process_count()) {
                 return limit.to_string();
             }
             if let Some(failed) = self
                 .roles
                 .iter_mut()
-                .find_map(|r| r.failed().then(|| r.role.name()))
+                .find_map(|r| r.has_failed().then(|| r.role.name()))
             {
                 return format!("{failed}: the process ended");
             }
@@ -175,14 +180,14 @@
                 return "whole".into();
             }
             if now > last_ms {
-                return format!("the users took longer than {GRACE_S} s to end");
+                return format!("the users took longer than {MAX_OVERTIME_S} s to end");
             }
         }
     }
 
     fn take_messages(&mut self) {
         for role in &mut self.roles {
-            for message in role.messages() {
+            for message in role.receive_messages() {
                 match message {
                     RoleMessage::Controller { controller, pid } => {
                         self.sampler.add(&controller_name(controller), pid);
@@ -267,7 +272,7 @@
             ended,
             machine: MachineFigures {
                 cores: std::thread::available_parallelism().map_or(0, usize::from),
-                memory_gb: self.machine.memory as f64 / 1e9,
+                memory_gb: self.machine.memory_bytes as f64 / 1e9,
                 load_before: self.load_before,
                 load_after,
                 memory_mb_max: self.memory_max as f64 / 1e6,
@@ -289,7 +294,7 @@
 struct Collected {
     tasks: Vec<TaskEvent>,
     users: Vec<UserEvent>,
-    traffic: Tally,
+    traffic: TrafficTotals,
     figures: BTreeMap<String, BTreeMap<String, f64>>,
     problem: Option<String>,
 }
--- a/crates/loadtest/src/http.rs
+++ b/crates/loadtest/src/http.rs
@@ -1,6 +1,6 @@
 //! HTTP/1.1 over loopback: connections whose bytes are counted by kind of message.
 
-use crate::site::Clock;
+use crate::run_layout::Clock;
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full, Limited};
 use hyper::body::Incoming;
@@ -34,13 +34,13 @@
 }
 
 /// Traffic by controller and kind of message.
-pub type Tally = BTreeMap<u32, BTreeMap<String, Traffic>>;
+pub type TrafficTotals = BTreeMap<u32, BTreeMap<String, Traffic>>;
 
 /// A tally that the connections of a process share.
-pub type SharedTally = Rc<RefCell<Tally>>;
+pub type SharedTrafficTotals = Rc<RefCell<TrafficTotals>>;
 
 /// Forgets what was counted before a time of the run.
-pub async fn clear_at(clock: Clock, at_ms: u64, tally: SharedTally) {
+pub async fn clear_totals_at(clock: Clock, at_ms: u64, tally: SharedTrafficTotals) {
     clock.sleep_until_ms(at_ms).await;
     tally.borrow_mut().clear();
 }
@@ -97,7 +97,7 @@
 
 /// A request to a stand-in.
 #[derive(Debug, Clone)]
-pub struct Call {
+pub struct HttpRequest {
     pub method: Method,
     pub path: String,
     pub query: String,
@@ -106,26 +106,26 @@
 
 /// A stand-in's answer.
 #[derive(Debug)]
-pub struct Answer {
+pub struct HttpResponse {
     pub status: u16,
     pub body: Vec<u8>,
     /// Kind of message under which the exchange is counted; empty: not counted.
     pub kind: &'static str,
 }
 
-impl Answer {
+impl HttpResponse {
     /// An answer with a JSON body.
     pub fn json<T: Serialize>(kind: &'static str, status: u16, body: &T) -> Self {
         let (status, body) = match serde_json::to_vec(body) {
             Ok(body) => (status, body),
             Err(_) => (500, Vec::new()),
         };
-        Answer { status, body, kind }
+        HttpResponse { status, body, kind }
     }
 
     /// A refusal.
     pub fn error(kind: &'static str, status: u16, error: &str) -> Self {
-        Answer::json(
+        HttpResponse::json(
             kind,
             status,
             &wire::users::ErrorBody {
@@ -136,10 +136,14 @@
 }
 
 /// Serves connections until the process ends. `controller` is who connects, if that is known.
-pub async fn serve<H, F>(listener: TcpListener, controller: u32, tally: SharedTally, handler: H)
-where
-    H: Fn(Call) -> F + Clone + 'static,
-    F: Future<Output = Answer> + 'static,
+pub async fn serve<H, F>(
+    listener: TcpListener,
+    controller: u32,
+    tally: SharedTrafficTotals,
+    handler: H,
+) where
+    H: Fn(HttpRequest) -> F + Clone + 'static,
+    F: Future<Output = HttpResponse> + 'static,
 {
     loop {
         let Ok((stream, _)) = listener.accept().await else {
@@ -156,10 +160,14 @@
     }
 }
 
-async fn connection<H, F>(stream: TcpStream, controller: u32, tally: SharedTally, handler: H)
-where
-    H: Fn(Call) -> F + Clone + 'static,
-    F: Future<Output = Answer> + 'static,
+async fn connection<H, F>(
+    stream: TcpStream,
+    controller: u32,
+    tally: SharedTrafficTotals,
+    handler: H,
+) where
+    H: Fn(HttpRequest) -> F + Clone + 'static,
+    F: Future<Output = HttpResponse> + 'static,
 {
     let bytes = Rc::new(PassedBytes::default());
     let meter = Rc::new(Meter {
@@ -184,7 +192,7 @@
 /// Counts the exchanges of one connection that a controller opened.
 struct Meter {
     controller: u32,
-    tally: SharedTally,
+    tally: SharedTrafficTotals,
     bytes: Rc<PassedBytes>,
     /// Kind of the last exchange, and the bytes read and written before its answer was written.
     last: Cell<(&'static str, u64, u64)>,
@@ -215,7 +223,14 @@
     }
 }
 
-fn record(tally: &SharedTally, controller: u32, kind: &str, messages: u64, from: u64, to: u64) {
+fn record(
+    tally: &SharedTrafficTotals,
+    controller: u32,
+    kind: &str,
+    messages: u64,
+    from: u64,
+    to: u64,
+) {
     let mut tally = tally.borrow_mut();
     let kinds = tally.entry(controller).or_default();
     if !kinds.contains_key(kind) {
@@ -234,14 +249,14 @@
     meter: &Meter,
 ) -> Response<Full<Bytes>>
 where
-    H: Fn(Call) -> F,
-    F: Future<Output = Answer>,
+    H: Fn(HttpRequest) -> F,
+    F: Future<Output = HttpResponse>,
 {
     meter.settle();
     let (head, body) = request.into_parts();
     let answer = match Limited::new(body, MAX_BODY).collect().await {
         Ok(body) => {
-            let call = Call {
+            let call = HttpRequest {
                 method: head.method,
                 path: head.uri.path().to_owned(),
                 query: head.uri.query().unwrap_or_default().to_owned(),
@@ -249,7 +264,7 @@
             };
             handler(call).await
         }
-        Err(_) => Answer::error("", 400, "unreadable body"),
+        Err(_) => HttpResponse::error("", 400, "unreadable body"),
     };
     meter.request(answer.kind);
     let mut response = Response::new(Full::new(Bytes::from(answer.body)));
@@ -339,7 +354,7 @@
     }
 
     /// Counts what has passed since the last time.
-    pub fn count(&mut self, tally: &SharedTally, kind: &str) {
+    pub fn count(&mut self, tally: &SharedTrafficTotals, kind: &str) {
         let (read, written) = (self.bytes.read.get(), self.bytes.written.get());
         let (read_before, written_before) = self.counted;
         record(
--- a/crates/loadtest/src/lib.rs
+++ b/crates/loadtest/src/lib.rs
@@ -17,7 +17,7 @@
 pub mod report;
 pub mod role;
 pub mod rules;
-pub mod site;
+pub mod run_layout;
 pub mod state_service;
 pub mod users;
 pub mod workers;
--- a/crates/loadtest/src/limits.rs
+++ b/crates/loadtest/src/limits.rs
@@ -5,11 +5,11 @@
 use thiserror::Error;
 
 /// Most memory of all processes of an experiment; also under half of the machine's.
-pub const MAX_MEMORY: u64 = 12 * 1024 * 1024 * 1024;
+pub const MAX_MEMORY_BYTES: u64 = 12 * 1024 * 1024 * 1024;
 /// Fewer processes than this.
-pub const MAX_PROCESSES: usize = 300;
+pub const PROCESS_LIMIT: usize = 300;
 /// Time beyond an experiment's duration after which it is stopped in any case.
-pub const GRACE_S: f64 = 90.0;
+pub const MAX_OVERTIME_S: f64 = 90.0;
 
 /// Expected memory of the parts of a run, a little above what was measured.
 const WORKER_BYTES: u64 = 64 * 1024;
@@ -32,14 +32,14 @@
         why: &'static str,
     },
     #[error("field `workers.count`: about {needed} MiB needed, {allowed} MiB allowed: {why}")]
-    MemoryBefore {
+    ExpectedMemory {
         needed: u64,
         allowed: u64,
         why: &'static str,
     },
     #[error("{used} MiB in use by the experiment, {allowed} MiB allowed: stopped")]
-    Memory { used: u64, allowed: u64 },
-    #[error("field `workers.per_process`: {0} processes, fewer than {MAX_PROCESSES} are allowed")]
+    MemoryInUse { used: u64, allowed: u64 },
+    #[error("field `workers.per_process`: {0} processes, fewer than {PROCESS_LIMIT} are allowed")]
     Processes(usize),
     #[error("{0} is not readable: the limits are not known")]
     Unreadable(&'static str),
@@ -81,33 +81,33 @@
 
 /// What this machine has.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Machine {
-    pub memory: u64,
-    pub available: u64,
-    pub descriptors: u64,
+pub struct HostResources {
+    pub memory_bytes: u64,
+    pub available_bytes: u64,
+    pub max_open_files: u64,
 }
 
-impl Machine {
+impl HostResources {
     /// Reads what the kernel says.
     pub fn read() -> Result<Self, LimitError> {
         let memory = fs::read_to_string("/proc/meminfo").unwrap_or_default();
         let limits = fs::read_to_string("/proc/self/limits").unwrap_or_default();
         let kib = |name: &str| number_after(&memory, name).map(|kib| kib * 1024);
-        Ok(Machine {
-            memory: kib("MemTotal:").ok_or(LimitError::Unreadable("/proc/meminfo"))?,
-            available: kib("MemAvailable:").ok_or(LimitError::Unreadable("/proc/meminfo"))?,
-            descriptors: number_after(&limits, "Max open files")
+        Ok(HostResources {
+            memory_bytes: kib("MemTotal:").ok_or(LimitError::Unreadable("/proc/meminfo"))?,
+            available_bytes: kib("MemAvailable:").ok_or(LimitError::Unreadable("/proc/meminfo"))?,
+            max_open_files: number_after(&limits, "Max open files")
                 .ok_or(LimitError::Unreadable("/proc/self/limits"))?,
         })
     }
 
     /// Memory that an experiment may use.
     pub fn allowed_memory(&self) -> u64 {
-        MAX_MEMORY.min(self.memory / 2)
+        MAX_MEMORY_BYTES.min(self.memory_bytes / 2)
     }
 
     /// Whether an experiment fits, by what is expected of it.
-    pub fn check_before(&self, experiment: &Experiment) -> Result<(), LimitError> {
+    pub fn check_expected_use(&self, experiment: &Experiment) -> Result<(), LimitError> {
         self.check_descriptors(experiment)?;
         let processes = experiment.worker_processes() as usize;
         check_processes(processes + experiment.controllers.count as usize + 5)?;
@@ -116,7 +116,7 @@
         let needed = workers * (WORKER_BYTES + CONTROLLER_BYTES_A_WORKER)
             + controllers * CONTROLLER_BYTES
             + (processes as u64 + 4) * STANDIN_BYTES;
-        let over = |allowed: u64, why| LimitError::MemoryBefore {
+        let over = |allowed: u64, why| LimitError::ExpectedMemory {
             needed: needed >> 20,
             allowed: allowed >> 20,
             why,
@@ -127,8 +127,8 @@
                 "half of the machine, 12 GiB at most",
             ));
         }
-        if needed > self.available {
-            return Err(over(self.available, "the rest is in use"));
+        if needed > self.available_bytes {
+            return Err(over(self.available_bytes, "the rest is in use"));
         }
         Ok(())
     }
@@ -150,24 +150,24 @@
     }
 
     fn has(&self, needed: u64, field: &'static str, why: &'static str) -> Result<(), LimitError> {
-        if needed <= self.descriptors {
+        if needed <= self.max_open_files {
             return Ok(());
         }
         Err(LimitError::Descriptors {
             field,
             needed,
-            limit: self.descriptors,
+            limit: self.max_open_files,
             why,
         })
     }
 
     /// Whether a running experiment is still within its memory.
-    pub fn check_memory(&self, used: u64) -> Result<(), LimitError> {
+    pub fn check_memory_use(&self, used: u64) -> Result<(), LimitError> {
         let allowed = self.allowed_memory();
         if used <= allowed {
             return Ok(());
         }
-        Err(LimitError::Memory {
+        Err(LimitError::MemoryInUse {
             used: used >> 20,
             allowed: allowed >> 20,
         })
@@ -176,7 +176,7 @@
 
 /// Whether there are fewer processes than allowed.
 pub fn check_processes(count: usize) -> Result<(), LimitError> {
-    if count < MAX_PROCESSES {
+    if count < PROCESS_LIMIT {
         return Ok(());
     }
     Err(LimitError::Processes(count))
--- a/crates/loadtest/src/processes.rs
+++ b/crates/loadtest/src/processes.rs
@@ -75,7 +75,7 @@
     }
 
     /// What it has said since the last time.
-    pub fn messages(&mut self) -> Vec<RoleMessage> {
+    pub fn receive_messages(&mut self) -> Vec<RoleMessage> {
         let mut messages = Vec::new();
         while let Ok(message) = self.messages.try_recv() {
             if let Some(message) = self.note(message) {
@@ -95,7 +95,7 @@
     }
 
     /// Whether it ended without a report.
-    pub fn failed(&mut self) -> bool {
+    pub fn has_failed(&mut self) -> bool {
         if self.report.is_some() || !matches!(self.child.try_wait(), Ok(Some(_))) {
             return false;
         }
@@ -221,7 +221,7 @@
     }
 
     /// Number of processes that are measured.
-    pub fn processes(&self) -> usize {
+    pub fn process_count(&self) -> usize {
         self.pids.len()
     }
 
--- a/crates/loadtest/src/report.rs
+++ b/crates/loadtest/src/report.rs
@@ -1,7 +1,7 @@
 //! The report of a run.
 
 use crate::config::Experiment;
-use crate::http::{Tally, Traffic};
+use crate::http::{Traffic, TrafficTotals};
 use crate::observations::{TaskChange, TaskEvent, UserAnswer, UserEvent};
 use crate::processes::ProcessFigures;
 use crate::rules::Verdict;
@@ -90,7 +90,7 @@
 
 /// Traffic as rates.
 pub fn traffic_rates(
-    tally: &Tally,
+    tally: &TrafficTotals,
     window_s: f64,
 ) -> BTreeMap<String, BTreeMap<String, TrafficRate>> {
     let rate = |count: u64| count as f64 / window_s;
@@ -106,8 +106,8 @@
         rates.collect::<BTreeMap<_, _>>()
     };
     let name = |controller: u32| match controller {
-        crate::workers::ANY_CONTROLLER => "all".to_owned(),
-        controller => crate::site::controller_name(controller),
+        crate::workers::UNKNOWN_CONTROLLER => "all".to_owned(),
+        controller => crate::run_layout::controller_name(controller),
     };
     tally
         .iter()
@@ -158,7 +158,7 @@
 ) -> Result<BTreeMap<String, ClassLatencies>, String> {
     let mut by_class: BTreeMap<String, Vec<Life>> = BTreeMap::new();
     for (number, life) in lives(tasks, users) {
-        let Some(job) = experiment.job(number) else {
+        let Some(job) = experiment.job_request(number) else {
             continue;
         };
         let measured = life.submitted.is_some_and(|at| at >= from_us);
@@ -263,5 +263,5 @@
 
 /// Whether a process is a controller, by its name.
 pub fn is_controller(process: &str) -> bool {
-    crate::site::controller_number(process).is_some()
+    crate::run_layout::controller_number(process).is_some()
 }
--- a/crates/loadtest/src/role.rs
+++ b/crates/loadtest/src/role.rs
@@ -3,9 +3,9 @@
 //! it also does when whoever started it is gone.
 
 use crate::config::Experiment;
-use crate::http::Tally;
+use crate::http::TrafficTotals;
 use crate::observations::{TaskEvent, UserEvent};
-use crate::site::{Clock, Net};
+use crate::run_layout::{Clock, LoopbackNet};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::io::{BufRead, Write};
@@ -44,7 +44,7 @@
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct RoleSettings {
     pub role: Role,
-    pub net: Net,
+    pub net: LoopbackNet,
     /// Begin of the run, in microseconds since 1970.
     pub started_us: u64,
     pub experiment: Experiment,
@@ -53,7 +53,7 @@
 /// What a process says at its end.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 pub struct RoleReport {
-    pub traffic: Tally,
+    pub traffic: TrafficTotals,
     pub tasks: Vec<TaskEvent>,
     pub users: Vec<UserEvent>,
     /// Figures by name.
@@ -85,7 +85,7 @@
 
 /// Everything a role needs besides its own matters.
 pub struct Context {
-    pub net: Net,
+    pub net: LoopbackNet,
     pub clock: Clock,
     pub experiment: Experiment,
     /// Resolves when the process is to stop.
@@ -133,7 +133,7 @@
     }
     let context = Context {
         net,
-        clock: Clock::of(started_us),
+        clock: Clock::starting_at(started_us),
         experiment,
         stop,
     };
--- a/crates/loadtest/src/rules.rs
+++ b/crates/loadtest/src/rules.rs
@@ -5,7 +5,7 @@
 
 use crate::config::Experiment;
 use crate::observations::{TaskChange, TaskEvent, UserAnswer, UserEvent};
-use crate::site::job_id;
+use crate::run_layout::job_id;
 use serde::{Deserialize, Serialize};
 use simulator::history::{HistoryTime, JobReply};
 use simulator::rules::RuleChecker;
@@ -98,7 +98,7 @@
         let submitted: BTreeSet<u64> = users.iter().map(|event| event.job).collect();
         let described = submitted
             .iter()
-            .filter_map(|n| Some((job_id(*n), experiment.job(*n)?)));
+            .filter_map(|n| Some((job_id(*n), experiment.job_request(*n)?)));
         let cancel_ms = (experiment.workers.cancel_s * 1_000.0) as u64;
         Replay {
             experiment,
@@ -149,10 +149,10 @@
             self.broke("ran_twice", what, event.at_us);
         }
         self.check_cancelled(event.job, &name, event.at_us);
-        if let Some(job) = self.experiment.job(event.job) {
+        if let Some(job) = self.experiment.job_request(event.job) {
             let used = self.cpus.entry(job.team.clone()).or_default();
             *used += job.cpus;
-            if *used > self.experiment.limit() + CPU_ROUNDING {
+            if *used > self.experiment.max_team_cpus() + CPU_ROUNDING {
                 let what = format!("{} uses {used}", job.team);
                 self.broke("quota", what, event.at_us);
             }
@@ -164,7 +164,7 @@
         if !was.is_some_and(|machines| machines.remove(&event.machine)) {
             return;
         }
-        if let Some(job) = self.experiment.job(event.job) {
+        if let Some(job) = self.experiment.job_request(event.job) {
             *self.cpus.entry(job.team).or_default() -= job.cpus;
         }
         let name = format!("{}/{}", job_id(event.job), event.task);
--- a/crates/loadtest/src/site.rs
+++ b/crates/loadtest/src/run_layout.rs
@@ -29,15 +29,15 @@
 
 /// The addresses of one run: all in `127.NET.0.0/16`.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Net(pub u8);
+pub struct LoopbackNet(pub u8);
 
-impl Net {
+impl LoopbackNet {
     fn at(self, third: u32, fourth: u32, port: u16) -> SocketAddr {
         SocketAddr::from((Ipv4Addr::new(127, self.0, third as u8, fourth as u8), port))
     }
 
     /// The address that a run binds for as long as the block is its own.
-    pub fn claim(self) -> SocketAddr {
+    pub fn claim_address(self) -> SocketAddr {
         self.at(0, 1, 9_999)
     }
 
@@ -72,7 +72,7 @@
     }
 
     /// Machine numbers that have an address; later machines take the addresses of machines long gone.
-    pub fn machine_numbers() -> u32 {
+    pub fn machine_number_count() -> u32 {
         (256 - FIRST_BLOCK) * BLOCK
     }
 }
@@ -80,7 +80,7 @@
 /// Number of a machine's address, by its name.
 pub fn machine_number(name: &str) -> u32 {
     let number: u32 = name.trim_start_matches("host-").parse().unwrap_or_default();
-    number % Net::machine_numbers()
+    number % LoopbackNet::machine_number_count()
 }
 
 /// Name of a controller.
@@ -101,7 +101,7 @@
 }
 
 /// Microseconds since 1970, from which the processes of a run count.
-pub fn epoch_us() -> u64 {
+pub fn unix_time_us() -> u64 {
     let since = SystemTime::now()
         .duration_since(SystemTime::UNIX_EPOCH)
         .unwrap_or_default();
@@ -110,8 +110,8 @@
 
 impl Clock {
     /// The clock of a run that began at `started_us` since 1970.
-    pub fn of(started_us: u64) -> Self {
-        let offset = Duration::from_micros(epoch_us().saturating_sub(started_us));
+    pub fn starting_at(started_us: u64) -> Self {
+        let offset = Duration::from_micros(unix_time_us().saturating_sub(started_us));
         Clock {
             begin: Instant::now(),
             offset,
@@ -146,12 +146,12 @@
 }
 
 /// Number of the nth job of a class.
-pub fn class_job(class: usize, nth: u64) -> u64 {
+pub fn class_job_number(class: usize, nth: u64) -> u64 {
     (FIRST_ROUND + nth) * CLASSES + class as u64
 }
 
 /// Number of the nth service.
-pub fn service_job(nth: u64) -> u64 {
+pub fn service_job_number(nth: u64) -> u64 {
     (FIRST_ROUND + nth) * CLASSES + SERVICE
 }
 
@@ -163,18 +163,18 @@
     }
 
     /// CPUs guaranteed to each team.
-    pub fn guarantee(&self) -> f64 {
+    pub fn guaranteed_team_cpus(&self) -> f64 {
         let all = f64::from(self.workers.count) * MACHINE_CPUS;
         (all / f64::from(self.controllers.teams)).ceil()
     }
 
     /// Most CPUs of each team.
-    pub fn limit(&self) -> f64 {
-        (self.guarantee() * LIMIT_OVER_GUARANTEE).ceil()
+    pub fn max_team_cpus(&self) -> f64 {
+        (self.guaranteed_team_cpus() * LIMIT_OVER_GUARANTEE).ceil()
     }
 
     /// The job of a number, as every process works it out; none if no user submits it.
-    pub fn job(&self, number: u64) -> Option<JobRequest> {
+    pub fn job_request(&self, number: u64) -> Option<JobRequest> {
         let nth = (number / CLASSES).checked_sub(FIRST_ROUND)?;
         let mut rng = SmallRng::seed_from_u64(self.seed ^ number.wrapping_mul(0x9e37_79b9));
         if number % CLASSES == SERVICE {
@@ -199,7 +199,7 @@
     }
 
     /// The settings file of a controller.
-    pub fn settings_file(&self, net: Net, controller: u32) -> String {
+    pub fn settings_file(&self, net: LoopbackNet, controller: u32) -> String {
         let zones = &self.controllers.zones;
         let zone = |n: u32| &zones[n as usize % zones.len()];
         let mut file = toml::Table::new();
@@ -232,8 +232,8 @@
         let team = |n: u32| {
             table([
                 ("name", format!("t{n}").into()),
-                ("cpus", self.guarantee().into()),
-                ("cpus_max", self.limit().into()),
+                ("cpus", self.guaranteed_team_cpus().into()),
+                ("cpus_max", self.max_team_cpus().into()),
             ])
         };
         let Experiment {
--- a/crates/loadtest/src/state_service.rs
+++ b/crates/loadtest/src/state_service.rs
@@ -1,10 +1,10 @@
 //! The state service's sockets, limits and outages around [`simulator::state::StateService`].
 
 use crate::config::{Experiment, Fault};
-use crate::http::{serve, Answer, Call, SharedTally};
+use crate::http::{serve, HttpRequest, HttpResponse, SharedTrafficTotals};
 use crate::limits::RateLimit;
 use crate::role::{send_message, Context, RoleMessage, RoleReport};
-use crate::site::Clock;
+use crate::run_layout::Clock;
 use hyper::Method;
 use serde::Deserialize;
 use simulator::state::StateService;
@@ -35,7 +35,7 @@
         experiment,
         mut stop,
     } = context;
-    let tally = SharedTally::default();
+    let tally = SharedTrafficTotals::default();
     let count = experiment.controllers.count;
     let warmup = (experiment.warmup_s * 1_000.0) as u64;
     let service = Rc::new(Service::new(experiment, clock));
@@ -49,7 +49,7 @@
         tokio::task::spawn_local(serve(listener, controller, tally.clone(), handler));
     }
     tokio::task::spawn_local(watch_leases(service.clone()));
-    tokio::task::spawn_local(crate::http::clear_at(clock, warmup, tally.clone()));
+    tokio::task::spawn_local(crate::http::clear_totals_at(clock, warmup, tally.clone()));
     send_message(&RoleMessage::Ready);
     let mut before = service.figures();
     tokio::select! {
@@ -152,22 +152,22 @@
         .into()
     }
 
-    async fn handle(&self, call: Call) -> Answer {
+    async fn handle(&self, call: HttpRequest) -> HttpResponse {
         tokio::time::sleep(Duration::from_secs_f64(
             self.experiment.state.latency_ms / 1e3,
         ))
         .await;
         let Some((kind, request)) = read_request(&call) else {
-            return Answer::error("malformed", 400, "malformed");
+            return HttpResponse::error("malformed", 400, "malformed");
         };
         if self.outage() {
             self.during_outage.set(self.during_outage.get() + 1);
-            return Answer::error(kind, 503, "outage");
+            return HttpResponse::error(kind, 503, "outage");
         }
         let now = self.clock.now_ms();
         if !self.requests.borrow_mut().take(now) {
             self.throttled.set(self.throttled.get() + 1);
-            return Answer::error(kind, 429, "too many requests");
+            return HttpResponse::error(kind, 429, "too many requests");
         }
         if let StateRequest::Watch {
             prefix,
@@ -179,7 +179,7 @@
         }
         if let StateRequest::Transaction(txn) = &request {
             if let Some(problem) = self.too_large(txn, call.body.len()) {
-                return Answer::error(kind, 400, &problem);
+                return HttpResponse::error(kind, 400, &problem);
             }
         }
         let reply = self.store.borrow_mut().execute(now, &request);
@@ -224,7 +224,7 @@
     }
 }
 
-fn read_request(call: &Call) -> Option<(&'static str, StateRequest)> {
+fn read_request(call: &HttpRequest) -> Option<(&'static str, StateRequest)> {
     let parts: Vec<&str> = call.path.trim_start_matches('/').split('/').collect();
     let request = match (call.method.clone(), parts.as_slice()) {
         (Method::GET, ["store"]) => {
@@ -286,15 +286,15 @@
     Some(request)
 }
 
-fn answer(kind: &'static str, reply: StateReply) -> Answer {
+fn answer(kind: &'static str, reply: StateReply) -> HttpResponse {
     match reply {
-        StateReply::Item(item) => Answer::json(kind, 200, &item),
-        StateReply::NotFound => Answer::error(kind, 404, "no such key"),
+        StateReply::Item(item) => HttpResponse::json(kind, 200, &item),
+        StateReply::NotFound => HttpResponse::error(kind, 404, "no such key"),
         StateReply::List(mut page) => {
             shorten(&mut page);
-            Answer::json(kind, 200, &page)
+            HttpResponse::json(kind, 200, &page)
         }
-        StateReply::Committed { revision } => Answer::json(
+        StateReply::Committed { revision } => HttpResponse::json(
             kind,
             200,
             &TransactionResponse {
@@ -303,22 +303,24 @@
             },
         ),
         StateReply::Conflict { failed, revision } => {
-            Answer::json(kind, 409, &TransactionResponse { revision, failed })
+            HttpResponse::json(kind, 409, &TransactionResponse { revision, failed })
         }
-        StateReply::Lease(lease) => Answer::json(kind, 200, &LeaseResponse { lease }),
-        StateReply::Ok => Answer {
+        StateReply::Lease(lease) => HttpResponse::json(kind, 200, &LeaseResponse { lease }),
+        StateReply::Ok => HttpResponse {
             status: 200,
             body: b"{}".to_vec(),
             kind,
         },
-        StateReply::LeaseGone if kind == "txn" => Answer::error(kind, 400, "no such lease"),
-        StateReply::LeaseGone => Answer::error(kind, 404, "no such lease"),
-        StateReply::Changes(changes) => Answer::json(kind, 200, &changes),
-        StateReply::Compacted => Answer::error(kind, 410, "compacted"),
-        StateReply::Refused { throttled: true } => Answer::error(kind, 429, "too many writes"),
-        StateReply::Refused { throttled: false } => Answer::error(kind, 503, "trouble"),
-        StateReply::Invalid(problem) => Answer::error(kind, 400, &problem),
-        StateReply::Unknown => Answer::error(kind, 500, "unknown"),
+        StateReply::LeaseGone if kind == "txn" => HttpResponse::error(kind, 400, "no such lease"),
+        StateReply::LeaseGone => HttpResponse::error(kind, 404, "no such lease"),
+        StateReply::Changes(changes) => HttpResponse::json(kind, 200, &changes),
+        StateReply::Compacted => HttpResponse::error(kind, 410, "compacted"),
+        StateReply::Refused { throttled: true } => {
+            HttpResponse::error(kind, 429, "too many writes")
+        }
+        StateReply::Refused { throttled: false } => HttpResponse::error(kind, 503, "trouble"),
+        StateReply::Invalid(problem) => HttpResponse::error(kind, 400, &problem),
+        StateReply::Unknown => HttpResponse::error(kind, 500, "unknown"),
     }
 }
 
--- a/crates/loadtest/src/users.rs
+++ b/crates/loadtest/src/users.rs
@@ -2,10 +2,10 @@
 //! they were told.
 
 use crate::config::Experiment;
-use crate::http::{Client, SharedTally};
+use crate::http::{Client, SharedTrafficTotals};
 use crate::observations::{UserAnswer, UserEvent};
 use crate::role::{send_message, Context, RoleMessage, RoleReport};
-use crate::site::{class_job, job_id, service_job, Clock, Net};
+use crate::run_layout::{class_job_number, job_id, service_job_number, Clock, LoopbackNet};
 use bytes::Bytes;
 use hyper::Method;
 use rand::rngs::SmallRng;
@@ -48,7 +48,11 @@
     for controller in 0..users.experiment.controllers.count {
         tokio::task::spawn_local(users.clone().probe(controller));
     }
-    tokio::task::spawn_local(crate::http::clear_at(clock, warmup, users.tally.clone()));
+    tokio::task::spawn_local(crate::http::clear_totals_at(
+        clock,
+        warmup,
+        users.tally.clone(),
+    ));
     tokio::task::spawn_local(users.clone().submit_services());
     for class in 0..users.experiment.classes.len() {
         tokio::task::spawn_local(users.clone().submit_class(class));
@@ -86,13 +90,13 @@
 }
 
 struct Users {
-    net: Net,
+    net: LoopbackNet,
     clock: Clock,
     experiment: Experiment,
     healthy: RefCell<Vec<bool>>,
     /// Connections that nobody uses now, by controller.
     idle: RefCell<Vec<Vec<Client>>>,
-    tally: SharedTally,
+    tally: SharedTrafficTotals,
     events: RefCell<Vec<UserEvent>>,
     accepted: RefCell<Vec<u64>>,
     given_up: Cell<u64>,
@@ -101,7 +105,7 @@
 }
 
 impl Users {
-    fn new(experiment: Experiment, net: Net, clock: Clock) -> Self {
+    fn new(experiment: Experiment, net: LoopbackNet, clock: Clock) -> Self {
         let count = experiment.controllers.count as usize;
         Users {
             net,
@@ -109,7 +113,7 @@
             experiment,
             healthy: RefCell::new(vec![false; count]),
             idle: RefCell::new((0..count).map(|_| Vec::new()).collect()),
-            tally: SharedTally::default(),
+            tally: SharedTrafficTotals::default(),
             events: RefCell::default(),
             accepted: RefCell::default(),
             given_up: Cell::default(),
@@ -217,7 +221,7 @@
             if self.ending.get() {
                 return;
             }
-            tokio::task::spawn_local(self.clone().live(service_job(nth), 0.0));
+            tokio::task::spawn_local(self.clone().live(service_job_number(nth), 0.0));
             tokio::time::sleep(pause).await;
         }
     }
@@ -239,7 +243,7 @@
             if self.ending.get() {
                 return;
             }
-            tokio::task::spawn_local(self.clone().live(class_job(class, nth), cancelled));
+            tokio::task::spawn_local(self.clone().live(class_job_number(class, nth), cancelled));
         }
     }
 
@@ -272,7 +276,7 @@
 
     /// Submits a job until it is accepted; false if it is not.
     async fn submit(&self, number: u64) -> bool {
-        let Some(job) = self.experiment.job(number) else {
+        let Some(job) = self.experiment.job_request(number) else {
             return false;
         };
         let body = serde_json::to_vec(&job).unwrap_or_default();
--- a/crates/loadtest/src/workers.rs
+++ b/crates/loadtest/src/workers.rs
@@ -1,12 +1,12 @@
 //! Hollow workers: the sockets, clocks and connections around [`simulator::worker::Worker`]. They report,
 //! obey, and let tasks pass; no task is run.
 
-use crate::cloud::{MachineChanges, UpMachine};
+use crate::cloud::{BootedMachine, MachineChanges};
 use crate::config::{Experiment, Fault};
-use crate::http::{serve, Answer, Call, Client, SharedTally};
+use crate::http::{serve, Client, HttpRequest, HttpResponse, SharedTrafficTotals};
 use crate::observations::{TaskChange, TaskEvent};
 use crate::role::{send_message, Context, RoleMessage, RoleReport};
-use crate::site::{controller_number, job_number, machine_number, Clock, Net};
+use crate::run_layout::{controller_number, job_number, machine_number, Clock, LoopbackNet};
 use hyper::Method;
 use rand::Rng;
 use simulator::worker::{TaskTransition, Worker};
@@ -31,7 +31,7 @@
 /// Longest sleep of a worker, so that faults are noticed.
 const MAX_SLEEP_MS: u64 = 1_000;
 /// Who sends direct commands is not known: they are counted under this number.
-pub const ANY_CONTROLLER: u32 = u32::MAX;
+pub const UNKNOWN_CONTROLLER: u32 = u32::MAX;
 
 /// Runs the workers of a process until it is told to stop.
 pub async fn run(context: Context, process: u32) -> std::io::Result<RoleReport> {
@@ -46,13 +46,17 @@
     let site = Rc::new(Site::new(experiment, net, clock));
     let handler = {
         let site = site.clone();
-        move |call: Call| {
+        move |call: HttpRequest| {
             let site = site.clone();
             async move { change_machines(&site, &call).await }
         }
     };
-    tokio::task::spawn_local(serve(listener, 0, SharedTally::default(), handler));
-    tokio::task::spawn_local(crate::http::clear_at(clock, warmup, site.tally.clone()));
+    tokio::task::spawn_local(serve(listener, 0, SharedTrafficTotals::default(), handler));
+    tokio::task::spawn_local(crate::http::clear_totals_at(
+        clock,
+        warmup,
+        site.tally.clone(),
+    ));
     tokio::task::spawn_local(report_progress(site.clone()));
     send_message(&RoleMessage::Ready);
     let _ = stop.await;
@@ -89,9 +93,9 @@
 }
 
 /// Carries out what the cloud says of machines.
-async fn change_machines(site: &Rc<Site>, call: &Call) -> Answer {
+async fn change_machines(site: &Rc<Site>, call: &HttpRequest) -> HttpResponse {
     let Ok(changes) = serde_json::from_slice::<MachineChanges>(&call.body) else {
-        return Answer::error("", 400, "malformed");
+        return HttpResponse::error("", 400, "malformed");
     };
     for name in &changes.gone {
         if let Some(worker) = site.workers.borrow_mut().remove(name) {
@@ -103,25 +107,25 @@
             eprintln!("trackcrank-loadtest: a worker cannot listen: {error}");
         }
     }
-    Answer {
+    HttpResponse {
         status: 200,
         body: b"{}".to_vec(),
         kind: "",
     }
 }
 
-async fn start_worker(site: &Rc<Site>, machine: UpMachine) -> std::io::Result<()> {
+async fn start_worker(site: &Rc<Site>, machine: BootedMachine) -> std::io::Result<()> {
     let number = machine_number(&machine.name);
     let listener = TcpListener::bind(site.net.worker(number)).await?;
     let worker = Rc::new(HollowWorker::new(site.clone(), number, &machine));
     let handler = {
         let worker = worker.clone();
-        move |call: Call| {
+        move |call: HttpRequest| {
             let worker = worker.clone();
             async move { worker.direct(call).await }
         }
     };
-    let serving = serve(listener, ANY_CONTROLLER, site.tally.clone(), handler);
+    let serving = serve(listener, UNKNOWN_CONTROLLER, site.tally.clone(), handler);
     let tasks = vec![
         tokio::task::spawn_local(serving),
         tokio::task::spawn_local(worker.clone().live()),
@@ -133,21 +137,21 @@
 
 /// What the workers of a process share.
 struct Site {
-    net: Net,
+    net: LoopbackNet,
     clock: Clock,
     experiment: Experiment,
     report_ms: u64,
     lease_ms: u64,
     /// Jobs that workers were told of.
     jobs: RefCell<HashMap<String, JobRequest>>,
-    tally: SharedTally,
+    tally: SharedTrafficTotals,
     events: RefCell<Vec<TaskEvent>>,
     workers: RefCell<HashMap<String, Rc<HollowWorker>>>,
     lapsed: Cell<u64>,
 }
 
 impl Site {
-    fn new(experiment: Experiment, net: Net, clock: Clock) -> Self {
+    fn new(experiment: Experiment, net: LoopbackNet, clock: Clock) -> Self {
         Site {
             net,
             clock,
@@ -155,7 +159,7 @@
             lease_ms: (experiment.workers.lease_s * 1_000.0) as u64,
             experiment,
             jobs: RefCell::default(),
-            tally: SharedTally::default(),
+            tally: SharedTrafficTotals::default(),
             events: RefCell::default(),
             workers: RefCell::default(),
             lapsed: Cell::default(),
@@ -173,7 +177,7 @@
             if jobs.contains_key(id) {
                 continue;
             }
-            if let Some(job) = job_number(id).and_then(|n| self.experiment.job(n)) {
+            if let Some(job) = job_number(id).and_then(|n| self.experiment.job_request(n)) {
                 jobs.insert(id.to_owned(), job);
             }
         }
@@ -203,7 +207,7 @@
 }
 
 impl HollowWorker {
-    fn new(site: Rc<Site>, machine: u32, up: &UpMachine) -> Self {
+    fn new(site: Rc<Site>, machine: u32, up: &BootedMachine) -> Self {
         let now = site.clock.now_ms();
         let mut worker = Worker::new(&up.name, &up.machine_type, &up.zone, up.spot, now);
         worker.controller = rand::rng().random_range(0..site.experiment.controllers.count) as usize;
@@ -498,7 +502,7 @@
     }
 
     /// A request straight to the worker.
-    async fn direct(&self, call: Call) -> Answer {
+    async fn direct(&self, call: HttpRequest) -> HttpResponse {
         while self.silent(self.site.clock.now_ms()) && !self.gone.get() {
             tokio::time::sleep(Duration::from_millis(100)).await;
         }
@@ -509,16 +513,16 @@
         match (call.method, call.path.as_str()) {
             (Method::GET, "/status") => {
                 let report = self.message(&mut self.state.borrow_mut());
-                Answer::json("status", 200, &report)
+                HttpResponse::json("status", 200, &report)
             }
             (Method::POST, "/commands") => self.execute(&call.body),
-            _ => Answer::error("malformed", 404, "no such path"),
+            _ => HttpResponse::error("malformed", 404, "no such path"),
         }
     }
 
-    fn execute(&self, body: &[u8]) -> Answer {
+    fn execute(&self, body: &[u8]) -> HttpResponse {
         let Ok(direct) = serde_json::from_slice::<DirectCommands>(body) else {
-            return Answer::error("commands", 400, "baton or shift is missing");
+            return HttpResponse::error("commands", 400, "baton or shift is missing");
         };
         self.site.fetch_jobs(&direct.commands);
         let now = self.site.clock.now_ms();
@@ -537,6 +541,6 @@
         self.step();
         self.wake.notify_one();
         let report = self.message(&mut self.state.borrow_mut());
-        Answer::json("commands", if executed { 200 } else { 409 }, &report)
+        HttpResponse::json("commands", if executed { 200 } else { 409 }, &report)
     }
 }
--- a/crates/loadtest/tests/config.rs
+++ b/crates/loadtest/tests/config.rs
@@ -1,7 +1,7 @@
 //! Experiment files: what is wrong is named by its field, before anything is started.
 
 use loadtest::config::Experiment;
-use loadtest::limits::{check_processes, Machine, MAX_PROCESSES};
+use loadtest::limits::{check_processes, HostResources, PROCESS_LIMIT};
 
 const SMALL: &str = include_str!("../experiments/small.toml");
 
@@ -58,15 +58,17 @@
 
 #[test]
 fn experiments_beyond_the_machine_are_refused_with_the_limit() {
-    let machine = Machine {
-        memory: 24 << 30,
-        available: 20 << 30,
-        descriptors: 20_000,
+    let machine = HostResources {
+        memory_bytes: 24 << 30,
+        available_bytes: 20 << 30,
+        max_open_files: 20_000,
     };
-    let checked = |changes: &[&str], machine: Machine| {
+    let checked = |changes: &[&str], machine: HostResources| {
         let changes: Vec<String> = changes.iter().map(|c| (*c).to_owned()).collect();
         let experiment = Experiment::parse_with(SMALL, &changes).expect("a good file");
-        machine.check_before(&experiment).map_err(|e| e.to_string())
+        machine
+            .check_expected_use(&experiment)
+            .map_err(|e| e.to_string())
     };
     assert_eq!(checked(&[], machine), Ok(()));
     let all = checked(&["workers.count=21000"], machine).expect_err("all at one controller");
@@ -79,12 +81,12 @@
     assert!(process.contains("workers.per_process"), "{process}");
     let many = checked(&["workers.count=3000", "workers.per_process=10"], machine);
     assert!(many.expect_err("too many processes").contains("processes"));
-    let small = Machine {
-        memory: 1 << 29,
+    let small = HostResources {
+        memory_bytes: 1 << 29,
         ..machine
     };
     let memory = checked(&["workers.count=5000"], small).expect_err("too little memory");
     assert!(memory.contains("MiB"), "{memory}");
-    assert!(small.check_memory((1 << 28) + (1 << 20)).is_err());
-    assert!(check_processes(MAX_PROCESSES).is_err());
+    assert!(small.check_memory_use((1 << 28) + (1 << 20)).is_err());
+    assert!(check_processes(PROCESS_LIMIT).is_err());
 }
--- a/crates/loadtest/tests/rules.rs
+++ b/crates/loadtest/tests/rules.rs
@@ -3,7 +3,7 @@
 use loadtest::config::Experiment;
 use loadtest::observations::{TaskChange, TaskEvent, UserAnswer, UserEvent};
 use loadtest::rules::{check, Verdict};
-use loadtest::site::class_job;
+use loadtest::run_layout::class_job_number;
 use wire::users::JobState;
 
 const SECOND: u64 = 1_000_000;
@@ -55,13 +55,13 @@
 
 #[test]
 fn whole_job_breaks_no_rule() {
-    let (tasks, users) = whole(class_job(0, 0));
+    let (tasks, users) = whole(class_job_number(0, 0));
     assert_eq!(rules_broken(&tasks, &users), Vec::<String>::new());
 }
 
 #[test]
 fn task_on_two_machines_is_found() {
-    let job = class_job(0, 0);
+    let job = class_job_number(0, 0);
     let (mut tasks, users) = whole(job);
     tasks.push(task(4, 6, job, TaskChange::Started));
     assert_eq!(rules_broken(&tasks, &users), ["ran_twice"]);
@@ -69,7 +69,7 @@
 
 #[test]
 fn task_that_moved_after_its_end_is_no_breach() {
-    let job = class_job(0, 0);
+    let job = class_job_number(0, 0);
     let (mut tasks, users) = whole(job);
     tasks.push(task(1, 6, job, TaskChange::Started));
     tasks.push(task(2, 6, job, TaskChange::Ended));
@@ -78,7 +78,7 @@
 
 #[test]
 fn early_done_and_going_back_are_found() {
-    let job = class_job(0, 0);
+    let job = class_job_number(0, 0);
     let (tasks, mut users) = whole(job);
     users.push(user(5, job, UserAnswer::Told(JobState::Done)));
     users.push(user(7, job, UserAnswer::Told(JobState::Running)));
@@ -90,7 +90,7 @@
 
 #[test]
 fn forgotten_job_is_found() {
-    let job = class_job(0, 0);
+    let job = class_job_number(0, 0);
     let (tasks, mut users) = whole(job);
     users.push(user(20, job, UserAnswer::Missing));
     assert_eq!(rules_broken(&tasks, &users), ["forgotten"]);
@@ -98,7 +98,7 @@
 
 #[test]
 fn cancelled_task_that_stays_is_found() {
-    let job = class_job(0, 0);
+    let job = class_job_number(0, 0);
     let tasks = [task(3, 5, job, TaskChange::Started)];
     let users = [
         user(1, job, UserAnswer::Accepted),
@@ -112,7 +112,7 @@
 
 #[test]
 fn task_of_unsubmitted_job_and_idle_run_are_found() {
-    let tasks = [task(3, 5, class_job(0, 7), TaskChange::Started)];
+    let tasks = [task(3, 5, class_job_number(0, 7), TaskChange::Started)];
     assert_eq!(rules_broken(&tasks, &[]), ["wrong_place"]);
     assert_eq!(rules_broken(&[], &[]), ["nothing_ran"]);
 }
@@ -120,12 +120,12 @@
 #[test]
 fn team_over_its_limit_is_found() {
     let experiment = experiment();
-    let team_0 = |job: &u64| experiment.job(*job).is_some_and(|j| j.team == "t0");
+    let team_0 = |job: &u64| experiment.job_request(*job).is_some_and(|j| j.team == "t0");
     let jobs: Vec<u64> = (0..6_000)
-        .map(|nth| class_job(0, nth))
+        .map(|nth| class_job_number(0, nth))
         .filter(team_0)
         .collect();
-    let fit = (experiment.limit() / 0.5) as usize;
+    let fit = (experiment.max_team_cpus() / 0.5) as usize;
     assert!(jobs.len() > fit, "enough jobs of one team");
     let tasks: Vec<_> = jobs
         .iter()
