--- a/crates/simulator/tests/golden_admin.rs
+++ b/crates/simulator/tests/golden_admin.rs
@@ -1,5 +1,5 @@
-//! The administration API as bytes: views of a controller with machines and jobs, changes of the operators'
-//! settings, and errors.
+//! Golden tests of the admin API: views of a controller with machines and jobs, changes of the operators' settings, and
+//! errors.
 
 #[path = "../../wire/tests/golden/mod.rs"]
 mod golden;
@@ -15,15 +15,15 @@
 use wire::users::JobKind;
 
 const MACHINES: usize = 8;
-/// Later than everything that happens to the controller before it is asked.
-const ASKED_AT: Timestamp = Timestamp::from_millis(8_000);
+/// Time of the requests: later than all other events of the controller.
+const REQUESTED_AT: Timestamp = Timestamp::from_millis(8_000);
 const TICKET: u64 = 1_000;
 /// Incarnation of the controller under test.
-const BOOT: u64 = 256;
+const INCARNATION: u64 = 256;
 
-fn ask(controller: &mut Controller, request: AdminRequest) -> Vec<Effect> {
+fn send_request(controller: &mut Controller, request: AdminRequest) -> Vec<Effect> {
     controller.handle(
-        ASKED_AT,
+        REQUESTED_AT,
         Event::Admin {
             ticket: TICKET,
             request,
@@ -31,8 +31,8 @@
     )
 }
 
-/// The answer among a controller's effects, as its status and its body.
-fn answer(effects: &[Effect]) -> Option<String> {
+/// The reply to an admin request among a controller's effects, as its status and its body.
+fn admin_reply(effects: &[Effect]) -> Option<String> {
     effects.iter().find_map(|effect| match effect {
         Effect::Admin {
             ticket: TICKET,
@@ -42,11 +42,12 @@
     })
 }
 
-fn view(controller: &mut Controller, name: &'static str, request: AdminRequest) -> Entry {
-    let effects = ask(controller, request);
+/// An entry of the reply to a request.
+fn reply_entry(controller: &mut Controller, name: &'static str, request: AdminRequest) -> Entry {
+    let effects = send_request(controller, request);
     Entry::text(
         name,
-        answer(&effects).unwrap_or_else(|| panic!("{name} is answered at once")),
+        admin_reply(&effects).unwrap_or_else(|| panic!("no immediate reply to {name}")),
     )
 }
 
@@ -57,7 +58,7 @@
     }
 }
 
-fn sign_of_life() -> MeshMessage {
+fn peer_heartbeat() -> MeshMessage {
     let peer_heartbeat_ages = vec![("n0".to_owned(), 20)];
     MeshMessage::Heartbeat {
         incarnation: 9,
@@ -68,26 +69,26 @@
     }
 }
 
-fn follow() -> MeshMessage {
+fn subscription() -> MeshMessage {
     MeshMessage::Subscribe {
         partition: 0,
-        incarnation: BOOT,
+        incarnation: INCARNATION,
         term: 1,
         applied: 0,
     }
 }
 
-/// A controller on whose machines an array and a service run, with more that waits.
-fn busy_site() -> SingleController {
+/// A controller on whose machines an array and a service run, while other tasks wait.
+fn busy_controller() -> SingleController {
     let mut single_controller = SingleController::with_silent_peer(MACHINES);
     single_controller.submit(JobKind::Service, 1);
     single_controller.submit(JobKind::Array, 12);
     single_controller.submit(JobKind::Gang, 5);
     for _ in 0..30 {
         single_controller.tick(100);
-        single_controller.inject(from_peer(sign_of_life()));
-        for nth in 0..MACHINES {
-            single_controller.send_heartbeat(nth);
+        single_controller.inject(from_peer(peer_heartbeat()));
+        for machine_index in 0..MACHINES {
+            single_controller.send_heartbeat(machine_index);
         }
     }
     single_controller
@@ -95,29 +96,29 @@
 
 #[test]
 fn admin_views_match_golden_bytes() {
-    let mut single_controller = busy_site();
+    let mut single_controller = busy_controller();
     let controller = single_controller.controller();
-    controller.handle(ASKED_AT, from_peer(follow()));
+    controller.handle(REQUESTED_AT, from_peer(subscription()));
     let job = |id: &str| AdminRequest::Job(id.into());
     let entries = [
-        view(controller, "settings", AdminRequest::Settings),
-        view(controller, "partitions", AdminRequest::Partitions),
-        view(controller, "standby", AdminRequest::Standby),
-        view(controller, "machines", AdminRequest::Machines),
-        view(controller, "queues", AdminRequest::Queues),
-        view(controller, "job_service", job("j-000001")),
-        view(controller, "job_array", job("j-000002")),
-        view(controller, "job_gang", job("j-000003")),
-        view(controller, "job_not_open", job("j-000099")),
-        view(controller, "job_malformed", job("nothing")),
-        view(controller, "metrics", AdminRequest::Metrics),
+        reply_entry(controller, "settings", AdminRequest::Settings),
+        reply_entry(controller, "partitions", AdminRequest::Partitions),
+        reply_entry(controller, "standby", AdminRequest::Standby),
+        reply_entry(controller, "machines", AdminRequest::Machines),
+        reply_entry(controller, "queues", AdminRequest::Queues),
+        reply_entry(controller, "job_service", job("j-000001")),
+        reply_entry(controller, "job_array", job("j-000002")),
+        reply_entry(controller, "job_gang", job("j-000003")),
+        reply_entry(controller, "job_not_open", job("j-000099")),
+        reply_entry(controller, "job_malformed", job("nothing")),
+        reply_entry(controller, "metrics", AdminRequest::Metrics),
     ];
     golden::check("admin_views.txt", &entries);
 }
 
-/// A controller that was asked for more than it could answer before it had taken its partition over.
+/// A restarted controller refuses requests that it can't answer before it leads its partition again.
 #[test]
-fn admin_refusals_match_golden_names() {
+fn refusal_counts_match_golden_bytes() {
     let mut single_controller = SingleController::new(MACHINES);
     single_controller.restart();
     single_controller.submit(JobKind::Array, 1);
@@ -132,13 +133,13 @@
             request: AdminRequest::Metrics,
         },
     );
-    let answer = answer(&effects).expect("an answer");
-    let body: Value = serde_json::from_str(answer.trim_start_matches("200 ")).expect("JSON");
+    let reply = admin_reply(&effects).expect("a reply");
+    let body: Value = serde_json::from_str(reply.trim_start_matches("200 ")).expect("JSON");
     let entries = [Entry::text("refusals", body["refusals"].to_string())];
     golden::check("admin_refusals.txt", &entries);
 }
 
-fn change(settings: Value) -> AdminRequest {
+fn settings_change(settings: Value) -> AdminRequest {
     AdminRequest::ChangeSettings {
         version: 7,
         settings,
@@ -150,76 +151,108 @@
     let mut single_controller = SingleController::new(MACHINES);
     let controller = single_controller.controller();
     let entries = [
-        view(
+        reply_entry(
             controller,
             "unknown_field",
-            change(json!({ "lease_s": 3.0 })),
+            settings_change(json!({ "lease_s": 3.0 })),
         ),
-        view(
+        reply_entry(
             controller,
             "wrong_type",
-            change(json!({ "window": "many" })),
+            settings_change(json!({ "window": "many" })),
         ),
-        view(controller, "out_of_bounds", change(json!({ "window": 0 }))),
-        view(
+        reply_entry(
+            controller,
+            "out_of_bounds",
+            settings_change(json!({ "window": 0 })),
+        ),
+        reply_entry(
             controller,
             "below_another",
-            change(json!({ "max_backoff_s": 0.01 })),
+            settings_change(json!({ "max_backoff_s": 0.01 })),
         ),
-        view(
+        reply_entry(
             controller,
             "initial_backoff",
-            change(json!({ "initial_backoff_s": 0.0 })),
+            settings_change(json!({ "initial_backoff_s": 0.0 })),
+        ),
+        reply_entry(
+            controller,
+            "leftover",
+            settings_change(json!({ "leftover_s": 0.0 })),
         ),
-        view(controller, "leftover", change(json!({ "leftover_s": 0.0 }))),
-        view(controller, "silence", change(json!({ "silence_s": 0.0 }))),
-        view(
+        reply_entry(
+            controller,
+            "silence",
+            settings_change(json!({ "silence_s": 0.0 })),
+        ),
+        reply_entry(
             controller,
             "faulty_after",
-            change(json!({ "faulty_after": 0 })),
+            settings_change(json!({ "faulty_after": 0 })),
+        ),
+        reply_entry(
+            controller,
+            "set_back",
+            settings_change(json!({ "set_back": 1001 })),
         ),
-        view(controller, "set_back", change(json!({ "set_back": 1001 }))),
-        view(controller, "absorb", change(json!({ "absorb_s": -1.0 }))),
-        view(
+        reply_entry(
+            controller,
+            "absorb",
+            settings_change(json!({ "absorb_s": -1.0 })),
+        ),
+        reply_entry(
             controller,
             "short_set_back",
-            change(json!({ "short_set_back": 1001 })),
+            settings_change(json!({ "short_set_back": 1001 })),
+        ),
+        reply_entry(
+            controller,
+            "horizon",
+            settings_change(json!({ "horizon_s": 0.0 })),
         ),
-        view(controller, "horizon", change(json!({ "horizon_s": 0.0 }))),
-        view(
+        reply_entry(
             controller,
             "keep_idle",
-            change(json!({ "keep_idle_s": -1.0 })),
+            settings_change(json!({ "keep_idle_s": -1.0 })),
         ),
-        view(controller, "paid", change(json!({ "paid_s": -1.0 }))),
-        view(
+        reply_entry(
+            controller,
+            "paid",
+            settings_change(json!({ "paid_s": -1.0 })),
+        ),
+        reply_entry(
             controller,
             "shift_idle",
-            change(json!({ "shift_idle_s": -1.0 })),
+            settings_change(json!({ "shift_idle_s": -1.0 })),
         ),
-        view(
+        reply_entry(
             controller,
             "shift_count",
-            change(json!({ "shift_count": 1001 })),
+            settings_change(json!({ "shift_count": 1001 })),
+        ),
+        reply_entry(
+            controller,
+            "silent",
+            settings_change(json!({ "silent_s": 0.0 })),
         ),
-        view(controller, "silent", change(json!({ "silent_s": 0.0 }))),
-        view(
+        reply_entry(
             controller,
             "boot_trust",
-            change(json!({ "boot_trust": 0.0 })),
+            settings_change(json!({ "boot_trust": 0.0 })),
         ),
-        view(
+        reply_entry(
             controller,
             "boot_patience",
-            change(json!({ "boot_patience": 0 })),
+            settings_change(json!({ "boot_patience": 0 })),
         ),
     ];
     golden::check("admin_errors.txt", &entries);
 }
 
-/// Asks for a change; returns the transaction that this leads to, with its call.
+/// Requests a change of the settings; returns the call that writes them, and its transaction.
 fn write_settings(controller: &mut Controller, settings: Value) -> (CallId, Transaction) {
-    let calls = ask(controller, change(settings))
+    let write = send_request(controller, settings_change(settings))
         .into_iter()
         .find_map(|effect| match effect {
             Effect::State {
@@ -233,22 +266,23 @@
                 .then_some((call, txn)),
             _ => None,
         });
-    calls.expect("a write of the settings")
+    write.expect("a write of the settings")
 }
 
-/// The answer to a change, after this answer of the state service.
-fn changed(name: &'static str, reply: StateReply) -> Entry {
+/// An entry of the reply to a change of the settings, after this reply of the state service.
+fn settings_reply_entry(name: &'static str, reply: StateReply) -> Entry {
     let mut single_controller = SingleController::new(MACHINES);
     let controller = single_controller.controller();
     let (call, _) = write_settings(controller, json!({ "window": 32 }));
-    let effects = controller.handle(ASKED_AT, Event::State { call, reply });
+    let effects = controller.handle(REQUESTED_AT, Event::State { call, reply });
     Entry::text(
         name,
-        answer(&effects).unwrap_or_else(|| panic!("{name} is answered")),
+        admin_reply(&effects).unwrap_or_else(|| panic!("no reply to {name}")),
     )
 }
 
-fn written(name: &'static str, settings: Value) -> Entry {
+/// An entry of the transaction that writes these settings.
+fn settings_write_entry(name: &'static str, settings: Value) -> Entry {
     let mut single_controller = SingleController::new(MACHINES);
     let (_, txn) = write_settings(single_controller.controller(), settings);
     Entry::text(name, golden::to_json(&txn))
@@ -261,11 +295,11 @@
         revision: 90,
     };
     let entries = [
-        written("write", json!({ "window": 32, "preempt": false })),
-        written("write_defaults", json!({})),
-        changed("committed", StateReply::Committed { revision: 91 }),
-        changed("stale", conflict),
-        changed("unknown", StateReply::Unknown),
+        settings_write_entry("write", json!({ "window": 32, "preempt": false })),
+        settings_write_entry("write_defaults", json!({})),
+        settings_reply_entry("committed", StateReply::Committed { revision: 91 }),
+        settings_reply_entry("stale", conflict),
+        settings_reply_entry("unknown", StateReply::Unknown),
     ];
     golden::check("admin_changes.txt", &entries);
 }
--- a/crates/simulator/tests/unreadable_records.rs
+++ b/crates/simulator/tests/unreadable_records.rs
@@ -1,9 +1,8 @@
-//! Records of accepted jobs that this controller cannot read, such as those of a newer version.
+//! Records of accepted jobs that this controller can't read, such as those of a newer version, must be kept.
 //!
-//! What happened, found by reading and shown by the first test: a page of accepted jobs was written again from the jobs
-//! that the controller could read on it. An entry that it could not read (the log said `record rejected`) was gone from
-//! the state service with the next acceptance on that page, and with it the only record of an accepted job. Until then
-//! its user was told 404.
+//! Guards against their loss: a controller rewrote a page of accepted jobs from the entries that it could read. The
+//! next acceptance on that page then deleted an unreadable entry (logged as `record rejected`) and with it the only
+//! record of an accepted job. Until then, requests for this job were answered with 404.
 
 use controller::{UserReply, UserRequest};
 use model::JobId;
@@ -11,11 +10,11 @@
 use simulator::{single_controller, SingleController};
 use wire::users::JobKind;
 
-const PAGE: &str = "s/j/n0/0000";
+const PAGE_KEY: &str = "s/j/n0/0000";
 /// The job whose record has an unknown form.
 const UNREADABLE_JOB: u64 = 777;
 
-/// Entries that no present version writes: a job in another form, and one without any known part.
+/// Entries that this version does not write: a job in another form, and an entry without any known field.
 fn unreadable_entries() -> Vec<Value> {
     vec![
         json!([3, format!("j-{UNREADABLE_JOB:06}"), { "version": 2 }]),
@@ -23,20 +22,20 @@
     ]
 }
 
-/// A controller that has started with these entries on its page.
+/// A controller that has started with these entries on the page.
 fn controller_with_page(entries: Vec<Value>) -> SingleController {
     let mut single_controller = SingleController::new(2);
-    single_controller.put_state_value(PAGE, json!({ "jobs": entries }));
+    single_controller.put_state_value(PAGE_KEY, json!({ "jobs": entries }));
     single_controller.restart();
     run(&mut single_controller);
     single_controller
 }
 
-/// A controller that has read a page with such entries and then accepted a job on it.
+/// A controller that has started with unreadable entries on the page and has then accepted a job on it.
 fn controller_with_unreadable_entries() -> SingleController {
     let mut single_controller = controller_with_page(unreadable_entries());
-    let accepted = single_controller::job(5, JobKind::Array, 2);
-    single_controller.send_user_request(UserRequest::Submit(Box::new(accepted)));
+    let request = single_controller::job(5, JobKind::Array, 2);
+    single_controller.send_user_request(UserRequest::Submit(Box::new(request)));
     run(&mut single_controller);
     single_controller
 }
@@ -48,19 +47,19 @@
 }
 
 #[test]
-fn unreadable_entries_survive_a_new_page() {
+fn unreadable_entries_survive_rewrite_of_page() {
     let single_controller = controller_with_unreadable_entries();
-    let page = single_controller.state_value(PAGE).expect("the page");
+    let page = single_controller.state_value(PAGE_KEY).expect("the page");
     let jobs = page["jobs"].as_array().expect("jobs");
     assert_eq!(jobs.len(), 3, "{page}");
     assert!(jobs.iter().any(|job| job[1] == "j-000005"), "{page}");
     for entry in unreadable_entries() {
-        assert!(jobs.contains(&entry), "{entry} is gone: {page}");
+        assert!(jobs.contains(&entry), "{entry} is missing: {page}");
     }
 }
 
 #[test]
-fn unreadable_job_is_undecidable() {
+fn requests_for_unreadable_job_get_busy_reply() {
     let mut single_controller = controller_with_unreadable_entries();
     single_controller.take_user_replies();
     let id = JobId(UNREADABLE_JOB);
@@ -75,20 +74,20 @@
     }
 }
 
-/// A full page of such entries takes no further jobs; another page does.
+/// A job is accepted on another page if unreadable entries fill the first one.
 #[test]
-fn unreadable_entries_count_as_full() {
-    let large: Vec<Value> = (0..40)
+fn unreadable_entries_count_against_page_capacity() {
+    let large_entries: Vec<Value> = (0..40)
         .map(|number| json!({ "number": number, "filler": "x".repeat(80) }))
         .collect();
-    let mut single_controller = controller_with_page(large);
-    let accepted = single_controller::job(5, JobKind::Array, 2);
-    single_controller.send_user_request(UserRequest::Submit(Box::new(accepted)));
+    let mut single_controller = controller_with_page(large_entries);
+    let request = single_controller::job(5, JobKind::Array, 2);
+    single_controller.send_user_request(UserRequest::Submit(Box::new(request)));
     run(&mut single_controller);
-    let page = single_controller.state_value(PAGE).expect("the page");
+    let page = single_controller.state_value(PAGE_KEY).expect("the page");
     assert_eq!(page["jobs"].as_array().map(Vec::len), Some(40));
-    let other = single_controller
+    let second_page = single_controller
         .state_value("s/j/n0/0001")
-        .expect("a page");
-    assert_eq!(other["jobs"][0][1], "j-000005");
+        .expect("the second page");
+    assert_eq!(second_page["jobs"][0][1], "j-000005");
 }
