--- a/crates/simulator/src/availability.rs
+++ b/crates/simulator/src/availability.rs
@@ -43,7 +43,8 @@
 /// The largest jobs have to be fully started within this time after their submission.
 const LARGE_JOB_START_DEADLINE_MS: u64 = 240_000;
 
-/// The largest jobs of a kind are the largest one in this many, and all others of the largest size.
+/// The largest tenth of the jobs of a kind, one in this many, count as its largest jobs; so does every job of the
+/// largest size.
 const JOBS_PER_LARGEST_JOB: usize = 10;
 
 impl Availability {
@@ -159,7 +160,7 @@
     }
 
     /// Service levels of each kind of job, and of each kind within each team. An array or a gang is due if it was
-    /// accepted at `until` at the latest and was not cancelled; it is served once a user got the reply that it is
+    /// accepted by `accepted_until` and was not cancelled; it is served once a user got the reply that it is
     /// done. Services count in replica seconds.
     pub fn service_levels(
         &self,
@@ -167,7 +168,7 @@
         accepted: &BTreeMap<String, u64>,
         cancelled: &BTreeSet<String>,
         done: &BTreeMap<String, u64>,
-        until: u64,
+        accepted_until: u64,
     ) -> Vec<ServiceLevel> {
         let mut totals: BTreeMap<String, (u64, u64)> = BTreeMap::new();
         let mut add = |name: String, due, served| {
@@ -178,7 +179,7 @@
             let Some(job) = jobs.get(id) else { continue };
             let (due, served) = if job.kind == JobKind::Service {
                 self.replica_seconds.get(id).copied().unwrap_or_default()
-            } else if *accepted_at <= until && !cancelled.contains(id) {
+            } else if *accepted_at <= accepted_until && !cancelled.contains(id) {
                 (1, u64::from(done.contains_key(id)))
             } else {
                 continue;
--- a/crates/simulator/src/cloud.rs
+++ b/crates/simulator/src/cloud.rs
@@ -33,7 +33,7 @@
     capacity: BTreeMap<(String, bool), u32>,
     last_machine_number: u64,
     /// Typical age of the state that a list shows; it varies between half and twice this.
-    list_lag: u64,
+    list_lag_ms: u64,
     /// How machines boot that are rented from now on.
     pub boot_behavior: BootBehavior,
 }
@@ -79,7 +79,7 @@
             rented_by_key: HashMap::new(),
             capacity,
             last_machine_number: 0,
-            list_lag: 6_000,
+            list_lag_ms: 6_000,
             boot_behavior: BootBehavior::Usual,
         }
     }
@@ -107,7 +107,7 @@
             CloudRequest::Rent(rent) => (self.rent(now, rent, rng), Vec::new()),
             CloudRequest::Release(names) => (CloudReply::Released, self.release(now, names)),
             CloudRequest::ListMachines { after, limit } => {
-                let lag = rng.random_range(self.list_lag / 2..self.list_lag * 2);
+                let lag = rng.random_range(self.list_lag_ms / 2..self.list_lag_ms * 2);
                 let seen_at = now.saturating_sub(lag);
                 (
                     CloudReply::MachineList(self.list(seen_at, after, *limit as usize)),
--- a/crates/simulator/src/fingerprint/runs.rs
+++ b/crates/simulator/src/fingerprint/runs.rs
@@ -119,7 +119,8 @@
     requests
 }
 
-/// A change of the settings. The first is accepted; the later ones are rejected as invalid or as based on a stale version.
+/// A change of the settings. The first is accepted; the later ones are rejected as invalid or as based on a stale
+/// version.
 fn settings_change(round: usize) -> AdminRequest {
     let settings = match round {
         1 => json!({ "no_such_field": 1 }),
--- a/crates/simulator/src/rules.rs
+++ b/crates/simulator/src/rules.rs
@@ -20,7 +20,7 @@
     /// Time from the confirmation of a cancellation until all tasks of the job must be gone.
     cancel_deadline_ms: u64,
     pub violations: Vec<Violation>,
-    /// Number of task starts.
+    /// Number of tasks that started, counting each attempt.
     pub task_starts: u64,
     /// When users were first told that each job is accepted, by job id.
     pub accepted: BTreeMap<String, u64>,
--- a/crates/simulator/src/single_controller.rs
+++ b/crates/simulator/src/single_controller.rs
@@ -38,7 +38,7 @@
     /// Events that the controller has not handled yet.
     events: VecDeque<Event>,
     last_ticket: u64,
-    /// Number of heartbeats that got a response with commands, not a redirect or an error.
+    /// Number of heartbeats that the controller answered as leader, not with a redirect or an error.
     heartbeat_responses: usize,
     machine_count: usize,
     /// If set, another machine answers direct calls at all addresses with this heartbeat.
--- a/crates/simulator/src/starvation/tests.rs
+++ b/crates/simulator/src/starvation/tests.rs
@@ -26,7 +26,7 @@
     assert_eq!(
         starving_jobs(&job, 0.5),
         [""; 0],
-        "its team is at its limit"
+        "one task exceeds the limit of its team"
     );
     let elsewhere = JobRequest {
         zone: Some("b".into()),
--- a/crates/simulator/src/state.rs
+++ b/crates/simulator/src/state.rs
@@ -27,8 +27,9 @@
     /// Puts and deletes that may be executed now, at most one second's worth.
     write_budget: f64,
     budget_refilled_at: u64,
+    /// Rate limit: puts and deletes per second.
     write_rps: f64,
-    /// Number of puts and deletes that were accepted, and of those refused because they exceeded the rate limit.
+    /// Number of puts and deletes that were accepted, and number of those that were refused because of the rate limit.
     pub accepted_writes: u64,
     pub refused_writes: u64,
     /// Maximum number of changes that are kept for watches.
