--- a/crates/loadtest/src/cloud.rs
+++ b/crates/loadtest/src/cloud.rs
@@ -1,5 +1,5 @@
-//! The cloud's sockets and limits around [`simulator::cloud::Cloud`]; it tells the processes that hold the
-//! workers which machines are up and which are gone.
+//! The simulated cloud: sockets and limits around [`simulator::cloud::Cloud`]. It notifies the processes that run the
+//! workers of machines that have booted and of machines that were released.
 
 use crate::config::Experiment;
 use crate::http::{serve, Client, HttpRequest, HttpResponse, SharedTrafficTotals};
@@ -19,16 +19,16 @@
 use tokio::sync::Mutex;
 use wire::cloud::{CloudReply, CloudRequest, MachineNames, RentRequest};
 
-/// How often machines that have come up are announced.
+/// How often machines that have booted are announced.
 const ANNOUNCEMENT_INTERVAL: Duration = Duration::from_millis(50);
-/// Bursts that the cloud allows.
+/// Seconds' worth of requests that may come in one burst.
 const BURST_S: f64 = 2.0;
-/// Most machines of one rental, of one return and of one page.
+/// Most machines in one rental, in one release and on one page of the list.
 const MAX_RENTED: u32 = 50;
 const MAX_RELEASED: usize = 100;
 const MAX_LISTED: u32 = 500;
 
-/// A machine that has come up.
+/// A machine that has booted.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct BootedMachine {
     pub name: String,
@@ -37,14 +37,16 @@
     pub spot: bool,
 }
 
-/// What a process with workers is told.
+/// Notification to a process that runs workers.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 pub struct MachineChanges {
+    /// Machines that have booted.
     pub up: Vec<BootedMachine>,
+    /// Names of machines that were released.
     pub gone: Vec<String>,
 }
 
-/// Runs the cloud until it is told to stop.
+/// Runs the cloud until `context.stop` resolves.
 pub async fn run(context: Context) -> std::io::Result<RoleReport> {
     let Context {
         net,
@@ -52,42 +54,46 @@
         experiment,
         stop,
     } = context;
-    let tally = SharedTrafficTotals::default();
+    let traffic_totals = SharedTrafficTotals::default();
     let count = experiment.controllers.count;
-    let warmup = (experiment.warmup_s * 1_000.0) as u64;
-    let service = Rc::new(Service::new(experiment, net, clock));
+    let warmup_ms = (experiment.warmup_s * 1_000.0) as u64;
+    let server = Rc::new(CloudServer::new(experiment, net, clock));
     for controller in 0..count {
         let listener = TcpListener::bind(net.cloud(controller)).await?;
-        let service = service.clone();
-        let handler = move |call| {
-            let service = service.clone();
-            async move { service.handle(call).await }
+        let server = server.clone();
+        let handler = move |request| {
+            let server = server.clone();
+            async move { server.handle(request).await }
         };
-        tokio::task::spawn_local(serve(listener, controller, tally.clone(), handler));
+        tokio::task::spawn_local(serve(listener, controller, traffic_totals.clone(), handler));
     }
-    tokio::task::spawn_local(announce(service.clone()));
-    tokio::task::spawn_local(crate::http::clear_totals_at(clock, warmup, tally.clone()));
+    tokio::task::spawn_local(announce(server.clone()));
+    tokio::task::spawn_local(crate::http::clear_totals_at(
+        clock,
+        warmup_ms,
+        traffic_totals.clone(),
+    ));
     send_message(&RoleMessage::Ready);
     let _ = stop.await;
-    let traffic = tally.borrow().clone();
+    let traffic = traffic_totals.borrow().clone();
     Ok(RoleReport {
         traffic,
-        figures: service.figures(),
+        figures: server.figures(),
         ..RoleReport::default()
     })
 }
 
-/// Tells the workers' processes of machines that have come up.
-async fn announce(service: Rc<Service>) {
+/// Notifies the workers' processes of machines that have booted.
+async fn announce(server: Rc<CloudServer>) {
     loop {
         tokio::time::sleep(ANNOUNCEMENT_INTERVAL).await;
-        for process in 0..service.links.len() {
-            let mut link = service.links[process].lock().await;
-            let up = service.come_up(process as u32);
+        for process in 0..server.worker_connections.len() {
+            let mut connection = server.worker_connections[process].lock().await;
+            let up = server.take_newly_booted(process as u32);
             if !up.is_empty() {
-                service
+                server
                     .announce_changes(
-                        &mut link,
+                        &mut connection,
                         process,
                         MachineChanges {
                             up,
@@ -107,20 +113,20 @@
     limit: Option<u32>,
 }
 
-struct Service {
+struct CloudServer {
     net: LoopbackNet,
     clock: Clock,
     cloud: RefCell<Cloud>,
     rng: RefCell<SmallRng>,
-    requests: RefCell<RateLimit>,
-    throttled: Cell<u64>,
+    rate_limit: RefCell<RateLimit>,
+    throttled_requests: Cell<u64>,
     latency: Duration,
     announced: RefCell<BTreeSet<String>>,
-    /// Connections to the processes that hold the workers.
-    links: Vec<Mutex<Option<Client>>>,
+    /// Connections to the processes that run the workers, by index of the process.
+    worker_connections: Vec<Mutex<Option<Client>>>,
 }
 
-impl Service {
+impl CloudServer {
     fn new(experiment: Experiment, net: LoopbackNet, clock: Clock) -> Self {
         let zones: Vec<&str> = experiment
             .controllers
@@ -128,17 +134,17 @@
             .iter()
             .map(String::as_str)
             .collect();
-        let ordinary = experiment.workers.count.div_ceil(zones.len() as u32);
-        Service {
+        let on_demand = experiment.workers.count.div_ceil(zones.len() as u32);
+        CloudServer {
             net,
             clock,
-            cloud: RefCell::new(Cloud::new(&zones, ordinary, 0)),
+            cloud: RefCell::new(Cloud::new(&zones, on_demand, 0)),
             rng: RefCell::new(SmallRng::seed_from_u64(experiment.seed)),
-            requests: RefCell::new(RateLimit::new(experiment.cloud.requests_per_s, BURST_S)),
-            throttled: Cell::default(),
+            rate_limit: RefCell::new(RateLimit::new(experiment.cloud.requests_per_s, BURST_S)),
+            throttled_requests: Cell::default(),
             latency: Duration::from_secs_f64(experiment.cloud.latency_ms / 1e3),
             announced: RefCell::default(),
-            links: (0..experiment.worker_processes())
+            worker_connections: (0..experiment.worker_processes())
                 .map(|_| Mutex::default())
                 .collect(),
         }
@@ -146,36 +152,39 @@
 
     fn figures(&self) -> BTreeMap<String, f64> {
         let cloud = self.cloud.borrow();
-        let gone = cloud
+        let released = cloud
             .machines
             .values()
             .filter(|m| m.gone_at.is_some())
             .count();
         [
             ("machines rented", cloud.machines.len() as f64),
-            ("machines released", gone as f64),
-            ("requests refused (429)", self.throttled.get() as f64),
+            ("machines released", released as f64),
+            (
+                "requests refused (429)",
+                self.throttled_requests.get() as f64,
+            ),
         ]
         .map(|(name, value)| (name.to_owned(), value))
         .into()
     }
 
-    fn process_of(&self, machine: &str) -> usize {
-        machine_number(machine) as usize % self.links.len()
+    fn process_index(&self, machine: &str) -> usize {
+        machine_number(machine) as usize % self.worker_connections.len()
     }
 
-    /// Machines of a process that have come up since the last look.
-    fn come_up(&self, process: u32) -> Vec<BootedMachine> {
+    /// Marks the machines of a process that have booted since the last call as announced, and returns them.
+    fn take_newly_booted(&self, process: u32) -> Vec<BootedMachine> {
         let now = self.clock.now_ms();
         let mut announced = self.announced.borrow_mut();
         let cloud = self.cloud.borrow();
-        let new = cloud.machines.iter().filter(|(name, machine)| {
+        let newly_booted = cloud.machines.iter().filter(|(name, machine)| {
             machine.gone_at.is_none()
                 && machine.boots_at.is_some_and(|at| at <= now)
-                && self.process_of(name) == process as usize
+                && self.process_index(name) == process as usize
                 && !announced.contains(*name)
         });
-        let up: Vec<BootedMachine> = new
+        let up: Vec<BootedMachine> = newly_booted
             .map(|(name, machine)| BootedMachine {
                 name: name.clone(),
                 machine_type: machine.machine_type.clone(),
@@ -187,43 +196,43 @@
         up
     }
 
-    /// Sends changes to a process and waits until it has carried them out.
+    /// Sends changes to a process and waits until it has applied them.
     async fn announce_changes(
         &self,
-        link: &mut Option<Client>,
+        connection: &mut Option<Client>,
         process: usize,
         changes: MachineChanges,
     ) {
         let Ok(body) = serde_json::to_vec(&changes) else {
             return;
         };
-        if link.as_ref().is_none_or(|client| !client.usable()) {
-            let to = self.net.worker_process(process as u32);
-            *link = Client::connect(None, to, 0).await.ok();
+        if connection.as_ref().is_none_or(|client| !client.usable()) {
+            let address = self.net.worker_process(process as u32);
+            *connection = Client::connect(None, address, 0).await.ok();
         }
-        if let Some(client) = link {
+        if let Some(client) = connection {
             if client
                 .exchange(Method::POST, "/machines", body)
                 .await
                 .is_err()
             {
-                *link = None;
+                *connection = None;
             }
         }
     }
 
-    async fn release(&self, names: Vec<String>) {
+    async fn announce_released(&self, names: Vec<String>) {
         let mut by_process: BTreeMap<usize, Vec<String>> = BTreeMap::new();
         for name in names {
             by_process
-                .entry(self.process_of(&name))
+                .entry(self.process_index(&name))
                 .or_default()
                 .push(name);
         }
         for (process, gone) in by_process {
-            let mut link = self.links[process].lock().await;
+            let mut connection = self.worker_connections[process].lock().await;
             self.announce_changes(
-                &mut link,
+                &mut connection,
                 process,
                 MachineChanges {
                     up: Vec::new(),
@@ -234,22 +243,23 @@
         }
     }
 
-    async fn handle(&self, call: HttpRequest) -> HttpResponse {
+    async fn handle(&self, http_request: HttpRequest) -> HttpResponse {
         tokio::time::sleep(self.latency).await;
-        let Some((kind, request)) = read_request(&call) else {
+        let Some((kind, request)) = read_request(&http_request) else {
             return HttpResponse::error("malformed", 400, "malformed");
         };
         let now = self.clock.now_ms();
-        if !self.requests.borrow_mut().take(now) {
-            self.throttled.set(self.throttled.get() + 1);
+        if !self.rate_limit.borrow_mut().take(now) {
+            self.throttled_requests
+                .set(self.throttled_requests.get() + 1);
             return HttpResponse::error(kind, 429, "too many requests");
         }
-        let (reply, gone) =
+        let (reply, released) =
             self.cloud
                 .borrow_mut()
                 .execute(now, &request, &mut self.rng.borrow_mut());
-        if !gone.is_empty() {
-            self.release(gone).await;
+        if !released.is_empty() {
+            self.announce_released(released).await;
         }
         match reply {
             CloudReply::MachineTypes(types) => HttpResponse::json(kind, 200, &types),
@@ -273,20 +283,20 @@
     }
 }
 
-fn read_request(call: &HttpRequest) -> Option<(&'static str, CloudRequest)> {
-    match (call.method.clone(), call.path.as_str()) {
+fn read_request(request: &HttpRequest) -> Option<(&'static str, CloudRequest)> {
+    match (request.method.clone(), request.path.as_str()) {
         (Method::GET, "/machine_types") => Some(("machine types", CloudRequest::MachineTypes)),
         (Method::POST, "/hosts") => {
-            let rent: RentRequest = serde_json::from_slice(&call.body).ok()?;
+            let rent: RentRequest = serde_json::from_slice(&request.body).ok()?;
             (rent.count <= MAX_RENTED).then_some(("rent", CloudRequest::Rent(rent)))
         }
         (Method::POST, "/hosts/release") => {
-            let names: MachineNames = serde_json::from_slice(&call.body).ok()?;
-            let fits = names.machines.len() <= MAX_RELEASED;
-            fits.then_some(("release", CloudRequest::Release(names.machines)))
+            let names: MachineNames = serde_json::from_slice(&request.body).ok()?;
+            let within_limit = names.machines.len() <= MAX_RELEASED;
+            within_limit.then_some(("release", CloudRequest::Release(names.machines)))
         }
         (Method::GET, "/hosts") => {
-            let query: ListQuery = serde_urlencoded::from_str(&call.query).ok()?;
+            let query: ListQuery = serde_urlencoded::from_str(&request.query).ok()?;
             let limit = query.limit.unwrap_or(MAX_LISTED).min(MAX_LISTED);
             Some((
                 "list machines",
--- a/crates/loadtest/src/controllers.rs
+++ b/crates/loadtest/src/controllers.rs
@@ -1,4 +1,5 @@
-//! Starts the real controllers, kills them when the experiment says so, and ends them with itself.
+//! Supervises the real controller processes: starts them, kills them at the times of the experiment's faults, restarts
+//! those that exit, and kills them all at the end of the run.
 
 use crate::config::{Experiment, Fault};
 use crate::role::{send_message, Context, RoleMessage, RoleReport};
@@ -9,12 +10,12 @@
 use std::process::{Child, Command, Stdio};
 use std::time::Duration;
 
-/// How often the controllers are looked at.
+/// How often the controller processes are checked.
 const SUPERVISION_INTERVAL: Duration = Duration::from_millis(50);
-/// Pause before a controller that ended by itself is started again.
-const RESTART_MS: u64 = 2_000;
+/// Delay before a controller that exited without having been killed is restarted.
+const RESTART_DELAY_MS: u64 = 2_000;
 
-/// Runs the controllers until it is told to stop.
+/// Runs the controllers until `context.stop` resolves.
 pub async fn run(context: Context, program: &str) -> io::Result<RoleReport> {
     let Context {
         net,
@@ -34,17 +35,17 @@
             break;
         }
     }
-    supervisor.end();
+    supervisor.kill_all();
     Ok(RoleReport::default())
 }
 
-/// One controller.
+/// The process of one controller.
 struct Controller {
     child: Option<Child>,
-    /// When it is to be started.
-    start_at: u64,
-    /// Kills that were carried out, by their place in the list of faults.
-    killed_by: Vec<usize>,
+    /// Time of the run at which it is to be started.
+    start_at_ms: u64,
+    /// Kills that were carried out, as indices in the experiment's list of faults.
+    executed_kills: Vec<usize>,
     starts: u32,
 }
 
@@ -53,8 +54,8 @@
     directory: PathBuf,
     experiment: Experiment,
     controllers: Vec<Controller>,
-    /// Some controller ended by itself: its log is kept.
-    unexpected_end: bool,
+    /// Whether a controller exited without having been killed; the logs are then kept.
+    exited_unexpectedly: bool,
 }
 
 impl Supervisor {
@@ -66,14 +67,14 @@
     ) -> io::Result<Self> {
         let count = experiment.controllers.count;
         for controller in 0..count {
-            let text = experiment.settings_file(net, controller);
-            std::fs::write(settings_path(&directory, controller), text)?;
+            let settings = experiment.settings_file(net, controller);
+            std::fs::write(settings_path(&directory, controller), settings)?;
         }
         let controllers = (0..count)
             .map(|_| Controller {
                 child: None,
-                start_at: 0,
-                killed_by: Vec::new(),
+                start_at_ms: 0,
+                executed_kills: Vec::new(),
                 starts: 0,
             })
             .collect();
@@ -82,95 +83,102 @@
             directory,
             experiment: experiment.clone(),
             controllers,
-            unexpected_end: false,
+            exited_unexpectedly: false,
         })
     }
 
-    /// Kills, starts and notices ends, as far as due.
-    fn supervise(&mut self, now: u64) -> io::Result<()> {
-        for number in 0..self.controllers.len() {
-            self.kill_if_due(number, now);
-            self.detect_exit(number, now)?;
-            let controller = &self.controllers[number];
-            if controller.child.is_none() && controller.start_at <= now {
-                self.start(number as u32)?;
+    /// Carries out the kills that are due, detects exits, and starts the controllers that are due.
+    fn supervise(&mut self, now_ms: u64) -> io::Result<()> {
+        for index in 0..self.controllers.len() {
+            self.kill_if_due(index, now_ms);
+            self.detect_exit(index, now_ms)?;
+            let controller = &self.controllers[index];
+            if controller.child.is_none() && controller.start_at_ms <= now_ms {
+                self.start(index as u32)?;
             }
         }
         Ok(())
     }
 
-    fn start(&mut self, number: u32) -> io::Result<()> {
-        let controller = &mut self.controllers[number as usize];
+    fn start(&mut self, index: u32) -> io::Result<()> {
+        let controller = &mut self.controllers[index as usize];
         controller.starts += 1;
-        let log = format!("{}-{}.log", controller_name(number), controller.starts);
+        let log_file = format!("{}-{}.log", controller_name(index), controller.starts);
         let child = Command::new(&self.program)
             .arg("--config")
-            .arg(settings_path(&self.directory, number))
+            .arg(settings_path(&self.directory, index))
             .env("LOG_LEVEL", &self.experiment.controllers.log)
             .stdin(Stdio::null())
             .stdout(Stdio::null())
-            .stderr(File::create(self.directory.join(log))?)
+            .stderr(File::create(self.directory.join(log_file))?)
             .spawn()
-            .map_err(|e| io::Error::new(e.kind(), format!("{}: {e}", self.program.display())))?;
+            .map_err(|e| {
+                io::Error::new(
+                    e.kind(),
+                    format!("cannot start {}: {e}", self.program.display()),
+                )
+            })?;
         send_message(&RoleMessage::Controller {
-            controller: number,
+            controller: index,
             pid: child.id(),
         });
         controller.child = Some(child);
         Ok(())
     }
 
-    fn kill_if_due(&mut self, number: usize, now: u64) {
-        let due = self
-            .experiment
-            .faults
-            .iter()
-            .enumerate()
-            .find(|(at, fault)| match fault {
-                Fault::KillController { controller, .. } => {
-                    *controller as usize == number
-                        && fault.active(now)
-                        && !self.controllers[number].killed_by.contains(at)
-                }
-                _ => false,
-            });
-        let Some((at, fault)) = due else { return };
-        let controller = &mut self.controllers[number];
-        controller.killed_by.push(at);
-        controller.start_at = (fault.span_s().1 * 1_000.0) as u64;
+    fn kill_if_due(&mut self, index: usize, now_ms: u64) {
+        let due =
+            self.experiment
+                .faults
+                .iter()
+                .enumerate()
+                .find(|(fault_index, fault)| match fault {
+                    Fault::KillController { controller, .. } => {
+                        *controller as usize == index
+                            && fault.active(now_ms)
+                            && !self.controllers[index].executed_kills.contains(fault_index)
+                    }
+                    _ => false,
+                });
+        let Some((fault_index, fault)) = due else {
+            return;
+        };
+        let controller = &mut self.controllers[index];
+        controller.executed_kills.push(fault_index);
+        controller.start_at_ms = (fault.span_s().1 * 1_000.0) as u64;
         if let Some(mut child) = controller.child.take() {
             let _ = child.kill();
             let _ = child.wait();
         }
     }
 
-    fn detect_exit(&mut self, number: usize, now: u64) -> io::Result<()> {
-        let controller = &mut self.controllers[number];
+    fn detect_exit(&mut self, index: usize, now_ms: u64) -> io::Result<()> {
+        let controller = &mut self.controllers[index];
         let Some(child) = &mut controller.child else {
             return Ok(());
         };
         if let Some(status) = child.try_wait()? {
             let status = format!("{status}, logs in {}", self.directory.display());
             send_message(&RoleMessage::ControllerEnded {
-                controller: number as u32,
+                controller: index as u32,
                 status,
             });
             controller.child = None;
-            controller.start_at = now + RESTART_MS;
-            self.unexpected_end = true;
+            controller.start_at_ms = now_ms + RESTART_DELAY_MS;
+            self.exited_unexpectedly = true;
         }
         Ok(())
     }
 
-    fn end(&mut self) {
+    fn kill_all(&mut self) {
         for controller in &mut self.controllers {
             if let Some(mut child) = controller.child.take() {
                 let _ = child.kill();
                 let _ = child.wait();
             }
         }
-        let logged = self.experiment.controllers.log != "error";
-        if !self.unexpected_end && !logged {
+        let writes_logs = self.experiment.controllers.log != "error";
+        if !self.exited_unexpectedly && !writes_logs {
             let _ = std::fs::remove_dir_all(&self.directory);
         }
     }
@@ -178,7 +186,7 @@
 
 impl Drop for Supervisor {
     fn drop(&mut self) {
-        self.end();
+        self.kill_all();
     }
 }
 
--- a/crates/loadtest/src/http.rs
+++ b/crates/loadtest/src/http.rs
@@ -1,4 +1,4 @@
-//! HTTP/1.1 over loopback: connections whose bytes are counted by kind of message.
+//! HTTP/1.1 servers and clients over loopback that count the traffic with the controllers, by kind of message.
 
 use crate::run_layout::Clock;
 use bytes::Bytes;
@@ -20,10 +20,10 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::net::{TcpListener, TcpSocket, TcpStream};
 
-/// Largest body that is read.
-const MAX_BODY: usize = 16 * 1024 * 1024;
+/// Largest body that is read; a larger one is an error.
+const MAX_BODY_BYTES: usize = 16 * 1024 * 1024;
 
-/// Messages of one kind and the bytes they took on the wire, heads included.
+/// Number of exchanges of one kind, and their bytes on the wire, HTTP headers included.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize, Deserialize)]
 pub struct Traffic {
     pub messages: u64,
@@ -33,57 +33,57 @@
     pub to_controller: u64,
 }
 
-/// Traffic by controller and kind of message.
+/// Traffic by number of the controller and by kind of message.
 pub type TrafficTotals = BTreeMap<u32, BTreeMap<String, Traffic>>;
 
-/// A tally that the connections of a process share.
+/// Traffic totals that the connections of a process share.
 pub type SharedTrafficTotals = Rc<RefCell<TrafficTotals>>;
 
-/// Forgets what was counted before a time of the run.
-pub async fn clear_totals_at(clock: Clock, at_ms: u64, tally: SharedTrafficTotals) {
+/// Clears the totals at a time of the run, so that the warm-up is not counted.
+pub async fn clear_totals_at(clock: Clock, at_ms: u64, totals: SharedTrafficTotals) {
     clock.sleep_until_ms(at_ms).await;
-    tally.borrow_mut().clear();
+    totals.borrow_mut().clear();
 }
 
 #[derive(Debug, Default)]
-struct PassedBytes {
+struct ByteCounts {
     read: Cell<u64>,
     written: Cell<u64>,
 }
 
-/// A TCP stream that counts what passes.
-struct Counted {
+/// A TCP stream that counts the bytes read and written.
+struct CountingStream {
     stream: TcpStream,
-    bytes: Rc<PassedBytes>,
+    bytes: Rc<ByteCounts>,
 }
 
-impl AsyncRead for Counted {
+impl AsyncRead for CountingStream {
     fn poll_read(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
         buffer: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
         let before = buffer.filled().len();
-        let done = Pin::new(&mut self.stream).poll_read(context, buffer);
+        let result = Pin::new(&mut self.stream).poll_read(context, buffer);
         let read = (buffer.filled().len() - before) as u64;
         self.bytes.read.set(self.bytes.read.get() + read);
-        done
+        result
     }
 }
 
-impl AsyncWrite for Counted {
+impl AsyncWrite for CountingStream {
     fn poll_write(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
         data: &[u8],
     ) -> Poll<io::Result<usize>> {
-        let done = Pin::new(&mut self.stream).poll_write(context, data);
-        if let Poll::Ready(Ok(written)) = done {
+        let result = Pin::new(&mut self.stream).poll_write(context, data);
+        if let Poll::Ready(Ok(written)) = result {
             self.bytes
                 .written
                 .set(self.bytes.written.get() + written as u64);
         }
-        done
+        result
     }
 
     fn poll_flush(mut self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<io::Result<()>> {
@@ -95,7 +95,7 @@
     }
 }
 
-/// A request to a stand-in.
+/// A request to a simulated service.
 #[derive(Debug, Clone)]
 pub struct HttpRequest {
     pub method: Method,
@@ -104,17 +104,17 @@
     pub body: Bytes,
 }
 
-/// A stand-in's answer.
+/// The response of a simulated service.
 #[derive(Debug)]
 pub struct HttpResponse {
     pub status: u16,
     pub body: Vec<u8>,
-    /// Kind of message under which the exchange is counted; empty: not counted.
+    /// Kind under which the exchange is counted; it is not counted if this is empty.
     pub kind: &'static str,
 }
 
 impl HttpResponse {
-    /// An answer with a JSON body.
+    /// A response with a JSON body.
     pub fn json<T: Serialize>(kind: &'static str, status: u16, body: &T) -> Self {
         let (status, body) = match serde_json::to_vec(body) {
             Ok(body) => (status, body),
@@ -123,7 +123,7 @@
         HttpResponse { status, body, kind }
     }
 
-    /// A refusal.
+    /// An error response.
     pub fn error(kind: &'static str, status: u16, error: &str) -> Self {
         HttpResponse::json(
             kind,
@@ -135,11 +135,11 @@
     }
 }
 
-/// Serves connections until the process ends. `controller` is who connects, if that is known.
+/// Serves connections until the process ends. Their traffic is counted for `controller`.
 pub async fn serve<H, F>(
     listener: TcpListener,
     controller: u32,
-    tally: SharedTrafficTotals,
+    totals: SharedTrafficTotals,
     handler: H,
 ) where
     H: Fn(HttpRequest) -> F + Clone + 'static,
@@ -151,95 +151,102 @@
             continue;
         };
         let _ = stream.set_nodelay(true);
-        tokio::task::spawn_local(connection(
+        tokio::task::spawn_local(serve_connection(
             stream,
             controller,
-            tally.clone(),
+            totals.clone(),
             handler.clone(),
         ));
     }
 }
 
-async fn connection<H, F>(
+async fn serve_connection<H, F>(
     stream: TcpStream,
     controller: u32,
-    tally: SharedTrafficTotals,
+    totals: SharedTrafficTotals,
     handler: H,
 ) where
     H: Fn(HttpRequest) -> F + Clone + 'static,
     F: Future<Output = HttpResponse> + 'static,
 {
-    let bytes = Rc::new(PassedBytes::default());
+    let bytes = Rc::new(ByteCounts::default());
     let meter = Rc::new(Meter {
         controller,
-        tally,
+        totals,
         bytes: bytes.clone(),
-        last: Cell::default(),
+        last_exchange: Cell::default(),
     });
-    let answering = meter.clone();
+    let request_meter = meter.clone();
     let service = service_fn(move |request: Request<Incoming>| {
         let handler = handler.clone();
-        let meter = answering.clone();
+        let meter = request_meter.clone();
         async move { Ok::<_, Infallible>(respond(request, handler, &meter).await) }
     });
-    let io = TokioIo::new(Counted { stream, bytes });
+    let io = TokioIo::new(CountingStream { stream, bytes });
     let _ = hyper::server::conn::http1::Builder::new()
         .serve_connection(io, service)
         .await;
-    meter.settle();
+    meter.count_response();
 }
 
-/// Counts the exchanges of one connection that a controller opened.
+/// Counts the exchanges of one connection to a simulated service.
 struct Meter {
     controller: u32,
-    tally: SharedTrafficTotals,
-    bytes: Rc<PassedBytes>,
-    /// Kind of the last exchange, and the bytes read and written before its answer was written.
-    last: Cell<(&'static str, u64, u64)>,
+    totals: SharedTrafficTotals,
+    bytes: Rc<ByteCounts>,
+    /// Kind of the last exchange, and the connection's total bytes read and written before its response was written.
+    last_exchange: Cell<(&'static str, u64, u64)>,
 }
 
 impl Meter {
-    /// Counts the answer to the last request, which has been written since.
-    fn settle(&self) {
-        let (kind, read, written) = self.last.get();
-        let now = self.bytes.written.get();
+    /// Counts the response to the last request, which has been written since that request was counted.
+    fn count_response(&self) {
+        let (kind, read, written) = self.last_exchange.get();
+        let written_now = self.bytes.written.get();
         if !kind.is_empty() {
-            self.add(kind, 0, 0, now - written);
+            self.add(kind, 0, 0, written_now - written);
         }
-        self.last.set(("", read, now));
+        self.last_exchange.set(("", read, written_now));
     }
 
-    fn request(&self, kind: &'static str) {
-        let (_, read, written) = self.last.get();
-        let now = self.bytes.read.get();
+    fn count_request(&self, kind: &'static str) {
+        let (_, read, written) = self.last_exchange.get();
+        let read_now = self.bytes.read.get();
         if !kind.is_empty() {
-            self.add(kind, 1, now - read, 0);
+            self.add(kind, 1, read_now - read, 0);
         }
-        self.last.set((kind, now, written));
+        self.last_exchange.set((kind, read_now, written));
     }
 
-    fn add(&self, kind: &str, messages: u64, from: u64, to: u64) {
-        record(&self.tally, self.controller, kind, messages, from, to);
+    fn add(&self, kind: &str, messages: u64, from_controller: u64, to_controller: u64) {
+        add_traffic(
+            &self.totals,
+            self.controller,
+            kind,
+            messages,
+            from_controller,
+            to_controller,
+        );
     }
 }
 
-fn record(
-    tally: &SharedTrafficTotals,
+fn add_traffic(
+    totals: &SharedTrafficTotals,
     controller: u32,
     kind: &str,
     messages: u64,
-    from: u64,
-    to: u64,
+    from_controller: u64,
+    to_controller: u64,
 ) {
-    let mut tally = tally.borrow_mut();
-    let kinds = tally.entry(controller).or_default();
+    let mut totals = totals.borrow_mut();
+    let kinds = totals.entry(controller).or_default();
     if !kinds.contains_key(kind) {
         kinds.insert(kind.to_owned(), Traffic::default());
     }
     if let Some(traffic) = kinds.get_mut(kind) {
         traffic.messages += messages;
-        traffic.from_controller += from;
-        traffic.to_controller += to;
+        traffic.from_controller += from_controller;
+        traffic.to_controller += to_controller;
     }
 }
 
@@ -252,57 +259,58 @@
     H: Fn(HttpRequest) -> F,
     F: Future<Output = HttpResponse>,
 {
-    meter.settle();
+    meter.count_response();
     let (head, body) = request.into_parts();
-    let answer = match Limited::new(body, MAX_BODY).collect().await {
+    let response = match Limited::new(body, MAX_BODY_BYTES).collect().await {
         Ok(body) => {
-            let call = HttpRequest {
+            let request = HttpRequest {
                 method: head.method,
                 path: head.uri.path().to_owned(),
                 query: head.uri.query().unwrap_or_default().to_owned(),
                 body: body.to_bytes(),
             };
-            handler(call).await
+            handler(request).await
         }
         Err(_) => HttpResponse::error("", 400, "unreadable body"),
     };
-    meter.request(answer.kind);
-    let mut response = Response::new(Full::new(Bytes::from(answer.body)));
-    if let Ok(status) = hyper::StatusCode::from_u16(answer.status) {
-        *response.status_mut() = status;
+    meter.count_request(response.kind);
+    let mut http_response = Response::new(Full::new(Bytes::from(response.body)));
+    if let Ok(status) = hyper::StatusCode::from_u16(response.status) {
+        *http_response.status_mut() = status;
     }
-    response.headers_mut().insert(
+    http_response.headers_mut().insert(
         hyper::header::CONTENT_TYPE,
         hyper::header::HeaderValue::from_static("application/json"),
     );
-    response
+    http_response
 }
 
-/// A connection to a controller.
+/// A client connection, usually to a controller.
 pub struct Client {
     sender: hyper::client::conn::http1::SendRequest<Full<Bytes>>,
-    bytes: Rc<PassedBytes>,
+    bytes: Rc<ByteCounts>,
+    /// Bytes read and written that have been counted.
     counted: (u64, u64),
-    to: SocketAddr,
-    /// Number of the controller.
+    address: SocketAddr,
+    /// Number of the controller for which traffic is counted.
     pub controller: u32,
 }
 
 impl Client {
-    /// Connects from an address of one's own, if one is given.
+    /// Connects to `address`, from the local address `from` if one is given.
     pub async fn connect(
         from: Option<IpAddr>,
-        to: SocketAddr,
+        address: SocketAddr,
         controller: u32,
     ) -> io::Result<Self> {
         let socket = TcpSocket::new_v4()?;
         if let Some(from) = from {
             socket.bind(SocketAddr::new(from, 0))?;
         }
-        let stream = socket.connect(to).await?;
+        let stream = socket.connect(address).await?;
         stream.set_nodelay(true)?;
-        let bytes = Rc::new(PassedBytes::default());
-        let io = TokioIo::new(Counted {
+        let bytes = Rc::new(ByteCounts::default());
+        let io = TokioIo::new(CountingStream {
             stream,
             bytes: bytes.clone(),
         });
@@ -316,17 +324,17 @@
             sender,
             bytes,
             counted: (0, 0),
-            to,
+            address,
             controller,
         })
     }
 
-    /// Whether the connection can be used again.
+    /// Whether the connection can be used for another exchange.
     pub fn usable(&self) -> bool {
         !self.sender.is_closed()
     }
 
-    /// One exchange: the status, the `Retry-After` in seconds, the body.
+    /// Sends a request; returns the response's status, its `Retry-After` in seconds and its body.
     pub async fn exchange(
         &mut self,
         method: Method,
@@ -336,7 +344,7 @@
         let request = Request::builder()
             .method(method)
             .uri(path)
-            .header("host", self.to.to_string())
+            .header("host", self.address.to_string())
             .header("content-type", "application/json")
             .body(Full::new(Bytes::from(body)))
             .map_err(io::Error::other)?;
@@ -347,18 +355,24 @@
             .await
             .map_err(io::Error::other)?;
         let status = response.status().as_u16();
-        let retry = response.headers().get("retry-after");
-        let retry = retry.and_then(|value| value.to_str().ok()?.parse().ok());
-        let body = Limited::new(response.into_body(), MAX_BODY).collect().await;
-        Ok((status, retry, body.map_err(io::Error::other)?.to_bytes()))
+        let retry_after_s = response.headers().get("retry-after");
+        let retry_after_s = retry_after_s.and_then(|value| value.to_str().ok()?.parse().ok());
+        let body = Limited::new(response.into_body(), MAX_BODY_BYTES)
+            .collect()
+            .await;
+        Ok((
+            status,
+            retry_after_s,
+            body.map_err(io::Error::other)?.to_bytes(),
+        ))
     }
 
-    /// Counts what has passed since the last time.
-    pub fn count(&mut self, tally: &SharedTrafficTotals, kind: &str) {
+    /// Counts the bytes since the last call as one exchange of a kind.
+    pub fn count(&mut self, totals: &SharedTrafficTotals, kind: &str) {
         let (read, written) = (self.bytes.read.get(), self.bytes.written.get());
         let (read_before, written_before) = self.counted;
-        record(
-            tally,
+        add_traffic(
+            totals,
             self.controller,
             kind,
             1,
--- a/crates/loadtest/src/lib.rs
+++ b/crates/loadtest/src/lib.rs
@@ -1,8 +1,8 @@
-//! Load tests: real controller processes over loopback, with stand-ins for everything around them.
+//! Load tests: real controller processes over loopback, with everything around them simulated.
 //!
-//! An experiment is a checked TOML file. The state service, the cloud, the workers and the users are
-//! stand-ins written from the protocols; each runs in a process of its own. What they decide is in
-//! `simulator`; here are their sockets, clocks and measurements. No tasks are run.
+//! An experiment is described by a TOML file, which is checked before the run. The state service, the cloud, the workers
+//! and the users are simulated according to the protocols, in separate processes. The logic of the services and of the
+//! workers is in the crate `simulator`; this crate adds sockets, clocks and measurements. No tasks are run.
 
 pub mod capacity;
 pub mod cloud;
--- a/crates/loadtest/src/role.rs
+++ b/crates/loadtest/src/role.rs
@@ -1,6 +1,6 @@
-//! The processes of a run and how they speak with the one that started them: settings on standard input,
-//! messages on standard output, a line of JSON each. A process stops when its standard input ends, which
-//! it also does when whoever started it is gone.
+//! The processes of a run, each with one role, and their protocol with the main process: it writes the settings to
+//! their standard input, and they write messages to their standard output, one line of JSON each. A process stops when
+//! its standard input is closed, which also happens when the main process exits.
 
 use crate::config::Experiment;
 use crate::http::TrafficTotals;
@@ -11,16 +11,16 @@
 use std::io::{BufRead, Write};
 use tokio::sync::oneshot;
 
-/// What a process of a run does.
+/// The role of a process of a run.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Role {
     StateService,
     Cloud,
-    /// Starts, kills and watches the real controllers.
+    /// Starts, kills and monitors the real controllers.
     Controllers {
         program: String,
     },
-    /// Holds the workers whose machine numbers are its own modulo the number of such processes.
+    /// Runs the workers whose machine number, modulo the number of such processes, is `process`.
     Workers {
         process: u32,
     },
@@ -28,7 +28,7 @@
 }
 
 impl Role {
-    /// Name in reports.
+    /// Name of the process in reports.
     pub fn name(&self) -> String {
         match self {
             Role::StateService => "state service".into(),
@@ -40,42 +40,42 @@
     }
 }
 
-/// What a process is given at its start.
+/// Settings that a process reads at its start.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct RoleSettings {
     pub role: Role,
     pub net: LoopbackNet,
-    /// Begin of the run, in microseconds since 1970.
+    /// Start of the run, in microseconds since 1970.
     pub started_us: u64,
     pub experiment: Experiment,
 }
 
-/// What a process says at its end.
+/// What a process reports at its end.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 pub struct RoleReport {
     pub traffic: TrafficTotals,
     pub tasks: Vec<TaskEvent>,
     pub users: Vec<UserEvent>,
-    /// Figures by name.
+    /// Figures of the report, by name.
     pub figures: BTreeMap<String, f64>,
 }
 
-/// A line of a process.
+/// A message of a process to the main process.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub enum RoleMessage {
-    /// It can be used.
+    /// The process has started and is ready.
     Ready,
-    /// Figures of now.
+    /// Current figures, by name.
     Progress(BTreeMap<String, f64>),
-    /// A controller runs under this process id.
+    /// A controller was started with this process id.
     Controller { controller: u32, pid: u32 },
-    /// A controller ended without having been killed.
+    /// A controller exited without having been killed.
     ControllerEnded { controller: u32, status: String },
-    /// The last line.
+    /// The report; the last message.
     Report(Box<RoleReport>),
 }
 
-/// Says something to whoever started the process.
+/// Sends a message to the main process.
 pub fn send_message(message: &RoleMessage) {
     if let Ok(line) = serde_json::to_string(message) {
         let mut out = std::io::stdout().lock();
@@ -83,44 +83,44 @@
     }
 }
 
-/// Everything a role needs besides its own matters.
+/// What every role is given.
 pub struct Context {
     pub net: LoopbackNet,
     pub clock: Clock,
     pub experiment: Experiment,
-    /// Resolves when the process is to stop.
+    /// Resolves when the process must stop.
     pub stop: oneshot::Receiver<()>,
 }
 
-/// Ends the process when any of its tasks panics: a run that lost a part of its stand-ins proves nothing.
-fn end_at_panics() {
-    let print = std::panic::take_hook();
+/// Exits the process when any of its tasks panics: a run is not valid once a part of a simulated service has failed.
+fn exit_on_panic() {
+    let default_hook = std::panic::take_hook();
     std::panic::set_hook(Box::new(move |panic| {
-        print(panic);
+        default_hook(panic);
         std::process::exit(101);
     }));
 }
 
-/// Runs the role that standard input asks for.
+/// Runs the role given by the settings on standard input.
 pub fn run() -> Result<(), String> {
     let mut line = String::new();
     std::io::stdin()
         .lock()
         .read_line(&mut line)
-        .map_err(|e| format!("no settings: {e}"))?;
+        .map_err(|e| format!("cannot read the settings: {e}"))?;
     let settings: RoleSettings =
-        serde_json::from_str(&line).map_err(|e| format!("unreadable settings: {e}"))?;
-    let (stopper, stop) = oneshot::channel();
+        serde_json::from_str(&line).map_err(|e| format!("invalid settings: {e}"))?;
+    let (stop_sender, stop) = oneshot::channel();
     std::thread::spawn(move || {
-        let mut rest = String::new();
+        let mut ignored = String::new();
         while std::io::stdin()
             .lock()
-            .read_line(&mut rest)
+            .read_line(&mut ignored)
             .is_ok_and(|read| read > 0)
         {
-            rest.clear();
+            ignored.clear();
         }
-        let _ = stopper.send(());
+        let _ = stop_sender.send(());
     });
     let RoleSettings {
         role,
@@ -129,7 +129,7 @@
         experiment,
     } = settings;
     if !matches!(role, Role::Controllers { .. }) {
-        end_at_panics();
+        exit_on_panic();
     }
     let context = Context {
         net,
@@ -142,7 +142,7 @@
         .build()
         .map_err(|e| format!("cannot start the runtime: {e}"))?;
     let name = role.name();
-    let running = async {
+    let run_role = async {
         match role {
             Role::StateService => crate::state_service::run(context).await,
             Role::Cloud => crate::cloud::run(context).await,
@@ -152,7 +152,7 @@
         }
     };
     let report = tokio::task::LocalSet::new()
-        .block_on(&runtime, running)
+        .block_on(&runtime, run_role)
         .map_err(|e| format!("{name}: {e}"))?;
     send_message(&RoleMessage::Report(Box::new(report)));
     Ok(())
--- a/crates/loadtest/src/run_layout.rs
+++ b/crates/loadtest/src/run_layout.rs
@@ -1,4 +1,5 @@
-//! What every process of a run works out by itself: addresses, settings files, jobs and the clock.
+//! What each process of a run derives from the experiment without asking another: addresses, the controllers' settings
+//! files, jobs and the clock.
 
 use crate::config::{Experiment, MACHINE_CPUS};
 use rand::rngs::SmallRng;
@@ -8,99 +9,104 @@
 use std::time::{Duration, Instant, SystemTime};
 use wire::users::{JobKind, JobRequest, Priority};
 
-/// Jobs are numbered so that the class follows from the number: this many numbers a round, the last
-/// of each round for a service.
-const CLASSES: u64 = 16;
-const SERVICE: u64 = CLASSES - 1;
-/// First number given to a job.
+/// A job's class follows from its number modulo this: the last remainder stands for services, the others are indices of
+/// classes.
+const JOB_NUMBERS_PER_ROUND: u64 = 16;
+const SERVICE_REMAINDER: u64 = JOB_NUMBERS_PER_ROUND - 1;
+/// Round of the first job of each class.
 const FIRST_ROUND: u64 = 1;
-/// Workers in one block of addresses.
-const BLOCK: u32 = 250;
-/// First block of workers' addresses; the ones before belong to the other processes.
-const FIRST_BLOCK: u32 = 8;
-/// How far a team's limit lies above its guarantee.
-const LIMIT_OVER_GUARANTEE: f64 = 1.5;
-/// Images that jobs name.
-const IMAGES: u64 = 8;
-/// Size of an image; a machine fetches 1 GB a second.
+/// Workers in one block of addresses, which share the third byte.
+const WORKERS_PER_BLOCK: u32 = 250;
+/// First block of workers' addresses; the blocks below belong to the other processes.
+const FIRST_WORKER_BLOCK: u32 = 8;
+/// Ratio of a team's limit to its guarantee.
+const TEAM_LIMIT_TO_GUARANTEE: f64 = 1.5;
+/// Number of different images that jobs use.
+const IMAGE_COUNT: u64 = 8;
+/// Size of an image; a machine fetches 1 GB/s.
 const IMAGE_GB: f64 = 0.2;
-/// Memory of a task for each of its CPUs.
+/// Memory of a task per CPU.
 const MEMORY_GB_PER_CPU: f64 = 2.0;
 
-/// The addresses of one run: all in `127.NET.0.0/16`.
+/// The loopback addresses of one run, all in `127.NET.0.0/16`; the field is NET.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LoopbackNet(pub u8);
 
 impl LoopbackNet {
-    fn at(self, third: u32, fourth: u32, port: u16) -> SocketAddr {
+    fn address(self, third: u32, fourth: u32, port: u16) -> SocketAddr {
         SocketAddr::from((Ipv4Addr::new(127, self.0, third as u8, fourth as u8), port))
     }
 
-    /// The address that a run binds for as long as the block is its own.
+    /// The address that a run keeps bound to reserve the block.
     pub fn claim_address(self) -> SocketAddr {
-        self.at(0, 1, 9_999)
+        self.address(0, 1, 9_999)
     }
 
-    /// State service, as one controller sees it: each has an address of its own, which tells who asks.
+    /// Address of the state service for one controller: each controller has its own, which identifies it as the client.
     pub fn state(self, controller: u32) -> SocketAddr {
-        self.at(1, controller + 1, 2_379)
+        self.address(1, controller + 1, 2_379)
     }
 
-    /// Cloud, as one controller sees it.
+    /// Address of the cloud for one controller.
     pub fn cloud(self, controller: u32) -> SocketAddr {
-        self.at(2, controller + 1, 8_443)
+        self.address(2, controller + 1, 8_443)
     }
 
-    /// A controller for users and workers.
+    /// Address of a controller for users and workers.
     pub fn controller(self, controller: u32) -> SocketAddr {
-        self.at(3, controller + 1, 8_080)
+        self.address(3, controller + 1, 8_080)
     }
 
-    /// A controller for its peers.
+    /// Address of a controller for its peers.
     pub fn mesh(self, controller: u32) -> SocketAddr {
-        self.at(3, controller + 1, 8_081)
+        self.address(3, controller + 1, 8_081)
     }
 
-    /// A process with workers, for the cloud.
+    /// Address at which a process that runs workers receives the cloud's notifications.
     pub fn worker_process(self, process: u32) -> SocketAddr {
-        self.at(4, process + 1, 9_100)
+        self.address(4, process + 1, 9_100)
     }
 
-    /// A worker.
+    /// Address of the worker on the machine with this number.
     pub fn worker(self, machine: u32) -> SocketAddr {
-        self.at(FIRST_BLOCK + machine / BLOCK, machine % BLOCK + 1, 9_000)
+        self.address(
+            FIRST_WORKER_BLOCK + machine / WORKERS_PER_BLOCK,
+            machine % WORKERS_PER_BLOCK + 1,
+            9_000,
+        )
     }
 
-    /// Machine numbers that have an address; later machines take the addresses of machines long gone.
+    /// How many machine numbers there are; later machines reuse the numbers and addresses of machines released long before.
     pub fn machine_number_count() -> u32 {
-        (256 - FIRST_BLOCK) * BLOCK
+        (256 - FIRST_WORKER_BLOCK) * WORKERS_PER_BLOCK
     }
 }
 
-/// Number of a machine's address, by its name.
+/// Number of the machine with this name; it determines the worker's address.
 pub fn machine_number(name: &str) -> u32 {
     let number: u32 = name.trim_start_matches("host-").parse().unwrap_or_default();
     number % LoopbackNet::machine_number_count()
 }
 
-/// Name of a controller.
+/// Name of the controller with this number.
 pub fn controller_name(controller: u32) -> String {
     format!("n{controller}")
 }
 
-/// Number of a controller, by its name.
+/// Number of the controller with this name.
 pub fn controller_number(name: &str) -> Option<u32> {
     name.strip_prefix('n')?.parse().ok()
 }
 
-/// The clock of a run, the same in all its processes.
+/// The clock of a run: time since its start, the same in all its processes.
 #[derive(Debug, Clone, Copy)]
 pub struct Clock {
-    begin: Instant,
+    created_at: Instant,
+    /// Time of the run at `created_at`.
     offset: Duration,
 }
 
-/// Microseconds since 1970, from which the processes of a run count.
+/// Microseconds since 1970.
 pub fn unix_time_us() -> u64 {
     let since = SystemTime::now()
         .duration_since(SystemTime::UNIX_EPOCH)
@@ -109,54 +115,54 @@
 }
 
 impl Clock {
-    /// The clock of a run that began at `started_us` since 1970.
+    /// The clock of a run that started at `started_us`, in microseconds since 1970.
     pub fn starting_at(started_us: u64) -> Self {
         let offset = Duration::from_micros(unix_time_us().saturating_sub(started_us));
         Clock {
-            begin: Instant::now(),
+            created_at: Instant::now(),
             offset,
         }
     }
 
-    /// Microseconds since the begin of the run.
+    /// Microseconds since the start of the run.
     pub fn now_us(&self) -> u64 {
-        (self.begin.elapsed() + self.offset).as_micros() as u64
+        (self.created_at.elapsed() + self.offset).as_micros() as u64
     }
 
-    /// Milliseconds since the begin of the run.
+    /// Milliseconds since the start of the run.
     pub fn now_ms(&self) -> u64 {
         self.now_us() / 1_000
     }
 
-    /// Sleeps until a time of the run.
+    /// Sleeps until the given time of the run.
     pub async fn sleep_until_ms(&self, at_ms: u64) {
-        let left = (at_ms * 1_000).saturating_sub(self.now_us());
-        tokio::time::sleep(Duration::from_micros(left)).await;
+        let left_us = (at_ms * 1_000).saturating_sub(self.now_us());
+        tokio::time::sleep(Duration::from_micros(left_us)).await;
     }
 }
 
-/// Name of a job.
+/// Id of the job with this number.
 pub fn job_id(number: u64) -> String {
     format!("j-{number:06}")
 }
 
-/// Number of a job, by its name or by the name of one of its tasks.
-pub fn job_number(name: &str) -> Option<u64> {
-    name.split('/').next()?.strip_prefix("j-")?.parse().ok()
+/// Number of the job with this id, or of the job of the task with this id.
+pub fn job_number(id: &str) -> Option<u64> {
+    id.split('/').next()?.strip_prefix("j-")?.parse().ok()
 }
 
-/// Number of the nth job of a class.
-pub fn class_job_number(class: usize, nth: u64) -> u64 {
-    (FIRST_ROUND + nth) * CLASSES + class as u64
+/// Number of a class's job with this index.
+pub fn class_job_number(class: usize, index: u64) -> u64 {
+    (FIRST_ROUND + index) * JOB_NUMBERS_PER_ROUND + class as u64
 }
 
-/// Number of the nth service.
-pub fn service_job_number(nth: u64) -> u64 {
-    (FIRST_ROUND + nth) * CLASSES + SERVICE
+/// Number of the service with this index.
+pub fn service_job_number(index: u64) -> u64 {
+    (FIRST_ROUND + index) * JOB_NUMBERS_PER_ROUND + SERVICE_REMAINDER
 }
 
 impl Experiment {
-    /// Services that run from the beginning on.
+    /// Number of services, which are submitted at the start and run to the end.
     pub fn service_count(&self) -> u64 {
         let cpus = f64::from(self.workers.count) * MACHINE_CPUS * self.services.fill;
         (cpus / (self.services.cpus * self.services.replicas as f64)).ceil() as u64
@@ -164,41 +170,43 @@
 
     /// CPUs guaranteed to each team.
     pub fn guaranteed_team_cpus(&self) -> f64 {
-        let all = f64::from(self.workers.count) * MACHINE_CPUS;
-        (all / f64::from(self.controllers.teams)).ceil()
+        let total_cpus = f64::from(self.workers.count) * MACHINE_CPUS;
+        (total_cpus / f64::from(self.controllers.teams)).ceil()
     }
 
-    /// Most CPUs of each team.
+    /// Limit of each team's CPUs.
     pub fn max_team_cpus(&self) -> f64 {
-        (self.guaranteed_team_cpus() * LIMIT_OVER_GUARANTEE).ceil()
+        (self.guaranteed_team_cpus() * TEAM_LIMIT_TO_GUARANTEE).ceil()
     }
 
-    /// The job of a number, as every process works it out; none if no user submits it.
+    /// The request of the job with this number, the same in every process; none if no user submits such a job.
     pub fn job_request(&self, number: u64) -> Option<JobRequest> {
-        let nth = (number / CLASSES).checked_sub(FIRST_ROUND)?;
+        let index = (number / JOB_NUMBERS_PER_ROUND).checked_sub(FIRST_ROUND)?;
         let mut rng = SmallRng::seed_from_u64(self.seed ^ number.wrapping_mul(0x9e37_79b9));
-        if number % CLASSES == SERVICE {
-            if nth >= self.service_count() {
+        if number % JOB_NUMBERS_PER_ROUND == SERVICE_REMAINDER {
+            if index >= self.service_count() {
                 return None;
             }
-            let team = nth % u64::from(self.controllers.teams);
+            let team = index % u64::from(self.controllers.teams);
             let services = &self.services;
             return Some(JobRequest {
                 kind: JobKind::Service,
                 task_count: services.replicas,
-                ..base(number, "service", team, Priority::Production, services.cpus)
+                ..single_task_job(number, "service", team, Priority::Production, services.cpus)
             });
         }
-        let class = self.classes.get((number % CLASSES) as usize)?;
+        let class = self
+            .classes
+            .get((number % JOB_NUMBERS_PER_ROUND) as usize)?;
         let team = rng.random_range(0..u64::from(self.controllers.teams));
         Some(JobRequest {
             task_count: rng.random_range(class.tasks[0]..=class.tasks[1]),
             estimated_run_time_s: class.run_s,
-            ..base(number, &class.name, team, class.priority, class.cpus)
+            ..single_task_job(number, &class.name, team, class.priority, class.cpus)
         })
     }
 
-    /// The settings file of a controller.
+    /// Content of a controller's settings file (TOML).
     pub fn settings_file(&self, net: LoopbackNet, controller: u32) -> String {
         let zones = &self.controllers.zones;
         let zone = |n: u32| &zones[n as usize % zones.len()];
@@ -285,8 +293,14 @@
         .into()
 }
 
-/// An array of one task; the caller changes what differs.
-fn base(number: u64, class: &str, team: u64, priority: Priority, cpus: f64) -> JobRequest {
+/// The request of an array with one task; callers override the fields that differ.
+fn single_task_job(
+    number: u64,
+    class: &str,
+    team: u64,
+    priority: Priority,
+    cpus: f64,
+) -> JobRequest {
     JobRequest {
         id: job_id(number),
         class: class.to_owned(),
@@ -297,7 +311,7 @@
         cpus,
         gpus: 0.0,
         memory_gb: cpus * MEMORY_GB_PER_CPU,
-        image: format!("img-{}", number % IMAGES),
+        image: format!("img-{}", number % IMAGE_COUNT),
         image_gb: IMAGE_GB,
         allowed_machine_types: None,
         zone: None,
--- a/crates/loadtest/src/state_service.rs
+++ b/crates/loadtest/src/state_service.rs
@@ -1,4 +1,4 @@
-//! The state service's sockets, limits and outages around [`simulator::state::StateService`].
+//! The simulated state service: sockets, limits and outages around [`simulator::state::StateService`].
 
 use crate::config::{Experiment, Fault};
 use crate::http::{serve, HttpRequest, HttpResponse, SharedTrafficTotals};
@@ -17,17 +17,17 @@
     LeaseRequest, LeaseResponse, StateReply, StateRequest, Transaction, TransactionResponse, Write,
 };
 
-/// How often leases are looked at; one may end 100 ms late.
+/// How often leases are checked for expiry; a lease may end 100 ms late.
 const LEASE_CHECK_INTERVAL: Duration = Duration::from_millis(50);
-/// Largest page of a list.
-const PAGE_BYTES: usize = 512 * 1024;
-const PAGE_ITEMS: u32 = 1_000;
-/// Largest transaction.
-const TXN_BYTES: usize = 64 * 1024;
-/// Longest watch.
+/// Largest page of a list, in bytes and in items.
+const MAX_PAGE_BYTES: usize = 512 * 1024;
+const MAX_PAGE_ITEMS: u32 = 1_000;
+/// Largest body of a transaction.
+const MAX_TXN_BYTES: usize = 64 * 1024;
+/// Longest time that a watch waits for a change.
 const MAX_WATCH_MS: u64 = 60_000;
 
-/// Runs the state service until it is told to stop.
+/// Runs the state service until `context.stop` resolves.
 pub async fn run(context: Context) -> std::io::Result<RoleReport> {
     let Context {
         net,
@@ -35,35 +35,39 @@
         experiment,
         mut stop,
     } = context;
-    let tally = SharedTrafficTotals::default();
+    let traffic_totals = SharedTrafficTotals::default();
     let count = experiment.controllers.count;
-    let warmup = (experiment.warmup_s * 1_000.0) as u64;
-    let service = Rc::new(Service::new(experiment, clock));
+    let warmup_ms = (experiment.warmup_s * 1_000.0) as u64;
+    let server = Rc::new(StateServer::new(experiment, clock));
     for controller in 0..count {
         let listener = TcpListener::bind(net.state(controller)).await?;
-        let service = service.clone();
-        let handler = move |call| {
-            let service = service.clone();
-            async move { service.handle(call).await }
+        let server = server.clone();
+        let handler = move |request| {
+            let server = server.clone();
+            async move { server.handle(request).await }
         };
-        tokio::task::spawn_local(serve(listener, controller, tally.clone(), handler));
+        tokio::task::spawn_local(serve(listener, controller, traffic_totals.clone(), handler));
     }
-    tokio::task::spawn_local(watch_leases(service.clone()));
-    tokio::task::spawn_local(crate::http::clear_totals_at(clock, warmup, tally.clone()));
+    tokio::task::spawn_local(maintain_leases(server.clone()));
+    tokio::task::spawn_local(crate::http::clear_totals_at(
+        clock,
+        warmup_ms,
+        traffic_totals.clone(),
+    ));
     send_message(&RoleMessage::Ready);
-    let mut before = service.figures();
+    let mut at_window_start = server.figures();
     tokio::select! {
-        () = clock.sleep_until_ms(warmup) => {
-            before = service.figures();
+        () = clock.sleep_until_ms(warmup_ms) => {
+            at_window_start = server.figures();
             let _ = stop.await;
         }
         _ = &mut stop => {}
     }
-    let mut figures = service.figures();
+    let mut figures = server.figures();
     for (name, value) in &mut figures {
-        *value -= before.get(name).copied().unwrap_or_default();
+        *value -= at_window_start.get(name).copied().unwrap_or_default();
     }
-    let traffic = tally.borrow().clone();
+    let traffic = traffic_totals.borrow().clone();
     Ok(RoleReport {
         traffic,
         figures,
@@ -71,21 +75,21 @@
     })
 }
 
-/// Ends leases in time, and gives them their full time after an outage.
-async fn watch_leases(service: Rc<Service>) {
+/// Ends expired leases, and renews all leases for their full time to live when an outage ends.
+async fn maintain_leases(server: Rc<StateServer>) {
     let mut was_out = false;
     loop {
         tokio::time::sleep(LEASE_CHECK_INTERVAL).await;
-        let now = service.clock.now_ms();
-        let out = service.outage();
-        if was_out && !out {
-            service.store.borrow_mut().renew_all_leases(now);
+        let now = server.clock.now_ms();
+        let is_out = server.outage_is_active();
+        if was_out && !is_out {
+            server.store.borrow_mut().renew_all_leases(now);
         }
-        if !out {
-            service.store.borrow_mut().expire(now);
-            service.changed();
+        if !is_out {
+            server.store.borrow_mut().expire(now);
+            server.wake_watches();
         }
-        was_out = out;
+        was_out = is_out;
     }
 }
 
@@ -105,38 +109,38 @@
     wait_ms: u64,
 }
 
-struct Service {
+struct StateServer {
     experiment: Experiment,
     clock: Clock,
     store: RefCell<StateService>,
-    requests: RefCell<RateLimit>,
-    throttled: Cell<u64>,
-    during_outage: Cell<u64>,
-    /// Wakes the watches.
+    rate_limit: RefCell<RateLimit>,
+    throttled_requests: Cell<u64>,
+    requests_during_outage: Cell<u64>,
+    /// Wakes the waiting watches.
     changes: watch::Sender<()>,
 }
 
-impl Service {
+impl StateServer {
     fn new(experiment: Experiment, clock: Clock) -> Self {
         let state = &experiment.state;
-        Service {
+        StateServer {
             store: RefCell::new(StateService::new(state.writes_per_s)),
-            requests: RefCell::new(RateLimit::new(state.requests_per_s, 1.0)),
-            throttled: Cell::default(),
-            during_outage: Cell::default(),
+            rate_limit: RefCell::new(RateLimit::new(state.requests_per_s, 1.0)),
+            throttled_requests: Cell::default(),
+            requests_during_outage: Cell::default(),
             changes: watch::Sender::new(()),
             clock,
             experiment,
         }
     }
 
-    fn outage(&self) -> bool {
+    fn outage_is_active(&self) -> bool {
         let now = self.clock.now_ms();
         let mut faults = self.experiment.faults.iter();
         faults.any(|fault| matches!(fault, Fault::StateOutage { .. }) && fault.active(now))
     }
 
-    fn changed(&self) {
+    fn wake_watches(&self) {
         self.changes.send_replace(());
     }
 
@@ -145,28 +149,33 @@
         [
             ("writes taken", store.accepted_writes),
             ("writes refused (429)", store.refused_writes),
-            ("requests refused (429)", self.throttled.get()),
-            ("requests refused (outage)", self.during_outage.get()),
+            ("requests refused (429)", self.throttled_requests.get()),
+            (
+                "requests refused (outage)",
+                self.requests_during_outage.get(),
+            ),
         ]
         .map(|(name, value)| (name.to_owned(), value as f64))
         .into()
     }
 
-    async fn handle(&self, call: HttpRequest) -> HttpResponse {
+    async fn handle(&self, http_request: HttpRequest) -> HttpResponse {
         tokio::time::sleep(Duration::from_secs_f64(
             self.experiment.state.latency_ms / 1e3,
         ))
         .await;
-        let Some((kind, request)) = read_request(&call) else {
+        let Some((kind, request)) = read_request(&http_request) else {
             return HttpResponse::error("malformed", 400, "malformed");
         };
-        if self.outage() {
-            self.during_outage.set(self.during_outage.get() + 1);
+        if self.outage_is_active() {
+            self.requests_during_outage
+                .set(self.requests_during_outage.get() + 1);
             return HttpResponse::error(kind, 503, "outage");
         }
         let now = self.clock.now_ms();
-        if !self.requests.borrow_mut().take(now) {
-            self.throttled.set(self.throttled.get() + 1);
+        if !self.rate_limit.borrow_mut().take(now) {
+            self.throttled_requests
+                .set(self.throttled_requests.get() + 1);
             return HttpResponse::error(kind, 429, "too many requests");
         }
         if let StateRequest::Watch {
@@ -175,61 +184,68 @@
             wait_ms,
         } = &request
         {
-            return answer(kind, self.watch(prefix, *after, *wait_ms).await);
+            return to_response(kind, self.watch(prefix, *after, *wait_ms).await);
         }
         if let StateRequest::Transaction(txn) = &request {
-            if let Some(problem) = self.too_large(txn, call.body.len()) {
+            if let Some(problem) = self.exceeded_limit(txn, http_request.body.len()) {
                 return HttpResponse::error(kind, 400, &problem);
             }
         }
         let reply = self.store.borrow_mut().execute(now, &request);
-        self.changed();
-        answer(kind, reply)
+        self.wake_watches();
+        to_response(kind, reply)
     }
 
-    /// Waits for a change; during an outage nothing is told.
+    /// Waits for a change; an outage delays the reply until its end.
     async fn watch(&self, prefix: &str, after: u64, wait_ms: u64) -> StateReply {
-        let until = self.clock.now_ms() + wait_ms.min(MAX_WATCH_MS);
+        let deadline_ms = self.clock.now_ms() + wait_ms.min(MAX_WATCH_MS);
         let mut changes = self.changes.subscribe();
         loop {
-            if !self.outage() {
+            if !self.outage_is_active() {
                 if let Some(reply) = self.store.borrow().changes(prefix, after) {
                     return reply;
                 }
-                if self.clock.now_ms() >= until {
+                if self.clock.now_ms() >= deadline_ms {
                     return self.store.borrow().no_changes();
                 }
             }
-            let left = until.saturating_sub(self.clock.now_ms()).clamp(20, 1_000);
-            let _ = tokio::time::timeout(Duration::from_millis(left), changes.changed()).await;
+            let left_ms = deadline_ms
+                .saturating_sub(self.clock.now_ms())
+                .clamp(20, 1_000);
+            let _ = tokio::time::timeout(Duration::from_millis(left_ms), changes.changed()).await;
         }
     }
 
-    fn too_large(&self, txn: &Transaction, bytes: usize) -> Option<String> {
+    /// The limit of the service that a transaction exceeds, if any.
+    fn exceeded_limit(&self, txn: &Transaction, bytes: usize) -> Option<String> {
         let state = &self.experiment.state;
         if txn.writes.len() > state.txn_ops || txn.conditions.len() > 4 * state.txn_ops {
             return Some("too many operations".into());
         }
-        if bytes > TXN_BYTES {
+        if bytes > MAX_TXN_BYTES {
             return Some("transaction over 64 KiB".into());
         }
-        let most = (state.value_kb * 1024.0) as usize;
+        let max_value_bytes = (state.value_kb * 1024.0) as usize;
         txn.writes.iter().find_map(|write| {
             let Write::Put { key, value, .. } = write else {
                 return None;
             };
             let length = serde_json::to_vec(value).map_or(usize::MAX, |bytes| bytes.len());
-            (length > most).then(|| format!("value of {key} has {length} bytes"))
+            (length > max_value_bytes).then(|| format!("value of {key} has {length} bytes"))
         })
     }
 }
 
-fn read_request(call: &HttpRequest) -> Option<(&'static str, StateRequest)> {
-    let parts: Vec<&str> = call.path.trim_start_matches('/').split('/').collect();
-    let request = match (call.method.clone(), parts.as_slice()) {
+fn read_request(http_request: &HttpRequest) -> Option<(&'static str, StateRequest)> {
+    let parts: Vec<&str> = http_request
+        .path
+        .trim_start_matches('/')
+        .split('/')
+        .collect();
+    let request = match (http_request.method.clone(), parts.as_slice()) {
         (Method::GET, ["store"]) => {
-            let query: ListQuery = serde_urlencoded::from_str(&call.query).ok()?;
-            let limit = query.limit.unwrap_or(PAGE_ITEMS).min(PAGE_ITEMS);
+            let query: ListQuery = serde_urlencoded::from_str(&http_request.query).ok()?;
+            let limit = query.limit.unwrap_or(MAX_PAGE_ITEMS).min(MAX_PAGE_ITEMS);
             (
                 "list",
                 StateRequest::List {
@@ -242,10 +258,10 @@
         (Method::GET, ["store", key @ ..]) => ("get", StateRequest::Get { key: key.join("/") }),
         (Method::POST, ["txn"]) => (
             "txn",
-            StateRequest::Transaction(serde_json::from_slice(&call.body).ok()?),
+            StateRequest::Transaction(serde_json::from_slice(&http_request.body).ok()?),
         ),
         (Method::POST, ["holds"]) => {
-            let lease: LeaseRequest = serde_json::from_slice(&call.body).ok()?;
+            let lease: LeaseRequest = serde_json::from_slice(&http_request.body).ok()?;
             (
                 "lease",
                 StateRequest::GrantLease {
@@ -266,7 +282,7 @@
             },
         ),
         (Method::GET, ["changes"]) => {
-            let query: WatchQuery = serde_urlencoded::from_str(&call.query).ok()?;
+            let query: WatchQuery = serde_urlencoded::from_str(&http_request.query).ok()?;
             let WatchQuery {
                 prefix,
                 after,
@@ -286,12 +302,12 @@
     Some(request)
 }
 
-fn answer(kind: &'static str, reply: StateReply) -> HttpResponse {
+fn to_response(kind: &'static str, reply: StateReply) -> HttpResponse {
     match reply {
         StateReply::Item(item) => HttpResponse::json(kind, 200, &item),
         StateReply::NotFound => HttpResponse::error(kind, 404, "no such key"),
         StateReply::List(mut page) => {
-            shorten(&mut page);
+            truncate(&mut page);
             HttpResponse::json(kind, 200, &page)
         }
         StateReply::Committed { revision } => HttpResponse::json(
@@ -324,15 +340,15 @@
     }
 }
 
-/// Leaves out what does not fit into an answer.
-fn shorten(page: &mut wire::state::ListPage) {
+/// Truncates a page to the items that fit into a response; one item always stays.
+fn truncate(page: &mut wire::state::ListPage) {
     let mut bytes = 0;
-    let fits = page.items.iter().position(|item| {
+    let fitting_items = page.items.iter().position(|item| {
         bytes += serde_json::to_vec(item).map_or(0, |bytes| bytes.len() + 1);
-        bytes > PAGE_BYTES
+        bytes > MAX_PAGE_BYTES
     });
-    if let Some(fits) = fits {
-        page.items.truncate(fits.max(1));
+    if let Some(fitting_items) = fitting_items {
+        page.items.truncate(fitting_items.max(1));
         page.has_more = true;
     }
 }
--- a/crates/loadtest/src/users.rs
+++ b/crates/loadtest/src/users.rs
@@ -1,5 +1,4 @@
-//! Hollow users: they submit jobs through healthy controllers, poll them, cancel some, and note what
-//! they were told.
+//! Simulated users: they submit jobs through healthy controllers, poll them, cancel some, and record the replies.
 
 use crate::config::Experiment;
 use crate::http::{Client, SharedTrafficTotals};
@@ -16,24 +15,24 @@
 use tokio::sync::Semaphore;
 use wire::users::{JobState, JobStatus};
 
-/// How long a user waits for an answer to a submission or a cancellation, and to a poll.
+/// Timeouts of the response to a submission or a cancellation, and to a poll.
 const SUBMIT_TIMEOUT: Duration = Duration::from_secs(5);
 const POLL_TIMEOUT: Duration = Duration::from_secs(2);
-/// Pause between two tries, the longest, and for how long a submission is tried.
-const RETRY_S: u64 = 1;
-const MAX_RETRY_S: u64 = 30;
-const REQUEST_DEADLINE_MS: u64 = 60_000;
-/// Pause between two polls.
-const POLL_MS: u64 = 5_000;
-/// Health checks: how often, their timeout, and failures in a row that count.
+/// Delay between two attempts (`Retry-After` within these bounds), and for how long a submission is retried.
+const MIN_RETRY_DELAY_S: u64 = 1;
+const MAX_RETRY_DELAY_S: u64 = 30;
+const SUBMISSION_DEADLINE_MS: u64 = 60_000;
+/// Time between two polls of a job.
+const POLL_INTERVAL_MS: u64 = 5_000;
+/// Health checks: their interval, their timeout, and the failures in a row after which a controller is unhealthy.
 const PROBE_INTERVAL: Duration = Duration::from_secs(1);
 const PROBE_TIMEOUT: Duration = Duration::from_secs(1);
-const PROBE_FAILURES: u32 = 2;
-/// Questions at once, and tries of each, when every accepted job is asked about at the end.
+const UNHEALTHY_AFTER_FAILURES: u32 = 2;
+/// Concurrent polls, and attempts for each job, when every accepted job is polled at the end.
 const CONCURRENT_FINAL_POLLS: usize = 50;
 const MAX_FINAL_POLL_ATTEMPTS: u32 = 4;
 
-/// Runs the users to the end of the experiment, or until they are told to stop.
+/// Runs the users to the end of the experiment, or until `context.stop` resolves.
 pub async fn run(context: Context) -> std::io::Result<RoleReport> {
     let Context {
         net,
@@ -42,7 +41,7 @@
         mut stop,
     } = context;
     let end_ms = (experiment.duration_s * 1_000.0) as u64;
-    let warmup = (experiment.warmup_s * 1_000.0) as u64;
+    let warmup_ms = (experiment.warmup_s * 1_000.0) as u64;
     let users = Rc::new(Users::new(experiment, net, clock));
     send_message(&RoleMessage::Ready);
     for controller in 0..users.experiment.controllers.count {
@@ -50,30 +49,33 @@
     }
     tokio::task::spawn_local(crate::http::clear_totals_at(
         clock,
-        warmup,
-        users.tally.clone(),
+        warmup_ms,
+        users.traffic_totals.clone(),
     ));
     tokio::task::spawn_local(users.clone().submit_services());
     for class in 0..users.experiment.classes.len() {
         tokio::task::spawn_local(users.clone().submit_class(class));
     }
-    let whole = tokio::select! {
+    let completed = tokio::select! {
         () = clock.sleep_until_ms(end_ms) => true,
         _ = &mut stop => false,
     };
-    users.ending.set(true);
-    let traffic = users.tally.borrow().clone();
-    let unanswered = if whole {
+    users.stopping.set(true);
+    let traffic = users.traffic_totals.borrow().clone();
+    let unanswered = if completed {
         users.clone().poll_all_jobs().await
     } else {
         0
     };
     let figures = [
-        ("jobs accepted", users.accepted.borrow().len() as f64),
-        ("submissions given up", users.given_up.get() as f64),
+        ("jobs accepted", users.accepted_jobs.borrow().len() as f64),
+        (
+            "submissions given up",
+            users.abandoned_submissions.get() as f64,
+        ),
         (
             "requests without a usable answer",
-            users.failures.get() as f64,
+            users.failed_requests.get() as f64,
         ),
         (
             "accepted jobs without an answer at the end",
@@ -93,15 +95,16 @@
     net: LoopbackNet,
     clock: Clock,
     experiment: Experiment,
-    healthy: RefCell<Vec<bool>>,
-    /// Connections that nobody uses now, by controller.
-    idle: RefCell<Vec<Vec<Client>>>,
-    tally: SharedTrafficTotals,
+    /// Result of the health checks, by controller.
+    is_healthy: RefCell<Vec<bool>>,
+    /// Idle connections, by controller.
+    idle_clients: RefCell<Vec<Vec<Client>>>,
+    traffic_totals: SharedTrafficTotals,
     events: RefCell<Vec<UserEvent>>,
-    accepted: RefCell<Vec<u64>>,
-    given_up: Cell<u64>,
-    failures: Cell<u64>,
-    ending: Cell<bool>,
+    accepted_jobs: RefCell<Vec<u64>>,
+    abandoned_submissions: Cell<u64>,
+    failed_requests: Cell<u64>,
+    stopping: Cell<bool>,
 }
 
 impl Users {
@@ -111,48 +114,48 @@
             net,
             clock,
             experiment,
-            healthy: RefCell::new(vec![false; count]),
-            idle: RefCell::new((0..count).map(|_| Vec::new()).collect()),
-            tally: SharedTrafficTotals::default(),
+            is_healthy: RefCell::new(vec![false; count]),
+            idle_clients: RefCell::new((0..count).map(|_| Vec::new()).collect()),
+            traffic_totals: SharedTrafficTotals::default(),
             events: RefCell::default(),
-            accepted: RefCell::default(),
-            given_up: Cell::default(),
-            failures: Cell::default(),
-            ending: Cell::default(),
+            accepted_jobs: RefCell::default(),
+            abandoned_submissions: Cell::default(),
+            failed_requests: Cell::default(),
+            stopping: Cell::default(),
         }
     }
 
-    /// Checks a controller's health as the load balancer does.
+    /// Checks a controller's health repeatedly, as the load balancer does.
     async fn probe(self: Rc<Self>, controller: u32) {
         let mut failures = 0;
         loop {
             let exchange = self.exchange(controller, Method::GET, "/healthz", Vec::new(), "health");
-            let answer = tokio::time::timeout(PROBE_TIMEOUT, exchange)
+            let response = tokio::time::timeout(PROBE_TIMEOUT, exchange)
                 .await
                 .ok()
                 .flatten();
-            failures = if answer.is_some_and(|a| a.0 == 200) {
+            failures = if response.is_some_and(|r| r.0 == 200) {
                 0
             } else {
                 failures + 1
             };
             {
-                let healthy = &mut self.healthy.borrow_mut()[controller as usize];
-                *healthy = failures == 0 || (*healthy && failures < PROBE_FAILURES);
+                let is_healthy = &mut self.is_healthy.borrow_mut()[controller as usize];
+                *is_healthy = failures == 0 || (*is_healthy && failures < UNHEALTHY_AFTER_FAILURES);
             }
             tokio::time::sleep(PROBE_INTERVAL).await;
         }
     }
 
     fn healthy_controller(&self) -> Option<u32> {
-        let healthy = self.healthy.borrow();
-        let healthy: Vec<u32> = (0..healthy.len() as u32)
-            .filter(|n| healthy[*n as usize])
+        let is_healthy = self.is_healthy.borrow();
+        let healthy_controllers: Vec<u32> = (0..is_healthy.len() as u32)
+            .filter(|n| is_healthy[*n as usize])
             .collect();
-        if healthy.is_empty() {
+        if healthy_controllers.is_empty() {
             return None;
         }
-        Some(healthy[rand::rng().random_range(0..healthy.len())])
+        Some(healthy_controllers[rand::rng().random_range(0..healthy_controllers.len())])
     }
 
     async fn exchange(
@@ -163,20 +166,20 @@
         body: Vec<u8>,
         kind: &str,
     ) -> Option<(u16, Option<u64>, Bytes)> {
-        let idle = self.idle.borrow_mut()[controller as usize].pop();
-        let mut client = match idle.filter(Client::usable) {
+        let idle_client = self.idle_clients.borrow_mut()[controller as usize].pop();
+        let mut client = match idle_client.filter(Client::usable) {
             Some(client) => client,
             None => Client::connect(None, self.net.controller(controller), controller)
                 .await
                 .ok()?,
         };
-        let answer = client.exchange(method, path, body).await.ok()?;
-        client.count(&self.tally, kind);
-        self.idle.borrow_mut()[controller as usize].push(client);
-        Some(answer)
+        let response = client.exchange(method, path, body).await.ok()?;
+        client.count(&self.traffic_totals, kind);
+        self.idle_clients.borrow_mut()[controller as usize].push(client);
+        Some(response)
     }
 
-    /// One request through a healthy controller.
+    /// Sends a request through a healthy controller; none if there is no response in time.
     async fn request(
         &self,
         method: Method,
@@ -187,17 +190,17 @@
     ) -> Option<(u16, Option<u64>, Bytes)> {
         let controller = self.healthy_controller()?;
         let exchange = self.exchange(controller, method, path, body, kind);
-        let answer = tokio::time::timeout(timeout, exchange).await.ok().flatten();
-        let usable = answer
+        let response = tokio::time::timeout(timeout, exchange).await.ok().flatten();
+        let usable = response
             .as_ref()
-            .is_some_and(|a| matches!(a.0, 200 | 201 | 400 | 404 | 422));
+            .is_some_and(|r| matches!(r.0, 200 | 201 | 400 | 404 | 422));
         if !usable {
-            self.failures.set(self.failures.get() + 1);
+            self.failed_requests.set(self.failed_requests.get() + 1);
         }
-        answer
+        response
     }
 
-    fn record(&self, job: u64, asked_us: u64, answer: UserAnswer) {
+    fn record_event(&self, job: u64, asked_us: u64, answer: UserAnswer) {
         let at_us = self.clock.now_us();
         self.events.borrow_mut().push(UserEvent {
             at_us,
@@ -216,75 +219,78 @@
 
     async fn submit_services(self: Rc<Self>) {
         self.wait_for_controllers().await;
-        let pause = Duration::from_secs_f64(1.0 / self.experiment.services.per_s);
-        for nth in 0..self.experiment.service_count() {
-            if self.ending.get() {
+        let interval = Duration::from_secs_f64(1.0 / self.experiment.services.per_s);
+        for index in 0..self.experiment.service_count() {
+            if self.stopping.get() {
                 return;
             }
-            tokio::task::spawn_local(self.clone().live(service_job_number(nth), 0.0));
-            tokio::time::sleep(pause).await;
+            tokio::task::spawn_local(self.clone().run_job(service_job_number(index), 0.0));
+            tokio::time::sleep(interval).await;
         }
     }
 
-    /// Jobs of a class arrive as a Poisson process.
+    /// Submits the jobs of a class, which arrive as a Poisson process.
     async fn submit_class(self: Rc<Self>, class: usize) {
         self.wait_for_controllers().await;
         let seed = self.experiment.seed.wrapping_add(class as u64 + 1);
         let mut rng = SmallRng::seed_from_u64(seed);
-        let (rate, cancelled) = {
+        let (jobs_per_s, cancelled_fraction) = {
             let class = &self.experiment.classes[class];
             (class.jobs_per_s, class.cancelled)
         };
         let mut next_s = self.clock.now_ms() as f64 / 1_000.0;
-        for nth in 0.. {
-            let draw: f64 = rng.random_range(f64::EPSILON..1.0);
-            next_s -= draw.ln() / rate;
+        for index in 0.. {
+            let uniform: f64 = rng.random_range(f64::EPSILON..1.0);
+            next_s -= uniform.ln() / jobs_per_s;
             self.clock.sleep_until_ms((next_s * 1_000.0) as u64).await;
-            if self.ending.get() {
+            if self.stopping.get() {
                 return;
             }
-            tokio::task::spawn_local(self.clone().live(class_job_number(class, nth), cancelled));
+            tokio::task::spawn_local(
+                self.clone()
+                    .run_job(class_job_number(class, index), cancelled_fraction),
+            );
         }
     }
 
-    /// A job from its submission to its end.
-    async fn live(self: Rc<Self>, number: u64, cancelled: f64) {
+    /// Submits a job and polls it until it has terminated; cancels it with the given probability.
+    async fn run_job(self: Rc<Self>, number: u64, cancel_probability: f64) {
         if !self.submit(number).await {
             return;
         }
-        let cancel_at = rand::rng().random_bool(cancelled).then(|| {
+        let cancel_at = rand::rng().random_bool(cancel_probability).then(|| {
             let now = self.clock.now_ms();
-            now + rand::rng().random_range(200..3 * POLL_MS)
+            now + rand::rng().random_range(200..3 * POLL_INTERVAL_MS)
         });
-        let mut next_poll = self.clock.now_ms() + POLL_MS;
+        let mut next_poll = self.clock.now_ms() + POLL_INTERVAL_MS;
         loop {
             let wake = cancel_at.map_or(next_poll, |at| at.min(next_poll));
             self.clock.sleep_until_ms(wake).await;
-            if self.ending.get() {
+            if self.stopping.get() {
                 return;
             }
             if cancel_at.is_some_and(|at| at <= self.clock.now_ms()) {
                 self.cancel(number).await;
                 return;
             }
-            if self.poll(number).await.is_some_and(is_over) {
+            if self.poll(number).await.is_some_and(is_terminal) {
                 return;
             }
-            next_poll = self.clock.now_ms() + POLL_MS;
+            next_poll = self.clock.now_ms() + POLL_INTERVAL_MS;
         }
     }
 
-    /// Submits a job until it is accepted; false if it is not.
+    /// Submits a job repeatedly until it is accepted; false if it is rejected or the attempts end.
     async fn submit(&self, number: u64) -> bool {
         let Some(job) = self.experiment.job_request(number) else {
             return false;
         };
         let body = serde_json::to_vec(&job).unwrap_or_default();
-        let begun = self.clock.now_ms();
-        self.record(number, self.clock.now_us(), UserAnswer::Submitted);
+        let started_ms = self.clock.now_ms();
+        self.record_event(number, self.clock.now_us(), UserAnswer::Submitted);
         loop {
-            let asked = self.clock.now_us();
-            let answer = self
+            let asked_us = self.clock.now_us();
+            let response = self
                 .request(
                     Method::POST,
                     "/v1/jobs",
@@ -293,81 +299,84 @@
                     SUBMIT_TIMEOUT,
                 )
                 .await;
-            match answer {
+            match response {
                 Some((200 | 201, _, body)) => {
-                    self.record(number, asked, UserAnswer::Accepted);
-                    self.accepted.borrow_mut().push(number);
-                    self.note_state(number, asked, &body);
+                    self.record_event(number, asked_us, UserAnswer::Accepted);
+                    self.accepted_jobs.borrow_mut().push(number);
+                    self.record_state(number, asked_us, &body);
                     return true;
                 }
                 Some((400 | 422, ..)) => {
-                    self.record(number, asked, UserAnswer::Missing);
+                    self.record_event(number, asked_us, UserAnswer::Missing);
                     return false;
                 }
-                answer => {
-                    if self.clock.now_ms() > begun + REQUEST_DEADLINE_MS || self.ending.get() {
-                        self.given_up.set(self.given_up.get() + 1);
+                response => {
+                    if self.clock.now_ms() > started_ms + SUBMISSION_DEADLINE_MS
+                        || self.stopping.get()
+                    {
+                        self.abandoned_submissions
+                            .set(self.abandoned_submissions.get() + 1);
                         return false;
                     }
-                    pause(answer.and_then(|a| a.1)).await;
+                    wait_before_retry(response.and_then(|r| r.1)).await;
                 }
             }
         }
     }
 
-    /// Asks for a job's state; none if there was no usable answer.
+    /// Polls a job once; none if there was no usable response.
     async fn poll(&self, number: u64) -> Option<JobState> {
         let path = format!("/v1/jobs/{}", job_id(number));
-        let asked = self.clock.now_us();
+        let asked_us = self.clock.now_us();
         match self
             .request(Method::GET, &path, Vec::new(), "poll", POLL_TIMEOUT)
             .await?
         {
-            (200, _, body) => self.note_state(number, asked, &body),
+            (200, _, body) => self.record_state(number, asked_us, &body),
             (404, ..) => {
-                self.record(number, asked, UserAnswer::Missing);
+                self.record_event(number, asked_us, UserAnswer::Missing);
                 None
             }
             _ => None,
         }
     }
 
-    /// Cancels a job, however often that has to be said.
+    /// Requests the cancellation of a job repeatedly until it is confirmed.
     async fn cancel(&self, number: u64) {
         let path = format!("/v1/jobs/{}/cancel", job_id(number));
-        self.record(number, self.clock.now_us(), UserAnswer::CancelAsked);
-        while !self.ending.get() {
-            let asked = self.clock.now_us();
-            let answer = self
+        self.record_event(number, self.clock.now_us(), UserAnswer::CancelAsked);
+        while !self.stopping.get() {
+            let asked_us = self.clock.now_us();
+            let response = self
                 .request(Method::POST, &path, Vec::new(), "cancel", SUBMIT_TIMEOUT)
                 .await;
-            match answer {
+            match response {
                 Some((200, _, body)) => {
-                    self.note_state(number, asked, &body);
+                    self.record_state(number, asked_us, &body);
                     return;
                 }
-                Some((404, ..)) => self.record(number, asked, UserAnswer::Missing),
+                Some((404, ..)) => self.record_event(number, asked_us, UserAnswer::Missing),
                 _ => {}
             }
-            pause(answer.and_then(|a| a.1)).await;
+            wait_before_retry(response.and_then(|r| r.1)).await;
         }
     }
 
-    fn note_state(&self, number: u64, asked: u64, body: &[u8]) -> Option<JobState> {
+    fn record_state(&self, number: u64, asked_us: u64, body: &[u8]) -> Option<JobState> {
         let status: JobStatus = serde_json::from_slice(body).ok()?;
-        self.record(number, asked, UserAnswer::Told(status.state));
+        self.record_event(number, asked_us, UserAnswer::Told(status.state));
         Some(status.state)
     }
 
-    /// Asks once more about every accepted job; returns how many had no answer.
+    /// Polls every accepted job once more; returns how many gave no usable response.
     async fn poll_all_jobs(self: Rc<Self>) -> u64 {
-        let places = Rc::new(Semaphore::new(CONCURRENT_FINAL_POLLS));
-        let numbers = self.accepted.borrow().clone();
+        let permits = Rc::new(Semaphore::new(CONCURRENT_FINAL_POLLS));
+        let numbers = self.accepted_jobs.borrow().clone();
         let mut polls = Vec::new();
         for number in numbers {
-            let (users, places) = (self.clone(), places.clone());
+            let (users, permits) = (self.clone(), permits.clone());
             polls.push(tokio::task::spawn_local(async move {
-                let _place = places.acquire().await;
+                let _permit = permits.acquire().await;
                 users.poll_until_answered(number).await
             }));
         }
@@ -383,17 +392,19 @@
             if self.poll(number).await.is_some() {
                 return true;
             }
-            tokio::time::sleep(Duration::from_secs(RETRY_S)).await;
+            tokio::time::sleep(Duration::from_secs(MIN_RETRY_DELAY_S)).await;
         }
         false
     }
 }
 
-fn is_over(state: JobState) -> bool {
+fn is_terminal(state: JobState) -> bool {
     matches!(state, JobState::Done | JobState::Cancelled)
 }
 
-async fn pause(retry_after_s: Option<u64>) {
-    let wait = retry_after_s.unwrap_or(RETRY_S).clamp(RETRY_S, MAX_RETRY_S);
+async fn wait_before_retry(retry_after_s: Option<u64>) {
+    let wait = retry_after_s
+        .unwrap_or(MIN_RETRY_DELAY_S)
+        .clamp(MIN_RETRY_DELAY_S, MAX_RETRY_DELAY_S);
     tokio::time::sleep(Duration::from_secs(wait)).await;
 }
--- a/crates/loadtest/src/workers.rs
+++ b/crates/loadtest/src/workers.rs
@@ -1,5 +1,5 @@
-//! Hollow workers: the sockets, clocks and connections around [`simulator::worker::Worker`]. They report,
-//! obey, and let tasks pass; no task is run.
+//! Simulated workers: the sockets, clocks and connections around [`simulator::worker::Worker`]. They send heartbeats,
+//! execute commands and let the run time of tasks pass; no task is run.
 
 use crate::cloud::{BootedMachine, MachineChanges};
 use crate::config::{Experiment, Fault};
@@ -20,50 +20,50 @@
 use wire::users::JobRequest;
 use wire::workers::{Command, DirectCommands, Heartbeat, HeartbeatResponse, Redirect};
 
-/// How long a report waits for its answer.
-const ANSWER_TIMEOUT: Duration = Duration::from_millis(4_000);
-/// Pause before the next controller is tried.
-const NEXT_CONTROLLER_PAUSE_MS: u64 = 1_000;
-/// Longest pause after a redirection.
-const REDIRECT_MS: u64 = 500;
-/// Shortest time between two reports.
+/// How long a worker waits for the response to a heartbeat.
+const HEARTBEAT_TIMEOUT: Duration = Duration::from_millis(4_000);
+/// Delay before the next controller is tried.
+const NEXT_CONTROLLER_DELAY_MS: u64 = 1_000;
+/// Longest delay before the heartbeat after a redirect; the delay is random.
+const MAX_REDIRECT_DELAY_MS: u64 = 500;
+/// Least time between two heartbeats.
 const MIN_HEARTBEAT_INTERVAL_MS: u64 = 500;
-/// Longest sleep of a worker, so that faults are noticed.
+/// Longest sleep of a worker: it checks at least this often whether a fault has begun or ended.
 const MAX_SLEEP_MS: u64 = 1_000;
-/// Who sends direct commands is not known: they are counted under this number.
+/// Key under which the traffic of direct calls is counted: they do not say which controller makes them.
 pub const UNKNOWN_CONTROLLER: u32 = u32::MAX;
 
-/// Runs the workers of a process until it is told to stop.
-pub async fn run(context: Context, process: u32) -> std::io::Result<RoleReport> {
+/// Runs the workers of one process until `context.stop` resolves.
+pub async fn run(context: Context, process_index: u32) -> std::io::Result<RoleReport> {
     let Context {
         net,
         clock,
         experiment,
         stop,
     } = context;
-    let warmup = (experiment.warmup_s * 1_000.0) as u64;
-    let listener = TcpListener::bind(net.worker_process(process)).await?;
-    let site = Rc::new(Site::new(experiment, net, clock));
+    let warmup_ms = (experiment.warmup_s * 1_000.0) as u64;
+    let listener = TcpListener::bind(net.worker_process(process_index)).await?;
+    let process = Rc::new(WorkerProcess::new(experiment, net, clock));
     let handler = {
-        let site = site.clone();
-        move |call: HttpRequest| {
-            let site = site.clone();
-            async move { change_machines(&site, &call).await }
+        let process = process.clone();
+        move |request: HttpRequest| {
+            let process = process.clone();
+            async move { apply_machine_changes(&process, &request).await }
         }
     };
     tokio::task::spawn_local(serve(listener, 0, SharedTrafficTotals::default(), handler));
     tokio::task::spawn_local(crate::http::clear_totals_at(
         clock,
-        warmup,
-        site.tally.clone(),
+        warmup_ms,
+        process.traffic_totals.clone(),
     ));
-    tokio::task::spawn_local(report_progress(site.clone()));
+    tokio::task::spawn_local(report_progress(process.clone()));
     send_message(&RoleMessage::Ready);
     let _ = stop.await;
-    let traffic = site.tally.borrow().clone();
-    let tasks = std::mem::take(&mut *site.events.borrow_mut());
-    let lapsed = site.lapsed.get() as f64;
-    let figures = [("leases that lapsed".to_owned(), lapsed)].into();
+    let traffic = process.traffic_totals.borrow().clone();
+    let tasks = std::mem::take(&mut *process.task_events.borrow_mut());
+    let expired_leases = process.expired_leases.get() as f64;
+    let figures = [("leases that lapsed".to_owned(), expired_leases)].into();
     Ok(RoleReport {
         traffic,
         tasks,
@@ -72,19 +72,22 @@
     })
 }
 
-async fn report_progress(site: Rc<Site>) {
+async fn report_progress(process: Rc<WorkerProcess>) {
     loop {
         tokio::time::sleep(Duration::from_secs(1)).await;
-        let workers = site.workers.borrow();
-        let now = site.clock.now_ms();
-        let heard = workers.values().filter(|w| w.answered_lately(now)).count();
+        let workers = process.workers.borrow();
+        let now = process.clock.now_ms();
+        let in_contact = workers
+            .values()
+            .filter(|w| w.has_recent_response(now))
+            .count();
         let tasks: usize = workers
             .values()
-            .map(|w| w.state.borrow().present.len())
+            .map(|w| w.state.borrow().present_tasks.len())
             .sum();
         let figures = [
             ("workers", workers.len()),
-            ("in contact", heard),
+            ("in contact", in_contact),
             ("tasks", tasks),
         ];
         let figures = figures.map(|(name, value)| (name.to_owned(), value as f64));
@@ -92,19 +95,21 @@
     }
 }
 
-/// Carries out what the cloud says of machines.
-async fn change_machines(site: &Rc<Site>, call: &HttpRequest) -> HttpResponse {
-    let Ok(changes) = serde_json::from_slice::<MachineChanges>(&call.body) else {
+/// Handles the cloud's notification of machines that have booted or were released.
+async fn apply_machine_changes(process: &Rc<WorkerProcess>, request: &HttpRequest) -> HttpResponse {
+    let Ok(changes) = serde_json::from_slice::<MachineChanges>(&request.body) else {
         return HttpResponse::error("", 400, "malformed");
     };
     for name in &changes.gone {
-        if let Some(worker) = site.workers.borrow_mut().remove(name) {
-            worker.end();
+        if let Some(worker) = process.workers.borrow_mut().remove(name) {
+            worker.remove();
         }
     }
     for machine in changes.up {
-        if let Err(error) = start_worker(site, machine).await {
-            eprintln!("trackcrank-loadtest: a worker cannot listen: {error}");
+        if let Err(error) = start_worker(process, machine).await {
+            eprintln!(
+                "trackcrank-loadtest: cannot bind the address of a simulated worker: {error}"
+            );
         }
     }
     HttpResponse {
@@ -114,61 +119,66 @@
     }
 }
 
-async fn start_worker(site: &Rc<Site>, machine: BootedMachine) -> std::io::Result<()> {
+async fn start_worker(process: &Rc<WorkerProcess>, machine: BootedMachine) -> std::io::Result<()> {
     let number = machine_number(&machine.name);
-    let listener = TcpListener::bind(site.net.worker(number)).await?;
-    let worker = Rc::new(HollowWorker::new(site.clone(), number, &machine));
+    let listener = TcpListener::bind(process.net.worker(number)).await?;
+    let worker = Rc::new(SimulatedWorker::new(process.clone(), number, &machine));
     let handler = {
         let worker = worker.clone();
-        move |call: HttpRequest| {
+        move |request: HttpRequest| {
             let worker = worker.clone();
-            async move { worker.direct(call).await }
+            async move { worker.handle_direct_call(request).await }
         }
     };
-    let serving = serve(listener, UNKNOWN_CONTROLLER, site.tally.clone(), handler);
+    let serving = serve(
+        listener,
+        UNKNOWN_CONTROLLER,
+        process.traffic_totals.clone(),
+        handler,
+    );
     let tasks = vec![
         tokio::task::spawn_local(serving),
-        tokio::task::spawn_local(worker.clone().live()),
+        tokio::task::spawn_local(worker.clone().run()),
     ];
-    *worker.running.borrow_mut() = tasks;
-    site.workers.borrow_mut().insert(machine.name, worker);
+    *worker.async_tasks.borrow_mut() = tasks;
+    process.workers.borrow_mut().insert(machine.name, worker);
     Ok(())
 }
 
-/// What the workers of a process share.
-struct Site {
+/// State that the workers of a process share.
+struct WorkerProcess {
     net: LoopbackNet,
     clock: Clock,
     experiment: Experiment,
-    report_ms: u64,
+    heartbeat_interval_ms: u64,
     lease_ms: u64,
-    /// Jobs that workers were told of.
-    jobs: RefCell<HashMap<String, JobRequest>>,
-    tally: SharedTrafficTotals,
-    events: RefCell<Vec<TaskEvent>>,
-    workers: RefCell<HashMap<String, Rc<HollowWorker>>>,
-    lapsed: Cell<u64>,
+    /// Requests of the jobs whose tasks the workers were told to launch, by job id.
+    job_requests: RefCell<HashMap<String, JobRequest>>,
+    traffic_totals: SharedTrafficTotals,
+    task_events: RefCell<Vec<TaskEvent>>,
+    workers: RefCell<HashMap<String, Rc<SimulatedWorker>>>,
+    expired_leases: Cell<u64>,
 }
 
-impl Site {
+impl WorkerProcess {
     fn new(experiment: Experiment, net: LoopbackNet, clock: Clock) -> Self {
-        Site {
+        WorkerProcess {
             net,
             clock,
-            report_ms: (experiment.workers.report_s * 1_000.0) as u64,
+            heartbeat_interval_ms: (experiment.workers.report_s * 1_000.0) as u64,
             lease_ms: (experiment.workers.lease_s * 1_000.0) as u64,
             experiment,
-            jobs: RefCell::default(),
-            tally: SharedTrafficTotals::default(),
-            events: RefCell::default(),
+            job_requests: RefCell::default(),
+            traffic_totals: SharedTrafficTotals::default(),
+            task_events: RefCell::default(),
             workers: RefCell::default(),
-            lapsed: Cell::default(),
+            expired_leases: Cell::default(),
         }
     }
 
-    /// Fetches the descriptions of jobs that commands name.
-    fn fetch_jobs(&self, commands: &[Command]) {
-        let mut jobs = self.jobs.borrow_mut();
+    /// Adds the requests of the jobs whose tasks the commands launch.
+    fn add_jobs(&self, commands: &[Command]) {
+        let mut jobs = self.job_requests.borrow_mut();
         for command in commands {
             let Command::Launch { task, .. } = command else {
                 continue;
@@ -184,86 +194,99 @@
     }
 }
 
-/// What changes of a worker.
-struct HollowState {
+/// Mutable state of a worker.
+struct WorkerState {
     worker: Worker,
     connection: Option<Client>,
-    /// Sending time of the last answered report, or the begin of the session.
-    lease_from: u64,
-    /// No report is sent before.
-    not_before: u64,
-    /// Tasks that are on the machine.
-    present: BTreeSet<String>,
-    reports: u64,
+    /// When the lease began to run: when the last answered heartbeat was sent, or when the epoch began.
+    lease_started_at: u64,
+    /// No heartbeat is sent before this time.
+    no_heartbeat_before: u64,
+    /// Ids of the tasks that have started on the machine and have not exited.
+    present_tasks: BTreeSet<String>,
+    heartbeats_sent: u64,
 }
 
-struct HollowWorker {
-    site: Rc<Site>,
-    machine: u32,
-    state: RefCell<HollowState>,
+struct SimulatedWorker {
+    process: Rc<WorkerProcess>,
+    machine_number: u32,
+    state: RefCell<WorkerState>,
     wake: Notify,
     gone: Cell<bool>,
-    running: RefCell<Vec<JoinHandle<()>>>,
+    async_tasks: RefCell<Vec<JoinHandle<()>>>,
 }
 
-impl HollowWorker {
-    fn new(site: Rc<Site>, machine: u32, up: &BootedMachine) -> Self {
-        let now = site.clock.now_ms();
-        let mut worker = Worker::new(&up.name, &up.machine_type, &up.zone, up.spot, now);
-        worker.controller = rand::rng().random_range(0..site.experiment.controllers.count) as usize;
-        let state = HollowState {
+impl SimulatedWorker {
+    fn new(process: Rc<WorkerProcess>, machine_number: u32, machine: &BootedMachine) -> Self {
+        let now = process.clock.now_ms();
+        let mut worker = Worker::new(
+            &machine.name,
+            &machine.machine_type,
+            &machine.zone,
+            machine.spot,
+            now,
+        );
+        worker.controller =
+            rand::rng().random_range(0..process.experiment.controllers.count) as usize;
+        let state = WorkerState {
             worker,
             connection: None,
-            lease_from: now,
-            not_before: now,
-            present: BTreeSet::new(),
-            reports: 0,
+            lease_started_at: now,
+            no_heartbeat_before: now,
+            present_tasks: BTreeSet::new(),
+            heartbeats_sent: 0,
         };
-        HollowWorker {
-            site,
-            machine,
+        SimulatedWorker {
+            process,
+            machine_number,
             state: RefCell::new(state),
             wake: Notify::new(),
             gone: Cell::default(),
-            running: RefCell::default(),
+            async_tasks: RefCell::default(),
         }
     }
 
-    fn answered_lately(&self, now: u64) -> bool {
-        now < self.state.borrow().lease_from + self.site.lease_ms / 2
+    fn has_recent_response(&self, now: u64) -> bool {
+        now < self.state.borrow().lease_started_at + self.process.lease_ms / 2
     }
 
-    /// The machine is gone, with everything on it.
-    fn end(&self) {
+    /// Removes the machine with all tasks on it.
+    fn remove(&self) {
         self.gone.set(true);
-        let now = self.site.clock.now_us();
+        let now = self.process.clock.now_us();
         let mut state = self.state.borrow_mut();
         state.worker.dead = true;
         state.connection = None;
-        for task in std::mem::take(&mut state.present) {
-            self.record(&task, TaskChange::Ended, now);
+        for task in std::mem::take(&mut state.present_tasks) {
+            self.record_task_event(&task, TaskChange::Ended, now);
         }
-        for task in self.running.borrow_mut().drain(..) {
+        for task in self.async_tasks.borrow_mut().drain(..) {
             task.abort();
         }
     }
 
-    /// Whether a fault keeps the machine silent now.
-    fn silent(&self, now: u64) -> bool {
-        self.site.experiment.faults.iter().any(|fault| match fault {
-            Fault::RestartWorkers { part, .. } => {
-                // Spread over all machines, and the same ones for the whole fault.
-                let place = f64::from(self.machine.wrapping_mul(2_654_435_761) >> 16) / 65_536.0;
-                place < *part && fault.active(now)
-            }
-            Fault::CutZone { zone, .. } => {
-                fault.active(now) && *zone == self.state.borrow().worker.zone
-            }
-            _ => false,
-        })
+    /// Whether a fault keeps the machine from communicating now.
+    fn is_silenced(&self, now: u64) -> bool {
+        self.process
+            .experiment
+            .faults
+            .iter()
+            .any(|fault| match fault {
+                Fault::RestartWorkers { part, .. } => {
+                    // A hash of the machine's number: it selects machines all over the cluster, and the same ones for the
+                    // whole fault.
+                    let hash =
+                        f64::from(self.machine_number.wrapping_mul(2_654_435_761) >> 16) / 65_536.0;
+                    hash < *part && fault.active(now)
+                }
+                Fault::CutZone { zone, .. } => {
+                    fault.active(now) && *zone == self.state.borrow().worker.zone
+                }
+                _ => false,
+            })
     }
 
-    fn record(&self, task: &str, change: TaskChange, at_us: u64) {
+    fn record_task_event(&self, task: &str, change: TaskChange, at_us: u64) {
         let index = task
             .split_once('/')
             .and_then(|(_, index)| index.parse().ok());
@@ -272,58 +295,59 @@
         };
         let event = TaskEvent {
             at_us,
-            machine: self.machine,
+            machine: self.machine_number,
             job,
             task,
             change,
         };
-        self.site.events.borrow_mut().push(event);
+        self.process.task_events.borrow_mut().push(event);
     }
 
-    /// Reports, and lets tasks go on, until the machine is gone.
-    async fn live(self: Rc<Self>) {
+    /// Sends heartbeats and advances tasks until the machine is removed.
+    async fn run(self: Rc<Self>) {
         loop {
-            let now = self.site.clock.now_ms();
-            self.step();
-            let silent = self.silent(now);
-            if silent {
+            let now = self.process.clock.now_ms();
+            self.advance();
+            let is_silenced = self.is_silenced(now);
+            if is_silenced {
                 self.state.borrow_mut().connection = None;
-            } else if self.report_due(now) {
-                tokio::task::spawn_local(self.clone().report());
+            } else if self.heartbeat_due(now) {
+                tokio::task::spawn_local(self.clone().send_heartbeat());
             }
-            let sleep = Duration::from_millis(self.sleep_ms(silent));
+            let sleep = Duration::from_millis(self.sleep_ms(is_silenced));
             let _ = tokio::time::timeout(sleep, self.wake.notified()).await;
         }
     }
 
-    fn report_due(&self, now: u64) -> bool {
+    fn heartbeat_due(&self, now: u64) -> bool {
         let state = self.state.borrow();
-        now >= state.not_before && state.worker.heartbeat_due(now)
+        now >= state.no_heartbeat_before && state.worker.heartbeat_due(now)
     }
 
-    /// Time until something is due.
-    fn sleep_ms(&self, silent: bool) -> u64 {
-        let now = self.site.clock.now_ms();
+    /// Time until something is due, at most `MAX_SLEEP_MS`.
+    fn sleep_ms(&self, is_silenced: bool) -> u64 {
+        let now = self.process.clock.now_ms();
         let state = self.state.borrow();
         let worker = &state.worker;
         let mut due = vec![
-            state.lease_from + self.site.lease_ms + 1,
+            state.lease_started_at + self.process.lease_ms + 1,
             now + MAX_SLEEP_MS,
         ];
-        if worker.in_flight.is_none() && !silent {
-            due.push(worker.next_heartbeat_at.max(state.not_before));
+        if worker.in_flight.is_none() && !is_silenced {
+            due.push(worker.next_heartbeat_at.max(state.no_heartbeat_before));
             if worker.status_changed {
                 due.push(
-                    (worker.last_heartbeat_at + MIN_HEARTBEAT_INTERVAL_MS).max(state.not_before),
+                    (worker.last_heartbeat_at + MIN_HEARTBEAT_INTERVAL_MS)
+                        .max(state.no_heartbeat_before),
                 );
             }
         }
-        for held in worker.tasks.values() {
-            if held.state == wire::workers::TaskState::Fetching {
-                due.push(held.fetched_at);
+        for task in worker.tasks.values() {
+            if task.state == wire::workers::TaskState::Fetching {
+                due.push(task.fetched_at);
             }
-            due.extend(held.done_at.filter(|_| held.is_present()));
-            due.extend(held.saved_at.filter(|_| held.is_present()));
+            due.extend(task.done_at.filter(|_| task.is_present()));
+            due.extend(task.saved_at.filter(|_| task.is_present()));
         }
         due.into_iter()
             .min()
@@ -332,215 +356,228 @@
             .max(1)
     }
 
-    /// Ends the session if its lease has run out, and lets tasks go on.
-    fn step(&self) {
-        let now = self.site.clock.now_ms();
+    /// Begins a new epoch if the lease has expired, and advances the tasks.
+    fn advance(&self) {
+        let now = self.process.clock.now_ms();
         let mut state = self.state.borrow_mut();
         let state = &mut *state;
-        let lease_end = state.lease_from + self.site.lease_ms;
+        let lease_end = state.lease_started_at + self.process.lease_ms;
         if now > lease_end {
-            // Tasks end with the lease, however late this process looks at it.
-            for task in std::mem::take(&mut state.present) {
-                self.record(&task, TaskChange::Ended, lease_end * 1_000);
+            // Tasks end when the lease expires, however late this process checks it.
+            for task in std::mem::take(&mut state.present_tasks) {
+                self.record_task_event(&task, TaskChange::Ended, lease_end * 1_000);
             }
-            state.worker.check_lease(now, self.site.lease_ms);
-            state.lease_from = now;
-            self.site.lapsed.set(self.site.lapsed.get() + 1);
+            state.worker.check_lease(now, self.process.lease_ms);
+            state.lease_started_at = now;
+            self.process
+                .expired_leases
+                .set(self.process.expired_leases.get() + 1);
         }
-        let jobs = self.site.jobs.borrow();
+        let jobs = self.process.job_requests.borrow();
         let run_ms = |task: &str| {
             let id = task.split('/').next().unwrap_or_default();
             jobs.get(id)
                 .map_or(0, |job| (job.estimated_run_time_s * 1_000.0) as u64)
         };
-        let happened = state.worker.advance(now, &jobs, run_ms);
-        let now_us = self.site.clock.now_us();
-        for event in happened {
-            match event {
+        let transitions = state.worker.advance(now, &jobs, run_ms);
+        let now_us = self.process.clock.now_us();
+        for transition in transitions {
+            match transition {
                 TaskTransition::Started(task) => {
-                    self.record(&task, TaskChange::Started, now_us);
-                    state.present.insert(task);
+                    self.record_task_event(&task, TaskChange::Started, now_us);
+                    state.present_tasks.insert(task);
+                }
+                TaskTransition::Done(task) => {
+                    self.record_task_event(&task, TaskChange::Done, now_us)
                 }
-                TaskTransition::Done(task) => self.record(&task, TaskChange::Done, now_us),
             }
         }
         self.record_ends(state, now_us);
     }
 
-    /// Notes tasks that are no longer there.
-    fn record_ends(&self, state: &mut HollowState, now_us: u64) {
-        let held = state
+    /// Records the end of the tasks that are no longer on the machine.
+    fn record_ends(&self, state: &mut WorkerState, now_us: u64) {
+        let tasks_on_machine = state
             .worker
             .tasks
             .iter()
-            .filter(|(_, held)| held.is_present());
-        let held: BTreeSet<&str> = held.map(|((task, _), _)| task.as_str()).collect();
-        state.present.retain(|task| {
-            let there = held.contains(task.as_str());
-            if !there {
-                self.record(task, TaskChange::Ended, now_us);
+            .filter(|(_, task)| task.is_present());
+        let tasks_on_machine: BTreeSet<&str> = tasks_on_machine
+            .map(|((task, _), _)| task.as_str())
+            .collect();
+        state.present_tasks.retain(|task| {
+            let is_present = tasks_on_machine.contains(task.as_str());
+            if !is_present {
+                self.record_task_event(task, TaskChange::Ended, now_us);
             }
-            there
+            is_present
         });
     }
 
-    fn message(&self, state: &mut HollowState) -> Heartbeat {
-        let mut report = state.worker.next_heartbeat();
-        report.address = self.site.net.worker(self.machine).to_string();
-        report
+    fn next_heartbeat(&self, state: &mut WorkerState) -> Heartbeat {
+        let mut heartbeat = state.worker.next_heartbeat();
+        heartbeat.address = self.process.net.worker(self.machine_number).to_string();
+        heartbeat
     }
 
-    /// Sends one report and takes its answer.
-    async fn report(self: Rc<Self>) {
-        let now = self.site.clock.now_ms();
-        let interval = self.site.report_ms;
-        let (number, node, body, connection) = {
+    /// Sends one heartbeat and handles its response.
+    async fn send_heartbeat(self: Rc<Self>) {
+        let now = self.process.clock.now_ms();
+        let interval = self.process.heartbeat_interval_ms;
+        let (heartbeat_number, controller, body, connection) = {
             let mut state = self.state.borrow_mut();
             let state = &mut *state;
-            state.reports += 1;
+            state.heartbeats_sent += 1;
             let worker = &mut state.worker;
-            worker.in_flight = Some((state.reports, now, worker.epoch));
+            worker.in_flight = Some((state.heartbeats_sent, now, worker.epoch));
             worker.status_changed = false;
             worker.last_heartbeat_at = now;
             worker.next_heartbeat_at =
                 now + rand::rng().random_range(interval * 3 / 4..=interval * 5 / 4);
-            let node = worker.controller as u32;
+            let controller = worker.controller as u32;
             let connection = state.connection.take();
-            let connection = connection.filter(|c| c.controller == node && c.usable());
-            let body = serde_json::to_vec(&self.message(state)).unwrap_or_default();
-            (state.reports, node, body, connection)
+            let connection = connection.filter(|c| c.controller == controller && c.usable());
+            let body = serde_json::to_vec(&self.next_heartbeat(state)).unwrap_or_default();
+            (state.heartbeats_sent, controller, body, connection)
         };
-        let exchange = self.exchange(node, body, connection);
-        let answer = tokio::time::timeout(ANSWER_TIMEOUT, exchange)
+        let exchange = self.exchange(controller, body, connection);
+        let response = tokio::time::timeout(HEARTBEAT_TIMEOUT, exchange)
             .await
             .ok()
             .flatten();
         if !self.gone.get() {
-            self.take_answer(number, now, node, answer);
+            self.handle_response(heartbeat_number, now, controller, response);
         }
         self.wake.notify_one();
     }
 
     async fn exchange(
         &self,
-        node: u32,
+        controller: u32,
         body: Vec<u8>,
         connection: Option<Client>,
     ) -> Option<(u16, bytes::Bytes, Client)> {
         let mut client = match connection {
             Some(client) => client,
             None => {
-                let from = self.site.net.worker(self.machine).ip();
-                let to = self.site.net.controller(node);
-                Client::connect(Some(from), to, node).await.ok()?
+                let local_ip = self.process.net.worker(self.machine_number).ip();
+                let address = self.process.net.controller(controller);
+                Client::connect(Some(local_ip), address, controller)
+                    .await
+                    .ok()?
             }
         };
         let (status, _, body) = client.exchange(Method::POST, "/hello", body).await.ok()?;
-        client.count(&self.site.tally, "report");
+        client.count(&self.process.traffic_totals, "report");
         Some((status, body, client))
     }
 
-    fn take_answer(
+    fn handle_response(
         &self,
-        number: u64,
-        sent: u64,
-        node: u32,
-        answer: Option<(u16, bytes::Bytes, Client)>,
+        heartbeat_number: u64,
+        sent_at: u64,
+        controller: u32,
+        response: Option<(u16, bytes::Bytes, Client)>,
     ) {
-        self.step();
-        let now = self.site.clock.now_ms();
-        if self.silent(now) {
+        self.advance();
+        let now = self.process.clock.now_ms();
+        if self.is_silenced(now) {
             self.state.borrow_mut().worker.in_flight = None;
             return;
         }
-        match answer {
+        match response {
             Some((200, body, client)) => {
                 self.state.borrow_mut().connection = Some(client);
                 match serde_json::from_slice::<HeartbeatResponse>(&body) {
-                    Ok(answer) => self.obey(number, sent, &answer),
-                    Err(_) => self.try_node(node + 1, NEXT_CONTROLLER_PAUSE_MS),
+                    Ok(response) => self.apply_response(heartbeat_number, sent_at, &response),
+                    Err(_) => self.switch_controller(controller + 1, NEXT_CONTROLLER_DELAY_MS),
                 }
             }
             Some((421, body, _)) => {
                 let redirect = serde_json::from_slice::<Redirect>(&body).ok();
-                let to = redirect.and_then(|r| controller_number(&r.controller?));
-                let known = |to: &u32| *to != node && *to < self.site.experiment.controllers.count;
-                match to.filter(known) {
-                    Some(to) => self.try_node(to, rand::rng().random_range(0..REDIRECT_MS)),
-                    None => self.try_node(node + 1, NEXT_CONTROLLER_PAUSE_MS),
+                let target = redirect.and_then(|r| controller_number(&r.controller?));
+                let is_other_controller = |target: &u32| {
+                    *target != controller && *target < self.process.experiment.controllers.count
+                };
+                match target.filter(is_other_controller) {
+                    Some(target) => self.switch_controller(
+                        target,
+                        rand::rng().random_range(0..MAX_REDIRECT_DELAY_MS),
+                    ),
+                    None => self.switch_controller(controller + 1, NEXT_CONTROLLER_DELAY_MS),
                 }
             }
-            _ => self.try_node(node + 1, NEXT_CONTROLLER_PAUSE_MS),
+            _ => self.switch_controller(controller + 1, NEXT_CONTROLLER_DELAY_MS),
         }
     }
 
-    fn obey(&self, number: u64, sent: u64, answer: &HeartbeatResponse) {
-        self.site.fetch_jobs(&answer.commands);
-        let now = self.site.clock.now_ms();
+    fn apply_response(&self, heartbeat_number: u64, sent_at: u64, response: &HeartbeatResponse) {
+        self.process.add_jobs(&response.commands);
+        let now = self.process.clock.now_ms();
         {
             let mut state = self.state.borrow_mut();
-            let jobs = self.site.jobs.borrow();
+            let jobs = self.process.job_requests.borrow();
             if state
                 .worker
-                .handle_heartbeat_response(number, answer, now, &jobs)
+                .handle_heartbeat_response(heartbeat_number, response, now, &jobs)
             {
-                state.lease_from = state.lease_from.max(sent);
+                state.lease_started_at = state.lease_started_at.max(sent_at);
             }
             state.worker.in_flight = None;
         }
-        self.step();
+        self.advance();
     }
 
-    /// Reports to another controller after a pause.
-    fn try_node(&self, node: u32, pause_ms: u64) {
-        let now = self.site.clock.now_ms();
+    /// Sends the next heartbeat to another controller after a delay.
+    fn switch_controller(&self, controller: u32, delay_ms: u64) {
+        let now = self.process.clock.now_ms();
         let mut state = self.state.borrow_mut();
         state.worker.in_flight = None;
-        state.worker.controller = (node % self.site.experiment.controllers.count) as usize;
-        state.worker.next_heartbeat_at = now + pause_ms;
-        state.not_before = now + pause_ms;
+        state.worker.controller = (controller % self.process.experiment.controllers.count) as usize;
+        state.worker.next_heartbeat_at = now + delay_ms;
+        state.no_heartbeat_before = now + delay_ms;
     }
 
-    /// A request straight to the worker.
-    async fn direct(&self, call: HttpRequest) -> HttpResponse {
-        while self.silent(self.site.clock.now_ms()) && !self.gone.get() {
+    /// Handles a controller's direct call.
+    async fn handle_direct_call(&self, request: HttpRequest) -> HttpResponse {
+        while self.is_silenced(self.process.clock.now_ms()) && !self.gone.get() {
             tokio::time::sleep(Duration::from_millis(100)).await;
         }
         if self.gone.get() {
             std::future::pending::<()>().await;
         }
-        self.step();
-        match (call.method, call.path.as_str()) {
+        self.advance();
+        match (request.method, request.path.as_str()) {
             (Method::GET, "/status") => {
-                let report = self.message(&mut self.state.borrow_mut());
-                HttpResponse::json("status", 200, &report)
+                let heartbeat = self.next_heartbeat(&mut self.state.borrow_mut());
+                HttpResponse::json("status", 200, &heartbeat)
             }
-            (Method::POST, "/commands") => self.execute(&call.body),
+            (Method::POST, "/commands") => self.execute_commands(&request.body),
             _ => HttpResponse::error("malformed", 404, "no such path"),
         }
     }
 
-    fn execute(&self, body: &[u8]) -> HttpResponse {
+    fn execute_commands(&self, body: &[u8]) -> HttpResponse {
         let Ok(direct) = serde_json::from_slice::<DirectCommands>(body) else {
             return HttpResponse::error("commands", 400, "baton or shift is missing");
         };
-        self.site.fetch_jobs(&direct.commands);
-        let now = self.site.clock.now_ms();
+        self.process.add_jobs(&direct.commands);
+        let now = self.process.clock.now_ms();
         let executed = {
             let mut state = self.state.borrow_mut();
-            let jobs = self.site.jobs.borrow();
+            let jobs = self.process.job_requests.borrow();
             let DirectCommands {
                 token,
-                worker_epoch: session,
+                worker_epoch,
                 commands,
             } = &direct;
             state
                 .worker
-                .handle_direct_call(*token, *session, commands, now, &jobs)
+                .handle_direct_call(*token, *worker_epoch, commands, now, &jobs)
         };
-        self.step();
+        self.advance();
         self.wake.notify_one();
-        let report = self.message(&mut self.state.borrow_mut());
-        HttpResponse::json("commands", if executed { 200 } else { 409 }, &report)
+        let heartbeat = self.next_heartbeat(&mut self.state.borrow_mut());
+        HttpResponse::json("commands", if executed { 200 } else { 409 }, &heartbeat)
     }
 }
