--- a/crates/simulator/src/world/cancellations.rs
+++ b/crates/simulator/src/world/cancellations.rs
@@ -78,10 +78,10 @@
     fn long_running_jobs(&self) -> BTreeMap<String, BTreeSet<String>> {
         let mut machines_by_job: BTreeMap<String, BTreeSet<String>> = BTreeMap::new();
         for worker in self.workers.values().filter(|worker| !worker.dead) {
-            for ((task, _), held) in &worker.tasks {
+            for ((task, _), status) in &worker.tasks {
                 let id = task.split('/').next().unwrap_or_default();
-                let is_running = held.state == TaskState::Running;
-                let is_long = held
+                let is_running = status.state == TaskState::Running;
+                let is_long = status
                     .done_at
                     .is_none_or(|at| at >= self.now + MIN_REMAINING_MS);
                 let is_cancellable = self.rules.accepted.contains_key(id)
--- a/crates/simulator/src/world/faults.rs
+++ b/crates/simulator/src/world/faults.rs
@@ -199,13 +199,14 @@
             .filter(|worker| !worker.dead)
             .map(|worker| worker.name.clone())
             .collect();
-        let machine = |machine_index: usize| names.get(machine_index % names.len().max(1)).cloned();
+        let machine_at =
+            |machine_index: usize| names.get(machine_index % names.len().max(1)).cloned();
         match fault {
             Fault::DisconnectMachine {
                 machine_index,
                 duration_ms,
             } => {
-                if let Some(name) = machine(machine_index) {
+                if let Some(name) = machine_at(machine_index) {
                     self.activate(ActiveFault::MachineDisconnected(name), duration_ms);
                 }
             }
@@ -213,17 +214,17 @@
                 machine_index,
                 duration_ms,
             } => {
-                if let Some(name) = machine(machine_index) {
+                if let Some(name) = machine_at(machine_index) {
                     self.hang_machine(name, duration_ms);
                 }
             }
             Fault::CrashMachine { machine_index } => {
-                if let Some(name) = machine(machine_index) {
+                if let Some(name) = machine_at(machine_index) {
                     self.crash_machine(&name);
                 }
             }
             Fault::FailTasksOnMachine { machine_index } => {
-                if let Some(name) = machine(machine_index) {
+                if let Some(name) = machine_at(machine_index) {
                     self.fail_all_tasks(&name);
                 }
             }
@@ -375,7 +376,7 @@
     /// Whether the state service refuses the requests of a controller.
     pub(super) fn refuses_state_requests(&self, controller: usize) -> bool {
         self.network.any_active(
-            |fault| matches!(fault, ActiveFault::StateRequestsRefused(refused) if refused.is_none_or(|refused| refused == controller)),
+            |fault| matches!(fault, ActiveFault::StateRequestsRefused(n) if n.is_none_or(|n| n == controller)),
         )
     }
 
--- a/crates/simulator/src/world/interceptor.rs
+++ b/crates/simulator/src/world/interceptor.rs
@@ -49,14 +49,14 @@
                     ActiveFault::ReplayedHeartbeats(percent) => Some(*percent),
                     _ => None,
                 };
-                let held = |fault: &ActiveFault| match fault {
+                let held_back = |fault: &ActiveFault| match fault {
                     ActiveFault::HeldHeartbeats(percent) => Some(*percent),
                     _ => None,
                 };
                 if self.draw_fault(replayed) {
                     self.interceptor.heartbeats_to_replay.push(message.clone());
                 }
-                if self.draw_fault(held) {
+                if self.draw_fault(held_back) {
                     self.interceptor.held_heartbeats.push(message);
                     return None;
                 }
--- a/crates/simulator/src/world/machines.rs
+++ b/crates/simulator/src/world/machines.rs
@@ -213,12 +213,18 @@
         let now = self.now;
         let mut gangs: BTreeMap<(String, u64), Vec<GangMember>> = BTreeMap::new();
         for worker in self.workers.values().filter(|w| !w.dead) {
-            for ((task, attempt), held) in &worker.tasks {
+            for ((task, attempt), status) in &worker.tasks {
                 let Some((id, _)) = task.split_once('/') else {
                     continue;
                 };
-                if self.jobs.get(id).is_some_and(|j| j.kind == JobKind::Gang) && held.is_present() {
-                    let member = (worker.name.clone(), task.clone(), held.state, held.done_at);
+                if self.jobs.get(id).is_some_and(|j| j.kind == JobKind::Gang) && status.is_present()
+                {
+                    let member = (
+                        worker.name.clone(),
+                        task.clone(),
+                        status.state,
+                        status.done_at,
+                    );
                     gangs
                         .entry((id.to_owned(), *attempt))
                         .or_default()
@@ -250,8 +256,8 @@
                 };
                 if is_complete && all_wait {
                     worker.set_gang_task_state(&key, TaskState::Running, None);
-                    if let Some(held) = worker.tasks.get_mut(&key) {
-                        held.done_at = Some(done_at);
+                    if let Some(status) = worker.tasks.get_mut(&key) {
+                        status.done_at = Some(done_at);
                     }
                 } else if any_runs && is_complete && any_is_done {
                     worker.set_gang_task_state(&key, TaskState::Exited, Some(ExitCause::Done));
--- a/crates/simulator/src/world/scenario.rs
+++ b/crates/simulator/src/world/scenario.rs
@@ -25,7 +25,7 @@
     DisconnectWorkers { controller: usize, duration_ms: u64 },
     /// Disconnects a controller from the other controllers.
     DisconnectMesh { controller: usize, duration_ms: u64 },
-    /// A network partition between two zones.
+    /// A network partition between the two zones.
     PartitionZones { duration_ms: u64 },
     /// Disconnects one machine from the network.
     DisconnectMachine {
@@ -46,7 +46,7 @@
     /// Pauses a controller while its clock runs on. It still handles the next event, but the effects of that
     /// event are applied only after the pause, and all later events are delivered at once then.
     PauseController { controller: usize, duration_ms: u64 },
-    /// Disconnects a controller from everything, users included.
+    /// Disconnects a controller from the state service, all workers, the other controllers and users.
     IsolateController { controller: usize, duration_ms: u64 },
     /// Machines rented during the fault boot as `behavior` says: early, late, fast or never.
     ChangeBootBehavior {
--- a/crates/simulator/src/world/views.rs
+++ b/crates/simulator/src/world/views.rs
@@ -107,7 +107,7 @@
     pub fn cancelled_tasks_present(&self, partition: u32) -> usize {
         let machines = self.machines_up_of(partition);
         let workers = machines.iter().filter_map(|name| self.workers.get(name));
-        let tasks = workers.flat_map(|w| w.tasks.iter().filter(|(_, held)| held.is_present()));
+        let tasks = workers.flat_map(|w| w.tasks.iter().filter(|(_, status)| status.is_present()));
         let is_cancelled = |task: &str| {
             let id = task.split('/').next().unwrap_or_default();
             self.rules.cancel_confirmed.contains_key(id)
@@ -139,10 +139,10 @@
     /// Prints the tasks of a job on all machines and what the controllers know of it, for debugging.
     pub fn print_job(&self, id: &str) {
         for worker in self.workers.values() {
-            for ((task, attempt), held) in &worker.tasks {
+            for ((task, attempt), status) in &worker.tasks {
                 if task.starts_with(id) {
                     println!(
-                        "{} dead={} {task} attempt {attempt} {held:?}",
+                        "{} dead={} {task} attempt {attempt} {status:?}",
                         worker.name, worker.dead
                     );
                 }
@@ -203,9 +203,9 @@
     pub fn teams_at_limit(&self) -> usize {
         let mut used_cpus: BTreeMap<&str, f64> = BTreeMap::new();
         for worker in self.workers.values().filter(|worker| !worker.dead) {
-            for ((task, _), held) in &worker.tasks {
+            for ((task, _), status) in &worker.tasks {
                 let job = self.jobs.get(task.split('/').next().unwrap_or_default());
-                let Some(job) = job.filter(|_| held.state != TaskState::Exited) else {
+                let Some(job) = job.filter(|_| status.state != TaskState::Exited) else {
                     continue;
                 };
                 *used_cpus.entry(&job.team).or_default() += job.cpus;
