--- a/crates/loadtest/src/config.rs
+++ b/crates/loadtest/src/config.rs
@@ -163,8 +163,8 @@
         }
     }
 
-    /// Whether it is under way at a time of the run.
-    pub fn active(&self, now_ms: u64) -> bool {
+    /// Whether the fault is active at a time of the run.
+    pub fn is_active(&self, now_ms: u64) -> bool {
         let (from, to) = self.span_s();
         let now = now_ms as f64 / 1_000.0;
         from <= now && now < to
--- a/crates/loadtest/src/controllers.rs
+++ b/crates/loadtest/src/controllers.rs
@@ -135,7 +135,7 @@
                 .find(|(fault_index, fault)| match fault {
                     Fault::KillController { controller, .. } => {
                         *controller as usize == index
-                            && fault.active(now_ms)
+                            && fault.is_active(now_ms)
                             && !self.controllers[index].executed_kills.contains(fault_index)
                     }
                     _ => false,
--- a/crates/loadtest/src/observations.rs
+++ b/crates/loadtest/src/observations.rs
@@ -1,23 +1,23 @@
-//! What workers and users saw, for the report and the rules.
+//! Events observed by the simulated workers and users, from which the report and the rule check are made.
 
 use serde::{Deserialize, Serialize};
 use wire::users::JobState;
 
-/// What became of a task on a machine.
+/// How a task on a machine changed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum TaskChange {
-    /// It got its image there.
+    /// The machine has fetched the task's image.
     Started,
-    /// It was completed there.
+    /// The task completed on the machine.
     Done,
-    /// It is no longer there.
+    /// The task is no longer on the machine.
     Ended,
 }
 
-/// A task changed on a machine.
+/// A change of a task on a machine.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct TaskEvent {
-    /// Microseconds since the begin of the run.
+    /// Microseconds since the start of the run.
     pub at_us: u64,
     pub machine: u32,
     pub job: u64,
@@ -25,28 +25,32 @@
     pub change: TaskChange,
 }
 
-/// What a user did, or was told.
+/// A request of a user, or what its response said.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub enum UserAnswer {
+pub enum UserEventKind {
     /// The first submission was sent.
     Submitted,
-    /// 201 or 200 to a submission.
+    /// A submission was answered with 201 or 200.
     Accepted,
-    /// The first request to cancel was sent.
-    CancelAsked,
-    /// A state in an answer.
-    Told(JobState),
-    /// 404 to a poll, or 400 or 422 to a submission.
+    /// The first cancellation request was sent.
+    #[serde(rename = "CancelAsked")]
+    CancelRequested,
+    /// A response contained the state of the job.
+    #[serde(rename = "Told")]
+    Status(JobState),
+    /// A poll was answered with 404, or a submission with 400 or 422.
     Missing,
 }
 
-/// An event at a user.
+/// An event observed by a user.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct UserEvent {
-    /// When the answer had come, in microseconds since the begin of the run.
+    /// When the response had arrived, in microseconds since the start of the run.
     pub at_us: u64,
-    /// When the request was sent.
-    pub asked_us: u64,
+    /// When the request was sent, in microseconds since the start of the run.
+    #[serde(rename = "asked_us")]
+    pub request_sent_us: u64,
     pub job: u64,
-    pub answer: UserAnswer,
+    #[serde(rename = "answer")]
+    pub kind: UserEventKind,
 }
--- a/crates/loadtest/src/report.rs
+++ b/crates/loadtest/src/report.rs
@@ -2,7 +2,7 @@
 
 use crate::config::Experiment;
 use crate::http::{Traffic, TrafficTotals};
-use crate::observations::{TaskChange, TaskEvent, UserAnswer, UserEvent};
+use crate::observations::{TaskChange, TaskEvent, UserEvent, UserEventKind};
 use crate::processes::ProcessFigures;
 use crate::rules::Verdict;
 use hdrhistogram::Histogram;
@@ -176,10 +176,10 @@
     let mut lives: HashMap<u64, Life> = HashMap::new();
     for event in users {
         let life = lives.entry(event.job).or_default();
-        let first = match event.answer {
-            UserAnswer::Submitted => &mut life.submitted,
-            UserAnswer::Accepted => &mut life.accepted,
-            UserAnswer::Told(JobState::Done) => &mut life.told_done,
+        let first = match event.kind {
+            UserEventKind::Submitted => &mut life.submitted,
+            UserEventKind::Accepted => &mut life.accepted,
+            UserEventKind::Status(JobState::Done) => &mut life.told_done,
             _ => continue,
         };
         first.get_or_insert(event.at_us);
@@ -244,17 +244,23 @@
             .filter(|e| e.change == change && e.at_us >= from_us)
             .count()
     };
-    let answers_of = |answer: UserAnswer| {
+    let answers_of = |answer: UserEventKind| {
         users
             .iter()
-            .filter(|e| e.answer == answer && e.at_us >= from_us)
+            .filter(|e| e.kind == answer && e.at_us >= from_us)
             .count()
     };
     let counts = [
         ("task starts a second", tasks_of(TaskChange::Started)),
         ("task completions a second", tasks_of(TaskChange::Done)),
-        ("jobs submitted a second", answers_of(UserAnswer::Submitted)),
-        ("jobs accepted a second", answers_of(UserAnswer::Accepted)),
+        (
+            "jobs submitted a second",
+            answers_of(UserEventKind::Submitted),
+        ),
+        (
+            "jobs accepted a second",
+            answers_of(UserEventKind::Accepted),
+        ),
     ];
     counts
         .map(|(name, count)| (name.to_owned(), count as f64 / window_s))
--- a/crates/loadtest/src/rules.rs
+++ b/crates/loadtest/src/rules.rs
@@ -4,7 +4,7 @@
 //! a run has a hundred times the workers of a simulated world.
 
 use crate::config::Experiment;
-use crate::observations::{TaskChange, TaskEvent, UserAnswer, UserEvent};
+use crate::observations::{TaskChange, TaskEvent, UserEvent, UserEventKind};
 use crate::run_layout::job_id;
 use serde::{Deserialize, Serialize};
 use simulator::history::{HistoryTime, JobReply};
@@ -183,25 +183,28 @@
 
     fn user(&mut self, event: &UserEvent) {
         let id = job_id(event.job);
-        let (sent, now) = (HistoryTime::at_us(event.asked_us), event.at_us / 1_000);
+        let (sent, now) = (
+            HistoryTime::at_us(event.request_sent_us),
+            event.at_us / 1_000,
+        );
         self.rules.history.advance_to_us(event.at_us);
-        match event.answer {
-            UserAnswer::Submitted => {}
-            UserAnswer::Accepted => {
+        match event.kind {
+            UserEventKind::Submitted => {}
+            UserEventKind::Accepted => {
                 self.rules.history.record_acceptance(&id, now);
                 self.rules.accepted.entry(id).or_insert(now);
             }
-            UserAnswer::CancelAsked => {
+            UserEventKind::CancelRequested => {
                 self.rules.history.record_cancel_request(&id, now);
                 self.rules.cancel_requests.insert(id);
             }
-            UserAnswer::Told(state) => {
+            UserEventKind::Status(state) => {
                 if state == JobState::Cancelled {
                     self.cancelled_us.entry(event.job).or_insert(event.at_us);
                 }
                 self.rules.record_status(&id, state, &self.jobs, sent, now);
             }
-            UserAnswer::Missing => {
+            UserEventKind::Missing => {
                 self.rules
                     .record_negative_reply(&id, JobReply::Missing, sent, now)
             }
--- a/crates/loadtest/src/state_service.rs
+++ b/crates/loadtest/src/state_service.rs
@@ -137,7 +137,7 @@
     fn outage_is_active(&self) -> bool {
         let now = self.clock.now_ms();
         let mut faults = self.experiment.faults.iter();
-        faults.any(|fault| matches!(fault, Fault::StateOutage { .. }) && fault.active(now))
+        faults.any(|fault| matches!(fault, Fault::StateOutage { .. }) && fault.is_active(now))
     }
 
     fn wake_watches(&self) {
--- a/crates/loadtest/src/users.rs
+++ b/crates/loadtest/src/users.rs
@@ -2,7 +2,7 @@
 
 use crate::config::Experiment;
 use crate::http::{Client, SharedTrafficTotals};
-use crate::observations::{UserAnswer, UserEvent};
+use crate::observations::{UserEvent, UserEventKind};
 use crate::role::{send_message, Context, RoleMessage, RoleReport};
 use crate::run_layout::{class_job_number, job_id, service_job_number, Clock, LoopbackNet};
 use bytes::Bytes;
@@ -200,13 +200,13 @@
         response
     }
 
-    fn record_event(&self, job: u64, asked_us: u64, answer: UserAnswer) {
+    fn record_event(&self, job: u64, request_sent_us: u64, kind: UserEventKind) {
         let at_us = self.clock.now_us();
         self.events.borrow_mut().push(UserEvent {
             at_us,
-            asked_us,
+            request_sent_us,
             job,
-            answer,
+            kind,
         });
     }
 
@@ -287,9 +287,9 @@
         };
         let body = serde_json::to_vec(&job).unwrap_or_default();
         let started_ms = self.clock.now_ms();
-        self.record_event(number, self.clock.now_us(), UserAnswer::Submitted);
+        self.record_event(number, self.clock.now_us(), UserEventKind::Submitted);
         loop {
-            let asked_us = self.clock.now_us();
+            let request_sent_us = self.clock.now_us();
             let response = self
                 .request(
                     Method::POST,
@@ -301,13 +301,13 @@
                 .await;
             match response {
                 Some((200 | 201, _, body)) => {
-                    self.record_event(number, asked_us, UserAnswer::Accepted);
+                    self.record_event(number, request_sent_us, UserEventKind::Accepted);
                     self.accepted_jobs.borrow_mut().push(number);
-                    self.record_state(number, asked_us, &body);
+                    self.record_state(number, request_sent_us, &body);
                     return true;
                 }
                 Some((400 | 422, ..)) => {
-                    self.record_event(number, asked_us, UserAnswer::Missing);
+                    self.record_event(number, request_sent_us, UserEventKind::Missing);
                     return false;
                 }
                 response => {
@@ -327,14 +327,14 @@
     /// Polls a job once; none if there was no usable response.
     async fn poll(&self, number: u64) -> Option<JobState> {
         let path = format!("/v1/jobs/{}", job_id(number));
-        let asked_us = self.clock.now_us();
+        let request_sent_us = self.clock.now_us();
         match self
             .request(Method::GET, &path, Vec::new(), "poll", POLL_TIMEOUT)
             .await?
         {
-            (200, _, body) => self.record_state(number, asked_us, &body),
+            (200, _, body) => self.record_state(number, request_sent_us, &body),
             (404, ..) => {
-                self.record_event(number, asked_us, UserAnswer::Missing);
+                self.record_event(number, request_sent_us, UserEventKind::Missing);
                 None
             }
             _ => None,
@@ -344,27 +344,29 @@
     /// Requests the cancellation of a job repeatedly until it is confirmed.
     async fn cancel(&self, number: u64) {
         let path = format!("/v1/jobs/{}/cancel", job_id(number));
-        self.record_event(number, self.clock.now_us(), UserAnswer::CancelAsked);
+        self.record_event(number, self.clock.now_us(), UserEventKind::CancelRequested);
         while !self.stopping.get() {
-            let asked_us = self.clock.now_us();
+            let request_sent_us = self.clock.now_us();
             let response = self
                 .request(Method::POST, &path, Vec::new(), "cancel", SUBMIT_TIMEOUT)
                 .await;
             match response {
                 Some((200, _, body)) => {
-                    self.record_state(number, asked_us, &body);
+                    self.record_state(number, request_sent_us, &body);
                     return;
                 }
-                Some((404, ..)) => self.record_event(number, asked_us, UserAnswer::Missing),
+                Some((404, ..)) => {
+                    self.record_event(number, request_sent_us, UserEventKind::Missing)
+                }
                 _ => {}
             }
             wait_before_retry(response.and_then(|r| r.1)).await;
         }
     }
 
-    fn record_state(&self, number: u64, asked_us: u64, body: &[u8]) -> Option<JobState> {
+    fn record_state(&self, number: u64, request_sent_us: u64, body: &[u8]) -> Option<JobState> {
         let status: JobStatus = serde_json::from_slice(body).ok()?;
-        self.record_event(number, asked_us, UserAnswer::Told(status.state));
+        self.record_event(number, request_sent_us, UserEventKind::Status(status.state));
         Some(status.state)
     }
 
--- a/crates/loadtest/src/workers.rs
+++ b/crates/loadtest/src/workers.rs
@@ -277,10 +277,10 @@
                     // whole fault.
                     let hash =
                         f64::from(self.machine_number.wrapping_mul(2_654_435_761) >> 16) / 65_536.0;
-                    hash < *part && fault.active(now)
+                    hash < *part && fault.is_active(now)
                 }
                 Fault::CutZone { zone, .. } => {
-                    fault.active(now) && *zone == self.state.borrow().worker.zone
+                    fault.is_active(now) && *zone == self.state.borrow().worker.zone
                 }
                 _ => false,
             })
--- a/crates/loadtest/tests/rules.rs
+++ b/crates/loadtest/tests/rules.rs
@@ -1,7 +1,7 @@
 //! The check of the rules finds each kind of breach, and none where there is none.
 
 use loadtest::config::Experiment;
-use loadtest::observations::{TaskChange, TaskEvent, UserAnswer, UserEvent};
+use loadtest::observations::{TaskChange, TaskEvent, UserEvent, UserEventKind};
 use loadtest::rules::{check, Verdict};
 use loadtest::run_layout::class_job_number;
 use wire::users::JobState;
@@ -24,12 +24,12 @@
     }
 }
 
-fn user(at_s: u64, job: u64, answer: UserAnswer) -> UserEvent {
+fn user(at_s: u64, job: u64, kind: UserEventKind) -> UserEvent {
     UserEvent {
         at_us: at_s * SECOND,
-        asked_us: at_s * SECOND - 1_000,
+        request_sent_us: at_s * SECOND - 1_000,
         job,
-        answer,
+        kind,
     }
 }
 
@@ -41,9 +41,9 @@
         task(9, 5, job, TaskChange::Ended),
     ];
     let users = vec![
-        user(1, job, UserAnswer::Submitted),
-        user(1, job, UserAnswer::Accepted),
-        user(10, job, UserAnswer::Told(JobState::Done)),
+        user(1, job, UserEventKind::Submitted),
+        user(1, job, UserEventKind::Accepted),
+        user(10, job, UserEventKind::Status(JobState::Done)),
     ];
     (tasks, users)
 }
@@ -80,11 +80,11 @@
 fn early_done_and_going_back_are_found() {
     let job = class_job_number(0, 0);
     let (tasks, mut users) = whole(job);
-    users.push(user(5, job, UserAnswer::Told(JobState::Done)));
-    users.push(user(7, job, UserAnswer::Told(JobState::Running)));
+    users.push(user(5, job, UserEventKind::Status(JobState::Done)));
+    users.push(user(7, job, UserEventKind::Status(JobState::Running)));
     assert_eq!(rules_broken(&tasks, &users), ["not_done", "went_back"]);
     let (tasks, mut users) = whole(job);
-    users.push(user(12, job, UserAnswer::Told(JobState::Cancelled)));
+    users.push(user(12, job, UserEventKind::Status(JobState::Cancelled)));
     assert_eq!(rules_broken(&tasks, &users), ["went_back"]);
 }
 
@@ -92,7 +92,7 @@
 fn forgotten_job_is_found() {
     let job = class_job_number(0, 0);
     let (tasks, mut users) = whole(job);
-    users.push(user(20, job, UserAnswer::Missing));
+    users.push(user(20, job, UserEventKind::Missing));
     assert_eq!(rules_broken(&tasks, &users), ["forgotten"]);
 }
 
@@ -101,9 +101,9 @@
     let job = class_job_number(0, 0);
     let tasks = [task(3, 5, job, TaskChange::Started)];
     let users = [
-        user(1, job, UserAnswer::Accepted),
-        user(4, job, UserAnswer::CancelAsked),
-        user(5, job, UserAnswer::Told(JobState::Cancelled)),
+        user(1, job, UserEventKind::Accepted),
+        user(4, job, UserEventKind::CancelRequested),
+        user(5, job, UserEventKind::Status(JobState::Cancelled)),
     ];
     assert_eq!(rules_broken(&tasks, &users), ["ran_cancelled"]);
     let ended = [tasks[0].clone(), task(20, 5, job, TaskChange::Ended)];
@@ -133,7 +133,7 @@
         .collect();
     let users: Vec<_> = jobs
         .iter()
-        .map(|job| user(1, *job, UserAnswer::Submitted))
+        .map(|job| user(1, *job, UserEventKind::Submitted))
         .collect();
     assert_eq!(rules_broken(&tasks[..fit], &users), Vec::<String>::new());
     assert_eq!(rules_broken(&tasks[..=fit], &users), ["quota"]);
