--- a/crates/simulator/src/world/site.rs
+++ b/crates/simulator/src/world/site.rs
@@ -2,6 +2,7 @@
 
 use super::scenario::Mutation;
 
+/// Number of controllers, and of partitions.
 pub(super) const CONTROLLERS: usize = 3;
 
 /// Puts and deletes that the state service accepts per second, by the size of the site.
