--- a/crates/autoscaler/src/capacity.rs
+++ b/crates/autoscaler/src/capacity.rs
@@ -1,4 +1,4 @@
-//! Capacity of machines that are booting or being transferred.
+//! Capacity of incoming machines: those that boot, are being transferred, or are about to be rented.
 
 use crate::machine::FleetMachine;
 use crate::pending::PendingWork;
@@ -7,18 +7,19 @@
 use std::time::Duration;
 use wire::cloud::MachineType;
 
-/// Unit of [`IncomingMachine::time_left`]: a machine's whole time within the horizon.
-const WHOLE_HORIZON: u64 = 1_000_000;
+/// A machine's whole time within the planning horizon, in millionths.
+const WHOLE_HORIZON_PPM: u64 = 1_000_000;
 
-/// A machine that will soon be able to run tasks: it boots or is being transferred.
+/// A machine that will soon be able to run tasks, and what is left of it for waiting work.
 pub(crate) struct IncomingMachine {
     pub(crate) machine_type: String,
     pub(crate) zone: ZoneName,
     pub(crate) spot: bool,
-    /// Resources not yet assigned to services and gangs.
+    /// Resources that are not yet assigned to services and gangs.
     pub(crate) free: Resources,
-    /// Part of its time within the horizon that is not yet assigned to array work, in millionths.
-    time_left: u64,
+    /// Part of its time within the planning horizon that is not yet assigned to array work, in
+    /// millionths.
+    time_left_ppm: u64,
 }
 
 /// All resources of a machine of this type.
@@ -27,24 +28,25 @@
 }
 
 impl IncomingMachine {
-    /// An empty machine of this type.
+    /// A machine of this type without any work assigned.
     pub(crate) fn new(machine_type: &MachineType, zone: ZoneName, spot: bool) -> Self {
         IncomingMachine {
             machine_type: machine_type.name.clone(),
             zone,
             spot,
             free: capacity_of(machine_type),
-            time_left: WHOLE_HORIZON,
+            time_left_ppm: WHOLE_HORIZON_PPM,
         }
     }
 
-    /// An existing machine, once it is empty.
+    /// An existing machine as it will be once it is empty.
     pub(crate) fn emptied(machine: &FleetMachine, machine_type: &MachineType) -> Self {
         IncomingMachine::new(machine_type, machine.zone.clone(), machine.spot)
     }
 
-    /// Assigns as many waiting tasks as possible. Services and gangs occupy resources; array work
-    /// occupies time within the horizon, at least one task per slot. Returns the number of tasks.
+    /// Assigns as many waiting tasks as possible and returns their number. Concurrent work, such as
+    /// services and gangs, takes resources. Other array work takes time within the horizon, and gets at
+    /// least one task per slot.
     pub(crate) fn assign(&mut self, work: &PendingWork<'_>, horizon: Duration) -> u64 {
         if work.waiting == 0 || !work.task_size.fits(&self.free) {
             return 0;
@@ -55,16 +57,16 @@
             self.free -= work.task_size.times(assigned);
             return assigned;
         }
-        if self.time_left == 0 {
+        if self.time_left_ppm == 0 {
             return 0;
         }
         // The scarcest resource limits how many tasks run at the same time.
-        let time_per_task =
-            (WHOLE_HORIZON * work.task_ms / (slots * horizon.whole_millis()).max(1)).max(1);
-        let assigned = (self.time_left / time_per_task)
+        let task_time_ppm =
+            (WHOLE_HORIZON_PPM * work.task_ms / (slots * horizon.whole_millis()).max(1)).max(1);
+        let assigned = (self.time_left_ppm / task_time_ppm)
             .max(slots)
             .min(work.waiting);
-        self.time_left = self.time_left.saturating_sub(assigned * time_per_task);
+        self.time_left_ppm = self.time_left_ppm.saturating_sub(assigned * task_time_ppm);
         assigned
     }
 }
--- a/crates/controller/src/controller/admin/settings.rs
+++ b/crates/controller/src/controller/admin/settings.rs
@@ -1,4 +1,4 @@
-//! The operators' settings: their stored form and its limits.
+//! The settings that operators change at run time: their stored form and the limits of each field.
 
 #[cfg(test)]
 mod tests;
@@ -15,7 +15,7 @@
 /// Why settings are refused.
 #[derive(Debug, thiserror::Error)]
 pub enum SettingsError {
-    /// They are not a settings object: the message names the unknown field or the wrong type.
+    /// They cannot be decoded. The message names the unknown field or the wrong type.
     #[error(transparent)]
     Malformed(#[from] serde_json::Error),
     /// A field is outside its limits.
@@ -49,60 +49,66 @@
     })
 }
 
-/// The operators' settings as they are stored and as the admin API shows them.
+/// The run-time settings as they are stored and as the admin API shows them.
 ///
-/// Every field is bounded so that none can loosen a safety rule: settings change when work is tried
-/// and what is rented, never what must be proven first.
+/// Fields that end in `_s` are in seconds. Every number has limits. No setting weakens a safety rule:
+/// settings determine when work is tried and which machines are rented, but never what must be verified
+/// before an action.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct TuningRecord {
-    /// Backoff of a queue entry after its first failure, in seconds.
+    /// Backoff of a queue entry after its first failure.
     pub initial_backoff_s: f64,
-    /// Longest backoff of a queue entry, in seconds.
+    /// Upper limit of a queue entry's backoff.
     pub max_backoff_s: f64,
-    /// How long an entry stays unschedulable before it is released without an event, in seconds.
+    /// How long an entry stays unschedulable before it is released without a move request.
     #[serde(rename = "leftover_s")]
     pub unschedulable_timeout_s: f64,
-    /// Lateness of a heartbeat, in seconds, after which a machine gets no new tasks.
+    /// How late a machine's heartbeat may be before the machine gets no new tasks.
     #[serde(rename = "silence_s")]
     pub heartbeat_grace_s: f64,
-    /// Tasks of one job array that are in the scheduling queue at a time.
-    pub window: u32,
-    /// Failures without a success in between after which a machine is quarantined.
+    /// Maximum number of tasks of one array or service that are in the scheduling queue at a time.
+    #[serde(rename = "window")]
+    pub max_queued_tasks_per_job: u32,
+    /// Number of failures without a success in between after which a machine is quarantined.
     #[serde(rename = "faulty_after")]
     pub quarantine_threshold: u32,
-    /// Whether tasks are preempted.
+    /// Whether tasks may be preempted for other work.
     pub preempt: bool,
-    /// Multiple of its own run time by which a job is deprioritised.
+    /// A job is deferred in the queue by its expected run time multiplied by this factor.
     #[serde(rename = "set_back")]
     pub size_penalty_factor: u64,
-    /// Whether replicas are consolidated on fewer machines.
-    pub move_replicas: bool,
-    /// Tasks of arrays that find room within this time, in seconds, are no demand for machines.
-    pub absorb_s: f64,
-    /// Further multiple of its remaining run time by which a job is deprioritised during overload.
+    /// Whether replicas of services are moved to fewer machines.
+    #[serde(rename = "move_replicas")]
+    pub consolidate_replicas: bool,
+    /// Waiting array tasks that fit into what running tasks free within this time are no demand for
+    /// further machines.
+    #[serde(rename = "absorb_s")]
+    pub absorb_within_s: f64,
+    /// During overload, a job is deferred further by the size penalty of its waiting tasks multiplied by
+    /// this factor.
     #[serde(rename = "short_set_back")]
     pub overload_penalty_factor: u64,
-    /// Time within which waiting array work should be finished, in seconds.
+    /// Time within which waiting array work should be finished.
     pub horizon_s: f64,
-    /// How long an ordinary machine may be idle before it is returned, in seconds.
+    /// How long a machine may be idle before it is returned.
     pub keep_idle_s: f64,
-    /// Minimum time billed for a machine, in seconds: younger machines are kept.
+    /// Minimum time that is billed for a machine: younger machines are not returned for being idle.
     #[serde(rename = "paid_s")]
     pub minimum_billing_s: f64,
-    /// Idle time after which a machine may be transferred to another partition, in seconds.
+    /// How long a machine must have been idle before it may be transferred to another partition.
     #[serde(rename = "shift_idle_s")]
     pub transfer_idle_s: f64,
     /// Maximum number of idle machines transferred by one plan.
     #[serde(rename = "shift_count")]
     pub max_idle_transfers: usize,
-    /// An empty machine that has not reported for so many seconds is returned.
+    /// A machine without tasks that has sent no heartbeat for this long is returned.
     #[serde(rename = "silent_s")]
-    pub report_timeout_s: f64,
+    pub heartbeat_timeout_s: f64,
     /// A booting machine counts as capacity for its boot time multiplied by this factor.
     #[serde(rename = "boot_trust")]
     pub boot_capacity_factor: f64,
-    /// A machine that has not reported after its boot time multiplied by this factor is given up.
+    /// A machine that has sent no heartbeat after its boot time multiplied by this factor is given up.
     #[serde(rename = "boot_patience")]
     pub boot_timeout_factor: u64,
 }
@@ -125,19 +131,19 @@
             max_backoff_s: queue.max_backoff.as_secs_f64(),
             unschedulable_timeout_s: queue.unschedulable_timeout.as_secs_f64(),
             heartbeat_grace_s: policy.heartbeat_grace.as_secs_f64(),
-            window: policy.max_queued_tasks_per_job,
+            max_queued_tasks_per_job: policy.max_queued_tasks_per_job,
             quarantine_threshold: policy.quarantine_threshold,
             preempt: policy.preempt,
             size_penalty_factor: policy.size_penalty_factor,
-            move_replicas: policy.consolidate_replicas,
-            absorb_s: policy.absorb_within.as_secs_f64(),
+            consolidate_replicas: policy.consolidate_replicas,
+            absorb_within_s: policy.absorb_within.as_secs_f64(),
             overload_penalty_factor: policy.overload_penalty_factor,
             horizon_s: fleet.horizon.as_secs_f64(),
             keep_idle_s: fleet.keep_idle.as_secs_f64(),
             minimum_billing_s: fleet.minimum_billing.as_secs_f64(),
             transfer_idle_s: fleet.transfer_idle.as_secs_f64(),
             max_idle_transfers: fleet.max_idle_transfers,
-            report_timeout_s: fleet.report_timeout.as_secs_f64(),
+            heartbeat_timeout_s: fleet.heartbeat_timeout.as_secs_f64(),
             boot_capacity_factor: fleet.boot_capacity_factor,
             boot_timeout_factor: fleet.boot_timeout_factor,
         }
@@ -145,12 +151,12 @@
 }
 
 impl TuningRecord {
-    /// Decodes settings; fields that are absent have their defaults.
+    /// Decodes settings. Absent fields get their defaults.
     pub fn decode(settings: &Value) -> Result<Self, serde_json::Error> {
         TuningRecord::deserialize(settings)
     }
 
-    /// Checks the limits of every field.
+    /// Checks that every number is within its limits.
     fn check(&self) -> Result<(), FieldOutOfBounds> {
         check_bounds("initial_backoff_s", self.initial_backoff_s, 0.01..=60.0)?;
         check_bounds(
@@ -160,14 +166,18 @@
         )?;
         check_bounds("leftover_s", self.unschedulable_timeout_s, 0.1..=600.0)?;
         check_bounds("silence_s", self.heartbeat_grace_s, 0.1..=60.0)?;
-        check_bounds("window", f64::from(self.window), 1.0..=100_000.0)?;
+        check_bounds(
+            "window",
+            f64::from(self.max_queued_tasks_per_job),
+            1.0..=100_000.0,
+        )?;
         check_bounds(
             "faulty_after",
             f64::from(self.quarantine_threshold),
             1.0..=1000.0,
         )?;
         check_bounds("set_back", self.size_penalty_factor as f64, 0.0..=1000.0)?;
-        check_bounds("absorb_s", self.absorb_s, 0.0..=3_600.0)?;
+        check_bounds("absorb_s", self.absorb_within_s, 0.0..=3_600.0)?;
         check_bounds(
             "short_set_back",
             self.overload_penalty_factor as f64,
@@ -178,7 +188,7 @@
         check_bounds("paid_s", self.minimum_billing_s, 0.0..=36_000.0)?;
         check_bounds("shift_idle_s", self.transfer_idle_s, 0.0..=3_600.0)?;
         check_bounds("shift_count", self.max_idle_transfers as f64, 0.0..=1000.0)?;
-        check_bounds("silent_s", self.report_timeout_s, 1.0..=36_000.0)?;
+        check_bounds("silent_s", self.heartbeat_timeout_s, 1.0..=36_000.0)?;
         check_bounds("boot_trust", self.boot_capacity_factor, 0.1..=100.0)?;
         check_bounds(
             "boot_patience",
@@ -192,7 +202,7 @@
 impl TryFrom<&TuningRecord> for Tuning {
     type Error = FieldOutOfBounds;
 
-    /// Checks every field; the error names the first that is outside its limits.
+    /// Checks all fields. The error names the first one that is outside its limits.
     fn try_from(record: &TuningRecord) -> Result<Self, FieldOutOfBounds> {
         record.check()?;
         Ok(Tuning {
@@ -203,12 +213,12 @@
             },
             policy: Policy {
                 heartbeat_grace: duration_from_secs(record.heartbeat_grace_s),
-                max_queued_tasks_per_job: record.window,
+                max_queued_tasks_per_job: record.max_queued_tasks_per_job,
                 quarantine_threshold: record.quarantine_threshold,
                 preempt: record.preempt,
                 size_penalty_factor: record.size_penalty_factor,
-                consolidate_replicas: record.move_replicas,
-                absorb_within: duration_from_secs(record.absorb_s),
+                consolidate_replicas: record.consolidate_replicas,
+                absorb_within: duration_from_secs(record.absorb_within_s),
                 overload_penalty_factor: record.overload_penalty_factor,
             },
             fleet: FleetPolicy {
@@ -217,7 +227,7 @@
                 minimum_billing: duration_from_secs(record.minimum_billing_s),
                 transfer_idle: duration_from_secs(record.transfer_idle_s),
                 max_idle_transfers: record.max_idle_transfers,
-                report_timeout: duration_from_secs(record.report_timeout_s),
+                heartbeat_timeout: duration_from_secs(record.heartbeat_timeout_s),
                 boot_capacity_factor: record.boot_capacity_factor,
                 boot_timeout_factor: record.boot_timeout_factor,
             },
--- a/crates/controller/src/controller/fleet_planner/machine_types.rs
+++ b/crates/controller/src/controller/fleet_planner/machine_types.rs
@@ -1,4 +1,4 @@
-//! Reads the cloud's machine types and keeps their record current.
+//! Reads the cloud's machine types and keeps their record in the state service up to date.
 
 use crate::controller::call_kind::{FleetCall, RecordCall};
 use crate::controller::{CallKind, Controller};
@@ -9,12 +9,13 @@
 use wire::cloud::{CloudRequest, MachineType, MachineTypes};
 use wire::state::{StateRequest, Transaction, Write};
 
-/// Time between two reads of the machine types while none are known.
-const FIRST_READ_INTERVAL: Duration = Duration::from_millis(400);
-/// Time between two reads of the machine types, whose prices change.
+/// Time between two reads of the machine types while none are recorded.
+const INITIAL_READ_INTERVAL: Duration = Duration::from_millis(400);
+/// Time between two reads of the machine types once they are recorded. They are read again because their
+/// prices change.
 const READ_INTERVAL: Duration = Duration::from_secs(60);
 
-/// Reads and writes of the machine types.
+/// State of the reads and writes of the machine types.
 #[derive(Debug, Default)]
 pub(super) struct MachineTypesReader {
     requested_at: Option<Timestamp>,
@@ -29,27 +30,28 @@
         self.latest.as_ref()
     }
 
-    /// Allows the next write of the record.
+    /// Ends the write of the record, so that the next one may begin.
     pub(super) fn finish_write(&mut self) {
         self.write_pending = false;
     }
 }
 
-/// The types without their prices, which change too often to be written each time.
+/// The machine types without their prices. A change of prices alone is not written, because prices change
+/// too often.
 fn without_prices(types: &MachineTypes) -> Vec<MachineType> {
     let mut types = types.types.clone();
     for machine_type in &mut types {
-        machine_type.price = 0.0;
-        machine_type.spot_price = 0.0;
+        machine_type.price_per_hour = 0.0;
+        machine_type.spot_price_per_hour = 0.0;
     }
     types
 }
 
 impl Controller {
-    /// Reads the machine types from the cloud if that is due.
+    /// Requests the machine types from the cloud if a read is due.
     pub(super) fn request_machine_types(&mut self) {
         let interval = if self.cache.machine_types.is_none() {
-            FIRST_READ_INTERVAL
+            INITIAL_READ_INTERVAL
         } else {
             READ_INTERVAL
         };
@@ -60,11 +62,14 @@
             .is_none_or(|at| self.now.duration_since(at) >= interval);
         if is_due && self.fleet_planner.cloud.take_call(self.now) {
             self.fleet_planner.machine_types.requested_at = Some(self.now);
-            self.send_cloud_request(CloudRequest::Types, CallKind::Fleet(FleetCall::ListTypes));
+            self.send_cloud_request(
+                CloudRequest::MachineTypes,
+                CallKind::Fleet(FleetCall::ListTypes),
+            );
         }
     }
 
-    /// Takes in the machine types and writes their record if more than prices has changed.
+    /// Handles the machine types from the cloud, and writes their record if more than prices has changed.
     pub(super) fn handle_machine_types(&mut self, types: MachineTypes) {
         let recorded = self.cache.machine_types.as_ref();
         let is_changed =
@@ -78,7 +83,7 @@
         reader.write_pending = true;
         let value = serde_json::to_value(types).unwrap_or_default();
         let txn = Transaction::default()
-            .when(MACHINE_TYPES_KEY, version)
+            .if_version(MACHINE_TYPES_KEY, version)
             .write(Write::put(MACHINE_TYPES_KEY, value));
         self.queue_state_request(
             CallPriority::Coordination,
@@ -87,7 +92,7 @@
         );
     }
 
-    /// Applies a change of the machine types' record to the partitions that this controller leads.
+    /// Applies a change of the recorded machine types to the partitions that this controller leads.
     pub(in crate::controller) fn handle_machine_types_record(&mut self) {
         let partitions: Vec<PartitionId> = self.leaderships.keys().copied().collect();
         for partition in partitions {
@@ -107,7 +112,7 @@
         // Machines whose type was unknown until now can join their partitions.
         let names: Vec<MachineName> = self.cache.machines.keys().cloned().collect();
         for name in names {
-            self.machine_changed(&name);
+            self.handle_machine_record(&name);
         }
     }
 }
--- a/crates/controller/src/controller/leadership/record_changes.rs
+++ b/crates/controller/src/controller/leadership/record_changes.rs
@@ -1,4 +1,4 @@
-//! Changes of the records of jobs and machines, applied to the partitions that they concern.
+//! Application of changed job and machine records to the partitions that this controller leads.
 
 use super::PartitionLeadership;
 use crate::controller::Controller;
@@ -6,7 +6,8 @@
 use model::{FencingToken, JobId, MachineName, PartitionId, TeamName};
 use std::time::Duration;
 
-/// A machine that a record has brought to a partition which this controller leads.
+/// A machine that its record assigns to a partition led by this controller, and that is not part of the
+/// partition's state yet.
 struct NewMachine {
     partition: PartitionId,
     record: MachineRecord,
@@ -14,7 +15,8 @@
 }
 
 impl Controller {
-    /// The partition of a team: teams are assigned round-robin in the order of the settings.
+    /// The partition of a team. Teams are assigned to partitions round-robin, in the order of the
+    /// settings.
     pub(in crate::controller) fn partition_of_team(&self, team: &TeamName) -> Option<PartitionId> {
         let index = self
             .settings
@@ -35,22 +37,22 @@
             .filter(|leadership| leadership.term.0 == term)
     }
 
-    /// A job's record has changed.
-    pub(in crate::controller) fn job_changed(&mut self, id: JobId) {
-        let Some(open) = self.cache.jobs.get(&id).cloned() else {
+    /// Applies a job's changed record.
+    pub(in crate::controller) fn handle_job_record(&mut self, id: JobId) {
+        let Some(job) = self.cache.jobs.get(&id).cloned() else {
             self.job_status.forget_progress(id);
             return;
         };
         self.logical_clock_offset = self.logical_clock_offset.max(Duration::from_millis(
-            open.submitted_at_ms().saturating_sub(self.now.as_millis()),
+            job.submitted_at_ms().saturating_sub(self.now.as_millis()),
         ));
-        let Some(partition) = self.partition_of_team(&open.spec.team) else {
+        let Some(partition) = self.partition_of_team(&job.spec.team) else {
             return;
         };
         let cancelled = self.cache.is_cancelled(id);
         let now = self.now;
         let logical_clock_offset = self.logical_clock_offset;
-        let until =
+        let leases_renewable_until =
             self.state_sync.previous_read_at().unwrap_or_default() + self.settings.lease_validity();
         let Some(partition_state) = self
             .leaderships
@@ -61,27 +63,28 @@
         };
         partition_state.logical_clock_offset = logical_clock_offset;
         if !partition_state.jobs.contains_key(&id) {
-            partition_state.add_job(open.spec.clone(), open.submitted_at_ms(), &[], now);
+            partition_state.add_job(job.spec.clone(), job.submitted_at_ms(), &[], now);
         }
         if cancelled {
             partition_state.cancel_job(id, now);
-            // The cancellation was confirmed after the previous read of changes at the earliest.
-            partition_state.bound_lease_renewal(id, until);
+            // The cancellation was confirmed no earlier than the previous read of changes.
+            partition_state.bound_lease_renewal(id, leases_renewable_until);
         }
     }
 
-    /// A peer has announced that a job is recorded as cancelled, which stays true however late the
-    /// message arrives. The job's tasks are stopped at once, also by a leader that cannot read the
-    /// state service; the job's status and its terminal state follow the records.
+    /// Stops the tasks of a job whose cancellation a peer has announced. The message says that the
+    /// cancellation is recorded, which stays true however late it arrives. So the tasks are stopped at
+    /// once, also by a leader that cannot read the state service. The job's status and its terminal
+    /// state follow the records.
     pub(in crate::controller) fn stop_cancelled_job(&mut self, id: JobId) {
-        let Some(team) = self.cache.jobs.get(&id).map(|open| open.spec.team.clone()) else {
+        let Some(team) = self.cache.jobs.get(&id).map(|job| job.spec.team.clone()) else {
             return;
         };
         let Some(partition) = self.partition_of_team(&team) else {
             return;
         };
         let now = self.now;
-        let until =
+        let leases_renewable_until =
             self.state_sync.last_read_at().unwrap_or_default() + self.settings.lease_validity();
         let partition_state = self
             .leaderships
@@ -97,11 +100,11 @@
         };
         self.counters.cancelled_by_message += 1;
         partition_state.cancel_job(id, now);
-        partition_state.bound_lease_renewal(id, until);
+        partition_state.bound_lease_renewal(id, leases_renewable_until);
     }
 
-    /// A machine's record has changed.
-    pub(in crate::controller) fn machine_changed(&mut self, name: &MachineName) {
+    /// Applies a machine's changed record.
+    pub(in crate::controller) fn handle_machine_record(&mut self, name: &MachineName) {
         let record = self
             .cache
             .machines
@@ -115,8 +118,8 @@
         }
     }
 
-    /// Updates or removes a machine in all partitions that this controller leads; returns it if it
-    /// has to be added to one of them.
+    /// Updates a machine in the partition that its record names and removes it from all others that
+    /// this controller leads. Returns the machine if it has to be added to a partition.
     fn update_machine(
         &mut self,
         name: &MachineName,
--- a/crates/controller/src/controller/state_replies.rs
+++ b/crates/controller/src/controller/state_replies.rs
@@ -7,7 +7,7 @@
 use wire::state::StateReply;
 
 impl Controller {
-    /// Handles a reply of the state service. One whose call is not pending changes nothing.
+    /// Handles a reply of the state service. A reply to a call that is not pending is only counted.
     pub(super) fn handle_state_reply(&mut self, call: CallId, reply: StateReply) {
         let sent_at = self.state_client.complete(call).unwrap_or(self.now);
         let Some(kind) = self.calls.complete(call) else {
@@ -39,11 +39,13 @@
 
     fn handle_read_reply(&mut self, call: ReadCall, reply: StateReply, sent_at: Timestamp) {
         match call {
-            ReadCall::Changes(requests) => self.handle_changes_read(requests, reply, sent_at),
+            ReadCall::Changes(requests) => self.handle_changes_reply(requests, reply, sent_at),
             ReadCall::TerminalStates(requests) => {
-                self.handle_final_states_compared(requests, reply)
+                self.handle_terminal_states_check_reply(requests, reply)
+            }
+            ReadCall::TerminalRecord { request } => {
+                self.handle_terminal_state_reply(request, reply)
             }
-            ReadCall::TerminalRecord { request } => self.handle_final_state_read(request, reply),
         }
     }
 
@@ -77,8 +79,8 @@
 
     fn handle_job_reply(&mut self, call: JobCall, reply: StateReply) {
         match call {
-            JobCall::Accept => self.handle_acceptance_written(reply),
-            JobCall::Cancel => self.handle_cancellation_written(reply),
+            JobCall::Accept => self.handle_admission_reply(reply),
+            JobCall::Cancel => self.handle_cancellation_reply(reply),
             JobCall::Archive { partition, term } => {
                 self.handle_terminal_jobs_written(partition, term, reply)
             }
@@ -87,11 +89,11 @@
 
     fn handle_record_reply(&mut self, call: RecordCall, reply: StateReply) {
         match call {
-            // The cache shows what came of it.
+            // The state cache shows whether the write was applied.
             RecordCall::Demand => {}
             RecordCall::Machines => self.handle_machine_records_written(reply),
-            RecordCall::MachineTypes => self.fleet_planner.handle_machine_types_written(),
-            RecordCall::Tuning { ticket } => self.handle_settings_written(ticket, reply),
+            RecordCall::MachineTypes => self.fleet_planner.finish_machine_types_write(),
+            RecordCall::Tuning { ticket } => self.handle_settings_reply(ticket, reply),
         }
     }
 }
--- a/crates/controller/src/placement_log/commit.rs
+++ b/crates/controller/src/placement_log/commit.rs
@@ -1,4 +1,4 @@
-//! Preparation of a commit of the placement log: which pages it writes, and what stands on them.
+//! Preparation of a commit of the placement log: which pages it writes, and with which entries.
 
 use super::stored::{StoredEntry, StoredPage};
 use super::{LogEntry, PlacementLog, SizedChunk};
@@ -7,9 +7,9 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use wire::state::{Transaction, Write};
 
-/// Identifies a commit. Every leader goes on counting from what the log holds, so a successor's
-/// commit may have the same number as one of its predecessor that was never written: the version of
-/// the partition's record under which it was made belongs to it.
+/// Identifies a commit. Every leader continues from the highest commit number in the log, so a commit
+/// may have the same number as one of the previous leader that was never written. Therefore the id also
+/// contains the version of the partition's record under which the commit was made.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct CommitId {
     pub(super) number: u64,
@@ -18,67 +18,74 @@
 
 /// A page that a commit writes.
 #[derive(Debug, Clone, Copy)]
-pub(super) struct PageCommit {
+pub(super) struct WrittenPage {
     pub page: usize,
+    /// Each page of a commit has a number of its own; the numbers are consecutive.
     pub commit_number: u64,
 }
 
-/// An entry that a commit writes anew.
+/// An entry that a commit adds or updates.
 #[derive(Debug, Clone)]
 pub(super) struct CommittedEntry {
     pub key: ChunkKey,
     pub entry: LogEntry,
 }
 
-/// One write of the log that has been prepared.
+/// A prepared commit of the log.
 #[derive(Debug, Clone)]
 pub struct LogCommit {
-    /// The transaction that writes it.
+    /// The transaction that writes the commit.
     pub txn: Transaction,
-    /// Chunks that it writes anew.
+    /// Chunks that the commit adds or updates.
     pub chunk_keys: Vec<ChunkKey>,
     pub(super) partition_version: Version,
-    pub(super) pages: Vec<PageCommit>,
+    pub(super) pages: Vec<WrittenPage>,
     pub(super) entries: Vec<CommittedEntry>,
     pub(super) dropped: Vec<ChunkKey>,
 }
 
-/// The content of a page while a commit is prepared.
+/// The contents of a page while a commit is prepared.
 #[derive(Debug, Default)]
 struct PageDraft {
     entries: BTreeMap<ChunkKey, SizedChunk>,
-    size: usize,
+    estimated_bytes: usize,
 }
 
 impl PageDraft {
     fn new(entries: BTreeMap<ChunkKey, SizedChunk>) -> Self {
-        let size = entries.values().map(|entry| entry.size).sum();
-        PageDraft { entries, size }
+        let estimated_bytes = entries.values().map(|entry| entry.estimated_bytes).sum();
+        PageDraft {
+            entries,
+            estimated_bytes,
+        }
     }
 
-    /// Whether what stays on the page takes more than three quarters of it.
-    fn is_nearly_full(&self, capacity: usize) -> bool {
-        self.size * 4 > capacity * 3
+    /// Whether the entries take more than three quarters of the page.
+    fn is_nearly_full(&self, capacity_bytes: usize) -> bool {
+        self.estimated_bytes * 4 > capacity_bytes * 3
     }
 
-    /// Whether a chunk fits. An empty page takes any.
-    fn has_room(&self, key: &ChunkKey, content: &SizedChunk, capacity: usize) -> bool {
-        self.size_with(key, content) <= capacity || self.entries.is_empty()
+    /// Whether a chunk fits on the page. Any chunk fits on an empty one.
+    fn has_room(&self, key: &ChunkKey, content: &SizedChunk, capacity_bytes: usize) -> bool {
+        self.bytes_with(key, content) <= capacity_bytes || self.entries.is_empty()
     }
 
-    fn size_with(&self, key: &ChunkKey, content: &SizedChunk) -> usize {
-        let replaced = self.entries.get(key).map_or(0, |entry| entry.size);
-        self.size - replaced + content.size
+    fn bytes_with(&self, key: &ChunkKey, content: &SizedChunk) -> usize {
+        let replaced_bytes = self
+            .entries
+            .get(key)
+            .map_or(0, |entry| entry.estimated_bytes);
+        self.estimated_bytes - replaced_bytes + content.estimated_bytes
     }
 
     fn insert(&mut self, key: ChunkKey, content: SizedChunk) {
-        self.size = self.size_with(&key, &content);
+        self.estimated_bytes = self.bytes_with(&key, &content);
         self.entries.insert(key, content);
     }
 
     fn remove(&mut self, key: &ChunkKey) {
         if let Some(entry) = self.entries.remove(key) {
-            self.size -= entry.size;
+            self.estimated_bytes -= entry.estimated_bytes;
         }
     }
 
@@ -94,15 +101,15 @@
     }
 }
 
-/// A commit while it is prepared.
+/// A commit that is being prepared.
 #[derive(Debug)]
 pub(super) struct CommitBuilder {
     commit: LogCommit,
-    /// Changes that have not found room yet.
+    /// Changes that are not on any page of the commit yet.
     changes: VecDeque<(ChunkKey, TaskChunk)>,
-    /// Entries that are written anew.
-    written: BTreeSet<ChunkKey>,
-    /// Number of pages, those that the commit adds included.
+    /// Keys of the changes that are on a page of the commit.
+    written_keys: BTreeSet<ChunkKey>,
+    /// Number of pages of the log, including those that the commit adds.
     page_count: usize,
     commit_number: u64,
 }
@@ -115,7 +122,7 @@
     ) -> Self {
         let partition_key = crate::records::partition_key(log.partition);
         let commit = LogCommit {
-            txn: Transaction::default().when(partition_key, partition_version.0),
+            txn: Transaction::default().if_version(partition_key, partition_version.0),
             chunk_keys: Vec::new(),
             partition_version,
             pages: Vec::new(),
@@ -125,18 +132,18 @@
         CommitBuilder {
             commit,
             changes: VecDeque::from(changes),
-            written: BTreeSet::new(),
+            written_keys: BTreeSet::new(),
             page_count: log.pages.len(),
             commit_number: log.commit_number,
         }
     }
 
-    /// Adds the page at the cursor, or a new one where that is nearly full. Returns false if the
-    /// commit writes the page already.
+    /// Adds the page that is `step` pages after the cursor, or a new one if that is nearly full. Returns
+    /// false if the commit already writes the page.
     pub(super) fn add_page(&mut self, log: &PlacementLog, step: usize) -> bool {
         let mut page = (log.cursor + step) % self.page_count;
-        let mut draft = PageDraft::new(log.kept_entries(page, &self.written));
-        if draft.is_nearly_full(log.page_capacity) && !self.changes.is_empty() {
+        let mut draft = PageDraft::new(log.kept_entries(page, &self.written_keys));
+        if draft.is_nearly_full(log.page_capacity_bytes) && !self.changes.is_empty() {
             page = self.page_count;
             self.page_count += 1;
             draft = PageDraft::default();
@@ -151,15 +158,18 @@
         true
     }
 
-    /// Drops empty entries of which no page can hold an older copy.
+    /// Drops the empty entries of which no page can hold an older copy.
     fn drop_empty_entries(&mut self, log: &PlacementLog, draft: &mut PageDraft) {
-        let oldest = log.oldest_commit_number();
+        let oldest_number = log.oldest_commit_number();
         let droppable: Vec<ChunkKey> = draft
             .entries
             .iter()
             .filter(|(_, entry)| entry.chunk.is_empty())
             .map(|(key, _)| *key)
-            .filter(|key| log.commit_number_of(key).is_some_and(|kept| oldest >= kept))
+            .filter(|key| {
+                log.commit_number_of(key)
+                    .is_some_and(|number| oldest_number >= number)
+            })
             .collect();
         for key in droppable {
             draft.remove(&key);
@@ -167,16 +177,16 @@
         }
     }
 
-    /// Moves changes onto a page until one of them has no room.
+    /// Moves changes onto a page until one of them does not fit.
     fn fill(&mut self, log: &PlacementLog, page: usize, draft: &mut PageDraft) {
         while let Some((key, chunk)) = self.changes.pop_front() {
             let content = SizedChunk::new(chunk);
-            if !draft.has_room(&key, &content, log.page_capacity) {
+            if !draft.has_room(&key, &content, log.page_capacity_bytes) {
                 self.changes.push_front((key, content.chunk));
                 return;
             }
             draft.insert(key, content.clone());
-            self.written.insert(key);
+            self.written_keys.insert(key);
             self.commit.chunk_keys.push(key);
             let entry = LogEntry { page, content };
             self.commit.entries.push(CommittedEntry { key, entry });
@@ -193,23 +203,25 @@
         let version = log.pages.get(page).map_or(0, |page| page.version.0);
         let key = log.page_key(page);
         let txn = std::mem::take(&mut self.commit.txn);
-        self.commit.txn = txn.when(&key, version).write(Write::put(&key, value));
-        self.commit.pages.push(PageCommit {
+        self.commit.txn = txn.if_version(&key, version).write(Write::put(&key, value));
+        self.commit.pages.push(WrittenPage {
             page,
             commit_number: self.commit_number,
         });
     }
 
-    /// Whether all changes have found room.
+    /// Whether all changes are on pages of the commit.
     pub(super) fn is_complete(&self) -> bool {
         self.changes.is_empty()
     }
 
-    /// The commit, and the changes that found no room.
+    /// The commit, and the keys of the changes that did not fit.
     pub(super) fn finish(mut self) -> (LogCommit, Vec<ChunkKey>) {
-        let written = &self.written;
-        self.commit.dropped.retain(|key| !written.contains(key));
-        let left = self.changes.into_iter().map(|(key, _)| key).collect();
-        (self.commit, left)
+        let written_keys = &self.written_keys;
+        self.commit
+            .dropped
+            .retain(|key| !written_keys.contains(key));
+        let left_out = self.changes.into_iter().map(|(key, _)| key).collect();
+        (self.commit, left_out)
     }
 }
--- a/crates/controller/tests/golden_records.rs
+++ b/crates/controller/tests/golden_records.rs
@@ -1,4 +1,5 @@
-//! Records and keys of the state service as bytes: controllers of two builds share them.
+//! Tests of the bytes of records and keys in the state service, which controllers of different builds
+//! share.
 
 #[path = "../../wire/tests/golden/mod.rs"]
 mod golden;
@@ -6,11 +7,11 @@
 use controller::controller::admin::TuningRecord;
 use controller::placement_log::PlacementLog;
 use controller::records::{
-    accepted_jobs_key, cancellations_key, demand_key, final_state_key, incarnation_key, log_prefix,
-    machines_key, partition_key, reclaim_key, terminal_jobs_key, AcceptedJobsPage,
-    CancellationsRecord, ControllerIncarnation, DemandRecord, FinalStateRecord, IncarnationRecord,
-    MachineRecord, MachinesPage, PackedJob, PackedMachine, PartitionRecord, ReclaimRecord,
-    TerminalJobsPage, TokenCounterRecord, MACHINE_TYPES_KEY, TOKEN_COUNTER_KEY, TUNING_KEY,
+    accepted_jobs_key, cancellations_key, demand_key, incarnation_key, log_prefix, machines_key,
+    partition_key, reclaim_key, terminal_jobs_key, terminal_state_key, AcceptedJobsPage,
+    CancellationsRecord, ControllerIncarnation, DemandRecord, IncarnationRecord, MachineRecord,
+    MachinesPage, PackedJob, PackedMachine, PartitionRecord, ReclaimRecord, TerminalJobsPage,
+    TerminalStateRecord, TokenCounterRecord, MACHINE_TYPES_KEY, TOKEN_COUNTER_KEY, TUNING_KEY,
     WATCHED_PREFIX,
 };
 use golden::{record, Entry};
@@ -23,7 +24,7 @@
 use wire::state::{Item, Write};
 use wire::users::{JobKind, JobRequest, JobState, Priority};
 
-fn node(name: &str) -> ControllerName {
+fn controller_name(name: &str) -> ControllerName {
     ControllerName::from(name)
 }
 
@@ -34,51 +35,51 @@
         team: "vision".into(),
         kind,
         priority,
-        tasks: 16,
+        task_count: 16,
         cpus: 8.0,
         gpus: 0.5,
         memory_gb: 64.25,
         image: "img-07".into(),
         image_gb: 6.2,
-        types: Some(vec!["g8".into(), "m4".into()]),
+        allowed_machine_types: Some(vec!["g8".into(), "m4".into()]),
         zone: Some("a".into()),
         one_zone: true,
-        spread: false,
-        spot: false,
-        estimate_s: 240.0,
-        checkpoint_s: 30.5,
-        save_s: 4.0,
+        spread_over_zones: false,
+        spot_allowed: false,
+        estimated_run_time_s: 240.0,
+        checkpoint_interval_s: 30.5,
+        checkpoint_save_time_s: 4.0,
         deadline_s: Some(900.0),
     }
 }
 
 fn plain_job() -> JobRequest {
     JobRequest {
-        types: None,
+        allowed_machine_types: None,
         zone: None,
         deadline_s: None,
         one_zone: false,
-        spread: true,
+        spread_over_zones: true,
         ..full_job(JobKind::Array, Priority::Low)
     }
 }
 
 fn spot_job() -> JobRequest {
     JobRequest {
-        spot: true,
+        spot_allowed: true,
         one_zone: false,
         ..full_job(JobKind::Array, Priority::Normal)
     }
 }
 
-/// A page of one job, whose entry is decoded by itself as the state cache does.
+/// A page with one job, whose entry is decoded separately from the page, as in the state cache.
 fn accepted_jobs_page(name: &'static str, job: JobRequest) -> Entry {
     let encode = |job: &JobRequest| {
         let packed = serde_json::to_value(PackedJob::new(86_400_007, job.clone()));
         let page = AcceptedJobsPage {
-            jobs: vec![packed.expect("a value")],
+            jobs: vec![packed.expect("encode packed job")],
         };
-        golden::to_json(&serde_json::to_value(page).expect("a value"))
+        golden::to_json(&serde_json::to_value(page).expect("encode page"))
     };
     let decode = |text: &str| -> Result<JobRequest, serde_json::Error> {
         let page: AcceptedJobsPage = serde_json::from_str(text)?;
@@ -89,11 +90,11 @@
         );
         Ok(packed.request)
     };
-    Entry::of(name, job, encode, decode)
+    Entry::round_trip(name, job, encode, decode)
 }
 
 #[test]
-fn pages_of_accepted_jobs_keep_their_bytes() {
+fn accepted_jobs_pages_keep_their_bytes() {
     let entries = [
         accepted_jobs_page("batch_low_plain", plain_job()),
         accepted_jobs_page("batch_standard", spot_job()),
@@ -116,13 +117,13 @@
     }
 }
 
-fn run(name: &str, incarnation: u64) -> ControllerIncarnation {
-    (node(name), incarnation).into()
+fn incarnation(name: &str, number: u64) -> ControllerIncarnation {
+    (controller_name(name), number).into()
 }
 
 fn partition(unconfirmed_predecessors: Vec<ControllerIncarnation>) -> PartitionRecord {
     PartitionRecord {
-        leader: node("n0"),
+        leader: controller_name("n0"),
         incarnation: 3,
         term: 41,
         unconfirmed_predecessors,
@@ -139,8 +140,8 @@
         leaving,
     };
     let packed = PackedMachine::new(&MachineName::from("host-000007"), &record);
-    let value = serde_json::to_value(&packed).expect("a value");
-    let read: PackedMachine = serde_json::from_value(value).expect("a machine");
+    let value = serde_json::to_value(&packed).expect("encode machine");
+    let read: PackedMachine = serde_json::from_value(value).expect("decode machine");
     assert_eq!((&read.name, &read.record), (&packed.name, &record));
     packed
 }
@@ -150,14 +151,14 @@
         milli_cpus: 1500,
         milli_gpus: 2000,
         memory_mb: 64_000,
-        types,
+        allowed_machine_types: types,
         zone,
-        spot: true,
-        tasks: 12,
-        urgent: 3,
-        estimate_ms: 240_000,
+        spot_allowed: true,
+        task_count: 12,
+        urgent_count: 3,
+        estimated_run_time_ms: 240_000,
         priority: Priority::High,
-        gang: 16,
+        gang_size: 16,
     }
 }
 
@@ -172,8 +173,11 @@
 fn counter() -> TokenCounterRecord {
     TokenCounterRecord {
         next: 42,
-        last_leaders: BTreeMap::from([(0, run("n0", 3)), (10, run("n2", 4))]),
-        unconfirmed_predecessors: BTreeMap::from([(2, vec![run("n1", 5), run("n0", 6)])]),
+        last_leaders: BTreeMap::from([(0, incarnation("n0", 3)), (10, incarnation("n2", 4))]),
+        unconfirmed_predecessors: BTreeMap::from([(
+            2,
+            vec![incarnation("n1", 5), incarnation("n0", 6)],
+        )]),
     }
 }
 
@@ -185,8 +189,8 @@
         memory_gb: 256.0,
         cache_gb: 80.5,
         fetch_gb_per_s: 1.25,
-        price: 4.2,
-        spot_price: 1.3,
+        price_per_hour: 4.2,
+        spot_price_per_hour: 1.3,
         boot_s: 90.0,
         zones: vec!["a".into(), "b".into()],
     };
@@ -201,19 +205,19 @@
         max_backoff_s: 21.0,
         unschedulable_timeout_s: 22.0,
         heartbeat_grace_s: 3.5,
-        window: 24,
+        max_queued_tasks_per_job: 24,
         quarantine_threshold: 25,
         preempt: false,
         size_penalty_factor: 26,
-        move_replicas: true,
-        absorb_s: 27.5,
+        consolidate_replicas: true,
+        absorb_within_s: 27.5,
         overload_penalty_factor: 28,
         horizon_s: 29.0,
         keep_idle_s: 30.0,
         minimum_billing_s: 31.0,
         transfer_idle_s: 32.0,
         max_idle_transfers: 33,
-        report_timeout_s: 34.0,
+        heartbeat_timeout_s: 34.0,
         boot_capacity_factor: 3.5,
         boot_timeout_factor: 36,
     }
@@ -224,7 +228,7 @@
     let page = MachinesPage {
         machines: vec![machine(true, false), machine(false, true)],
     };
-    let unconfirmed_predecessors = vec![run("n1", 5), run("n2", 6)];
+    let unconfirmed_predecessors = vec![incarnation("n1", 5), incarnation("n2", 6)];
     let entries = [
         record("cancellations", CancellationsRecord { jobs: vec![7, 412] }),
         record("cancellations_none", CancellationsRecord::default()),
@@ -232,13 +236,13 @@
         record("ended_jobs_none", TerminalJobsPage::default()),
         record(
             "final_done",
-            FinalStateRecord {
+            TerminalStateRecord {
                 state: JobState::Done,
             },
         ),
         record(
             "final_cancelled",
-            FinalStateRecord {
+            TerminalStateRecord {
                 state: JobState::Cancelled,
             },
         ),
@@ -249,7 +253,7 @@
         record(
             "wish",
             ReclaimRecord {
-                controller: node("n0"),
+                controller: controller_name("n0"),
                 incarnation: 3,
                 lease: 500,
             },
@@ -272,7 +276,7 @@
 }
 
 #[test]
-fn terminal_jobs_are_listed_with_final_states() {
+fn terminal_jobs_are_listed_with_terminal_states() {
     let listed: Vec<(u64, JobState)> = terminal_jobs()
         .jobs()
         .map(|(id, state)| (id.0, state))
@@ -282,13 +286,13 @@
     assert_eq!(listed, [&done[..], &cancelled[..]].concat());
 }
 
-/// The stored form of a record in which optional fields are absent.
+/// Decodes the stored record with this name, in which optional fields are absent.
 fn record_with_absent_fields<T: serde::de::DeserializeOwned>(name: &str) -> T {
     let stored = golden::read("absent_fields.txt");
     let (_, text) = stored
         .iter()
         .find(|(other, _)| other == name)
-        .expect("an entry of this name");
+        .unwrap_or_else(|| panic!("absent_fields.txt has no entry {name}"));
     serde_json::from_str(text).unwrap_or_else(|error| panic!("{name}: {error}"))
 }
 
@@ -314,8 +318,14 @@
         TuningRecord::default()
     );
     let demand = record_with_absent_fields::<DemandRecord>("demand").demand;
-    assert_eq!((demand[0].priority, demand[0].gang), (Priority::Normal, 0));
-    assert_eq!((&demand[0].types, &demand[0].zone), (&None, &None));
+    assert_eq!(
+        (demand[0].priority, demand[0].gang_size),
+        (Priority::Normal, 0)
+    );
+    assert_eq!(
+        (&demand[0].allowed_machine_types, &demand[0].zone),
+        (&None, &None)
+    );
 }
 
 #[test]
@@ -325,16 +335,22 @@
         Entry::text("counter", TOKEN_COUNTER_KEY),
         Entry::text("types", MACHINE_TYPES_KEY),
         Entry::text("settings", TUNING_KEY),
-        Entry::text("accepted_jobs", accepted_jobs_key(&node("n0"), 7)),
-        Entry::text("accepted_jobs_wide", accepted_jobs_key(&node("n0"), 12_345)),
-        Entry::text("cancellations", cancellations_key(&node("n0"))),
+        Entry::text(
+            "accepted_jobs",
+            accepted_jobs_key(&controller_name("n0"), 7),
+        ),
+        Entry::text(
+            "accepted_jobs_wide",
+            accepted_jobs_key(&controller_name("n0"), 12_345),
+        ),
+        Entry::text("cancellations", cancellations_key(&controller_name("n0"))),
         Entry::text("ended_jobs", terminal_jobs_key(PartitionId(2), 7)),
         Entry::text("machines", machines_key(7)),
-        Entry::text("final", final_state_key(JobId(412))),
+        Entry::text("final", terminal_state_key(JobId(412))),
         Entry::text("partition", partition_key(PartitionId(2))),
         Entry::text("wish", reclaim_key(PartitionId(2))),
         Entry::text("demand", demand_key(PartitionId(2))),
-        Entry::text("boot", incarnation_key(&node("n0"))),
+        Entry::text("boot", incarnation_key(&controller_name("n0"))),
         Entry::text("ledger", log_prefix(PartitionId(2))),
     ];
     golden::check("keys.txt", &entries);
@@ -403,11 +419,11 @@
 fn written_pages(commit: &controller::placement_log::LogCommit) -> Vec<(String, Value)> {
     let page = |write: &Write| match write {
         Write::Put {
-            put,
+            key,
             value,
             lease: None,
-        } => (put.clone(), value.clone()),
-        other => panic!("a commit puts pages without a lease: {other:?}"),
+        } => (key.clone(), value.clone()),
+        other => panic!("expected a put without a lease: {other:?}"),
     };
     commit.txn.writes.iter().map(page).collect()
 }
@@ -415,7 +431,7 @@
 /// A placement log loaded from stored pages.
 fn stored_log(value_bytes: usize) -> PlacementLog {
     let item = |(key, text): (String, String)| {
-        let value = serde_json::from_str(&text).expect("JSON");
+        let value = serde_json::from_str(&text).expect("decode stored page");
         Item {
             key,
             value,
@@ -433,9 +449,11 @@
 #[test]
 fn placement_log_commits_keep_their_bytes() {
     let log = PlacementLog::load(PartitionId(2), &[], 4_096, 6);
-    let (commit, remaining) = log.prepare(Version(10), chunks());
-    assert!(remaining.is_empty(), "{remaining:?}");
-    let (key, _) = log.verification_page(&commit).expect("a page");
+    let (commit, left_out) = log.prepare_commit(Version(10), chunks());
+    assert!(left_out.is_empty(), "{left_out:?}");
+    let (key, _) = log
+        .verification_page(&commit)
+        .expect("the commit writes a page");
     let entries = [
         Entry::text("l/2/0000", golden::to_json(&written_pages(&commit)[0].1)),
         Entry::text("transaction", golden::to_json(&commit.txn)),
@@ -448,23 +466,23 @@
 fn stored_placement_log_pages_are_read_and_rewritten() {
     let mut log = stored_log(4_096);
     assert!(log.unreadable_pages().is_empty());
-    for (key, body) in chunks() {
+    for (key, chunk) in chunks() {
         assert!(
-            log.chunks_of(key.job).contains(&(key.chunk, body)),
+            log.chunks_of(key.job).contains(&(key.chunk, chunk)),
             "{key:?}"
         );
     }
     // Empty commits write the other three pages in turn, so that the next one rewrites this page.
     for _ in 0..3 {
-        let (commit, _) = log.prepare(Version(10), Vec::new());
+        let (commit, _) = log.prepare_commit(Version(10), Vec::new());
         log.confirm_commit(&commit, 11);
     }
-    let entries = [Entry::text("l/2/0000", rewritten(&log))];
+    let entries = [Entry::text("l/2/0000", next_written_page(&log))];
     golden::check("ledger_rewritten.txt", &entries);
 }
 
-/// The next page of the log, which has what was read and nothing new.
-fn rewritten(log: &PlacementLog) -> String {
-    let (commit, _) = log.prepare(Version(10), Vec::new());
+/// The page that the next commit writes, with the entries that were read and no new ones.
+fn next_written_page(log: &PlacementLog) -> String {
+    let (commit, _) = log.prepare_commit(Version(10), Vec::new());
     golden::to_json(&written_pages(&commit)[0].1)
 }
--- a/crates/failover/tests/readiness.rs
+++ b/crates/failover/tests/readiness.rs
@@ -1,83 +1,83 @@
-//! What keeps a new partition leader from deciding.
+//! Checks that a new partition leader must pass before it makes decisions.
 
 use failover::readiness::{failed_checks, LeadershipFacts, ReadinessCheck};
 use model::{FencingToken, Revision, Version};
 
 #[test]
-fn each_failed_check_alone_keeps_a_leader_from_deciding() {
-    let sound = LeadershipFacts {
-        cached_record: Some(Version(70)),
-        own_version: Version(70),
+fn each_missing_precondition_fails_exactly_its_check() {
+    let ready = LeadershipFacts {
+        cached_version: Some(Version(70)),
+        leadership_version: Version(70),
         term: FencingToken(8),
         next_token: FencingToken(9),
         cache_revision: Revision(70),
         log_revision: Some(Revision(71)),
         unreadable_pages: 0,
-        has_rival: false,
-        state_is_fresh: true,
+        is_contested_or_transferring: false,
+        has_recent_state_read: true,
     };
-    assert_eq!(failed_checks(&sound), []);
+    assert_eq!(failed_checks(&ready), []);
     let cases = [
         (
             LeadershipFacts {
-                cached_record: None,
-                ..sound
+                cached_version: None,
+                ..ready
             },
             ReadinessCheck::OwnRecord,
         ),
         (
             LeadershipFacts {
-                cached_record: Some(Version(69)),
-                ..sound
+                cached_version: Some(Version(69)),
+                ..ready
             },
             ReadinessCheck::OwnRecord,
         ),
         (
             LeadershipFacts {
                 next_token: FencingToken(8),
-                ..sound
+                ..ready
             },
             ReadinessCheck::TermGivenOut,
         ),
         (
             LeadershipFacts {
                 cache_revision: Revision(69),
-                ..sound
+                ..ready
             },
             ReadinessCheck::MirrorReached,
         ),
         (
             LeadershipFacts {
                 log_revision: None,
-                ..sound
+                ..ready
             },
             ReadinessCheck::LedgerRead,
         ),
         (
             LeadershipFacts {
                 log_revision: Some(Revision(69)),
-                ..sound
+                ..ready
             },
             ReadinessCheck::LedgerRead,
         ),
         (
             LeadershipFacts {
                 unreadable_pages: 1,
-                ..sound
+                ..ready
             },
             ReadinessCheck::PagesSound,
         ),
         (
             LeadershipFacts {
-                has_rival: true,
-                ..sound
+                is_contested_or_transferring: true,
+                ..ready
             },
             ReadinessCheck::Unrivalled,
         ),
         (
             LeadershipFacts {
-                state_is_fresh: false,
-                ..sound
+                has_recent_state_read: false,
+                ..ready
             },
             ReadinessCheck::Contact,
         ),
--- a/crates/loadtest/src/report.rs
+++ b/crates/loadtest/src/report.rs
@@ -1,8 +1,8 @@
 //! The report of a run.
 
 use crate::config::Experiment;
-use crate::http::{Tally, Traffic};
-use crate::observations::{TaskChange, TaskEvent, UserAnswer, UserEvent};
+use crate::http::{Traffic, TrafficTotals};
+use crate::observations::{TaskChange, TaskEvent, UserEvent, UserEventKind};
 use crate::processes::ProcessFigures;
 use crate::rules::Verdict;
 use hdrhistogram::Histogram;
@@ -90,7 +90,7 @@
 
 /// Traffic as rates.
 pub fn traffic_rates(
-    tally: &Tally,
+    tally: &TrafficTotals,
     window_s: f64,
 ) -> BTreeMap<String, BTreeMap<String, TrafficRate>> {
     let rate = |count: u64| count as f64 / window_s;
@@ -106,8 +106,8 @@
         rates.collect::<BTreeMap<_, _>>()
     };
     let name = |controller: u32| match controller {
-        crate::workers::ANY_CONTROLLER => "all".to_owned(),
-        controller => crate::site::controller_name(controller),
+        crate::workers::UNKNOWN_CONTROLLER => "all".to_owned(),
+        controller => crate::run_layout::controller_name(controller),
     };
     tally
         .iter()
@@ -158,7 +158,7 @@
 ) -> Result<BTreeMap<String, ClassLatencies>, String> {
     let mut by_class: BTreeMap<String, Vec<Life>> = BTreeMap::new();
     for (number, life) in lives(tasks, users) {
-        let Some(job) = experiment.job(number) else {
+        let Some(job) = experiment.job_request(number) else {
             continue;
         };
         let measured = life.submitted.is_some_and(|at| at >= from_us);
@@ -176,10 +176,10 @@
     let mut lives: HashMap<u64, Life> = HashMap::new();
     for event in users {
         let life = lives.entry(event.job).or_default();
-        let first = match event.answer {
-            UserAnswer::Submitted => &mut life.submitted,
-            UserAnswer::Accepted => &mut life.accepted,
-            UserAnswer::Told(JobState::Done) => &mut life.told_done,
+        let first = match event.kind {
+            UserEventKind::Submitted => &mut life.submitted,
+            UserEventKind::Accepted => &mut life.accepted,
+            UserEventKind::Status(JobState::Done) => &mut life.told_done,
             _ => continue,
         };
         first.get_or_insert(event.at_us);
@@ -244,17 +244,23 @@
             .filter(|e| e.change == change && e.at_us >= from_us)
             .count()
     };
-    let answers_of = |answer: UserAnswer| {
+    let answers_of = |answer: UserEventKind| {
         users
             .iter()
-            .filter(|e| e.answer == answer && e.at_us >= from_us)
+            .filter(|e| e.kind == answer && e.at_us >= from_us)
             .count()
     };
     let counts = [
         ("task starts a second", tasks_of(TaskChange::Started)),
         ("task completions a second", tasks_of(TaskChange::Done)),
-        ("jobs submitted a second", answers_of(UserAnswer::Submitted)),
-        ("jobs accepted a second", answers_of(UserAnswer::Accepted)),
+        (
+            "jobs submitted a second",
+            answers_of(UserEventKind::Submitted),
+        ),
+        (
+            "jobs accepted a second",
+            answers_of(UserEventKind::Accepted),
+        ),
     ];
     counts
         .map(|(name, count)| (name.to_owned(), count as f64 / window_s))
@@ -263,5 +269,5 @@
 
 /// Whether a process is a controller, by its name.
 pub fn is_controller(process: &str) -> bool {
-    crate::site::controller_number(process).is_some()
+    crate::run_layout::controller_number(process).is_some()
 }
--- a/crates/loadtest/src/rules.rs
+++ b/crates/loadtest/src/rules.rs
@@ -4,10 +4,10 @@
 //! a run has a hundred times the workers of a simulated world.
 
 use crate::config::Experiment;
-use crate::observations::{TaskChange, TaskEvent, UserAnswer, UserEvent};
-use crate::site::job_id;
+use crate::observations::{TaskChange, TaskEvent, UserEvent, UserEventKind};
+use crate::run_layout::job_id;
 use serde::{Deserialize, Serialize};
-use simulator::history::{Answer, HistoryTime};
+use simulator::history::{HistoryTime, JobReply};
 use simulator::rules::RuleChecker;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use wire::users::{JobRequest, JobState};
@@ -67,7 +67,7 @@
     verdict.broken = broken
         .map(|b| BrokenRule {
             rule: b.rule.to_owned(),
-            what: b.what.clone(),
+            what: b.details.clone(),
             at_ms: b.at,
         })
         .collect();
@@ -98,7 +98,7 @@
         let submitted: BTreeSet<u64> = users.iter().map(|event| event.job).collect();
         let described = submitted
             .iter()
-            .filter_map(|n| Some((job_id(*n), experiment.job(*n)?)));
+            .filter_map(|n| Some((job_id(*n), experiment.job_request(*n)?)));
         let cancel_ms = (experiment.workers.cancel_s * 1_000.0) as u64;
         Replay {
             experiment,
@@ -128,7 +128,7 @@
     }
 
     fn started(&mut self, event: &TaskEvent) {
-        self.rules.started += 1;
+        self.rules.task_starts += 1;
         let name = format!("{}/{}", job_id(event.job), event.task);
         if !self.submitted.contains(&event.job) {
             self.broke(
@@ -149,10 +149,10 @@
             self.broke("ran_twice", what, event.at_us);
         }
         self.check_cancelled(event.job, &name, event.at_us);
-        if let Some(job) = self.experiment.job(event.job) {
+        if let Some(job) = self.experiment.job_request(event.job) {
             let used = self.cpus.entry(job.team.clone()).or_default();
             *used += job.cpus;
-            if *used > self.experiment.limit() + CPU_ROUNDING {
+            if *used > self.experiment.max_team_cpus() + CPU_ROUNDING {
                 let what = format!("{} uses {used}", job.team);
                 self.broke("quota", what, event.at_us);
             }
@@ -164,7 +164,7 @@
         if !was.is_some_and(|machines| machines.remove(&event.machine)) {
             return;
         }
-        if let Some(job) = self.experiment.job(event.job) {
+        if let Some(job) = self.experiment.job_request(event.job) {
             *self.cpus.entry(job.team).or_default() -= job.cpus;
         }
         let name = format!("{}/{}", job_id(event.job), event.task);
@@ -183,25 +183,31 @@
 
     fn user(&mut self, event: &UserEvent) {
         let id = job_id(event.job);
-        let (sent, now) = (HistoryTime::at_us(event.asked_us), event.at_us / 1_000);
+        let (sent, now) = (
+            HistoryTime::at_us(event.request_sent_us),
+            event.at_us / 1_000,
+        );
         self.rules.history.advance_to_us(event.at_us);
-        match event.answer {
-            UserAnswer::Submitted => {}
-            UserAnswer::Accepted => {
-                self.rules.history.accepted(&id, now);
+        match event.kind {
+            UserEventKind::Submitted => {}
+            UserEventKind::Accepted => {
+                self.rules.history.record_acceptance(&id, now);
                 self.rules.accepted.entry(id).or_insert(now);
             }
-            UserAnswer::CancelAsked => {
-                self.rules.history.cancel_requested(&id, now);
+            UserEventKind::CancelRequested => {
+                self.rules.history.record_cancel_request(&id, now);
                 self.rules.cancel_requests.insert(id);
             }
-            UserAnswer::Told(state) => {
+            UserEventKind::Status(state) => {
                 if state == JobState::Cancelled {
                     self.cancelled_us.entry(event.job).or_insert(event.at_us);
                 }
                 self.rules.record_status(&id, state, &self.jobs, sent, now);
             }
-            UserAnswer::Missing => self.rules.record_missing(&id, Answer::Missing, sent, now),
+            UserEventKind::Missing => {
+                self.rules
+                    .record_negative_reply(&id, JobReply::Missing, sent, now)
+            }
         }
     }
 
@@ -216,7 +222,7 @@
         for (job, task) in left {
             self.check_cancelled(job, &format!("{}/{task}", job_id(job)), end_us);
         }
-        if self.rules.started == 0 {
+        if self.rules.task_starts == 0 {
             self.broke("nothing_ran", "no task was started".to_owned(), end_us);
         }
     }
--- a/crates/scheduler/src/gang_reservation_choice.rs
+++ b/crates/scheduler/src/gang_reservation_choice.rs
@@ -79,7 +79,8 @@
                 .get(&gang)
                 .is_some_and(|gang| Rank::of_job(gang) < rank)
         };
-        let mut lists: BTreeMap<Option<&ZoneName>, Vec<CandidateMachine>> = BTreeMap::new();
+        let mut candidates_by_zone: BTreeMap<Option<&ZoneName>, Vec<CandidateMachine>> =
+            BTreeMap::new();
         for machine in self.machines.values() {
             if !self.admits(job, machine, now) {
                 continue;
@@ -92,13 +93,16 @@
                 continue;
             };
             let zone = job.spec.one_zone.then_some(&machine.zone);
-            lists.entry(zone).or_default().push(CandidateMachine {
-                machine,
-                ready_at,
-                max_tasks,
-            });
+            candidates_by_zone
+                .entry(zone)
+                .or_default()
+                .push(CandidateMachine {
+                    machine,
+                    ready_at,
+                    max_tasks,
+                });
         }
-        lists.into_values().collect()
+        candidates_by_zone.into_values().collect()
     }
 
     /// When a task of a gang is expected to fit on a machine, by the estimates of the tasks there, if those that
@@ -128,7 +132,7 @@
             let job = self.jobs.get(&task.job)?;
             let placement = job.placed.get(&task.index)?;
             let at = if placement.stop.is_some() {
-                now + job.spec.save
+                now + job.spec.checkpoint_save_time
             } else if self.may_preempt(gang, job, placement) {
                 self.estimated_end(job, placement, now)
                     .min(now + PREEMPTION_ALLOWANCE)
@@ -139,7 +143,7 @@
             };
             Some(ExpectedRelease {
                 at,
-                resources: job.spec.needs,
+                resources: job.spec.task_resources,
             })
         };
         machine.tasks.iter().filter_map(release_of).collect()
@@ -159,7 +163,7 @@
         let run_time = now.duration_since(started_at);
         let min_remaining = Duration::from_millis(run_time.whole_millis() / OVERRUN_DIVISOR)
             .max(MIN_REMAINING_TIME);
-        (started_at + job.spec.estimate).max(now + min_remaining)
+        (started_at + job.spec.estimated_run_time).max(now + min_remaining)
     }
 
     /// When a placed task is expected to start: once its image is fetched, or, for a gang, once the images of
@@ -202,9 +206,9 @@
 
 /// The first machines of a list that a whole gang fits on together.
 fn first_that_fit(job: &Job, candidates: &[CandidateMachine]) -> Option<ChosenMachines> {
-    let per_zone = u64::from(job.spec.zone_limit());
+    let per_zone = u64::from(job.spec.max_tasks_per_zone());
     let mut tasks_by_zone: BTreeMap<&ZoneName, u64> = BTreeMap::new();
-    let mut remaining = u64::from(job.spec.tasks);
+    let mut remaining = u64::from(job.spec.task_count);
     let mut chosen = ChosenMachines {
         ready_at: Timestamp::default(),
         machines: BTreeMap::new(),
--- a/crates/scheduler/src/gangs.rs
+++ b/crates/scheduler/src/gangs.rs
@@ -31,7 +31,7 @@
         if job.cancelled || job.all_done() || !job.placed.is_empty() {
             return Ok(());
         }
-        if !self.fits_limit(EntryKey::Gang(id), job, u64::from(job.spec.tasks)) {
+        if !self.fits_limit(EntryKey::Gang(id), job, u64::from(job.spec.task_count)) {
             return Err(PlacementFailure::LimitReached);
         }
         let machines = self
@@ -54,7 +54,7 @@
 
     /// The machine for each task of a gang, or `None` if they do not all fit.
     fn machines_for_gang(&self, job: &Job, now: Timestamp) -> Option<Vec<MachineName>> {
-        let wanted = u64::from(job.spec.tasks);
+        let wanted = u64::from(job.spec.task_count);
         let mut zones = self.fitting_machines_by_zone(job, now);
         if job.spec.one_zone {
             // The smallest zone that the whole gang fits into: the others remain for larger gangs.
@@ -65,7 +65,7 @@
             // The zone with the most capacity first, so that the gang spans as few zones as possible.
             zones.sort_by_key(|machines| Reverse(total_tasks(machines)));
         }
-        let per_zone = u64::from(job.spec.zone_limit());
+        let per_zone = u64::from(job.spec.max_tasks_per_zone());
         let mut chosen = Vec::new();
         for mut machines in zones {
             machines.sort_by_key(|fitting| (score(job, fitting.machine), &fitting.machine.name));
@@ -104,9 +104,9 @@
         zones.into_values().collect()
     }
 
-    /// Whether the launch of a gang's task on a machine that has the image is deferred until the gang's
-    /// other tasks have fetched theirs. If a fetch takes long, a task launched at once would wait for the
-    /// others for longer than `gang_start_timeout` allows, and the gang would be restarted again and again.
+    /// Whether the launch of a gang's task on a machine that has the image is deferred because another task of
+    /// the gang is fetching it for more than half of `gang_start_timeout`. A task launched at once would wait
+    /// for the others for longer than that timeout, and the gang would be restarted again and again.
     pub(crate) fn defers_launch_for_fetches(&self, job: &Job, machine: &Machine) -> bool {
         if job.spec.kind != JobKind::Gang || !machine.has_image(&job.spec.image) {
             return false;
@@ -129,12 +129,12 @@
             return;
         }
         let waited_ms = now.duration_since(job.added_at).whole_millis();
-        tracing::debug!(job = %id, class = job.spec.class, tasks = job.spec.tasks, waited_ms, "gang started");
+        tracing::debug!(job = %id, class = job.spec.class, tasks = job.spec.task_count, waited_ms, "gang started");
         job.gang_started_at = Some(now);
     }
 
-    /// Has commands sent at once to the machines of a gang's tasks whose launch is deferred, after another of
-    /// its tasks has fetched its image.
+    /// Requests that commands are sent at once to the machines of a gang's tasks that are not launched yet.
+    /// Called when one of the gang's tasks has fetched its image.
     pub(crate) fn trigger_deferred_launches(&mut self, id: JobId) {
         let Some(job) = self.jobs.get(&id) else {
             return;
--- a/crates/scheduler/src/job.rs
+++ b/crates/scheduler/src/job.rs
@@ -57,8 +57,9 @@
     /// Whether the job lies within its team's guarantee.
     pub guaranteed: bool,
     /// Whether the job lies within the guarantee even if the team's jobs of higher priority are counted
-    /// first. Only such jobs are protected from preemption by other teams' jobs of higher priority; only
-    /// other jobs may be preempted by other teams' guaranteed jobs of lower priority.
+    /// first. Only such a job is protected from preemption by other teams' jobs of higher priority. A job
+    /// that is not strictly guaranteed may be preempted even by other teams' guaranteed jobs of lower
+    /// priority.
     pub strictly_guaranteed: bool,
     /// Whether the job runs on machines with GPUs only beside GPU work, see the module `colocation`.
     pub colocated_only: bool,
@@ -71,7 +72,7 @@
     /// A job without any progress.
     pub fn new(spec: impl Into<Arc<JobSpec>>, submitted_at_ms: u64, now: Timestamp) -> Self {
         let spec = spec.into();
-        let words = spec.tasks.div_ceil(TASKS_PER_CHUNK) as usize;
+        let words = spec.task_count.div_ceil(TASKS_PER_CHUNK) as usize;
         Job {
             spec,
             submitted_at_ms,
@@ -114,7 +115,7 @@
 
     /// Marks a task as done. Returns false if it was already done or does not exist.
     pub fn mark_done(&mut self, index: u32) -> bool {
-        if index >= self.spec.tasks || self.is_done(index) {
+        if index >= self.spec.task_count || self.is_done(index) {
             return false;
         }
         self.done[(index / TASKS_PER_CHUNK) as usize] |= 1 << (index % TASKS_PER_CHUNK);
@@ -130,12 +131,12 @@
 
     /// Number of tasks that are neither placed nor done.
     pub(crate) fn waiting_count(&self) -> u64 {
-        u64::from(self.spec.tasks - self.done_count()).saturating_sub(self.placed.len() as u64)
+        u64::from(self.spec.task_count - self.done_count()).saturating_sub(self.placed.len() as u64)
     }
 
     /// Whether every task is done.
     pub fn all_done(&self) -> bool {
-        self.done_count == self.spec.tasks
+        self.done_count == self.spec.task_count
     }
 
     /// Number of tasks that run or save a checkpoint by their newest status, for display.
@@ -182,7 +183,7 @@
             let index = first_index + task.offset;
             // The first task of a gang that is done completes all of them, also those that are still placed.
             let is_over = self.is_done(index) && self.spec.kind != JobKind::Gang;
-            if task.offset >= TASKS_PER_CHUNK || index >= self.spec.tasks || is_over {
+            if task.offset >= TASKS_PER_CHUNK || index >= self.spec.task_count || is_over {
                 continue;
             }
             let machine = MachineName::from(task.machine.as_str());
--- a/crates/simulator/src/fingerprint/runs.rs
+++ b/crates/simulator/src/fingerprint/runs.rs
@@ -1,4 +1,4 @@
-//! The runs whose fingerprints are taken.
+//! The fixed list of runs whose fingerprints are taken.
 
 use super::Recorder;
 use crate::{BootBehavior, Fault, Plan, World};
@@ -7,22 +7,22 @@
 use rand::{Rng, SeedableRng};
 use serde_json::json;
 
-/// Length of a run of a small site, and when users stop submitting.
-const SMALL_SITE_MS: u64 = 140_000;
-const SMALL_SITE_SUBMIT_MS: u64 = 90_000;
-/// When a single fault begins, and how long it lasts.
+/// Duration of a run of a small site, and when users stop submitting jobs.
+const SMALL_SITE_DURATION_MS: u64 = 140_000;
+const SMALL_SITE_SUBMIT_UNTIL_MS: u64 = 90_000;
+/// When the fault of a run with a single kind of fault begins, and how long it lasts.
 const FAULT_AT_MS: u64 = 40_000;
-const FAULT_MS: u64 = 16_000;
-/// Pause between two commits of operators' requests.
+const FAULT_DURATION_MS: u64 = 16_000;
+/// Interval between two rounds of requests of operators.
 const ADMIN_INTERVAL_MS: u64 = 20_000;
-/// How many times the smallest site a grown one and a fleet are.
+/// Sizes of a large site and of a fleet, as multiples of the smallest site.
 const LARGE_SITE_SIZE: u64 = 20;
 const FLEET_SIZE: u64 = 107;
 const CONTROLLERS: usize = 3;
-/// Runs with faults that are drawn.
+/// Number of runs with random faults.
 const RANDOM_RUNS: u64 = 12;
 
-/// Names of the runs of the short list.
+/// Names of the runs in the short list.
 const SHORT_LIST: [&str; 12] = [
     "quiet_1",
     "crash",
@@ -38,19 +38,19 @@
     "administration",
 ];
 
-/// A run with its name.
+/// A run of the list. Its name identifies its stored digest.
 #[derive(Debug, Clone)]
 pub struct Run {
     pub name: String,
     pub plan: Plan,
-    /// Whether operators ask meanwhile.
-    administration: bool,
+    /// Whether operators send requests during the run.
+    has_admin_requests: bool,
 }
 
-/// What came of a run.
-pub struct Outcome {
+/// The result of a run.
+pub struct RunOutcome {
     pub recorder: Recorder,
-    /// Rules of the world that were broken; a run ends at the first.
+    /// Number of rule violations; a run ends at the first step that violates a rule.
     pub violations: usize,
 }
 
@@ -59,7 +59,7 @@
         Run {
             name: name.into(),
             plan,
-            administration: false,
+            has_admin_requests: false,
         }
     }
 
@@ -69,40 +69,41 @@
         self
     }
 
-    /// Plays the run to its end.
-    pub fn play(&self, recorder: Recorder) -> Outcome {
+    /// Simulates the run to its end.
+    pub fn execute(&self, recorder: Recorder) -> RunOutcome {
         let mut world = World::new(self.plan.clone());
         world.record_outgoing(recorder);
-        if self.administration {
-            administer(&mut world, self.plan.ms);
+        if self.has_admin_requests {
+            run_with_admin_requests(&mut world, self.plan.duration_ms);
         }
         world.run();
         let recorder = world.take_recorder().unwrap_or_default();
-        Outcome {
+        RunOutcome {
             recorder,
             violations: world.rules.violations.len(),
         }
     }
 }
 
-/// Operators ask every controller for every view from time to time, and change the settings.
-fn administer(world: &mut World, until_ms: u64) {
+/// Runs a world up to the last round of requests before `until_ms`. In each round, operators request every view from
+/// every controller and send one of the controllers a change of the settings.
+fn run_with_admin_requests(world: &mut World, until_ms: u64) {
     for (round, at_ms) in (ADMIN_INTERVAL_MS..until_ms)
         .step_by(ADMIN_INTERVAL_MS as usize)
         .enumerate()
     {
         world.run_to(at_ms);
         for controller in 0..CONTROLLERS {
-            for request in views(world) {
-                world.administer(controller, request);
+            for request in view_requests(world) {
+                world.send_admin_request(controller, request);
             }
         }
-        world.administer(round % CONTROLLERS, change_of_settings(round));
+        world.send_admin_request(round % CONTROLLERS, settings_change(round));
     }
 }
 
-fn views(world: &World) -> Vec<AdminRequest> {
-    let mut views = vec![
+fn view_requests(world: &World) -> Vec<AdminRequest> {
+    let mut requests = vec![
         AdminRequest::Settings,
         AdminRequest::Partitions,
         AdminRequest::Standby,
@@ -111,15 +112,16 @@
         AdminRequest::Job("none".into()),
     ];
     let jobs = world
-        .unfinished()
+        .unfinished_jobs()
         .into_iter()
         .chain(world.rules.done_confirmed.keys().take(2).cloned());
-    views.extend(jobs.map(AdminRequest::Job));
-    views
+    requests.extend(jobs.map(AdminRequest::Job));
+    requests
 }
 
-/// The first change is taken; the others are malformed or stale.
-fn change_of_settings(round: usize) -> AdminRequest {
+/// A change of the settings. The first is accepted; the later ones are rejected as invalid or as based on a stale
+/// version.
+fn settings_change(round: usize) -> AdminRequest {
     let settings = match round {
         1 => json!({ "no_such_field": 1 }),
         2 => json!({ "max_backoff_s": 0.0 }),
@@ -131,17 +133,17 @@
     }
 }
 
-/// All runs.
+/// All runs, the longest ones last.
 pub fn all_runs() -> Vec<Run> {
-    let mut runs = quiet_runs();
-    runs.extend(single_faults());
-    runs.extend(several_faults());
-    runs.extend(drawn_runs());
-    runs.extend(large_sites());
+    let mut runs = fault_free_runs();
+    runs.extend(single_fault_runs());
+    runs.extend(multiple_fault_runs());
+    runs.extend(random_fault_runs());
+    runs.extend(large_site_runs());
     runs
 }
 
-/// A dozen of the runs, which together take some seconds.
+/// The runs of the short list, which take a few seconds in total.
 pub fn short_runs() -> Vec<Run> {
     all_runs()
         .into_iter()
@@ -152,40 +154,41 @@
 fn small_plan(seed: u64, faults: Vec<(u64, Fault)>) -> Plan {
     Plan {
         seed,
-        ms: SMALL_SITE_MS,
+        duration_ms: SMALL_SITE_DURATION_MS,
         faults,
         mutation: None,
-        submit_ms: SMALL_SITE_SUBMIT_MS,
+        submit_until_ms: SMALL_SITE_SUBMIT_UNTIL_MS,
         size: 1 + seed % 2,
     }
 }
 
-fn quiet_runs() -> Vec<Run> {
-    let quiet = |seed| Run::new(format!("quiet_{seed}"), small_plan(seed, Vec::new()));
+/// Runs without faults, and one with admin requests and a crash.
+fn fault_free_runs() -> Vec<Run> {
+    let fault_free = |seed| Run::new(format!("quiet_{seed}"), small_plan(seed, Vec::new()));
     let crash = Fault::CrashController {
         controller: 0,
         restart_after_ms: 4_000,
     };
     let administration = Run {
-        administration: true,
+        has_admin_requests: true,
         ..Run::new("administration", small_plan(5, vec![(50_000, crash)]))
     };
-    vec![quiet(1), quiet(2), administration]
+    vec![fault_free(1), fault_free(2), administration]
 }
 
-/// A fault of each kind, once among short and once among long tasks. A controller ends while it lasts.
-fn single_faults() -> Vec<Run> {
-    let kinds = controller_faults()
+/// Two runs for each kind of fault, one with short and one with long tasks. A controller crashes while the fault lasts.
+fn single_fault_runs() -> Vec<Run> {
+    let faults = controller_faults()
         .into_iter()
         .chain(machine_faults())
         .chain(user_faults());
-    kinds
+    faults
         .enumerate()
-        .flat_map(|(index, (name, fault))| single_fault(index, name, &fault))
+        .flat_map(|(index, (name, fault))| runs_with_fault(index, name, &fault))
         .collect()
 }
 
-fn single_fault(index: usize, name: &str, fault: &Fault) -> [Run; 2] {
+fn runs_with_fault(index: usize, name: &str, fault: &Fault) -> [Run; 2] {
     let seed = 100 + index as u64;
     let crash = Fault::CrashController {
         controller: (index + 1) % CONTROLLERS,
@@ -197,20 +200,20 @@
         (
             FAULT_AT_MS + 9_000,
             Fault::CancelAllJobs {
-                through: index % CONTROLLERS,
+                controller: index % CONTROLLERS,
             },
         ),
         (FAULT_AT_MS + 20_000, Fault::JobBurst { jobs: 8 }),
     ];
-    let long = Plan::of_long_tasks(seed, SMALL_SITE_MS, faults.clone());
+    let long_tasks = Plan::with_long_tasks(seed, SMALL_SITE_DURATION_MS, faults.clone());
     [
         Run::new(name, small_plan(seed, faults)),
-        Run::new(format!("{name}_among_long_tasks"), long),
+        Run::new(format!("{name}_among_long_tasks"), long_tasks),
     ]
 }
 
 fn controller_faults() -> Vec<(&'static str, Fault)> {
-    let ms = FAULT_MS;
+    let duration_ms = FAULT_DURATION_MS;
     vec![
         (
             "crash",
@@ -228,42 +231,72 @@
         ),
         (
             "cut_state",
-            Fault::DisconnectStateService { controller: 1, ms },
+            Fault::DisconnectStateService {
+                controller: 1,
+                duration_ms,
+            },
         ),
         (
             "refuse_one",
             Fault::RefuseStateRequests {
                 controller: Some(2),
-                ms,
+                duration_ms,
             },
         ),
         (
             "refuse_all",
             Fault::RefuseStateRequests {
                 controller: None,
-                ms,
+                duration_ms,
+            },
+        ),
+        (
+            "slow_state",
+            Fault::SlowStateService {
+                factor: 30,
+                duration_ms,
             },
         ),
-        ("slow_state", Fault::SlowStateService { times: 30, ms }),
         (
             "cut_workers",
-            Fault::DisconnectWorkers { controller: 0, ms },
+            Fault::DisconnectWorkers {
+                controller: 0,
+                duration_ms,
+            },
+        ),
+        (
+            "cut_mesh",
+            Fault::DisconnectMesh {
+                controller: 1,
+                duration_ms,
+            },
+        ),
+        (
+            "freeze",
+            Fault::PauseController {
+                controller: 2,
+                duration_ms,
+            },
         ),
-        ("cut_mesh", Fault::DisconnectMesh { controller: 1, ms }),
-        ("freeze", Fault::PauseController { controller: 2, ms }),
         (
             "freeze_briefly",
             Fault::PauseController {
                 controller: 0,
-                ms: 2_500,
+                duration_ms: 2_500,
+            },
+        ),
+        (
+            "isolate",
+            Fault::IsolateController {
+                controller: 1,
+                duration_ms,
             },
         ),
-        ("isolate", Fault::IsolateController { controller: 1, ms }),
         (
             "blind",
             Fault::DisconnectStateAndMesh {
                 controller: 2,
-                ms,
+                duration_ms,
                 refused: false,
             },
         ),
@@ -271,102 +304,178 @@
             "blind_refused",
             Fault::DisconnectStateAndMesh {
                 controller: 0,
-                ms,
+                duration_ms,
                 refused: true,
             },
         ),
-        ("one_way", Fault::OneWayMeshPartition { from: 0, to: 1, ms }),
+        (
+            "one_way",
+            Fault::OneWayMeshPartition {
+                from: 0,
+                to: 1,
+                duration_ms,
+            },
+        ),
         (
             "mesh_copies",
-            Fault::DuplicateMeshMessages { percent: 30, ms },
+            Fault::DuplicateMeshMessages {
+                percent: 30,
+                duration_ms,
+            },
+        ),
+        (
+            "late_writes",
+            Fault::DelayTransactions {
+                percent: 20,
+                duration_ms,
+            },
         ),
-        ("late_writes", Fault::DelayTransactions { percent: 20, ms }),
         (
             "lost_answers",
-            Fault::DropTransactionReplies { percent: 30, ms },
+            Fault::DropTransactionReplies {
+                percent: 30,
+                duration_ms,
+            },
         ),
         (
             "spoil_page",
             Fault::CorruptLogPage {
                 partition: 1,
-                ms: 4_000,
+                duration_ms: 4_000,
             },
         ),
-        ("slow_links", Fault::SlowLinks { times: 60, ms }),
-        ("cut_zones", Fault::PartitionZones { ms }),
-        ("cut_zone", Fault::IsolateZone { ms }),
+        (
+            "slow_links",
+            Fault::SlowLinks {
+                factor: 60,
+                duration_ms,
+            },
+        ),
+        ("cut_zones", Fault::PartitionZones { duration_ms }),
+        ("cut_zone", Fault::IsolateZone { duration_ms }),
     ]
 }
 
 fn machine_faults() -> Vec<(&'static str, Fault)> {
-    let ms = FAULT_MS;
+    let duration_ms = FAULT_DURATION_MS;
     vec![
-        ("cut_machine", Fault::DisconnectMachine { nth: 3, ms }),
-        ("hang", Fault::HangMachine { nth: 2, ms }),
+        (
+            "cut_machine",
+            Fault::DisconnectMachine {
+                machine_index: 3,
+                duration_ms,
+            },
+        ),
+        (
+            "hang",
+            Fault::HangMachine {
+                machine_index: 2,
+                duration_ms,
+            },
+        ),
         (
             "hang_many",
             Fault::HangMachines {
                 count: 5,
-                ms: 9_000,
+                duration_ms: 9_000,
             },
         ),
-        ("kill", Fault::CrashMachine { nth: 1 }),
+        ("kill", Fault::CrashMachine { machine_index: 1 }),
         ("kill_many", Fault::CrashMachines { count: 4 }),
-        ("sick", Fault::FailTasksOnMachine { nth: 2 }),
+        ("sick", Fault::FailTasksOnMachine { machine_index: 2 }),
         ("sick_many", Fault::FailTasksOnMachines { count: 3 }),
-        ("unreached", Fault::DropMessagesToMachines { count: 5, ms }),
-        ("unreached_zone", Fault::DropMessagesToZone { ms }),
-        ("mute", Fault::RefuseMachineConnections { count: 5, ms }),
-        ("copies", Fault::DuplicateMessages { ms }),
-        ("kept_copies", Fault::ReplayHeartbeats { percent: 30, ms }),
-        ("held_reports", Fault::HoldHeartbeats { percent: 40, ms }),
-        ("late_commands", Fault::DelayCommands { percent: 60, ms }),
-        ("cloud_outage", Fault::CloudOutage { ms }),
+        (
+            "unreached",
+            Fault::DropMessagesToMachines {
+                count: 5,
+                duration_ms,
+            },
+        ),
+        ("unreached_zone", Fault::DropMessagesToZone { duration_ms }),
+        (
+            "mute",
+            Fault::RefuseMachineConnections {
+                count: 5,
+                duration_ms,
+            },
+        ),
+        ("copies", Fault::DuplicateMessages { duration_ms }),
+        (
+            "kept_copies",
+            Fault::ReplayHeartbeats {
+                percent: 30,
+                duration_ms,
+            },
+        ),
+        (
+            "held_reports",
+            Fault::HoldHeartbeats {
+                percent: 40,
+                duration_ms,
+            },
+        ),
+        (
+            "late_commands",
+            Fault::DelayCommands {
+                percent: 60,
+                duration_ms,
+            },
+        ),
+        ("cloud_outage", Fault::CloudOutage { duration_ms }),
         (
             "boots_early",
             Fault::ChangeBootBehavior {
                 behavior: BootBehavior::Early,
-                ms,
+                duration_ms,
             },
         ),
         (
             "boots_late",
             Fault::ChangeBootBehavior {
                 behavior: BootBehavior::Late,
-                ms,
+                duration_ms,
             },
         ),
         (
             "boots_never",
             Fault::ChangeBootBehavior {
                 behavior: BootBehavior::Never,
-                ms,
+                duration_ms,
             },
         ),
         (
             "boots_quick",
             Fault::ChangeBootBehavior {
                 behavior: BootBehavior::Quick,
-                ms,
+                duration_ms,
             },
         ),
     ]
 }
 
 fn user_faults() -> Vec<(&'static str, Fault)> {
-    let ms = FAULT_MS;
+    let duration_ms = FAULT_DURATION_MS;
     vec![
-        ("mistakes", Fault::FailingJobs { ms }),
-        ("questions", Fault::StatusRequestStorm { ms }),
+        ("mistakes", Fault::FailingJobs { duration_ms }),
+        ("questions", Fault::StatusRequestStorm { duration_ms }),
         ("guests", Fault::GuestJobs { jobs: 4 }),
-        ("heavy", Fault::SkewedLoad { ms }),
+        ("heavy", Fault::SkewedLoad { duration_ms }),
         ("burst", Fault::JobBurst { jobs: 60 }),
-        ("long", Fault::LongTasks { times: 10, ms }),
-        ("close_looks", Fault::FollowUpRequests { ms }),
-        ("cancel_all", Fault::CancelAllJobs { through: 1 }),
+        (
+            "long",
+            Fault::LongTasks {
+                factor: 10,
+                duration_ms,
+            },
+        ),
+        ("close_looks", Fault::FollowUpRequests { duration_ms }),
+        ("cancel_all", Fault::CancelAllJobs { controller: 1 }),
         (
             "cancel_at_end",
-            Fault::CancelAtCompletion { percent: 60, ms },
+            Fault::CancelAtCompletion {
+                percent: 60,
+                duration_ms,
+            },
         ),
         (
             "cancel_now",
@@ -375,101 +484,120 @@
                 hang_ms: 9_000,
             },
         ),
-        ("odd_requests", Fault::UnusualRequests { ms }),
-        ("one_task_jobs", Fault::OneTaskJobs { ms }),
+        ("odd_requests", Fault::UnusualRequests { duration_ms }),
+        ("one_task_jobs", Fault::OneTaskJobs { duration_ms }),
     ]
 }
 
-fn several_faults() -> Vec<Run> {
-    let crash = |at, controller, restart_after_ms| {
+/// Runs with several faults, which partly overlap.
+fn multiple_fault_runs() -> Vec<Run> {
+    let crash = |at_ms, controller, restart_after_ms| {
         (
-            at,
+            at_ms,
             Fault::CrashController {
                 controller,
                 restart_after_ms,
             },
         )
     };
-    let all_end = (0..CONTROLLERS)
+    let all_crash = (0..CONTROLLERS)
         .map(|controller| crash(45_000, controller, 6_000))
         .collect();
-    let rolled = (0..CONTROLLERS)
-        .map(|n| crash(35_000 + 12_000 * n as u64, n, 5_000))
+    let rolling_restart = (0..CONTROLLERS)
+        .map(|controller| crash(35_000 + 12_000 * controller as u64, controller, 5_000))
         .collect();
-    let loops = (0..16).map(|n| crash(40_000 + 1_700 * n, 1, 200)).collect();
-    let freezes = vec![
+    let crash_loop = (0..16)
+        .map(|nth| crash(40_000 + 1_700 * nth, 1, 200))
+        .collect();
+    let pauses = vec![
         (
             30_000,
             Fault::PauseController {
                 controller: 0,
-                ms: 20_000,
+                duration_ms: 20_000,
             },
         ),
         (
             36_000,
             Fault::PauseController {
                 controller: 1,
-                ms: 5_000,
+                duration_ms: 5_000,
             },
         ),
         (
             70_000,
             Fault::PauseController {
                 controller: 1,
-                ms: 14_000,
+                duration_ms: 14_000,
             },
         ),
         (
             70_000,
             Fault::PauseController {
                 controller: 2,
-                ms: 12_000,
+                duration_ms: 12_000,
             },
         ),
     ];
-    let histories = vec![
-        (1_000, Fault::FollowUpRequests { ms: 100_000 }),
-        (5_000, Fault::OneTaskJobs { ms: 50_000 }),
+    let follow_ups = vec![
+        (
+            1_000,
+            Fault::FollowUpRequests {
+                duration_ms: 100_000,
+            },
+        ),
+        (
+            5_000,
+            Fault::OneTaskJobs {
+                duration_ms: 50_000,
+            },
+        ),
         (
             20_000,
             Fault::SlowStateService {
-                times: 9,
-                ms: 50_000,
+                factor: 9,
+                duration_ms: 50_000,
             },
         ),
-        (40_000, Fault::CancelAllJobs { through: 1 }),
+        (40_000, Fault::CancelAllJobs { controller: 1 }),
         crash(55_000, 2, 500),
-        (60_000, Fault::UnusualRequests { ms: 20_000 }),
+        (
+            60_000,
+            Fault::UnusualRequests {
+                duration_ms: 20_000,
+            },
+        ),
         (
             65_000,
             Fault::DropTransactionReplies {
                 percent: 20,
-                ms: 20_000,
+                duration_ms: 20_000,
             },
         ),
     ];
     vec![
-        Run::new("all_end", small_plan(201, all_end)),
-        Run::new("rolled", small_plan(202, rolled)),
-        Run::new("loops", small_plan(203, loops)),
-        Run::new("freezes", small_plan(204, freezes)),
-        Run::new("histories", small_plan(205, histories)),
+        Run::new("all_end", small_plan(201, all_crash)),
+        Run::new("rolled", small_plan(202, rolling_restart)),
+        Run::new("loops", small_plan(203, crash_loop)),
+        Run::new("freezes", small_plan(204, pauses)),
+        Run::new("histories", small_plan(205, follow_ups)),
     ]
 }
 
-/// Faults drawn from a seed that overlap.
-fn drawn_runs() -> Vec<Run> {
-    let drawn = |number: u64| {
+/// Runs with overlapping random faults.
+fn random_fault_runs() -> Vec<Run> {
+    let random_run = |number: u64| {
         let seed = 300 + number;
         Run::new(
             format!("drawn_{number}"),
-            small_plan(seed, drawn_faults(seed)),
+            small_plan(seed, random_faults(seed)),
         )
     };
-    (1..=RANDOM_RUNS).map(drawn).collect()
+    (1..=RANDOM_RUNS).map(random_run).collect()
 }
 
-fn drawn_faults(seed: u64) -> Vec<(u64, Fault)> {
+/// Eight different faults at random times, drawn from the seed.
+fn random_faults(seed: u64) -> Vec<(u64, Fault)> {
     let mut rng = SmallRng::seed_from_u64(seed);
     let mut kinds: Vec<Fault> = controller_faults()
         .into_iter()
@@ -478,24 +606,24 @@
         .map(|(_, fault)| fault)
         .collect();
     let draw = |_| {
-        let at = rng.random_range(20_000..90_000);
+        let at_ms = rng.random_range(20_000..90_000);
         let index = rng.random_range(0..kinds.len());
-        (at, kinds.swap_remove(index))
+        (at_ms, kinds.swap_remove(index))
     };
     (0..8).map(draw).collect()
 }
 
-/// A site of a hundred machines and two of hundreds.
-fn large_sites() -> Vec<Run> {
-    let plan = |seed, ms, size, faults| Plan {
+/// Two runs of a site of a hundred machines, and two of a fleet of hundreds.
+fn large_site_runs() -> Vec<Run> {
+    let plan = |seed, duration_ms, size, faults| Plan {
         seed,
-        ms,
+        duration_ms,
         faults,
         mutation: None,
-        submit_ms: 50_000,
+        submit_until_ms: 50_000,
         size,
     };
-    let grown = vec![
+    let large_site_faults = vec![
         (1_000, Fault::JobBurst { jobs: 200 }),
         (
             40_000,
@@ -509,11 +637,11 @@
             60_000,
             Fault::RefuseStateRequests {
                 controller: None,
-                ms: 12_000,
+                duration_ms: 12_000,
             },
         ),
     ];
-    let all_end = (0..CONTROLLERS).map(|controller| {
+    let all_crash = (0..CONTROLLERS).map(|controller| {
         (
             46_000,
             Fault::CrashController {
@@ -522,9 +650,9 @@
             },
         )
     });
-    let fleet_all_end: Vec<_> = [(1_000, Fault::JobBurst { jobs: 900 })]
+    let fleet_all_crash: Vec<_> = [(1_000, Fault::JobBurst { jobs: 900 })]
         .into_iter()
-        .chain(all_end)
+        .chain(all_crash)
         .collect();
     let fleet_failover = vec![
         (1_000, Fault::JobBurst { jobs: 900 }),
@@ -539,24 +667,27 @@
         (
             46_000,
             Fault::SlowStateService {
-                times: 10,
-                ms: 10_000,
+                factor: 10,
+                duration_ms: 10_000,
             },
         ),
-        (50_000, Fault::CancelAllJobs { through: 2 }),
+        (50_000, Fault::CancelAllJobs { controller: 2 }),
     ];
     vec![
         Run {
-            administration: true,
+            has_admin_requests: true,
             ..Run::new(
                 "grown_administration",
-                plan(404, 70_000, LARGE_SITE_SIZE, grown.clone()),
+                plan(404, 70_000, LARGE_SITE_SIZE, large_site_faults.clone()),
             )
         },
-        Run::new("grown", plan(401, 100_000, LARGE_SITE_SIZE, grown)),
+        Run::new(
+            "grown",
+            plan(401, 100_000, LARGE_SITE_SIZE, large_site_faults),
+        ),
         Run::new(
             "fleet_all_end",
-            plan(402, 66_000, FLEET_SIZE, fleet_all_end),
+            plan(402, 66_000, FLEET_SIZE, fleet_all_crash),
         ),
         Run::new(
             "fleet_failover",
--- a/crates/simulator/src/world/faults.rs
+++ b/crates/simulator/src/world/faults.rs
@@ -1,4 +1,4 @@
-//! Injection of faults.
+//! Injection of faults: what happens when a fault begins and when it ends.
 
 use super::events::ScheduledEvent;
 use super::network::ActiveFault;
@@ -9,66 +9,113 @@
 use rand::seq::SliceRandom;
 use wire::state::{StateRequest, Transaction, Write};
 
-/// A pause of at least this length, in ms, counts as a stop of the partitions' leader.
+/// A pause of a controller of at least this length counts as a stop of the leader of its partitions.
 const LEADER_STOP_MS: u64 = 4_000;
-/// Time after which users retry requests to a controller that has crashed, in ms.
+/// Time after which users retry requests that a crashed controller left unanswered.
 const RETRY_AFTER_CRASH_MS: u64 = 1_000;
 
-/// The state that a fault keeps active for some time, with that time in ms; none for other faults.
+/// The [`ActiveFault`] that a fault consists of, and its duration in ms. None for faults that act at one moment,
+/// end by an event of their own, or concern machines that are chosen when the fault starts.
 fn lasting_fault(fault: &Fault) -> Option<(ActiveFault, u64)> {
     Some(match *fault {
-        Fault::DisconnectStateService { controller, ms } => {
-            (ActiveFault::StateServiceDisconnected(controller), ms)
-        }
-        Fault::RefuseStateRequests { controller, ms } => {
-            (ActiveFault::StateRequestsRefused(controller), ms)
-        }
-        Fault::DisconnectWorkers { controller, ms } => {
-            (ActiveFault::WorkersDisconnected(controller), ms)
-        }
-        Fault::DisconnectMesh { controller, ms } => (ActiveFault::MeshDisconnected(controller), ms),
-        Fault::PartitionZones { ms } => (ActiveFault::ZonesPartitioned, ms),
-        Fault::IsolateZone { ms } => (ActiveFault::ZoneIsolated, ms),
-        Fault::IsolateController { controller, ms } => {
-            (ActiveFault::UsersDisconnected(controller), ms)
-        }
+        Fault::DisconnectStateService {
+            controller,
+            duration_ms,
+        } => (
+            ActiveFault::StateServiceDisconnected(controller),
+            duration_ms,
+        ),
+        Fault::RefuseStateRequests {
+            controller,
+            duration_ms,
+        } => (ActiveFault::StateRequestsRefused(controller), duration_ms),
+        Fault::DisconnectWorkers {
+            controller,
+            duration_ms,
+        } => (ActiveFault::WorkersDisconnected(controller), duration_ms),
+        Fault::DisconnectMesh {
+            controller,
+            duration_ms,
+        } => (ActiveFault::MeshDisconnected(controller), duration_ms),
+        Fault::PartitionZones { duration_ms } => (ActiveFault::ZonesPartitioned, duration_ms),
+        Fault::IsolateZone { duration_ms } => (ActiveFault::ZoneIsolated, duration_ms),
+        Fault::IsolateController {
+            controller,
+            duration_ms,
+        } => (ActiveFault::UsersDisconnected(controller), duration_ms),
         Fault::DisconnectStateAndMesh {
             controller,
-            ms,
+            duration_ms,
             refused: true,
-        } => (ActiveFault::StateRequestsRefused(Some(controller)), ms),
+        } => (
+            ActiveFault::StateRequestsRefused(Some(controller)),
+            duration_ms,
+        ),
         Fault::DisconnectStateAndMesh {
             controller,
-            ms,
+            duration_ms,
             refused: false,
-        } => (ActiveFault::StateServiceDisconnected(controller), ms),
-        Fault::DropMessagesToZone { ms } => (ActiveFault::ZoneUnreachable, ms),
-        Fault::DuplicateMessages { ms } => (ActiveFault::DuplicatedMessages, ms),
-        Fault::SlowStateService { times, ms } => (ActiveFault::SlowStateService(times), ms),
-        Fault::DelayTransactions { percent, ms } => (ActiveFault::DelayedTransactions(percent), ms),
-        Fault::LongTasks { times, ms } => (ActiveFault::LongTasks(times), ms),
-        Fault::CloudOutage { ms } => (ActiveFault::CloudOutage, ms),
-        Fault::ChangeBootBehavior { ms, .. } => (ActiveFault::ChangedBootBehavior, ms),
-        Fault::SkewedLoad { ms } => (ActiveFault::SkewedLoad, ms),
-        Fault::DropTransactionReplies { percent, ms } => {
-            (ActiveFault::LostTransactionReplies(percent), ms)
-        }
-        Fault::ReplayHeartbeats { percent, ms } => (ActiveFault::ReplayedHeartbeats(percent), ms),
-        Fault::HoldHeartbeats { percent, ms } => (ActiveFault::HeldHeartbeats(percent), ms),
-        Fault::DelayCommands { percent, ms } => (ActiveFault::DelayedCommands(percent), ms),
-        Fault::OneWayMeshPartition { from, to, ms } => {
-            (ActiveFault::OneWayMeshPartition(from, to), ms)
-        }
-        Fault::DuplicateMeshMessages { percent, ms } => {
-            (ActiveFault::DuplicatedMeshMessages(percent), ms)
+        } => (
+            ActiveFault::StateServiceDisconnected(controller),
+            duration_ms,
+        ),
+        Fault::DropMessagesToZone { duration_ms } => (ActiveFault::ZoneUnreachable, duration_ms),
+        Fault::DuplicateMessages { duration_ms } => (ActiveFault::DuplicatedMessages, duration_ms),
+        Fault::SlowStateService {
+            factor,
+            duration_ms,
+        } => (ActiveFault::SlowStateService(factor), duration_ms),
+        Fault::DelayTransactions {
+            percent,
+            duration_ms,
+        } => (ActiveFault::DelayedTransactions(percent), duration_ms),
+        Fault::LongTasks {
+            factor,
+            duration_ms,
+        } => (ActiveFault::LongTasks(factor), duration_ms),
+        Fault::CloudOutage { duration_ms } => (ActiveFault::CloudOutage, duration_ms),
+        Fault::ChangeBootBehavior { duration_ms, .. } => {
+            (ActiveFault::ChangedBootBehavior, duration_ms)
         }
-        Fault::SlowLinks { times, ms } => (ActiveFault::SlowLinks(times), ms),
-        Fault::FailingJobs { ms } => (ActiveFault::FailingJobs, ms),
-        Fault::StatusRequestStorm { ms } => (ActiveFault::StatusRequestStorm, ms),
-        Fault::FollowUpRequests { ms } => (ActiveFault::FollowUpRequests, ms),
-        Fault::CancelAtCompletion { percent, ms } => (ActiveFault::CancelAtCompletion(percent), ms),
-        Fault::UnusualRequests { ms } => (ActiveFault::UnusualRequests, ms),
-        Fault::OneTaskJobs { ms } => (ActiveFault::OneTaskJobs, ms),
+        Fault::SkewedLoad { duration_ms } => (ActiveFault::SkewedLoad, duration_ms),
+        Fault::DropTransactionReplies {
+            percent,
+            duration_ms,
+        } => (ActiveFault::LostTransactionReplies(percent), duration_ms),
+        Fault::ReplayHeartbeats {
+            percent,
+            duration_ms,
+        } => (ActiveFault::ReplayedHeartbeats(percent), duration_ms),
+        Fault::HoldHeartbeats {
+            percent,
+            duration_ms,
+        } => (ActiveFault::HeldHeartbeats(percent), duration_ms),
+        Fault::DelayCommands {
+            percent,
+            duration_ms,
+        } => (ActiveFault::DelayedCommands(percent), duration_ms),
+        Fault::OneWayMeshPartition {
+            from,
+            to,
+            duration_ms,
+        } => (ActiveFault::OneWayMeshPartition(from, to), duration_ms),
+        Fault::DuplicateMeshMessages {
+            percent,
+            duration_ms,
+        } => (ActiveFault::DuplicatedMeshMessages(percent), duration_ms),
+        Fault::SlowLinks {
+            factor,
+            duration_ms,
+        } => (ActiveFault::SlowLinks(factor), duration_ms),
+        Fault::FailingJobs { duration_ms } => (ActiveFault::FailingJobs, duration_ms),
+        Fault::StatusRequestStorm { duration_ms } => (ActiveFault::StatusRequestStorm, duration_ms),
+        Fault::FollowUpRequests { duration_ms } => (ActiveFault::FollowUpRequests, duration_ms),
+        Fault::CancelAtCompletion {
+            percent,
+            duration_ms,
+        } => (ActiveFault::CancelAtCompletion(percent), duration_ms),
+        Fault::UnusualRequests { duration_ms } => (ActiveFault::UnusualRequests, duration_ms),
+        Fault::OneTaskJobs { duration_ms } => (ActiveFault::OneTaskJobs, duration_ms),
         Fault::CrashController { .. }
         | Fault::CrashBeforeEffect { .. }
         | Fault::PauseController { .. }
@@ -90,7 +137,7 @@
 }
 
 impl World {
-    /// A fault begins.
+    /// Starts a fault: acts at once, and activates what lasts.
     pub(super) fn start_fault(&mut self, fault: Fault) {
         let lasting = lasting_fault(&fault);
         match fault {
@@ -99,22 +146,38 @@
                 restart_after_ms,
             } => self.crash_controller(controller, restart_after_ms),
             Fault::CrashBeforeEffect { controller, nth } => self.crash_points.set(controller, nth),
-            Fault::PauseController { controller, ms } => self.pause_controller(controller, ms),
-            Fault::CorruptLogPage { partition, ms } => self.corrupt_log_page(partition, ms),
-            Fault::IsolateZone { ms } => self.activate(ActiveFault::UsersDisconnected(1), ms),
-            Fault::DisconnectStateAndMesh { controller, ms, .. } => {
-                self.activate(ActiveFault::MeshDisconnected(controller), ms)
+            Fault::PauseController {
+                controller,
+                duration_ms,
+            } => self.pause_controller(controller, duration_ms),
+            Fault::CorruptLogPage {
+                partition,
+                duration_ms,
+            } => self.corrupt_log_page(partition, duration_ms),
+            Fault::IsolateZone { duration_ms } => {
+                self.activate(ActiveFault::UsersDisconnected(1), duration_ms)
             }
-            Fault::IsolateController { controller, ms } => {
-                self.activate(ActiveFault::StateServiceDisconnected(controller), ms);
-                self.activate(ActiveFault::WorkersDisconnected(controller), ms);
-                self.activate(ActiveFault::MeshDisconnected(controller), ms);
+            Fault::DisconnectStateAndMesh {
+                controller,
+                duration_ms,
+                ..
+            } => self.activate(ActiveFault::MeshDisconnected(controller), duration_ms),
+            Fault::IsolateController {
+                controller,
+                duration_ms,
+            } => {
+                self.activate(
+                    ActiveFault::StateServiceDisconnected(controller),
+                    duration_ms,
+                );
+                self.activate(ActiveFault::WorkersDisconnected(controller), duration_ms);
+                self.activate(ActiveFault::MeshDisconnected(controller), duration_ms);
             }
-            Fault::ChangeBootBehavior { behavior, .. } => self.cloud.boots = behavior,
-            Fault::JobBurst { jobs } => (0..jobs).for_each(|_| self.new_job()),
-            Fault::GuestJobs { jobs } => (0..jobs).for_each(|_| self.guest_job()),
-            Fault::CancelAllJobs { through } => self.cancel_all(through),
-            Fault::CancelRunningJobs { count, hang_ms } => self.cancel_now(count, hang_ms),
+            Fault::ChangeBootBehavior { behavior, .. } => self.cloud.boot_behavior = behavior,
+            Fault::JobBurst { jobs } => (0..jobs).for_each(|_| self.submit_random_job()),
+            Fault::GuestJobs { jobs } => (0..jobs).for_each(|_| self.submit_guest_job()),
+            Fault::CancelAllJobs { controller } => self.cancel_all_jobs(controller),
+            Fault::CancelRunningJobs { count, hang_ms } => self.cancel_running_jobs(count, hang_ms),
             Fault::UnusualRequests { .. } => {
                 self.schedule(self.now + 1, ScheduledEvent::SendUnusualRequest)
             }
@@ -123,12 +186,12 @@
             }
             other => self.start_machine_fault(other),
         }
-        if let Some((active, ms)) = lasting {
-            self.activate(active, ms);
+        if let Some((active_fault, duration_ms)) = lasting {
+            self.activate(active_fault, duration_ms);
         }
     }
 
-    /// A fault of machines begins; other faults are ignored.
+    /// Starts a fault of machines; ignores other faults.
     fn start_machine_fault(&mut self, fault: Fault) {
         let names: Vec<String> = self
             .workers
@@ -136,25 +199,32 @@
             .filter(|worker| !worker.dead)
             .map(|worker| worker.name.clone())
             .collect();
-        let pick = |nth: usize| names.get(nth % names.len().max(1)).cloned();
+        let machine_at =
+            |machine_index: usize| names.get(machine_index % names.len().max(1)).cloned();
         match fault {
-            Fault::DisconnectMachine { nth, ms } => {
-                if let Some(name) = pick(nth) {
-                    self.activate(ActiveFault::MachineDisconnected(name), ms);
+            Fault::DisconnectMachine {
+                machine_index,
+                duration_ms,
+            } => {
+                if let Some(name) = machine_at(machine_index) {
+                    self.activate(ActiveFault::MachineDisconnected(name), duration_ms);
                 }
             }
-            Fault::HangMachine { nth, ms } => {
-                if let Some(name) = pick(nth) {
-                    self.hang(name, ms);
+            Fault::HangMachine {
+                machine_index,
+                duration_ms,
+            } => {
+                if let Some(name) = machine_at(machine_index) {
+                    self.hang_machine(name, duration_ms);
                 }
             }
-            Fault::CrashMachine { nth } => {
-                if let Some(name) = pick(nth) {
+            Fault::CrashMachine { machine_index } => {
+                if let Some(name) = machine_at(machine_index) {
                     self.crash_machine(&name);
                 }
             }
-            Fault::FailTasksOnMachine { nth } => {
-                if let Some(name) = pick(nth) {
+            Fault::FailTasksOnMachine { machine_index } => {
+                if let Some(name) = machine_at(machine_index) {
                     self.fail_all_tasks(&name);
                 }
             }
@@ -168,42 +238,43 @@
                     self.fail_all_tasks(&name);
                 }
             }
-            Fault::HangMachines { count, ms } => {
+            Fault::HangMachines { count, duration_ms } => {
                 for name in self.random_choice(&names, count) {
-                    self.hang(name, ms);
+                    self.hang_machine(name, duration_ms);
                 }
             }
-            Fault::DropMessagesToMachines { count, ms } => {
+            Fault::DropMessagesToMachines { count, duration_ms } => {
                 for name in self.random_choice(&names, count) {
-                    self.activate(ActiveFault::MachineUnreachable(name), ms);
+                    self.activate(ActiveFault::MachineUnreachable(name), duration_ms);
                 }
             }
-            Fault::RefuseMachineConnections { count, ms } => {
+            Fault::RefuseMachineConnections { count, duration_ms } => {
                 for name in self.random_choice(&names, count) {
-                    self.activate(ActiveFault::MachineConnectionsRefused(name), ms);
+                    self.activate(ActiveFault::MachineConnectionsRefused(name), duration_ms);
                 }
             }
             _ => {}
         }
     }
 
-    /// Crashes a controller; users retry their unanswered requests.
+    /// Crashes a controller and schedules its restart. Users retry their unanswered requests, except for status
+    /// requests.
     pub(super) fn crash_controller(&mut self, controller: usize, restart_after_ms: u64) {
         self.record_leader_stop(controller);
         if let Some(crashed) = self.controllers[controller].take() {
-            self.early.0 += crashed.controller.counters.early_failovers;
-            self.early.1 += crashed.controller.counters.false_failovers;
+            self.early_failovers_of_crashed.0 += crashed.controller.counters.early_failovers;
+            self.early_failovers_of_crashed.1 += crashed.controller.counters.false_failovers;
         }
         self.watches
             .retain(|watch| watch.key.controller != controller);
-        for lost in self.open_requests.take_user_requests_to(controller) {
-            if matches!(lost.request, UserRequest::Get(_)) {
+        for unanswered in self.open_requests.take_user_requests_to(controller) {
+            if matches!(unanswered.request, UserRequest::Get(_)) {
                 continue;
             }
             let retry = ScheduledEvent::SendRequest {
-                request: lost.request,
-                id: lost.id,
-                tries: lost.tries + 1,
+                request: unanswered.request,
+                id: unanswered.id,
+                attempts: unanswered.attempts + 1,
             };
             self.schedule(self.now + RETRY_AFTER_CRASH_MS, retry);
         }
@@ -211,6 +282,7 @@
         self.schedule(self.now + restart_after_ms, restart);
     }
 
+    /// Pauses a controller and schedules its resumption.
     fn pause_controller(&mut self, controller: usize, ms: u64) {
         if ms >= LEADER_STOP_MS {
             self.record_leader_stop(controller);
@@ -227,6 +299,7 @@
         self.schedule(self.now + ms, resume);
     }
 
+    /// Overwrites the first page of a partition's placement log, and schedules the restoration of its value.
     fn corrupt_log_page(&mut self, partition: u32, ms: u64) {
         let key = format!("l/{partition}/0000");
         let Some(value) = self.state.value(&key).cloned() else {
@@ -236,19 +309,19 @@
         self.schedule(self.now + ms, ScheduledEvent::RestoreValue { key, value });
     }
 
-    /// A fault ends.
+    /// Ends a fault, and releases the messages that were held back.
     pub(super) fn end_fault(&mut self, fault: &ActiveFault) {
         self.network.deactivate(fault);
         if *fault == ActiveFault::StateRequestsRefused(None) {
-            self.state.refresh_leases(self.now);
+            self.state.renew_all_leases(self.now);
         }
         if *fault == ActiveFault::ChangedBootBehavior {
-            self.cloud.boots = BootBehavior::Usual;
+            self.cloud.boot_behavior = BootBehavior::Usual;
         }
         self.schedule(self.now + 1, ScheduledEvent::ReleaseHeldMessages);
     }
 
-    /// Writes a value without the controllers.
+    /// Writes a value to the state service as no controller would.
     pub(super) fn write_directly(&mut self, key: &str, value: serde_json::Value) {
         let txn = Transaction::default().write(Write::put(key, value));
         self.state
@@ -256,30 +329,30 @@
         self.answer_watches();
     }
 
-    /// Activates a fault for a time.
-    pub(super) fn activate(&mut self, fault: ActiveFault, ms: u64) {
+    /// Activates a fault for some time.
+    pub(super) fn activate(&mut self, fault: ActiveFault, duration_ms: u64) {
         self.network.activate(fault.clone());
-        self.schedule(self.now + ms, ScheduledEvent::EndFault(fault));
+        self.schedule(self.now + duration_ms, ScheduledEvent::EndFault(fault));
     }
 
-    /// A machine hangs: messages to it are held back meanwhile.
-    pub(super) fn hang(&mut self, name: String, ms: u64) {
-        let until = self.now + ms;
+    /// Lets a machine hang; messages from and to it are held back meanwhile.
+    pub(super) fn hang_machine(&mut self, name: String, duration_ms: u64) {
+        let until = self.now + duration_ms;
         if let Some(worker) = self.workers.get_mut(&name) {
-            worker.hangs_until = until;
+            worker.hung_until = until;
             worker.ignores_stops = self.plan.mutation == Some(Mutation::HungMachinesIgnoreStops);
         }
-        self.activate(ActiveFault::MachineDisconnected(name), ms);
+        self.activate(ActiveFault::MachineDisconnected(name), duration_ms);
     }
 
-    /// A machine fails every task from now on.
+    /// Lets a machine fail every task from now on.
     pub(super) fn fail_all_tasks(&mut self, name: &str) {
         if let Some(worker) = self.workers.get_mut(name) {
             worker.fails_all_tasks = true;
         }
     }
 
-    /// A random choice of the names.
+    /// Chooses up to `count` of the names at random.
     pub(super) fn random_choice(&mut self, names: &[String], count: usize) -> Vec<String> {
         let mut names = names.to_vec();
         names.shuffle(&mut self.rng);
@@ -287,6 +360,7 @@
         names
     }
 
+    /// Crashes a machine with all its tasks for good.
     pub(super) fn crash_machine(&mut self, name: &str) {
         if let Some(machine) = self.cloud.machines.get_mut(name) {
             machine.gone_at.get_or_insert(self.now);
@@ -299,13 +373,15 @@
         self.failovers.record_machine_loss(name, self.now);
     }
 
-    pub(super) fn refuses(&self, controller: usize) -> bool {
+    /// Whether the state service refuses the requests of a controller.
+    pub(super) fn refuses_state_requests(&self, controller: usize) -> bool {
         self.network.any_active(
-            |c| matches!(c, ActiveFault::StateRequestsRefused(n) if n.is_none_or(|n| n == controller)),
+            |fault| matches!(fault, ActiveFault::StateRequestsRefused(n) if n.is_none_or(|n| n == controller)),
         )
     }
 
-    pub(super) fn outage(&self) -> bool {
+    /// Whether the state service refuses all requests; leases do not expire meanwhile.
+    pub(super) fn is_state_service_down(&self) -> bool {
         self.network
             .is_active(&ActiveFault::StateRequestsRefused(None))
     }
--- a/crates/simulator/src/world/mod.rs
+++ b/crates/simulator/src/world/mod.rs
@@ -1,5 +1,6 @@
-//! The simulated world: an event queue, a network, stand-ins of all services, and real
-//! [`controller::Controller`]s.
+//! The simulated world: an event queue, a network, stand-ins of all services, workers and users, and real
+//! [`controller::Controller`]s. [`World::run`] processes events in the order of simulated time and checks the
+//! rules after each.
 
 mod cancellations;
 mod controllers;
@@ -51,10 +52,11 @@
 use state_service::Watch;
 use std::collections::BTreeMap;
 
-/// No job counts as starved before this time, in ms: the site fills up first.
-const MIN_FAULTS_OVER_MS: u64 = 60_000;
+/// Before this time no job counts as starved and users do not query all jobs, because the site fills up first.
+const MIN_FAULTS_END_MS: u64 = 60_000;
 
-/// The simulated world: real controllers, and stand-ins of all that surrounds them.
+/// The simulated world: real controllers, and stand-ins of everything that they communicate with. Times are in
+/// ms of simulated time unless a name says otherwise.
 pub struct World {
     plan: Plan,
     parameters: SiteParameters,
@@ -62,9 +64,10 @@
     now: u64,
     queue: EventQueue,
     controllers: Vec<Option<RunningController>>,
-    incarnations: u64,
+    /// Number of the last started incarnation of any controller.
+    last_incarnation: u64,
     state: StateService,
-    /// A snapshot of some seconds ago, for stale reads.
+    /// A snapshot of `state` of some seconds ago, for [`Mutation::StalePlacementLog`].
     stale_state: StateService,
     watches: Vec<Watch>,
     cloud: Cloud,
@@ -73,47 +76,48 @@
     interceptor: MessageInterceptor,
     open_requests: OpenRequests,
     jobs: SubmittedJobs,
-    /// Rounds of follow-up requests by job and confirmation.
     follow_up_counts: FollowUpCounts,
-    limits: BTreeMap<String, f64>,
-    /// Requests that the state service has received, and replies that rejected a user's request for overload.
-    pub requests: u64,
-    pub rejected_busy: u64,
+    /// Limits of the teams that have one, in CPUs.
+    cpu_limits: BTreeMap<String, f64>,
+    /// Number of requests that the state service has received.
+    pub state_requests: u64,
+    /// Number of replies that rejected a user's request because of overload.
+    pub busy_replies: u64,
     /// Time from the first submission to the acceptance of each job, in ms.
     pub acceptance_latencies_ms: Vec<u64>,
     pub rules: RuleChecker,
     pub failovers: FailoverTimeline,
-    service: ServiceChecks,
-    /// Applied transactions of each controller.
+    service_checks: ServiceChecks,
+    /// Number of transactions of each controller that have been applied.
     transactions_applied: [u64; CONTROLLERS],
     pub coverage: FaultCoverage,
     crash_points: CrashPoints,
-    /// Machines that were up when the controllers returned them.
+    /// Number of machines that were up when controllers released them.
     pub machines_released_alive: u64,
-    /// Early failovers, and wrong ones of these, by controllers that have crashed.
-    early: (u64, u64),
-    /// Records the controllers' outgoing messages, if enabled.
+    /// Early failovers by controllers that have crashed, and false ones among them.
+    early_failovers_of_crashed: (u64, u64),
+    /// Records the controllers' outgoing messages if set.
     recorder: Option<Recorder>,
 }
 
 impl World {
-    /// A world at time 0, with all faults of the plan scheduled.
+    /// Returns a world at time 0 with all faults of the plan scheduled.
     pub fn new(plan: Plan) -> Self {
         let parameters = SiteParameters::of(plan.size);
         let last_fault_end = plan
             .faults
             .iter()
-            .map(|(at, fault)| at + fault.lasts())
+            .map(|(at, fault)| at + fault.duration_ms())
             .max();
-        let faults_over = last_fault_end.unwrap_or(0).max(MIN_FAULTS_OVER_MS);
+        let faults_end_at = last_fault_end.unwrap_or(0).max(MIN_FAULTS_END_MS);
         let mut world = World {
             rng: SmallRng::seed_from_u64(plan.seed),
             now: 0,
             queue: EventQueue::default(),
             controllers: (0..CONTROLLERS).map(|_| None).collect(),
-            incarnations: 0,
-            state: StateService::new(parameters.write_rps),
-            stale_state: StateService::new(parameters.write_rps),
+            last_incarnation: 0,
+            state: StateService::new(parameters.writes_per_s),
+            stale_state: StateService::new(parameters.writes_per_s),
             watches: Vec::new(),
             cloud: Cloud::new(&["a", "b"], 5 * plan.size as u32, 2 * plan.size as u32),
             workers: BTreeMap::new(),
@@ -122,79 +126,84 @@
             open_requests: OpenRequests::default(),
             jobs: SubmittedJobs::default(),
             follow_up_counts: FollowUpCounts::default(),
-            limits: (0..6)
+            cpu_limits: (0..6)
                 .map(|t| (format!("t{t}"), 6.0 * plan.size as f64))
                 .collect(),
-            requests: 0,
-            rejected_busy: 0,
+            state_requests: 0,
+            busy_replies: 0,
             acceptance_latencies_ms: Vec::new(),
-            rules: RuleChecker::new(parameters.cancel),
+            rules: RuleChecker::new(parameters.cancel_deadline_ms),
             failovers: FailoverTimeline::default(),
-            service: ServiceChecks::new(faults_over),
+            service_checks: ServiceChecks::new(faults_end_at),
             transactions_applied: [0; CONTROLLERS],
             coverage: FaultCoverage::default(),
             crash_points: CrashPoints::default(),
             machines_released_alive: 0,
-            early: (0, 0),
+            early_failovers_of_crashed: (0, 0),
             recorder: None,
             parameters,
             plan,
         };
-        world.pretend_large_machines();
+        world.enlarge_machine_types();
         for controller in 0..CONTROLLERS {
             world.schedule(0, ScheduledEvent::StartController { controller });
         }
         world.schedule(0, ScheduledEvent::StepWorkers);
         world.schedule(1_500, ScheduledEvent::SubmitJob);
-        world.schedule(faults_over, ScheduledEvent::QueryAllJobs);
+        world.schedule(faults_end_at, ScheduledEvent::QueryAllJobs);
         for (at, fault) in world.plan.faults.clone() {
             world.schedule(at, ScheduledEvent::StartFault(fault));
         }
         world
     }
 
-    /// Runs to the end of the plan, or to the first violation.
+    /// Runs to the end of the plan or to the first violation.
     pub fn run(&mut self) {
-        self.run_to(self.plan.ms);
+        self.run_to(self.plan.duration_ms);
     }
 
-    /// Runs to a simulated time in ms, or to the first violation.
-    pub fn run_to(&mut self, ms: u64) {
+    /// Runs to a simulated time or to the first violation.
+    pub fn run_to(&mut self, until_ms: u64) {
         while self.rules.violations.is_empty() {
-            let Some((at, event)) = self.queue.pop_due(ms) else {
+            let Some((at, event)) = self.queue.pop_due(until_ms) else {
                 break;
             };
             self.now = at;
-            // On large sites the rules are checked only when the workers advance, for speed; starts are
-            // always checked.
+            // For speed, the checks below run on large sites only when the workers advance. Starts of tasks are
+            // always checked as they occur.
             let is_checked = self.plan.size == 1 || matches!(event, ScheduledEvent::StepWorkers);
             self.process_event(event);
             if !is_checked {
                 continue;
             }
-            self.rules
-                .check(&self.workers, self.jobs.all(), &self.limits, self.now);
-            for id in self.service.unanswered().take_overdue(self.now) {
+            self.rules.check_quotas_and_cancellations(
+                &self.workers,
+                self.jobs.all(),
+                &self.cpu_limits,
+                self.now,
+            );
+            for id in self.service_checks.unanswered().take_overdue(self.now) {
                 self.rules.record_violation(
                     "forgotten",
-                    format!("{id}: no answer for 75 s"),
+                    format!("{id}: no reply about an accepted job for 75 s"),
                     self.now,
                 );
             }
         }
     }
 
-    /// Injects a fault now, for tests that wait for a certain state of the run.
+    /// Starts a fault now, for tests that wait for a certain state of the run.
     pub fn inject(&mut self, fault: Fault) {
         self.start_fault(fault);
     }
 
+    /// Schedules an event; a time in the past counts as now.
     fn schedule(&mut self, at: u64, event: ScheduledEvent) {
         self.queue.push(at.max(self.now), event);
     }
 
-    fn process_event(&mut self, what: ScheduledEvent) {
-        match what {
+    fn process_event(&mut self, event: ScheduledEvent) {
+        match event {
             ScheduledEvent::Tick {
                 controller,
                 incarnation,
@@ -216,10 +225,10 @@
             ScheduledEvent::ApplyDelayedTransaction {
                 controller,
                 incarnation,
-                newer_than,
+                applied_when_sent,
                 txn,
             } => {
-                self.apply_delayed_transaction(controller, incarnation, newer_than, txn);
+                self.apply_delayed_transaction(controller, incarnation, applied_when_sent, txn);
             }
             ScheduledEvent::DeliverDelayedCommand(message) => {
                 self.deliver_delayed_command(*message)
@@ -250,14 +259,14 @@
                 incarnation,
                 call,
             } => {
-                self.end_watch(CallKey {
+                self.time_out_watch(CallKey {
                     controller,
                     incarnation,
                     call,
                 });
             }
             ScheduledEvent::StepWorkers => self.step(),
-            ScheduledEvent::SubmitJob => self.submit(),
+            ScheduledEvent::SubmitJob => self.submit_next_job(),
             ScheduledEvent::PollStatus { id } => self.poll_status(id),
             ScheduledEvent::CancelJob { id } => {
                 self.record_cancel_request(&id);
@@ -265,16 +274,18 @@
                     self.send_request(UserRequest::Cancel(job), id, 0);
                 }
             }
-            ScheduledEvent::SendRequest { request, id, tries } => {
-                self.send_request(request, id, tries)
-            }
+            ScheduledEvent::SendRequest {
+                request,
+                id,
+                attempts,
+            } => self.send_request(request, id, attempts),
             ScheduledEvent::SendFollowUp {
                 controller,
                 request,
                 id,
             } => self.send_follow_up(controller, request, id),
-            ScheduledEvent::SendUnusualRequest => self.unusual_request(),
-            ScheduledEvent::SubmitOneTaskJob => self.one_task_job(),
+            ScheduledEvent::SendUnusualRequest => self.send_unusual_request(),
+            ScheduledEvent::SubmitOneTaskJob => self.submit_one_task_job(),
             ScheduledEvent::StartController { controller } => self.start_controller(controller),
             ScheduledEvent::StartFault(fault) => self.start_fault(fault),
             ScheduledEvent::EndFault(fault) => self.end_fault(&fault),
@@ -286,10 +297,11 @@
         }
     }
 
-    /// Advances all workers, and observes the service.
+    /// Advances all workers, observes the service and schedules the next step. For
+    /// [`Mutation::StalePlacementLog`], takes a snapshot of the state service every 6 s.
     fn step(&mut self) {
-        let keeps = self.plan.mutation == Some(Mutation::StalePlacementLog);
-        if keeps && self.now % 6_000 < self.parameters.step {
+        let takes_snapshots = self.plan.mutation == Some(Mutation::StalePlacementLog);
+        if takes_snapshots && self.now % 6_000 < self.parameters.step_ms {
             self.stale_state = self.state.clone();
         }
         self.step_workers();
@@ -297,15 +309,19 @@
             let healthy = self.controllers[controller]
                 .as_ref()
                 .is_some_and(|r| r.controller.healthy());
-            self.service.record_health(controller, healthy, self.now);
+            self.service_checks
+                .record_health(controller, healthy, self.now);
         }
-        self.service.observe(
+        self.service_checks.observe(
             &self.workers,
             self.jobs.all(),
-            &self.limits,
+            &self.cpu_limits,
             &mut self.rules,
             self.now,
         );
-        self.schedule(self.now + self.parameters.step, ScheduledEvent::StepWorkers);
+        self.schedule(
+            self.now + self.parameters.step_ms,
+            ScheduledEvent::StepWorkers,
+        );
     }
 }
--- a/crates/simulator/src/world/transport.rs
+++ b/crates/simulator/src/world/transport.rs
@@ -1,6 +1,7 @@
-//! Transport of messages: disconnections, losses, duplicates and delays.
+//! Transport of messages: sending with disconnections, losses, duplicates and delays, and delivery to the state
+//! service, the cloud, workers and controllers.
 
-use super::events::{starts, Endpoint, Message, ScheduledEvent};
+use super::events::{contains_launch, Endpoint, Message, ScheduledEvent};
 use super::network::{ActiveFault, HeldMessage};
 use super::open_requests::{CallKey, ReceivedHeartbeat, TicketKey};
 use super::scenario::Mutation;
@@ -16,7 +17,8 @@
 use wire::workers::DirectCommands;
 
 impl World {
-    pub(super) fn machine(&self, name: &str) -> Endpoint {
+    /// The endpoint of a machine, by the number at the end of its name.
+    pub(super) fn machine_endpoint(&self, name: &str) -> Endpoint {
         Endpoint::Machine(
             name.rsplit('-')
                 .next()
@@ -25,30 +27,32 @@
         )
     }
 
-    pub(super) fn zone_of(&self, place: Endpoint) -> Option<String> {
-        match place {
+    /// The zone of a controller or a machine. Controller 1 is in zone b, the others in zone a.
+    pub(super) fn zone_of(&self, endpoint: Endpoint) -> Option<String> {
+        match endpoint {
             Endpoint::Controller(1) => Some("b".into()),
             Endpoint::Controller(_) => Some("a".into()),
-            Endpoint::Machine(n) => self
+            Endpoint::Machine(number) => self
                 .cloud
                 .machines
-                .get(&format!("host-{n:06}"))
+                .get(&format!("host-{number:06}"))
                 .map(|m| m.zone.clone()),
             _ => None,
         }
     }
 
+    /// Whether a disconnection holds back messages between two endpoints, in both directions.
     pub(super) fn is_disconnected(&self, from: Endpoint, to: Endpoint) -> bool {
-        let between = |a: Endpoint, b: Endpoint| (from, to) == (a, b) || (from, to) == (b, a);
-        let node_machine = |n: usize| {
+        let connects = |a: Endpoint, b: Endpoint| (from, to) == (a, b) || (from, to) == (b, a);
+        let connects_to_machine = |n: usize| {
             matches!((from, to), (Endpoint::Controller(x), Endpoint::Machine(_))
                 | (Endpoint::Machine(_), Endpoint::Controller(x)) if x == n)
         };
         self.network.any_active(|fault| match fault {
             ActiveFault::StateServiceDisconnected(n) => {
-                between(Endpoint::Controller(*n), Endpoint::State)
+                connects(Endpoint::Controller(*n), Endpoint::State)
             }
-            ActiveFault::WorkersDisconnected(n) => node_machine(*n),
+            ActiveFault::WorkersDisconnected(n) => connects_to_machine(*n),
             ActiveFault::MeshDisconnected(n) => {
                 matches!((from, to), (Endpoint::Controller(a), Endpoint::Controller(b))
                 if (a == *n) != (b == *n))
@@ -58,12 +62,12 @@
                 _ => false,
             },
             ActiveFault::MachineDisconnected(name) => {
-                let place = self.machine(name);
-                from == place || to == place
+                let machine = self.machine_endpoint(name);
+                from == machine || to == machine
             }
             ActiveFault::ZoneIsolated => {
-                let inside = |place| self.zone_of(place).is_some_and(|zone| zone == "b");
-                inside(from) != inside(to)
+                let is_inside = |endpoint| self.zone_of(endpoint).is_some_and(|zone| zone == "b");
+                is_inside(from) != is_inside(to)
             }
             // Messages lost in one direction are not held back.
             ActiveFault::MachineUnreachable(_)
@@ -93,59 +97,65 @@
         })
     }
 
-    /// Whether a message is lost on its way to a machine.
-    fn is_lost(&self, from: Endpoint, to: Endpoint) -> bool {
+    /// Whether a message is lost on its way from a controller to an unreachable machine.
+    fn is_lost_on_way_to_machine(&self, from: Endpoint, to: Endpoint) -> bool {
         let (Endpoint::Controller(_), Endpoint::Machine(_)) = (from, to) else {
             return false;
         };
         self.network.any_active(|fault| match fault {
-            ActiveFault::MachineUnreachable(name) => self.machine(name) == to,
+            ActiveFault::MachineUnreachable(name) => self.machine_endpoint(name) == to,
             ActiveFault::ZoneUnreachable => self.zone_of(to).is_some_and(|zone| zone == "b"),
             _ => false,
         })
     }
 
-    /// Schedules duplicates of a message, if that fault is active.
-    fn copy(&mut self, message: &Message) {
-        let copied = match message {
-            Message::Heartbeat { .. } | Message::Direct { .. } => true,
-            Message::State { request, .. } => matches!(request, StateRequest::Transaction(_)),
-            Message::Cloud { request, .. } => !matches!(request, CloudRequest::List { .. }),
+    /// Schedules one to three duplicates of a part of the messages, if that fault is active.
+    fn schedule_duplicates(&mut self, message: &Message) {
+        let can_be_duplicated = match message {
+            Message::Heartbeat { .. } | Message::DirectCall { .. } => true,
+            Message::StateRequest { request, .. } => {
+                matches!(request, StateRequest::Transaction(_))
+            }
+            Message::CloudRequest { request, .. } => {
+                !matches!(request, CloudRequest::ListMachines { .. })
+            }
             _ => false,
         };
-        if !copied
+        if !can_be_duplicated
             || !self.network.is_active(&ActiveFault::DuplicatedMessages)
             || !self.rng.random_bool(0.3)
         {
             return;
         }
         for _ in 0..self.rng.random_range(1..4) {
-            let mut copy = message.clone();
+            let mut duplicate = message.clone();
             if let Message::Heartbeat {
                 controller,
                 number,
-                report,
+                heartbeat,
                 ..
-            } = &mut copy
+            } = &mut duplicate
             {
-                // No worker waits for the reply.
+                // Number 0: no worker waits for the reply.
                 (*controller, *number) = (self.rng.random_range(0..CONTROLLERS), 0);
-                if self.plan.mutation == Some(Mutation::DuplicatesTrusted) {
-                    report.seq += 1_000_000;
+                if self.plan.mutation == Some(Mutation::DuplicatedHeartbeatsLookNew) {
+                    heartbeat.sequence_number += 1_000_000;
                 }
             }
-            let after = self.rng.random_range(1_000..3 * self.parameters.lease);
+            let delay_ms = self
+                .rng
+                .random_range(1_000..3 * self.parameters.lease_duration_ms);
             self.schedule(
-                self.now + after,
-                ScheduledEvent::DeliverDuplicate(Box::new(copy)),
+                self.now + delay_ms,
+                ScheduledEvent::DeliverDuplicate(Box::new(duplicate)),
             );
         }
     }
 
-    /// Counts a duplicated heartbeat that is older than others of its machine.
+    /// Counts a duplicate if it is a heartbeat older than others of its machine.
     pub(super) fn record_duplicate(&mut self, message: &Message) {
         let Message::Heartbeat {
-            machine, report, ..
+            machine, heartbeat, ..
         } = message
         else {
             return;
@@ -153,20 +163,21 @@
         let Some(worker) = self.workers.get(machine).filter(|w| !w.dead) else {
             return;
         };
-        self.coverage.stale_heartbeats += u64::from(worker.has_sent_newer(report));
-        self.coverage.stale_sessions += u64::from(report.session < worker.session);
+        self.coverage.stale_heartbeats += u64::from(worker.has_sent_newer(heartbeat));
+        self.coverage.earlier_epoch_heartbeats += u64::from(heartbeat.worker_epoch < worker.epoch);
     }
 
-    /// Sends a message; a disconnection holds it back until it ends.
+    /// Sends a message. Without a fault it arrives after 1 to 5 ms, and in 0.4 % of the cases 50 to 600 ms later than
+    /// that. Faults duplicate, delay or lose it, and a disconnection holds it back until it has ended.
     pub(super) fn send(&mut self, from: Endpoint, to: Endpoint, message: Message) {
-        self.copy(&message);
+        self.schedule_duplicates(&message);
         if self.is_lost_on_mesh(from, to) {
             return;
         }
         let Some(message) = self.intercept(message) else {
             return;
         };
-        if self.is_lost(from, to) {
+        if self.is_lost_on_way_to_machine(from, to) {
             self.coverage.dropped_messages += 1;
             return;
         }
@@ -174,64 +185,73 @@
             self.network.hold(HeldMessage { from, to, message });
             return;
         }
-        let mut delay = self.rng.random_range(1..6) * self.slowness(from, to);
+        let mut delay_ms = self.rng.random_range(1..6) * self.link_slowdown(from, to);
         if self.rng.random_bool(0.004) {
-            delay += self.rng.random_range(50..600);
+            delay_ms += self.rng.random_range(50..600);
         }
-        let slow = self.network.find_active(|fault| match fault {
-            ActiveFault::SlowStateService(times) => Some(*times),
+        let state_service_factor = self.network.find_active(|fault| match fault {
+            ActiveFault::SlowStateService(factor) => Some(*factor),
             _ => None,
         });
-        if let (Some(times), true) = (slow, from == Endpoint::State || to == Endpoint::State) {
-            delay *= times;
+        if let (Some(factor), true) = (
+            state_service_factor,
+            from == Endpoint::State || to == Endpoint::State,
+        ) {
+            delay_ms *= factor;
         }
-        self.schedule(self.now + delay, ScheduledEvent::Deliver(Box::new(message)));
+        self.schedule(
+            self.now + delay_ms,
+            ScheduledEvent::Deliver(Box::new(message)),
+        );
     }
 
-    pub(super) fn send_mesh(&mut self, controller: usize, other: usize, message: MeshMessage) {
-        let Some(incarnation) = self.controllers[other].as_ref().map(|r| r.incarnation) else {
+    /// Sends a message from one controller to another; it is lost if the receiver is down.
+    pub(super) fn send_mesh(&mut self, controller: usize, receiver: usize, message: MeshMessage) {
+        let Some(incarnation) = self.controllers[receiver].as_ref().map(|r| r.incarnation) else {
             return;
         };
-        let Some(message) = self.as_mutated(message) else {
+        let Some(message) = self.mutate_mesh_message(message) else {
             return;
         };
         let event = Event::Mesh {
             from: ControllerName::from(format!("n{controller}").as_str()),
             message,
         };
-        self.duplicate_mesh_event(other, &event);
-        let message = Message::Controller {
-            controller: other,
+        self.duplicate_mesh_event(receiver, &event);
+        let message = Message::ControllerEvent {
+            controller: receiver,
             incarnation,
             event,
         };
         self.send(
             Endpoint::Controller(controller),
-            Endpoint::Controller(other),
+            Endpoint::Controller(receiver),
             message,
         );
     }
 
-    pub(super) fn time_out(
+    /// Schedules the event that a controller handles if a call gets no reply in time.
+    pub(super) fn schedule_timeout(
         &mut self,
-        after: u64,
+        timeout_ms: u64,
         controller: usize,
         incarnation: u64,
         call: CallId,
         event: Event,
     ) {
-        let what = ScheduledEvent::Timeout {
+        let timeout = ScheduledEvent::Timeout {
             controller,
             incarnation,
             call,
             event: Box::new(event),
         };
-        self.schedule(self.now + after, what);
+        self.schedule(self.now + timeout_ms, timeout);
     }
 
+    /// Delivers a message to its receiver.
     pub(super) fn deliver(&mut self, message: Message) {
         match message {
-            Message::State {
+            Message::StateRequest {
                 controller,
                 incarnation,
                 call,
@@ -239,7 +259,7 @@
             } => {
                 self.handle_state_request(controller, incarnation, call, request);
             }
-            Message::Cloud {
+            Message::CloudRequest {
                 controller,
                 incarnation,
                 call,
@@ -254,7 +274,7 @@
                     &request,
                 );
             }
-            Message::Controller {
+            Message::ControllerEvent {
                 controller,
                 incarnation,
                 event,
@@ -263,7 +283,7 @@
                 controller,
                 machine,
                 number,
-                report,
+                heartbeat,
             } => {
                 let Some(incarnation) =
                     self.controllers[controller].as_ref().map(|r| r.incarnation)
@@ -279,7 +299,13 @@
                     },
                     ReceivedHeartbeat { machine, number },
                 );
-                self.handle_event(controller, Event::Heartbeat { ticket, report });
+                self.handle_event(
+                    controller,
+                    Event::Heartbeat {
+                        ticket,
+                        report: heartbeat,
+                    },
+                );
             }
             Message::HeartbeatResponse {
                 machine,
@@ -289,7 +315,7 @@
             } => {
                 self.handle_heartbeat_reply(&machine, number, controller, reply);
             }
-            Message::Direct {
+            Message::DirectCall {
                 controller,
                 incarnation,
                 call,
@@ -309,6 +335,7 @@
         }
     }
 
+    /// Lets the cloud execute a request and sends its reply. Released machines crash.
     fn handle_cloud_request(&mut self, key: CallKey, request: &CloudRequest) {
         let CallKey {
             controller,
@@ -326,10 +353,10 @@
             }
             reply
         };
-        // A small share of the replies is lost.
+        // 2 % of the replies are lost.
         if !self.rng.random_bool(0.02) {
             let event = Event::Cloud { call, reply };
-            let message = Message::Controller {
+            let message = Message::ControllerEvent {
                 controller,
                 incarnation,
                 event,
@@ -338,6 +365,7 @@
         }
     }
 
+    /// Lets a worker execute direct commands; replies with its heartbeat, whether it has executed them or not.
     fn handle_direct_call(&mut self, key: CallKey, machine: String, body: DirectCommands) {
         let CallKey {
             controller,
@@ -345,7 +373,7 @@
             call,
         } = key;
         let now = self.now;
-        let from = self.machine(&machine);
+        let from = self.machine_endpoint(&machine);
         self.record_direct_call(&machine);
         let Some(worker) = self.workers.get_mut(&machine) else {
             return;
@@ -353,31 +381,35 @@
         if worker.dead {
             return;
         }
-        worker.check_lease(now, self.parameters.lease);
+        worker.check_lease(now, self.parameters.lease_duration_ms);
         if self.plan.mutation == Some(Mutation::DirectCommandsRenewLease) {
             worker.renew_without_reply(now);
         }
-        let executed = worker.direct(
+        let executed = worker.handle_direct_call(
             body.token,
-            body.session,
+            body.worker_epoch,
             &body.commands,
             now,
             self.jobs.all(),
         );
-        let report = Box::new(worker.report());
+        let heartbeat = Box::new(worker.next_heartbeat());
         if executed {
-            self.failovers
-                .record_contact(&machine, body.token, starts(&body.commands), now);
+            self.failovers.record_contact(
+                &machine,
+                body.token,
+                contains_launch(&body.commands),
+                now,
+            );
             self.record_launch(&machine, &body.commands);
         }
         let event = Event::Worker {
             call,
-            reply: DirectReply::Answered(report),
+            reply: DirectReply::Answered(heartbeat),
         };
         self.send(
             from,
             Endpoint::Controller(controller),
-            Message::Controller {
+            Message::ControllerEvent {
                 controller,
                 incarnation,
                 event,
@@ -385,6 +417,8 @@
         );
     }
 
+    /// Delivers an event to a controller if this incarnation is still running and, for a reply, if its call has
+    /// neither been answered nor timed out.
     pub(super) fn deliver_to_controller(
         &mut self,
         controller: usize,
--- a/crates/simulator/src/world/unusual_requests.rs
+++ b/crates/simulator/src/world/unusual_requests.rs
@@ -1,5 +1,5 @@
-//! Unusual requests: repeated submissions of unfinished jobs, cancellations of completed jobs, unschedulable
-//! jobs and jobs that lack a field. And many jobs of one task each.
+//! Unusual requests: repeated submissions of unfinished jobs, cancellations of completed jobs, submissions of
+//! unschedulable jobs and of jobs that lack a field. Also submissions of many jobs of one task each.
 
 use super::events::{PendingRequest, ScheduledEvent};
 use super::network::ActiveFault;
@@ -12,11 +12,11 @@
 use rand::Rng;
 use wire::users::{JobKind, JobRequest, Priority};
 
-/// Pause between two odd requests, in ms.
+/// Time between two unusual requests.
 const UNUSUAL_REQUEST_INTERVAL_MS: std::ops::Range<u64> = 100..500;
-/// Pause between two jobs of one task.
+/// Time between two jobs of one task.
 const ONE_TASK_JOB_INTERVAL_MS: u64 = 250;
-/// Share of the jobs of one task that is cancelled, and after how many ms.
+/// Share of the jobs of one task that is cancelled, and the time from submission to cancellation.
 const ONE_TASK_CANCEL_PROBABILITY: f64 = 0.25;
 const ONE_TASK_CANCEL_DELAY_MS: std::ops::Range<u64> = 50..12_000;
 
@@ -25,95 +25,100 @@
 pub(super) enum ExpectedRejection {
     /// 400: a field is missing.
     Malformed,
-    /// 422: the job can never run.
-    NeverRuns,
+    /// 422: the job can never run, for example because it fits no machine type.
+    Unschedulable,
 }
 
 impl World {
     /// Sends one unusual request and schedules the next one.
-    pub(super) fn unusual_request(&mut self) {
+    pub(super) fn send_unusual_request(&mut self) {
         if !self.network.is_active(&ActiveFault::UnusualRequests) {
             return;
         }
         match self.rng.random_range(0..4) {
-            0 => self.repeat_unfinished(),
-            1 => self.cancel_done(),
-            2 => self.submit_unfit(),
-            _ => self.submit_incomplete(),
+            0 => self.resubmit_unfinished_job(),
+            1 => self.cancel_done_job(),
+            2 => self.submit_unschedulable_job(),
+            _ => self.submit_malformed_job(),
         }
-        let pause = self.rng.random_range(UNUSUAL_REQUEST_INTERVAL_MS);
-        self.schedule(self.now + pause, ScheduledEvent::SendUnusualRequest);
+        let interval_ms = self.rng.random_range(UNUSUAL_REQUEST_INTERVAL_MS);
+        self.schedule(self.now + interval_ms, ScheduledEvent::SendUnusualRequest);
     }
 
-    fn any_of(&mut self, ids: Vec<String>) -> Option<String> {
-        let nth = self.rng.random_range(0..ids.len().max(1));
-        ids.into_iter().nth(nth)
+    /// One of the ids at random.
+    fn choose_one(&mut self, ids: Vec<String>) -> Option<String> {
+        let index = self.rng.random_range(0..ids.len().max(1));
+        ids.into_iter().nth(index)
     }
 
-    fn repeat_unfinished(&mut self) {
-        let unfinished = self.unfinished();
-        let Some(id) = self.any_of(unfinished) else {
+    /// Repeats the submission of a random unfinished job.
+    fn resubmit_unfinished_job(&mut self) {
+        let unfinished = self.unfinished_jobs();
+        let Some(id) = self.choose_one(unfinished) else {
             return;
         };
         let Some(job) = self.jobs.get(&id).cloned() else {
             return;
         };
-        self.coverage.repeated_unfinished += 1;
+        self.coverage.resubmitted_unfinished_jobs += 1;
         self.send_request(UserRequest::Submit(Box::new(job)), id, MAX_ATTEMPTS);
     }
 
-    /// It must stay done, so the cancellation is not recorded as requested.
-    fn cancel_done(&mut self) {
+    /// Cancels a random job that is done. It has to stay done, so the cancellation is not recorded as requested.
+    fn cancel_done_job(&mut self) {
         let done = self.rules.done_confirmed.keys().cloned().collect();
-        let Some(id) = self.any_of(done) else { return };
+        let Some(id) = self.choose_one(done) else {
+            return;
+        };
         let Some(job) = JobId::parse(&id) else { return };
-        self.coverage.cancelled_done += 1;
+        self.coverage.cancellations_of_done_jobs += 1;
         self.send_request(UserRequest::Cancel(job), id, MAX_ATTEMPTS);
     }
 
-    fn submit_unfit(&mut self) {
-        let mut job = self.one_task();
+    /// Submits a job that can never run: it fits no machine type, its team is unknown, or it exceeds limits.
+    fn submit_unschedulable_job(&mut self) {
+        let mut job = self.new_one_task_job();
         match self.rng.random_range(0..7) {
             0 => job.cpus = 64.0,
             1 => job.memory_gb = 1_000.0,
             2 => job.gpus = 1.0,
             3 => job.team = "nobody".into(),
-            4 => job.types = Some(vec!["x9".into()]),
-            5 => (job.kind, job.tasks) = (JobKind::Gang, 1_000 * self.plan.size),
-            _ => (job.kind, job.tasks) = (JobKind::Service, 1_000 * self.plan.size),
+            4 => job.allowed_machine_types = Some(vec!["x9".into()]),
+            5 => (job.kind, job.task_count) = (JobKind::Gang, 1_000 * self.plan.size),
+            _ => (job.kind, job.task_count) = (JobKind::Service, 1_000 * self.plan.size),
         }
         self.jobs
-            .expect_rejection(job.id.clone(), ExpectedRejection::NeverRuns);
+            .expect_rejection(job.id.clone(), ExpectedRejection::Unschedulable);
         let id = job.id.clone();
         self.send_request(UserRequest::Submit(Box::new(job)), id, 0);
     }
 
-    /// A submission without one of its fields, read as the server reads it.
-    fn submit_incomplete(&mut self) {
-        let job = self.one_task();
+    /// Submits a job without one of its fields. The body is deserialised as the HTTP server does it.
+    fn submit_malformed_job(&mut self) {
+        let job = self.new_one_task_job();
         let id = job.id.clone();
         let Ok(serde_json::Value::Object(mut body)) = serde_json::to_value(&job) else {
             return;
         };
-        let nth = self.rng.random_range(0..body.len());
-        let Some(field) = body.keys().nth(nth).cloned() else {
+        let field_index = self.rng.random_range(0..body.len());
+        let Some(field) = body.keys().nth(field_index).cloned() else {
             return;
         };
-        let removed = body.remove(&field);
+        let removed_value = body.remove(&field);
         if self.plan.mutation == Some(Mutation::MissingFieldsFilled) {
-            body.extend(removed.map(|value| (field, value)));
+            body.extend(removed_value.map(|value| (field, value)));
         }
         self.jobs
             .expect_rejection(id.clone(), ExpectedRejection::Malformed);
         match serde_json::from_value(serde_json::Value::Object(body)) {
             Ok(job) => self.send_request(UserRequest::Submit(Box::new(job)), id, 0),
-            // The server answers 400 before any controller sees it.
+            // The HTTP server answers 400 without passing the request to the controller.
             Err(_) => self.record_rejection_of_invalid_job(id, ExpectedRejection::Malformed),
         }
     }
 
-    /// Checks a reply about an invalid job: it has to be rejected with the expected status, and stays
-    /// unknown.
+    /// Checks a reply about an invalid job: its submission has to be rejected with the expected status, and status
+    /// requests have to find no such job.
     pub(super) fn check_invalid_job_reply(
         &mut self,
         pending_request: PendingRequest,
@@ -121,74 +126,81 @@
         reply: UserReply,
     ) {
         let PendingRequest {
-            request, id, tries, ..
+            request,
+            id,
+            attempts,
+            ..
         } = pending_request;
         match reply {
             UserReply::Created(_) | UserReply::Status(_) => {
-                let what = format!("{id}, {expected:?}: {reply:?}");
+                let details = format!("{id}, {expected:?}: {reply:?}");
                 self.rules
-                    .record_violation("accepted_invalid", what, self.now);
+                    .record_violation("accepted_invalid", details, self.now);
+            }
+            UserReply::Invalid(_) => {
+                self.check_rejection(id, expected, ExpectedRejection::Malformed)
             }
-            UserReply::Invalid(_) => self.check_refusal(id, expected, ExpectedRejection::Malformed),
             UserReply::Rejected(_) => {
-                self.check_refusal(id, expected, ExpectedRejection::NeverRuns)
+                self.check_rejection(id, expected, ExpectedRejection::Unschedulable)
             }
             UserReply::NotFound => {}
             UserReply::Busy { retry_after_s } => {
-                self.retry_request(request, id, tries, retry_after_s)
+                self.retry_request(request, id, attempts, retry_after_s)
             }
         }
     }
 
-    fn check_refusal(
+    /// Records a rejection of an invalid job, or a violation if it is of the wrong kind.
+    fn check_rejection(
         &mut self,
         id: String,
         expected: ExpectedRejection,
-        refusal: ExpectedRejection,
+        rejection: ExpectedRejection,
     ) {
-        if refusal == expected {
-            self.record_rejection_of_invalid_job(id, refusal);
+        if rejection == expected {
+            self.record_rejection_of_invalid_job(id, rejection);
         } else {
-            let what = format!("{id} is refused as {refusal:?}, not {expected:?}");
+            let details = format!("{id} is rejected as {rejection:?}, not {expected:?}");
             self.rules
-                .record_violation("refused_wrongly", what, self.now);
+                .record_violation("refused_wrongly", details, self.now);
         }
     }
 
-    /// Schedules status requests about a rejected job at every controller.
-    fn record_rejection_of_invalid_job(&mut self, id: String, refusal: ExpectedRejection) {
-        match refusal {
+    /// Counts a rejection, and schedules status requests about the rejected job at every controller.
+    fn record_rejection_of_invalid_job(&mut self, id: String, rejection: ExpectedRejection) {
+        match rejection {
             ExpectedRejection::Malformed => self.coverage.rejected_malformed += 1,
-            ExpectedRejection::NeverRuns => self.coverage.rejected_unschedulable += 1,
+            ExpectedRejection::Unschedulable => self.coverage.rejected_unschedulable += 1,
         }
         let Some(job) = JobId::parse(&id) else { return };
         for controller in 0..CONTROLLERS {
-            let what = ScheduledEvent::SendFollowUp {
+            let status_request = ScheduledEvent::SendFollowUp {
                 controller,
                 request: UserRequest::Get(job),
                 id: id.clone(),
             };
-            self.schedule(self.now + 3, what);
+            self.schedule(self.now + 3, status_request);
         }
     }
 
-    fn one_task(&mut self) -> JobRequest {
-        let team = self.any_team();
-        self.plain_array(team, 1)
+    /// Returns a new array of one task of a random team.
+    fn new_one_task_job(&mut self) -> JobRequest {
+        let team = self.random_team();
+        self.new_array(team, 1)
     }
 
     /// Submits one job of one task and schedules the next one.
-    pub(super) fn one_task_job(&mut self) {
+    pub(super) fn submit_one_task_job(&mut self) {
         if !self.network.is_active(&ActiveFault::OneTaskJobs) {
             return;
         }
-        let job = self.one_task();
+        let job = self.new_one_task_job();
         let id = job.id.clone();
         self.coverage.one_task_jobs += 1;
         self.submit_job(job);
         if self.rng.random_bool(ONE_TASK_CANCEL_PROBABILITY) {
-            let after = self.rng.random_range(ONE_TASK_CANCEL_DELAY_MS);
-            self.schedule(self.now + after, ScheduledEvent::CancelJob { id });
+            let delay_ms = self.rng.random_range(ONE_TASK_CANCEL_DELAY_MS);
+            self.schedule(self.now + delay_ms, ScheduledEvent::CancelJob { id });
         }
         self.schedule(
             self.now + ONE_TASK_JOB_INTERVAL_MS,
@@ -196,32 +208,32 @@
         );
     }
 
-    fn any_team(&mut self) -> String {
+    fn random_team(&mut self) -> String {
         format!("t{}", self.rng.random_range(0..6))
     }
 
-    /// A new array that any machine may run.
-    pub(super) fn plain_array(&mut self, team: String, tasks: u64) -> JobRequest {
+    /// Returns a new array that may run on any machine.
+    pub(super) fn new_array(&mut self, team: String, tasks: u64) -> JobRequest {
         JobRequest {
             id: self.jobs.next_id(),
             class: "c".into(),
             team,
             kind: JobKind::Array,
             priority: Priority::Normal,
-            tasks,
+            task_count: tasks,
             cpus: 1.0,
             gpus: 0.0,
             memory_gb: 2.0,
             image: "img-0".into(),
             image_gb: 1.5,
-            types: None,
-            spread: false,
+            allowed_machine_types: None,
+            spread_over_zones: false,
             zone: None,
             one_zone: false,
-            spot: true,
-            estimate_s: 6.0,
-            checkpoint_s: 0.0,
-            save_s: 0.0,
+            spot_allowed: true,
+            estimated_run_time_s: 6.0,
+            checkpoint_interval_s: 0.0,
+            checkpoint_save_time_s: 0.0,
             deadline_s: None,
         }
     }
--- a/crates/wire/src/cloud.rs
+++ b/crates/wire/src/cloud.rs
@@ -1,9 +1,9 @@
-//! Requests to the cloud and its responses.
+//! Requests to the cloud API and its responses.
 
 use serde::{Deserialize, Serialize};
 
-/// One machine type that the cloud offers. A `0` where the cloud left an amount out means unknown
-/// or none.
+/// A machine type that the cloud offers. An amount that the cloud omits is read as 0, which means
+/// unknown or none.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct MachineType {
     /// Name of the type.
@@ -26,10 +26,10 @@
     pub fetch_gb_per_s: f64,
     /// Price per hour of an on-demand machine.
     #[serde(rename = "hourly", default)]
-    pub price: f64,
+    pub price_per_hour: f64,
     /// Price per hour of a spot machine.
     #[serde(rename = "market_price", default)]
-    pub spot_price: f64,
+    pub spot_price_per_hour: f64,
     /// Usual time from rental to the first heartbeat, in seconds.
     #[serde(rename = "ready_s", default)]
     pub boot_s: f64,
@@ -49,9 +49,9 @@
 /// Body of `POST /hosts`: a rental of machines of one type in one zone.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RentRequest {
-    /// Idempotency key: a repeated request with the same key rents nothing twice.
+    /// Idempotency key: a repeated request with the same key rents no further machines.
     #[serde(rename = "ask")]
-    pub request: String,
+    pub idempotency_key: String,
     /// Name of the machine type.
     #[serde(rename = "rig")]
     pub machine_type: String,
@@ -83,7 +83,7 @@
     Booting,
     /// Usable.
     Running,
-    /// Failed for good; it is only listed until it is released.
+    /// Failed permanently; it stays in the list until it is released.
     Failed,
 }
 
@@ -91,7 +91,8 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ListedMachine {
     /// Name of the machine.
-    pub id: String,
+    #[serde(rename = "id")]
+    pub name: String,
     /// Address of its worker, `host:port`; empty while it boots.
     #[serde(default)]
     pub address: String,
@@ -104,7 +105,7 @@
     /// Whether it is a spot machine.
     #[serde(rename = "loaners")]
     pub spot: bool,
-    /// Its state.
+    /// State of the machine.
     #[serde(rename = "status")]
     pub state: MachineState,
     /// Time since it was rented, in seconds.
@@ -120,20 +121,20 @@
     pub machines: Vec<ListedMachine>,
     /// Whether another page follows.
     #[serde(rename = "has_next", default)]
-    pub more: bool,
+    pub has_more: bool,
 }
 
 /// A request to the cloud.
 #[derive(Debug, Clone, PartialEq)]
 pub enum CloudRequest {
     /// Read the machine types.
-    Types,
+    MachineTypes,
     /// Rent machines.
     Rent(RentRequest),
-    /// Return the machines of these names.
+    /// Return the machines with these names to the cloud.
     Release(Vec<String>),
     /// Read one page of the rented machines.
-    List {
+    ListMachines {
         /// Name after which the page starts; empty for the first page.
         after: String,
         /// Maximum number of machines on the page.
@@ -145,17 +146,17 @@
 #[derive(Debug, Clone, PartialEq)]
 pub enum CloudReply {
     /// The machine types.
-    Types(MachineTypes),
+    MachineTypes(MachineTypes),
     /// Names of the machines that were rented.
     Rented(Vec<String>),
     /// The release was accepted.
     Released,
     /// One page of the rented machines.
-    List(MachineList),
+    MachineList(MachineList),
     /// The rental was rejected because the cloud has no such machine left.
     NoCapacity,
-    /// Status 429, an outage, or anything else that was certainly not executed.
+    /// The request was certainly not executed: status 429, an outage, or another refusal.
     Refused,
-    /// No usable response: the request may have been executed, or may be later.
+    /// No usable response: the request may have been executed, or may still be executed later.
     Unknown,
 }
--- a/crates/wire/src/state.rs
+++ b/crates/wire/src/state.rs
@@ -15,7 +15,7 @@
     /// Version of the key: the revision of its last write.
     #[serde(rename = "stamp")]
     pub version: u64,
-    /// Lease with which the key is removed when it expires.
+    /// Lease that the key is bound to: the key is removed when the lease ends.
     #[serde(rename = "hold", default, skip_serializing_if = "Option::is_none")]
     pub lease: Option<u64>,
 }
@@ -28,25 +28,26 @@
     pub items: Vec<Item>,
     /// Whether another page follows.
     #[serde(rename = "has_next", default)]
-    pub more: bool,
+    pub has_more: bool,
     /// Revision of the state service at which the page was read.
     #[serde(rename = "epoch")]
     pub revision: u64,
 }
 
 impl ListPage {
-    /// Whether this is a valid page after the key `after` of a read by `prefix`: the keys ascend, all
-    /// have the prefix, and a page that announces another one is not empty.
-    pub fn follows(&self, prefix: &str, after: &str) -> bool {
-        let mut last = after;
+    /// Whether this page is a valid response to a read of the keys with `prefix` after the key `after`:
+    /// the keys ascend and come after `after`, all have the prefix, and the page is not empty if
+    /// another one follows.
+    pub fn is_valid_for(&self, prefix: &str, after: &str) -> bool {
+        let mut previous_key = after;
         for item in &self.items {
             let key = item.key.as_str();
-            if key <= last || !key.starts_with(prefix) {
+            if key <= previous_key || !key.starts_with(prefix) {
                 return false;
             }
-            last = key;
+            previous_key = key;
         }
-        !(self.more && self.items.is_empty())
+        !(self.has_more && self.items.is_empty())
     }
 }
 
@@ -68,7 +69,8 @@
     /// Sets the value of a key.
     Put {
         /// Key.
-        put: String,
+        #[serde(rename = "put")]
+        key: String,
         /// New value.
         #[serde(rename = "v")]
         value: Value,
@@ -79,36 +81,36 @@
     /// Removes a key.
     Delete {
         /// Key.
-        delete: String,
+        #[serde(rename = "delete")]
+        key: String,
     },
 }
 
 impl Write {
-    /// A put without a lease.
+    /// A put of a key that is not bound to a lease.
     pub fn put(key: impl Into<String>, value: Value) -> Self {
         Write::Put {
-            put: key.into(),
+            key: key.into(),
             value,
             lease: None,
         }
     }
-    /// A put bound to a lease.
+    /// A put of a key that is bound to a lease.
     pub fn put_leased(key: impl Into<String>, value: Value, lease: u64) -> Self {
         Write::Put {
-            put: key.into(),
+            key: key.into(),
             value,
             lease: Some(lease),
         }
     }
-    /// A removal of a key.
+    /// A deletion of a key.
     pub fn delete(key: impl Into<String>) -> Self {
-        Write::Delete { delete: key.into() }
+        Write::Delete { key: key.into() }
     }
     /// The key that is written.
     pub fn key(&self) -> &str {
         match self {
-            Write::Put { put, .. } => put,
-            Write::Delete { delete } => delete,
+            Write::Put { key, .. } | Write::Delete { key } => key,
         }
     }
 }
@@ -125,8 +127,8 @@
 }
 
 impl Transaction {
-    /// Adds a condition.
-    pub fn when(mut self, key: impl Into<String>, version: u64) -> Self {
+    /// Adds the condition that the key has this version; 0 if it must not exist.
+    pub fn if_version(mut self, key: impl Into<String>, version: u64) -> Self {
         self.conditions.push(Condition {
             key: key.into(),
             version,
@@ -167,15 +169,15 @@
     pub lease: u64,
 }
 
-/// One change as a watch reports it: exactly one of `put` and `delete` is set.
+/// One change as a watch reports it: exactly one of `put_key` and `deleted_key` is set.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Change {
     /// Key that was written.
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub put: Option<String>,
+    #[serde(rename = "put", default, skip_serializing_if = "Option::is_none")]
+    pub put_key: Option<String>,
     /// Key that was removed.
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub delete: Option<String>,
+    #[serde(rename = "delete", default, skip_serializing_if = "Option::is_none")]
+    pub deleted_key: Option<String>,
     /// New value after a put.
     #[serde(rename = "v", default, skip_serializing_if = "Option::is_none")]
     pub value: Option<Value>,
@@ -218,17 +220,17 @@
     /// Commit a transaction.
     Transaction(Transaction),
     /// Request a lease.
-    NewLease {
+    GrantLease {
         /// Time to live without a renewal, in milliseconds.
         ttl_ms: u64,
     },
     /// Renew a lease.
-    Renew {
+    RenewLease {
         /// Id of the lease.
         lease: u64,
     },
     /// Revoke a lease, which removes the keys bound to it.
-    EndLease {
+    RevokeLease {
         /// Id of the lease.
         lease: u64,
     },
@@ -249,7 +251,7 @@
     /// The key that was read.
     Item(Item),
     /// Status 404: the key that was read does not exist.
-    Missing,
+    NotFound,
     /// One page of keys.
     List(ListPage),
     /// The transaction was applied.
@@ -281,6 +283,6 @@
     },
     /// Status 400: the request is malformed, with the service's explanation.
     Invalid(String),
-    /// No usable response: the request may have been executed, or may be later.
+    /// No usable response: the request may have been executed, or may still be executed later.
     Unknown,
 }
--- a/crates/wire/tests/golden_bodies.rs
+++ b/crates/wire/tests/golden_bodies.rs
@@ -1,4 +1,5 @@
-//! Bodies of the protocols as bytes: what is sent, and what is read where optional fields are absent.
+//! Bodies of the protocols as bytes: how they are encoded, and how they are decoded if optional fields are
+//! absent.
 
 mod golden;
 
@@ -25,34 +26,34 @@
         team: "vision".into(),
         kind,
         priority,
-        tasks: 16,
+        task_count: 16,
         cpus: 8.0,
         gpus: 0.5,
         memory_gb: 64.25,
         image: "img-07".into(),
         image_gb: 6.2,
-        types: Some(vec!["g8".into(), "m4".into()]),
+        allowed_machine_types: Some(vec!["g8".into(), "m4".into()]),
         zone: Some("a".into()),
         one_zone: true,
-        spread: false,
-        spot: true,
-        estimate_s: 240.0,
-        checkpoint_s: 30.5,
-        save_s: 4.0,
+        spread_over_zones: false,
+        spot_allowed: true,
+        estimated_run_time_s: 240.0,
+        checkpoint_interval_s: 30.5,
+        checkpoint_save_time_s: 4.0,
         deadline_s: Some(900.0),
     }
 }
 
-fn plain_job() -> JobRequest {
+fn job_without_options() -> JobRequest {
     JobRequest {
-        types: None,
+        allowed_machine_types: None,
         zone: None,
         deadline_s: None,
         ..full_job(JobKind::Array, Priority::Low)
     }
 }
 
-fn status(state: JobState, done: Option<u64>, running: Option<u64>) -> JobStatus {
+fn job_status(state: JobState, done: Option<u64>, running: Option<u64>) -> JobStatus {
     JobStatus {
         id: "j-000412".into(),
         state,
@@ -73,14 +74,20 @@
             "job_batch_standard",
             full_job(JobKind::Array, Priority::Normal),
         ),
-        body("job_plain_low", plain_job()),
-        body("status_pending", status(JobState::Queued, Some(0), Some(0))),
+        body("job_plain_low", job_without_options()),
+        body(
+            "status_pending",
+            job_status(JobState::Queued, Some(0), Some(0)),
+        ),
         body(
             "status_running",
-            status(JobState::Running, Some(3), Some(2)),
+            job_status(JobState::Running, Some(3), Some(2)),
+        ),
+        body("status_done", job_status(JobState::Done, None, None)),
+        body(
+            "status_cancelled",
+            job_status(JobState::Cancelled, None, None),
         ),
-        body("status_done", status(JobState::Done, None, None)),
-        body("status_cancelled", status(JobState::Cancelled, None, None)),
         body(
             "error",
             ErrorBody {
@@ -91,31 +98,35 @@
     golden::check("users.txt", &entries);
 }
 
-fn task(state: TaskState, why: Option<ExitCause>, saved: Option<bool>) -> TaskStatus {
+fn task_status(
+    state: TaskState,
+    exit_cause: Option<ExitCause>,
+    checkpoint_saved: Option<bool>,
+) -> TaskStatus {
     TaskStatus {
         task: "j-000412/3".into(),
         attempt: 57,
         state,
-        why,
-        saved,
+        exit_cause,
+        checkpoint_saved,
     }
 }
 
-fn exited(why: ExitCause) -> TaskStatus {
-    task(TaskState::Exited, Some(why), None)
+fn exited(exit_cause: ExitCause) -> TaskStatus {
+    task_status(TaskState::Exited, Some(exit_cause), None)
 }
 
-fn report(notice_s: Option<f64>, tasks: Vec<TaskStatus>) -> Heartbeat {
+fn heartbeat(reclaimed_in_s: Option<f64>, tasks: Vec<TaskStatus>) -> Heartbeat {
     Heartbeat {
         machine: "host-000007".into(),
         address: "10.0.1.7:9000".into(),
         machine_type: "m4".into(),
         zone: "a".into(),
         spot: true,
-        session: 77,
-        seq: 12,
+        worker_epoch: 77,
+        sequence_number: 12,
         token: 41,
-        notice_s,
+        reclaimed_in_s,
         tasks,
     }
 }
@@ -123,7 +134,7 @@
 fn commands() -> Vec<Command> {
     let task = || "j-000412/3".to_owned();
     vec![
-        Command::Start {
+        Command::Launch {
             task: task(),
             attempt: 57,
         },
@@ -144,21 +155,27 @@
     let entries = [
         body(
             "report",
-            report(Some(30.0), vec![task(TaskState::Running, None, Some(true))]),
+            heartbeat(
+                Some(30.0),
+                vec![task_status(TaskState::Running, None, Some(true))],
+            ),
+        ),
+        body("report_plain", heartbeat(None, Vec::new())),
+        body(
+            "task_fetching",
+            task_status(TaskState::Fetching, None, None),
         ),
-        body("report_plain", report(None, Vec::new())),
-        body("task_fetching", task(TaskState::Fetching, None, None)),
         body(
             "task_gathering",
-            task(TaskState::Waiting, None, Some(false)),
+            task_status(TaskState::Waiting, None, Some(false)),
         ),
-        body("task_running", task(TaskState::Running, None, None)),
-        body("task_saving", task(TaskState::Saving, None, None)),
+        body("task_running", task_status(TaskState::Running, None, None)),
+        body("task_saving", task_status(TaskState::Saving, None, None)),
         body("exited_done", exited(ExitCause::Done)),
         body("exited_halted", exited(ExitCause::Stopped)),
-        body("exited_mates_gone", exited(ExitCause::PeersGone)),
-        body("exited_incomplete", exited(ExitCause::Alone)),
-        body("exited_full", exited(ExitCause::NoRoom)),
+        body("exited_mates_gone", exited(ExitCause::GangPeersLost)),
+        body("exited_incomplete", exited(ExitCause::GangIncomplete)),
+        body("exited_full", exited(ExitCause::NoFreeCapacity)),
         body("exited_busy", exited(ExitCause::Busy)),
         body("exited_unknown", exited(ExitCause::Unknown)),
         body("exited_error", exited(ExitCause::Error)),
@@ -179,15 +196,15 @@
         body(
             "redirect",
             Redirect {
-                report_to: Some("n2".into()),
+                controller: Some("n2".into()),
             },
         ),
-        body("redirect_nowhere", Redirect { report_to: None }),
+        body("redirect_nowhere", Redirect { controller: None }),
         body(
             "direct_commands",
             DirectCommands {
                 token: 41,
-                session: 77,
+                worker_epoch: 77,
                 commands: commands(),
             },
         ),
@@ -203,16 +220,16 @@
         memory_gb: 256.0,
         cache_gb: 80.5,
         fetch_gb_per_s: 1.25,
-        price: 4.2,
-        spot_price: 1.3,
+        price_per_hour: 4.2,
+        spot_price_per_hour: 1.3,
         boot_s: 90.0,
         zones: vec!["a".into(), "b".into()],
     }
 }
 
-fn listed(state: MachineState) -> ListedMachine {
+fn listed_machine(state: MachineState) -> ListedMachine {
     ListedMachine {
-        id: "host-000007".into(),
+        name: "host-000007".into(),
         address: "10.0.1.7:9000".into(),
         machine_type: "g8".into(),
         zone: "a".into(),
@@ -222,9 +239,9 @@
     }
 }
 
-fn rent() -> RentRequest {
+fn rent_request() -> RentRequest {
     RentRequest {
-        request: "n0-41-7".into(),
+        idempotency_key: "n0-41-7".into(),
         machine_type: "g8".into(),
         zone: "a".into(),
         spot: true,
@@ -235,12 +252,12 @@
 #[test]
 fn bodies_of_the_cloud_keep_their_bytes() {
     let names = vec!["host-000007".to_owned(), "host-000008".to_owned()];
-    let all = [
+    let machines = [
         MachineState::Booting,
         MachineState::Running,
         MachineState::Failed,
     ]
-    .map(listed);
+    .map(listed_machine);
     let entries = [
         body(
             "types",
@@ -248,20 +265,20 @@
                 types: vec![machine_type()],
             },
         ),
-        body("rent", rent()),
+        body("rent", rent_request()),
         body("names", MachineNames { machines: names }),
         body(
             "list",
             MachineList {
-                machines: all.to_vec(),
-                more: true,
+                machines: machines.to_vec(),
+                has_more: true,
             },
         ),
         body(
             "list_last",
             MachineList {
                 machines: Vec::new(),
-                more: false,
+                has_more: false,
             },
         ),
     ];
@@ -280,8 +297,8 @@
 fn change(lease: Option<u64>) -> Change {
     let value = Some(json!({ "term": 40 }));
     Change {
-        put: Some("s/p/0".into()),
-        delete: None,
+        put_key: Some("s/p/0".into()),
+        deleted_key: None,
         value,
         version: 9,
         lease,
@@ -289,10 +306,10 @@
 }
 
 fn deletion() -> Change {
-    let delete = Some("s/p/0".into());
+    let deleted_key = Some("s/p/0".into());
     Change {
-        put: None,
-        delete,
+        put_key: None,
+        deleted_key,
         value: None,
         version: 10,
         lease: None,
@@ -301,8 +318,8 @@
 
 fn transaction() -> Transaction {
     Transaction::default()
-        .when("s/p/0", 9)
-        .when("s/t", 0)
+        .if_version("s/p/0", 9)
+        .if_version("s/t", 0)
         .write(Write::put("s/t", json!({ "next": 41 })))
         .write(Write::put_leased("s/p/0", json!({ "term": 41 }), 500))
         .write(Write::delete("s/w/0"))
@@ -318,7 +335,7 @@
             "list",
             ListPage {
                 items: vec![item(Some(500))],
-                more: true,
+                has_more: true,
                 revision: 77,
             },
         ),
@@ -326,7 +343,7 @@
             "list_last",
             ListPage {
                 items: Vec::new(),
-                more: false,
+                has_more: false,
                 revision: 77,
             },
         ),
@@ -366,71 +383,73 @@
     golden::check("state.txt", &entries);
 }
 
-/// Compares a stored body with the value it must be read as.
-fn reads<T: DeserializeOwned + PartialEq + std::fmt::Debug>(name: &str, value: &T) {
+/// Checks that a stored body is decoded as this value.
+fn check_decoded<T: DeserializeOwned + PartialEq + std::fmt::Debug>(name: &str, value: &T) {
     let stored = golden::read("read_only.txt");
     let (_, text) = stored
         .iter()
-        .find(|(other, _)| other == name)
-        .expect("an entry of this name");
-    let read: T = serde_json::from_str(text).unwrap_or_else(|error| panic!("{name}: {error}"));
-    assert_eq!(read, *value, "{name} is stored as {text}");
+        .find(|(stored_name, _)| stored_name == name)
+        .expect("find entry by name");
+    let decoded: T = serde_json::from_str(text).unwrap_or_else(|error| panic!("{name}: {error}"));
+    assert_eq!(decoded, *value, "{name} is stored as {text}");
 }
 
 #[test]
 fn bodies_with_absent_unknown_and_null_fields_are_read() {
-    reads("job_null_fields", &plain_job());
-    reads("report_absent_fields", &report(None, Vec::new()));
-    reads("task_unheard_of_cause", &exited(ExitCause::Error));
-    reads("types_absent_fields", &bare_types());
-    reads("list_absent_fields", &bare_machines());
-    reads(
+    check_decoded("job_null_fields", &job_without_options());
+    check_decoded("report_absent_fields", &heartbeat(None, Vec::new()));
+    check_decoded("task_unheard_of_cause", &exited(ExitCause::Error));
+    check_decoded("types_absent_fields", &machine_types_with_required_fields());
+    check_decoded("list_absent_fields", &machine_list_with_required_fields());
+    check_decoded(
         "state_list_absent_more",
         &ListPage {
             items: Vec::new(),
-            more: false,
+            has_more: false,
             revision: 77,
         },
     );
-    reads(
+    check_decoded(
         "txn_answer_absent_failed",
         &TransactionResponse {
             revision: 78,
             failed: Vec::new(),
         },
     );
-    reads(
+    check_decoded(
         "changes_absent_log",
         &Changes {
             revision: 79,
             events: Vec::new(),
         },
     );
-    reads("redirect_null", &Redirect { report_to: None });
+    check_decoded("redirect_null", &Redirect { controller: None });
 }
 
-fn bare_types() -> MachineTypes {
-    let bare = MachineType {
+fn machine_types_with_required_fields() -> MachineTypes {
+    let machine_type = MachineType {
         gpus: 0.0,
         cache_gb: 0.0,
         fetch_gb_per_s: 0.0,
-        price: 0.0,
-        spot_price: 0.0,
+        price_per_hour: 0.0,
+        spot_price_per_hour: 0.0,
         boot_s: 0.0,
         zones: Vec::new(),
         ..machine_type()
     };
-    MachineTypes { types: vec![bare] }
+    MachineTypes {
+        types: vec![machine_type],
+    }
 }
 
-fn bare_machines() -> MachineList {
-    let bare = ListedMachine {
+fn machine_list_with_required_fields() -> MachineList {
+    let machine = ListedMachine {
         address: String::new(),
         age_s: 0.0,
-        ..listed(MachineState::Running)
+        ..listed_machine(MachineState::Running)
     };
     MachineList {
-        machines: vec![bare],
-        more: false,
+        machines: vec![machine],
+        has_more: false,
     }
 }
--- a/crates/wire/tests/golden_mesh.rs
+++ b/crates/wire/tests/golden_mesh.rs
@@ -1,5 +1,5 @@
-//! Frames of the mesh as bytes: struct fields are told apart by their places and enum variants by their
-//! names, so nodes of two builds understand each other only while both stay.
+//! Mesh frames as bytes. In a frame, a struct field is identified by its position and an enum variant by
+//! its name, so controllers of two builds understand each other only if both stay the same.
 
 mod golden;
 
@@ -11,12 +11,14 @@
 use wire::users::Priority;
 
 fn to_hex(frame: &Frame) -> String {
-    let bytes = rmp_serde::to_vec(frame).expect("a frame");
+    let bytes = rmp_serde::to_vec(frame).expect("encode frame");
     bytes.iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
 fn from_hex(text: &str) -> Result<Frame, rmp_serde::decode::Error> {
-    let byte = |at: usize| u8::from_str_radix(&text[at..at + 2], 16).expect("hexadecimal digits");
+    let byte = |position: usize| {
+        u8::from_str_radix(&text[position..position + 2], 16).expect("hexadecimal digits")
+    };
     let bytes: Vec<u8> = (0..text.len()).step_by(2).map(byte).collect();
     rmp_serde::from_slice(&bytes)
 }
@@ -27,41 +29,41 @@
         from: "n1".into(),
         message,
     };
-    Entry::of(name, frame, to_hex, from_hex)
+    Entry::round_trip(name, frame, to_hex, from_hex)
 }
 
-fn shape(priority: Priority) -> DemandShape {
+fn demand_shape(priority: Priority) -> DemandShape {
     DemandShape {
         milli_cpus: 1500,
         milli_gpus: 2000,
         memory_mb: 64_000,
-        types: Some(vec!["g8".into(), "m4".into()]),
+        allowed_machine_types: Some(vec!["g8".into(), "m4".into()]),
         zone: Some("a".into()),
-        spot: true,
-        tasks: 12,
-        urgent: 3,
-        estimate_ms: 240_000,
+        spot_allowed: true,
+        task_count: 12,
+        urgent_count: 3,
+        estimated_run_time_ms: 240_000,
         priority,
-        gang: 16,
+        gang_size: 16,
     }
 }
 
-fn plain_shape() -> DemandShape {
+fn demand_shape_without_options() -> DemandShape {
     DemandShape {
-        types: None,
+        allowed_machine_types: None,
         zone: None,
-        spot: false,
-        gang: 0,
-        ..shape(Priority::Normal)
+        spot_allowed: false,
+        gang_size: 0,
+        ..demand_shape(Priority::Normal)
     }
 }
 
-fn machine_load(transfer_to: Option<u32>) -> MachineStatus {
+fn machine_status(transfer_to: Option<u32>) -> MachineStatus {
     MachineStatus {
         machine: "host-000007".into(),
-        tasks: 4,
+        task_count: 4,
         idle_ms: 5_000,
-        up: true,
+        reporting: true,
         quarantined: false,
         since_heartbeat_ms: 700,
         transferable: transfer_to.is_some(),
@@ -70,17 +72,17 @@
     }
 }
 
-fn load() -> PartitionStatus {
+fn partition_status() -> PartitionStatus {
     PartitionStatus {
         partition: 2,
         term: 41,
         demand: vec![
-            plain_shape(),
-            shape(Priority::Low),
-            shape(Priority::High),
-            shape(Priority::Production),
+            demand_shape_without_options(),
+            demand_shape(Priority::Low),
+            demand_shape(Priority::High),
+            demand_shape(Priority::Production),
         ],
-        machines: vec![machine_load(None), machine_load(Some(1))],
+        machines: vec![machine_status(None), machine_status(Some(1))],
     }
 }
 
@@ -88,10 +90,10 @@
     MachineSnapshot {
         machine: "host-000007".into(),
         address: "10.0.1.7:9000".into(),
-        session: 77,
+        worker_epoch: 77,
         reporting: true,
         quarantined: false,
-        idle_at,
+        idle_since_ms: idle_at,
         images: vec![("img-07".into(), 6.25), ("img-08".into(), 1.0)],
     }
 }
@@ -102,7 +104,7 @@
         failures: vec![(0, 2), (7, 1)],
         failed_on: vec!["host-000007".into()],
         successes: 5,
-        fails_within_ms: 9_000,
+        longest_failure_ms: 9_000,
     }
 }
 
@@ -115,12 +117,12 @@
         up_to: 60,
         newest: 70,
         tombstones_dropped_up_to: 40,
-        at_ms: 123_456,
+        sent_at_ms: 123_456,
         records,
     })
 }
 
-fn alive(peer_heartbeat_ages: Vec<(String, u64)>) -> MeshMessage {
+fn heartbeat(peer_heartbeat_ages: Vec<(String, u64)>) -> MeshMessage {
     MeshMessage::Heartbeat {
         incarnation: 3,
         revision: 900,
@@ -132,11 +134,11 @@
 
 #[test]
 fn frames_keep_their_bytes() {
-    let release = |to| MeshMessage::ReleaseMachine {
+    let release_machine = |to| MeshMessage::ReleaseMachine {
         machine: "host-000007".into(),
         to,
     };
-    let cede = |shape| MeshMessage::TransferMachines {
+    let transfer_machines = |shape| MeshMessage::TransferMachines {
         from: 1,
         to: 2,
         count: 3,
@@ -145,14 +147,17 @@
     let entries = [
         frame(
             "alive",
-            alive(vec![("n0".into(), 120), ("n2".into(), 70_000)]),
+            heartbeat(vec![("n0".into(), 120), ("n2".into(), 70_000)]),
+        ),
+        frame("alive_alone", heartbeat(Vec::new())),
+        frame("load", MeshMessage::PartitionStatus(partition_status())),
+        frame("release_to_partition", release_machine(Some(2))),
+        frame("release_to_cloud", release_machine(None)),
+        frame("cede", transfer_machines(demand_shape(Priority::High))),
+        frame(
+            "cede_plain",
+            transfer_machines(demand_shape_without_options()),
         ),
-        frame("alive_alone", alive(Vec::new())),
-        frame("load", MeshMessage::PartitionStatus(load())),
-        frame("release_to_partition", release(Some(2))),
-        frame("release_to_cloud", release(None)),
-        frame("cede", cede(shape(Priority::High))),
-        frame("cede_plain", cede(plain_shape())),
         frame(
             "taken",
             MeshMessage::LeaderChanged {
