--- a/crates/loadtest/src/cloud.rs
+++ b/crates/loadtest/src/cloud.rs
@@ -144,7 +144,7 @@
             throttled_requests: Cell::default(),
             latency: Duration::from_secs_f64(experiment.cloud.latency_ms / 1e3),
             announced: RefCell::default(),
-            worker_connections: (0..experiment.worker_processes())
+            worker_connections: (0..experiment.worker_process_count())
                 .map(|_| Mutex::default())
                 .collect(),
         }
--- a/crates/loadtest/src/config.rs
+++ b/crates/loadtest/src/config.rs
@@ -1,20 +1,20 @@
-//! The experiment file and its checks.
+//! The experiment file (TOML) and its validation.
 
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeSet;
 use thiserror::Error;
 use wire::users::Priority;
 
-/// Longest experiment.
+/// Longest experiment that is accepted.
 pub const MAX_DURATION_S: f64 = 1_800.0;
-/// Most workers that an experiment may ask for.
+/// Most workers in one experiment.
 pub const MAX_WORKERS: u32 = 30_000;
-/// Most classes of jobs.
+/// Most job classes in one experiment.
 pub const MAX_CLASSES: usize = 15;
-/// CPUs of every hollow machine, see [`simulator::Cloud::new`](simulator::cloud::Cloud::new).
+/// CPUs of each simulated machine, see [`simulator::Cloud::new`](simulator::cloud::Cloud::new).
 pub const MACHINE_CPUS: f64 = 4.0;
 
-/// An experiment file that cannot be used.
+/// Why an experiment file is rejected.
 #[derive(Debug, Error)]
 pub enum ConfigError {
     #[error("experiment file: {0}")]
@@ -23,27 +23,28 @@
     Field { field: String, problem: String },
 }
 
-/// An experiment.
+/// A load test: the processes that take part, their load and the faults that are injected.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Experiment {
     /// Name of the experiment, used in reports.
     pub name: String,
-    /// Seed of everything that is drawn.
+    /// Seed of all random choices.
     #[serde(default = "one")]
     pub seed: u64,
-    /// Length of the run.
+    /// Duration of the run, including the warm-up.
     pub duration_s: f64,
-    /// Time before the measured window begins.
+    /// Time from the start of the run to the measured window.
     pub warmup_s: f64,
     pub controllers: Controllers,
-    pub state: State,
+    pub state: StateServiceLimits,
     pub cloud: CloudLimits,
     pub workers: Workers,
     pub services: Services,
-    /// Classes of arrays that arrive during the run.
+    /// Classes of array jobs that are submitted during the run.
     #[serde(default)]
-    pub classes: Vec<Class>,
+    pub classes: Vec<JobClass>,
+    /// Faults that are injected during the run.
     #[serde(default)]
     pub faults: Vec<Fault>,
 }
@@ -59,7 +60,7 @@
     pub count: u32,
     pub teams: u32,
     pub zones: Vec<String>,
-    /// Log level of the controllers (`LOG_LEVEL`).
+    /// Log level of the controllers (their environment variable `LOG_LEVEL`).
     #[serde(default = "error_level")]
     pub log: String,
 }
@@ -68,93 +69,95 @@
     "error".into()
 }
 
-/// Allowances of the state service.
+/// Limits and latency of the simulated state service.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct State {
+pub struct StateServiceLimits {
     pub requests_per_s: f64,
     pub writes_per_s: f64,
     pub value_kb: f64,
     pub txn_ops: usize,
-    /// Time that each request takes; watches wait besides.
+    /// Latency of each request; a watch additionally waits for changes.
     pub latency_ms: f64,
 }
 
-/// Allowances of the cloud.
+/// Rate limit and latency of the simulated cloud.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct CloudLimits {
     pub requests_per_s: f64,
-    /// Time that each request takes.
+    /// Latency of each request.
     pub latency_ms: f64,
 }
 
-/// The hollow workers.
+/// The simulated workers; they run no tasks.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Workers {
-    /// Machines that the cloud has, evenly in all zones.
+    /// Machines that the cloud can rent out, spread evenly over the zones.
     pub count: u32,
-    /// Workers in one process.
+    /// Workers simulated by one process.
     pub per_process: u32,
+    /// Heartbeat interval.
     pub report_s: f64,
     pub lease_s: f64,
     pub cancel_s: f64,
 }
 
-/// Services that run from the beginning on and decide how many machines are rented.
+/// Service jobs that are submitted from the start of the run; their demand decides how many machines are rented.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Services {
-    /// Part of all machines' CPUs that they take.
+    /// Fraction of all machines' CPUs that the services use together.
     pub fill: f64,
-    /// Replicas of one job.
+    /// Replicas of each service job.
     pub replicas: u64,
-    /// CPUs of one replica.
+    /// CPUs of each replica.
     pub cpus: f64,
-    /// Jobs submitted each second until all are there.
+    /// Service jobs submitted per second until all are submitted.
     pub per_s: f64,
 }
 
-/// A class of arrays.
+/// A class of array jobs.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Class {
+pub struct JobClass {
     pub name: String,
     pub priority: Priority,
-    /// Jobs a second, as a Poisson process.
+    /// Mean rate of submissions, which are a Poisson process.
     pub jobs_per_s: f64,
-    /// Fewest and most tasks of a job.
+    /// Smallest and largest number of tasks of a job.
     pub tasks: [u64; 2],
+    /// CPUs of each task.
     pub cpus: f64,
-    /// Run time of a task.
+    /// Run time of each task.
     pub run_s: f64,
-    /// Part of the jobs that their users cancel while they run.
+    /// Fraction of the jobs that their users cancel while they run.
     #[serde(default)]
     pub cancelled: f64,
 }
 
-/// What goes wrong, at a time from the begin of the run.
+/// A fault that is injected `at_s` seconds after the start of the run.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "kind", rename_all = "snake_case", deny_unknown_fields)]
 pub enum Fault {
-    /// A controller is killed and started again.
+    /// A controller is killed, and started again after `down_s`.
     KillController {
         at_s: f64,
         controller: u32,
         down_s: f64,
     },
-    /// The state service answers 503.
+    /// The state service answers every request with 503.
     StateOutage { at_s: f64, for_s: f64 },
-    /// A part of the workers closes its connections and is silent.
+    /// A fraction `part` of the workers close their connections and send nothing.
     RestartWorkers { at_s: f64, for_s: f64, part: f64 },
-    /// The workers of a zone are silent.
+    /// The workers of a zone send nothing.
     CutZone { at_s: f64, for_s: f64, zone: String },
 }
 
 impl Fault {
-    /// Begin and end, in seconds from the begin of the run.
-    pub fn span_s(&self) -> (f64, f64) {
+    /// Start and end of the fault, in seconds since the start of the run.
+    pub fn start_and_end_s(&self) -> (f64, f64) {
         match self {
             Fault::KillController { at_s, down_s, .. } => (*at_s, at_s + down_s),
             Fault::StateOutage { at_s, for_s }
@@ -165,194 +168,208 @@
 
     /// Whether the fault is active at a time of the run.
     pub fn is_active(&self, now_ms: u64) -> bool {
-        let (from, to) = self.span_s();
-        let now = now_ms as f64 / 1_000.0;
-        from <= now && now < to
+        let (start_s, end_s) = self.start_and_end_s();
+        let now_s = now_ms as f64 / 1_000.0;
+        start_s <= now_s && now_s < end_s
     }
 }
 
-fn bad<T>(field: impl Into<String>, problem: impl Into<String>) -> Result<T, ConfigError> {
+fn invalid_field<T>(
+    field: impl Into<String>,
+    problem: impl Into<String>,
+) -> Result<T, ConfigError> {
     Err(ConfigError::Field {
         field: field.into(),
         problem: problem.into(),
     })
 }
 
-/// Sets a field of the file, as `classes.0.run_s=2.0`.
-fn set(table: &mut toml::Value, change: &str) -> Result<(), ConfigError> {
-    let Some((path, text)) = change.split_once('=') else {
-        return bad(change, "is to be set as field=value");
+/// Overrides a field of the file; `assignment` is for example `classes.0.run_s=2.0`.
+fn override_field(table: &mut toml::Value, assignment: &str) -> Result<(), ConfigError> {
+    let Some((path, text)) = assignment.split_once('=') else {
+        return invalid_field(assignment, "an override has the form field=value");
     };
-    let mut place = table;
+    let mut target = table;
     for part in path.split('.') {
-        let next = match place {
+        let next = match target {
             toml::Value::Table(fields) => fields.get_mut(part),
-            toml::Value::Array(items) => {
-                part.parse::<usize>().ok().and_then(|at| items.get_mut(at))
-            }
+            toml::Value::Array(items) => part
+                .parse::<usize>()
+                .ok()
+                .and_then(|index| items.get_mut(index)),
             _ => None,
         };
         let Some(next) = next else {
-            return bad(path, "there is no such field");
+            return invalid_field(path, "no such field in the file");
         };
-        place = next;
+        target = next;
     }
     let parsed: Result<toml::Table, _> = toml::from_str(&format!("value = {text}"));
-    *place = match parsed {
+    *target = match parsed {
         Ok(mut parsed) => parsed.remove("value").unwrap_or_else(|| text.into()),
         Err(_) => text.into(),
     };
     Ok(())
 }
 
-fn within(field: &str, value: f64, least: f64, most: f64) -> Result<(), ConfigError> {
-    if value.is_finite() && (least..=most).contains(&value) {
+fn check_range(field: &str, value: f64, min: f64, max: f64) -> Result<(), ConfigError> {
+    if value.is_finite() && (min..=max).contains(&value) {
         return Ok(());
     }
-    bad(field, format!("{value} is not between {least} and {most}"))
+    invalid_field(field, format!("{value} is not between {min} and {max}"))
 }
 
 impl Experiment {
-    /// Reads and checks an experiment file.
+    /// Parses and validates an experiment file.
     pub fn parse(text: &str) -> Result<Self, ConfigError> {
-        Self::parse_with(text, &[])
+        Self::parse_with_overrides(text, &[])
     }
 
-    /// The same, with fields set otherwise: each as `workers.count=500`.
-    pub fn parse_with(text: &str, changes: &[String]) -> Result<Self, ConfigError> {
-        let syntax =
+    /// Parses and validates an experiment file after overriding fields, each given as in `workers.count=500`.
+    pub fn parse_with_overrides(text: &str, overrides: &[String]) -> Result<Self, ConfigError> {
+        let syntax_error =
             |e: toml::de::Error| ConfigError::Syntax(e.to_string().trim().replace('\n', " "));
-        let mut table: toml::Value = toml::from_str::<toml::Table>(text).map_err(syntax)?.into();
-        for change in changes {
-            set(&mut table, change)?;
+        let mut table: toml::Value = toml::from_str::<toml::Table>(text)
+            .map_err(syntax_error)?
+            .into();
+        for assignment in overrides {
+            override_field(&mut table, assignment)?;
         }
         let experiment: Experiment =
-            toml::from_str(&toml::to_string(&table).unwrap_or_default()).map_err(syntax)?;
-        experiment.check()?;
+            toml::from_str(&toml::to_string(&table).unwrap_or_default()).map_err(syntax_error)?;
+        experiment.validate()?;
         Ok(experiment)
     }
 
-    fn check(&self) -> Result<(), ConfigError> {
+    fn validate(&self) -> Result<(), ConfigError> {
         if self.name.is_empty() {
-            return bad("name", "must not be empty");
+            return invalid_field("name", "must not be empty");
         }
-        within("duration_s", self.duration_s, 1.0, MAX_DURATION_S)?;
-        within("warmup_s", self.warmup_s, 0.0, self.duration_s - 1.0)?;
-        self.check_controllers()?;
-        self.check_allowances()?;
-        self.check_workers()?;
-        within("services.fill", self.services.fill, 0.0, 1.0)?;
-        within(
+        check_range("duration_s", self.duration_s, 1.0, MAX_DURATION_S)?;
+        check_range("warmup_s", self.warmup_s, 0.0, self.duration_s - 1.0)?;
+        self.validate_controllers()?;
+        self.validate_service_limits()?;
+        self.validate_workers()?;
+        check_range("services.fill", self.services.fill, 0.0, 1.0)?;
+        check_range(
             "services.replicas",
             self.services.replicas as f64,
             1.0,
             100_000.0,
         )?;
-        within("services.cpus", self.services.cpus, 0.01, MACHINE_CPUS)?;
-        within("services.per_s", self.services.per_s, 0.1, 1_000.0)?;
-        self.check_classes()?;
-        self.check_faults()
+        check_range("services.cpus", self.services.cpus, 0.01, MACHINE_CPUS)?;
+        check_range("services.per_s", self.services.per_s, 0.1, 1_000.0)?;
+        self.validate_classes()?;
+        self.validate_faults()
     }
 
-    fn check_controllers(&self) -> Result<(), ConfigError> {
+    fn validate_controllers(&self) -> Result<(), ConfigError> {
         let controllers = &self.controllers;
-        within("controllers.count", f64::from(controllers.count), 1.0, 50.0)?;
-        within(
+        check_range("controllers.count", f64::from(controllers.count), 1.0, 50.0)?;
+        check_range(
             "controllers.teams",
             f64::from(controllers.teams),
             1.0,
             500.0,
         )?;
         if controllers.zones.is_empty() {
-            return bad("controllers.zones", "must name at least one zone");
+            return invalid_field("controllers.zones", "must name at least one zone");
         }
-        let named: BTreeSet<&String> = controllers.zones.iter().collect();
-        if named.len() < controllers.zones.len() {
-            return bad("controllers.zones", "names a zone twice");
+        let distinct: BTreeSet<&String> = controllers.zones.iter().collect();
+        if distinct.len() < controllers.zones.len() {
+            return invalid_field("controllers.zones", "must not name a zone twice");
         }
         if !["error", "info", "debug"].contains(&controllers.log.as_str()) {
-            return bad("controllers.log", "must be error, info or debug");
+            return invalid_field("controllers.log", "must be error, info or debug");
         }
         Ok(())
     }
 
-    fn check_allowances(&self) -> Result<(), ConfigError> {
-        within("state.requests_per_s", self.state.requests_per_s, 1.0, 1e6)?;
-        within("state.writes_per_s", self.state.writes_per_s, 1.0, 1e6)?;
-        within("state.value_kb", self.state.value_kb, 1.0, 64.0)?;
-        within("state.txn_ops", self.state.txn_ops as f64, 2.0, 128.0)?;
-        within("state.latency_ms", self.state.latency_ms, 0.0, 1_000.0)?;
-        within("cloud.requests_per_s", self.cloud.requests_per_s, 0.1, 1e6)?;
-        within("cloud.latency_ms", self.cloud.latency_ms, 0.0, 3_000.0)
+    fn validate_service_limits(&self) -> Result<(), ConfigError> {
+        check_range("state.requests_per_s", self.state.requests_per_s, 1.0, 1e6)?;
+        check_range("state.writes_per_s", self.state.writes_per_s, 1.0, 1e6)?;
+        check_range("state.value_kb", self.state.value_kb, 1.0, 64.0)?;
+        check_range("state.txn_ops", self.state.txn_ops as f64, 2.0, 128.0)?;
+        check_range("state.latency_ms", self.state.latency_ms, 0.0, 1_000.0)?;
+        check_range("cloud.requests_per_s", self.cloud.requests_per_s, 0.1, 1e6)?;
+        check_range("cloud.latency_ms", self.cloud.latency_ms, 0.0, 3_000.0)
     }
 
-    fn check_workers(&self) -> Result<(), ConfigError> {
+    fn validate_workers(&self) -> Result<(), ConfigError> {
         let workers = &self.workers;
-        within(
+        check_range(
             "workers.count",
             f64::from(workers.count),
             1.0,
             f64::from(MAX_WORKERS),
         )?;
-        within(
+        check_range(
             "workers.per_process",
             f64::from(workers.per_process),
             1.0,
             10_000.0,
         )?;
-        within("workers.report_s", workers.report_s, 0.5, 60.0)?;
-        within(
+        check_range("workers.report_s", workers.report_s, 0.5, 60.0)?;
+        check_range(
             "workers.lease_s",
             workers.lease_s,
             2.0 * workers.report_s,
             600.0,
         )?;
-        within("workers.cancel_s", workers.cancel_s, workers.lease_s, 600.0)
+        check_range("workers.cancel_s", workers.cancel_s, workers.lease_s, 600.0)
     }
 
-    fn check_classes(&self) -> Result<(), ConfigError> {
+    fn validate_classes(&self) -> Result<(), ConfigError> {
         if self.classes.len() > MAX_CLASSES {
-            return bad("classes", format!("more than {MAX_CLASSES}"));
+            return invalid_field("classes", format!("must not be more than {MAX_CLASSES}"));
         }
-        for (at, class) in self.classes.iter().enumerate() {
-            let field = |name: &str| format!("classes[{at}].{name}");
-            if class.name.is_empty() || self.classes[..at].iter().any(|c| c.name == class.name) {
-                return bad(field("name"), "must be there, and not twice");
+        for (index, class) in self.classes.iter().enumerate() {
+            let field = |name: &str| format!("classes[{index}].{name}");
+            if class.name.is_empty() || self.classes[..index].iter().any(|c| c.name == class.name) {
+                return invalid_field(field("name"), "must not be empty or used twice");
             }
-            within(&field("jobs_per_s"), class.jobs_per_s, 0.001, 1_000.0)?;
-            within(&field("tasks[0]"), class.tasks[0] as f64, 1.0, 100_000.0)?;
-            within(
+            check_range(&field("jobs_per_s"), class.jobs_per_s, 0.001, 1_000.0)?;
+            check_range(&field("tasks[0]"), class.tasks[0] as f64, 1.0, 100_000.0)?;
+            check_range(
                 &field("tasks[1]"),
                 class.tasks[1] as f64,
                 class.tasks[0] as f64,
                 100_000.0,
             )?;
-            within(&field("cpus"), class.cpus, 0.01, MACHINE_CPUS)?;
-            within(&field("run_s"), class.run_s, 0.1, 86_400.0)?;
-            within(&field("cancelled"), class.cancelled, 0.0, 1.0)?;
+            check_range(&field("cpus"), class.cpus, 0.01, MACHINE_CPUS)?;
+            check_range(&field("run_s"), class.run_s, 0.1, 86_400.0)?;
+            check_range(&field("cancelled"), class.cancelled, 0.0, 1.0)?;
         }
         Ok(())
     }
 
-    fn check_faults(&self) -> Result<(), ConfigError> {
-        for (at, fault) in self.faults.iter().enumerate() {
-            let field = |name: &str| format!("faults[{at}].{name}");
-            let (from, to) = fault.span_s();
-            within(&field("at_s"), from, 0.0, self.duration_s)?;
-            let length = match fault {
+    fn validate_faults(&self) -> Result<(), ConfigError> {
+        for (index, fault) in self.faults.iter().enumerate() {
+            let field = |name: &str| format!("faults[{index}].{name}");
+            let (start_s, end_s) = fault.start_and_end_s();
+            check_range(&field("at_s"), start_s, 0.0, self.duration_s)?;
+            let duration_field = match fault {
                 Fault::KillController { .. } => "down_s",
                 _ => "for_s",
             };
-            within(&field(length), to - from, 0.1, self.duration_s)?;
+            check_range(
+                &field(duration_field),
+                end_s - start_s,
+                0.1,
+                self.duration_s,
+            )?;
             match fault {
                 Fault::KillController { controller, .. }
                     if *controller >= self.controllers.count =>
                 {
-                    return bad(field("controller"), "there is no such controller");
+                    return invalid_field(field("controller"), "no controller has this number");
                 }
-                Fault::RestartWorkers { part, .. } => within(&field("part"), *part, 0.0, 1.0)?,
+                Fault::RestartWorkers { part, .. } => check_range(&field("part"), *part, 0.0, 1.0)?,
                 Fault::CutZone { zone, .. } if !self.controllers.zones.contains(zone) => {
-                    return bad(field("zone"), format!("there is no zone `{zone}`"));
+                    return invalid_field(
+                        field("zone"),
+                        format!("zone `{zone}` is not in controllers.zones"),
+                    );
                 }
                 _ => {}
             }
@@ -360,8 +377,8 @@
         Ok(())
     }
 
-    /// Processes that hold workers.
-    pub fn worker_processes(&self) -> u32 {
+    /// Number of processes that simulate workers.
+    pub fn worker_process_count(&self) -> u32 {
         self.workers.count.div_ceil(self.workers.per_process)
     }
 }
--- a/crates/loadtest/src/controllers.rs
+++ b/crates/loadtest/src/controllers.rs
@@ -145,7 +145,7 @@
         };
         let controller = &mut self.controllers[index];
         controller.executed_kills.push(fault_index);
-        controller.start_at_ms = (fault.span_s().1 * 1_000.0) as u64;
+        controller.start_at_ms = (fault.start_and_end_s().1 * 1_000.0) as u64;
         if let Some(mut child) = controller.child.take() {
             let _ = child.kill();
             let _ = child.wait();
--- a/crates/loadtest/src/experiment.rs
+++ b/crates/loadtest/src/experiment.rs
@@ -104,7 +104,7 @@
         started_us: u64,
     ) -> Result<(), String> {
         let workers =
-            (0..self.experiment.worker_processes()).map(|process| Role::Workers { process });
+            (0..self.experiment.worker_process_count()).map(|process| Role::Workers { process });
         let program = programs.controller.to_string_lossy().into_owned();
         let roles = [Role::StateService, Role::Cloud]
             .into_iter()
--- a/crates/loadtest/src/limits.rs
+++ b/crates/loadtest/src/limits.rs
@@ -114,7 +114,7 @@
     /// Checks an experiment's expected use of resources before it starts.
     pub fn check_expected_use(&self, experiment: &Experiment) -> Result<(), LimitError> {
         self.check_open_files(experiment)?;
-        let processes = experiment.worker_processes() as usize;
+        let processes = experiment.worker_process_count() as usize;
         check_processes(processes + experiment.controllers.count as usize + 5)?;
         let workers = u64::from(experiment.workers.count);
         let controllers = u64::from(experiment.controllers.count);
--- a/crates/loadtest/src/main.rs
+++ b/crates/loadtest/src/main.rs
@@ -1,4 +1,4 @@
-//! Load tests of trackcrank on one machine, see `docs/operations.md`.
+//! Command line of the load tests, which run on one machine; see `docs/operations.md`.
 
 use clap::{Parser, Subcommand};
 use loadtest::config::Experiment;
@@ -8,7 +8,7 @@
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
-/// Runs real controllers against stand-ins over loopback, and measures them.
+/// Measures real controller processes against simulated services, workers and users over loopback.
 #[derive(Parser)]
 struct Arguments {
     #[command(subcommand)]
@@ -17,36 +17,36 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Runs an experiment.
+    /// Runs an experiment and reports what it measured.
     Run {
         /// The experiment file.
         file: PathBuf,
-        /// The controller program; by default the one beside this program.
+        /// The controller program; by default `trackcrank` in the directory of this program.
         #[arg(long)]
         controller: Option<PathBuf>,
-        /// Prints the report as JSON on standard output.
+        /// Prints the report as JSON on standard output instead of a summary.
         #[arg(long)]
         json: bool,
-        /// Writes the report as JSON into a file.
+        /// Writes the report as JSON to this file.
         #[arg(long)]
         report: Option<PathBuf>,
-        /// Sets a field of the file otherwise, as `workers.count=500`.
+        /// Overrides a field of the experiment file, for example `workers.count=500`.
         #[arg(long)]
         set: Vec<String>,
     },
-    /// Checks an experiment file without running it.
+    /// Validates an experiment file without running it.
     Check { file: PathBuf },
-    /// Fits lines through the reports in a directory and prints the tables of docs/capacity.md.
+    /// Fits a linear model to the reports in a directory and prints the tables of docs/capacity.md.
     Capacity {
         directory: PathBuf,
-        /// Writes the tables into this page, between its marks.
+        /// Writes the tables into this page, between its markers, instead of printing them.
         #[arg(long)]
         page: Option<PathBuf>,
-        /// Prints the fits as JSON.
+        /// Prints the rows of the table of quantities as JSON instead.
         #[arg(long)]
         json: bool,
     },
-    /// One of the processes of a run; started by `run`.
+    /// Runs one of the processes of an experiment; started by `run`.
     #[command(hide = true)]
     Role,
 }
@@ -59,11 +59,11 @@
             json,
             report,
             set,
-        } => load(&file, &set)
+        } => load_experiment(&file, &set)
             .and_then(|experiment| run(&experiment, controller, json, report.as_deref())),
-        Command::Check { file } => load(&file, &[]).map(|experiment| {
+        Command::Check { file } => load_experiment(&file, &[]).map(|experiment| {
             println!(
-                "{}: good, {} workers",
+                "{}: valid, {} workers",
                 experiment.name, experiment.workers.count
             );
             true
@@ -78,24 +78,25 @@
     match outcome {
         Ok(true) => ExitCode::SUCCESS,
         Ok(false) => ExitCode::FAILURE,
-        Err(problem) => {
-            eprintln!("trackcrank-loadtest: {problem}");
+        Err(error) => {
+            eprintln!("trackcrank-loadtest: {error}");
             ExitCode::FAILURE
         }
     }
 }
 
-fn load(file: &Path, changes: &[String]) -> Result<Experiment, String> {
+fn load_experiment(file: &Path, overrides: &[String]) -> Result<Experiment, String> {
     let text = std::fs::read_to_string(file).map_err(|e| format!("{}: {e}", file.display()))?;
-    Experiment::parse_with(&text, changes).map_err(|e| format!("{}: {e}", file.display()))
+    Experiment::parse_with_overrides(&text, overrides)
+        .map_err(|e| format!("{}: {e}", file.display()))
 }
 
-/// Runs an experiment; false if it was not whole or broke a rule.
+/// Runs an experiment; false if the run did not complete or a rule was broken.
 fn run(
     experiment: &Experiment,
     controller: Option<PathBuf>,
     json: bool,
-    to: Option<&Path>,
+    report_path: Option<&Path>,
 ) -> Result<bool, String> {
     let loadtest = std::env::current_exe().map_err(|e| e.to_string())?;
     let controller = controller.unwrap_or_else(|| loadtest.with_file_name("trackcrank"));
@@ -105,18 +106,19 @@
     };
     let report = experiment::run(experiment, &programs, &mut |line| eprintln!("{line}"))?;
     let text = serde_json::to_string(&report).map_err(|e| e.to_string())?;
-    if let Some(to) = to {
-        std::fs::write(to, format!("{text}\n")).map_err(|e| format!("{}: {e}", to.display()))?;
+    if let Some(path) = report_path {
+        std::fs::write(path, format!("{text}\n"))
+            .map_err(|e| format!("{}: {e}", path.display()))?;
     }
     if json {
         println!("{text}");
     } else {
-        summarize(&report);
+        print_summary(&report);
     }
     Ok(report.ended == "whole" && report.rules.broken.is_empty())
 }
 
-fn summarize(report: &Report) {
+fn print_summary(report: &Report) {
     println!("{}: {} ({})", report.name, report.ended, report.setting);
     for (name, value) in &report.rates {
         println!("  {name}: {value:.1}");
@@ -138,12 +140,12 @@
     for (class, latencies) in &report.latencies {
         let start = latencies.first_start;
         println!(
-            "  {class}: accepted within {:.0} ms (p99), first start p50 {:.0} ms, p99 {:.0} ms, max {:.0} ms",
+            "  {class}: acceptance p99 {:.0} ms, first start p50 {:.0} ms, p99 {:.0} ms, max {:.0} ms",
             latencies.accept.p99_ms, start.p50_ms, start.p99_ms, start.max_ms
         );
     }
-    for ended in &report.unexpected_ends {
-        println!("  ended by itself: {ended}");
+    for exit in &report.unexpected_ends {
+        println!("  unexpected exit: {exit}");
     }
     println!("  broken rules: {}", report.rules.broken.len());
     for broken in &report.rules.broken {
--- a/crates/loadtest/tests/config.rs
+++ b/crates/loadtest/tests/config.rs
@@ -6,7 +6,7 @@
 const SMALL: &str = include_str!("../experiments/small.toml");
 
 fn problem(change: &str) -> String {
-    Experiment::parse_with(SMALL, &[change.to_owned()])
+    Experiment::parse_with_overrides(SMALL, &[change.to_owned()])
         .expect_err(change)
         .to_string()
 }
@@ -65,7 +65,7 @@
     };
     let checked = |changes: &[&str], machine: HostResources| {
         let changes: Vec<String> = changes.iter().map(|c| (*c).to_owned()).collect();
-        let experiment = Experiment::parse_with(SMALL, &changes).expect("a good file");
+        let experiment = Experiment::parse_with_overrides(SMALL, &changes).expect("a good file");
         machine
             .check_expected_use(&experiment)
             .map_err(|e| e.to_string())
--- a/crates/loadtest/tests/rules.rs
+++ b/crates/loadtest/tests/rules.rs
@@ -11,7 +11,7 @@
 fn experiment() -> Experiment {
     let text = include_str!("../experiments/small.toml");
     let one_task = ["classes.0.tasks=[1, 1]".to_owned()];
-    Experiment::parse_with(text, &one_task).expect("a good file")
+    Experiment::parse_with_overrides(text, &one_task).expect("a good file")
 }
 
 fn task(at_s: u64, machine: u32, job: u64, change: TaskChange) -> TaskEvent {
