--- a/crates/loadtest/src/capacity.rs
+++ b/crates/loadtest/src/capacity.rs
@@ -1,49 +1,51 @@
-//! Fits through the reports of several sizes, and the tables made from them.
+//! The capacity tables: fits a linear model to the reports of runs of several sizes and extrapolates it to the planned
+//! size of a region.
 
 use crate::fit::{Estimate, Fit, Point};
-use crate::report::{is_controller, Report};
+use crate::report::{is_controller, Report, COMPLETED};
 use serde::{Deserialize, Serialize};
 use std::path::Path;
 
-/// Name of the experiments with different numbers of workers, and of those with different rates of starts.
+/// Names of the experiments that are fitted: one series varies the number of workers, the other the rate of task starts.
 const WORKERS_SERIES: &str = "workers";
 const STARTS_SERIES: &str = "starts";
-/// Kinds of messages to the state service and to the cloud.
+/// Kinds of requests to the state service and to the cloud, as in [`Report::traffic`].
 const STATE_KINDS: [&str; 7] = ["get", "list", "txn", "lease", "renew", "end lease", "watch"];
 const CLOUD_KINDS: [&str; 4] = ["machine types", "rent", "release", "list machines"];
 /// Kinds of messages between controllers and workers.
 const WORKER_KINDS: [&str; 3] = ["report", "commands", "status"];
-/// Marks in the page between which the tables are written.
-const BEGIN_MARK: &str = "<!-- capacity: begin -->";
-const END_MARK: &str = "<!-- capacity: end -->";
+/// Markers in the page between which the tables are written.
+const BEGIN_MARKER: &str = "<!-- capacity: begin -->";
+const END_MARKER: &str = "<!-- capacity: end -->";
 
-/// The planned size, its regions and their budgets.
+/// The planned size of the deployment and the budgets of each region, from `target.toml`.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Target {
-    /// Workers, running tasks and task starts a second at the peak, of the whole and evenly divided.
+    /// Workers of all regions together; they are evenly divided among the regions.
     pub workers: f64,
+    /// Peak rate of task starts of all regions together, also evenly divided.
     pub starts_per_s: f64,
     pub regions: f64,
-    /// Controllers of a region.
+    /// Controllers in each region.
     pub controllers: f64,
-    /// What one controller may use.
+    /// Budgets of each controller.
     pub controller_cores: f64,
     pub controller_memory_mb: f64,
     pub controller_sockets: f64,
-    /// What the state service and the cloud of a region allow a second.
+    /// Rate limits of the state service and of the cloud in each region.
     pub state_requests_per_s: f64,
     pub state_writes_per_s: f64,
     pub cloud_requests_per_s: f64,
-    /// What control may cost a worker.
+    /// Budget of each worker for traffic with controllers.
     pub worker_bytes_per_s: f64,
 }
 
-/// A measured quantity with its budget.
+/// A quantity of a report and its budget.
 struct Quantity {
     name: &'static str,
     unit: &'static str,
-    /// What carries it in the present design.
+    /// Modules that are responsible for it in the present design.
     module: &'static str,
     value: fn(&Report) -> f64,
     budget: fn(&Target) -> f64,
@@ -54,75 +56,76 @@
         name: "processor time, all controllers",
         unit: "cores",
         module: "`scheduler`, `scheduling-queue`, `controller::controller`",
-        value: |report| controllers(report, |p| p.cpu_mean).iter().sum(),
+        value: |report| controller_values(report, |p| p.cpu_mean).iter().sum(),
         budget: |target| target.controllers * target.controller_cores,
     },
     Quantity {
         name: "processor time, busiest controller",
         unit: "cores",
         module: "`controller::controller::fleet_planner`, `autoscaler`",
-        value: |report| most(&controllers(report, |p| p.cpu_mean)),
+        value: |report| max_of(&controller_values(report, |p| p.cpu_mean)),
         budget: |target| target.controller_cores,
     },
     Quantity {
         name: "processor time, busiest second of a controller",
         unit: "cores",
         module: "`controller::controller`",
-        value: |report| most(&controllers(report, |p| p.cpu_peak)),
+        value: |report| max_of(&controller_values(report, |p| p.cpu_peak)),
         budget: |target| target.controller_cores,
     },
     Quantity {
         name: "memory, largest controller",
         unit: "MB",
         module: "`controller::state_cache`, `scheduler::machine`",
-        value: |report| most(&controllers(report, |p| p.memory_mb_max)),
+        value: |report| max_of(&controller_values(report, |p| p.memory_mb_max)),
         budget: |target| target.controller_memory_mb,
     },
     Quantity {
         name: "sockets, fullest controller",
         unit: "sockets",
         module: "`trackcrank::server`, `trackcrank::clients`",
-        value: |report| most(&controllers(report, |p| p.sockets_max as f64)),
+        value: |report| max_of(&controller_values(report, |p| p.sockets_max as f64)),
         budget: |target| target.controller_sockets,
     },
     Quantity {
         name: "reports, all workers",
         unit: "messages/s",
         module: "`controller::controller::heartbeats`",
-        value: |report| messages(report, &["report"]),
+        value: |report| messages_per_s(report, &["report"]),
         budget: |_| f64::INFINITY,
     },
     Quantity {
         name: "control traffic, all workers",
         unit: "bytes/s",
         module: "`wire::workers`",
-        value: |report| bytes(report, &WORKER_KINDS),
+        value: |report| bytes_per_s(report, &WORKER_KINDS),
         budget: |target| target.workers / target.regions * target.worker_bytes_per_s,
     },
     Quantity {
         name: "state service, requests",
         unit: "requests/s",
         module: "`controller::request_budget`, `controller::state_cache` (watches)",
-        value: |report| messages(report, &STATE_KINDS),
+        value: |report| messages_per_s(report, &STATE_KINDS),
         budget: |target| target.state_requests_per_s,
     },
     Quantity {
         name: "state service, puts and deletes",
         unit: "writes/s",
         module: "`controller::placement_log`, `controller::records`",
-        value: |report| stand_in(report, "state service", "writes taken") / report.window_s,
+        value: |report| process_figure(report, "state service", "writes taken") / report.window_s,
         budget: |target| target.state_writes_per_s,
     },
     Quantity {
         name: "cloud, requests",
         unit: "requests/s",
         module: "`controller::controller::fleet_planner`",
-        value: |report| messages(report, &CLOUD_KINDS),
+        value: |report| messages_per_s(report, &CLOUD_KINDS),
         budget: |target| target.cloud_requests_per_s,
     },
 ];
 
-fn controllers(
+/// The value of each controller of a run.
+fn controller_values(
     report: &Report,
     value: impl Fn(&crate::processes::ProcessFigures) -> f64,
 ) -> Vec<f64> {
@@ -134,35 +137,39 @@
         .collect()
 }
 
-fn most(values: &[f64]) -> f64 {
+fn max_of(values: &[f64]) -> f64 {
     values.iter().copied().fold(0.0, f64::max)
 }
 
-fn messages(report: &Report, kinds: &[&str]) -> f64 {
+/// Rate of messages of some kinds, of all controllers together.
+fn messages_per_s(report: &Report, kinds: &[&str]) -> f64 {
     let all = report.traffic.values().flatten();
     all.filter(|(kind, _)| kinds.contains(&kind.as_str()))
         .map(|(_, t)| t.messages_per_s)
         .sum()
 }
 
-fn bytes(report: &Report, kinds: &[&str]) -> f64 {
+/// Rate of bytes of some kinds of messages, in both directions, of all controllers together.
+fn bytes_per_s(report: &Report, kinds: &[&str]) -> f64 {
     let all = report.traffic.values().flatten();
-    let ours = all.filter(|(kind, _)| kinds.contains(&kind.as_str()));
-    ours.map(|(_, t)| t.bytes_from_controller_per_s + t.bytes_to_controller_per_s)
+    let selected = all.filter(|(kind, _)| kinds.contains(&kind.as_str()));
+    selected
+        .map(|(_, t)| t.bytes_from_controller_per_s + t.bytes_to_controller_per_s)
         .sum()
 }
 
-fn stand_in(report: &Report, name: &str, figure: &str) -> f64 {
+/// A figure of a process with a simulated service, workers or users; 0 if it is not in the report.
+fn process_figure(report: &Report, process: &str, figure: &str) -> f64 {
     report
         .stand_ins
-        .get(name)
+        .get(process)
         .and_then(|f| f.get(figure))
         .copied()
         .unwrap_or_default()
 }
 
-/// Leases of workers that ran out.
-fn lapsed(report: &Report) -> f64 {
+/// Number of workers' leases that expired.
+fn expired_leases(report: &Report) -> f64 {
     report
         .stand_ins
         .values()
@@ -174,49 +181,51 @@
     report.rates.get(name).copied().unwrap_or_default()
 }
 
-/// A quantity with its fit and what that comes to at the size of a region.
+/// A row of the table of quantities: a quantity, its fit and the extrapolation to the size of a region.
 #[derive(Debug, Clone, Serialize)]
 pub struct Row {
     pub quantity: &'static str,
     pub unit: &'static str,
     pub module: &'static str,
+    /// `None` if the reports do not determine it.
     pub fit: Option<Fit>,
     pub extrapolated: Option<Estimate>,
     pub budget: f64,
 }
 
 impl Row {
-    fn of(quantity: &Quantity, reports: &[Report], target: &Target) -> Row {
+    fn new(quantity: &Quantity, reports: &[Report], target: &Target) -> Row {
         let series = [WORKERS_SERIES, STARTS_SERIES];
-        let fitted = reports.iter().filter(|r| series.contains(&r.name.as_str()));
-        let points: Vec<Point> = fitted
-            .filter(|report| report.ended == "whole")
+        let in_series = reports.iter().filter(|r| series.contains(&r.name.as_str()));
+        let points: Vec<Point> = in_series
+            .filter(|report| report.ended == COMPLETED)
             .map(|report| Point {
                 workers: rate(report, "workers"),
                 starts_per_s: rate(report, "task starts a second"),
                 value: (quantity.value)(report),
             })
             .collect();
-        let fit = Fit::of(&points);
+        let fit = Fit::from_points(&points);
         let workers = target.workers / target.regions;
-        let starts = target.starts_per_s / target.regions;
+        let starts_per_s = target.starts_per_s / target.regions;
         Row {
             quantity: quantity.name,
             unit: quantity.unit,
             module: quantity.module,
             fit,
-            extrapolated: fit.map(|fit| fit.at(workers, starts)),
+            extrapolated: fit.map(|fit| fit.predict(workers, starts_per_s)),
             budget: (quantity.budget)(target),
         }
     }
 
-    fn text(&self) -> String {
+    /// The row in Markdown.
+    fn markdown(&self) -> String {
         let budget = if self.budget.is_finite() {
-            number(self.budget)
+            format_number(self.budget)
         } else {
             "none set".into()
         };
-        let (Some(fit), Some(value)) = (self.fit, self.extrapolated) else {
+        let (Some(fit), Some(extrapolated)) = (self.fit, self.extrapolated) else {
             return format!(
                 "| {}, {} | not measured | | | | {budget} | | | |",
                 self.quantity, self.unit
@@ -230,63 +239,68 @@
             estimate_text(fit.per_worker, 1_000.0),
             estimate_text(fit.per_start, 100.0),
             fit.r_squared,
-            estimate_text(value, 1.0),
-            self.verdict(value.value),
-            self.end(fit.constant.value, value.value),
+            estimate_text(extrapolated, 1.0),
+            self.headroom_text(extrapolated.value),
+            self.scale_limit_text(fit.constant.value, extrapolated.value),
             self.module
         )
     }
 
-    /// How many times a region's workers and starts its budget carries.
-    fn end(&self, at_rest: f64, value: f64) -> String {
-        let growth = value - at_rest;
+    /// The multiple of a region's workers and task starts at which the budget is used up.
+    fn scale_limit_text(&self, at_rest: f64, extrapolated: f64) -> String {
+        let growth = extrapolated - at_rest;
         if !self.budget.is_finite() || growth <= 0.0 {
             return "-".into();
         }
-        number((self.budget - at_rest) / growth)
+        format_number((self.budget - at_rest) / growth)
     }
 
-    fn verdict(&self, value: f64) -> String {
+    /// The fraction of the budget that is left, or by how much the budget is exceeded.
+    fn headroom_text(&self, extrapolated: f64) -> String {
         if !self.budget.is_finite() {
             return "-".into();
         }
-        let times = self.budget / value.max(f64::EPSILON);
-        if times >= 1.0 {
-            format!("{}%", ((1.0 - 1.0 / times) * 100.0).round())
+        let budget_ratio = self.budget / extrapolated.max(f64::EPSILON);
+        if budget_ratio >= 1.0 {
+            format!("{}%", ((1.0 - 1.0 / budget_ratio) * 100.0).round())
         } else {
-            format!("**does not fit: {:.1} times the budget**", 1.0 / times)
+            format!(
+                "**does not fit: {:.1} times the budget**",
+                1.0 / budget_ratio
+            )
         }
     }
 }
 
-fn estimate_text(estimate: Estimate, times: f64) -> String {
+/// An estimate and its standard error, both multiplied by `factor`.
+fn estimate_text(estimate: Estimate, factor: f64) -> String {
     format!(
         "{} ± {}",
-        number(estimate.value * times),
-        number(estimate.error * times)
+        format_number(estimate.value * factor),
+        format_number(estimate.standard_error * factor)
     )
 }
 
-/// Three digits, without an exponent.
-fn number(value: f64) -> String {
-    let size = value.abs();
-    match size {
+/// Formats a number to about three significant digits, without an exponent.
+fn format_number(value: f64) -> String {
+    let magnitude = value.abs();
+    match magnitude {
         0.0 => "0".into(),
-        _ if size >= 100.0 => format!("{value:.0}"),
-        _ if size >= 10.0 => format!("{value:.1}"),
-        _ if size >= 1.0 => format!("{value:.2}"),
-        _ if size >= 0.01 => format!("{value:.3}"),
+        _ if magnitude >= 100.0 => format!("{value:.0}"),
+        _ if magnitude >= 10.0 => format!("{value:.1}"),
+        _ if magnitude >= 1.0 => format!("{value:.2}"),
+        _ if magnitude >= 0.01 => format!("{value:.3}"),
         _ => format!("{value:.5}"),
     }
 }
 
-/// Reads all reports of a directory and prints or writes the tables.
-pub fn command(directory: &Path, page: Option<&Path>, json: bool) -> Result<(), String> {
+/// Reads all reports of a directory and prints the tables, or writes them into `page`.
+pub fn run_command(directory: &Path, page: Option<&Path>, json: bool) -> Result<(), String> {
     let target = read_target(directory)?;
     let reports = read_reports(directory)?;
     let rows: Vec<Row> = QUANTITIES
         .iter()
-        .map(|q| Row::of(q, &reports, &target))
+        .map(|q| Row::new(q, &reports, &target))
         .collect();
     if json {
         let text = serde_json::to_string(&rows).map_err(|e| e.to_string())?;
@@ -310,48 +324,49 @@
 }
 
 fn read_reports(directory: &Path) -> Result<Vec<Report>, String> {
-    let problem = |path: &Path, e: &dyn std::fmt::Display| format!("{}: {e}", path.display());
-    let entries = std::fs::read_dir(directory).map_err(|e| problem(directory, &e))?;
+    let error_text = |path: &Path, e: &dyn std::fmt::Display| format!("{}: {e}", path.display());
+    let entries = std::fs::read_dir(directory).map_err(|e| error_text(directory, &e))?;
     let mut paths: Vec<_> = entries.flatten().map(|entry| entry.path()).collect();
     paths.retain(|path| {
         path.extension()
             .is_some_and(|extension| extension == "json")
     });
     paths.sort();
-    let read = |path: &std::path::PathBuf| {
-        let text = std::fs::read_to_string(path).map_err(|e| problem(path, &e))?;
-        serde_json::from_str(&text).map_err(|e| problem(path, &e))
+    let read_report = |path: &std::path::PathBuf| {
+        let text = std::fs::read_to_string(path).map_err(|e| error_text(path, &e))?;
+        serde_json::from_str(&text).map_err(|e| error_text(path, &e))
     };
-    paths.iter().map(read).collect()
+    paths.iter().map(read_report).collect()
 }
 
 fn write_page(page: &Path, tables: &str) -> Result<(), String> {
     let text = std::fs::read_to_string(page).map_err(|e| format!("{}: {e}", page.display()))?;
-    let marks = || {
+    let missing_markers = || {
         format!(
-            "{}: the marks {BEGIN_MARK} and {END_MARK} are missing",
+            "{}: the markers {BEGIN_MARKER} and {END_MARKER} are missing",
             page.display()
         )
     };
-    let (before, rest) = text.split_once(BEGIN_MARK).ok_or_else(marks)?;
-    let (_, after) = rest.split_once(END_MARK).ok_or_else(marks)?;
-    let text = format!("{before}{BEGIN_MARK}\n\n{tables}\n{END_MARK}{after}");
+    let (before, rest) = text.split_once(BEGIN_MARKER).ok_or_else(missing_markers)?;
+    let (_, after) = rest.split_once(END_MARKER).ok_or_else(missing_markers)?;
+    let text = format!("{before}{BEGIN_MARKER}\n\n{tables}\n{END_MARKER}{after}");
     std::fs::write(page, text).map_err(|e| format!("{}: {e}", page.display()))
 }
 
+/// The tables in Markdown: one of the quantities and one of the runs.
 fn tables(rows: &[Row], reports: &[Report], target: &Target) -> String {
     let mut lines = vec![
         format!(
             "At one of {} regions: {} workers, {} starts a second at the peak.",
             target.regions,
-            number(target.workers / target.regions),
-            number(target.starts_per_s / target.regions)
+            format_number(target.workers / target.regions),
+            format_number(target.starts_per_s / target.regions)
         ),
         String::new(),
         "| quantity | at rest | + for 1,000 workers | + for 100 starts a second | at a region's size | budget | headroom | ends at, times a region's size | carried by |".into(),
         "| --- | --- | --- | --- | --- | --- | --- | --- | --- |".into(),
     ];
-    lines.extend(rows.iter().map(Row::text));
+    lines.extend(rows.iter().map(Row::markdown));
     lines.extend([
         String::new(),
         "The runs, one line each:".into(),
@@ -361,40 +376,43 @@
     ]);
     let mut reports: Vec<&Report> = reports.iter().collect();
     reports.sort_by(|a, b| {
-        let key = |r: &Report| (r.name.clone(), rate(r, "workers").round() as u64);
-        key(a)
-            .cmp(&key(b))
+        let name_and_workers = |r: &Report| (r.name.clone(), rate(r, "workers").round() as u64);
+        name_and_workers(a)
+            .cmp(&name_and_workers(b))
             .then(rate(a, "task starts a second").total_cmp(&rate(b, "task starts a second")))
     });
-    lines.extend(reports.into_iter().map(run_line));
+    lines.extend(reports.into_iter().map(run_row));
     lines.join("\n") + "\n"
 }
 
-fn run_line(report: &Report) -> String {
-    let cpu = controllers(report, |p| p.cpu_mean);
+/// The row of a run in Markdown.
+fn run_row(report: &Report) -> String {
+    let cpu_means = controller_values(report, |p| p.cpu_mean);
     let latencies = report.latencies.get("urgent").copied().unwrap_or_default();
-    let (accepted, urgent) = (latencies.accept, latencies.first_start);
+    let (acceptance, start) = (latencies.accept, latencies.first_start);
     let cells = [
         report.name.clone(),
         report.experiment.seed.to_string(),
         report.ended.clone(),
         format!("{:.0}", rate(report, "workers")),
         format!("{:.0}", rate(report, "tasks")),
-        number(rate(report, "task starts a second")),
-        number(cpu.iter().sum()),
+        format_number(rate(report, "task starts a second")),
+        format_number(cpu_means.iter().sum()),
         format!(
             "{} ({})",
-            number(most(&cpu)),
-            number(most(&controllers(report, |p| p.cpu_peak)))
+            format_number(max_of(&cpu_means)),
+            format_number(max_of(&controller_values(report, |p| p.cpu_peak)))
         ),
-        number(most(&controllers(report, |p| p.memory_mb_max))),
-        number(most(&controllers(report, |p| p.sockets_max as f64))),
-        number(messages(report, &STATE_KINDS)),
-        number(stand_in(report, "state service", "writes taken") / report.window_s),
-        number(stand_in(report, "state service", "writes refused (429)") / report.window_s),
-        format!("{:.0}", accepted.p99_ms),
-        format!("{:.0}, {:.0}", urgent.p50_ms, urgent.p99_ms),
-        number(lapsed(report)),
+        format_number(max_of(&controller_values(report, |p| p.memory_mb_max))),
+        format_number(max_of(&controller_values(report, |p| p.sockets_max as f64))),
+        format_number(messages_per_s(report, &STATE_KINDS)),
+        format_number(process_figure(report, "state service", "writes taken") / report.window_s),
+        format_number(
+            process_figure(report, "state service", "writes refused (429)") / report.window_s,
+        ),
+        format!("{:.0}", acceptance.p99_ms),
+        format!("{:.0}, {:.0}", start.p50_ms, start.p99_ms),
+        format_number(expired_leases(report)),
         report.rules.broken.len().to_string(),
         format!("{:.0}", report.machine.load_after),
     ];
--- a/crates/loadtest/src/main.rs
+++ b/crates/loadtest/src/main.rs
@@ -72,7 +72,7 @@
             directory,
             page,
             json,
-        } => capacity::command(&directory, page.as_deref(), json).map(|()| true),
+        } => capacity::run_command(&directory, page.as_deref(), json).map(|()| true),
         Command::Role => role::run().map(|()| true),
     };
     match outcome {
@@ -115,7 +115,7 @@
     } else {
         print_summary(&report);
     }
-    Ok(report.ended == "whole" && report.rules.broken.is_empty())
+    Ok(report.ended == report::COMPLETED && report.rules.broken.is_empty())
 }
 
 fn print_summary(report: &Report) {
--- a/crates/loadtest/src/report.rs
+++ b/crates/loadtest/src/report.rs
@@ -1,4 +1,4 @@
-//! The report of a run.
+//! The report of a run: its format (JSON) and the rates and latencies in it.
 
 use crate::config::Experiment;
 use crate::http::{Traffic, TrafficTotals};
@@ -10,53 +10,57 @@
 use std::collections::{BTreeMap, HashMap};
 use wire::users::{JobKind, JobState};
 
-/// How the figures came about, in every report.
-pub const SETTING: &str = "real controller processes over loopback on one shared machine; state \
+/// Value of `Report::ended` for a run that completed.
+pub const COMPLETED: &str = "whole";
+/// How the figures were measured; part of every report.
+pub const MEASUREMENT_SETUP: &str =
+    "real controller processes over loopback on one shared machine; state \
     service, cloud, workers and users are stand-ins, no tasks are run";
-/// Digits that histograms keep, and the longest latency that they tell apart.
-const DIGITS: u8 = 3;
+/// Precision of the latency histograms, in significant decimal digits.
+const HISTOGRAM_DIGITS: u8 = 3;
+/// Longer latencies are recorded as this one.
 const MAX_LATENCY_US: u64 = 3_600_000_000;
 
-/// What a run measured.
+/// The results of a run. Stored reports must stay readable.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Report {
     pub name: String,
     pub setting: String,
-    /// Seconds since 1970 at the begin.
+    /// Start of the run, in seconds since 1970.
     pub started_s: u64,
     /// Length of the measured window.
     pub window_s: f64,
-    /// How the run ended: `whole`, or why not.
+    /// [`COMPLETED`], or why the run did not complete.
     pub ended: String,
-    pub machine: MachineFigures,
-    /// Means over the window, by name.
+    pub machine: HostFigures,
+    /// Rates of events and mean worker figures in the window, by name.
     pub rates: BTreeMap<String, f64>,
     pub processes: Vec<ProcessFigures>,
-    /// Messages and bytes a second in the window, by controller (`all` for direct commands) and kind.
+    /// Rates of messages and bytes in the window, by controller (`all` for direct commands) and message kind.
     pub traffic: BTreeMap<String, BTreeMap<String, TrafficRate>>,
-    /// What the stand-ins counted.
+    /// Figures of the simulated services, workers and users, by process and name.
     pub stand_ins: BTreeMap<String, BTreeMap<String, f64>>,
-    /// Latencies by class.
+    /// Latencies by job class.
     pub latencies: BTreeMap<String, ClassLatencies>,
-    /// Controllers that ended by themselves.
+    /// Exits of controllers that the experiment did not kill.
     pub unexpected_ends: Vec<String>,
     pub rules: Verdict,
     pub experiment: Experiment,
 }
 
-/// The machine of a run.
+/// The host of a run.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
-pub struct MachineFigures {
+pub struct HostFigures {
     pub cores: usize,
     pub memory_gb: f64,
-    /// Load averages over a minute before and at the end: others share the machine.
+    /// One-minute load averages before the run and at its end; other programs may run on the host too.
     pub load_before: f64,
     pub load_after: f64,
-    /// Most memory of all processes of the run together.
+    /// Peak memory of all processes of the run together.
     pub memory_mb_max: f64,
 }
 
-/// Messages and bytes a second.
+/// Messages and bytes per second.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize, Deserialize)]
 pub struct TrafficRate {
     pub messages_per_s: f64,
@@ -64,7 +68,7 @@
     pub bytes_to_controller_per_s: f64,
 }
 
-/// A distribution of latencies, in milliseconds.
+/// Summary of a distribution of latencies.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize, Deserialize)]
 pub struct Latency {
     pub count: u64,
@@ -73,29 +77,29 @@
     pub max_ms: f64,
 }
 
-/// Latencies of a class of jobs submitted in the window.
+/// Latencies of the jobs of a class: of service jobs all, of array jobs those submitted in the window.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize, Deserialize)]
 pub struct ClassLatencies {
-    /// From the first submission to the acceptance.
+    /// From the first submission of a job to its acceptance.
     pub accept: Latency,
     /// From the first submission to the start of the job's first task.
     pub first_start: Latency,
-    /// From the first submission to the start of each task.
+    /// From the first submission of the job to the start of each of its tasks.
     pub task_start: Latency,
-    /// From the completion of the last task to the first answer that says so; users poll every 5 s.
+    /// From the completion of the job's last task to the first response that reports the job done; users poll every 5 s.
     pub done_told: Latency,
-    /// Jobs of the window none of whose tasks had started at the end.
+    /// Accepted jobs of which no task had started by the end of the run.
     pub never_started: u64,
 }
 
-/// Traffic as rates.
+/// Converts traffic totals to rates over the window, named as in [`Report::traffic`].
 pub fn traffic_rates(
-    tally: &TrafficTotals,
+    totals: &TrafficTotals,
     window_s: f64,
 ) -> BTreeMap<String, BTreeMap<String, TrafficRate>> {
     let rate = |count: u64| count as f64 / window_s;
-    let kinds = |kinds: &BTreeMap<String, Traffic>| {
-        let rates = kinds.iter().map(|(kind, traffic)| {
+    let rates_by_kind = |totals: &BTreeMap<String, Traffic>| {
+        let rates = totals.iter().map(|(kind, traffic)| {
             let rates = TrafficRate {
                 messages_per_s: rate(traffic.messages),
                 bytes_from_controller_per_s: rate(traffic.from_controller),
@@ -109,25 +113,26 @@
         crate::workers::UNKNOWN_CONTROLLER => "all".to_owned(),
         controller => crate::run_layout::controller_name(controller),
     };
-    tally
+    totals
         .iter()
-        .map(|(controller, by_kind)| (name(*controller), kinds(by_kind)))
+        .map(|(controller, by_kind)| (name(*controller), rates_by_kind(by_kind)))
         .collect()
 }
 
-struct Distribution(Histogram<u64>);
+/// Histogram of latencies in microseconds.
+struct LatencyHistogram(Histogram<u64>);
 
-impl Distribution {
+impl LatencyHistogram {
     fn new() -> Result<Self, String> {
-        let histogram = Histogram::new_with_bounds(1, MAX_LATENCY_US, DIGITS);
-        histogram.map(Distribution).map_err(|e| e.to_string())
+        let histogram = Histogram::new_with_bounds(1, MAX_LATENCY_US, HISTOGRAM_DIGITS);
+        histogram.map(LatencyHistogram).map_err(|e| e.to_string())
     }
 
     fn record(&mut self, from_us: u64, to_us: u64) {
         self.0.saturating_record(to_us.saturating_sub(from_us));
     }
 
-    fn latency(&self) -> Latency {
+    fn summary(&self) -> Latency {
         let ms = |us: u64| us as f64 / 1_000.0;
         Latency {
             count: self.0.len(),
@@ -138,128 +143,137 @@
     }
 }
 
-/// What is known of a job.
+/// Times of a job's events, in microseconds since the start of the run.
 #[derive(Default)]
-struct Life {
-    submitted: Option<u64>,
-    accepted: Option<u64>,
-    told_done: Option<u64>,
-    /// First start of each task.
-    starts: HashMap<u64, u64>,
-    last_done: u64,
+struct JobTimeline {
+    submitted_us: Option<u64>,
+    accepted_us: Option<u64>,
+    /// First response that reports the job done.
+    reported_done_us: Option<u64>,
+    /// First start of each task, by index.
+    task_starts_us: HashMap<u64, u64>,
+    /// Completion of the last task.
+    last_task_done_us: u64,
 }
 
-/// Latencies of the jobs submitted from a time on, by class.
-pub fn latencies(
+/// Latencies by class of the array jobs submitted from `from_us` on and of all service jobs.
+pub fn class_latencies(
     experiment: &Experiment,
     tasks: &[TaskEvent],
     users: &[UserEvent],
     from_us: u64,
 ) -> Result<BTreeMap<String, ClassLatencies>, String> {
-    let mut by_class: BTreeMap<String, Vec<Life>> = BTreeMap::new();
-    for (number, life) in lives(tasks, users) {
+    let mut by_class: BTreeMap<String, Vec<JobTimeline>> = BTreeMap::new();
+    for (number, timeline) in job_timelines(tasks, users) {
         let Some(job) = experiment.job_request(number) else {
             continue;
         };
-        let measured = life.submitted.is_some_and(|at| at >= from_us);
-        if measured || job.kind == JobKind::Service {
-            by_class.entry(job.class).or_default().push(life);
+        let in_window = timeline.submitted_us.is_some_and(|at| at >= from_us);
+        if in_window || job.kind == JobKind::Service {
+            by_class.entry(job.class).or_default().push(timeline);
         }
     }
     by_class
         .into_iter()
-        .map(|(class, lives)| Ok((class, class_latencies(&lives)?)))
+        .map(|(class, timelines)| Ok((class, latencies_of(&timelines)?)))
         .collect()
 }
 
-fn lives(tasks: &[TaskEvent], users: &[UserEvent]) -> HashMap<u64, Life> {
-    let mut lives: HashMap<u64, Life> = HashMap::new();
+/// Collects the timeline of each job, by job number.
+fn job_timelines(tasks: &[TaskEvent], users: &[UserEvent]) -> HashMap<u64, JobTimeline> {
+    let mut timelines: HashMap<u64, JobTimeline> = HashMap::new();
     for event in users {
-        let life = lives.entry(event.job).or_default();
-        let first = match event.kind {
-            UserEventKind::Submitted => &mut life.submitted,
-            UserEventKind::Accepted => &mut life.accepted,
-            UserEventKind::Status(JobState::Done) => &mut life.told_done,
+        let timeline = timelines.entry(event.job).or_default();
+        let first_us = match event.kind {
+            UserEventKind::Submitted => &mut timeline.submitted_us,
+            UserEventKind::Accepted => &mut timeline.accepted_us,
+            UserEventKind::Status(JobState::Done) => &mut timeline.reported_done_us,
             _ => continue,
         };
-        first.get_or_insert(event.at_us);
+        first_us.get_or_insert(event.at_us);
     }
     for event in tasks {
-        let Some(life) = lives.get_mut(&event.job) else {
+        let Some(timeline) = timelines.get_mut(&event.job) else {
             continue;
         };
         match event.change {
             TaskChange::Started => {
-                let at = life.starts.entry(event.task).or_insert(event.at_us);
-                *at = event.at_us.min(*at);
+                let start_us = timeline
+                    .task_starts_us
+                    .entry(event.task)
+                    .or_insert(event.at_us);
+                *start_us = event.at_us.min(*start_us);
+            }
+            TaskChange::Done => {
+                timeline.last_task_done_us = timeline.last_task_done_us.max(event.at_us);
             }
-            TaskChange::Done => life.last_done = life.last_done.max(event.at_us),
             TaskChange::Ended => {}
         }
     }
-    lives
+    timelines
 }
 
-fn class_latencies(lives: &[Life]) -> Result<ClassLatencies, String> {
-    let mut accept = Distribution::new()?;
-    let mut first_start = Distribution::new()?;
-    let mut task_start = Distribution::new()?;
-    let mut done_told = Distribution::new()?;
+fn latencies_of(timelines: &[JobTimeline]) -> Result<ClassLatencies, String> {
+    let mut accept = LatencyHistogram::new()?;
+    let mut first_start = LatencyHistogram::new()?;
+    let mut task_start = LatencyHistogram::new()?;
+    let mut done_told = LatencyHistogram::new()?;
     let mut never_started = 0;
-    for life in lives {
-        let (Some(submitted), Some(accepted)) = (life.submitted, life.accepted) else {
+    for timeline in timelines {
+        let (Some(submitted_us), Some(accepted_us)) = (timeline.submitted_us, timeline.accepted_us)
+        else {
             continue;
         };
-        accept.record(submitted, accepted);
-        match life.starts.values().min() {
-            Some(first) => first_start.record(submitted, *first),
+        accept.record(submitted_us, accepted_us);
+        match timeline.task_starts_us.values().min() {
+            Some(first_us) => first_start.record(submitted_us, *first_us),
             None => never_started += 1,
         }
-        for start in life.starts.values() {
-            task_start.record(submitted, *start);
+        for start_us in timeline.task_starts_us.values() {
+            task_start.record(submitted_us, *start_us);
         }
-        if let Some(told) = life.told_done {
-            done_told.record(life.last_done, told);
+        if let Some(reported_us) = timeline.reported_done_us {
+            done_told.record(timeline.last_task_done_us, reported_us);
         }
     }
     Ok(ClassLatencies {
-        accept: accept.latency(),
-        first_start: first_start.latency(),
-        task_start: task_start.latency(),
-        done_told: done_told.latency(),
+        accept: accept.summary(),
+        first_start: first_start.summary(),
+        task_start: task_start.summary(),
+        done_told: done_told.summary(),
         never_started,
     })
 }
 
-/// Events a second from a time on, by what changed.
+/// Rates of task and user events from `from_us` on, which is the start of a window of `window_s`.
 pub fn event_rates(
     tasks: &[TaskEvent],
     users: &[UserEvent],
     from_us: u64,
     window_s: f64,
 ) -> BTreeMap<String, f64> {
-    let tasks_of = |change: TaskChange| {
+    let task_events = |change: TaskChange| {
         tasks
             .iter()
             .filter(|e| e.change == change && e.at_us >= from_us)
             .count()
     };
-    let answers_of = |answer: UserEventKind| {
+    let user_events = |kind: UserEventKind| {
         users
             .iter()
-            .filter(|e| e.kind == answer && e.at_us >= from_us)
+            .filter(|e| e.kind == kind && e.at_us >= from_us)
             .count()
     };
     let counts = [
-        ("task starts a second", tasks_of(TaskChange::Started)),
-        ("task completions a second", tasks_of(TaskChange::Done)),
+        ("task starts a second", task_events(TaskChange::Started)),
+        ("task completions a second", task_events(TaskChange::Done)),
         (
             "jobs submitted a second",
-            answers_of(UserEventKind::Submitted),
+            user_events(UserEventKind::Submitted),
         ),
         (
             "jobs accepted a second",
-            answers_of(UserEventKind::Accepted),
+            user_events(UserEventKind::Accepted),
         ),
     ];
     counts
@@ -267,7 +281,7 @@
         .into()
 }
 
-/// Whether a process is a controller, by its name.
+/// Whether the process with this name is a controller.
 pub fn is_controller(process: &str) -> bool {
     crate::run_layout::controller_number(process).is_some()
 }
