--- a/crates/loadtest/src/main.rs
+++ b/crates/loadtest/src/main.rs
@@ -151,7 +151,7 @@
     for broken in &report.rules.broken {
         println!(
             "    {} at {} ms: {}",
-            broken.rule, broken.at_ms, broken.what
+            broken.rule, broken.at_ms, broken.details
         );
     }
 }
--- a/crates/loadtest/src/report.rs
+++ b/crates/loadtest/src/report.rs
@@ -4,7 +4,7 @@
 use crate::http::{Traffic, TrafficTotals};
 use crate::observations::{TaskChange, TaskEvent, UserEvent, UserEventKind};
 use crate::processes::ProcessFigures;
-use crate::rules::Verdict;
+use crate::rules::RuleCheckResult;
 use hdrhistogram::Histogram;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, HashMap};
@@ -44,7 +44,7 @@
     pub latencies: BTreeMap<String, ClassLatencies>,
     /// Exits of controllers that the experiment did not kill.
     pub unexpected_ends: Vec<String>,
-    pub rules: Verdict,
+    pub rules: RuleCheckResult,
     pub experiment: Experiment,
 }
 
--- a/crates/loadtest/tests/config.rs
+++ b/crates/loadtest/tests/config.rs
@@ -1,30 +1,31 @@
-//! Experiment files: what is wrong is named by its field, before anything is started.
+//! Validation of experiment files and of their expected use of resources, which happens before any process starts.
 
 use loadtest::config::Experiment;
 use loadtest::limits::{check_processes, HostResources, PROCESS_LIMIT};
 
 const SMALL: &str = include_str!("../experiments/small.toml");
 
-fn problem(change: &str) -> String {
+/// The error that the small experiment gives with one field overridden.
+fn error_with_override(change: &str) -> String {
     Experiment::parse_with_overrides(SMALL, &[change.to_owned()])
         .expect_err(change)
         .to_string()
 }
 
 #[test]
-fn experiment_files_of_the_repository_are_good() {
+fn experiment_files_of_the_repository_are_valid() {
     for text in [
         SMALL,
         include_str!("../experiments/workers.toml"),
         include_str!("../experiments/starts.toml"),
         include_str!("../experiments/faults.toml"),
     ] {
-        Experiment::parse(text).expect("a good file");
+        Experiment::parse(text).expect("the experiment file is valid");
     }
 }
 
 #[test]
-fn errors_name_the_field() {
+fn errors_name_the_invalid_field() {
     for (change, field) in [
         ("duration_s=-1.0", "duration_s"),
         ("warmup_s=99.0", "warmup_s"),
@@ -43,50 +44,53 @@
         ("workers.number=1", "workers.number"),
         ("workers.count=many", "count = \"many\""),
     ] {
-        let problem = problem(change);
+        let error = error_with_override(change);
         assert!(
-            problem.contains(field) && !problem.contains('\n'),
-            "{change}: {problem}"
+            error.contains(field) && !error.contains('\n'),
+            "{change}: {error}"
         );
     }
-    let unknown = SMALL.replace("report_s = 2.0", "report_s = 2.0\nreport_m = 2.0");
-    let problem = Experiment::parse(&unknown)
+    let with_unknown_field = SMALL.replace("report_s = 2.0", "report_s = 2.0\nreport_m = 2.0");
+    let error = Experiment::parse(&with_unknown_field)
         .expect_err("an unknown field")
         .to_string();
-    assert!(problem.contains("report_m"), "{problem}");
+    assert!(error.contains("report_m"), "{error}");
 }
 
 #[test]
-fn experiments_beyond_the_machine_are_refused_with_the_limit() {
-    let machine = HostResources {
+fn experiments_that_exceed_the_host_are_rejected_with_the_exceeded_limit() {
+    let host = HostResources {
         memory_bytes: 24 << 30,
         available_bytes: 20 << 30,
         max_open_files: 20_000,
     };
-    let checked = |changes: &[&str], machine: HostResources| {
-        let changes: Vec<String> = changes.iter().map(|c| (*c).to_owned()).collect();
-        let experiment = Experiment::parse_with_overrides(SMALL, &changes).expect("a good file");
-        machine
-            .check_expected_use(&experiment)
+    let check = |overrides: &[&str], host: HostResources| {
+        let overrides: Vec<String> = overrides.iter().map(|o| (*o).to_owned()).collect();
+        let experiment = Experiment::parse_with_overrides(SMALL, &overrides)
+            .expect("the experiment file is valid");
+        host.check_expected_use(&experiment)
             .map_err(|e| e.to_string())
     };
-    assert_eq!(checked(&[], machine), Ok(()));
-    let all = checked(&["workers.count=21000"], machine).expect_err("all at one controller");
+    assert_eq!(check(&[], host), Ok(()));
+    let error =
+        check(&["workers.count=21000"], host).expect_err("too many workers at one controller");
     assert!(
-        all.contains("workers.count") && all.contains("20000"),
-        "{all}"
+        error.contains("workers.count") && error.contains("20000"),
+        "{error}"
     );
-    let process = checked(&["workers.count=9000", "workers.per_process=9000"], machine);
-    let process = process.expect_err("too many in one process");
-    assert!(process.contains("workers.per_process"), "{process}");
-    let many = checked(&["workers.count=3000", "workers.per_process=10"], machine);
-    assert!(many.expect_err("too many processes").contains("processes"));
-    let small = HostResources {
+    let outcome = check(&["workers.count=9000", "workers.per_process=9000"], host);
+    let error = outcome.expect_err("too many workers in one process");
+    assert!(error.contains("workers.per_process"), "{error}");
+    let outcome = check(&["workers.count=3000", "workers.per_process=10"], host);
+    assert!(outcome
+        .expect_err("too many processes")
+        .contains("processes"));
+    let small_host = HostResources {
         memory_bytes: 1 << 29,
-        ..machine
+        ..host
     };
-    let memory = checked(&["workers.count=5000"], small).expect_err("too little memory");
-    assert!(memory.contains("MiB"), "{memory}");
-    assert!(small.check_memory_use((1 << 28) + (1 << 20)).is_err());
+    let error = check(&["workers.count=5000"], small_host).expect_err("too little memory");
+    assert!(error.contains("MiB"), "{error}");
+    assert!(small_host.check_memory_use((1 << 28) + (1 << 20)).is_err());
     assert!(check_processes(PROCESS_LIMIT).is_err());
 }
--- a/crates/loadtest/tests/experiment.rs
+++ b/crates/loadtest/tests/experiment.rs
@@ -1,4 +1,4 @@
-//! A small experiment with real processes, its rules checked, and nothing left behind.
+//! Runs a small experiment with real controller processes and checks its report.
 
 use loadtest::config::Experiment;
 use loadtest::experiment::{run, Programs};
@@ -9,8 +9,12 @@
 /// Builds the controller with the same profile and target directory as the tests.
 fn controller_program() -> PathBuf {
     let loadtest = Path::new(env!("CARGO_BIN_EXE_trackcrank-loadtest"));
-    let profile = loadtest.parent().expect("the directory of a profile");
-    let target = profile.parent().expect("the target directory");
+    let profile = loadtest
+        .parent()
+        .expect("the program is in the directory of its profile");
+    let target = profile
+        .parent()
+        .expect("the profile is in the target directory");
     let mut build = Command::new(env!("CARGO"));
     build.args([
         "build",
@@ -26,34 +30,35 @@
     }
     assert!(
         build.status().expect("cargo runs").success(),
-        "the controller is built"
+        "cargo could not build the controller"
     );
     profile.join("trackcrank")
 }
 
-/// 200 workers, and the end of a controller on the way. Only what holds on a machine of any load is
-/// asserted: the rules, that work ran and that all is counted.
+/// 200 workers, and a controller that is killed during the run. Asserts only what holds on a host under any load: that
+/// no rule was broken, that tasks ran and that processes and messages were counted.
 #[test]
-fn small_experiment_keeps_the_rules() {
-    let experiment =
-        Experiment::parse(include_str!("../experiments/small.toml")).expect("a good file");
+fn small_experiment_breaks_no_rules() {
+    let experiment = Experiment::parse(include_str!("../experiments/small.toml"))
+        .expect("the experiment file is valid");
     let loadtest = PathBuf::from(env!("CARGO_BIN_EXE_trackcrank-loadtest"));
     let programs = Programs {
         controller: controller_program(),
         loadtest,
     };
-    let report = run(&experiment, &programs, &mut |line| println!("{line}")).expect("a run");
+    let report =
+        run(&experiment, &programs, &mut |line| println!("{line}")).expect("the experiment runs");
     assert_eq!(report.ended, "whole");
     assert_eq!(report.rules.broken, Vec::new());
     assert_eq!(report.unexpected_ends, Vec::<String>::new());
     assert!(
         report.rules.task_events > 100,
-        "tasks ran: {:?}",
+        "too few task events: {:?}",
         report.rules
     );
     assert!(
         report.rates["workers"] > 10.0,
-        "machines were rented: {:?}",
+        "too few machines were rented: {:?}",
         report.rates
     );
     assert!(
@@ -72,12 +77,12 @@
         "{controllers:?}"
     );
     let starts: Vec<u32> = controllers.iter().map(|p| p.starts).collect();
-    assert_eq!(starts, [1, 2, 1], "the second was ended once");
+    assert_eq!(starts, [1, 2, 1], "the second controller was killed once");
     for kind in ["report", "txn", "watch", "submit"] {
-        let counted = report
+        let has_kind = report
             .traffic
             .values()
             .any(|kinds| kinds.contains_key(kind));
-        assert!(counted, "{kind}: {:?}", report.traffic);
+        assert!(has_kind, "{kind}: {:?}", report.traffic);
     }
 }
