--- a/crates/loadtest/src/capacity.rs
+++ b/crates/loadtest/src/capacity.rs
@@ -6,7 +6,7 @@
 use serde::{Deserialize, Serialize};
 use std::path::Path;
 
-/// Names of the experiments that are fitted: one series varies the number of workers, the other the rate of task starts.
+/// Names of the experiments that are fitted: one series varies the number of workers, the other the task start rate.
 const WORKERS_SERIES: &str = "workers";
 const STARTS_SERIES: &str = "starts";
 /// Kinds of requests to the state service and to the cloud, as in [`Report::traffic`].
--- a/crates/loadtest/src/report.rs
+++ b/crates/loadtest/src/report.rs
@@ -86,7 +86,7 @@
     pub first_start: Latency,
     /// From the first submission of the job to the start of each of its tasks.
     pub task_start: Latency,
-    /// From the completion of the job's last task to the first response that reports the job done; users poll every 5 s.
+    /// From completion of the job's last task to the first response that reports the job done; users poll every 5 s.
     pub done_told: Latency,
     /// Accepted jobs of which no task had started by the end of the run.
     pub never_started: u64,
